--- a/internal/lab/loopback/mesh_test.go
+++ b/internal/testbench/lab/loopback/mesh_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"starlingwinch/internal/fleet"
+	"starlingwinch/internal/gossip"
 )
 
 // wants waits, until it has failed, for what the views of all routers but some are to say of one.
@@ -46,7 +46,7 @@
 }
 
 // all reports whether the views of all routers but one, read since a time, show another one in a state, and are settled.
-func all(m *Mesh, since Time, of int, states ...fleet.State) bool {
+func all(m *Mesh, since Time, of int, states ...gossip.State) bool {
 	for i := range m.Len() {
 		if i == of || !m.Up(i) || m.Stopped[i] {
 			continue
@@ -75,29 +75,29 @@
 			f(m)
 		}
 	}
-	sees := func(of int, states ...fleet.State) func(m *Mesh) bool {
+	sees := func(of int, states ...gossip.State) func(m *Mesh) bool {
 		return func(m *Mesh) bool { return all(m, since, of, states...) }
 	}
 	var lives []uint64
 	w.plan = []want{
-		{"all meet", mark(func(m *Mesh) { m.Closely(true) }), sees(2, fleet.Alive)},
+		{"all meet", mark(func(m *Mesh) { m.Closely(true) }), sees(2, gossip.Alive)},
 		{"one is killed", mark(func(m *Mesh) {
 			view, _, _, _ := m.View(0)
 			lives = append(lives, view[m.Name(2)].Incarnation)
 			m.Kill(2)
-		}), sees(2, fleet.Faulty)},
-		{"it is back", mark(func(m *Mesh) { m.Restart(2) }), sees(2, fleet.Alive)},
+		}), sees(2, gossip.Faulty)},
+		{"it is back", mark(func(m *Mesh) { m.Restart(2) }), sees(2, gossip.Alive)},
 		{"one is stopped", mark(func(m *Mesh) {
 			view, _, _, _ := m.View(0)
 			lives = append(lives, view[m.Name(2)].Incarnation)
 			m.Stop(1)
-		}), sees(1, fleet.Faulty)},
-		{"it goes on", mark(func(m *Mesh) { m.Continue(1) }), sees(1, fleet.Alive)},
+		}), sees(1, gossip.Faulty)},
+		{"it goes on", mark(func(m *Mesh) { m.Continue(1) }), sees(1, gossip.Alive)},
 		{"halves are cut off", mark(func(m *Mesh) { m.Cut(func(i int) int { return i / 2 }) }), func(m *Mesh) bool {
 			view, settled, _, at := m.View(0)
-			return at > since && settled && view[m.Name(1)].State == fleet.Alive && view[m.Name(2)].State == fleet.Faulty
+			return at > since && settled && view[m.Name(1)].State == gossip.Alive && view[m.Name(2)].State == gossip.Faulty
 		}},
-		{"they meet again", mark(func(m *Mesh) { m.Cut(nil) }), sees(3, fleet.Alive)},
+		{"they meet again", mark(func(m *Mesh) { m.Cut(nil) }), sees(3, gossip.Alive)},
 		{"one does not hear another, and nobody is accused", mark(func(m *Mesh) { m.CutOneWay(0, 1) }), func(m *Mesh) bool {
 			for i := range m.Len() {
 				view, _, _, _ := m.View(i)
@@ -109,12 +109,12 @@
 			}
 			return m.Now() > since+4*second
 		}},
-		{"it hears again", mark(func(m *Mesh) { m.Cut(nil) }), sees(1, fleet.Alive)},
-		{"one drains", mark(func(m *Mesh) { m.Term(3) }), sees(3, fleet.Leaving, fleet.Left)},
+		{"it hears again", mark(func(m *Mesh) { m.Cut(nil) }), sees(1, gossip.Alive)},
+		{"one drains", mark(func(m *Mesh) { m.Term(3) }), sees(3, gossip.Leaving, gossip.Left)},
 		{"datagrams are lost, cut and late", mark(func(m *Mesh) {
 			m.Lossy(Losses{Lost: .2, Twice: .2, Late: .2, LateBy: 50 * millisecond, Cut: .1})
 		}), func(m *Mesh) bool { return m.Now() > since+3*second }},
-		{"and no more", mark(func(m *Mesh) { m.Lossy(Losses{}) }), sees(3, fleet.Alive)},
+		{"and no more", mark(func(m *Mesh) { m.Lossy(Losses{}) }), sees(3, gossip.Alive)},
 	}
 	r, err := Run(Options{Script: s, Fleet: &Fleet{Begin: func(m *Mesh) { w.m = m; w.next() }}})
 	if err != nil {
--- a/internal/lab/loopback/registry.go
+++ b/internal/testbench/lab/loopback/registry.go
@@ -5,11 +5,11 @@
 	"slices"
 	"strconv"
 
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/standin"
-	"starlingwinch/internal/standin/registry"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/standin"
+	"starlingwinch/internal/testbench/standin/registry"
 )
 
 // registries are the registry as each router sees it: one server for each, at which the caches stand with the addresses
--- a/internal/lab/loopback/registry_test.go
+++ b/internal/testbench/lab/loopback/registry_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 func TestRouterProcessFollowsARegistry(t *testing.T) {
--- a/internal/lab/loopback/router.go
+++ b/internal/testbench/lab/loopback/router.go
@@ -10,7 +10,7 @@
 	"syscall"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // ErrInterrupted says that a run was interrupted before it began, or twice: it has shown nothing.
--- a/internal/lab/loopback/run.go
+++ b/internal/testbench/lab/loopback/run.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Bounds of a run.
--- a/internal/lab/loopback/snapshot.go
+++ b/internal/testbench/lab/loopback/snapshot.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strings"
 
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Snapshot is the state of a run at a moment.
--- a/internal/lab/loopback/storm.go
+++ b/internal/testbench/lab/loopback/storm.go
@@ -5,8 +5,8 @@
 	"os"
 	"path/filepath"
 
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Storm has all caches go, come back cold, and all clients reconnect at that moment. Its clients take the place of the
--- a/internal/lab/loopback/throng_test.go
+++ b/internal/testbench/lab/loopback/throng_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // TestColdCachesBearThirtyRouters: two small caches come back cold under a burst. Each of 24 router processes sends little, and all of
--- a/internal/lab/loopback/views.go
+++ b/internal/testbench/lab/loopback/views.go
@@ -1,7 +1,7 @@
 package loopback
 
 import (
-	"starlingwinch/internal/fleet"
+	"starlingwinch/internal/gossip"
 	"starlingwinch/internal/machine"
 )
 
@@ -19,10 +19,10 @@
 	i       int
 	conn    machine.PacketConn
 	nonce   uint32
-	reading []fleet.Member
+	reading []gossip.Member
 	begun   uint64 // the digest at the beginning of the reading
 	// View is the last one that was read whole, and At when.
-	View    map[string]fleet.Member
+	View    map[string]gossip.Member
 	Settled bool
 	Digest  uint64
 	At      Time
@@ -46,7 +46,7 @@
 
 // View is the view of a router as it was read last, the observer's time of that, and whether there is one. A view that
 // was read while the router ran, before it was killed, stands until it is read again.
-func (m *Mesh) View(i int) (view map[string]fleet.Member, settled bool, digest uint64, at Time) {
+func (m *Mesh) View(i int) (view map[string]gossip.Member, settled bool, digest uint64, at Time) {
 	w := m.views[i]
 	return w.View, w.Settled, w.Digest, w.At
 }
@@ -59,7 +59,7 @@
 
 func (w *watched) ask() {
 	w.nonce++
-	_ = w.conn.Send(w.m.peers[w.i], fleet.Question(len(w.reading), w.nonce))
+	_ = w.conn.Send(w.m.peers[w.i], gossip.Question(len(w.reading), w.nonce))
 	w.in(askAgainIn)
 }
 
@@ -77,7 +77,7 @@
 }
 
 func (w *watched) got(_ string, b []byte) {
-	p, err := fleet.ReadPage(b, w.nonce)
+	p, err := gossip.ReadPage(b, w.nonce)
 	if err != nil || p.First != len(w.reading) {
 		return
 	}
@@ -92,7 +92,7 @@
 		w.ask()
 		return
 	}
-	w.View = make(map[string]fleet.Member, len(w.reading))
+	w.View = make(map[string]gossip.Member, len(w.reading))
 	for _, m := range w.reading {
 		w.View[m.Name] = m
 	}
--- a/internal/lab/loopback/witness.go
+++ b/internal/testbench/lab/loopback/witness.go
@@ -1,7 +1,7 @@
 package loopback
 
 import (
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // witness stands between the stand-ins and the watcher: it tells it the times of a steady clock, leaves out what
--- a/internal/lab/loopback/witness_test.go
+++ b/internal/testbench/lab/loopback/witness_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 func newScene(visitors bool) (*witness, *[]rules.Violation) {
--- a/internal/lab/loopback/world.go
+++ b/internal/testbench/lab/loopback/world.go
@@ -6,10 +6,10 @@
 	"math/rand/v2"
 	"strings"
 
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // slack is how much longer each limit of time is on sockets than in the simulator: the operators' protocol says so.
--- a/internal/lab/losses.go
+++ b/internal/testbench/lab/loss_report.go
@@ -8,7 +8,7 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Losses counts why requests were not served in time, in the words of the routers' own modules, over all routers and all
--- a/internal/lab/mass.go
+++ b/internal/testbench/lab/mass.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/sim"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/sim"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Mass is a day with many routers, of which each sends a cache a request every few seconds.
--- a/internal/lab/mass_test.go
+++ b/internal/testbench/lab/mass_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/node"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/node"
 )
 
 // many is a day with many routers that a test can afford.
--- a/internal/lab/node.go
+++ b/internal/testbench/lab/node.go
@@ -4,8 +4,8 @@
 	"starlingwinch/internal/guard"
 	"starlingwinch/internal/hooks"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/store"
-	"starlingwinch/internal/storm"
+	"starlingwinch/internal/retrystorm"
+	"starlingwinch/internal/snapshotstore"
 )
 
 // Node is one router's process, as the lab sees it.
@@ -31,9 +31,9 @@
 	// Unguarded has the router's guard prevent nothing, for defects that it would.
 	Unguarded bool
 	// State says where the router keeps what it has learned; the zero value is nowhere.
-	State store.Config
+	State snapshotstore.Config
 	// Storm, where it is not nil, is what operators say of storms.
-	Storm *storm.Config
+	Storm *retrystorm.Config
 }
 
 // OperatorFile is a file of the operators, as `run --operator` takes it.
--- a/internal/lab/node/node.go
+++ b/internal/testbench/lab/node/node.go
@@ -2,13 +2,13 @@
 package node
 
 import (
+	"starlingwinch/internal/endpoints"
 	"starlingwinch/internal/eureka"
 	"starlingwinch/internal/hooks"
-	"starlingwinch/internal/lab"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/membership"
-	"starlingwinch/internal/opfile"
+	"starlingwinch/internal/operatorconfig"
 	"starlingwinch/internal/router"
+	"starlingwinch/internal/testbench/lab"
 )
 
 // Start starts a router on a machine. It is the lab.Start of all but tests of the lab.
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var files []opfile.File
+	var files []operatorconfig.File
 	for _, f := range c.Operator {
 		file, err := kinds.Parse(f.Kind, []byte(f.Text))
 		if err != nil {
@@ -25,8 +25,8 @@
 		}
 		files = append(files, file)
 	}
-	cfg.Membership = opfile.Get[membership.Config](files, membership.Kind)
-	cfg.Eureka = opfile.Get[eureka.Config](files, eureka.Kind)
+	cfg.Membership = operatorconfig.Get[endpoints.Config](files, endpoints.Kind)
+	cfg.Eureka = operatorconfig.Get[eureka.Config](files, eureka.Kind)
 	cfg.Wrap, cfg.Unguarded, cfg.State = c.Wrap, c.Unguarded, c.State
 	if c.Storm != nil {
 		cfg.Storm = *c.Storm
@@ -50,7 +50,7 @@
 }
 
 // kinds are the operators' files that the lab sets.
-var kinds = opfile.Registry{membership.Kind, eureka.Kind}
+var kinds = operatorconfig.Registry{endpoints.Kind, eureka.Kind}
 
 // node is a router as the lab sees it.
 type node struct {
--- a/internal/lab/eyes.go
+++ b/internal/testbench/lab/observer.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"slices"
 
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/sim"
 )
 
 // eyes hands what the stand-ins see to the watcher, and tells a timeline what a person wants to know.
--- a/internal/lab/operator.go
+++ b/internal/testbench/lab/operator.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"strings"
 
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // RegistryFiles are the operators' files of a router that follows a registry with these servers. It serves at self, and
--- a/internal/lab/pacing/pacing.go
+++ b/internal/testbench/lab/pacing/pacing.go
@@ -10,8 +10,8 @@
 	"starlingwinch/internal/discovery"
 	"starlingwinch/internal/limits"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/sim"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/sim"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Time is an instant or a span in microseconds.
--- a/internal/lab/deserted.go
+++ b/internal/testbench/lab/partition.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // Deserted is a rule of the lab's own: a router that sends nothing, though caches take work and have been shown to it
--- a/internal/lab/homes.go
+++ b/internal/testbench/lab/placement.go
@@ -2,7 +2,7 @@
 
 import (
 	"starlingwinch/decide"
-	clientside "starlingwinch/internal/front"
+	clientside "starlingwinch/internal/frontend"
 )
 
 // Homes tells which of the caches routers send a key to, so that stand-ins hold what a running fleet holds.
--- a/internal/lab/planted/hooks.go
+++ b/internal/testbench/lab/planted/hooks.go
@@ -6,8 +6,8 @@
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
 	"starlingwinch/internal/hooks"
-	"starlingwinch/internal/lab"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/lab"
 )
 
 const hour machine.Time = 3_600_000_000
--- a/internal/lab/planted/machine.go
+++ b/internal/testbench/lab/planted/machine.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"starlingwinch/decide"
-	"starlingwinch/internal/lab"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/lab"
 )
 
 // InMachine are the defects that need no more than a stand between a router and its machine: what it sends, reads and
--- a/internal/lab/planted/planted.go
+++ b/internal/testbench/lab/planted/planted.go
@@ -11,8 +11,8 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // Defect is one defect.
--- a/internal/lab/planted/planted_test.go
+++ b/internal/testbench/lab/planted/planted_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/bare"
-	"starlingwinch/internal/lab/node"
-	"starlingwinch/internal/lab/planted"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/baseline"
+	"starlingwinch/internal/testbench/lab/node"
+	"starlingwinch/internal/testbench/lab/planted"
 )
 
 const (
@@ -27,7 +27,7 @@
 		t.Run(d.Name, func(t *testing.T) {
 			o := lab.Options{Node: node.Start}
 			if d.Masked {
-				o.Node = bare.Start
+				o.Node = baseline.Start
 			}
 			if d.Guarded {
 				if run, broke, err := d.Find(t.Context(), o, guardedSeeds, length); broke || err != nil {
--- a/internal/lab/planted/registry.go
+++ b/internal/testbench/lab/planted/registry.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"starlingwinch/internal/lab"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/lab"
 )
 
 // InRegistry are the defects of how a registry is followed. They change what a router reads of it, or what it is
--- a/internal/lab/planted/throng.go
+++ b/internal/testbench/lab/planted/throng.go
@@ -5,9 +5,9 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
-	"starlingwinch/internal/httpc"
-	"starlingwinch/internal/lab"
+	"starlingwinch/internal/httpclient"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/lab"
 )
 
 // InThrong are the defects of how many routers share a discovery that takes few calls.
@@ -67,9 +67,9 @@
 				}
 				if now := m.Now(); unmet >= doubtAfter && now >= doubted+doubtPause {
 					unmet, doubted = 0, now
-					client := httpc.New(m, told.Discovery, httpc.Options{DialTime: doubtTime, MostBody: 1 << 20})
+					client := httpclient.New(m, told.Discovery, httpclient.Options{DialTime: doubtTime, MostBody: 1 << 20})
 					m.Post(func() {
-						client.Do(httpc.Request{Method: "GET", Path: "/discovery/hosts"}, doubtTime, func(*httpc.Response, error) { client.Close() })
+						client.Do(httpclient.Request{Method: "GET", Path: "/discovery/hosts"}, doubtTime, func(*httpclient.Response, error) { client.Close() })
 					})
 				}
 				return ev
--- a/internal/lab/reachable.go
+++ b/internal/testbench/lab/reachable.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/sim"
 )
 
 // reachable tells since when a router has had a way to discovery that nothing holds up, and whether it has one now.
--- a/internal/lab/registry.go
+++ b/internal/testbench/lab/registry.go
@@ -6,10 +6,10 @@
 	"net/netip"
 	"strconv"
 
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/sim"
-	"starlingwinch/internal/standin"
-	"starlingwinch/internal/standin/registry"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/sim"
+	"starlingwinch/internal/testbench/standin"
+	"starlingwinch/internal/testbench/standin/registry"
 )
 
 // registries are the servers of a run's registry, and the caches that are registered there. A nil one is that of a run
--- a/internal/lab/registry_test.go
+++ b/internal/testbench/lab/registry_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/node"
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/node"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // TestRegistrySeedsBreakNoRule is the hunt of worlds with a registry that every change has to pass.
--- a/internal/lab/result.go
+++ b/internal/testbench/lab/result.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 	"strings"
 
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/sim"
 )
 
 // Rules that the runner watches besides those of package rules.
--- a/internal/lab/router.go
+++ b/internal/testbench/lab/router.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"starlingwinch/internal/hooks/hookstest"
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/sim"
 )
 
 // router is one router through its lives.
--- a/internal/lab/run.go
+++ b/internal/testbench/lab/run.go
@@ -17,12 +17,12 @@
 	"strings"
 
 	"starlingwinch/internal/guard"
-	"starlingwinch/internal/lab/script"
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/sim"
-	"starlingwinch/internal/standin"
-	"starlingwinch/internal/store"
-	"starlingwinch/internal/storm"
+	"starlingwinch/internal/retrystorm"
+	"starlingwinch/internal/snapshotstore"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/sim"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Options say how a script is run.
@@ -33,13 +33,13 @@
 	// Unguarded has the routers' guard prevent nothing; see NodeConfig.
 	Unguarded bool
 	// Storm is what operators say of storms; nil for nothing.
-	Storm *storm.Config
+	Storm *retrystorm.Config
 	// Change, where it is not nil, changes each script before it is played.
 	Change func(*script.Script)
 	// Follow is the id of a request whose life the result is to hold.
 	Follow string
 	// State says where routers keep what they have learned; the zero value is nowhere.
-	State store.Config
+	State snapshotstore.Config
 	// Fleet, where it is not nil, changes the fleet that stands around the routers before it is made.
 	Fleet func(*standin.Options)
 	// Weight is how many of its zone's connections the front deals to a router, from 0, for each one of another; nil for one.
@@ -167,10 +167,10 @@
 	for {
 		f, more := frames.Next()
 		name, ours := strings.CutPrefix(f.Function, "starlingwinch/")
-		if name == "internal/lab.(*world).runPart" {
+		if name == "internal/testbench/lab.(*world).runPart" {
 			more = false // who has called the runner is no part of it
 		}
-		if ours && !strings.HasPrefix(name, "internal/lab.") && !strings.HasPrefix(name, "internal/sim.") {
+		if ours && !strings.HasPrefix(name, "internal/testbench/lab.") && !strings.HasPrefix(name, "internal/testbench/sim.") {
 			lines = append(lines, fmt.Sprintf(" | %s %s:%d", name, path.Base(f.File), f.Line))
 		}
 		if !more || len(lines) == mostFrames {
--- a/internal/lab/scenario.go
+++ b/internal/testbench/lab/scenario.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // Scenario is a measurement or a check of its own, which `lab run NAME` runs.
--- a/internal/lab/script/hook.go
+++ b/internal/testbench/lab/script/hook.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"starlingwinch/internal/fault"
-	"starlingwinch/internal/opfile"
+	"starlingwinch/internal/configerror"
+	"starlingwinch/internal/operatorconfig"
 )
 
 // What a hook does when it strikes; else it passes.
@@ -93,7 +93,7 @@
 // mostHooks of a router.
 const mostHooks = 4
 
-func checkHooks(s Script, bad opfile.Bad) {
+func checkHooks(s Script, bad operatorconfig.Bad) {
 	if len(s.Hooks) > mostHooks {
 		bad("hook", "%d hooks (wanted at most %d)", len(s.Hooks), mostHooks)
 	}
@@ -103,15 +103,15 @@
 		case h.Kind == "":
 			bad(at, "kind is missing")
 		case !slices.Contains(hookKinds, h.Kind):
-			bad(at+".kind", "unknown kind (%s)%s", fault.Quote(h.Kind), fault.Meant(h.Kind, hookKinds))
+			bad(at+".kind", "unknown kind (%s)%s", configerror.Quote(h.Kind), configerror.Meant(h.Kind, hookKinds))
 		}
 		for _, p := range strings.Split(h.Usual().Points, ",") {
 			if !slices.Contains(hookPoints, p) {
-				bad(at+".points", "unknown point (%s)%s", fault.Quote(p), fault.Meant(p, hookPoints))
+				bad(at+".points", "unknown point (%s)%s", configerror.Quote(p), configerror.Meant(p, hookPoints))
 			}
 		}
 		if h.OnFailure != "" && h.OnFailure != "pass" && h.OnFailure != OnFailureRefuse {
-			bad(at+".on_failure", "unknown word (%s, wanted pass or refuse)", fault.Quote(h.OnFailure))
+			bad(at+".on_failure", "unknown word (%s, wanted pass or refuse)", configerror.Quote(h.OnFailure))
 		}
 		if h.Delay != 0 && h.Kind != HookSlow {
 			bad(at+".delay", "%s takes no delay", h.Kind)
--- a/internal/lab/script/kinds.go
+++ b/internal/testbench/lab/script/kinds.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"starlingwinch/internal/fault"
-	"starlingwinch/internal/opfile"
+	"starlingwinch/internal/configerror"
+	"starlingwinch/internal/operatorconfig"
 )
 
 // Place is a sort of target.
@@ -223,7 +223,7 @@
 }
 
 // check looks at what no single key tells.
-func check(s Script, bad opfile.Bad) {
+func check(s Script, bad operatorconfig.Bad) {
 	checkHooks(s, bad)
 	for i, f := range s.Faults {
 		at := fmt.Sprintf("fault[%d]", i)
@@ -233,7 +233,7 @@
 			if f.Kind == "" {
 				bad(at, "kind is missing")
 			} else {
-				bad(at+".kind", "unknown fault (%s)%s", fault.Quote(f.Kind), fault.Meant(f.Kind, names))
+				bad(at+".kind", "unknown fault (%s)%s", configerror.Quote(f.Kind), configerror.Meant(f.Kind, names))
 			}
 			continue
 		}
@@ -246,7 +246,7 @@
 	}
 }
 
-func (k *Kind) checkTimes(f Fault, length time.Duration, at string, bad opfile.Bad) {
+func (k *Kind) checkTimes(f Fault, length time.Duration, at string, bad operatorconfig.Bad) {
 	switch {
 	case f.At >= length:
 		bad(at+".at", "at or past the end of the run (%s, which ends at %s)", f.At, length)
@@ -261,7 +261,7 @@
 	}
 }
 
-func (k *Kind) checkFigures(f Fault, at string, bad opfile.Bad) {
+func (k *Kind) checkFigures(f Fault, at string, bad operatorconfig.Bad) {
 	for _, x := range []struct {
 		name string
 		v    float64
@@ -283,17 +283,17 @@
 	case len(k.How) == 0:
 		bad(at+".how", "%s takes no how", k.Name)
 	case !slices.Contains(k.How, f.How):
-		bad(at+".how", "unknown word (%s, wanted %s)", fault.Quote(f.How), fault.OneOf(k.How))
+		bad(at+".how", "unknown word (%s, wanted %s)", configerror.Quote(f.How), configerror.OneOf(k.How))
 	}
 }
 
-func (k *Kind) checkTarget(target string, s Script, at string, bad opfile.Bad) {
+func (k *Kind) checkTarget(target string, s Script, at string, bad operatorconfig.Bad) {
 	if target == "" {
 		bad(at, "target is missing (wanted %s)", k.targets())
 		return
 	}
 	if k.only() != "" && target != k.only() || !k.takes(target, s) {
-		bad(at+".target", "no target of %s (%s, wanted %s)", k.Name, fault.Quote(target), k.targets())
+		bad(at+".target", "no target of %s (%s, wanted %s)", k.Name, configerror.Quote(target), k.targets())
 	}
 }
 
--- a/internal/lab/script/script.go
+++ b/internal/testbench/lab/script/script.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"starlingwinch/internal/opfile"
+	"starlingwinch/internal/operatorconfig"
 )
 
 // Script is a world and its faults. The zero value is not legal: begin with Default.
@@ -109,11 +109,11 @@
 }
 
 // File is the kind of file that holds a script.
-var File = opfile.Define("faults", "a world and what goes wrong in it", Default(), check)
+var File = operatorconfig.Define("faults", "a world and what goes wrong in it", Default(), check)
 
 // Parse reads a script. The error is a *fault.List with all that is wrong.
 func Parse(name string, raw []byte) (Script, error) {
-	f, err := opfile.Registry{File}.Parse(name, raw)
+	f, err := operatorconfig.Registry{File}.Parse(name, raw)
 	if err != nil {
 		return Script{}, err
 	}
@@ -124,7 +124,7 @@
 
 // Load reads a script from a file.
 func Load(path string) (Script, error) {
-	raw, err := opfile.Read(path, opfile.MostBytes)
+	raw, err := operatorconfig.Read(path, operatorconfig.MostBytes)
 	if err != nil {
 		return Script{}, err
 	}
--- a/internal/lab/script/script_test.go
+++ b/internal/testbench/lab/script/script_test.go
@@ -147,7 +147,7 @@
 }
 
 func TestOperatorsPageNamesEveryKind(t *testing.T) {
-	page, err := os.ReadFile("../../../docs/operators/lab.md")
+	page, err := os.ReadFile("../../../../docs/operators/lab.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/shrink.go
+++ b/internal/testbench/lab/shrink.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // Shrinking cuts a script down to what matters for one broken rule. Faults are dropped by delta debugging (Zeller and
--- a/internal/lab/soak/coverage.go
+++ b/internal/testbench/lab/soak/coverage.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // Paths of a router that have to keep the rules.
--- a/internal/lab/soak/draw.go
+++ b/internal/testbench/lab/soak/draw.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // drawStream keeps the draws apart from those of the world of the same seed.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/testbench/lab/soak/soak_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"starlingwinch/internal/lab/loopback"
 	"starlingwinch/internal/machine/faultkernel"
+	"starlingwinch/internal/testbench/lab/loopback"
 )
 
 func TestEqualSeedsDrawEqualPlays(t *testing.T) {
--- a/internal/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -7,11 +7,11 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
-	"starlingwinch/internal/lab/script"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/sim"
-	"starlingwinch/internal/standin"
-	"starlingwinch/internal/storm"
+	"starlingwinch/internal/retrystorm"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/sim"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Storm is a storm of retries and reconnects: all caches go, come back cold, and all clients reconnect at that moment.
@@ -201,7 +201,7 @@
 // PlayStorm plays a storm in a virtual world.
 func PlayStorm(s Storm, o Options) (*StormResult, error) {
 	if o.Storm == nil {
-		on := storm.On()
+		on := retrystorm.On()
 		o.Storm = &on
 	}
 	base := script.Default()
--- a/internal/lab/stormbooks.go
+++ b/internal/testbench/lab/storm_accounting.go
@@ -1,7 +1,7 @@
 package lab
 
 import (
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Bearing tells what a fleet can bear at a moment. Use NewBearing.
--- a/internal/lab/storm_test.go
+++ b/internal/testbench/lab/storm_test.go
@@ -8,9 +8,9 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/node"
-	"starlingwinch/internal/storm"
+	"starlingwinch/internal/retrystorm"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/node"
 )
 
 const second = 1_000_000
@@ -93,7 +93,7 @@
 func slow(t *testing.T) {
 	t.Helper()
 	if storms == 0 {
-		t.Skip("takes minutes with the race detector; go test ./internal/lab plays it")
+		t.Skip("takes minutes with the race detector; go test ./internal/testbench/lab plays it")
 	}
 }
 
@@ -168,7 +168,7 @@
 		s.Load, s.For = 0.25, 15*second
 		return len(play(t, s, o).Changes)
 	}
-	flapping := storm.On()
+	flapping := retrystorm.On()
 	flapping.Leave, flapping.Confirm, flapping.Settle, flapping.Ease = flapping.Enter, 0, 0, 0
 	if sound, broken := edge(lab.Options{}), edge(lab.Options{Storm: &flapping}); broken < sound*4/3 {
 		t.Errorf("%d changes of state, with the defect %d", sound, broken)
@@ -184,7 +184,7 @@
 	}
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, event: func(ev decide.Event) decide.Event {
-			if p, ok := ev.(*decide.Pressure); ok && p.Retries > storm.Default().Retries {
+			if p, ok := ev.(*decide.Pressure); ok && p.Retries > retrystorm.Default().Retries {
 				p.Retries = 1
 			}
 			return ev
--- a/internal/lab/hollow/hollow.go
+++ b/internal/testbench/lab/stubrouter/stubrouter.go
@@ -1,7 +1,7 @@
-// Package hollow runs many hollow routers in one process on loopback sockets, and measures what their control costs: a hollow
+// Package stubrouter runs many hollow routers in one process on loopback sockets, and measures what their control costs: a hollow
 // router is the whole router, on a real machine of its own, that no client asks. Its sources, watches of discovery, membership,
 // probes and configuration are at work as in service. Caches and discovery are the project's stand-ins.
-package hollow
+package stubrouter
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/node"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/node"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Options describe a run.
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/testbench/lab/stubrouter/stubrouter_test.go
@@ -1,4 +1,4 @@
-package hollow
+package stubrouter
 
 import (
 	"testing"
--- a/internal/lab/throng_test.go
+++ b/internal/testbench/lab/throng_test.go
@@ -4,9 +4,9 @@
 	"runtime"
 	"testing"
 
-	"starlingwinch/internal/lab"
-	"starlingwinch/internal/lab/node"
-	"starlingwinch/internal/lab/script"
+	"starlingwinch/internal/testbench/lab"
+	"starlingwinch/internal/testbench/lab/node"
+	"starlingwinch/internal/testbench/lab/script"
 )
 
 // TestDrawnThrongs: many routers start in step before a discovery that takes few calls. With calls made beside a watch that works
--- a/internal/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"starlingwinch/internal/lab/script"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
-	"starlingwinch/internal/sim"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/lab/script"
+	"starlingwinch/internal/testbench/rules"
+	"starlingwinch/internal/testbench/sim"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // Time is an instant or a span in microseconds.
--- a/internal/load/beside_test.go
+++ b/internal/testbench/load/beside_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/sim"
 )
 
 // mute takes connections and never answers.
--- a/internal/load/load_test.go
+++ b/internal/testbench/load/load_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/sim"
 )
 
 func TestHistogramTellsQuantilesWithinASixteenth(t *testing.T) {
--- a/internal/load/target.go
+++ b/internal/testbench/load/target.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/standin"
+	"starlingwinch/internal/testbench/standin"
 )
 
 // startTime is how long a process may take until it serves.
--- a/internal/policylimit/policylimit_test.go
+++ b/internal/testbench/policylimit/policylimit_test.go
@@ -63,7 +63,7 @@
 	"decide/placement.go", "decide/sparse.go"}
 
 func TestPolicyKeepsItsLimits(t *testing.T) {
-	root := filepath.Join("..", "..")
+	root := filepath.Join("..", "..", "..")
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/seam/seam_test.go
+++ b/internal/testbench/seam/seam_test.go
@@ -17,11 +17,11 @@
 )
 
 // virtual are the packages that run on a virtual machine.
-var virtual = []string{"decide", "internal/router", "internal/front", "internal/upstream", "internal/discovery",
-	"internal/eureka", "internal/httpc", "internal/httpd", "internal/membership", "internal/sources", "internal/aperture",
-	"internal/resp", "internal/guard", "internal/rules", "internal/standin", "internal/standin/registry", "internal/sim",
+var virtual = []string{"decide", "internal/router", "internal/frontend", "internal/upstream", "internal/discovery",
+	"internal/eureka", "internal/httpclient", "internal/testbench/httpserver", "internal/endpoints", "internal/endpointsource", "internal/aperture",
+	"internal/resp", "internal/guard", "internal/testbench/rules", "internal/testbench/standin", "internal/testbench/standin/registry", "internal/testbench/sim",
 	"internal/hooks", "internal/hooks/policy", "internal/hooks/hookstest",
-	"internal/learned", "internal/store"}
+	"internal/snapshot", "internal/snapshotstore"}
 
 // forbidden are the calls that only the machine's real side may make, by package.
 var forbidden = map[string][]string{
@@ -147,7 +147,7 @@
 }
 
 func TestOnlyTheMachineTakesFromTheMachine(t *testing.T) {
-	t.Chdir(filepath.Join("..", ".."))
+	t.Chdir(filepath.Join("..", "..", ".."))
 	fset := token.NewFileSet()
 	imp := importer.ForCompiler(fset, "source", nil)
 	for _, dir := range virtual {
--- a/internal/standin/answer.go
+++ b/internal/testbench/standin/answer.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"strings"
 
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // answer is what a client makes of a router's answer.
--- a/internal/standin/cache.go
+++ b/internal/testbench/standin/cache.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // Cancel says what becomes of the work of a request whose connection has ended.
--- a/internal/standin/cache_test.go
+++ b/internal/testbench/standin/cache_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // notes is an Observer that writes down what it is told, one line each.
--- a/internal/standin/cacheconn.go
+++ b/internal/testbench/standin/cacheconn.go
@@ -4,7 +4,7 @@
 	"github.com/tidwall/redcon"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // cacheConn is a connection of a router to a cache. Its calls are answered in their order.
--- a/internal/standin/call.go
+++ b/internal/testbench/standin/call.go
@@ -6,7 +6,7 @@
 	"github.com/tidwall/redcon"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // call is one command at a cache, from its last byte to its answer.
--- a/internal/standin/client.go
+++ b/internal/testbench/standin/client.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/redcon"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // RetryWait says how long clients wait before they try again.
--- a/internal/standin/client_test.go
+++ b/internal/testbench/standin/client_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // fakeRouter takes connections, and has f answer each command.
--- a/internal/standin/clientconn.go
+++ b/internal/testbench/standin/clientconn.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // clientConn is a client's connection to a router.
--- a/internal/standin/discovery.go
+++ b/internal/testbench/standin/discovery.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // What discovery says of a cache.
--- a/internal/standin/discoverycall.go
+++ b/internal/testbench/standin/discoverycall.go
@@ -5,8 +5,8 @@
 	"net/url"
 	"slices"
 
-	"starlingwinch/internal/httpd"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/httpserver"
 )
 
 const (
@@ -18,12 +18,12 @@
 // listDoor is an address at which discovery listens.
 type listDoor struct {
 	addr, router string
-	http         *httpd.Server
+	http         *httpserver.Server
 }
 
 func (d *Discovery) listen(door *listDoor) error {
-	o := httpd.Options{MostHead: mostHead, IdleTime: mostIdle}
-	door.http = httpd.New(d.m, o, func(x *httpd.Exchange) {
+	o := httpserver.Options{MostHead: mostHead, IdleTime: mostIdle}
+	door.http = httpserver.New(d.m, o, func(x *httpserver.Exchange) {
 		router := door.router
 		if router == "" && d.o.RouterOf != nil {
 			router = d.o.RouterOf(x.Remote)
@@ -39,7 +39,7 @@
 // listCall is a router's call for the list.
 type listCall struct {
 	d      *Discovery
-	x      *httpd.Exchange
+	x      *httpserver.Exchange
 	router string
 	after  int64 // -1 for the whole list
 	waits  bool  // it is a watch that has nothing to tell yet
@@ -59,7 +59,7 @@
 }
 
 // reject answers what is no call for the list, and ends the connection.
-func (k *listCall) reject(status int) { k.x.Answer(httpd.Answer{Status: status, Close: true}) }
+func (k *listCall) reject(status int) { k.x.Answer(httpserver.Answer{Status: status, Close: true}) }
 
 func (k *listCall) begin() {
 	d, q := k.d, k.x.Request
@@ -185,9 +185,9 @@
 }
 
 func (k *listCall) send(status int, body []byte) bool {
-	return k.x.Answer(httpd.Answer{
+	return k.x.Answer(httpserver.Answer{
 		Status: status,
-		Header: []httpd.Header{{Name: "Content-Type", Value: "application/json"}},
+		Header: []httpserver.Header{{Name: "Content-Type", Value: "application/json"}},
 		Body:   body,
 	})
 }
--- a/internal/standin/faults.go
+++ b/internal/testbench/standin/faults.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // Spoil is a way in which an answer can't be read.
--- a/internal/standin/fleet.go
+++ b/internal/testbench/standin/fleet.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // Options describe a whole fleet with its clients. DefaultOptions holds the operators' figures.
--- a/internal/standin/hostile.go
+++ b/internal/testbench/standin/hostile.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // Harm is what a hostile client does with a connection.
--- a/internal/standin/registry/faults.go
+++ b/internal/testbench/standin/registry/faults.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"strconv"
 
-	"starlingwinch/internal/httpd"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/httpserver"
 )
 
 // faults are what the registry does wrong.
@@ -144,7 +144,7 @@
 }
 
 // answer gives an answer, with what is wrong with it at present.
-func (r *Registry) answer(x *httpd.Exchange, a httpd.Answer) {
+func (r *Registry) answer(x *httpserver.Exchange, a httpserver.Answer) {
 	f := &r.faults
 	if f.slow <= 0 {
 		r.spoil(x, a)
@@ -167,7 +167,7 @@
 	})
 }
 
-func (r *Registry) spoil(x *httpd.Exchange, a httpd.Answer) {
+func (r *Registry) spoil(x *httpserver.Exchange, a httpserver.Answer) {
 	f := &r.faults
 	list := x.Request.Method == http.MethodGet && a.Status == http.StatusOK
 	switch {
--- a/internal/standin/registry/faults_test.go
+++ b/internal/testbench/standin/registry/faults_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"starlingwinch/internal/httpc"
+	"starlingwinch/internal/httpclient"
 )
 
 func TestASilentRegistryTakesCallsAndAnswersNone(t *testing.T) {
@@ -171,7 +171,7 @@
 		t.Errorf("%.60s", got.body)
 	}
 	f.r.Huge(5 << 20)
-	if got := f.call("GET", "/apps", ""); !errors.Is(got.err, httpc.ErrTooLong) {
+	if got := f.call("GET", "/apps", ""); !errors.Is(got.err, httpclient.ErrTooLong) {
 		t.Errorf("it came whole: %v", got.err)
 	}
 	f.r.Huge(0)
@@ -181,7 +181,7 @@
 func TestAnEndlessAnswerNeverEnds(t *testing.T) {
 	f := newField(t, Options{})
 	f.r.Endless(true)
-	if got := f.call("GET", "/apps", ""); !errors.Is(got.err, httpc.ErrTooLong) {
+	if got := f.call("GET", "/apps", ""); !errors.Is(got.err, httpclient.ErrTooLong) {
 		t.Errorf("it ended: %v", got.err)
 	}
 	f.after(Second)
--- a/internal/standin/registry/harness_test.go
+++ b/internal/testbench/standin/registry/harness_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"starlingwinch/internal/httpc"
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/httpclient"
+	"starlingwinch/internal/testbench/sim"
 )
 
 // field is a registry on one host of a virtual network, and a client of it on another.
@@ -16,7 +16,7 @@
 	world *sim.World
 	host  *sim.Host
 	r     *Registry
-	calls *httpc.Client
+	calls *httpclient.Client
 	marks []string
 }
 
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	client := world.Host(fmt.Sprintf("client-%d", n), fmt.Sprintf("10.0.2.%d", n), sim.HostOptions{})
-	f.calls = httpc.New(client.Machine(), addr, httpc.Options{DialTime: Second, MostBody: 4 << 20})
+	f.calls = httpclient.New(client.Machine(), addr, httpclient.Options{DialTime: Second, MostBody: 4 << 20})
 	return f
 }
 
@@ -65,15 +65,15 @@
 // call makes a call below the base. Its headers are name and value by turns.
 func (f *field) call(method, path, body string, headers ...string) (got reply) {
 	f.Helper()
-	q := httpc.Request{Method: method, Path: "/eureka" + path, Body: []byte(body)}
+	q := httpclient.Request{Method: method, Path: "/eureka" + path, Body: []byte(body)}
 	for i := 0; i+1 < len(headers); i += 2 {
-		q.Headers = append(q.Headers, httpc.Header{Name: headers[i], Value: headers[i+1]})
+		q.Headers = append(q.Headers, httpclient.Header{Name: headers[i], Value: headers[i+1]})
 	}
 	if body != "" && len(headers) == 0 {
-		q.Headers = []httpc.Header{{Name: "Content-Type", Value: "application/json"}}
+		q.Headers = []httpclient.Header{{Name: "Content-Type", Value: "application/json"}}
 	}
 	start, over := f.world.Now(), false
-	f.calls.Do(q, most, func(resp *httpc.Response, err error) {
+	f.calls.Do(q, most, func(resp *httpclient.Response, err error) {
 		over = true
 		got.took, got.err = f.world.Now()-start, err
 		if err != nil {
--- a/internal/standin/registry/registry.go
+++ b/internal/testbench/standin/registry/registry.go
@@ -18,8 +18,8 @@
 	"slices"
 	"strings"
 
-	"starlingwinch/internal/httpd"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/httpserver"
 )
 
 // Time is an instant or a span in microseconds.
@@ -50,7 +50,7 @@
 
 	MostInstances int // 10,000
 	MostMetadata  int // bytes of an instance's metadata; 4 KiB
-	HTTP          httpd.Options
+	HTTP          httpserver.Options
 
 	// OnMark is told when a change became visible to callers: the status that shows, or Deleted.
 	OnMark func(id, status string, at Time)
@@ -92,7 +92,7 @@
 type Registry struct {
 	m     machine.Machine
 	o     Options
-	http  *httpd.Server
+	http  *httpserver.Server
 	rng   *rand.Rand
 	start Time
 	peers []*Registry
@@ -137,7 +137,7 @@
 	o.fill()
 	r := &Registry{m: m, o: o, start: m.Now(), overrides: map[string]string{},
 		rng: rand.New(rand.NewPCG(m.Entropy(), 1))}
-	r.http = httpd.New(m, o.HTTP, r.serve)
+	r.http = httpserver.New(m, o.HTTP, r.serve)
 	r.evicts = m.At(m.Now()+o.EvictEvery, r.evict)
 	if o.CacheTime > 0 {
 		r.cached = r.view()
--- a/internal/standin/registry/registry_test.go
+++ b/internal/testbench/standin/registry/registry_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/sim"
 )
 
 func TestHashCodeCountsStatusesInOrderOfTheirNames(t *testing.T) {
--- a/internal/standin/registry/rest.go
+++ b/internal/testbench/standin/registry/rest.go
@@ -14,14 +14,14 @@
 	"strconv"
 	"strings"
 
-	"starlingwinch/internal/httpd"
+	"starlingwinch/internal/testbench/httpserver"
 )
 
-var jsonHeader = []httpd.Header{{Name: "Content-Type", Value: "application/json"}}
+var jsonHeader = []httpserver.Header{{Name: "Content-Type", Value: "application/json"}}
 
 // call is a call with its path taken apart.
 type call struct {
-	x          *httpd.Exchange
+	x          *httpserver.Exchange
 	method     string
 	path       []string // below the base
 	query      url.Values
@@ -29,28 +29,28 @@
 }
 
 // serve answers a call.
-func (r *Registry) serve(x *httpd.Exchange) {
+func (r *Registry) serve(x *httpserver.Exchange) {
 	if r.faults.silent {
 		return
 	}
 	if status := r.faults.status; status != 0 {
-		r.answer(x, httpd.Text(status, "the registry is told to fail"))
+		r.answer(x, httpserver.Text(status, "the registry is told to fail"))
 		return
 	}
 	r.answer(x, r.reply(x))
 }
 
-func (r *Registry) reply(x *httpd.Exchange) httpd.Answer {
+func (r *Registry) reply(x *httpserver.Exchange) httpserver.Answer {
 	if !r.allowed(x.Request) {
-		a := httpd.Text(http.StatusUnauthorized, "user and password are wanted")
-		a.Header = append(a.Header, httpd.Header{Name: "WWW-Authenticate", Value: `Basic realm="eureka"`})
+		a := httpserver.Text(http.StatusUnauthorized, "user and password are wanted")
+		a.Header = append(a.Header, httpserver.Header{Name: "WWW-Authenticate", Value: `Basic realm="eureka"`})
 		return a
 	}
 	c := call{x: x, method: x.Request.Method,
 		replicated: strings.EqualFold(x.Request.Header.Get("x-netflix-discovery-replication"), "true")}
 	var err error
 	if c.query, err = url.ParseQuery(x.Request.URL.RawQuery); err != nil {
-		return httpd.Text(http.StatusBadRequest, "the query can't be read")
+		return httpserver.Text(http.StatusBadRequest, "the query can't be read")
 	}
 	rest, ok := strings.CutPrefix(x.Request.URL.EscapedPath(), r.o.Base)
 	if r.o.Base == "/" {
@@ -61,7 +61,7 @@
 	}
 	for _, part := range strings.Split(strings.Trim(rest, "/"), "/") {
 		if part, err = url.PathUnescape(part); err != nil {
-			return httpd.Text(http.StatusBadRequest, "the path can't be read")
+			return httpserver.Text(http.StatusBadRequest, "the path can't be read")
 		}
 		c.path = append(c.path, part)
 	}
@@ -78,7 +78,7 @@
 }
 
 // route finds what a call is for.
-func (r *Registry) route(c call) httpd.Answer {
+func (r *Registry) route(c call) httpserver.Answer {
 	reads := c.method == http.MethodGet || c.method == http.MethodHead
 	n := len(c.path)
 	if c.path[0] != "apps" {
@@ -109,7 +109,7 @@
 		if !r.cancel(strings.ToUpper(c.path[1]), c.path[2], c.replicated) {
 			return notFound(ErrUnknown.Error())
 		}
-		return httpd.Answer{Status: http.StatusOK}
+		return httpserver.Answer{Status: http.StatusOK}
 	case n == 3:
 		return notAllowed("GET, HEAD, PUT, DELETE")
 	case n == 4 && c.path[3] == "status":
@@ -122,34 +122,34 @@
 	return notFound("no such resource")
 }
 
-func notFound(text string) httpd.Answer { return httpd.Text(http.StatusNotFound, text) }
+func notFound(text string) httpserver.Answer { return httpserver.Text(http.StatusNotFound, text) }
 
-func notAllowed(methods string) httpd.Answer {
-	a := httpd.Text(http.StatusMethodNotAllowed, "only "+methods+" here")
-	a.Header = append(a.Header, httpd.Header{Name: "Allow", Value: methods})
+func notAllowed(methods string) httpserver.Answer {
+	a := httpserver.Text(http.StatusMethodNotAllowed, "only "+methods+" here")
+	a.Header = append(a.Header, httpserver.Header{Name: "Allow", Value: methods})
 	return a
 }
 
 // failed is the answer for a call that did nothing.
-func failed(err error) httpd.Answer {
+func failed(err error) httpserver.Answer {
 	switch {
 	case errors.Is(err, ErrUnknown):
 		return notFound(err.Error())
 	case errors.Is(err, ErrFull):
-		return httpd.Text(http.StatusServiceUnavailable, err.Error())
+		return httpserver.Text(http.StatusServiceUnavailable, err.Error())
 	}
-	return httpd.Text(http.StatusBadRequest, err.Error())
+	return httpserver.Text(http.StatusBadRequest, err.Error())
 }
 
 // post registers.
-func (r *Registry) post(c call) httpd.Answer {
+func (r *Registry) post(c call) httpserver.Answer {
 	h := c.x.Request.Header
 	kind, _, err := mime.ParseMediaType(h.Get("Content-Type"))
 	if h.Get("Content-Type") != "" && (err != nil || kind != "application/json" && !strings.HasSuffix(kind, "+json")) {
-		return httpd.Text(http.StatusUnsupportedMediaType, "only application/json is read here, no XML")
+		return httpserver.Text(http.StatusUnsupportedMediaType, "only application/json is read here, no XML")
 	}
 	if coding := h.Get("Content-Encoding"); coding != "" && !strings.EqualFold(coding, "identity") {
-		return httpd.Text(http.StatusUnsupportedMediaType, "a body with a content coding is not read here")
+		return httpserver.Text(http.StatusUnsupportedMediaType, "a body with a content coding is not read here")
 	}
 	in, err := readInstance(c.x.Body)
 	if err != nil {
@@ -164,7 +164,7 @@
 	if err := r.register(in, c.replicated); err != nil {
 		return failed(err)
 	}
-	return httpd.Answer{Status: http.StatusNoContent}
+	return httpserver.Answer{Status: http.StatusNoContent}
 }
 
 // dirty is the time at which the caller has the instance changed last; 0 where it does not say.
@@ -178,11 +178,11 @@
 }
 
 // putLease renews.
-func (r *Registry) putLease(c call) httpd.Answer {
+func (r *Registry) putLease(c call) httpserver.Answer {
 	app, id := strings.ToUpper(c.path[1]), c.path[2]
 	dirty, ok := c.dirty()
 	if !ok {
-		return httpd.Text(http.StatusBadRequest, "lastDirtyTimestamp: not a time in ms")
+		return httpserver.Text(http.StatusBadRequest, "lastDirtyTimestamp: not a time in ms")
 	}
 	if !r.renew(app, id, c.replicated) {
 		return notFound(ErrUnknown.Error())
@@ -190,16 +190,16 @@
 	if l := r.lease(app, id); dirty > l.LastDirty {
 		return notFound("the instance has changed since it registered")
 	}
-	return httpd.Answer{Status: http.StatusOK}
+	return httpserver.Answer{Status: http.StatusOK}
 }
 
 // status sets an override, or takes it away.
-func (r *Registry) status(c call) httpd.Answer {
+func (r *Registry) status(c call) httpserver.Answer {
 	app, id := strings.ToUpper(c.path[1]), c.path[2]
 	value := strings.ToUpper(c.query.Get("value"))
 	dirty, ok := c.dirty()
 	if !ok {
-		return httpd.Text(http.StatusBadRequest, "lastDirtyTimestamp: not a time in ms")
+		return httpserver.Text(http.StatusBadRequest, "lastDirtyTimestamp: not a time in ms")
 	}
 	var err error
 	switch c.method {
@@ -216,11 +216,11 @@
 	if err != nil {
 		return failed(err)
 	}
-	return httpd.Answer{Status: http.StatusOK}
+	return httpserver.Answer{Status: http.StatusOK}
 }
 
 // putMetadata adds to an instance's metadata.
-func (r *Registry) putMetadata(c call) httpd.Answer {
+func (r *Registry) putMetadata(c call) httpserver.Answer {
 	l := r.lease(strings.ToUpper(c.path[1]), c.path[2])
 	if l == nil {
 		return notFound(ErrUnknown.Error())
@@ -236,11 +236,11 @@
 	if err := r.register(in, c.replicated); err != nil {
 		return failed(err)
 	}
-	return httpd.Answer{Status: http.StatusOK}
+	return httpserver.Answer{Status: http.StatusOK}
 }
 
 // whole answers with all applications, or with what changed of late.
-func (r *Registry) whole(c call, delta bool) httpd.Answer {
+func (r *Registry) whole(c call, delta bool) httpserver.Answer {
 	v, key := r.shown(), "apps"
 	if delta {
 		key = "delta"
@@ -269,7 +269,7 @@
 	return r.applications(items, version, hash)
 }
 
-func (r *Registry) getApp(c call) httpd.Answer {
+func (r *Registry) getApp(c call) httpserver.Answer {
 	name := strings.ToUpper(c.path[1])
 	var items []item
 	for _, i := range r.shown().all {
@@ -283,7 +283,7 @@
 	return r.fresh(c, encode(map[string]any{"application": r.app(name, items)}))
 }
 
-func (r *Registry) getOne(c call, match func(*Instance) bool) httpd.Answer {
+func (r *Registry) getOne(c call, match func(*Instance) bool) httpserver.Answer {
 	i, ok := r.one(match)
 	if !ok {
 		return notFound(ErrUnknown.Error())
@@ -292,7 +292,7 @@
 }
 
 // lookUp answers with an instance, or with those of an address.
-func (r *Registry) lookUp(c call) httpd.Answer {
+func (r *Registry) lookUp(c call) httpserver.Answer {
 	name := c.path[1]
 	if c.path[0] == "instances" {
 		return r.getOne(c, func(in *Instance) bool { return in.ID == name })
@@ -314,18 +314,18 @@
 }
 
 // fresh answers with a document that is made for this call.
-func (r *Registry) fresh(c call, plain []byte) httpd.Answer {
+func (r *Registry) fresh(c call, plain []byte) httpserver.Answer {
 	const key = "fresh"
 	return r.document(c, &view{bodies: map[string]rendered{key: {plain: plain}}}, key)
 }
 
 // document answers with a document in JSON, compressed where the caller accepts that.
-func (r *Registry) document(c call, v *view, key string) httpd.Answer {
+func (r *Registry) document(c call, v *view, key string) httpserver.Answer {
 	h := c.x.Request.Header
 	if !accepts(h.Values("Accept"), "application/json", true) {
-		return httpd.Text(http.StatusNotAcceptable, "only application/json is written here, no XML")
+		return httpserver.Text(http.StatusNotAcceptable, "only application/json is written here, no XML")
 	}
-	a := httpd.Answer{Status: http.StatusOK, Header: slices.Clone(jsonHeader)}
+	a := httpserver.Answer{Status: http.StatusOK, Header: slices.Clone(jsonHeader)}
 	b := v.bodies[key]
 	switch {
 	case r.faults.malform:
@@ -336,7 +336,7 @@
 			v.bodies[key] = b
 		}
 		a.Body = b.packed
-		a.Header = append(a.Header, httpd.Header{Name: "Content-Encoding", Value: "gzip"})
+		a.Header = append(a.Header, httpserver.Header{Name: "Content-Encoding", Value: "gzip"})
 	default:
 		a.Body = b.plain
 	}
--- a/internal/standin/settings.go
+++ b/internal/testbench/standin/settings.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // RouterSettings are what a router is told at its start. DefaultRouterSettings holds the operators' figures.
--- a/internal/standin/standin.go
+++ b/internal/testbench/standin/standin.go
@@ -13,7 +13,7 @@
 	"math"
 	"math/rand/v2"
 
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // Time is an instant or a span in microseconds.
--- a/internal/standin/store.go
+++ b/internal/testbench/standin/store.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/rules"
+	"starlingwinch/internal/testbench/rules"
 )
 
 // StoreOptions say what the central store can do.
--- a/internal/alarm/alarm.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,4 +1,4 @@
-// Package alarm keeps many times at which something is due on one timer of a machine. Nearly all of
+// Package timerqueue keeps many times at which something is due on one timer of a machine. Nearly all of
 // them are taken back before they come: the deadline of a request, an attempt's end. Such a time costs
 // a place in a heap here (Williams' binary heap, with the position kept in the entry so that any of
 // them can be taken out in O(log n)), and nothing that the collector has to look for: the entry is
@@ -8,7 +8,7 @@
 // that one is taken back: it then fires in vain once, which costs less than setting it anew each time.
 //
 // All calls are made in the machine's loop.
-package alarm
+package timerqueue
 
 import "starlingwinch/internal/machine"
 
--- a/internal/alarm/alarm_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -1,4 +1,4 @@
-package alarm
+package timerqueue
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"starlingwinch/internal/sim"
+	"starlingwinch/internal/testbench/sim"
 )
 
 // owner notes when it is told that its time has come.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -6,8 +6,8 @@
 	"github.com/tidwall/redcon"
 
 	"starlingwinch/decide"
-	"starlingwinch/internal/alarm"
 	"starlingwinch/internal/resp"
+	"starlingwinch/internal/timerqueue"
 )
 
 type attemptState uint8
@@ -30,8 +30,8 @@
 	cache     *cache
 	state     attemptState
 	conn      *conn
-	connectBy Time        // it has to have a connection by then
-	alarm     alarm.Alarm // for the next of its times
+	connectBy Time             // it has to have a connection by then
+	alarm     timerqueue.Alarm // for the next of its times
 }
 
 // Cache is the name of the cache that it was sent to.
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -12,7 +12,7 @@
 	"starlingwinch/internal/limits"
 	"starlingwinch/internal/machine"
 	"starlingwinch/internal/resp"
-	"starlingwinch/internal/routertest"
+	"starlingwinch/internal/testbench/routertest"
 )
 
 const (
--- a/internal/upstream/lack_test.go
+++ b/internal/upstream/lack_test.go
@@ -8,7 +8,7 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/routertest"
+	"starlingwinch/internal/testbench/routertest"
 )
 
 // TestLocalLackSpeaksAgainstNoCache: this machine has no port for a connection. That is no failed connect: an attempt and a
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"starlingwinch/decide"
-	"starlingwinch/internal/routertest"
+	"starlingwinch/internal/testbench/routertest"
 )
 
 // TestConnectionThatComesUpLateIsNobodys: what it was opened for is over by then, or its cache takes no work, is gone, elsewhere,
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -8,7 +8,7 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/resp"
-	"starlingwinch/internal/routertest"
+	"starlingwinch/internal/testbench/routertest"
 )
 
 // TestAnswersAndTheirOutcomes holds the rows of the protocol's table in which an answer comes.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,10 +14,10 @@
 	"strings"
 
 	"starlingwinch/decide"
-	"starlingwinch/internal/alarm"
 	"starlingwinch/internal/limits"
 	"starlingwinch/internal/machine"
 	"starlingwinch/internal/resp"
+	"starlingwinch/internal/timerqueue"
 )
 
 // Time is an instant or a span in microseconds.
@@ -52,12 +52,12 @@
 // Options are the bounds of a pool. Times are in microseconds.
 type Options struct {
 	Bounds      limits.Caches
-	Routers     int          // that share each cache's connections
-	Descriptors int          // connections to all caches that are not idle, those coming up included; with idle ones, but for Lend
-	DialTimeout Time         // for a connection to come up
-	Keepalive   Time         // a cache closes a connection that has stood idle so long
-	HungAfter   Time         // an attempt that is called off after that long counts as not answered, for the log
-	Clock       *alarm.Clock // for the ends of attempts; nil for one of the pool's own
+	Routers     int               // that share each cache's connections
+	Descriptors int               // connections to all caches that are not idle, those coming up included; with idle ones, but for Lend
+	DialTimeout Time              // for a connection to come up
+	Keepalive   Time              // a cache closes a connection that has stood idle so long
+	HungAfter   Time              // an attempt that is called off after that long counts as not answered, for the log
+	Clock       *timerqueue.Clock // for the ends of attempts; nil for one of the pool's own
 }
 
 // Pool holds the connections to all caches.
@@ -75,7 +75,7 @@
 	gentle  bool       // caches that were away are dialled one at a time at first
 	in, out []byte     // what is read into, and written from, within one call
 	rep     resp.Reply // what was read last, within one call
-	clock   *alarm.Clock
+	clock   *timerqueue.Clock
 
 	inTrouble int  // caches that serve nothing, by the log
 	deadSaid  Time // when it was last said that none does
@@ -84,7 +84,7 @@
 // New returns a pool without caches.
 func New(m machine.Machine, o Options, owner Owner) *Pool {
 	if o.Clock == nil {
-		o.Clock = alarm.New(m)
+		o.Clock = timerqueue.New(m)
 	}
 	return &Pool{m: m, o: o, owner: owner, caches: map[string]*cache{}, in: make([]byte, resp.MostReply), clock: o.Clock}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -8,7 +8,7 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/limits"
-	"starlingwinch/internal/routertest"
+	"starlingwinch/internal/testbench/routertest"
 )
 
 // busyPool makes a rig whose connections to the cache are all in use.
--- a/internal/upstream/repeats_test.go
+++ b/internal/upstream/repeats_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"starlingwinch/decide"
-	"starlingwinch/internal/routertest"
+	"starlingwinch/internal/testbench/routertest"
 )
 
 // asks has one connection carry a request for a key, and returns its command.
