--- a/cmd/lab/eurekaflap.go
+++ b/cmd/lab/eurekaflap.go
@@ -49,12 +49,12 @@
 
 // Handle implements guard.Module.
 func (m moves) Handle(now decide.Time, ev decide.Event) []decide.Action {
-	if l, ok := ev.(*decide.List); ok {
-		for _, e := range l.Entries {
-			if e.Condition == decide.Up && m.away[e.ID] {
+	if l, ok := ev.(*decide.EndpointList); ok {
+		for _, e := range l.Endpoints {
+			if e.Status == decide.Serving && m.away[e.ID] {
 				*m.n++
 			}
-			m.away[e.ID] = e.Condition != decide.Up
+			m.away[e.ID] = e.Status != decide.Serving
 		}
 	}
 	return m.Module.Handle(now, ev)
--- a/cmd/starlingwinch/members.go
+++ b/cmd/starlingwinch/members.go
@@ -152,7 +152,7 @@
 	t.Flush()
 }
 
-var conditionWords = map[decide.Condition]string{decide.Up: "takes work", decide.Draining: "drains", decide.Removed: "has gone"}
+var conditionWords = map[decide.Status]string{decide.Serving: "takes work", decide.Draining: "drains", decide.Removed: "has gone"}
 
 func firstOf(texts ...string) string {
 	for _, text := range texts {
--- a/cmd/starlingwinch/state.go
+++ b/cmd/starlingwinch/state.go
@@ -66,13 +66,13 @@
 	for _, row := range []struct {
 		name string
 		v    float64
-	}{{"likely misses out at most", state.Router.Fetches}, {"share of likely misses that were true", state.Router.Missing},
-		{"budget of retries", state.Router.Budget}, {"share of errors", state.Router.Erring},
-		{"share of lost attempts", state.Router.Lost}} {
+	}{{"likely misses out at most", state.Router.OriginLimit}, {"share of likely misses that were true", state.Router.OriginMissRatio},
+		{"budget of retries", state.Router.RetryBudget}, {"share of errors", state.Router.ErrorRatio},
+		{"share of lost attempts", state.Router.LostRatio}} {
 		fmt.Fprintf(t, "%s\t%.3g\t%s\n", row.name, row.v, agoOf(at, state.At))
 	}
 	for _, z := range state.Router.Zones {
-		fmt.Fprintf(t, "zone %s: failed connections in a row\t%d\t%s\n", configerror.Plain(z.Name), z.Fails, agoOf(at, state.At))
+		fmt.Fprintf(t, "zone %s: failed connections in a row\t%d\t%s\n", configerror.Plain(z.Name), z.FailedConnections, agoOf(at, state.At))
 	}
 	t.Flush()
 	fmt.Fprintln(out)
@@ -85,20 +85,20 @@
 	fmt.Fprintln(t, "CACHE\tSTARTED\tAGE\tLIMIT\tLATE\tERRORS\tPROBES\tKEYS\tAGE OF KEYS")
 	for _, c := range caches {
 		started, probes, keys := "long ago", "healthy", "-"
-		if c.Start > 0 {
-			started = time.UnixMicro(c.Start).UTC().Format("01-02 15:04:05.000")
+		if c.StartedAt > 0 {
+			started = time.UnixMicro(c.StartedAt).UTC().Format("01-02 15:04:05.000")
 		}
 		if !c.Healthy {
 			probes = "unhealthy"
 		}
-		if c.Fails > 0 {
-			probes += fmt.Sprintf(", %d failed", c.Fails)
+		if c.FailedHealthChecks > 0 {
+			probes += fmt.Sprintf(", %d failed", c.FailedHealthChecks)
 		}
-		if len(c.Keeps) > 0 {
+		if len(c.CachedKeys) > 0 {
 			keys = agoOf(now, c.KeysAt)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.3g\t%.0f %%\t%.0f %%\t%s\t%d\t%s\n", configerror.Plain(c.ID), started, agoOf(now, c.At),
-			c.Limit, 100*c.Late, 100*c.Erring, probes, len(c.Keeps), keys)
+			c.ConcurrencyLimit, 100*c.LateRatio, 100*c.ErrorRatio, probes, len(c.CachedKeys), keys)
 	}
 	t.Flush()
 }
--- a/cmd/starlingwinch/state_test.go
+++ b/cmd/starlingwinch/state_test.go
@@ -18,9 +18,9 @@
 func stateFile(t *testing.T, path, router string, age time.Duration) {
 	t.Helper()
 	at := time.Now().Add(-age).UnixMicro()
-	s := snapshot.State{At: at, Router: decide.Learned{Fetches: 12, Zones: []decide.LearnedZone{{Name: "surat", Fails: 3}}},
-		Caches: []snapshot.Cache{{At: at, KeysAt: at, LearnedCache: decide.LearnedCache{ID: "s-1", Limit: 4.5, Fails: 2,
-			Keeps: []uint64{1, 2}}}}}
+	s := snapshot.State{At: at, Router: decide.Snapshot{OriginLimit: 12, Zones: []decide.ZoneSnapshot{{Name: "surat", FailedConnections: 3}}},
+		Caches: []snapshot.Cache{{At: at, KeysAt: at, EndpointSnapshot: decide.EndpointSnapshot{ID: "s-1", ConcurrencyLimit: 4.5, FailedHealthChecks: 2,
+			CachedKeys: []uint64{1, 2}}}}}
 	b, err := snapshotstore.Encode(snapshotstore.File{Written: at, Router: router, Sections: snapshot.Encode(s)})
 	if err != nil {
 		t.Fatal(err)
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -7,7 +7,7 @@
 
 // coldFleet plays routers before caches that have all just started, each a processor that is shared
 // by what it has in hand. It returns the share of requests served within their aim over the first 10 s and the most that a
-// cache was sent, as a multiple of what it could do, over any span of TipTime.
+// cache was sent, as a multiple of what it could do, over any span of OverloadWindow.
 func coldFleet(t *testing.T, routers, caches int, load float64) (inTime, worst float64) {
 	const (
 		tick = 5 * ms
@@ -16,16 +16,16 @@
 		span = 10_000 * ms
 	)
 	s := settings()
-	s.Routers, s.ColdTime, s.ColdShare, s.TipTime = routers, 23_000*ms, 0.16, 3000*ms
-	s.Classes = []Class{{Name: "read", Effect: Safe, Aim: aim, Limit: 1200 * ms, Worth: 2}}
+	s.Routers, s.SlowStartWindow, s.SlowStartMinCapacity, s.OverloadWindow = routers, 23_000*ms, 0.16, 3000*ms
+	s.Classes = []Class{{Name: "read", Semantics: Idempotent, LatencyObjective: aim, ClientTimeout: 1200 * ms, PriorityWeight: 2}}
 	benches := make([]*bench, routers)
 	entries := fleet(caches)
 	for i := range benches {
 		benches[i] = newBench(t, s)
 		for e := range entries {
-			entries[e].Start = benches[i].now
+			entries[e].StartedAt = benches[i].now
 		}
-		benches[i].feed(&List{Kind: ListFull, Entries: entries})
+		benches[i].feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
 	}
 	type job struct {
 		router, attempt int
@@ -43,7 +43,7 @@
 	over := map[int64]bool{}
 	begin := benches[0].now
 	capacity := func(now Time) float64 { // cores
-		return 6 * min(1, 0.16+0.84*float64(now-begin)/float64(s.ColdTime))
+		return 6 * min(1, 0.16+0.84*float64(now-begin)/float64(s.SlowStartWindow))
 	}
 	perform := func(router int, acts []Action) {
 		for _, a := range acts {
@@ -53,7 +53,7 @@
 				held[a.Cache] = append(held[a.Cache], &job{router, tries[a.ID], a.ID, work})
 				sent[a.Cache] = append(sent[a.Cache], arrival{now, work})
 				tries[a.ID]++
-			case Refuse:
+			case Reject:
 				over[a.ID] = true
 			case Fail:
 				over[a.ID] = true
@@ -72,7 +72,7 @@
 			for _, j := range jobs {
 				switch j.left -= each; {
 				case over[j.id]:
-					benches[j.router].feed(&Outcome{ID: j.id, Attempt: j.attempt, Result: Cancelled, Last: true})
+					benches[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Cancelled, Last: true})
 				case j.left > 0:
 					held[e.ID] = append(held[e.ID], j)
 				default:
@@ -80,17 +80,17 @@
 						served++
 					}
 					over[j.id] = true
-					perform(j.router, benches[j.router].feed(&Outcome{ID: j.id, Attempt: j.attempt, Result: Served, Last: true}))
+					perform(j.router, benches[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Served, Last: true}))
 				}
 			}
-			from := now - s.TipTime
+			from := now - s.OverloadWindow
 			offered := 0.0
 			for _, a := range sent[e.ID] {
 				if a.at > from {
 					offered += a.work
 				}
 			}
-			worst = max(worst, offered/(capacity(now)*float64(s.TipTime)))
+			worst = max(worst, offered/(capacity(now)*float64(s.OverloadWindow)))
 		}
 		for due += load * 0.16 * 6 * float64(caches) * tick / work; due >= 1; due-- {
 			id++
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -43,7 +43,7 @@
 
 // cache is what this router knows of one cache server.
 type cache struct {
-	Entry
+	Endpoint
 	zone              *zone
 	warmAt            Time               // cold until then
 	coldFrom          Time               // when the process is held to have started
@@ -97,7 +97,7 @@
 	spares   bool       // ... at the origin
 	streams  bool       // the answer has started
 	astray   bool       // its home had no room when it was placed
-	why      Why        // what stands in its way
+	why      Reason     // what stands in its way
 	timers   [2]int64   // its deadline; the end of its hold
 }
 
@@ -138,7 +138,7 @@
 	shedding     bool
 	erring, lost float64 // fading shares of errors among all answers, and of lost attempts
 	passed       Time    // when the latest attempt was sent that the origin served in time, at any cache
-	pressure     Pressure
+	pressure     RetryStorm
 	turnedAway   Time    // when a first try was refused last
 	judged, met  float64 // fading counts of verdicts on attempts, and of good ones, as of judgedAt
 	judgedAt     Time
@@ -164,7 +164,7 @@
 	if r.set.DrainGrace == 0 {
 		r.set.DrainGrace = 1e6
 	}
-	r.pacer = retry.NewPacer(retry.Options{Clients: s.Routers, Grace: r.set.DrainGrace, AskEvery: s.AskEvery})
+	r.pacer = retry.NewPacer(retry.Options{Clients: s.Routers, Grace: r.set.DrainGrace, AskEvery: s.PollInterval})
 	return r, nil
 }
 
@@ -172,17 +172,17 @@
 func (r *Router) Handle(now Time, ev Event) []Action {
 	r.now, r.out = now, r.out[:0]
 	switch ev := ev.(type) {
-	case *List:
+	case *EndpointList:
 		r.list(ev)
 	case *Request:
 		r.request(ev)
-	case *Outcome:
+	case *AttemptResult:
 		r.outcome(ev)
-	case *Started:
+	case *ResponseStarted:
 		if q := r.reqs[ev.ID]; q != nil {
 			q.streams = true
 		}
-	case *Departed:
+	case *ClientGone:
 		if q := r.reqs[ev.ID]; q != nil {
 			r.finish(q)
 		}
@@ -191,11 +191,11 @@
 			delete(r.timers, ev.Token)
 			r.fire(t)
 		}
-	case *Probed:
+	case *HealthCheckResult:
 		r.probed(ev)
-	case *Fleet:
+	case *RouterCount:
 		r.set.Routers = ev.Routers
-	case *Pressure:
+	case *RetryStorm:
 		r.pressure = *ev
 	}
 	return r.out
@@ -212,20 +212,20 @@
 		t.f()
 		return
 	case deadlinePast:
-		q.why = OutOfTime
+		q.why = DeadlineExceeded
 		r.answer(q)
 		return
 	case holdOver:
 		if q.held && !q.done {
 			r.shed[b2i(q.spares)]++
-			q.why = [...]Why{NoRoom, SparesStore}[b2i(q.spares)]
+			q.why = [...]Reason{NoCapacity, OriginProtected}[b2i(q.spares)]
 			r.unhold(q)
 			r.giveUp(q)
 		}
 		return
 	case attemptSlow, attemptSlower:
 		if a := &q.attempts[t.n]; t.due == attemptSlow && a.pending { // few come so far
-			a.timers[1] = r.schedule(a.sent+q.class.Aim, timer{due: aimPast, n: t.n, q: q})
+			a.timers[1] = r.schedule(a.sent+q.class.LatencyObjective, timer{due: aimPast, n: t.n, q: q})
 		}
 		r.slow(q, t.n, t.due == attemptSlow)
 		return
@@ -239,7 +239,7 @@
 		r.originIsLate(a)
 	case t.due == cacheLate:
 		adjust(&a.to.limit, false, tolerated)
-	case t.due == aimPast && r.sparse() && r.set.Cancels && !q.streams && q.class.Effect == Safe:
+	case t.due == aimPast && r.sparse() && r.set.AllowCancel && !q.streams && q.class.Semantics == Idempotent:
 		// The danger: what is out past its aim keeps a crowded cache crowded, and is worth little by now.
 		a.stopped = true
 		r.do(Cancel{q.ID, t.n})
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -14,15 +14,15 @@
 
 func settings() Settings {
 	return Settings{
-		Routers: 2, MaxAttempts: 3, Copies: true, Cancels: true, Probes: true,
-		DrainGrace: 1000 * ms, ColdTime: 10000 * ms, ColdShare: 0.2,
-		TipTime: 2000 * ms, AskEvery: 10000 * ms, ProbePrice: 0.01, RefuseWait: 1000 * ms,
+		Routers: 2, MaxAttempts: 3, AllowHedging: true, AllowCancel: true, AllowHealthChecks: true,
+		DrainGrace: 1000 * ms, SlowStartWindow: 10000 * ms, SlowStartMinCapacity: 0.2,
+		OverloadWindow: 2000 * ms, PollInterval: 10000 * ms, HealthCheckCost: 0.01, MaxRetryAfter: 1000 * ms,
 		Classes: []Class{
-			{Name: "read", Effect: Safe, Aim: 200 * ms, Limit: 800 * ms, Worth: 2},
-			{Name: "all", Effect: Keyed, Scope: ScopeAll, KeyTTL: 500 * ms, Aim: 200 * ms, Limit: 800 * ms, Worth: 3},
-			{Name: "zone", Effect: Keyed, Scope: ScopeZone, KeyTTL: 500 * ms, Aim: 200 * ms, Limit: 800 * ms, Worth: 3},
-			{Name: "cell", Effect: Keyed, Scope: ScopeCell, KeyTTL: 500 * ms, Aim: 200 * ms, Limit: 800 * ms, Worth: 3},
-			{Name: "once", Effect: Unsafe, Aim: 200 * ms, Limit: 800 * ms, Worth: 3},
+			{Name: "read", Semantics: Idempotent, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 2},
+			{Name: "all", Semantics: IdempotentByKey, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: 500 * ms, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 3},
+			{Name: "zone", Semantics: IdempotentByKey, DeduplicationScope: DeduplicatedInZone, IdempotencyWindow: 500 * ms, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 3},
+			{Name: "cell", Semantics: IdempotentByKey, DeduplicationScope: DeduplicatedInCell, IdempotencyWindow: 500 * ms, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 3},
+			{Name: "once", Semantics: NonIdempotent, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 3},
 		},
 	}
 }
@@ -51,7 +51,7 @@
 		switch a := a.(type) {
 		case SetTimer:
 			b.timers = append(b.timers, a)
-		case DropTimer:
+		case CancelTimer:
 			at := slices.IndexFunc(b.timers, func(t SetTimer) bool { return t.Token == a.Token })
 			if at < 0 {
 				b.t.Fatalf("timer %d is dropped and was not set", a.Token)
@@ -85,10 +85,10 @@
 	return all
 }
 
-func fleet(n int) []Entry {
-	var es []Entry
+func fleet(n int) []Endpoint {
+	var es []Endpoint
 	for i := range n {
-		es = append(es, Entry{ID: fmt.Sprintf("c%02d", i), Zone: string(rune('a' + i%2)), Cell: i % 4, Size: 1})
+		es = append(es, Endpoint{ID: fmt.Sprintf("c%02d", i), Zone: string(rune('a' + i%2)), Cell: i % 4, Weight: 1})
 	}
 	return es
 }
@@ -106,7 +106,7 @@
 func probes(acts []Action) []string {
 	var s []string
 	for _, a := range acts {
-		if x, ok := a.(Probe); ok {
+		if x, ok := a.(HealthCheck); ok {
 			s = append(s, x.Cache)
 		}
 	}
@@ -117,7 +117,7 @@
 	n := 0
 	for _, a := range acts {
 		switch a.(type) {
-		case Refuse, Fail:
+		case Reject, Fail:
 			n++
 		}
 	}
@@ -134,7 +134,7 @@
 
 // settle ends an attempt well so that it leaves nothing behind.
 func (b *bench) settle(id int64, attempt int) {
-	b.feed(&Outcome{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Last: true, Load: Load{Busy: -1}})
+	b.feed(&AttemptResult{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
 }
 
 // rounds plays probe rounds in which the named cache gives res, or stays silent
@@ -149,9 +149,9 @@
 		for _, id := range ps {
 			switch {
 			case id != bad:
-				b.feed(&Probed{Cache: id, Result: Served, Load: Load{Busy: -1}})
+				b.feed(&HealthCheckResult{Cache: id, Result: Served, Load: LoadReport{Utilization: -1}})
 			case res != nil:
-				b.feed(&Probed{Cache: id, Result: *res, Load: Load{Busy: -1}})
+				b.feed(&HealthCheckResult{Cache: id, Result: *res, Load: LoadReport{Utilization: -1}})
 			}
 		}
 		played++
@@ -162,9 +162,9 @@
 func result(r Result) *Result { return &r }
 
 func TestMarkAtThresholdAndRecover(t *testing.T) {
-	for _, res := range []*Result{nil, result(NoConnection), result(Errored), result(Rejected), result(NoAnswer)} {
+	for _, res := range []*Result{nil, result(ConnectFailed), result(Errored), result(Rejected), result(TimedOut)} {
 		b := newBench(t, settings())
-		b.feed(&List{Kind: ListStale, Entries: fleet(4)})
+		b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
 		b.rounds(threshold-1, "c01", res)
 		if !b.r.caches["c01"].healthy {
 			t.Fatalf("%v: marked after %d failures", res, threshold-1)
@@ -183,7 +183,7 @@
 // A probe that was never sent, as this machine could open no connection, tells nothing of its cache.
 func TestProbeThatWasNotSentIsNoFailure(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListStale, Entries: fleet(4)})
+	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
 	b.rounds(threshold+1, "c01", result(NotSent))
 	if c := b.r.caches["c01"]; !c.healthy || c.fails != 0 {
 		t.Errorf("healthy %v after %d failures", c.healthy, c.fails)
@@ -193,11 +193,11 @@
 // A count that reaches the threshold within a round is judged when it completes.
 func TestJudgedWhenRoundCompletes(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListStale, Entries: fleet(3)})
+	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(3)})
 	b.rounds(threshold-1, "c01", result(Errored))
 	for len(probes(b.advance(1*ms))) == 0 {
 	}
-	b.feed(&Probed{Cache: "c01", Result: Errored})
+	b.feed(&HealthCheckResult{Cache: "c01", Result: Errored})
 	if !b.r.caches["c01"].healthy {
 		t.Fatal("marked before the round completed")
 	}
@@ -211,7 +211,7 @@
 func TestProbesArePaidByRequests(t *testing.T) {
 	count := func(caches, requests int) (rounds float64) {
 		b := newBench(t, settings())
-		b.feed(&List{Entries: fleet(caches)})
+		b.feed(&EndpointList{Endpoints: fleet(caches)})
 		for id := range int64(requests) {
 			b.ask(id+1, "read", uint64(id))
 			b.settle(id+1, 0)
@@ -233,12 +233,12 @@
 
 func TestPlacementAgreesInAnyOrder(t *testing.T) {
 	es := fleet(9)
-	back := append([]Entry(nil), es...)
+	back := append([]Endpoint(nil), es...)
 	rand.New(rand.NewSource(1)).Shuffle(len(back), func(i, j int) { back[i], back[j] = back[j], back[i] })
 	a, b := newBench(t, settings()), newBench(t, settings())
-	a.feed(&List{Kind: ListFull, Entries: es})
+	a.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	for _, e := range back {
-		b.feed(&List{Kind: ListChanges, Entries: []Entry{e}})
+		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
 	}
 	for k := range uint64(300) {
 		x, y := a.ask(int64(k), "read", k), b.ask(int64(k), "read", k)
@@ -252,7 +252,7 @@
 
 func TestUnhealthySkippedThenUsedAnyway(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(6)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(6)})
 	b.r.asked[1] = 1000 // so that the key is not a hot one
 	home := b.ask(1, "read", 42).Cache
 	b.settle(1, 0)
@@ -274,7 +274,7 @@
 	for _, class := range []string{"read", "all", "zone", "cell", "once", "unheard-of"} {
 		for res := Errored; res <= NotStored; res++ {
 			b := newBench(t, settings())
-			b.feed(&List{Kind: ListFull, Entries: fleet(8)})
+			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
 			first := b.ask(1, class, 5)
 			q := b.r.reqs[1]
 			if first == nil {
@@ -311,14 +311,14 @@
 
 func TestDrainKept(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(2)})
-	b.feed(&List{Kind: ListChanges, Entries: []Entry{{ID: "c00", Condition: Draining}}})
-	b.feed(&List{Kind: ListChanges, Entries: []Entry{{ID: "c01", Condition: Removed}}})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(2)})
+	b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "c00", Status: Draining}}})
+	b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "c01", Status: Removed}}})
 	b.advance(1001 * ms)
 	if s := b.ask(1, "read", 1); s != nil {
 		t.Fatalf("sent to %s after the grace", s.Cache)
 	}
-	b.feed(&List{Kind: ListFull, Entries: fleet(1)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(1)})
 	if s := b.ask(2, "read", 1); s == nil || s.Cache != "c00" {
 		t.Fatalf("a cache listed up again is not used: %v", s)
 	}
@@ -328,8 +328,8 @@
 func TestColdShareGrows(t *testing.T) {
 	b := newBench(t, settings())
 	es := fleet(4)
-	es[2].Start = b.now
-	b.feed(&List{Kind: ListFull, Entries: es})
+	es[2].StartedAt = b.now
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	count := func() int {
 		n := 0
 		for k := range uint64(4000) {
@@ -356,7 +356,7 @@
 	if b.feed(&Request{ID: 1, Class: "once", Deadline: b.now + 100*ms}); finals(b.acts)+finals(b.advance(time1)) != 1 {
 		t.Fatal("before any list: want one final answer")
 	}
-	b.feed(&List{Kind: ListFull})
+	b.feed(&EndpointList{Kind: FullUpdate})
 	if b.feed(&Request{ID: 2, Class: "read", Deadline: b.now + 100*ms}); finals(b.acts)+finals(b.advance(time1)) != 1 {
 		t.Fatal("empty fleet: want one final answer")
 	}
@@ -366,7 +366,7 @@
 
 func TestDeadlinePast(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(3)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now - 1})
 	if finals(b.acts) != 1 || len(sends(b.acts)) != 0 {
 		t.Fatalf("want one final answer and nothing sent, got %v", b.acts)
@@ -376,11 +376,11 @@
 // The danger: the time-out at the deadline is not the final answer.
 func TestTimeoutAtDeadlineStillOwesAnswer(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(3)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	b.ask(1, "once", 1)
 	b.now += 800 * ms
-	b.feed(&Outcome{ID: 1, Result: NoAnswer})
-	if finals(b.acts) != 1 || !slices.Contains(b.acts, Action(Fail{ID: 1, Why: OutOfTime})) {
+	b.feed(&AttemptResult{ID: 1, Result: TimedOut})
+	if finals(b.acts) != 1 || !slices.Contains(b.acts, Action(Fail{ID: 1, Reason: DeadlineExceeded})) {
 		t.Fatalf("got %v", b.acts)
 	}
 	if acts := b.advance(time1); finals(acts) != 0 {
@@ -390,9 +390,9 @@
 
 func TestUnknownEventsIgnored(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(3)})
-	for _, ev := range []Event{&Outcome{ID: 9}, &Outcome{ID: 9, Attempt: -1}, &Departed{ID: 9}, &Timer{Token: 99999},
-		&Probed{Cache: "nobody"}, &Started{ID: 9}, &PeerMessage{From: 3, Data: "x"}} {
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
+	for _, ev := range []Event{&AttemptResult{ID: 9}, &AttemptResult{ID: 9, Attempt: -1}, &ClientGone{ID: 9}, &Timer{Token: 99999},
+		&HealthCheckResult{Cache: "nobody"}, &ResponseStarted{ID: 9}, &PeerMessage{From: 3, Data: "x"}} {
 		if acts := b.feed(ev); len(acts) != 0 {
 			t.Errorf("%T: %v", ev, acts)
 		}
@@ -401,7 +401,7 @@
 
 func TestMissingKeyIsPlaced(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(3)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	used := map[string]bool{}
 	for id := range int64(60) {
 		s := sends(b.feed(&Request{ID: id + 1, Class: "read", Deadline: b.now + 800*ms}))
@@ -418,11 +418,11 @@
 
 func TestListAskedAgainWithSpreadWaits(t *testing.T) {
 	s := settings()
-	s.MustWatch = true
+	s.WatchRequired = true
 	watches := func(seed uint64) []Time {
 		r, _ := New(s, seed)
 		b := &bench{t: t, r: r, now: 1e9}
-		b.feed(&List{Kind: ListStale, Entries: fleet(2)})
+		b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(2)})
 		untilWatch := func() Time {
 			start := b.now
 			for {
@@ -435,7 +435,7 @@
 		}
 		at := []Time{untilWatch()} // the first call; the others are made after it has failed
 		for range 5 {
-			b.feed(&List{Kind: ListFailed})
+			b.feed(&EndpointList{Kind: FailedUpdate})
 			at = append(at, untilWatch())
 		}
 		return at
@@ -459,17 +459,17 @@
 
 func TestWrongSettings(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"ColdTime":    func(s *Settings) { s.ColdTime = -1 },
+		"ColdTime":    func(s *Settings) { s.SlowStartWindow = -1 },
 		"DrainGrace":  func(s *Settings) { s.DrainGrace = -1 },
 		"Classes":     func(s *Settings) { s.Classes = nil },
-		"Classes[1]":  func(s *Settings) { s.Classes[1].Aim = -5 },
+		"Classes[1]":  func(s *Settings) { s.Classes[1].LatencyObjective = -5 },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
 		"Routers":     func(s *Settings) { s.Routers = -1 },
-		"ColdShare":   func(s *Settings) { s.ColdShare = 1.5 },
-		"ProbePrice":  func(s *Settings) { s.ProbePrice = math.NaN() },
-		"ConnPrice":   func(s *Settings) { s.ConnPrice = math.Inf(1) },
-		"DialPrice":   func(s *Settings) { s.DialPrice = -0.1 },
-		"LateWorth":   func(s *Settings) { s.Classes[2].LateWorth = 2 },
+		"ColdShare":   func(s *Settings) { s.SlowStartMinCapacity = 1.5 },
+		"ProbePrice":  func(s *Settings) { s.HealthCheckCost = math.NaN() },
+		"ConnPrice":   func(s *Settings) { s.ConnectionCost = math.Inf(1) },
+		"DialPrice":   func(s *Settings) { s.DialCost = -0.1 },
+		"LateWorth":   func(s *Settings) { s.Classes[2].LateWeightFraction = 2 },
 	} {
 		s := settings()
 		spoil(&s)
@@ -483,9 +483,9 @@
 // the timers of those that are long answered hold some 26,000 of them.
 func TestNothingIsHeldAfterARequest(t *testing.T) {
 	s := settings()
-	s.Probes = false
+	s.AllowHealthChecks = false
 	b := newBench(t, s)
-	b.feed(&List{Kind: ListFull, Entries: fleet(3)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	before := len(b.timers)
 	for id := range int64(8) {
 		b.ask(id+1, "read", uint64(id))
--- a/decide/health.go
+++ b/decide/health.go
@@ -20,7 +20,7 @@
 	n := r.round
 	for _, c := range r.ready {
 		c.probing = n
-		r.do(Probe{c.ID})
+		r.do(HealthCheck{c.ID})
 	}
 	r.at(r.now+r.probeTimeout(), func() {
 		for _, c := range r.ready {
@@ -37,7 +37,7 @@
 
 func (r *Router) probeTimeout() Time { return r.set.DrainGrace / 2 }
 
-func (r *Router) probed(ev *Probed) {
+func (r *Router) probed(ev *HealthCheckResult) {
 	c := r.caches[ev.Cache]
 	if c == nil || c.probing == 0 {
 		return // too late: its round has been judged
@@ -77,8 +77,8 @@
 	if c.zone.fails++; c.zone.fails == zoneThreshold {
 		r.logf("zone %s out of reach", c.Zone)
 	}
-	c.zone.trialAt = r.now + r.set.ColdTime/4
-	if r.pressure.Away {
+	c.zone.trialAt = r.now + r.set.SlowStartWindow/4
+	if r.pressure.Outage {
 		c.sends, c.lastSend = max(0, r.recent(c)-1), r.now // what never came is no load
 	}
 }
--- a/decide/inspect_test.go
+++ b/decide/inspect_test.go
@@ -4,7 +4,7 @@
 
 func TestInspectionFollowsARequestFromItsAskingToItsOutcome(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(3)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	if n := b.r.InFlight("nowhere"); n != 0 {
 		t.Errorf("%d attempts out at a cache never listed", n)
 	}
@@ -15,7 +15,7 @@
 	if out, open := b.r.InFlight(s.Cache), b.r.Open(); out != 1 || open != 1 {
 		t.Errorf("once sent: %d attempts out, %d requests open, want 1 and 1", out, open)
 	}
-	b.feed(&Outcome{ID: 1, Result: Served, Last: true})
+	b.feed(&AttemptResult{ID: 1, Result: Served, Last: true})
 	if out, open := b.r.InFlight(s.Cache), b.r.Open(); out != 0 || open != 0 {
 		t.Errorf("once served: %d attempts out, %d requests open, want none", out, open)
 	}
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -7,12 +7,12 @@
 )
 
 // taught is a router that has learned this and that of a fleet.
-func taught(t *testing.T) (*bench, []Entry) {
+func taught(t *testing.T) (*bench, []Endpoint) {
 	s := settings()
-	s.Probes = false
+	s.AllowHealthChecks = false
 	b := newBench(t, s)
 	es := fleet(3)
-	b.feed(&List{Kind: ListFull, Entries: es})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	b.r.fetches, b.r.missing, b.r.budget, b.r.erring, b.r.lost = 7, .25, 3, .125, .0625
 	c := b.r.caches["c01"]
 	c.limit, c.late, c.healthy, c.fails, c.prompt = .5, .75, false, 2, false
@@ -25,17 +25,17 @@
 // TestWhatWasLearnedIsTakenOver by another router that has the same list.
 func TestWhatWasLearnedIsTakenOver(t *testing.T) {
 	old, es := taught(t)
-	l := old.r.Learned(100)
+	l := old.r.Snapshot(100)
 	b := newBench(t, old.r.set)
-	b.feed(&List{Kind: ListFull, Entries: es})
-	b.r.Learn(l)
-	if got := b.r.Learned(100); !reflect.DeepEqual(got, l) {
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
+	b.r.Restore(l)
+	if got := b.r.Snapshot(100); !reflect.DeepEqual(got, l) {
 		t.Errorf("got  %+v\nwant %+v", got, l)
 	}
 	if !b.r.caches["c01"].knows(5) || !b.r.caches["c01"].knows(9) {
 		t.Error("the keys that it keeps are not known")
 	}
-	if n := len(old.r.Learned(1).Caches[1].Keeps); n != 1 {
+	if n := len(old.r.Snapshot(1).Caches[1].CachedKeys); n != 1 {
 		t.Errorf("%d keys are told, one was asked for", n)
 	}
 }
@@ -44,11 +44,11 @@
 func TestNothingOfAnOldProcessIsTakenOver(t *testing.T) {
 	old, es := taught(t)
 	b := newBench(t, old.r.set)
-	es[1].Start = b.now - 1000
-	b.feed(&List{Kind: ListFull, Entries: es[:2]})
-	fresh := b.r.Learned(100).Caches
-	b.r.Learn(old.r.Learned(100))
-	got := b.r.Learned(100).Caches
+	es[1].StartedAt = b.now - 1000
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es[:2]})
+	fresh := b.r.Snapshot(100).Caches
+	b.r.Restore(old.r.Snapshot(100))
+	got := b.r.Snapshot(100).Caches
 	if !reflect.DeepEqual(got[1], fresh[1]) || len(got) != 2 {
 		t.Errorf("got %+v", got)
 	}
@@ -60,13 +60,13 @@
 // TestFiguresOutOfRangeAreNotTakenOver, whatever a file says.
 func TestFiguresOutOfRangeAreNotTakenOver(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(2)})
-	fresh := b.r.Learned(10)
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(2)})
+	fresh := b.r.Snapshot(10)
 	nan := 0.0
 	nan /= nan
-	b.r.Learn(Learned{Fetches: -1, Missing: 2, Budget: 1e9, Erring: nan, Lost: -1, Caches: []LearnedCache{
-		{ID: "c00", Limit: nan, Late: -1, Erring: 2, Healthy: true, Prompt: true, Fails: -5}, {ID: "nobody", Limit: 3}}})
-	if got := b.r.Learned(10); !reflect.DeepEqual(got, fresh) {
+	b.r.Restore(Snapshot{OriginLimit: -1, OriginMissRatio: 2, RetryBudget: 1e9, ErrorRatio: nan, LostRatio: -1, Caches: []EndpointSnapshot{
+		{ID: "c00", ConcurrencyLimit: nan, LateRatio: -1, ErrorRatio: 2, Healthy: true, Responsive: true, FailedHealthChecks: -5}, {ID: "nobody", ConcurrencyLimit: 3}}})
+	if got := b.r.Snapshot(10); !reflect.DeepEqual(got, fresh) {
 		t.Errorf("got  %+v\nwant %+v", got, fresh)
 	}
 }
@@ -74,12 +74,12 @@
 // TestLearnedInPiecesIsTheSame as at once, whatever the size of a piece.
 func TestLearnedInPiecesIsTheSame(t *testing.T) {
 	old, _ := taught(t)
-	whole := old.r.Learned(0).Caches
+	whole := old.r.Snapshot(0).Caches
 	for most := 1; most <= 4; most++ {
-		var pieces []LearnedCache
+		var pieces []EndpointSnapshot
 		for after := ""; ; {
 			n := len(pieces)
-			if pieces = old.r.LearnedAfter(pieces, after, most); len(pieces) == n {
+			if pieces = old.r.AppendEndpointSnapshots(pieces, after, most); len(pieces) == n {
 				break
 			}
 			after = pieces[len(pieces)-1].ID
@@ -88,7 +88,7 @@
 			t.Errorf("in pieces of %d: %+v\nwant %+v", most, pieces, whole)
 		}
 	}
-	if got, ok := old.r.LearnedOf("c01"); !ok || !reflect.DeepEqual(got, whole[1]) {
+	if got, ok := old.r.EndpointSnapshot("c01"); !ok || !reflect.DeepEqual(got, whole[1]) {
 		t.Errorf("of c01: %+v, %v", got, ok)
 	}
 }
@@ -100,12 +100,12 @@
 	for i := range uint64(3000) {
 		c.keeps[i%2][mix(i+1)] = true
 	}
-	first := SortKeys(old.r.LearnedKeys(nil, "c01", 50), 50)
+	first := SortKeys(old.r.AppendCachedKeys(nil, "c01", 50), 50)
 	if len(first) != 50 || !slices.IsSorted(first) {
 		t.Fatalf("%d keys, in order %v", len(first), slices.IsSorted(first))
 	}
 	for range 20 {
-		if again := SortKeys(old.r.LearnedKeys(nil, "c01", 50), 50); !slices.Equal(again, first) {
+		if again := SortKeys(old.r.AppendCachedKeys(nil, "c01", 50), 50); !slices.Equal(again, first) {
 			t.Fatal("other keys are told the second time")
 		}
 	}
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -12,7 +12,7 @@
 
 // closesIdle reports whether an idle connection to the cache costs more than it saves: a dial,
 // when this router comes back. At even shares keeping costs Routers/100 times what dialling
-// does, as 100 connections a cache cost ConnPrice; a cache used more than others earns its own
+// does, as 100 connections a cache cost ConnectionCost; a cache used more than others earns its own
 // more often. The danger: every router keeps one to every cache, and the caches' tables are full.
 func (r *Router) closesIdle(c *cache) bool {
 	again := float64(c.uses-1) / float64(max(1, r.uses)) * float64(len(r.ready))
@@ -20,11 +20,11 @@
 		return true // the danger: what a cache takes is told nowhere, and priced or not, its table is full
 	}
 	crowd := float64(r.set.Routers) / 100
-	keep := r.set.ConnPrice * crowd
+	keep := r.set.ConnectionCost * crowd
 	if crowd > 1 {
 		keep *= crowd * crowd // the danger: a table that is full takes a cache more work than dials do
 	}
-	return keep > r.set.DialPrice*again
+	return keep > r.set.DialCost*again
 }
 
 // alone is the limit at which all routers together keep one attempt out at a cache.
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -8,7 +8,7 @@
 
 // answer ends an attempt with a result after the given time.
 func (b *bench) answer(id int64, attempt int, res Result, last bool) []Action {
-	return b.feed(&Outcome{ID: id, Attempt: attempt, Result: res, Last: last, Load: Load{Busy: -1}})
+	return b.feed(&AttemptResult{ID: id, Attempt: attempt, Result: res, Last: last, Load: LoadReport{Utilization: -1}})
 }
 
 func logs(acts []Action) string {
@@ -25,12 +25,12 @@
 func quietBench(t *testing.T, n int, change func(*Settings)) *bench {
 	t.Helper()
 	s := settings()
-	s.Probes = false
+	s.AllowHealthChecks = false
 	if change != nil {
 		change(&s)
 	}
 	b := newBench(t, s)
-	b.feed(&List{Kind: ListFull, Entries: fleet(n)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(n)})
 	return b
 }
 
@@ -216,12 +216,12 @@
 func TestColdCacheGetsNoMoreThanItsPart(t *testing.T) {
 	b := quietBench(t, 5, nil)
 	es := fleet(5)
-	es[3].Start = b.now
-	b.feed(&List{Kind: ListFull, Entries: es})
+	es[3].StartedAt = b.now
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	n, key := 0, uint64(0)
 	for id := range int64(600) {
 		// Every third request is for a key that the second hash admits to the cold cache.
-		for key++; id%3 == 0 && (b.r.home(key) != "c03" || unit(mix(mix(key)+1)) >= b.r.set.ColdShare); key++ {
+		for key++; id%3 == 0 && (b.r.home(key) != "c03" || unit(mix(mix(key)+1)) >= b.r.set.SlowStartMinCapacity); key++ {
 		}
 		if s := b.ask(id+1, "read", key); s != nil && s.Cache == "c03" {
 			n++
@@ -237,11 +237,11 @@
 func TestColdCacheTakesNoRetriesAndNoHotKeys(t *testing.T) {
 	b := quietBench(t, 5, nil)
 	es := fleet(5)
-	es[3].Start = b.now
-	b.feed(&List{Kind: ListFull, Entries: es})
+	es[3].StartedAt = b.now
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	c := b.r.caches["c03"]
 	key := uint64(1)
-	for unit(mix(mix(key)+1)) >= b.r.set.ColdShare {
+	for unit(mix(mix(key)+1)) >= b.r.set.SlowStartMinCapacity {
 		key++
 	}
 	q := &request{Request: &Request{Key: key, Deadline: b.now + 1e6}, class: &Class{}}
@@ -273,7 +273,7 @@
 
 // The gate alone, whatever pick offers it.
 func TestMaySendGate(t *testing.T) {
-	b := quietBench(t, 3, func(s *Settings) { s.Copies = false })
+	b := quietBench(t, 3, func(s *Settings) { s.AllowHedging = false })
 	b.ask(1, "read", 9)
 	q, c := b.r.reqs[1], b.r.ready[0]
 	if b.r.maySend(q, c) {
@@ -283,18 +283,18 @@
 	if !b.r.maySend(q, c) {
 		t.Error("a retry is not allowed")
 	}
-	for _, cond := range []Condition{Draining, Removed} {
-		if c.Condition = cond; b.r.maySend(q, c) {
+	for _, cond := range []Status{Draining, Removed} {
+		if c.Status = cond; b.r.maySend(q, c) {
 			t.Errorf("sent to a cache in condition %d", cond)
 		}
 	}
-	c.Condition = Up
+	c.Status = Serving
 	q.streams = true
 	if b.r.maySend(q, c) {
 		t.Error("sent though the answer streams")
 	}
 	// An unsafe class keeps off even where its settings speak of keys.
-	q = &request{Request: &Request{Deadline: b.now + 1e6}, class: &Class{Effect: Unsafe, Scope: ScopeAll, KeyTTL: 1e9},
+	q = &request{Request: &Request{Deadline: b.now + 1e6}, class: &Class{Semantics: NonIdempotent, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: 1e9},
 		attempts: []attempt{{to: c, sent: b.now}}}
 	if b.r.maySend(q, c) || b.r.mayRefuse(q) {
 		t.Error("an unsafe request that may have run was sent again or refused")
@@ -315,7 +315,7 @@
 			t.Errorf("silent %v: hedged with %v", silent, got)
 		}
 	}
-	for _, change := range []func(*Settings){func(s *Settings) { s.Copies = false }, func(s *Settings) { s.MaxAttempts = 1 }} {
+	for _, change := range []func(*Settings){func(s *Settings) { s.AllowHedging = false }, func(s *Settings) { s.MaxAttempts = 1 }} {
 		b := quietBench(t, 4, change)
 		b.ask(1, "read", 9)
 		if got := sends(b.advance(150 * ms)); len(got) != 0 {
@@ -426,7 +426,7 @@
 		b := quietBench(t, 8, nil)
 		for id := range int64(400) {
 			if b.ask(id+1, "read", uint64(id)) != nil {
-				b.feed(&Outcome{ID: id + 1, Result: Served, Last: true, Miss: miss, Load: Load{Busy: -1}})
+				b.feed(&AttemptResult{ID: id + 1, Result: Served, Last: true, Miss: miss, Load: LoadReport{Utilization: -1}})
 			}
 		}
 		b.r.fetches = 2
@@ -458,7 +458,7 @@
 	only := "" // the cache whose closings count
 	closed := func(routers int, key func(id int64) uint64, change func(*Settings)) (n int) {
 		b := quietBench(t, 20, func(s *Settings) {
-			s.Routers, s.ConnPrice, s.DialPrice = routers, .05, .05
+			s.Routers, s.ConnectionCost, s.DialCost = routers, .05, .05
 			if change != nil {
 				change(s)
 			}
@@ -490,15 +490,15 @@
 		t.Errorf("many routers closed only %d of 400", n)
 	}
 	only = "c00" // some keys go to a second cache until more is known of them
-	if n := closed(600, one, func(s *Settings) { s.ConnPrice = .002 }); n > 60 {
+	if n := closed(600, one, func(s *Settings) { s.ConnectionCost = .002 }); n > 60 {
 		t.Errorf("closed %d of 400 to the one cache in use", n)
 	}
 	only = ""
-	unpriced := func(s *Settings) { s.ConnPrice, s.DialPrice = 0, 0 }
+	unpriced := func(s *Settings) { s.ConnectionCost, s.DialCost = 0, 0 }
 	if n := closed(3, spread, unpriced); n > 0 {
 		t.Errorf("few routers closed %d where neither has a price", n)
 	}
-	for name, change := range map[string]func(*Settings){"neither": unpriced, "dials": func(s *Settings) { s.ConnPrice = 0 }} {
+	for name, change := range map[string]func(*Settings){"neither": unpriced, "dials": func(s *Settings) { s.ConnectionCost = 0 }} {
 		if n := closed(300, spread, change); n < 380 {
 			t.Errorf("many routers closed only %d of 400 where %s has a price", n, name)
 		}
@@ -515,7 +515,7 @@
 		s := b.ask(int64(key), "read", key)
 		for n := 0; s != nil && b.r.caches[s.Cache].Zone == "a"; n++ {
 			tries++
-			if got := sends(b.answer(int64(key), n, NoConnection, false)); len(got) == 0 {
+			if got := sends(b.answer(int64(key), n, ConnectFailed, false)); len(got) == 0 {
 				t.Fatal("not sent on after a failed connection")
 			} else {
 				s = &got[0]
@@ -542,7 +542,7 @@
 		c.limit = 100
 	}
 	b.r.fetches = 1e6
-	b.advance(b.r.set.ColdTime/4 + ms)
+	b.advance(b.r.set.SlowStartWindow/4 + ms)
 	if n := sentTo(); n != 1 {
 		t.Errorf("%d trials, want one", n)
 	}
@@ -561,19 +561,19 @@
 // The danger: a size that falls with the load moves keys from list to list.
 func TestLiveSizesDoNotMoveKeys(t *testing.T) {
 	for _, live := range []bool{true, false} {
-		b := quietBench(t, 8, func(s *Settings) { s.LiveSizes = live })
+		b := quietBench(t, 8, func(s *Settings) { s.WeightsFollowLoad = live })
 		moved := 0
 		for key := range uint64(200) {
 			es := fleet(8)
 			for i := range es {
-				es[i].Size = 2
+				es[i].Weight = 2
 			}
-			b.feed(&List{Kind: ListFull, Entries: es})
+			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 			home := b.r.home(key)
 			for i := range es {
-				es[i].Size /= float64(1 + (int(key)+i)%3) // as requests come and go
+				es[i].Weight /= float64(1 + (int(key)+i)%3) // as requests come and go
 			}
-			b.feed(&List{Kind: ListFull, Entries: es})
+			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 			if b.r.home(key) != home {
 				moved++
 			}
@@ -649,14 +649,14 @@
 	b := quietBench(t, 3, nil)
 	s := b.ask(1, "read", 9)
 	for i := range 50 {
-		b.feed(&List{Kind: ListChanges, Entries: []Entry{{ID: fmt.Sprint("x", i), Zone: "a", Size: 1}}})
-		b.feed(&List{Kind: ListChanges, Entries: []Entry{{ID: fmt.Sprint("x", i), Condition: Removed}}})
+		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: fmt.Sprint("x", i), Zone: "a", Weight: 1}}})
+		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: fmt.Sprint("x", i), Status: Removed}}})
 	}
-	b.feed(&List{Kind: ListFull, Entries: fleet(3)[:0]})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)[:0]})
 	if len(b.r.caches) != 0 {
 		t.Errorf("%d caches are kept", len(b.r.caches))
 	}
-	b.feed(&Probed{Cache: s.Cache, Result: Served})
+	b.feed(&HealthCheckResult{Cache: s.Cache, Result: Served})
 	b.answer(1, 0, Served, true)
 	if len(b.r.reqs) != 0 {
 		t.Errorf("%d requests are kept", len(b.r.reqs))
@@ -704,16 +704,16 @@
 	b := quietBench(t, 4, nil)
 	b.r.budget = 0
 	first := b.ask(1, "read", 9)
-	again := sends(b.answer(1, 0, ConnLost, false))
+	again := sends(b.answer(1, 0, ConnectionLost, false))
 	if len(again) != 1 || again[0].Cache != first.Cache {
 		t.Fatalf("sent to %s, then %v", first.Cache, again)
 	}
-	other := sends(b.answer(1, 1, ConnLost, false))
+	other := sends(b.answer(1, 1, ConnectionLost, false))
 	if len(other) != 1 || other[0].Cache == first.Cache {
 		t.Errorf("the third attempt: %v", other)
 	}
 	b.ask(2, "once", 9)
-	if got := sends(b.answer(2, 0, ConnLost, false)); len(got) != 0 {
+	if got := sends(b.answer(2, 0, ConnectionLost, false)); len(got) != 0 {
 		t.Errorf("an unsafe request that may have run is sent again: %v", got)
 	}
 }
@@ -722,10 +722,10 @@
 // fetch at a time, and refuses most of what comes for seconds.
 func TestRouterThatStartsWithoutAListKnowsTheOriginOnceItHasOne(t *testing.T) {
 	s := settings()
-	s.Probes = false
+	s.AllowHealthChecks = false
 	b := newBench(t, s)
-	b.feed(&List{Kind: ListStale})
-	b.feed(&List{Kind: ListFull, Entries: fleet(8)})
+	b.feed(&EndpointList{Kind: StaleUpdate})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
 	if want := float64(firstLimit*8) / float64(s.Routers); b.r.fetches != want {
 		t.Errorf("%v likely misses may be out, want %v", b.r.fetches, want)
 	}
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -6,24 +6,24 @@
 	"math"
 )
 
-func (r *Router) list(ev *List) {
-	if ev.Kind == ListFailed {
+func (r *Router) list(ev *EndpointList) {
+	if ev.Kind == FailedUpdate {
 		r.listFailed()
 		return
 	}
-	if ev.Kind != ListStale {
+	if ev.Kind != StaleUpdate {
 		r.pacer.Answered()
 	}
 	r.turnOfList++
-	for _, e := range ev.Entries {
+	for _, e := range ev.Endpoints {
 		r.entry(e)
 	}
 	for _, c := range r.caches { // any order: each by itself
-		if ev.Kind == ListChanges {
+		if ev.Kind == DeltaUpdate {
 			break // what it does not name stays
 		}
 		if c.namedIn != r.turnOfList {
-			c.Condition = Removed
+			c.Status = Removed
 			r.place(c)
 		}
 	}
@@ -34,13 +34,13 @@
 	if !r.started {
 		r.started = true
 		r.missing = 1
-		if r.set.MustWatch {
+		if r.set.WatchRequired {
 			r.watchAfter(r.pacer.Start(draw(&r.pacing)))
 		}
 		r.at(r.now, r.forget)
 		r.at(r.now, r.turn)
 	}
-	if r.set.Probes && !r.probing && len(r.ready) > 0 {
+	if r.set.AllowHealthChecks && !r.probing && len(r.ready) > 0 {
 		// Routers started together must not probe on one beat.
 		r.probing = true
 		r.spare = r.random() * float64(len(r.ready))
@@ -95,40 +95,40 @@
 	for _, c := range r.caches { // any order: each by itself
 		c.keeps = [2]map[uint64]bool{{}, c.keeps[0]}
 	}
-	r.at(r.now+max(r.set.ColdTime/4, r.window()), r.forget)
+	r.at(r.now+max(r.set.SlowStartWindow/4, r.window()), r.forget)
 }
 
-func (r *Router) entry(e Entry) {
+func (r *Router) entry(e Endpoint) {
 	c := r.caches[e.ID]
 	if c == nil {
 		c = &cache{healthy: true, prompt: true, keeps: [2]map[uint64]bool{{}, {}}}
 		c.limit = max(leastFirst, firstLimit/float64(max(1, r.set.Routers)))
 		r.caches[e.ID], c.knownAt = c, r.now
-	} else if e.Start != c.Start {
+	} else if e.StartedAt != c.StartedAt {
 		// The process is a new one: nothing seen of the old one holds.
 		c.healthy, c.fails, c.keeps = true, 0, [2]map[uint64]bool{{}, {}}
 		c.doubts, c.aloneUntil = 0, 0
-		if r.pressure.Away {
+		if r.pressure.Outage {
 			c.zone.fails, c.limit = 0, leastAway // what was seen lately is an outage, not a crowd
 		}
 	}
-	if r.set.LiveSizes {
+	if r.set.WeightsFollowLoad {
 		// The danger: a size that falls with the load moves keys from list to list, and they miss.
 		// The largest seen is the nominal one, or close; it is the same for all routers.
-		e.Size = max(e.Size, c.Size)
+		e.Weight = max(e.Weight, c.Weight)
 	}
-	c.Entry = e
+	c.Endpoint = e
 	if c.zone = r.zones[e.Zone]; c.zone == nil {
 		c.zone = &zone{}
 		r.zones[e.Zone] = c.zone
 	}
-	if e.Size <= 0 {
-		c.Size = 1
+	if e.Weight <= 0 {
+		c.Weight = 1
 	}
 	c.namedIn = r.turnOfList
 	r.place(c)
 	// The danger: a start that was told wrong, and is corrected, leaves the cache cold.
-	if c.coldFrom, c.warmAt = min(e.Start, r.now), 0; e.Start > 0 {
-		c.warmAt = c.coldFrom + r.set.ColdTime
+	if c.coldFrom, c.warmAt = min(e.StartedAt, r.now), 0; e.StartedAt > 0 {
+		c.warmAt = c.coldFrom + r.set.SlowStartWindow
 	}
 }
--- a/decide/outcome.go
+++ b/decide/outcome.go
@@ -2,7 +2,7 @@
 
 package decide
 
-func (r *Router) outcome(ev *Outcome) {
+func (r *Router) outcome(ev *AttemptResult) {
 	q := r.reqs[ev.ID]
 	if q == nil || ev.Attempt < 0 || ev.Attempt >= len(q.attempts) || !q.attempts[ev.Attempt].pending {
 		return
@@ -16,8 +16,8 @@
 	if ev.Result == Served || ev.Result == Errored || ev.Result == Rejected {
 		a.to.answered = r.now
 		r.reached(a.to, true)
-	} else if a.unmet = ev.Result == NoConnection || ev.Result == ConnLost &&
-		r.now-a.sent < q.class.patience()/2; ev.Result == NoConnection {
+	} else if a.unmet = ev.Result == ConnectFailed || ev.Result == ConnectionLost &&
+		r.now-a.sent < q.class.patience()/2; ev.Result == ConnectFailed {
 		r.reached(a.to, false)
 	}
 	r.rest(a.to)
@@ -25,7 +25,7 @@
 	if r.now-a.sent < q.class.patience() && ev.Result != Cancelled && ev.Result != NotSent {
 		r.verdict(a, good)
 	}
-	if ev.Result == Served && !good && r.now-a.sent < q.class.Aim {
+	if ev.Result == Served && !good && r.now-a.sent < q.class.LatencyObjective {
 		r.met = min(r.met+1, r.judged) // the danger: where work is long beside the aim, all would seem lost
 	}
 	if ev.Result == Served {
@@ -43,9 +43,9 @@
 		if z.way == 0 {
 			z.way = took
 		}
-		z.way, z.wayTill = min(took, z.way+(took-z.way)/recently), r.now+r.set.ColdTime
+		z.way, z.wayTill = min(took, z.way+(took-z.way)/recently), r.now+r.set.SlowStartWindow
 	}
-	fetched := ev.Result == Served && a.fetch && float64(r.now-a.sent) < originShare*float64(q.class.Aim)
+	fetched := ev.Result == Served && a.fetch && float64(r.now-a.sent) < originShare*float64(q.class.LatencyObjective)
 	if failed := ev.Result == Errored; failed || ev.Result == Served {
 		a.to.erring, a.to.erredAt = r.errors(a.to)*7/8+float64(b2i(failed))/8, r.now
 		r.erring += (float64(b2i(failed)) - r.erring) / 16
@@ -55,11 +55,11 @@
 		adjust(&r.fetches, fetched, originTolerated)
 		r.fetches = max(1, r.fetches)
 	}
-	crowd := ev.Result == Rejected || ev.Result == NoConnection && !r.pressure.Away
+	crowd := ev.Result == Rejected || ev.Result == ConnectFailed && !r.pressure.Outage
 	if crowd || good && float64(a.to.pending+1) > a.to.limit/2 {
 		r.pool(good)
 		adjust(&a.to.limit, good, tolerated)
-	} else if ev.Result == Served && a.to.limit < r.alone() && r.now-a.sent < q.class.Aim {
+	} else if ev.Result == Served && a.to.limit < r.alone() && r.now-a.sent < q.class.LatencyObjective {
 		adjust(&a.to.limit, true, tolerated)
 	}
 	if a.fetch && ev.Miss && !fetched && r.sparse() {
@@ -81,7 +81,7 @@
 		return
 	}
 	if r.now >= q.Deadline {
-		q.why = OutOfTime
+		q.why = DeadlineExceeded
 		r.answer(q) // the danger: the time-out at the deadline still owes the answer
 		return
 	}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -13,9 +13,9 @@
 // place takes over whether a cache may be sent work, and its size.
 func (r *Router) place(c *cache) {
 	size := 0.0
-	if c.Condition == Up {
-		size = c.Size
-	} else if c.Condition == Removed {
+	if c.Status == Serving {
+		size = c.Weight
+	} else if c.Status == Removed {
 		delete(r.caches, c.ID) // attempts that are out keep hold of it
 	}
 	if size == c.listed {
@@ -67,16 +67,16 @@
 	return r.order.At(i)
 }
 
-// Homes returns the cache that a key goes to first, by the key's hash, among caches of which all take
+// NewPlacement returns the cache that a key goes to first, by the key's hash, among caches of which all take
 // work and none is hot, full or in trouble. There has to be one. It is for stand-ins that hold what the
 // caches of a running fleet hold, and for plans for one that changes.
-func Homes(caches []Entry) func(key uint64) string {
+func NewPlacement(caches []Endpoint) func(key uint64) string {
 	var order rendezvous.Set[string]
 	for _, e := range caches {
-		if e.Size <= 0 {
-			e.Size = 1
+		if e.Weight <= 0 {
+			e.Weight = 1
 		}
-		order.Add(e.ID, e.Size, e.ID)
+		order.Add(e.ID, e.Weight, e.ID)
 	}
 	return func(key uint64) string {
 		order.Rank(key)
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -14,11 +14,11 @@
 // TestHomesAreWhereARouterSends: a router that has nothing against any cache sends each key to its home.
 func TestHomesAreWhereARouterSends(t *testing.T) {
 	b := quietBench(t, 9, nil)
-	var entries []Entry
+	var entries []Endpoint
 	for _, c := range b.r.ready {
-		entries = append(entries, c.Entry)
+		entries = append(entries, c.Endpoint)
 	}
-	home := Homes(entries)
+	home := NewPlacement(entries)
 	used := map[string]int{}
 	for id := range int64(200) {
 		key := mix(uint64(id))
@@ -38,14 +38,14 @@
 }
 
 // plainOrder ranks caches as rendezvous hashing is written down: a score for each, sorted.
-func plainOrder(caches []Entry, key uint64) []string {
+func plainOrder(caches []Endpoint, key uint64) []string {
 	type scored struct {
 		id    string
 		score float64
 	}
 	var all []scored
 	for _, e := range caches {
-		all = append(all, scored{e.ID, -math.Log(unit(mix(key^rendezvous.Hash(e.ID)))+1e-18) / e.Size})
+		all = append(all, scored{e.ID, -math.Log(unit(mix(key^rendezvous.Hash(e.ID)))+1e-18) / e.Weight})
 	}
 	slices.SortFunc(all, func(a, b scored) int {
 		if a.score != b.score {
@@ -64,10 +64,10 @@
 }
 
 // sizedFleet is a fleet of caches of so many sizes.
-func sizedFleet(n, sizes int) []Entry {
-	var es []Entry
+func sizedFleet(n, sizes int) []Endpoint {
+	var es []Endpoint
 	for i := range n {
-		es = append(es, Entry{ID: fmt.Sprintf("s-%08x", uint32(mix(uint64(i)))), Zone: "a", Size: 1 + float64(i%sizes)/2})
+		es = append(es, Endpoint{ID: fmt.Sprintf("s-%08x", uint32(mix(uint64(i)))), Zone: "a", Weight: 1 + float64(i%sizes)/2})
 	}
 	return es
 }
@@ -78,16 +78,16 @@
 	rng := rand.New(rand.NewSource(1))
 	for _, c := range []struct{ n, sizes int }{{1, 1}, {3, 1}, {9, 1}, {14, 2}, {40, 3}, {40, 40}, {300, 1}, {300, 7}} {
 		s := settings()
-		s.Probes = false
+		s.AllowHealthChecks = false
 		b := newBench(t, s)
 		es := sizedFleet(c.n, c.sizes)
-		b.feed(&List{Kind: ListFull, Entries: es})
+		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 		var keys [50]uint64 // the same ones over all changes: what was remembered of them holds no more
 		for i := range keys {
 			keys[i] = rng.Uint64()
 		}
 		for change := range 4 {
-			up := slices.DeleteFunc(slices.Clone(es), func(e Entry) bool { return e.Condition != Up })
+			up := slices.DeleteFunc(slices.Clone(es), func(e Endpoint) bool { return e.Status != Serving })
 			for _, key := range keys {
 				want := plainOrder(up, key)
 				for range 2 { // worked out, and remembered
@@ -100,15 +100,15 @@
 				}
 			}
 			i := rng.Intn(len(es))
-			es[i].Condition = Condition(rng.Intn(3))
+			es[i].Status = Status(rng.Intn(3))
 			j := rng.Intn(len(es))
-			es[j].Size = 3.25
-			changed := []Entry{es[i]}
+			es[j].Weight = 3.25
+			changed := []Endpoint{es[i]}
 			if j != i {
 				changed = append(changed, es[j])
 			}
-			b.feed(&List{Kind: ListChanges, Entries: changed})
-			es = slices.DeleteFunc(es, func(e Entry) bool { return e.Condition == Removed })
+			b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: changed})
+			es = slices.DeleteFunc(es, func(e Endpoint) bool { return e.Status == Removed })
 			if len(es) == 0 {
 				break
 			}
@@ -119,10 +119,10 @@
 // TestHotKeyGoesToItsFirstRanksAlike.
 func TestHotKeyGoesToItsFirstRanksAlike(t *testing.T) {
 	s := settings()
-	s.Probes = false
+	s.AllowHealthChecks = false
 	b := newBench(t, s)
 	es := sizedFleet(200, 1)
-	b.feed(&List{Kind: ListFull, Entries: es})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	const key, share = 42, 0.25
 	b.r.keys[0][key], b.r.asked[0] = 250, 1000
 	k := b.r.spread(key)
@@ -147,12 +147,12 @@
 // largeBench is a router before a fleet without limits.
 func largeBench(b *testing.B, n int) *Router {
 	s := settings()
-	s.Probes, s.Routers = false, 3
+	s.AllowHealthChecks, s.Routers = false, 3
 	r, err := New(s, 7)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Handle(1e9, &List{Kind: ListFull, Entries: sizedFleet(n, 1)})
+	r.Handle(1e9, &EndpointList{Kind: FullUpdate, Endpoints: sizedFleet(n, 1)})
 	for _, c := range r.caches {
 		c.limit = 1e9
 	}
@@ -190,7 +190,7 @@
 		now += 50
 		id := int64(i + 1)
 		r.Handle(now, &Request{ID: id, Class: "read", Key: key(i), HasKey: true, Deadline: now + 800*ms})
-		r.Handle(now+1, &Outcome{ID: id, Result: Served, Elapsed: 1, Last: true, Load: Load{Busy: -1}})
+		r.Handle(now+1, &AttemptResult{ID: id, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
 	}
 }
 
@@ -202,8 +202,8 @@
 			r := largeBench(b, n)
 			e := sizedFleet(n, 1)[n/2]
 			for i := range b.N {
-				e.Condition = Condition(i % 2)
-				r.Handle(Time(2e9+i), &List{Kind: ListChanges, Entries: []Entry{e}})
+				e.Status = Status(i % 2)
+				r.Handle(Time(2e9+i), &EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
 			}
 		})
 	}
--- a/decide/pressure_test.go
+++ b/decide/pressure_test.go
@@ -6,18 +6,18 @@
 )
 
 // pressed is a router with a fleet, under pressure.
-func pressed(t *testing.T, p Pressure) *bench {
+func pressed(t *testing.T, p RetryStorm) *bench {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(4)})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 	b.feed(&p)
 	b.r.turnedAway, b.r.sentAt = b.now, b.now // a first try was refused just now, and another one was sent
 	return b
 }
 
-func refusals(acts []Action) []Refuse {
-	var all []Refuse
+func refusals(acts []Action) []Reject {
+	var all []Reject
 	for _, a := range acts {
-		if r, ok := a.(Refuse); ok {
+		if r, ok := a.(Reject); ok {
 			all = append(all, r)
 		}
 	}
@@ -25,8 +25,8 @@
 }
 
 func TestRetryTooLateToBeServedInTimeIsRefusedAtOnce(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Wait: 500 * ms})
-	old := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, Since: b.now - 200*ms}
+	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+	old := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	acts := b.feed(old)
 	if len(acts) != 1 || len(refusals(acts)) != 1 {
 		t.Fatalf("%v: a refusal and nothing else is wanted", acts)
@@ -34,32 +34,32 @@
 	if b.r.Open() != 0 {
 		t.Fatalf("%d requests are kept", b.r.Open())
 	}
-	young := &Request{ID: 2, Class: "read", Key: 2, HasKey: true, Deadline: b.now + 500*ms, Since: b.now - 20*ms}
+	young := &Request{ID: 2, Class: "read", Key: 2, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 20*ms}
 	if len(sends(b.feed(young))) != 1 {
 		t.Fatalf("%v: a retry that can still be served in time is sent", b.acts)
 	}
 }
 
 func TestLateRetryIsTakenWhereFirstTriesAreServed(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Wait: 500 * ms})
+	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.advance(600 * ms)
-	late := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, Since: b.now - 200*ms}
+	late := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	if len(sends(b.feed(late))) != 1 {
 		t.Fatalf("%v: nobody has a better claim, and refused it comes back for ever", b.acts)
 	}
 }
 
 func TestWithoutPressureSinceChangesNothing(t *testing.T) {
-	play := func(since Time, p *Pressure) []Action {
+	play := func(since Time, p *RetryStorm) []Action {
 		b := newBench(t, settings())
-		b.feed(&List{Kind: ListFull, Entries: fleet(4)})
+		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 		if p != nil {
 			b.feed(p)
 		}
 		var all []Action
 		for id := range int64(20) {
 			all = append(all, b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
-				Deadline: b.now + 500*ms, Since: since})...)
+				Deadline: b.now + 500*ms, FirstRequestedAt: since})...)
 		}
 		return append(all, b.advance(2000*ms)...)
 	}
@@ -67,21 +67,21 @@
 	if got := play(1e9-400*ms, nil); !reflect.DeepEqual(got, want) {
 		t.Error("what is known of a retry counts without pressure")
 	}
-	if got := play(0, &Pressure{Away: true, Retries: 1, Wait: 100 * ms}); len(got) != len(want) {
+	if got := play(0, &RetryStorm{Outage: true, RetryBudgetFraction: 1, RetryAfterJitter: 100 * ms}); len(got) != len(want) {
 		t.Errorf("%d actions where pressure is off, %d without a word of it", len(got), len(want))
 	}
 }
 
 func TestThoseRefusedTogetherAreToldDifferentTimes(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Wait: 500 * ms})
+	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	told := map[Time]int{}
 	for id := range int64(100) {
 		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: 7, HasKey: true,
-			Deadline: b.now + 500*ms, Since: b.now - 300*ms})) {
-			if r.Wait < 100*ms || r.Wait > 600*ms {
-				t.Errorf("a wait of %d µs", r.Wait)
+			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
+			if r.RetryAfter < 100*ms || r.RetryAfter > 600*ms {
+				t.Errorf("a wait of %d µs", r.RetryAfter)
 			}
-			told[r.Wait/(10*ms)]++
+			told[r.RetryAfter/(10*ms)]++
 		}
 	}
 	if len(told) < 25 {
@@ -90,24 +90,24 @@
 }
 
 func TestWaitsStayWithinWhatClientsHonour(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Wait: 100_000 * ms})
+	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100_000 * ms})
 	for id := range int64(50) {
 		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
-			Deadline: b.now + 500*ms, Since: b.now - 300*ms})) {
-			if r.Wait > b.r.set.RefuseWait {
-				t.Errorf("a wait of %d µs, clients honour %d", r.Wait, b.r.set.RefuseWait)
+			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
+			if r.RetryAfter > b.r.set.MaxRetryAfter {
+				t.Errorf("a wait of %d µs, clients honour %d", r.RetryAfter, b.r.set.MaxRetryAfter)
 			}
 		}
 	}
 }
 
 func TestBudgetOfRetriesShrinksUnderPressure(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Retries: 0.1})
+	b := pressed(t, RetryStorm{Active: true, RetryBudgetFraction: 0.1})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
 	if b.r.budget > 0.1*retryBurst {
 		t.Errorf("a budget of %.1f is left", b.r.budget)
 	}
-	b.feed(&Pressure{})
+	b.feed(&RetryStorm{})
 	b.feed(&Request{ID: 2, Class: "read", Key: 2, HasKey: true, Deadline: b.now + 500*ms})
 	if b.r.budget > 0.1*retryBurst+1 {
 		t.Errorf("the budget is full again at once: %.1f", b.r.budget)
@@ -116,9 +116,9 @@
 
 // TestRetryIsSentWhereNothingElseIs: all caches that were full have room by now, and only retries come.
 func TestRetryIsSentWhereNothingElseIs(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Wait: 500 * ms})
+	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	late := func(id int64) *Request {
-		return &Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 500*ms, Since: b.now - 200*ms}
+		return &Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	}
 	if len(sends(b.feed(late(1)))) != 0 {
 		t.Fatalf("%v: caches were full just now", b.acts)
@@ -139,7 +139,7 @@
 // TestRouterWithoutCachesDoesNotTurnRetriesAwayLater: what it refused then says nothing of caches' room.
 func TestRouterWithoutCachesDoesNotTurnRetriesAwayLater(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&Pressure{On: true, Wait: 500 * ms})
+	b.feed(&RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
 	if b.r.turnedAway != 0 {
 		t.Error("the refusal counts as one for want of room")
@@ -147,20 +147,20 @@
 }
 
 func TestUnsafeRequestThatIsLateIsRefusedOnlyWhereNothingRan(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Wait: 100 * ms})
-	acts := b.feed(&Request{ID: 1, Class: "once", Key: 1, HasKey: true, Deadline: b.now + 500*ms, Since: b.now - 300*ms})
+	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100 * ms})
+	acts := b.feed(&Request{ID: 1, Class: "once", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})
 	if len(refusals(acts)) != 1 {
 		t.Errorf("%v: nothing of it has run here, so a refusal does no harm", acts)
 	}
 }
 
 func TestCacheThatIsAwayIsTriedAndANewOneStartsAfresh(t *testing.T) {
-	b := pressed(t, Pressure{On: true, Away: true, Retries: 0.1})
+	b := pressed(t, RetryStorm{Active: true, Outage: true, RetryBudgetFraction: 0.1})
 	tries := func(id int64) (n int) {
 		acts := b.feed(&Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 700*ms})
 		for len(sends(acts)) > 0 {
 			n++
-			acts = b.feed(&Outcome{ID: id, Attempt: n - 1, Result: NoConnection, Load: Load{Busy: -1}})
+			acts = b.feed(&AttemptResult{ID: id, Attempt: n - 1, Result: ConnectFailed, Load: LoadReport{Utilization: -1}})
 		}
 		return n
 	}
@@ -171,9 +171,9 @@
 	}
 	entries := fleet(4)
 	for i := range entries {
-		entries[i].Start = b.now - 100*ms
+		entries[i].StartedAt = b.now - 100*ms
 	}
-	b.feed(&List{Kind: ListFull, Entries: entries})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
 	if limit := b.r.ready[0].limit; limit != leastAway {
 		t.Errorf("the limit of a new cache is %.1f, by what was seen of the old one", limit)
 	}
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -16,7 +16,7 @@
 	now   Time
 	reqs  map[int64]*watched
 	told  map[string]Time // since when a cache is known to drain or be gone
-	known map[string]Entry
+	known map[string]Endpoint
 }
 
 type watched struct {
@@ -27,7 +27,7 @@
 }
 
 type watchedTry struct {
-	cache   Entry
+	cache   Endpoint
 	sent    Time
 	pending bool
 	result  Result
@@ -43,7 +43,7 @@
 			if q == nil || q.done {
 				t.Fatalf("send for a request that is over: %v", a)
 			}
-			if w.now >= q.deadline || len(q.tries) >= w.set.MaxAttempts || a.StopAt <= w.now {
+			if w.now >= q.deadline || len(q.tries) >= w.set.MaxAttempts || a.AttemptDeadline <= w.now {
 				t.Fatalf("send after deadline or attempts: %v", a)
 			}
 			to, ok := w.known[a.Cache]
@@ -54,23 +54,23 @@
 				t.Fatalf("send to a draining or gone cache: %v", a)
 			}
 			for _, p := range q.tries {
-				if p.pending && !w.set.Copies {
+				if p.pending && !w.set.AllowHedging {
 					t.Fatalf("two pending at once: %v", a)
 				}
-				if q.class.Effect == Safe || !p.pending && p.result.NeverRan() {
+				if q.class.Semantics == Idempotent || !p.pending && p.result.NeverRan() {
 					continue
 				}
-				if q.class.Effect == Unsafe || w.now > p.sent+q.class.KeyTTL ||
-					q.class.Scope == ScopeZone && p.cache.Zone != to.Zone || q.class.Scope == ScopeCell && p.cache.Cell != to.Cell {
+				if q.class.Semantics == NonIdempotent || w.now > p.sent+q.class.IdempotencyWindow ||
+					q.class.DeduplicationScope == DeduplicatedInZone && p.cache.Zone != to.Zone || q.class.DeduplicationScope == DeduplicatedInCell && p.cache.Cell != to.Cell {
 					t.Fatalf("%s could run twice: %v", q.class.Name, a)
 				}
 			}
 			q.tries = append(q.tries, watchedTry{cache: to, sent: w.now, pending: true})
-		case Refuse:
+		case Reject:
 			q := w.reqs[a.ID]
 			w.final(a.ID)
 			for _, p := range q.tries {
-				free := q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Scope == ScopeAll
+				free := q.class.Semantics == Idempotent || q.class.Semantics == IdempotentByKey && q.class.DeduplicationScope == DeduplicatedEverywhere
 				if !free && (p.pending || !p.result.NeverRan()) {
 					t.Fatalf("%s refused though it may have run", q.class.Name)
 				}
@@ -78,11 +78,11 @@
 		case Fail:
 			w.final(a.ID)
 		case Cancel:
-			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.tries) || !w.set.Cancels {
+			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.tries) || !w.set.AllowCancel {
 				t.Fatalf("cancel of an attempt never sent: %v", a)
 			}
-		case Probe:
-			if _, ok := w.known[a.Cache]; !ok || !w.set.Probes {
+		case HealthCheck:
+			if _, ok := w.known[a.Cache]; !ok || !w.set.AllowHealthChecks {
 				t.Fatalf("probe of %v", a)
 			}
 		}
@@ -104,10 +104,10 @@
 func randomSettings(rng *rand.Rand) Settings {
 	s := settings()
 	s.MaxAttempts = 1 + rng.Intn(5)
-	s.Copies, s.Cancels, s.MustWatch = rng.Intn(2) == 0, rng.Intn(3) > 0, rng.Intn(2) == 0
-	s.Probes = rng.Intn(4) > 0
+	s.AllowHedging, s.AllowCancel, s.WatchRequired = rng.Intn(2) == 0, rng.Intn(3) > 0, rng.Intn(2) == 0
+	s.AllowHealthChecks = rng.Intn(4) > 0
 	if rng.Intn(4) == 0 {
-		s.ColdTime, s.ColdShare, s.TipTime, s.AskEvery = 0, 0, 0, 0
+		s.SlowStartWindow, s.SlowStartMinCapacity, s.OverloadWindow, s.PollInterval = 0, 0, 0, 0
 	}
 	if rng.Intn(2) == 0 {
 		return s
@@ -115,16 +115,16 @@
 	// Another customer's: what is legal, whatever it is.
 	s.Routers = []int{0, 1, 3, sparseFrom, sparseFrom + 1, 100, 300}[rng.Intn(7)]
 	s.DrainGrace = Time(100+rng.Intn(2000)) * ms
-	s.ProbePrice, s.ConnPrice, s.DialPrice = rng.Float64()/10, rng.Float64()/10, rng.Float64()/10
-	s.RefuseWait, s.LiveSizes = Time(rng.Intn(2000))*ms, rng.Intn(3) == 0
-	if s.AskEvery > 0 {
-		s.AskEvery = Time(100+rng.Intn(60_000)) * ms
+	s.HealthCheckCost, s.ConnectionCost, s.DialCost = rng.Float64()/10, rng.Float64()/10, rng.Float64()/10
+	s.MaxRetryAfter, s.WeightsFollowLoad = Time(rng.Intn(2000))*ms, rng.Intn(3) == 0
+	if s.PollInterval > 0 {
+		s.PollInterval = Time(100+rng.Intn(60_000)) * ms
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		c.Effect, c.Scope = Effect(rng.Intn(3)), Scope(rng.Intn(3))
-		c.KeyTTL, c.Aim = Time(rng.Intn(1500))*ms, Time(rng.Intn(400))*ms
-		c.Limit = c.Aim + Time(rng.Intn(3000))*ms
+		c.Semantics, c.DeduplicationScope = Semantics(rng.Intn(3)), DeduplicationScope(rng.Intn(3))
+		c.IdempotencyWindow, c.LatencyObjective = Time(rng.Intn(1500))*ms, Time(rng.Intn(400))*ms
+		c.ClientTimeout = c.LatencyObjective + Time(rng.Intn(3000))*ms
 	}
 	return s
 }
@@ -140,7 +140,7 @@
 		s.Classes[i].Name = prefix + s.Classes[i].Name
 	}
 	b := newBench(t, s)
-	w := &watcher{t: t, set: s, reqs: map[int64]*watched{}, told: map[string]Time{}, known: map[string]Entry{}}
+	w := &watcher{t: t, set: s, reqs: map[int64]*watched{}, told: map[string]Time{}, known: map[string]Endpoint{}}
 	classes := map[string]Class{}
 	for _, c := range s.Classes {
 		classes[c.Name] = c
@@ -153,8 +153,8 @@
 		w.check(acts)
 		all = append(all, acts...)
 	}
-	list := func(kind ListKind, es []Entry) {
-		if kind != ListChanges {
+	list := func(kind UpdateKind, es []Endpoint) {
+		if kind != DeltaUpdate {
 			for id := range w.known {
 				if _, ok := w.told[id]; !ok {
 					w.told[id] = b.now
@@ -162,16 +162,16 @@
 			}
 		}
 		for _, e := range es {
-			if e.Condition == Up {
+			if e.Status == Serving {
 				delete(w.told, e.ID)
 			} else if _, ok := w.told[e.ID]; !ok {
 				w.told[e.ID] = b.now
 			}
 			w.known[e.ID] = e
 		}
-		feed(&List{Kind: kind, Entries: es})
+		feed(&EndpointList{Kind: kind, Endpoints: es})
 	}
-	list(ListStale, fleet(rng.Intn(8)))
+	list(StaleUpdate, fleet(rng.Intn(8)))
 	for id := int64(1); id < int64(steps); id++ {
 		end := b.now + Time(rng.Intn(20*ms))
 		for {
@@ -202,20 +202,20 @@
 			if q := w.reqs[gone]; q != nil {
 				q.done = true
 			}
-			feed(&Departed{ID: gone})
+			feed(&ClientGone{ID: gone})
 		case x < 58:
 			e := fleet(10)[rng.Intn(10)]
-			e.Condition = Condition(rng.Intn(3))
+			e.Status = Status(rng.Intn(3))
 			if rng.Intn(2) == 0 {
-				e.Condition, e.Start = Up, b.now-Time(rng.Intn(12000*ms))
+				e.Status, e.StartedAt = Serving, b.now-Time(rng.Intn(12000*ms))
 			}
-			list(ListChanges, []Entry{e})
+			list(DeltaUpdate, []Endpoint{e})
 		case x < 59:
-			list(ListKind(1+rng.Intn(2)), fleet(rng.Intn(10)))
+			list(UpdateKind(1+rng.Intn(2)), fleet(rng.Intn(10)))
 		case x < 60:
-			feed(&List{Kind: ListFailed})
+			feed(&EndpointList{Kind: FailedUpdate})
 		case x < 66:
-			feed(&Probed{Cache: fleet(10)[rng.Intn(10)].ID, Result: Result(rng.Intn(6)), Load: Load{Busy: rng.Float64()}})
+			feed(&HealthCheckResult{Cache: fleet(10)[rng.Intn(10)].ID, Result: Result(rng.Intn(6)), Load: LoadReport{Utilization: rng.Float64()}})
 		default:
 			endTry(rng, b, w, id, feed)
 		}
@@ -245,8 +245,8 @@
 			}
 			q.tries[i].pending, q.tries[i].result = false, res
 			q.done = q.done || res == Served
-			feed(&Outcome{ID: id - back, Attempt: i, Result: res, Elapsed: b.now - q.tries[i].sent, Last: q.done,
-				Load: Load{Busy: rng.Float64()*2 - 1}})
+			feed(&AttemptResult{ID: id - back, Attempt: i, Result: res, Elapsed: b.now - q.tries[i].sent, Last: q.done,
+				Load: LoadReport{Utilization: rng.Float64()*2 - 1}})
 			return
 		}
 	}
--- a/decide/request.go
+++ b/decide/request.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-var unknownClass = Class{Effect: Unsafe}
+var unknownClass = Class{Semantics: NonIdempotent}
 
 func (r *Router) request(ev *Request) {
 	q := &request{Request: ev, class: r.classes[ev.Class], arrived: r.now}
 	if q.class == nil {
 		q.class = &unknownClass
-	} else if ev.Unkeyed {
+	} else if ev.IdempotencyKeyMissing {
 		unkeyed := *q.class
-		unkeyed.Effect, q.class = Unsafe, &unkeyed
+		unkeyed.Semantics, q.class = NonIdempotent, &unkeyed
 	}
-	if r.pressure.On && ev.Since > 0 {
+	if r.pressure.Active && ev.FirstRequestedAt > 0 {
 		// The danger: a request that is refused comes back until its client gives up, and what caches can
 		// do goes to those that were asked long ago: they are served, and too late. Where all that ask for
 		// the first time are served, there is room for them.
-		q.arrived = ev.Since
-		sending := r.pressure.Away || r.now < r.sentAt+r.set.DrainGrace/10 // else there is room by now
+		q.arrived = ev.FirstRequestedAt
+		sending := r.pressure.Outage || r.now < r.sentAt+r.set.DrainGrace/10 // else there is room by now
 		if r.now >= q.holdUntil() && r.now < r.turnedAway+r.set.DrainGrace/2 && sending && r.mayRefuse(q) {
-			q.why = PastUse
+			q.why = RetryTooLate
 			r.refuse(q)
 			return
 		}
@@ -39,17 +39,17 @@
 		q.timers[0] = r.schedule(q.Deadline, timer{due: deadlinePast, q: q})
 	}
 	r.budget = min(r.budget+retryShare*r.retries(), retryBurst*r.retries())
-	price := r.set.ProbePrice
+	price := r.set.HealthCheckCost
 	if r.sparse() {
 		// Each probe opens a connection, and each cache hears from all of them.
-		price = (price + r.set.DialPrice) / sparseProbes
+		price = (price + r.set.DialCost) / sparseProbes
 	}
 	r.spare += probeShare / max(price, 1e-9)
 	r.keys[0][q.Key]++
 	r.asked[0]++
 	r.earnMove()
 	if !r.admits() {
-		q.why = TooMuch
+		q.why = Overloaded
 		r.answer(q)
 		return
 	}
@@ -58,8 +58,8 @@
 
 // retries is the share of the budget that is left for retries and hedges.
 func (r *Router) retries() float64 {
-	if r.pressure.On {
-		return r.pressure.Retries
+	if r.pressure.Active {
+		return r.pressure.RetryBudgetFraction
 	}
 	return 1
 }
@@ -67,11 +67,11 @@
 // forward sends a request on, holds it for room, or answers it when neither can be.
 func (r *Router) forward(q *request) {
 	if r.isRetry(q) && r.budget < 1 {
-		q.why = NoRetry
+		q.why = RetryBudgetExhausted
 		r.giveUp(q) // the danger: retries feed the overload that caused them
 		return
 	}
-	q.why = NoCache
+	q.why = NoEndpoint
 	c, crowded := r.pick(q)
 	switch {
 	case c != nil:
@@ -80,7 +80,7 @@
 		r.hold(q)
 	default:
 		if crowded {
-			q.why = [...]Why{NoRoom, SparesStore}[b2i(q.spares)]
+			q.why = [...]Reason{NoCapacity, OriginProtected}[b2i(q.spares)]
 		}
 		r.giveUp(q)
 	}
@@ -101,7 +101,7 @@
 
 // holdUntil is when a held request can no longer be served within its aim.
 func (q *request) holdUntil() Time {
-	return q.arrived + Time(holdShare*float64(min(q.class.Aim, q.Deadline-q.arrived)))
+	return q.arrived + Time(holdShare*float64(min(q.class.LatencyObjective, q.Deadline-q.arrived)))
 }
 
 // hold keeps a request until a cache has room. The danger it answers: a crowded
@@ -150,9 +150,9 @@
 	c.lastSend, r.sentAt = r.now, r.now
 	r.fetching += b2i(q.attempts[n].fetch)
 	if c.zone.fails >= zoneThreshold {
-		c.zone.trialAt = r.now + r.set.ColdTime/4 // the trial is one request
+		c.zone.trialAt = r.now + r.set.SlowStartWindow/4 // the trial is one request
 	}
-	r.do(Send{ID: q.ID, Cache: c.ID, StopAt: q.Deadline, WriteBy: q.remembered(n)})
+	r.do(Send{ID: q.ID, Cache: c.ID, AttemptDeadline: q.Deadline, WriteDeadline: q.remembered(n)})
 	q.attempts[n].timers[0] = r.schedule(r.now+q.class.patience(), timer{due: attemptSlow, n: n, q: q})
 }
 
@@ -192,7 +192,7 @@
 // nothing since. The danger: a cache that hangs takes requests and answers none until two
 // rounds of probes have failed. Late answers are no reason: in overload they all are.
 func (r *Router) hedge(q *request, n int) {
-	if q.done || !r.set.Copies || r.pressure.On {
+	if q.done || !r.set.AllowHedging || r.pressure.Active {
 		return
 	}
 	a := &q.attempts[n]
@@ -207,7 +207,7 @@
 }
 
 // patience is how long an attempt may take before it counts as overdue.
-func (c *Class) patience() Time { return max(c.Aim/2, 1) }
+func (c *Class) patience() Time { return max(c.LatencyObjective/2, 1) }
 
 // fetch reports whether the origin likely has to serve a read that is sent to the cache.
 func (r *Router) fetch(q *request, c *cache) bool { return !q.Write && !c.knows(q.Key) }
@@ -218,9 +218,9 @@
 func (r *Router) overdue(q *request, n int) {
 	a := &q.attempts[n]
 	c := a.to
-	if a.fetch && c.prompt && (r.now >= c.warmAt || r.pressure.Away) {
+	if a.fetch && c.prompt && (r.now >= c.warmAt || r.pressure.Outage) {
 		// A cold one is slow itself and has few hits.
-		a.timers[2] = r.schedule(a.sent+Time(originShare*float64(q.class.Aim)), timer{due: originLate, n: n, q: q})
+		a.timers[2] = r.schedule(a.sent+Time(originShare*float64(q.class.LatencyObjective)), timer{due: originLate, n: n, q: q})
 		return
 	}
 	c.prompt = false
@@ -231,7 +231,7 @@
 	}
 	// The danger: where all caches are slow by themselves, less load makes none of them faster,
 	// and a share of nothing is served. Alone, an attempt may take its whole aim.
-	a.timers[2] = r.schedule(a.sent+q.class.Aim, timer{due: cacheLate, n: n, q: q})
+	a.timers[2] = r.schedule(a.sent+q.class.LatencyObjective, timer{due: cacheLate, n: n, q: q})
 }
 
 // answer gives the final answer, once.
@@ -240,24 +240,24 @@
 		return
 	}
 	if r.mayRefuse(q) {
-		if q.Since == 0 && len(r.ready) > 0 { // without a cache it says nothing of their room
+		if q.FirstRequestedAt == 0 && len(r.ready) > 0 { // without a cache it says nothing of their room
 			r.turnedAway = r.now
 		}
 		r.refuse(q)
 	} else {
-		r.do(Fail{ID: q.ID, Why: q.why})
+		r.do(Fail{ID: q.ID, Reason: q.why})
 	}
 	r.finish(q)
 }
 
 // refuse names a time to come back. The danger: those that are refused together come back together.
 func (r *Router) refuse(q *request) {
-	wait := min(r.set.RefuseWait, q.class.Aim)
-	if r.pressure.On {
-		span := min(r.pressure.Wait, r.set.RefuseWait-wait/2)
+	wait := min(r.set.MaxRetryAfter, q.class.LatencyObjective)
+	if r.pressure.Active {
+		span := min(r.pressure.RetryAfterJitter, r.set.MaxRetryAfter-wait/2)
 		wait = wait/2 + Time(unit(mix(q.Key^mix(uint64(q.ID))))*float64(span))
 	}
-	r.do(Refuse{ID: q.ID, Wait: wait, Why: q.why})
+	r.do(Reject{ID: q.ID, RetryAfter: wait, Reason: q.why})
 }
 
 // finish stops what is still out for a request that is over.
@@ -271,7 +271,7 @@
 	for i := range q.attempts {
 		if a := &q.attempts[i]; a.pending {
 			out = true
-			if r.set.Cancels && !q.streams && !a.stopped {
+			if r.set.AllowCancel && !q.streams && !a.stopped {
 				a.stopped = true
 				r.do(Cancel{q.ID, i})
 			}
--- a/decide/route.go
+++ b/decide/route.go
@@ -30,7 +30,7 @@
 		tried++
 		if r.now < c.aloneUntil {
 			// The danger: what some caches do not serve crowds the others, and they go the same way.
-			if q.why = LeftAlone; r.moves < 1 && len(q.attempts) == 0 {
+			if q.why = EndpointEjected; r.moves < 1 && len(q.attempts) == 0 {
 				return nil, false
 			}
 			if alone == nil || c.aloneUntil < alone.aloneUntil {
@@ -72,10 +72,10 @@
 // has been mostly idle, and one attempt of every router at all times is enough to keep it so.
 func (r *Router) hasRoom(c *cache) bool {
 	limit := c.limit
-	if r.pressure.On && r.now >= r.sentAt+r.set.DrainGrace/4 {
+	if r.pressure.Active && r.now >= r.sentAt+r.set.DrainGrace/4 {
 		return true // the danger: all limits are low, nothing is sent, and nobody finds out that they need not be
 	}
-	if r.pressure.Away {
+	if r.pressure.Outage {
 		// The danger: a cold cache is slow with one attempt, too, and gets none; and nobody finds one that is back.
 		limit = max(limit, leastAway)
 	}
@@ -90,7 +90,7 @@
 // overflowing keys miss wherever they go and crowd the origin.
 func (r *Router) mayOverflow(q *request, c *cache) bool {
 	// The danger in a storm: a fetch at each cache that is asked, while the origin can do few.
-	return c.knows(q.Key) || r.originIdles() || r.budget >= 1 && !r.pressure.On
+	return c.knows(q.Key) || r.originIdles() || r.budget >= 1 && !r.pressure.Active
 }
 
 func (r *Router) originIdles() bool { return float64(r.fetching) < r.fetches/2 }
--- a/decide/rules.go
+++ b/decide/rules.go
@@ -9,18 +9,18 @@
 // maySend is the one answer to "may this request be sent (again), to this cache?".
 func (r *Router) maySend(q *request, c *cache) bool {
 	if q.done || q.streams || r.now >= q.Deadline || len(q.attempts) >= r.set.MaxAttempts ||
-		c.Condition != Up { // drains are kept from the moment they are known
+		c.Status != Serving { // drains are kept from the moment they are known
 		return false
 	}
 	for _, a := range q.attempts {
-		if a.pending && !r.set.Copies {
+		if a.pending && !r.set.AllowHedging {
 			return false
 		}
-		if a.neverRan || q.class.Effect == Safe {
+		if a.neverRan || q.class.Semantics == Idempotent {
 			continue
 		}
 		// It may have run: its effect must not happen twice.
-		if q.class.Effect == Unsafe || !sameGroup(q.class.Scope, a.to, c) || r.now >= q.class.remembers(a.sent) {
+		if q.class.Semantics == NonIdempotent || !sameGroup(q.class.DeduplicationScope, a.to, c) || r.now >= q.class.remembers(a.sent) {
 			return false
 		}
 	}
@@ -32,7 +32,7 @@
 // and is written when its repeat is no longer dropped.
 func (q *request) remembered(n int) (until Time) {
 	for _, a := range q.attempts[:n] {
-		if t := q.class.remembers(a.sent); q.class.Effect == Keyed && !a.neverRan && (until == 0 || t < until) {
+		if t := q.class.remembers(a.sent); q.class.Semantics == IdempotentByKey && !a.neverRan && (until == 0 || t < until) {
 			until = t
 		}
 	}
@@ -42,17 +42,17 @@
 // remembers is until when a repeat of what was sent may be written: it takes its way, the clock stands still
 // in a turn, and the router may be held up before it writes.
 func (c *Class) remembers(sent Time) Time {
-	return sent + max(0, min(Time(windowPart*float64(c.KeyTTL)), c.KeyTTL-HeldUp))
+	return sent + max(0, min(Time(windowPart*float64(c.IdempotencyWindow)), c.IdempotencyWindow-MaxSchedulingDelay))
 }
 
-func sameGroup(s Scope, a, b *cache) bool {
-	return s == ScopeAll || s == ScopeZone && a.Zone == b.Zone || s == ScopeCell && a.Cell == b.Cell
+func sameGroup(s DeduplicationScope, a, b *cache) bool {
+	return s == DeduplicatedEverywhere || s == DeduplicatedInZone && a.Zone == b.Zone || s == DeduplicatedInCell && a.Cell == b.Cell
 }
 
 // mayRefuse is the one answer to "may it be refused, or only failed?": a
 // refusal tells the client that trying again is harmless.
 func (r *Router) mayRefuse(q *request) bool {
-	if q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Scope == ScopeAll {
+	if q.class.Semantics == Idempotent || q.class.Semantics == IdempotentByKey && q.class.DeduplicationScope == DeduplicatedEverywhere {
 		return true
 	}
 	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.neverRan })
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -22,7 +22,7 @@
 	// Retries and hot keys can still add up: it gets no more than its part of what warm ones get. The
 	// danger: after a power cut there are no warm ones, and next to nothing is sent at all. Then what
 	// it serves is the measure: work grows with that, and stays under the multiple that pushes it over.
-	return r.recent(c) < 1+max(r.warmth(c)*c.Size*w.sent/max(w.size, c.Size), lack*coldGrowth*r.servedBy(c))
+	return r.recent(c) < 1+max(r.warmth(c)*c.Weight*w.sent/max(w.size, c.Weight), lack*coldGrowth*r.servedBy(c))
 }
 
 // warmLoad is what warm caches have been sent lately, and their size beside that of all.
@@ -37,15 +37,15 @@
 	if w := &r.warm; w.whole == 0 || r.now/1000 != w.at/1000 || len(r.ready) <= fewCaches {
 		*w = warmLoad{at: r.now}
 		for _, c := range r.ready {
-			if w.whole += c.Size; r.now >= c.warmAt {
-				w.sent, w.size = w.sent+r.recent(c), w.size+c.Size
+			if w.whole += c.Weight; r.now >= c.warmAt {
+				w.sent, w.size = w.sent+r.recent(c), w.size+c.Weight
 			}
 		}
 	}
 	return &r.warm
 }
 
-// recent is the number of attempts sent to a cache lately, fading within TipTime.
+// recent is the number of attempts sent to a cache lately, fading within OverloadWindow.
 func (r *Router) recent(c *cache) float64 { return c.sends * r.fade(c.lastSend) }
 
 // servedBy is the same of what it has served.
@@ -53,7 +53,7 @@
 
 // fade is the weight of what was counted at a time.
 func (r *Router) fade(then Time) float64 {
-	return math.Exp(-float64(r.now-then) / float64(max(r.set.TipTime, 1)))
+	return math.Exp(-float64(r.now-then) / float64(max(r.set.OverloadWindow, 1)))
 }
 
 // warmth is the least share of its capacity that a cache can have by now.
@@ -61,6 +61,6 @@
 	if r.now >= c.warmAt {
 		return 1
 	}
-	age := float64(r.now-c.coldFrom) / float64(r.set.ColdTime)
-	return r.set.ColdShare + (1-r.set.ColdShare)*max(0, age)
+	age := float64(r.now-c.coldFrom) / float64(r.set.SlowStartWindow)
+	return r.set.SlowStartMinCapacity + (1-r.set.SlowStartMinCapacity)*max(0, age)
 }
--- a/decide/sparse.go
+++ b/decide/sparse.go
@@ -61,7 +61,7 @@
 	if !r.sparse() {
 		return
 	}
-	f := math.Exp(-float64(r.now-r.judgedAt) / float64(max(r.set.TipTime, 1)))
+	f := math.Exp(-float64(r.now-r.judgedAt) / float64(max(r.set.OverloadWindow, 1)))
 	r.judged, r.met, r.judgedAt = r.judged*f+1, r.met*f+float64(b2i(good)), r.now
 	c := a.to
 	switch {
@@ -72,7 +72,7 @@
 		// answers when it is over. It is left alone for as long as it usually goes unasked, then twice
 		// as long and so on: its load falls by half each time, whatever a router's part of it is.
 		gap := max(float64(r.now-c.knownAt)/float64(c.uses), float64(r.window())/4)
-		gap = min(gap*math.Exp2(float64(c.doubts)), float64(r.set.ColdTime))
+		gap = min(gap*math.Exp2(float64(c.doubts)), float64(r.set.SlowStartWindow))
 		c.aloneUntil = max(c.aloneUntil, r.now+Time(gap))
 		c.doubts = min(c.doubts+1, mostDoubts)
 	}
--- a/decide/sparse_test.go
+++ b/decide/sparse_test.go
@@ -8,7 +8,7 @@
 // sparseBench is one router of three hundred, among so many caches.
 func sparseBench(t *testing.T, n int, change func(*Settings)) *bench {
 	return quietBench(t, n, func(s *Settings) {
-		s.Routers, s.DialPrice, s.ConnPrice = 300, .03, .03
+		s.Routers, s.DialCost, s.ConnectionCost = 300, .03, .03
 		if change != nil {
 			change(s)
 		}
@@ -28,7 +28,7 @@
 func (b *bench) late(id int64) {
 	b.advance(800 * ms)
 	for n := range 3 {
-		b.feed(&Outcome{ID: id, Attempt: n, Result: Cancelled, Elapsed: 800 * ms, Last: true, Load: Load{Busy: -1}})
+		b.feed(&AttemptResult{ID: id, Attempt: n, Result: Cancelled, Elapsed: 800 * ms, Last: true, Load: LoadReport{Utilization: -1}})
 	}
 }
 
@@ -97,11 +97,11 @@
 		b.advance(max(0, c.aloneUntil-b.now))
 	}
 	for i := 1; i < len(spans); i++ {
-		if spans[i] < spans[i-1]*5/4 && spans[i] < b.r.set.ColdTime {
+		if spans[i] < spans[i-1]*5/4 && spans[i] < b.r.set.SlowStartWindow {
 			t.Errorf("it was left alone for %v", spans)
 		}
 	}
-	if last := spans[len(spans)-1]; last > b.r.set.ColdTime+b.r.patience+1 {
+	if last := spans[len(spans)-1]; last > b.r.set.SlowStartWindow+b.r.patience+1 {
 		t.Errorf("it was left alone for %d us in the end, longer than a cache takes to warm", last)
 	}
 	for range 5 {
@@ -232,7 +232,7 @@
 		}
 		b.advance(150 * ms)
 		for n := range 2 {
-			b.feed(&Outcome{ID: id, Attempt: n, Result: Served, Elapsed: 150 * ms, Miss: true, Last: true, Load: Load{Busy: -1}})
+			b.feed(&AttemptResult{ID: id, Attempt: n, Result: Served, Elapsed: 150 * ms, Miss: true, Last: true, Load: LoadReport{Utilization: -1}})
 		}
 	}
 	if b.r.fetches >= 5 {
@@ -242,7 +242,7 @@
 
 // The danger: each router keeps the connections that its probes have opened, and the caches' tables are full of them.
 func TestProbesOfManyRoutersLeaveNoConnectionBehind(t *testing.T) {
-	b := sparseBench(t, 20, func(s *Settings) { s.Probes = true })
+	b := sparseBench(t, 20, func(s *Settings) { s.AllowHealthChecks = true })
 	var asked []string
 	for b.r.spare = 100; len(asked) == 0; {
 		asked = probes(b.advance(10 * ms))
@@ -252,7 +252,7 @@
 	}
 	closed := 0
 	for _, c := range asked {
-		for _, a := range b.feed(&Probed{Cache: c, Result: Served}) {
+		for _, a := range b.feed(&HealthCheckResult{Cache: c, Result: Served}) {
 			if a == (CloseIdle{c}) {
 				closed++
 			}
@@ -266,7 +266,7 @@
 // A probe of many routers opens a connection, which costs a cache more than the probe.
 func TestProbesArePaidForWithTheirConnectionsWhereRoutersAreMany(t *testing.T) {
 	rounds := func(routers int) (n int) {
-		b := quietBench(t, 10, func(s *Settings) { s.Probes, s.Routers, s.DialPrice = true, routers, .03 })
+		b := quietBench(t, 10, func(s *Settings) { s.AllowHealthChecks, s.Routers, s.DialCost = true, routers, .03 })
 		b.r.spare = 0
 		for id := range int64(400) {
 			b.ask(id+1, "read", mix(uint64(id)))
@@ -296,7 +296,7 @@
 				if (int64(seed)*12+i)%10 == 0 {
 					res = Errored
 				}
-				b.feed(&Outcome{ID: i + 1, Result: res, Elapsed: 5 * ms, Last: res == Served, Load: Load{Busy: -1}})
+				b.feed(&AttemptResult{ID: i + 1, Result: res, Elapsed: 5 * ms, Last: res == Served, Load: LoadReport{Utilization: -1}})
 				b.settle(i+1, 1) // the second attempt, where there is one
 			}
 			b.advance(5000 * ms)
@@ -313,9 +313,9 @@
 	c := b.r.caches["c03"]
 	c.doubts, c.aloneUntil = 4, b.now+1e7
 	es := fleet(20)
-	i := slices.IndexFunc(es, func(e Entry) bool { return e.ID == "c03" })
-	es[i].Start = b.now - 1
-	b.feed(&List{Kind: ListChanges, Entries: es[i : i+1]})
+	i := slices.IndexFunc(es, func(e Endpoint) bool { return e.ID == "c03" })
+	es[i].StartedAt = b.now - 1
+	b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: es[i : i+1]})
 	if c.doubts != 0 || c.aloneUntil > b.now {
 		t.Error("a process that has just started is left alone")
 	}
@@ -324,11 +324,11 @@
 // The danger: what is out past its aim keeps a crowded cache crowded, whatever is refused meanwhile.
 func TestAttemptPastItsAimIsCalledOffWhereRoutersAreMany(t *testing.T) {
 	for routers, want := range map[int]bool{3: false, 300: true} {
-		b := sparseBench(t, 20, func(s *Settings) { s.Routers, s.Cancels, s.Copies = routers, true, false })
+		b := sparseBench(t, 20, func(s *Settings) { s.Routers, s.AllowCancel, s.AllowHedging = routers, true, false })
 		if b.ask(1, "read", 42) == nil {
 			t.Fatal("nothing was sent")
 		}
-		b.advance(b.r.classes["read"].Aim + 10*ms)
+		b.advance(b.r.classes["read"].LatencyObjective + 10*ms)
 		called := slices.ContainsFunc(b.acts, func(a Action) bool {
 			c, is := a.(Cancel)
 			return is && c.ID == 1
@@ -348,7 +348,7 @@
 		if s == nil {
 			continue
 		}
-		b.feed(&Outcome{ID: id, Result: result, Last: true, Load: Load{Busy: -1}})
+		b.feed(&AttemptResult{ID: id, Result: result, Last: true, Load: LoadReport{Utilization: -1}})
 	}
 	b.acts = nil
 	b.advance(within)
@@ -363,8 +363,8 @@
 // TestUnreachableCachesLeaveTheWatchAlone: however many caches can't be met or turn all away, no call is made beside the watch
 // that is open. Where discovery turned that call away, the watch would end with it.
 func TestUnreachableCachesLeaveTheWatchAlone(t *testing.T) {
-	watching := func(s *Settings) { s.MustWatch, s.AskEvery = true, 4000*ms }
-	for _, result := range []Result{NoConnection, Rejected} {
+	watching := func(s *Settings) { s.WatchRequired, s.PollInterval = true, 4000*ms }
+	for _, result := range []Result{ConnectFailed, Rejected} {
 		b := sparseBench(t, 20, watching)
 		b.advance(3000 * ms)
 		for range 3 {
@@ -381,9 +381,11 @@
 	sent, warm := 0, 0
 	const routers, caches, perRouter = 300, 20, 30
 	for n := range routers {
-		b := sparseBench(t, caches, func(s *Settings) { s.ColdTime, s.ColdShare, s.TipTime = 20_000*ms, .16, 3000*ms })
+		b := sparseBench(t, caches, func(s *Settings) {
+			s.SlowStartWindow, s.SlowStartMinCapacity, s.OverloadWindow = 20_000*ms, .16, 3000*ms
+		})
 		b.r.rng = uint64(n) * 7919
-		b.feed(&List{Kind: ListChanges, Entries: []Entry{{ID: "c03", Zone: "b", Size: 1, Start: b.now}}})
+		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "c03", Zone: "b", Weight: 1, StartedAt: b.now}}})
 		for i := range perRouter {
 			id := int64(i + 1)
 			if s := b.ask(id, "read", uint64(n*perRouter+i)*0x9e3779b97f4a7c15); s != nil {
@@ -404,7 +406,7 @@
 	if b.r.sparse() {
 		t.Fatal("two routers count as many")
 	}
-	b.feed(&Fleet{Routers: 40})
+	b.feed(&RouterCount{Routers: 40})
 	if !b.r.sparse() || b.r.alone() != 1.0/40 {
 		t.Errorf("after 40 routers were told it divides by %v", 1/b.r.alone())
 	}
@@ -433,7 +435,7 @@
 	for i := range entries {
 		entries[i].Zone = []string{"z0", "z1", "z2"}[i%3]
 	}
-	b.feed(&List{Kind: ListFull, Entries: entries})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
 	return b
 }
 
@@ -484,7 +486,7 @@
 	if z := goesTo(patience * 2); z != "z0" {
 		t.Fatalf("after an answer in time it goes to zone %s", z)
 	}
-	b.advance(b.r.set.ColdTime) // what is known is too old
+	b.advance(b.r.set.SlowStartWindow) // what is known is too old
 	b.r.zones["z0"].way = 0
 	if z := goesTo(patience + ms); z != "z0" {
 		t.Fatalf("zone z0 is not tried: it goes to zone %s", z)
@@ -492,7 +494,7 @@
 	if z := goesTo(ms); z != "z1" {
 		t.Fatalf("after answers that are late whatever there is to do it goes to zone %s", z)
 	}
-	b.advance(b.r.set.ColdTime)
+	b.advance(b.r.set.SlowStartWindow)
 	if z := goesTo(ms); z != "z0" {
 		t.Fatalf("it is not tried again: it goes to zone %s", z)
 	}
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -39,7 +39,7 @@
 	for _, t := range tokens {
 		if _, set := r.timers[t]; set {
 			delete(r.timers, t)
-			r.do(DropTimer{t})
+			r.do(CancelTimer{t})
 		}
 	}
 }
--- a/decide/window_test.go
+++ b/decide/window_test.go
@@ -10,22 +10,22 @@
 		again bool
 	}{{340 * ms, true}, {350 * ms, false}, {470 * ms, false}, {500 * ms, false}} {
 		s := settings()
-		s.Classes[1].Limit = 3000 * ms
+		s.Classes[1].ClientTimeout = 3000 * ms
 		b := newBench(t, s)
-		b.feed(&List{Kind: ListFull, Entries: fleet(4)})
+		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 		q := &Request{ID: 1, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 3000*ms, Write: true}
 		first := sends(b.feed(q))
-		if len(first) != 1 || first[0].WriteBy != 0 {
+		if len(first) != 1 || first[0].WriteDeadline != 0 {
 			t.Fatalf("first attempts %v", first)
 		}
 		sent := b.now
 		b.now += c.after
-		again := sends(b.feed(&Outcome{ID: 1, Result: Errored, Elapsed: c.after}))
+		again := sends(b.feed(&AttemptResult{ID: 1, Result: Errored, Elapsed: c.after}))
 		if len(again) > 0 != c.again {
 			t.Errorf("after %d of 500 ms: sent again %v, want %v", c.after/ms, len(again) > 0, c.again)
 		}
-		if c.again && len(again) > 0 && again[0].WriteBy != sent+500*ms-HeldUp {
-			t.Errorf("may be written for %d ms", (again[0].WriteBy-sent)/ms)
+		if c.again && len(again) > 0 && again[0].WriteDeadline != sent+500*ms-MaxSchedulingDelay {
+			t.Errorf("may be written for %d ms", (again[0].WriteDeadline-sent)/ms)
 		}
 	}
 }
@@ -33,10 +33,10 @@
 // TestKeyedRequestWithoutItsKeyRunsOnce: it is neither sent again nor refused once it may have run.
 func TestKeyedRequestWithoutItsKeyRunsOnce(t *testing.T) {
 	b := newBench(t, settings())
-	b.feed(&List{Kind: ListFull, Entries: fleet(4)})
-	b.feed(&Request{ID: 1, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 800*ms, Write: true, Unkeyed: true})
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
+	b.feed(&Request{ID: 1, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 800*ms, Write: true, IdempotencyKeyMissing: true})
 	b.now += 10 * ms
-	acts := b.feed(&Outcome{ID: 1, Result: Errored, Elapsed: 10 * ms})
+	acts := b.feed(&AttemptResult{ID: 1, Result: Errored, Elapsed: 10 * ms})
 	if len(sends(acts)) > 0 {
 		t.Error("it was sent again")
 	}
@@ -49,8 +49,8 @@
 	if !failed {
 		t.Errorf("actions %v, want a failure", acts)
 	}
-	b.feed(&Request{ID: 2, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 800*ms, Write: true, Unkeyed: true})
-	if acts := b.feed(&Outcome{ID: 2, Result: Rejected}); len(sends(acts)) != 1 {
+	b.feed(&Request{ID: 2, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 800*ms, Write: true, IdempotencyKeyMissing: true})
+	if acts := b.feed(&AttemptResult{ID: 2, Result: Rejected}); len(sends(acts)) != 1 {
 		t.Error("it was not sent again though it never ran")
 	}
 }
@@ -60,12 +60,12 @@
 func TestFirstCallAfterALossComesWithinTheGrace(t *testing.T) {
 	for _, every := range []Time{1000 * ms, 10_000 * ms, 60_000 * ms, 600_000 * ms} {
 		s := settings()
-		s.AskEvery, s.DrainGrace, s.MustWatch, s.Probes = every, 500*ms, true, false
+		s.PollInterval, s.DrainGrace, s.WatchRequired, s.AllowHealthChecks = every, 500*ms, true, false
 		b := newBench(t, s)
-		b.feed(&List{Kind: ListFull, Entries: fleet(4)})
+		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 		b.advance(s.DrainGrace) // past the first call
 		b.timers = nil
-		b.feed(&List{Kind: ListFailed})
+		b.feed(&EndpointList{Kind: FailedUpdate})
 		if len(b.timers) != 1 || b.timers[0].At > b.now+s.DrainGrace/2 {
 			t.Errorf("every %d ms: asked again at %v, now %d", every/ms, b.timers, b.now)
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -17,18 +17,18 @@
 type List struct {
 	Index   int64 // its version
 	Full    bool  // it names every cache there is
-	Entries []decide.Entry
+	Entries []decide.Endpoint
 	Addrs   []string // of the entries, in their order; "" stays as it is
 	Unread  []string // caches that take work, by an entry that can't be used: they stay as they are
 	Faults  []string // what can't be read, for the log
 }
 
 // Kind is what the module is to make of an answer.
-func (h *List) Kind() decide.ListKind {
+func (h *List) Kind() decide.UpdateKind {
 	if h.Full {
-		return decide.ListFull
+		return decide.FullUpdate
 	}
-	return decide.ListChanges
+	return decide.DeltaUpdate
 }
 
 // NoIndex is the version of a list that was never seen.
@@ -39,7 +39,7 @@
 	maxCaches     = 10_000 // of one list
 )
 
-var conditions = map[string]decide.Condition{"in_service": decide.Up, "terminating": decide.Draining,
+var conditions = map[string]decide.Status{"in_service": decide.Serving, "terminating": decide.Draining,
 	"terminated": decide.Removed}
 
 // endpoint is a line of a list as it comes.
@@ -78,12 +78,12 @@
 		}
 		if at, twice := place[e.ID]; twice {
 			h.fault(i, "name", "stands twice")
-			if e.Condition > h.Entries[at].Condition {
-				h.Entries[at].Condition = e.Condition // the worse news counts
+			if e.Status > h.Entries[at].Status {
+				h.Entries[at].Status = e.Status // the worse news counts
 			}
 			continue
 		}
-		if e.Condition == decide.Up && len(h.Entries) >= maxCaches {
+		if e.Status == decide.Serving && len(h.Entries) >= maxCaches {
 			skipped++
 			continue
 		}
@@ -104,7 +104,7 @@
 }
 
 // endpoint reads one entry. It reports whether the entry is to be taken over.
-func (h *List) endpoint(i int, raw json.RawMessage) (e decide.Entry, addr string, ok bool) {
+func (h *List) endpoint(i int, raw json.RawMessage) (e decide.Endpoint, addr string, ok bool) {
 	var in endpoint
 	if err := json.Unmarshal(raw, &in); err != nil {
 		h.fault(i, "", "not an object")
@@ -141,10 +141,10 @@
 		h.fault(i, "weight", "out of range: taken for 1")
 		weight = 1
 	}
-	e.Size, e.Start, e.Condition = weight, min(since, math.MaxInt64/2000)*1000, cond
+	e.Weight, e.StartedAt, e.Status = weight, min(since, math.MaxInt64/2000)*1000, cond
 	if _, err := netip.ParseAddrPort(addr); err != nil && cond != decide.Removed {
 		h.fault(i, "address", fmt.Sprintf("%.60q of %.40q is no address and port", addr, e.ID))
-		if addr = ""; cond == decide.Up {
+		if addr = ""; cond == decide.Serving {
 			h.Unread = append(h.Unread, e.ID)
 			return e, "", false
 		}
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -21,9 +21,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []decide.Entry{{ID: "s1", Zone: "z", Cell: 3, Size: 2.5, Start: 17000, Condition: decide.Draining},
-		{ID: "s2", Zone: "z", Cell: 3, Size: 1, Condition: decide.Removed}}
-	if h.Index != 43 || h.Kind() != decide.ListChanges || len(h.Entries) != 2 || h.Entries[0] != want[0] ||
+	want := []decide.Endpoint{{ID: "s1", Zone: "z", Cell: 3, Weight: 2.5, StartedAt: 17000, Status: decide.Draining},
+		{ID: "s2", Zone: "z", Cell: 3, Weight: 1, Status: decide.Removed}}
+	if h.Index != 43 || h.Kind() != decide.DeltaUpdate || len(h.Entries) != 2 || h.Entries[0] != want[0] ||
 		h.Entries[1] != want[1] {
 		t.Errorf("got %+v", h)
 	}
@@ -51,14 +51,14 @@
 		}
 		drained := false
 		for _, e := range h.Entries {
-			drained = drained || e.ID == "c1" && e.Condition == decide.Draining
+			drained = drained || e.ID == "c1" && e.Status == decide.Draining
 		}
 		if !drained || len(h.Faults) != 1 || !strings.HasPrefix(h.Faults[0], c.fault) {
 			t.Errorf("%s: drained %v, faults %q", c.bad, drained, h.Faults)
 		}
 	}
 	h, err := Parse([]byte(hosts(9, true, host("c1", "nowhere", "terminating"))))
-	if err != nil || len(h.Entries) != 1 || h.Entries[0].Condition != decide.Draining {
+	if err != nil || len(h.Entries) != 1 || h.Entries[0].Status != decide.Draining {
 		t.Errorf("a drain with a bad address: %+v, %v", h, err)
 	}
 }
@@ -92,7 +92,7 @@
 			t.Fatal("entries and addresses differ in number")
 		}
 		for i, e := range h.Entries {
-			if e.ID == "" || e.Start < 0 || !(e.Size >= 0) || e.Condition == decide.Up && h.Addrs[i] == "" {
+			if e.ID == "" || e.StartedAt < 0 || !(e.Weight >= 0) || e.Status == decide.Serving && h.Addrs[i] == "" {
 				t.Fatalf("taken: %+v at %q", e, h.Addrs[i])
 			}
 		}
--- a/internal/endpoints/api.go
+++ b/internal/endpoints/api.go
@@ -23,10 +23,10 @@
 
 // Claim is what one source says of one cache.
 type Claim struct {
-	Entry  decide.Entry // Condition Removed says in so many words that it is gone
-	Addr   string       // an IP address and a port; may be empty for bad news, and the last one stays
-	Reason string       // the source's own word for it, for the log: "OUT_OF_SERVICE", "lease expired"
-	Seen   Time         // when the source itself last heard of it, on the events' clock; 0 where it does not say
+	Entry  decide.Endpoint // Condition Removed says in so many words that it is gone
+	Addr   string          // an IP address and a port; may be empty for bad news, and the last one stays
+	Reason string          // the source's own word for it, for the log: "OUT_OF_SERVICE", "lease expired"
+	Seen   Time            // when the source itself last heard of it, on the events' clock; 0 where it does not say
 }
 
 // Event is anything the module is told: *Heard, *Lost or *Tick.
@@ -59,11 +59,11 @@
 type Action interface{ action() }
 
 // Publish hands on entries of the merged list that have changed, with their addresses in the same order; bad news
-// first. Entry.Start is as a source gave it. Kind is decide.ListStale for the first one where it is from an old
-// list, and decide.ListChanges else. The first one comes with the first list, also where nothing stands in it.
+// first. Entry.Start is as a source gave it. Kind is decide.StaleUpdate for the first one where it is from an old
+// list, and decide.DeltaUpdate else. The first one comes with the first list, also where nothing stands in it.
 type Publish struct {
-	Kind    decide.ListKind
-	Entries []decide.Entry
+	Kind    decide.UpdateKind
+	Entries []decide.Endpoint
 	Addrs   []string
 }
 
--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -26,7 +26,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m, all := benchMembers(b, n)
 			drains := all[0]
-			drains.Entry.Condition = decide.Draining
+			drains.Entry.Status = decide.Draining
 			evs := []*Heard{{Source: "eureka", Claims: []Claim{drains}}, {Source: "eureka", Claims: all[:1]}}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/endpoints/damping_test.go
+++ b/internal/endpoints/damping_test.go
@@ -98,7 +98,7 @@
 	r := newRig(t, eureka)
 	for start := Time(1); start <= 4; start++ {
 		next := claims("c1", "c2")
-		next[0].Entry.Start = start
+		next[0].Entry.StartedAt = start
 		r.tell(&Heard{Source: "eureka", Full: true, Claims: next})
 		if start < 4 {
 			r.want("c1", "up")
@@ -108,7 +108,7 @@
 	}
 	r.want("c1", "gone") // nothing is told of it while it is held down
 	r.after(20*second).want("c1", "up")
-	if e := r.list["c1"]; e.Start != 4 {
+	if e := r.list["c1"]; e.StartedAt != 4 {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -15,7 +15,7 @@
 	*testing.T
 	*Members
 	at      Time
-	list    map[string]decide.Entry // as handed on
+	list    map[string]decide.Endpoint // as handed on
 	addrs   map[string]string
 	ups     map[string]int // how often a cache was handed on as taking work, when it did not
 	actions []Action       // of the last event
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &rig{T: t, Members: m, at: second, list: map[string]decide.Entry{}, addrs: map[string]string{},
+	return &rig{T: t, Members: m, at: second, list: map[string]decide.Endpoint{}, addrs: map[string]string{},
 		ups: map[string]int{}}
 }
 
@@ -47,14 +47,14 @@
 		}
 		worst := decide.Removed
 		for i, e := range p.Entries {
-			if e.Condition > worst {
+			if e.Status > worst {
 				r.Errorf("at %d: good news comes before bad: %+v", r.at, p.Entries)
 			}
-			worst = e.Condition
-			if old, was := r.list[e.ID]; e.Condition == decide.Up && (!was || old.Condition != decide.Up) {
+			worst = e.Status
+			if old, was := r.list[e.ID]; e.Status == decide.Serving && (!was || old.Status != decide.Serving) {
 				r.ups[e.ID]++
 			}
-			if e.Condition == decide.Removed {
+			if e.Status == decide.Removed {
 				delete(r.list, e.ID)
 				delete(r.addrs, e.ID)
 				continue
@@ -102,12 +102,12 @@
 	var all []Claim
 	for _, c := range caches {
 		id := strings.TrimRight(c, "-x")
-		claim := Claim{Entry: decide.Entry{ID: id, Zone: "a", Size: 1}, Addr: "10.0.0.1:" + id[1:]}
+		claim := Claim{Entry: decide.Endpoint{ID: id, Zone: "a", Weight: 1}, Addr: "10.0.0.1:" + id[1:]}
 		switch {
 		case strings.HasSuffix(c, "-"):
-			claim.Entry.Condition, claim.Reason = decide.Draining, "OUT_OF_SERVICE"
+			claim.Entry.Status, claim.Reason = decide.Draining, "OUT_OF_SERVICE"
 		case strings.HasSuffix(c, "x"):
-			claim = Claim{Entry: decide.Entry{ID: id, Condition: decide.Removed}}
+			claim = Claim{Entry: decide.Endpoint{ID: id, Status: decide.Removed}}
 		}
 		all = append(all, claim)
 	}
@@ -129,7 +129,7 @@
 	switch {
 	case !is:
 		return "gone"
-	case e.Condition == decide.Draining:
+	case e.Status == decide.Draining:
 		return "drains"
 	}
 	return "up"
--- a/internal/endpoints/loss.go
+++ b/internal/endpoints/loss.go
@@ -38,7 +38,7 @@
 	}
 	var missing []*cache
 	for _, c := range m.caches { // any order: each by itself
-		if w := &c.words[i]; w.known && w.Entry.Condition != decide.Removed && w.named != m.turn {
+		if w := &c.words[i]; w.known && w.Entry.Status != decide.Removed && w.named != m.turn {
 			missing = append(missing, c)
 		}
 	}
@@ -87,10 +87,10 @@
 func (m *Members) tooMany(i int, missing []*cache, before standing) bool {
 	up, all := 0, 0
 	for _, c := range missing {
-		if c.words[i].Entry.Condition == decide.Up {
+		if c.words[i].Entry.Status == decide.Serving {
 			up++
 		}
-		if c.out == decide.Up {
+		if c.out == decide.Serving {
 			all++
 		}
 	}
@@ -105,7 +105,7 @@
 	for _, c := range caches {
 		m.count(i, c, decide.Removed)
 		w := &c.words[i]
-		w.Entry.Condition, w.leftOut, w.stale, w.told = decide.Removed, true, false, m.now
+		w.Entry.Status, w.leftOut, w.stale, w.told = decide.Removed, true, false, m.now
 		m.touch(c)
 	}
 }
@@ -116,7 +116,7 @@
 	s := &m.sources[i]
 	taken := make(map[string]bool, len(ev.Claims))
 	for k := range ev.Claims {
-		if claim := &ev.Claims[k]; claim.Entry.Condition == decide.Up && claim.Addr != "" {
+		if claim := &ev.Claims[k]; claim.Entry.Status == decide.Serving && claim.Addr != "" {
 			taken[claim.Addr] = true
 		}
 	}
--- a/internal/endpoints/members.go
+++ b/internal/endpoints/members.go
@@ -29,7 +29,7 @@
 	// Of the turn that is being handled:
 	touched []*cache
 	news    []news
-	kind    decide.ListKind
+	kind    decide.UpdateKind
 	first   bool // there must be a Publish, though nothing stands in it
 	asks    []Action
 	lines   []Action
@@ -51,7 +51,7 @@
 // news is one change to be handed on.
 type news struct {
 	*cache
-	was decide.Condition
+	was decide.Status
 }
 
 // New checks the options and returns a Members that knows nothing yet.
@@ -119,9 +119,9 @@
 		return // it is older than what is known
 	}
 	m.turn++
-	m.kind, m.first = decide.ListChanges, !m.published
+	m.kind, m.first = decide.DeltaUpdate, !m.published
 	if ev.Stale && !m.published {
-		m.kind = decide.ListStale
+		m.kind = decide.StaleUpdate
 	}
 	before := standing{up: s.up, all: m.up, open: s.open}
 	back := s.lost
@@ -178,37 +178,37 @@
 // say takes over a source's claim on a cache.
 func (m *Members) say(i int, c *cache, claim *Claim, stale bool) {
 	w := &c.words[i]
-	if w.named == m.turn && claim.Entry.Condition <= w.Entry.Condition {
+	if w.named == m.turn && claim.Entry.Status <= w.Entry.Status {
 		return // it stands twice in one list: the worse news counts
 	}
 	next := *claim
-	if claim.Entry.Condition == decide.Removed {
+	if claim.Entry.Status == decide.Removed {
 		next.Entry = w.Entry // no more need be said of it than its name
-		next.Entry.ID, next.Entry.Condition = claim.Entry.ID, decide.Removed
+		next.Entry.ID, next.Entry.Status = claim.Entry.ID, decide.Removed
 	}
-	if next.Addr == "" && w.known && w.Entry.Condition != decide.Removed {
+	if next.Addr == "" && w.known && w.Entry.Status != decide.Removed {
 		next.Addr = w.Addr
 	}
-	m.count(i, c, next.Entry.Condition)
+	m.count(i, c, next.Entry.Status)
 	w.Claim, w.stale, w.leftOut = next, stale, false
 	w.known, w.told, w.named = true, m.now, m.turn
 	m.touch(c)
 }
 
 // count keeps the books on a source's words, before its word on a cache changes to cond.
-func (m *Members) count(i int, c *cache, cond decide.Condition) {
+func (m *Members) count(i int, c *cache, cond decide.Status) {
 	s, w := &m.sources[i], &c.words[i]
-	if w.known && w.Entry.Condition != decide.Removed {
+	if w.known && w.Entry.Status != decide.Removed {
 		s.known--
 	}
-	if w.known && w.Entry.Condition == decide.Up {
+	if w.known && w.Entry.Status == decide.Serving {
 		s.up--
-		c.blame = c.blame || s.Damped && cond != decide.Up
+		c.blame = c.blame || s.Damped && cond != decide.Serving
 	}
 	if cond != decide.Removed {
 		s.known++
 	}
-	if cond == decide.Up {
+	if cond == decide.Serving {
 		s.up++
 	}
 	if w.heldBack {
@@ -246,7 +246,7 @@
 			}
 			return strings.Compare(a.id, b.id)
 		})
-		p := Publish{Kind: m.kind, Entries: make([]decide.Entry, len(m.news)), Addrs: make([]string, len(m.news))}
+		p := Publish{Kind: m.kind, Entries: make([]decide.Endpoint, len(m.news)), Addrs: make([]string, len(m.news))}
 		for i, n := range m.news {
 			p.Entries[i], p.Addrs[i] = n.entry, n.addr
 		}
@@ -265,7 +265,7 @@
 	clear(m.asks)
 	clear(m.lines)
 	m.touched, m.news, m.asks, m.lines = m.touched[:0], m.news[:0], m.asks[:0], m.lines[:0]
-	m.kind, m.first = decide.ListChanges, false
+	m.kind, m.first = decide.DeltaUpdate, false
 	return all
 }
 
@@ -283,7 +283,7 @@
 		}
 	}
 	if told > mostLines {
-		m.logf("in all %d caches take work, %d drain, %d have gone", in[decide.Up], in[decide.Draining], in[decide.Removed])
+		m.logf("in all %d caches take work, %d drain, %d have gone", in[decide.Serving], in[decide.Draining], in[decide.Removed])
 	}
 }
 
--- a/internal/endpoints/merge.go
+++ b/internal/endpoints/merge.go
@@ -25,8 +25,8 @@
 	words []word // by source, in the operators' order
 
 	// raw is what the sources say together, out what was handed on; Removed where nothing was.
-	raw, out  decide.Condition
-	entry     decide.Entry // as handed on
+	raw, out  decide.Status
+	entry     decide.Endpoint // as handed on
 	addr      string
 	blame     bool          // bad news of this turn came from a source that is damped
 	touched   bool          // it is to be settled in this turn
@@ -44,7 +44,7 @@
 
 // merge says what the sources say together. The first one that knows the cache says what it is like. It has
 // gone where that one says so. Else any bad news drains it: a source that does not know it has no say.
-func (c *cache) merge() (e decide.Entry, addr string, gone bool) {
+func (c *cache) merge() (e decide.Endpoint, addr string, gone bool) {
 	first := true
 	gone = true
 	for i := range c.words {
@@ -52,17 +52,17 @@
 		if !w.known {
 			continue
 		}
-		gone = gone && w.Entry.Condition == decide.Removed
+		gone = gone && w.Entry.Status == decide.Removed
 		if first {
 			e, addr, first = w.Entry, w.Addr, false
 			continue
 		}
-		if e.Condition == decide.Up && w.Entry.Condition != decide.Up {
-			e.Condition = decide.Draining
+		if e.Status == decide.Serving && w.Entry.Status != decide.Serving {
+			e.Status = decide.Draining
 		}
 		// The danger: the first source knows no starts (a fixed file), and a cold cache passes for a warm one.
-		if e.Start == 0 {
-			e.Start = w.Entry.Start
+		if e.StartedAt == 0 {
+			e.StartedAt = w.Entry.StartedAt
 		}
 		if addr == "" {
 			addr = w.Addr
@@ -75,25 +75,25 @@
 // settle brings what is handed on of a cache in line with what the sources say.
 func (m *Members) settle(c *cache) {
 	e, addr, gone := c.merge()
-	if c.raw == decide.Up && e.Condition != decide.Up && c.blame {
+	if c.raw == decide.Serving && e.Status != decide.Serving && c.blame {
 		m.flap(c)
 	}
-	c.raw, c.blame, c.touched = e.Condition, false, false
+	c.raw, c.blame, c.touched = e.Status, false, false
 	m.bury(c, gone)
-	if c.held(m.now) && e.Condition < c.out {
-		e.Condition = c.out // it may get worse, not better
+	if c.held(m.now) && e.Status < c.out {
+		e.Status = c.out // it may get worse, not better
 	}
-	if e.Condition == decide.Removed && c.out == decide.Removed || e == c.entry && addr == c.addr {
+	if e.Status == decide.Removed && c.out == decide.Removed || e == c.entry && addr == c.addr {
 		return
 	}
-	if c.out == decide.Up {
+	if c.out == decide.Serving {
 		m.up--
 	}
-	if e.Condition == decide.Up {
+	if e.Status == decide.Serving {
 		m.up++
 	}
 	m.news = append(m.news, news{c, c.out})
-	c.out, c.entry, c.addr = e.Condition, e, addr
+	c.out, c.entry, c.addr = e.Status, e, addr
 }
 
 // bury enters a cache among those that have gone everywhere, or takes it out again.
@@ -126,7 +126,7 @@
 
 // reason says why a cache is in the state it is in.
 func (c *cache) reason(m *Members, now Time) string {
-	if c.raw == decide.Up && c.out != decide.Up {
+	if c.raw == decide.Serving && c.out != decide.Serving {
 		return fmt.Sprintf("held down for %.1f s more after %d flaps", float64(max(0, c.heldUntil-now))/1e6, c.flaps)
 	}
 	known := ""
@@ -134,7 +134,7 @@
 		w, name := &c.words[i], m.sources[i].Name
 		switch {
 		case !w.known:
-		case w.Entry.Condition != decide.Up:
+		case w.Entry.Status != decide.Serving:
 			return name + ": " + w.text()
 		case w.heldBack:
 			return name + ": " + w.text()
@@ -145,7 +145,7 @@
 	return known
 }
 
-var conditionWords = [...]string{decide.Up: "takes work", decide.Draining: "drains", decide.Removed: "has gone"}
+var conditionWords = [...]string{decide.Serving: "takes work", decide.Draining: "drains", decide.Removed: "has gone"}
 
 // text is a source's own word, and what it stands for where that is not plain.
 func (w *word) text() string {
@@ -155,7 +155,7 @@
 	case w.heldBack:
 		return "left out of a list that lost many at once, not confirmed"
 	}
-	text := conditionWords[w.Entry.Condition]
+	text := conditionWords[w.Entry.Status]
 	if w.Reason != "" {
 		text = fmt.Sprintf("%.80s", w.Reason)
 	}
--- a/internal/endpoints/merge_test.go
+++ b/internal/endpoints/merge_test.go
@@ -62,13 +62,13 @@
 func TestFirstSourceSaysWhatACacheIsLike(t *testing.T) {
 	r := newRig(t, fixed, eureka)
 	r.tell(&Heard{Source: "eureka", Claims: []Claim{{Addr: "10.0.0.2:2",
-		Entry: decide.Entry{ID: "c1", Zone: "b", Cell: 2, Size: 2, Start: 77}}}})
+		Entry: decide.Endpoint{ID: "c1", Zone: "b", Cell: 2, Weight: 2, StartedAt: 77}}}})
 	if e := r.list["c1"]; e.Zone != "b" || r.addrs["c1"] != "10.0.0.2:2" {
 		t.Errorf("%+v at %s", e, r.addrs["c1"])
 	}
 	r.tell(&Heard{Source: "file", Claims: []Claim{{Addr: "10.0.0.1:1",
-		Entry: decide.Entry{ID: "c1", Zone: "a", Cell: 1, Size: 1}}}})
-	want := decide.Entry{ID: "c1", Zone: "a", Cell: 1, Size: 1, Start: 77} // the file knows no start
+		Entry: decide.Endpoint{ID: "c1", Zone: "a", Cell: 1, Weight: 1}}}})
+	want := decide.Endpoint{ID: "c1", Zone: "a", Cell: 1, Weight: 1, StartedAt: 77} // the file knows no start
 	if r.list["c1"] != want || r.addrs["c1"] != "10.0.0.1:1" {
 		t.Errorf("%+v at %s, want %+v", r.list["c1"], r.addrs["c1"], want)
 	}
@@ -91,9 +91,9 @@
 	r := newRig(t, eureka)
 	r.full("eureka", "c1", "c2")
 	again := claims("c1", "c2")
-	again[0].Entry.Start = 9
+	again[0].Entry.StartedAt = 9
 	r.tell(&Heard{Source: "eureka", Full: true, Claims: again})
-	if e := r.list["c1"]; e.Start != 9 || e.Condition != decide.Up {
+	if e := r.list["c1"]; e.StartedAt != 9 || e.Status != decide.Serving {
 		t.Errorf("%+v", e)
 	}
 	if len(r.actions[0].(Publish).Entries) != 1 {
@@ -126,14 +126,14 @@
 func TestOldListComesFirstAndRemovesNothing(t *testing.T) {
 	r := newRig(t, platform, eureka)
 	r.tell(&Heard{Source: "platform", Full: true, Stale: true, Claims: claims("c1", "c2")})
-	if p := r.actions[0].(Publish); p.Kind != decide.ListStale || len(p.Entries) != 2 {
+	if p := r.actions[0].(Publish); p.Kind != decide.StaleUpdate || len(p.Entries) != 2 {
 		t.Errorf("%+v", p)
 	}
 	if !strings.Contains(r.rowOf("c1").Reason, "old list") {
 		t.Errorf("%+v", r.rowOf("c1"))
 	}
 	r.tell(&Heard{Source: "eureka", Full: true, Stale: true, Claims: claims("c3")})
-	if p := r.actions[0].(Publish); p.Kind != decide.ListChanges {
+	if p := r.actions[0].(Publish); p.Kind != decide.DeltaUpdate {
 		t.Errorf("%+v", p) // a second one of the kind would take the first one's caches away
 	}
 	r.full("platform", "c1")
@@ -162,7 +162,7 @@
 func TestFirstListIsPublishedThoughItIsEmpty(t *testing.T) {
 	r := newRig(t, platform)
 	r.full("platform")
-	if p, is := r.actions[0].(Publish); !is || p.Kind != decide.ListChanges {
+	if p, is := r.actions[0].(Publish); !is || p.Kind != decide.DeltaUpdate {
 		t.Errorf("%+v", r.actions)
 	}
 	if r.full("platform"); len(r.actions) != 0 {
--- a/internal/endpoints/random_test.go
+++ b/internal/endpoints/random_test.go
@@ -15,11 +15,11 @@
 	var all []Claim
 	for _, i := range rnd.Perm(n)[:rnd.IntN(n+1)] {
 		c := Claim{Addr: fmt.Sprintf("10.0.0.%d:%d", rnd.IntN(3), i+1), Reason: "word",
-			Entry: decide.Entry{ID: fmt.Sprintf("c%d", i), Zone: "a", Size: 1, Start: Time(rnd.IntN(2))}}
+			Entry: decide.Endpoint{ID: fmt.Sprintf("c%d", i), Zone: "a", Weight: 1, StartedAt: Time(rnd.IntN(2))}}
 		if rnd.Float64() < bad {
-			c.Entry.Condition = decide.Condition(1 + rnd.IntN(2))
+			c.Entry.Status = decide.Status(1 + rnd.IntN(2))
 		}
-		if c.Entry.Condition != decide.Up && rnd.IntN(2) == 0 {
+		if c.Entry.Status != decide.Serving && rnd.IntN(2) == 0 {
 			c.Addr = ""
 		}
 		all = append(all, c)
@@ -32,7 +32,7 @@
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		r := newRigOf(t, Options{Sources: []SourceOptions{platform}})
-		list, addrs := map[string]decide.Entry{}, map[string]string{}
+		list, addrs := map[string]decide.Endpoint{}, map[string]string{}
 		for step := range 60 {
 			r.after(Time(rnd.Int64N(second)))
 			ev := &Heard{Source: "platform", Full: rnd.IntN(3) == 0, Claims: randomClaims(rnd, 12, 0.3)}
@@ -47,7 +47,7 @@
 			for _, c := range ev.Claims {
 				id := c.Entry.ID
 				named[id] = true
-				if c.Entry.Condition == decide.Removed {
+				if c.Entry.Status == decide.Removed {
 					delete(list, id)
 					delete(addrs, id)
 					continue
@@ -58,7 +58,7 @@
 				}
 			}
 			if ev.Full {
-				maps.DeleteFunc(list, func(id string, _ decide.Entry) bool { return !named[id] })
+				maps.DeleteFunc(list, func(id string, _ decide.Endpoint) bool { return !named[id] })
 				maps.DeleteFunc(addrs, func(id string, _ string) bool { return !named[id] })
 			}
 			r.tell(ev)
@@ -94,7 +94,7 @@
 	named := map[string]bool{}
 	for _, c := range ev.Claims {
 		id := c.Entry.ID
-		bad[id] = c.Entry.Condition != decide.Up
+		bad[id] = c.Entry.Status != decide.Serving
 		named[id] = true
 		delete(missed, id)
 	}
@@ -142,11 +142,11 @@
 			r.tell(ev)
 			for id, e := range r.list {
 				for source, words := range o.bad {
-					if e.Condition == decide.Up && words[id] {
+					if e.Status == decide.Serving && words[id] {
 						t.Fatalf("seed %d, step %d: %s takes work, and %s says no", seed, step, id, source)
 					}
 				}
-				if e.Condition == decide.Up {
+				if e.Status == decide.Serving {
 					taken++
 				}
 			}
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -10,8 +10,8 @@
 // Row is all that is known of one cache.
 type Row struct {
 	ID         string
-	Condition  decide.Condition // as handed on
-	Reason     string           // why, in words for an operator
+	Condition  decide.Status // as handed on
+	Reason     string        // why, in words for an operator
 	Addr, Zone string
 	HeldUntil  Time    // its good news is held down until then; 0 where it is not
 	Penalty    float64 // of its flaps, by now
@@ -22,7 +22,7 @@
 // Word is what one source says of a cache.
 type Word struct {
 	Source      string
-	Condition   decide.Condition
+	Condition   decide.Status
 	Reason      string // the source's own word
 	Age         Time   // of the word
 	SeenAge     Time   // since the source itself last heard of the cache; -1 where it does not say
@@ -67,7 +67,7 @@
 		if w.Seen != 0 {
 			seen = max(0, now-w.Seen)
 		}
-		r.Words = append(r.Words, Word{Source: m.sources[i].Name, Condition: w.Entry.Condition, Reason: w.text(),
+		r.Words = append(r.Words, Word{Source: m.sources[i].Name, Condition: w.Entry.Status, Reason: w.text(),
 			Age: now - w.told, SeenAge: seen, Stale: w.stale, Unconfirmed: w.heldBack})
 	}
 	return r
--- a/internal/endpointsource/endpointsource.go
+++ b/internal/endpointsource/endpointsource.go
@@ -175,12 +175,12 @@
 func claims(list *discovery.List) []endpoints.Claim {
 	c := make([]endpoints.Claim, len(list.Entries))
 	for i, e := range list.Entries {
-		c[i] = endpoints.Claim{Entry: e, Addr: list.Addrs[i], Reason: conditionWords[e.Condition]}
+		c[i] = endpoints.Claim{Entry: e, Addr: list.Addrs[i], Reason: conditionWords[e.Status]}
 	}
 	return c
 }
 
-var conditionWords = map[decide.Condition]string{decide.Up: "in_service", decide.Draining: "terminating",
+var conditionWords = map[decide.Status]string{decide.Serving: "in_service", decide.Draining: "terminating",
 	decide.Removed: "terminated"}
 
 // sayFaults logs what could not be read of a list.
--- a/internal/endpointsource/endpointsource_test.go
+++ b/internal/endpointsource/endpointsource_test.go
@@ -16,7 +16,7 @@
 
 // owner keeps the merged list.
 type owner struct {
-	caches  map[string]decide.Entry
+	caches  map[string]decide.Endpoint
 	addrs   map[string]string
 	settled int
 	failed  int
@@ -65,7 +65,7 @@
 func newEditedRig(t *testing.T, order []string, discoveryAddr string, edit func(*Config)) *rig {
 	t.Helper()
 	r := &rig{Loop: routertest.NewLoop(t, nil), t: t, path: filepath.Join(t.TempDir(), "caches.json"),
-		owner: &owner{caches: map[string]decide.Entry{}, addrs: map[string]string{}}}
+		owner: &owner{caches: map[string]decide.Endpoint{}, addrs: map[string]string{}}}
 	cfg := Config{Discovery: discoveryAddr, Asked: discovery.Options{Discovery: limits.Default().Discovery},
 		Known: discovery.List{Index: discovery.NoIndex}, Membership: endpoints.DefaultConfig()}
 	cfg.Membership.Order, cfg.Membership.File = order, r.path
@@ -99,11 +99,11 @@
 }
 
 // want waits for what the merged list says of a cache.
-func (r *rig) want(name string, cond decide.Condition, addr string) {
+func (r *rig) want(name string, cond decide.Status, addr string) {
 	r.t.Helper()
 	r.Until(name, func() bool {
 		e, known := r.owner.caches[name]
-		return known && e.Condition == cond && (addr == "" || r.owner.addrs[name] == addr)
+		return known && e.Status == cond && (addr == "" || r.owner.addrs[name] == addr)
 	})
 }
 
@@ -112,10 +112,10 @@
 	r.write(routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"),
 		routertest.Host("c2", "127.0.0.1:7002", "in_service")))
 	r.start()
-	r.want("c1", decide.Up, "127.0.0.1:7001")
+	r.want("c1", decide.Serving, "127.0.0.1:7001")
 	r.write(routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7003", "in_service")))
 	r.Do(func() { r.sources.Reread() })
-	r.want("c1", decide.Up, "127.0.0.1:7003")
+	r.want("c1", decide.Serving, "127.0.0.1:7003")
 	r.want("c2", decide.Removed, "")
 }
 
@@ -124,7 +124,7 @@
 	r := newRig(t, []string{endpoints.File}, "127.0.0.1:1")
 	r.write(routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7001", "in_service")))
 	r.start()
-	r.want("c1", decide.Up, "127.0.0.1:7001")
+	r.want("c1", decide.Serving, "127.0.0.1:7001")
 	for _, text := range []string{"", "{", `{"index":1,"endpoints":[{"name":""}]}`} {
 		r.write(text)
 		settled := 0
@@ -133,7 +133,7 @@
 			r.sources.Reread()
 		})
 		r.Until("the end of the reading", func() bool { return r.owner.settled > settled })
-		r.want("c1", decide.Up, "127.0.0.1:7001")
+		r.want("c1", decide.Serving, "127.0.0.1:7001")
 		r.Do(func() {
 			if _, rows := r.sources.Table(); rows[0].LostFor < 0 {
 				t.Errorf("%q was taken", text)
@@ -152,7 +152,7 @@
 	first := routertest.Receive(t, calls, "call")
 	first.Reply <- routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"),
 		routertest.Host("c2", "127.0.0.1:7002", "in_service"))
-	r.want("c1", decide.Up, "127.0.0.1:7001")
+	r.want("c1", decide.Serving, "127.0.0.1:7001")
 	r.want("c2", decide.Draining, "")
 }
 
@@ -166,7 +166,7 @@
 		r.sources.Watch()
 		r.sources.Move(addr)
 	})
-	r.want("c1", decide.Up, "127.0.0.1:7001")
+	r.want("c1", decide.Serving, "127.0.0.1:7001")
 	select {
 	case c := <-calls:
 		t.Errorf("asked %s", c.Query)
@@ -187,7 +187,7 @@
 	first := routertest.Receive(t, calls, "the first call")
 	r.Do(r.sources.Watch) // while it is not answered yet
 	first.Reply <- routertest.Hosts(7, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"))
-	r.want("c1", decide.Up, "")
+	r.want("c1", decide.Serving, "")
 	watch := routertest.Receive(t, calls, "the watch")
 	r.Do(r.sources.Watch) // while it waits
 	watch.Reply <- routertest.Hosts(8, false, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
@@ -234,7 +234,7 @@
 	ask("8") // silent to that too
 	again(3)
 	ask("").Reply <- routertest.Hosts(3, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
-	r.want("c2", decide.Up, "")
+	r.want("c2", decide.Serving, "")
 	r.want("c1", decide.Removed, "")
 }
 
@@ -296,7 +296,7 @@
 		}
 	})
 	first.Reply <- routertest.Hosts(9, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
-	r.want("c2", decide.Up, "")
+	r.want("c2", decide.Serving, "")
 	r.Do(func() {
 		r.sources.useLastKnown()
 		if _, old := r.owner.caches["c1"]; old {
@@ -315,7 +315,7 @@
 				}
 			})
 			r.start()
-			r.want("c1", decide.Up, "127.0.0.1:7001")
+			r.want("c1", decide.Serving, "127.0.0.1:7001")
 		})
 	}
 }
@@ -341,7 +341,7 @@
 		t.Errorf("asked %s after a silence, want the whole list: its versions may have begun anew", again.Query)
 	}
 	again.Reply <- routertest.Hosts(9, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
-	r.want("c2", decide.Up, "")
+	r.want("c2", decide.Serving, "")
 	r.Do(func() {
 		if r.owner.failed != 0 {
 			t.Errorf("the owner is to ask again, %d times", r.owner.failed)
--- a/internal/eureka/client_test.go
+++ b/internal/eureka/client_test.go
@@ -21,7 +21,7 @@
 	if got := words(h.Claims); got != "a up, bb up" {
 		t.Errorf("told %s", got)
 	}
-	if e := h.Claims[0]; e.Addr != "10.1.0.1:6379" || e.Entry.Zone != "z1" || e.Entry.Cell != 3 || e.Entry.Size != 1.5 ||
+	if e := h.Claims[0]; e.Addr != "10.1.0.1:6379" || e.Entry.Zone != "z1" || e.Entry.Cell != 3 || e.Entry.Weight != 1.5 ||
 		e.Seen != 1_750_000_000*second {
 		t.Errorf("the claim is %+v", e)
 	}
--- a/internal/eureka/harness_test.go
+++ b/internal/eureka/harness_test.go
@@ -321,8 +321,8 @@
 func words(claims []endpoints.Claim) string {
 	var all []string
 	for _, c := range claims {
-		text := c.Entry.ID + [...]string{" up", " draining", " removed"}[c.Entry.Condition]
-		if c.Entry.Condition != decide.Up {
+		text := c.Entry.ID + [...]string{" up", " draining", " removed"}[c.Entry.Status]
+		if c.Entry.Status != decide.Serving {
 			text += " (" + c.Reason + ")"
 		}
 		all = append(all, text)
--- a/internal/eureka/state_test.go
+++ b/internal/eureka/state_test.go
@@ -168,7 +168,7 @@
 	k := known{Instance: instance("a", "UP", 20, 10)}
 	k.Zone, k.Group, k.Start = "z", 4, 7
 	c := k.claim()
-	want := decide.Entry{ID: "a", Zone: "z", Cell: 4, Size: 1, Start: 7, Condition: decide.Up}
+	want := decide.Endpoint{ID: "a", Zone: "z", Cell: 4, Weight: 1, StartedAt: 7, Status: decide.Serving}
 	if c.Entry != want || c.Addr != "10.0.0.1:1" || c.Seen != 20*second || c.Reason != "UP" {
 		t.Errorf("%+v", c)
 	}
--- a/internal/eureka/status.go
+++ b/internal/eureka/status.go
@@ -20,9 +20,9 @@
 
 // condition is what a status says. Only one word says that an instance takes work. The danger: any other
 // one may be a drain.
-func condition(status string) decide.Condition {
+func condition(status string) decide.Status {
 	if status == statusUp {
-		return decide.Up
+		return decide.Serving
 	}
 	return decide.Draining
 }
--- a/internal/frontend/command.go
+++ b/internal/frontend/command.go
@@ -101,9 +101,9 @@
 	c.Class = classes[i].Name
 	// What a repeat does is for the settings to say, not for the verb: they may call a read unsafe and a write safe.
 	// The danger: a keyed class without a key is repeated, and no cache can drop it.
-	c.Unkeyed = classes[i].Effect == decide.Keyed && !keyed
-	c.Unsafe = classes[i].Effect == decide.Unsafe || c.Unkeyed
-	if limit := classes[i].Limit; limit > 0 {
+	c.Unkeyed = classes[i].Semantics == decide.IdempotentByKey && !keyed
+	c.Unsafe = classes[i].Semantics == decide.NonIdempotent || c.Unkeyed
+	if limit := classes[i].ClientTimeout; limit > 0 {
 		// The danger: timers last as long as the client claims to wait, and hold the request.
 		c.Wait = min(c.Wait, limit)
 	}
--- a/internal/frontend/command_test.go
+++ b/internal/frontend/command_test.go
@@ -69,7 +69,7 @@
 // TestVerbAndEffectAreTwoThings: the settings may call a read unsafe or keyed, and a write safe. Where a keyed class comes
 // without its key, no cache could drop a repeat, and it counts as unsafe.
 func TestVerbAndEffectAreTwoThings(t *testing.T) {
-	classes := []decide.Class{{Name: "safe", Effect: decide.Safe}, {Name: "keyed", Effect: decide.Keyed}, {Name: "once"}}
+	classes := []decide.Class{{Name: "safe", Semantics: decide.Idempotent}, {Name: "keyed", Semantics: decide.IdempotentByKey}, {Name: "once"}}
 	for _, c := range []struct {
 		meta            string
 		unsafe, unkeyed bool
@@ -95,8 +95,8 @@
 
 // TestTimeIsCutAtWhatTheClassAllows, its own and no other's.
 func TestTimeIsCutAtWhatTheClassAllows(t *testing.T) {
-	classes := []decide.Class{{Name: "short", Effect: decide.Safe, Limit: 1_200_000},
-		{Name: "long", Effect: decide.Safe, Limit: 3_000_000}}
+	classes := []decide.Class{{Name: "short", Semantics: decide.Idempotent, ClientTimeout: 1_200_000},
+		{Name: "long", Semantics: decide.Idempotent, ClientTimeout: 3_000_000}}
 	for class, want := range map[string]decide.Time{"short": 1_200_000, "long": 3_000_000} {
 		args := [][]byte{[]byte("C.GET"), []byte("k"), []byte("i"), []byte("c=" + class + ",d=9000")}
 		var cmd Command
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -19,8 +19,8 @@
 const value = "$5\r\nvalue\r\n"
 
 var classes = []decide.Class{
-	{Name: "read", Effect: decide.Safe, Limit: 20_000_000},
-	{Name: "put", Effect: decide.Keyed, Limit: 20_000_000},
+	{Name: "read", Semantics: decide.Idempotent, ClientTimeout: 20_000_000},
+	{Name: "put", Semantics: decide.IdempotentByKey, ClientTimeout: 20_000_000},
 }
 
 // asked is a request that has come to the desk.
--- a/internal/guard/actions.go
+++ b/internal/guard/actions.go
@@ -30,7 +30,7 @@
 		return b.send(a)
 	case decide.Cancel:
 		return b.cancel(a)
-	case decide.Refuse:
+	case decide.Reject:
 		return b.answer(a.ID, noteRefuse)
 	case decide.Fail:
 		return b.answer(a.ID, noteFail)
@@ -39,12 +39,12 @@
 			b.breach(TimerReused, 0, "", fmt.Sprintf("timer %d is set already", a.Token))
 			return false
 		}
-	case decide.DropTimer:
+	case decide.CancelTimer:
 		if !b.timers.take(a.Token) {
 			b.breach(DropUnset, 0, "", fmt.Sprintf("timer %d, which is taken back, is not set", a.Token))
 			return false
 		}
-	case decide.Probe:
+	case decide.HealthCheck:
 		return b.probe(a)
 	case decide.CloseIdle:
 		b.ring.add(note{at: b.now, what: noteClose, cache: a.Cache})
@@ -72,8 +72,8 @@
 		b.breach(SendUnlisted, a.ID, a.Cache, "a send to a cache that is not listed")
 	}
 	stop := q.deadline
-	if a.StopAt > 0 {
-		stop = min(stop, a.StopAt)
+	if a.AttemptDeadline > 0 {
+		stop = min(stop, a.AttemptDeadline)
 	}
 	q.attempts = append(q.attempts, attempt{to: c, listing: c.listing, sent: b.now, stopAt: stop, out: true,
 		unsent: q.over})
@@ -110,8 +110,8 @@
 		last = q.over
 		b.balance(q)
 	}
-	return &decide.Outcome{ID: o.id, Attempt: o.attempt, Result: decide.NotSent, Last: last,
-		Load: decide.Load{Busy: -1}}
+	return &decide.AttemptResult{ID: o.id, Attempt: o.attempt, Result: decide.NotSent, Last: last,
+		Load: decide.LoadReport{Utilization: -1}}
 }
 
 func (b *Contract) cancel(a decide.Cancel) bool {
@@ -136,7 +136,7 @@
 	return true
 }
 
-func (b *Contract) probe(a decide.Probe) bool {
+func (b *Contract) probe(a decide.HealthCheck) bool {
 	b.ring.add(note{at: b.now, what: noteProbe, cache: a.Cache})
 	c := b.caches[a.Cache]
 	if c == nil || !c.listed {
--- a/internal/guard/bench_test.go
+++ b/internal/guard/bench_test.go
@@ -62,8 +62,8 @@
 func TestSteadyTrafficTakesNoMemory(t *testing.T) {
 	m := &steady{}
 	b := NewContract(m, nil)
-	b.Handle(1, &decide.List{Kind: decide.ListFull, Entries: []decide.Entry{{ID: "a"}}})
-	ask, reply := &decide.Request{Deadline: wanted}, &decide.Outcome{Result: decide.Served, Last: true}
+	b.Handle(1, &decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
+	ask, reply := &decide.Request{Deadline: wanted}, &decide.AttemptResult{Result: decide.Served, Last: true}
 	timer := &decide.Timer{}
 	m.actions = []decide.Action{nil, nil}
 	run := func() {
@@ -104,9 +104,9 @@
 func newTraffic(b *testing.B, inBooks bool) *traffic {
 	b.Helper()
 	m, err := decide.New(decide.Settings{
-		Routers: 3, MaxAttempts: 3, Copies: true, Cancels: true, Probes: true, DrainGrace: 1000 * ms,
-		ColdTime: 23_000 * ms, ColdShare: .16, TipTime: 3000 * ms, AskEvery: 10_000 * ms, ProbePrice: .01,
-		Classes: []decide.Class{{Name: "read", Effect: decide.Safe, Aim: 500 * ms, Limit: 1200 * ms, Worth: 2}},
+		Routers: 3, MaxAttempts: 3, AllowHedging: true, AllowCancel: true, AllowHealthChecks: true, DrainGrace: 1000 * ms,
+		SlowStartWindow: 23_000 * ms, SlowStartMinCapacity: .16, OverloadWindow: 3000 * ms, PollInterval: 10_000 * ms, HealthCheckCost: .01,
+		Classes: []decide.Class{{Name: "read", Semantics: decide.Idempotent, LatencyObjective: 500 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 2}},
 	}, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -116,11 +116,11 @@
 		t.books = NewContract(m, nil)
 		t.module = t.books
 	}
-	var es []decide.Entry
+	var es []decide.Endpoint
 	for i := range 12 {
-		es = append(es, decide.Entry{ID: "cache-" + strconv.Itoa(i), Zone: string(rune('a' + i%3)), Size: 1})
+		es = append(es, decide.Endpoint{ID: "cache-" + strconv.Itoa(i), Zone: string(rune('a' + i%3)), Weight: 1})
 	}
-	t.tell(&decide.List{Kind: decide.ListFull, Entries: es})
+	t.tell(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: es})
 	return t
 }
 
@@ -131,10 +131,10 @@
 			t.sends = append(t.sends, a)
 		case decide.SetTimer:
 			heap.Push(&t.timers, a)
-		case decide.DropTimer:
+		case decide.CancelTimer:
 			t.dropped[a.Token] = true
-		case decide.Probe:
-			t.tell(&decide.Probed{Cache: a.Cache})
+		case decide.HealthCheck:
+			t.tell(&decide.HealthCheckResult{Cache: a.Cache})
 		}
 	}
 }
@@ -157,7 +157,7 @@
 		if len(t.sends) >= out {
 			s := t.sends[0]
 			t.sends = append(t.sends[:0], t.sends[1:]...)
-			t.tell(&decide.Outcome{ID: s.ID, Result: decide.Served, Elapsed: 1000, Last: true, Load: decide.Load{Busy: -1}})
+			t.tell(&decide.AttemptResult{ID: s.ID, Result: decide.Served, Elapsed: 1000, Last: true, Load: decide.LoadReport{Utilization: -1}})
 		}
 	}
 }
--- a/internal/guard/contract.go
+++ b/internal/guard/contract.go
@@ -40,7 +40,7 @@
 	RequestTwice   Kind = iota // a request that is open already
 	OutcomeUnknown             // of an attempt that was never sent
 	OutcomeTwice               // of an attempt that had its outcome
-	OutcomeMissing             // StopAt is long past
+	OutcomeMissing             // AttemptDeadline is long past
 	StartedUnknown             // of an attempt that is not out
 	DepartedWrong              // of a request that was never asked, or a second time
 	ProbedUnknown              // no probe of this cache is out
--- a/internal/guard/contract_test.go
+++ b/internal/guard/contract_test.go
@@ -17,7 +17,7 @@
 
 func (s *script) Handle(_ decide.Time, ev decide.Event) []decide.Action {
 	s.heard = append(s.heard, ev)
-	if _, ok := ev.(*decide.Outcome); ok {
+	if _, ok := ev.(*decide.AttemptResult); ok {
 		s.out--
 	}
 	says := s.onNext
@@ -45,7 +45,7 @@
 	b := &bench{t: t, module: &script{}, now: 1000}
 	b.books = NewContract(b.module, func(x Breach) { b.breaches = append(b.breaches, x) })
 	b.books.Every = true
-	b.tell(&decide.List{Kind: decide.ListFull, Entries: []decide.Entry{{ID: "a"}}})
+	b.tell(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
 	return b
 }
 
@@ -69,9 +69,9 @@
 const wanted = 5_000 // deadline of the requests here
 
 func asked(id int64) *decide.Request { return &decide.Request{ID: id, Deadline: wanted} }
-func send(id int64) decide.Send      { return decide.Send{ID: id, Cache: "a", StopAt: wanted} }
-func served(id int64) *decide.Outcome {
-	return &decide.Outcome{ID: id, Result: decide.Served, Last: true}
+func send(id int64) decide.Send      { return decide.Send{ID: id, Cache: "a", AttemptDeadline: wanted} }
+func served(id int64) *decide.AttemptResult {
+	return &decide.AttemptResult{ID: id, Result: decide.Served, Last: true}
 }
 
 // breachCases break the contract in each way. What is left open is then brought to its end as a loop and a
@@ -91,18 +91,18 @@
 	{"an outcome of a request never asked", OutcomeUnknown, func(b *bench) { b.tell(served(7)) }, true, false},
 	{"an outcome of an attempt never sent", OutcomeUnknown, func(b *bench) {
 		b.tell(asked(1), send(1))
-		b.tell(&decide.Outcome{ID: 1, Attempt: 1})
+		b.tell(&decide.AttemptResult{ID: 1, Attempt: 1})
 		b.tell(served(1))
 	}, true, false},
 	{"an outcome of an attempt below the first", OutcomeUnknown, func(b *bench) {
 		b.tell(asked(1), send(1))
-		b.tell(&decide.Outcome{ID: 1, Attempt: -1})
+		b.tell(&decide.AttemptResult{ID: 1, Attempt: -1})
 		b.tell(served(1))
 	}, true, false},
 	{"a second outcome", OutcomeTwice, func(b *bench) {
 		b.tell(asked(1), send(1))
-		b.tell(&decide.Outcome{ID: 1, Result: decide.Errored})
-		b.tell(&decide.Outcome{ID: 1, Result: decide.Errored}, decide.Fail{ID: 1})
+		b.tell(&decide.AttemptResult{ID: 1, Result: decide.Errored})
+		b.tell(&decide.AttemptResult{ID: 1, Result: decide.Errored}, decide.Fail{ID: 1})
 		b.tell(&decide.PeerMessage{}, decide.Fail{ID: 1})
 	}, true, false},
 	{"a second outcome once all is over", OutcomeTwice, func(b *bench) {
@@ -112,30 +112,30 @@
 	}, true, false},
 	{"an outcome that does not come", OutcomeMissing, func(b *bench) {
 		b.tell(asked(1), send(1))
-		b.tell(&decide.Departed{ID: 1})
-		b.repair(1, decide.NoAnswer)
+		b.tell(&decide.ClientGone{ID: 1})
+		b.repair(1, decide.TimedOut)
 	}, false, false},
 	{"a start of an attempt that is not out", StartedUnknown, func(b *bench) {
 		b.tell(asked(1), send(1))
-		b.tell(&decide.Started{ID: 1, Attempt: 1})
+		b.tell(&decide.ResponseStarted{ID: 1, Attempt: 1})
 		b.tell(served(1))
 	}, true, false},
-	{"a client that never asked leaves", DepartedWrong, func(b *bench) { b.tell(&decide.Departed{ID: 7}) }, true, false},
+	{"a client that never asked leaves", DepartedWrong, func(b *bench) { b.tell(&decide.ClientGone{ID: 7}) }, true, false},
 	{"a client leaves twice", DepartedWrong, func(b *bench) {
 		b.tell(asked(1), send(1))
-		b.tell(&decide.Departed{ID: 1})
-		b.tell(&decide.Departed{ID: 1})
+		b.tell(&decide.ClientGone{ID: 1})
+		b.tell(&decide.ClientGone{ID: 1})
 		b.tell(served(1))
 	}, true, false},
-	{"a probe ends that is not out", ProbedUnknown, func(b *bench) { b.tell(&decide.Probed{Cache: "a"}) }, true, false},
+	{"a probe ends that is not out", ProbedUnknown, func(b *bench) { b.tell(&decide.HealthCheckResult{Cache: "a"}) }, true, false},
 	{"a probe ends twice", ProbedUnknown, func(b *bench) {
-		b.tell(&decide.PeerMessage{}, decide.Probe{Cache: "a"})
-		b.tell(&decide.Probed{Cache: "a"})
-		b.tell(&decide.Probed{Cache: "a"})
+		b.tell(&decide.PeerMessage{}, decide.HealthCheck{Cache: "a"})
+		b.tell(&decide.HealthCheckResult{Cache: "a"})
+		b.tell(&decide.HealthCheckResult{Cache: "a"})
 	}, true, false},
 	{"a probe that does not end", ProbedMissing, func(b *bench) {
-		b.tell(&decide.PeerMessage{}, decide.Probe{Cache: "a"})
-		b.repair(1, decide.NoAnswer)
+		b.tell(&decide.PeerMessage{}, decide.HealthCheck{Cache: "a"})
+		b.repair(1, decide.TimedOut)
 	}, false, false},
 	{"a timer never set", TimerUnset, func(b *bench) { b.tell(&decide.Timer{Token: 3}) }, true, false},
 	{"a timer that fires twice", TimerUnset, func(b *bench) {
@@ -147,7 +147,7 @@
 		b.tell(&decide.PeerMessage{}, send(7))
 	}, false, true},
 	{"a send after the final answer", SendOver, func(b *bench) {
-		b.tell(asked(1), send(1), decide.Refuse{ID: 1})
+		b.tell(asked(1), send(1), decide.Reject{ID: 1})
 		b.tell(&decide.PeerMessage{}, send(1))
 		b.tell(served(1))
 	}, false, true},
@@ -161,21 +161,21 @@
 		b.tell(served(1))
 	}, false, false},
 	{"a send to a cache that is gone", SendUnlisted, func(b *bench) {
-		b.tell(&decide.List{Kind: decide.ListChanges, Entries: []decide.Entry{{ID: "a", Condition: decide.Removed}}})
+		b.tell(&decide.EndpointList{Kind: decide.DeltaUpdate, Endpoints: []decide.Endpoint{{ID: "a", Status: decide.Removed}}})
 		b.tell(asked(1), send(1))
 		b.tell(served(1))
 	}, false, false},
 	{"an answer to a request never asked", AnswerOver, func(b *bench) {
-		b.tell(&decide.PeerMessage{}, decide.Refuse{ID: 7})
+		b.tell(&decide.PeerMessage{}, decide.Reject{ID: 7})
 	}, false, true},
 	{"a second answer", AnswerOver, func(b *bench) {
-		b.tell(asked(1), send(1), decide.Refuse{ID: 1})
+		b.tell(asked(1), send(1), decide.Reject{ID: 1})
 		b.tell(&decide.PeerMessage{}, decide.Fail{ID: 1})
 		b.tell(served(1))
 	}, false, true},
 	{"an answer that does not come", AnswerMissing, func(b *bench) {
 		b.tell(asked(1), send(1))
-		b.tell(&decide.Outcome{ID: 1, Result: decide.Errored})
+		b.tell(&decide.AttemptResult{ID: 1, Result: decide.Errored})
 		b.repair(1, 0)
 	}, false, false},
 	{"a cancel of an attempt never sent", CancelUnknown, func(b *bench) {
@@ -189,15 +189,15 @@
 		b.tell(&decide.PeerMessage{}, decide.Cancel{ID: 1})
 	}, false, true},
 	{"a probe of a cache never listed", ProbeUnlisted, func(b *bench) {
-		b.tell(&decide.PeerMessage{}, decide.Probe{Cache: "b"})
+		b.tell(&decide.PeerMessage{}, decide.HealthCheck{Cache: "b"})
 	}, false, true},
 	{"idle connections of a cache never listed", CloseUnlisted, func(b *bench) {
 		b.tell(&decide.PeerMessage{}, decide.CloseIdle{Cache: "b"})
 	}, false, true},
 	{"a timer taken back that is not set", DropUnset, func(b *bench) {
 		b.tell(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
-		b.tell(&decide.PeerMessage{}, decide.DropTimer{Token: 3})
-		b.tell(&decide.PeerMessage{}, decide.DropTimer{Token: 3})
+		b.tell(&decide.PeerMessage{}, decide.CancelTimer{Token: 3})
+		b.tell(&decide.PeerMessage{}, decide.CancelTimer{Token: 3})
 	}, false, true},
 	{"a token in use", TimerReused, func(b *bench) {
 		b.tell(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
@@ -221,11 +221,11 @@
 	}
 	for _, ev := range events {
 		switch ev := ev.(type) {
-		case *decide.Outcome:
+		case *decide.AttemptResult:
 			if ev.Result != result {
 				b.t.Errorf("the outcome made up is %v, want %v: it may have run", ev.Result, result)
 			}
-		case *decide.Probed:
+		case *decide.HealthCheckResult:
 			if ev.Result != result {
 				b.t.Errorf("the end of the probe made up is %v, want %v", ev.Result, result)
 			}
@@ -285,7 +285,7 @@
 	b.tell(&decide.PeerMessage{}, send(1), send(1))
 	var got []int
 	for _, ev := range b.module.heard {
-		if o, ok := ev.(*decide.Outcome); ok && o.Result == decide.NotSent {
+		if o, ok := ev.(*decide.AttemptResult); ok && o.Result == decide.NotSent {
 			got = append(got, o.Attempt)
 		}
 	}
@@ -315,7 +315,7 @@
 }
 
 func (s *stubborn) Handle(_ decide.Time, ev decide.Event) []decide.Action {
-	if _, ok := ev.(*decide.Outcome); ok {
+	if _, ok := ev.(*decide.AttemptResult); ok {
 		s.told++
 		s.out--
 	}
@@ -330,18 +330,18 @@
 	b := newBench(t)
 	b.tell(asked(1), send(1))
 	// The client has left: what it waited for ends before the module hears of that, and it may still answer.
-	b.tell(&decide.Outcome{ID: 1, Result: decide.NotSent, Last: true})
-	b.tell(&decide.Departed{ID: 1})
-	b.tell(asked(2), decide.Refuse{ID: 2})
-	b.tell(&decide.Departed{ID: 2})
+	b.tell(&decide.AttemptResult{ID: 1, Result: decide.NotSent, Last: true})
+	b.tell(&decide.ClientGone{ID: 1})
+	b.tell(asked(2), decide.Reject{ID: 2})
+	b.tell(&decide.ClientGone{ID: 2})
 	// The cache has gone while an attempt and a probe were out there, and has come back.
-	b.tell(asked(3), send(3), decide.Probe{Cache: "a"})
-	b.tell(&decide.List{Kind: decide.ListFull})
-	b.tell(&decide.List{Kind: decide.ListFull, Entries: []decide.Entry{{ID: "a"}}})
+	b.tell(asked(3), send(3), decide.HealthCheck{Cache: "a"})
+	b.tell(&decide.EndpointList{Kind: decide.FullUpdate})
+	b.tell(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
 	if n := b.books.InFlight("a"); n != 1 {
 		t.Errorf("%d attempts out at the cache that came back, want the one of before", n)
 	}
-	b.tell(&decide.Probed{Cache: "a"})
+	b.tell(&decide.HealthCheckResult{Cache: "a"})
 	b.tell(served(3))
 	if len(b.breaches) > 0 {
 		t.Errorf("reported %v", b.breaches)
@@ -352,7 +352,7 @@
 func TestAnAnswerThatHasBegunMayTakeItsTime(t *testing.T) {
 	b := newBench(t)
 	b.tell(asked(1), send(1))
-	b.tell(&decide.Started{ID: 1})
+	b.tell(&decide.ResponseStarted{ID: 1})
 	if events := b.overdue(wanted + 10*slack); len(events) != 0 {
 		t.Errorf("%d events are overdue while the answer comes", len(events))
 	}
@@ -362,14 +362,14 @@
 
 func TestARepairThatTheLoopOvertakesIsNoBreach(t *testing.T) {
 	b := newBench(t)
-	b.tell(asked(1), send(1), decide.Probe{Cache: "a"})
+	b.tell(asked(1), send(1), decide.HealthCheck{Cache: "a"})
 	events := b.overdue(wanted + slack + 10)
 	if len(events) != 3 {
 		t.Fatalf("%d events are overdue, want the outcome, the answer and the probe", len(events))
 	}
 	b.tell(served(1))
-	b.tell(&decide.Departed{ID: 1})
-	b.tell(&decide.Probed{Cache: "a"})
+	b.tell(&decide.ClientGone{ID: 1})
+	b.tell(&decide.HealthCheckResult{Cache: "a"})
 	reported := len(b.breaches)
 	for _, ev := range events {
 		b.tell(ev)
@@ -418,7 +418,7 @@
 			m := &counted{atA: c.inModule, open: c.open}
 			var got []Kind
 			b := NewContract(m, func(x Breach) { got = append(got, x.Kind) })
-			b.Handle(1, &decide.List{Kind: decide.ListFull, Entries: []decide.Entry{{ID: "a"}}})
+			b.Handle(1, &decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
 			m.onNext = []decide.Action{send(1)}
 			b.Handle(2, asked(1))
 			b.Check(3, func(string) int { return c.onSocket })
@@ -431,7 +431,7 @@
 
 func TestADeadlineAtTheEndOfTimeIsNotOverdue(t *testing.T) {
 	b := newBench(t)
-	b.tell(&decide.Request{ID: 1, Deadline: math.MaxInt64}, decide.Send{ID: 1, Cache: "a", StopAt: math.MaxInt64})
+	b.tell(&decide.Request{ID: 1, Deadline: math.MaxInt64}, decide.Send{ID: 1, Cache: "a", AttemptDeadline: math.MaxInt64})
 	if events := b.overdue(10 * slack); len(events) != 0 {
 		t.Errorf("%d events are overdue", len(events))
 	}
@@ -441,9 +441,9 @@
 	b := newBench(t)
 	b.tell(asked(1), send(1))
 	b.tell(asked(2), send(2))
-	b.tell(asked(3), decide.Refuse{ID: 3})
-	b.tell(&decide.Outcome{ID: 1, Result: decide.Errored})
-	b.tell(&decide.PeerMessage{}, decide.Refuse{ID: 2})
+	b.tell(asked(3), decide.Reject{ID: 3})
+	b.tell(&decide.AttemptResult{ID: 1, Result: decide.Errored})
+	b.tell(&decide.PeerMessage{}, decide.Reject{ID: 2})
 	b.overdue(wanted + slack)
 	if len(b.breaches) < 2 || b.breaches[1].Kind != OutcomeMissing {
 		t.Fatalf("reported %v, want the answer to 1 and the outcome of 2", b.breaches)
--- a/internal/guard/defect_test.go
+++ b/internal/guard/defect_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	w := newWorld(t, 1, d)
 	w.listed[0] = true
-	w.queue(&decide.List{Kind: decide.ListFull, Entries: []decide.Entry{{ID: cacheName(0), Zone: "a", Size: 1}}})
+	w.queue(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: cacheName(0), Zone: "a", Weight: 1}}})
 	w.tell()
 	c := &client{id: 1, deadline: w.now + 800*ms}
 	w.clients = append(w.clients, c)
--- a/internal/guard/events.go
+++ b/internal/guard/events.go
@@ -14,7 +14,7 @@
 		delete(b.repairs, ev)
 	}
 	switch ev := ev.(type) {
-	case *decide.List:
+	case *decide.EndpointList:
 		b.list(ev)
 	case *decide.Request:
 		b.ring.add(note{at: b.now, what: noteRequest, id: ev.ID})
@@ -23,13 +23,13 @@
 			return false
 		}
 		b.open(ev)
-	case *decide.Started:
+	case *decide.ResponseStarted:
 		return b.started(ev)
-	case *decide.Outcome:
+	case *decide.AttemptResult:
 		return b.outcome(ev, repair)
-	case *decide.Departed:
+	case *decide.ClientGone:
 		return b.departed(ev, repair)
-	case *decide.Probed:
+	case *decide.HealthCheckResult:
 		return b.probed(ev, repair)
 	case *decide.Timer:
 		if !b.timers.take(ev.Token) {
@@ -41,14 +41,14 @@
 }
 
 // list books which caches are listed, just as the module takes it.
-func (b *Contract) list(ev *decide.List) {
-	if ev.Kind == decide.ListFailed {
+func (b *Contract) list(ev *decide.EndpointList) {
+	if ev.Kind == decide.FailedUpdate {
 		return
 	}
-	named := make(map[string]bool, len(ev.Entries))
-	for i := range ev.Entries {
-		e := &ev.Entries[i]
-		if e.Condition == decide.Removed {
+	named := make(map[string]bool, len(ev.Endpoints))
+	for i := range ev.Endpoints {
+		e := &ev.Endpoints[i]
+		if e.Status == decide.Removed {
 			if c := b.caches[e.ID]; c != nil {
 				b.unlist(c)
 			}
@@ -60,7 +60,7 @@
 			b.ring.add(note{at: b.now, what: noteListed, cache: c.name})
 		}
 	}
-	if ev.Kind == decide.ListChanges {
+	if ev.Kind == decide.DeltaUpdate {
 		return
 	}
 	for _, name := range b.names() {
@@ -79,7 +79,7 @@
 	b.drop(c)
 }
 
-func (b *Contract) started(ev *decide.Started) bool {
+func (b *Contract) started(ev *decide.ResponseStarted) bool {
 	b.ring.add(note{at: b.now, what: noteStarted, id: ev.ID, n: ev.Attempt})
 	q := b.requests[ev.ID]
 	if q == nil || !q.isOut(ev.Attempt) {
@@ -95,7 +95,7 @@
 	return n >= 0 && n < len(q.attempts) && q.attempts[n].out && !q.attempts[n].unsent
 }
 
-func (b *Contract) outcome(ev *decide.Outcome, repair bool) bool {
+func (b *Contract) outcome(ev *decide.AttemptResult, repair bool) bool {
 	q := b.requests[ev.ID]
 	if q == nil || !q.isOut(ev.Attempt) {
 		b.ring.add(note{at: b.now, what: noteOutcome, id: ev.ID, n: ev.Attempt, result: ev.Result})
@@ -118,7 +118,7 @@
 	return true
 }
 
-func (b *Contract) departed(ev *decide.Departed, repair bool) bool {
+func (b *Contract) departed(ev *decide.ClientGone, repair bool) bool {
 	b.ring.add(note{at: b.now, what: noteDeparted, id: ev.ID})
 	q := b.requests[ev.ID]
 	switch {
@@ -138,7 +138,7 @@
 	return true
 }
 
-func (b *Contract) probed(ev *decide.Probed, repair bool) bool {
+func (b *Contract) probed(ev *decide.HealthCheckResult, repair bool) bool {
 	b.ring.add(note{at: b.now, what: noteProbed, cache: ev.Cache, result: ev.Result})
 	c := b.caches[ev.Cache]
 	if c == nil || len(c.probes) == 0 {
--- a/internal/guard/overdue.go
+++ b/internal/guard/overdue.go
@@ -11,7 +11,7 @@
 // Overdue looks for what should long have come and returns it, for the loop to hand to Handle like
 // its own events. Each is reported, and returned, once.
 //
-// An attempt without an outcome may have run, so it is NoAnswer; so is a probe. A request without an
+// An attempt without an outcome may have run, so it is TimedOut; so is a probe. A request without an
 // answer is Departed: the module is told that nothing more is owed, and the loop has to answer the
 // client itself, with a failure.
 func (b *Contract) Overdue(now decide.Time) []decide.Event {
@@ -70,13 +70,13 @@
 		a.told = true
 		b.breach(OutcomeMissing, q.id, a.to.name,
 			fmt.Sprintf("attempt %d should have ended by %d", i, a.stopAt))
-		events = append(events, &decide.Outcome{ID: q.id, Attempt: i, Result: decide.NoAnswer, Elapsed: b.now - a.sent,
-			Last: q.over, Load: decide.Load{Busy: -1}})
+		events = append(events, &decide.AttemptResult{ID: q.id, Attempt: i, Result: decide.TimedOut, Elapsed: b.now - a.sent,
+			Last: q.over, Load: decide.LoadReport{Utilization: -1}})
 	}
 	if q.unanswered(b.now) {
 		q.told = true
 		b.breach(AnswerMissing, q.id, "", fmt.Sprintf("the request wanted its answer by %d", q.deadline))
-		events = append(events, &decide.Departed{ID: q.id})
+		events = append(events, &decide.ClientGone{ID: q.id})
 	}
 	return events
 }
@@ -86,8 +86,8 @@
 		sent := c.probes[c.told]
 		c.told++
 		b.breach(ProbedMissing, 0, c.name, fmt.Sprintf("the probe of %d has not ended", sent))
-		events = append(events, &decide.Probed{Cache: c.name, Result: decide.NoAnswer, Elapsed: b.now - sent,
-			Load: decide.Load{Busy: -1}})
+		events = append(events, &decide.HealthCheckResult{Cache: c.name, Result: decide.TimedOut, Elapsed: b.now - sent,
+			Load: decide.LoadReport{Utilization: -1}})
 	}
 	return events
 }
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -77,7 +77,7 @@
 
 // NewGuard is a guard for the settings. report is called with each violation.
 func NewGuard(set *decide.Settings, report func(Violation)) *Guard {
-	g := &Guard{classes: map[string]*decide.Class{}, maxAttempts: set.MaxAttempts, copies: set.Copies, report: report}
+	g := &Guard{classes: map[string]*decide.Class{}, maxAttempts: set.MaxAttempts, copies: set.AllowHedging, report: report}
 	for i := range set.Classes {
 		g.classes[set.Classes[i].Name] = &set.Classes[i]
 	}
@@ -188,23 +188,23 @@
 	switch {
 	case q.class == nil || q.unkeyed:
 		return EffectMayRepeat
-	case q.class.Effect == decide.Safe:
+	case q.class.Semantics == decide.Idempotent:
 		return Allowed
-	case q.class.Effect == decide.Unsafe:
+	case q.class.Semantics == decide.NonIdempotent:
 		return EffectMayRepeat
-	case !sameGroup(q.class.Scope, a.to, to):
+	case !sameGroup(q.class.DeduplicationScope, a.to, to):
 		return OutsideGroup
-	case now >= a.wroteAt+q.class.KeyTTL:
+	case now >= a.wroteAt+q.class.IdempotencyWindow:
 		return WindowOver
 	}
 	return Allowed
 }
 
-func sameGroup(scope decide.Scope, a, b Cache) bool {
+func sameGroup(scope decide.DeduplicationScope, a, b Cache) bool {
 	switch scope {
-	case decide.ScopeZone:
+	case decide.DeduplicatedInZone:
 		return a.Zone == b.Zone
-	case decide.ScopeCell:
+	case decide.DeduplicatedInCell:
 		return a.Cell == b.Cell
 	}
 	return true
@@ -251,7 +251,7 @@
 // MayRefuse decides whether a request may be refused, which promises that another try does no harm, or only failed.
 func (g *Guard) MayRefuse(q *Request) Reason {
 	if q.class != nil && !q.unkeyed {
-		if e := q.class.Effect; e == decide.Safe || e == decide.Keyed && q.class.Scope == decide.ScopeAll {
+		if e := q.class.Semantics; e == decide.Idempotent || e == decide.IdempotentByKey && q.class.DeduplicationScope == decide.DeduplicatedEverywhere {
 			return Allowed
 		}
 	}
--- a/internal/guard/request_test.go
+++ b/internal/guard/request_test.go
@@ -11,11 +11,11 @@
 // newGuard is a guard for three classes, with what it reports.
 func newGuard(copies bool) (*Guard, *[]Violation) {
 	var told []Violation
-	set := &decide.Settings{MaxAttempts: 3, Copies: copies, Classes: []decide.Class{
-		{Name: "read", Effect: decide.Safe},
-		{Name: "keyed", Effect: decide.Keyed, Scope: decide.ScopeZone, KeyTTL: window},
-		{Name: "keyed-all", Effect: decide.Keyed, Scope: decide.ScopeAll, KeyTTL: window},
-		{Name: "unsafe", Effect: decide.Unsafe}}}
+	set := &decide.Settings{MaxAttempts: 3, AllowHedging: copies, Classes: []decide.Class{
+		{Name: "read", Semantics: decide.Idempotent},
+		{Name: "keyed", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedInZone, IdempotencyWindow: window},
+		{Name: "keyed-all", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedEverywhere, IdempotencyWindow: window},
+		{Name: "unsafe", Semantics: decide.NonIdempotent}}}
 	return NewGuard(set, func(v Violation) { told = append(told, v) }), &told
 }
 
@@ -25,7 +25,7 @@
 func TestEachRuleIsDecidedAndItsBreachCounted(t *testing.T) {
 	ran := func(g *Guard, q *Request) { // an attempt that may have run
 		g.Began(0, q, 0, here, 1, true)
-		q.Ended(0, decide.NoAnswer)
+		q.Ended(0, decide.TimedOut)
 	}
 	for _, c := range []struct {
 		name, class string
@@ -52,7 +52,7 @@
 		}, 1, there, Allowed},
 		{"an unsafe one not written whole", "unsafe", false, true, func(g *Guard, q *Request) {
 			g.Began(0, q, 0, here, 1, false)
-			q.Ended(0, decide.NoConnection)
+			q.Ended(0, decide.ConnectFailed)
 		}, 1, there, Allowed},
 		{"an unsafe one written whole later", "unsafe", false, true, func(g *Guard, q *Request) {
 			g.Began(0, q, 0, here, 1, false)
--- a/internal/guard/world_test.go
+++ b/internal/guard/world_test.go
@@ -69,19 +69,19 @@
 func randomSettings(rng *rand.Rand) decide.Settings {
 	s := decide.Settings{
 		Routers: 1 + rng.Intn(3), MaxAttempts: 1 + rng.Intn(4),
-		Copies: rng.Intn(2) == 0, Cancels: rng.Intn(3) > 0, Probes: rng.Intn(4) > 0, MustWatch: rng.Intn(2) == 0,
-		DrainGrace: pickOne[decide.Time](rng, 100*ms, 1000*ms), ColdTime: 10_000 * ms, ColdShare: .2,
-		TipTime: 2000 * ms, AskEvery: 10_000 * ms,
-		ProbePrice: .001, DialPrice: .5,
+		AllowHedging: rng.Intn(2) == 0, AllowCancel: rng.Intn(3) > 0, AllowHealthChecks: rng.Intn(4) > 0, WatchRequired: rng.Intn(2) == 0,
+		DrainGrace: pickOne[decide.Time](rng, 100*ms, 1000*ms), SlowStartWindow: 10_000 * ms, SlowStartMinCapacity: .2,
+		OverloadWindow: 2000 * ms, PollInterval: 10_000 * ms,
+		HealthCheckCost: .001, DialCost: .5,
 		Classes: []decide.Class{
-			{Name: "read", Effect: decide.Safe, Aim: 200 * ms, Limit: 800 * ms, Worth: 2},
-			{Name: "zone", Effect: decide.Keyed, Scope: decide.ScopeZone, KeyTTL: 500 * ms, Aim: 200 * ms,
-				Limit: 800 * ms, Worth: 3},
-			{Name: "once", Effect: decide.Unsafe, Aim: 200 * ms, Limit: 800 * ms, Worth: 3},
+			{Name: "read", Semantics: decide.Idempotent, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 2},
+			{Name: "zone", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedInZone, IdempotencyWindow: 500 * ms, LatencyObjective: 200 * ms,
+				ClientTimeout: 800 * ms, PriorityWeight: 3},
+			{Name: "once", Semantics: decide.NonIdempotent, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 3},
 		},
 	}
 	if rng.Intn(2) == 0 {
-		s.ConnPrice = 40 // connections are closed after use
+		s.ConnectionCost = 40 // connections are closed after use
 	}
 	return s
 }
@@ -124,20 +124,20 @@
 				break
 			}
 		}
-	case decide.Refuse:
+	case decide.Reject:
 		w.finish(w.clients[a.ID-1])
 	case decide.Fail:
 		w.finish(w.clients[a.ID-1])
 	case decide.SetTimer:
 		heap.Push(&w.timers, a)
-	case decide.DropTimer:
+	case decide.CancelTimer:
 		w.timers = slices.DeleteFunc(w.timers, func(t decide.SetTimer) bool { return t.Token == a.Token })
 		heap.Init(&w.timers)
 		w.backlog = slices.DeleteFunc(w.backlog, func(ev decide.Event) bool {
 			t, fired := ev.(*decide.Timer)
 			return fired && t.Token == a.Token
 		})
-	case decide.Probe:
+	case decide.HealthCheck:
 		w.probe(a)
 	case decide.CloseIdle:
 		w.closed++
@@ -147,29 +147,29 @@
 func (w *world) send(a decide.Send) {
 	w.sends++
 	c := w.clients[a.ID-1]
-	s := &sent{client: c, n: c.attempts, cache: a.Cache, stopAt: min(a.StopAt, c.deadline)}
+	s := &sent{client: c, n: c.attempts, cache: a.Cache, stopAt: min(a.AttemptDeadline, c.deadline)}
 	c.attempts++
 	if c.over {
 		w.crossed++
 		if !w.defects.dropsSends || c.out > 0 {
-			w.queue(&decide.Outcome{ID: c.id, Attempt: s.n, Result: decide.NotSent, Last: true})
+			w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: decide.NotSent, Last: true})
 		}
 		return
 	}
 	if !w.lists(a.Cache) {
-		w.queue(&decide.Outcome{ID: c.id, Attempt: s.n, Result: decide.NotSent})
+		w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: decide.NotSent})
 		return
 	}
 	c.out++
 	w.attempts = append(w.attempts, s)
 }
 
-func (w *world) probe(a decide.Probe) {
+func (w *world) probe(a decide.HealthCheck) {
 	w.probed++
 	if w.lists(a.Cache) {
 		w.probes = append(w.probes, probe{a.Cache, w.now})
 	} else if !w.defects.dropsProbes {
-		w.queue(&decide.Probed{Cache: a.Cache, Result: decide.NotSent})
+		w.queue(&decide.HealthCheckResult{Cache: a.Cache, Result: decide.NotSent})
 	}
 }
 
@@ -191,7 +191,7 @@
 	if s.begun {
 		c.over = true
 	}
-	w.queue(&decide.Outcome{ID: c.id, Attempt: s.n, Result: result, Last: c.over, Miss: w.rng.Intn(3) == 0})
+	w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: result, Last: c.over, Miss: w.rng.Intn(3) == 0})
 }
 
 // finish is the final answer, or the client's leaving. Some attempts were not written yet and end now.
@@ -210,7 +210,7 @@
 func (w *world) leave(c *client) {
 	if !c.over {
 		w.finish(c)
-		w.queue(&decide.Departed{ID: c.id})
+		w.queue(&decide.ClientGone{ID: c.id})
 	}
 }
 
@@ -223,27 +223,27 @@
 }
 
 func (w *world) list() {
-	kind := pickOne(w.rng, decide.ListChanges, decide.ListChanges, decide.ListFull, decide.ListStale, decide.ListFailed)
-	ev := &decide.List{Kind: kind}
-	if kind == decide.ListFailed {
+	kind := pickOne(w.rng, decide.DeltaUpdate, decide.DeltaUpdate, decide.FullUpdate, decide.StaleUpdate, decide.FailedUpdate)
+	ev := &decide.EndpointList{Kind: kind}
+	if kind == decide.FailedUpdate {
 		w.queue(ev)
 		return
 	}
 	for i := range fleetSize {
-		if kind == decide.ListChanges && w.rng.Intn(fleetSize) > 0 {
+		if kind == decide.DeltaUpdate && w.rng.Intn(fleetSize) > 0 {
 			continue
 		}
-		if kind != decide.ListChanges && w.rng.Intn(4) == 0 {
+		if kind != decide.DeltaUpdate && w.rng.Intn(4) == 0 {
 			w.listed[i] = false
 			continue
 		}
-		e := decide.Entry{ID: cacheName(i), Zone: string(rune('a' + i%2)), Cell: i % 4, Size: 1,
-			Condition: pickOne(w.rng, decide.Up, decide.Up, decide.Up, decide.Draining, decide.Removed)}
+		e := decide.Endpoint{ID: cacheName(i), Zone: string(rune('a' + i%2)), Cell: i % 4, Weight: 1,
+			Status: pickOne(w.rng, decide.Serving, decide.Serving, decide.Serving, decide.Draining, decide.Removed)}
 		if w.rng.Intn(4) == 0 {
-			e.Start = w.now - decide.Time(w.rng.Intn(12_000*ms))
+			e.StartedAt = w.now - decide.Time(w.rng.Intn(12_000*ms))
 		}
-		w.listed[i] = e.Condition != decide.Removed
-		ev.Entries = append(ev.Entries, e)
+		w.listed[i] = e.Status != decide.Removed
+		ev.Endpoints = append(ev.Endpoints, e)
 	}
 	w.queue(ev)
 }
@@ -257,7 +257,7 @@
 	switch {
 	case !s.client.over && !s.client.streams && w.rng.Intn(20) == 0:
 		s.begun, s.client.streams = true, true
-		w.queue(&decide.Started{ID: s.client.id, Attempt: s.n})
+		w.queue(&decide.ResponseStarted{ID: s.client.id, Attempt: s.n})
 	case s.client.streams && !s.begun || w.rng.Intn(2) == 0:
 		w.end(s, decide.Result(1+w.rng.Intn(int(decide.NotStored))))
 	default:
@@ -269,11 +269,11 @@
 func (w *world) expire() {
 	for _, s := range slices.Clone(w.attempts) {
 		if w.now >= s.stopAt && !s.begun && slices.Contains(w.attempts, s) {
-			w.end(s, decide.NoAnswer)
+			w.end(s, decide.TimedOut)
 		}
 	}
 	for len(w.probes) > 0 && w.now >= w.probes[0].at+500*ms {
-		w.queue(&decide.Probed{Cache: w.probes[0].cache, Result: decide.NoAnswer})
+		w.queue(&decide.HealthCheckResult{Cache: w.probes[0].cache, Result: decide.TimedOut})
 		w.probes = w.probes[1:]
 	}
 }
@@ -304,7 +304,7 @@
 	case x < 50:
 		w.list()
 	case x < 55 && len(w.probes) > 0:
-		w.queue(&decide.Probed{Cache: w.probes[0].cache, Result: pickOne(w.rng, decide.Served, decide.NoAnswer)})
+		w.queue(&decide.HealthCheckResult{Cache: w.probes[0].cache, Result: pickOne(w.rng, decide.Served, decide.TimedOut)})
 		w.probes = w.probes[1:]
 	default:
 		w.reply()
@@ -327,7 +327,7 @@
 	w.tell()
 	for _, s := range slices.Clone(w.attempts) {
 		if s.begun {
-			w.end(s, decide.ConnLost)
+			w.end(s, decide.ConnectionLost)
 		}
 	}
 	for range 40 { // longer than any deadline and the slack
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -180,14 +180,14 @@
 	Value  []byte // a bulk string on the wire, for the client as it is; it lies in what was read
 	Miss   bool
 	Pong   bool
-	Load   decide.Load
+	Load   decide.LoadReport
 }
 
 // Next takes one answer off b; used is 0 where it is not whole yet. Legal are an array of value,
 // word or null and report or null, the error lines of the protocol's table, and the answer to a
 // probe. All else is an error, and what follows it on the connection can't be told apart.
 func (rep *Reply) Next(b []byte) (used int, err error) {
-	*rep = Reply{Result: decide.Errored, Load: decide.Load{Busy: -1}}
+	*rep = Reply{Result: decide.Errored, Load: decide.LoadReport{Utilization: -1}}
 	if len(b) == 0 {
 		return 0, nil
 	}
@@ -248,8 +248,8 @@
 }
 
 // parseLoad reads a load report; what it does not know or can't read it skips.
-func parseLoad(s string) decide.Load {
-	l := decide.Load{Busy: -1}
+func parseLoad(s string) decide.LoadReport {
+	l := decide.LoadReport{Utilization: -1}
 	if s == "" {
 		return l
 	}
@@ -262,9 +262,9 @@
 		}
 		switch name {
 		case "busy", "util":
-			l.Busy = v
+			l.Utilization = v
 		case "fail_rate", "eps":
-			l.Errors = v
+			l.ErrorRate = v
 		}
 	}
 	return l
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -4,10 +4,10 @@
 
 func TestLoadReport(t *testing.T) {
 	l := parseLoad("inflight=7,util=0.61,eps=2,queue=NaN")
-	if l.Busy != 0.61 || l.Errors != 2 {
+	if l.Utilization != 0.61 || l.ErrorRate != 2 {
 		t.Errorf("load %+v", l)
 	}
-	if l := parseLoad("util=-1"); l.Busy != -1 {
+	if l := parseLoad("util=-1"); l.Utilization != -1 {
 		t.Errorf("a bad figure gave %+v", l)
 	}
 }
--- a/internal/retry/pacer.go
+++ b/internal/retry/pacer.go
@@ -18,7 +18,7 @@
 	jitter      = 3   // a pause differs from its mean by up to this part of it
 	steadyFor   = 3   // bounds without an answer until pauses grow
 	longestPart = 4.5 // times the usual mean that they grow to, so that the longest pause is the bound
-	askFailed   = 4   // times AskEvery for which a failed call counts
+	askFailed   = 4   // times PollInterval for which a failed call counts
 )
 
 // Options say who calls.
--- a/internal/router/aperture.go
+++ b/internal/router/aperture.go
@@ -18,7 +18,7 @@
 
 // member is a line of the whole list.
 type member struct {
-	entry decide.Entry
+	entry decide.Endpoint
 	addr  string
 }
 
@@ -35,7 +35,7 @@
 // opened for nearly every request.
 func (n *narrowed) part(p endpoints.Publish, log func(string)) endpoints.Publish {
 	for i, e := range p.Entries {
-		if e.Condition == decide.Removed {
+		if e.Status == decide.Removed {
 			delete(n.whole, e.ID)
 		} else {
 			addr := p.Addrs[i]
@@ -65,8 +65,8 @@
 // it covers now has come, and what has changed has.
 func (n *narrowed) moved(p endpoints.Publish, before *aperture.Ring, log func(string)) endpoints.Publish {
 	var bad, good []member
-	add := func(e decide.Entry, addr string) {
-		if e.Condition == decide.Up {
+	add := func(e decide.Endpoint, addr string) {
+		if e.Status == decide.Serving {
 			good = append(good, member{e, addr})
 		} else {
 			bad = append(bad, member{e, addr})
@@ -74,10 +74,10 @@
 	}
 	changed := map[string]bool{}
 	for i, e := range p.Entries {
-		if changed[e.ID] = true; e.Condition == decide.Removed || n.ring.Covers(e.ID) {
+		if changed[e.ID] = true; e.Status == decide.Removed || n.ring.Covers(e.ID) {
 			add(e, p.Addrs[i])
 		} else if before.Covers(e.ID) {
-			add(decide.Entry{ID: e.ID, Condition: decide.Removed}, "")
+			add(decide.Endpoint{ID: e.ID, Status: decide.Removed}, "")
 		}
 	}
 	used := 0
@@ -91,7 +91,7 @@
 		case is:
 			add(n.whole[name].entry, n.whole[name].addr)
 		default:
-			add(decide.Entry{ID: name, Condition: decide.Removed}, "")
+			add(decide.Endpoint{ID: name, Status: decide.Removed}, "")
 		}
 	}
 	out := endpoints.Publish{Kind: p.Kind}
--- a/internal/router/aperture_test.go
+++ b/internal/router/aperture_test.go
@@ -10,9 +10,9 @@
 
 // fleetOf is a list of so many caches that take work.
 func fleetOf(n int) endpoints.Publish {
-	p := endpoints.Publish{Kind: decide.ListStale}
+	p := endpoints.Publish{Kind: decide.StaleUpdate}
 	for i := range n {
-		p.Entries = append(p.Entries, decide.Entry{ID: fmt.Sprintf("s-%04d", i), Size: 1})
+		p.Entries = append(p.Entries, decide.Endpoint{ID: fmt.Sprintf("s-%04d", i), Weight: 1})
 		p.Addrs = append(p.Addrs, fmt.Sprintf("10.0.0.1:%d", 1000+i))
 	}
 	return p
@@ -29,14 +29,14 @@
 	out := u.n.part(p, func(string) {})
 	good := false
 	for i, e := range out.Entries {
-		if e.Condition != decide.Removed && out.Addrs[i] == "" {
+		if e.Status != decide.Removed && out.Addrs[i] == "" {
 			t.Errorf("%s has no address", e.ID)
 		}
-		if good && e.Condition != decide.Up {
+		if good && e.Status != decide.Serving {
 			t.Error("bad news stands behind good")
 		}
-		good = good || e.Condition == decide.Up
-		if e.Condition == decide.Removed {
+		good = good || e.Status == decide.Serving
+		if e.Status == decide.Removed {
 			delete(u.known, e.ID)
 		} else {
 			u.known[e.ID] = true
@@ -53,7 +53,7 @@
 		t.Errorf("%d of 300 are used", len(u.known))
 	}
 	whole := fleetOf(500)
-	u.play(t, endpoints.Publish{Kind: decide.ListChanges, Entries: whole.Entries[300:], Addrs: whole.Addrs[300:]})
+	u.play(t, endpoints.Publish{Kind: decide.DeltaUpdate, Entries: whole.Entries[300:], Addrs: whole.Addrs[300:]})
 	if n := len(u.known); n > 390 || n < 280 {
 		t.Errorf("%d of 500 are used, there are descriptors for 390", n)
 	}
@@ -65,15 +65,15 @@
 	// Drains inside the aperture are heard, those outside it are nobody's affair.
 	for _, e := range whole.Entries[:20] {
 		was := u.known[e.ID]
-		e.Condition = decide.Draining
-		out := u.n.part(endpoints.Publish{Entries: []decide.Entry{e}, Addrs: []string{""}}, func(string) {})
+		e.Status = decide.Draining
+		out := u.n.part(endpoints.Publish{Entries: []decide.Endpoint{e}, Addrs: []string{""}}, func(string) {})
 		if heard := len(out.Entries) == 1; heard != was {
 			t.Errorf("%s, used %v: its drain was heard %v", e.ID, was, heard)
 		}
 	}
 	gone := endpoints.Publish{}
 	for _, e := range whole.Entries[200:] {
-		gone.Entries, gone.Addrs = append(gone.Entries, decide.Entry{ID: e.ID, Condition: decide.Removed}), append(gone.Addrs, "")
+		gone.Entries, gone.Addrs = append(gone.Entries, decide.Endpoint{ID: e.ID, Status: decide.Removed}), append(gone.Addrs, "")
 	}
 	u.play(t, gone)
 	if len(u.known) != 200 {
--- a/internal/router/burst_test.go
+++ b/internal/router/burst_test.go
@@ -60,7 +60,7 @@
 // outcomes are those that a request has got.
 func (s *sender) outcomes(id int64) (results []decide.Result) {
 	for _, ev := range s.told {
-		if o, ok := ev.(*decide.Outcome); ok && o.ID == id {
+		if o, ok := ev.(*decide.AttemptResult); ok && o.ID == id {
 			results = append(results, o.Result)
 		}
 	}
@@ -79,7 +79,7 @@
 	receive(t, cache.Commands, "command")
 	s := &sender{}
 	s.then = func(ev decide.Event) []decide.Action {
-		d, ok := ev.(*decide.Departed)
+		d, ok := ev.(*decide.ClientGone)
 		if !ok || len(s.told) > 1 {
 			return nil
 		}
@@ -115,7 +115,7 @@
 			t.Error("told nothing")
 			return
 		}
-		if l, ok := s.told[0].(*decide.List); !ok || len(l.Entries) != 1 || l.Entries[0].Condition != decide.Draining {
+		if l, ok := s.told[0].(*decide.EndpointList); !ok || len(l.Endpoints) != 1 || l.Endpoints[0].Status != decide.Draining {
 			t.Errorf("told %+v first", s.told[0])
 		}
 		if got := s.outcomes(q.id); len(got) != 1 || got[0] != decide.NotSent {
@@ -130,13 +130,13 @@
 	r.Do(func() {
 		s := &sender{}
 		r.r.module = s
-		r.r.perform(decide.Probe{Cache: "never listed"})
+		r.r.perform(decide.HealthCheck{Cache: "never listed"})
 		r.r.Settle()
 		if len(s.told) != 1 {
 			t.Errorf("told %d events", len(s.told))
 			return
 		}
-		if p, ok := s.told[0].(*decide.Probed); !ok || p.Cache != "never listed" || p.Result != decide.NotSent {
+		if p, ok := s.told[0].(*decide.HealthCheckResult); !ok || p.Cache != "never listed" || p.Result != decide.NotSent {
 			t.Errorf("told %+v", s.told[0])
 		}
 	})
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -156,7 +156,7 @@
 		}
 	}
 	turnedAway("while it is open")
-	r.perform(decide.Refuse{ID: q.id})
+	r.perform(decide.Reject{ID: q.id})
 	q.client.Want("-BUSY")
 	turnedAway("while an attempt is out")
 	cmd.Reply(t, served)
@@ -189,7 +189,7 @@
 	r := newRig(t, cache.Addr(), nil)
 	q := r.ask(words("C.SET", "key", "id", "c=put,t=acme,d=20000,k=5c0f,size=12", "\x00\r\nVALUE"))
 	r.Do(func() {
-		r.r.perform(decide.Send{ID: q.id, Cache: "c1", StopAt: r.Now() + 10_000_000})
+		r.r.perform(decide.Send{ID: q.id, Cache: "c1", AttemptDeadline: r.Now() + 10_000_000})
 	})
 	got := receive(t, cache.Commands, "command").Args
 	if got[0] != "C.SET" || got[1] != "key" || got[2] != "id" || got[4] != "\x00\r\nVALUE" {
@@ -225,7 +225,7 @@
 		if !s.Unwritten() {
 			t.Error("it passes for written")
 		}
-		r.r.perform(decide.Refuse{ID: q.id})
+		r.r.perform(decide.Reject{ID: q.id})
 		if !s.Over() {
 			t.Error("it goes on")
 		}
@@ -241,7 +241,7 @@
 // TestWaitingAttemptIsNotSentWhenItsRequestIsOver holds the last look before the first byte.
 func TestWaitingAttemptIsNotSentWhenItsRequestIsOver(t *testing.T) {
 	for name, end := range map[string]func(*rig, asked){
-		"refused":   func(r *rig, q asked) { r.perform(decide.Refuse{ID: q.id}) },
+		"refused":   func(r *rig, q asked) { r.perform(decide.Reject{ID: q.id}) },
 		"failed":    func(r *rig, q asked) { r.perform(decide.Fail{ID: q.id}) },
 		"cancelled": func(r *rig, q asked) { r.perform(decide.Cancel{ID: q.id, Attempt: 0}) },
 		"departed":  func(r *rig, q asked) { q.client.Close() },
--- a/internal/router/config_check_test.go
+++ b/internal/router/config_check_test.go
@@ -56,7 +56,7 @@
 	}
 	now := decide.Time(1_000_000)
 	known := cfg.Known
-	m.Handle(now, &decide.List{Kind: decide.ListFull, Entries: known.Entries})
+	m.Handle(now, &decide.EndpointList{Kind: decide.FullUpdate, Endpoints: known.Entries})
 	sends := 0
 	count := func(actions []decide.Action) {
 		for _, a := range actions {
@@ -71,7 +71,7 @@
 		t.Fatalf("%d sends for a new request", sends)
 	}
 	now += 1000
-	count(m.Handle(now, &decide.Outcome{ID: 1, Result: decide.ConnLost, Elapsed: 1000, Load: decide.Load{Busy: -1}}))
+	count(m.Handle(now, &decide.AttemptResult{ID: 1, Result: decide.ConnectionLost, Elapsed: 1000, Load: decide.LoadReport{Utilization: -1}}))
 	if sends != 1 {
 		t.Error("it was repeated though no cache is known to drop its repeat")
 	}
--- a/internal/router/endings_test.go
+++ b/internal/router/endings_test.go
@@ -249,7 +249,7 @@
 		t.Errorf("%d commands were sent to a cache that drains", n)
 	}
 	r.Do(func() {
-		if h := r.r.caches["c1"]; h.entry.Condition != decide.Draining {
+		if h := r.r.caches["c1"]; h.entry.Status != decide.Draining {
 			t.Error("the drain was not taken over")
 		}
 	})
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -85,7 +85,7 @@
 	}
 	if by := r.fleet.divisor.By(r.fleet.link.View().Seen()); by != r.fleet.by {
 		r.fleet.by = by
-		r.backlog = append(r.backlog, &decide.Fleet{Routers: by})
+		r.backlog = append(r.backlog, &decide.RouterCount{Routers: by})
 		r.Settle()
 	}
 }
@@ -108,7 +108,7 @@
 	for id, h := range r.caches { // any order: a sum
 		f := fnv.New32a()
 		f.Write([]byte(id))
-		f.Write([]byte{byte(h.entry.Condition)})
+		f.Write([]byte{byte(h.entry.Status)})
 		sum += f.Sum32()
 	}
 	return sum
--- a/internal/router/fleet_test.go
+++ b/internal/router/fleet_test.go
@@ -106,7 +106,7 @@
 }
 
 func (m *heardBy) Handle(now decide.Time, ev decide.Event) []decide.Action {
-	if f, is := ev.(*decide.Fleet); is {
+	if f, is := ev.(*decide.RouterCount); is {
 		m.routers = append(m.routers, f.Routers)
 	}
 	return m.Module.Handle(now, ev)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -133,17 +133,17 @@
 // script stands in for the module: it records what it is told, and tests give
 // the actions themselves.
 type script struct {
-	outcomes chan *decide.Outcome
+	outcomes chan *decide.AttemptResult
 	requests chan *decide.Request
 }
 
 func newScript() *script {
-	return &script{make(chan *decide.Outcome, 1000), make(chan *decide.Request, 1000)}
+	return &script{make(chan *decide.AttemptResult, 1000), make(chan *decide.Request, 1000)}
 }
 
 func (s *script) Handle(_ decide.Time, ev decide.Event) []decide.Action {
 	switch ev := ev.(type) {
-	case *decide.Outcome:
+	case *decide.AttemptResult:
 		copied := *ev
 		s.outcomes <- &copied
 	case *decide.Request:
@@ -217,7 +217,7 @@
 	r.perform(decide.Send{ID: q.id, Cache: "c1"})
 }
 
-func (r *rig) want(result decide.Result) *decide.Outcome {
+func (r *rig) want(result decide.Result) *decide.AttemptResult {
 	r.t.Helper()
 	o := receive(r.t, r.outcomes, "outcome")
 	if o.Result != result {
@@ -246,5 +246,5 @@
 // up reports whether a cache is known and takes work, by the list.
 func (r *rig) up(name string) bool {
 	h := r.r.caches[name]
-	return h != nil && h.entry.Condition == decide.Up
+	return h != nil && h.entry.Status == decide.Serving
 }
--- a/internal/router/hooks.go
+++ b/internal/router/hooks.go
@@ -96,7 +96,7 @@
 func (r *Router) submit(q *request) {
 	c := q.cmd
 	q.event = decide.Request{ID: q.id, Class: c.Class, Tenant: c.Tenant, Key: c.Hash, HasKey: true,
-		Deadline: q.deadline, Since: q.told.Since, Cost: c.Cost, Write: c.Write, Unkeyed: c.Unkeyed}
+		Deadline: q.deadline, FirstRequestedAt: q.told.Since, Cost: c.Cost, Write: c.Write, IdempotencyKeyMissing: c.Unkeyed}
 	r.backlog = append(r.backlog, &q.event)
 }
 
@@ -116,7 +116,7 @@
 	}
 	up := 0
 	for _, h := range r.caches { // any order: they are only counted
-		if h.entry.Condition == decide.Up {
+		if h.entry.Status == decide.Serving {
 			up++
 		}
 	}
--- a/internal/router/list.go
+++ b/internal/router/list.go
@@ -30,7 +30,7 @@
 	if len(next.Entries) > listPiece {
 		piece.Entries, piece.Addrs = next.Entries[:listPiece:listPiece], next.Addrs[:listPiece:listPiece]
 		next.Entries, next.Addrs = next.Entries[listPiece:], next.Addrs[listPiece:]
-		next.Kind = decide.ListChanges
+		next.Kind = decide.DeltaUpdate
 	} else {
 		r.lists = r.lists[1:]
 	}
@@ -49,15 +49,15 @@
 func (r *Router) take(p endpoints.Publish) {
 	told := make([]Time, len(p.Entries))
 	for i := range p.Entries {
-		told[i] = p.Entries[i].Start
+		told[i] = p.Entries[i].StartedAt
 		r.date(&p.Entries[i])
 	}
 	// The danger: what ends with a drain is told before the drain, and is sent there again.
-	r.backlog = append(r.backlog, &decide.List{Kind: p.Kind, Entries: p.Entries})
+	r.backlog = append(r.backlog, &decide.EndpointList{Kind: p.Kind, Endpoints: p.Entries})
 	served := r.takesWork()
 	for i, e := range p.Entries {
 		h := r.caches[e.ID]
-		if e.Condition == decide.Removed {
+		if e.Status == decide.Removed {
 			if h != nil {
 				delete(r.caches, e.ID)
 				r.pool.Update(e.ID, h.addr, false, true)
@@ -75,7 +75,7 @@
 			r.pool.Renewed(e.ID)
 		}
 		h.entry, h.told = e, told[i]
-		r.pool.Update(e.ID, h.addr, e.Condition == decide.Up, false)
+		r.pool.Update(e.ID, h.addr, e.Status == decide.Serving, false)
 	}
 	r.showList()
 	if served && !r.takesWork() {
@@ -86,16 +86,16 @@
 // date puts the start of a cache, which the list gives by the system's clock, on the loop's clock.
 // It is done once for each start that is told. The danger: the clock steps, and caches that are cold
 // pass for warm ones, or warm ones for cold ones.
-func (r *Router) date(e *decide.Entry) {
-	told := e.Start
+func (r *Router) date(e *decide.Endpoint) {
+	told := e.StartedAt
 	if told <= 0 {
 		return
 	}
 	if h := r.caches[e.ID]; h != nil && h.told == told {
-		e.Start = h.entry.Start
+		e.StartedAt = h.entry.StartedAt
 		return
 	}
-	e.Start = max(1, r.m.Now()-r.age(told))
+	e.StartedAt = max(1, r.m.Now()-r.age(told))
 }
 
 // age is how long ago something started, which the list tells by the clock of its machine.
@@ -114,13 +114,13 @@
 
 // Answered implements sources.Owner: also where nothing has changed, the module hears that discovery answers.
 func (r *Router) Answered() {
-	r.backlog = append(r.backlog, &decide.List{Kind: decide.ListChanges})
+	r.backlog = append(r.backlog, &decide.EndpointList{Kind: decide.DeltaUpdate})
 	r.catchUp()
 }
 
 // Failed implements sources.Owner: the module says when to ask again.
 func (r *Router) Failed() {
-	r.backlog = append(r.backlog, &decide.List{Kind: decide.ListFailed})
+	r.backlog = append(r.backlog, &decide.EndpointList{Kind: decide.FailedUpdate})
 }
 
 // Reload takes over a new configuration: where discovery is, the file with the fixed list, and where the state is kept.
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -17,10 +17,10 @@
 	r := newRig(t, cache.Addr(), nil)
 	r.list(2, true, host("c1", "cache.example.org:1", "in_service"), host("c2", cache.Addr(), "terminating"))
 	r.Do(func() {
-		if h := r.r.caches["c1"]; h == nil || h.entry.Condition != decide.Up || h.addr != cache.Addr() {
+		if h := r.r.caches["c1"]; h == nil || h.entry.Status != decide.Serving || h.addr != cache.Addr() {
 			t.Errorf("c1 is %+v", h)
 		}
-		if h := r.r.caches["c2"]; h == nil || h.entry.Condition == decide.Up {
+		if h := r.r.caches["c2"]; h == nil || h.entry.Status == decide.Serving {
 			t.Errorf("c2 is %+v", h)
 		}
 	})
@@ -63,7 +63,7 @@
 	const hour = 3600 * 1_000_000
 	started := wall.Load() - 5_000_000
 	start := func(name string) (at decide.Time) {
-		r.Do(func() { at = r.r.caches[name].entry.Start })
+		r.Do(func() { at = r.r.caches[name].entry.StartedAt })
 		return at
 	}
 	r.list(2, false, since(host("c2", cache.Addr(), "in_service"), started))
@@ -77,7 +77,7 @@
 		name := fmt.Sprint("n", step)
 		r.list(5+step, false, since(host(name, cache.Addr(), "in_service"), wall.Load()-2_000_000))
 		age := decide.Time(0)
-		r.Do(func() { age = r.Now() - r.r.caches[name].entry.Start })
+		r.Do(func() { age = r.Now() - r.r.caches[name].entry.StartedAt })
 		if age < 1_990_000 || age > 60_000_000 {
 			t.Errorf("after a step of %d a cache of 2 s is %d old", by, age)
 		}
@@ -95,7 +95,7 @@
 		wall.Add(by)
 		r.list(2, false, since(host("c2", cache.Addr(), "in_service"), started))
 		r.Do(func() {
-			if age := r.Now() - r.r.caches["c2"].entry.Start; age < 0 || age > 60_000_000 {
+			if age := r.Now() - r.r.caches["c2"].entry.StartedAt; age < 0 || age > 60_000_000 {
 				t.Errorf("after a step of %d a cache of 2 s is %d old", by, age)
 			}
 		})
@@ -108,13 +108,13 @@
 	r, wall := stepped(t, cache.Addr())
 	r.list(2, false, since(host("c2", cache.Addr(), "in_service"), wall.Load()+3600*1_000_000))
 	r.Do(func() {
-		if at := r.r.caches["c2"].entry.Start; at > r.Now() {
+		if at := r.r.caches["c2"].entry.StartedAt; at > r.Now() {
 			t.Errorf("it starts in %d", at-r.Now())
 		}
 	})
 	r.list(3, false, host("c2", cache.Addr(), "in_service"))
 	r.Do(func() {
-		if at := r.r.caches["c2"].entry.Start; at != 0 {
+		if at := r.r.caches["c2"].entry.StartedAt; at != 0 {
 			t.Errorf("after the correction its start is %d", at)
 		}
 	})
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -42,7 +42,7 @@
 	router  *Router
 	request *request
 	to      guard.Cache
-	outcome decide.Outcome // as the module is told of it
+	outcome decide.AttemptResult // as the module is told of it
 }
 
 // Encode implements upstream.Work.
@@ -91,14 +91,14 @@
 			r.perform(a)
 		}
 		switch ev := ev.(type) {
-		case *decide.List:
+		case *decide.EndpointList:
 			if r.keeper != nil {
-				r.keeper.listed(ev.Entries)
+				r.keeper.listed(ev.Endpoints)
 			}
 			r.actsOn(r.sources.Version())
-		case *decide.Outcome:
+		case *decide.AttemptResult:
 			r.told(ev.ID)
-		case *decide.Departed:
+		case *decide.ClientGone:
 			r.told(ev.ID)
 		}
 	}
@@ -116,24 +116,24 @@
 		if q := r.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) {
 			q.attempts[a.Attempt].GiveUp(decide.Cancelled)
 		}
-	case decide.Refuse:
+	case decide.Reject:
 		if q := r.requests[a.ID]; q != nil {
 			q.lost = false // whatever broke before, what it lacks now is room
 			r.unserved(q)
-			r.unanswered(q, eventlog.RequestRefused, a.Why.String())
-			r.refuse(q, a.Wait)
+			r.unanswered(q, eventlog.RequestRefused, a.Reason.String())
+			r.refuse(q, a.RetryAfter)
 		}
 	case decide.Fail:
 		if q := r.requests[a.ID]; q != nil {
 			r.unserved(q)
-			r.unanswered(q, eventlog.RequestFailed, a.Why.String())
+			r.unanswered(q, eventlog.RequestFailed, a.Reason.String())
 			r.finish(q, []byte(frontend.FailedReply), plugin.WasFailed)
 		}
 	case decide.SetTimer:
 		r.setTimer(a)
-	case decide.DropTimer:
+	case decide.CancelTimer:
 		r.dropTimer(a.Token)
-	case decide.Probe:
+	case decide.HealthCheck:
 		r.probe(a.Cache)
 	case decide.CloseIdle:
 		r.pool.CloseIdle(a.Cache)
@@ -150,7 +150,7 @@
 // takesWork reports whether a cache is known that takes work.
 func (r *Router) takesWork() bool {
 	for _, h := range r.caches { // any order: one is enough
-		if h.entry.Condition == decide.Up {
+		if h.entry.Status == decide.Serving {
 			return true
 		}
 	}
@@ -223,7 +223,7 @@
 		r.hooks.Gone(q.id)
 		q.judged = false
 	} else {
-		r.say(q, &decide.Departed{ID: q.id})
+		r.say(q, &decide.ClientGone{ID: q.id})
 	}
 }
 
@@ -295,7 +295,7 @@
 	if h := r.caches[a.Cache]; h != nil {
 		s.to.Zone, s.to.Cell = h.entry.Zone, h.entry.Cell
 	}
-	s.Attempt = upstream.Attempt{Work: s, Number: len(q.attempts), Sent: now, StopAt: a.StopAt, WriteBy: a.WriteBy}
+	s.Attempt = upstream.Attempt{Work: s, Number: len(q.attempts), Sent: now, StopAt: a.AttemptDeadline, WriteBy: a.WriteDeadline}
 	if s.StopAt == 0 || s.StopAt > q.deadline {
 		s.StopAt = q.deadline
 	}
@@ -309,38 +309,38 @@
 	}
 	// The cache is gone by now, or the client is: an attempt has an outcome all the same.
 	s.Drop()
-	r.say(q, &decide.Outcome{ID: q.id, Attempt: s.Number, Result: decide.NotSent, Last: q.over,
-		Load: decide.Load{Busy: -1}})
+	r.say(q, &decide.AttemptResult{ID: q.id, Attempt: s.Number, Result: decide.NotSent, Last: q.over,
+		Load: decide.LoadReport{Utilization: -1}})
 }
 
 func (r *Router) probe(cache string) {
 	now := r.m.Now()
 	a := &upstream.Attempt{Sent: now, StopAt: now + r.cfg.Bounds.Caches.ProbeTime.Microseconds()}
 	if r.front == nil || !r.pool.Start(cache, a) { // a process that waits for its address leaves the caches alone
-		r.backlog = append(r.backlog, &decide.Probed{Cache: cache, Result: decide.NotSent, Load: decide.Load{Busy: -1}})
+		r.backlog = append(r.backlog, &decide.HealthCheckResult{Cache: cache, Result: decide.NotSent, Load: decide.LoadReport{Utilization: -1}})
 	}
 }
 
 // Ended tells the module how an attempt went. The first answer that serves is
 // the final one by itself.
 func (r *Router) Ended(a *upstream.Attempt, result decide.Result, rep *resp.Reply) {
-	elapsed, load := r.m.Now()-a.Sent, decide.Load{Busy: -1}
+	elapsed, load := r.m.Now()-a.Sent, decide.LoadReport{Utilization: -1}
 	if rep != nil {
 		load = rep.Load
 	}
 	s, request := a.Work.(*sending)
 	if !request {
-		r.backlog = append(r.backlog, &decide.Probed{Cache: a.Cache(), Result: result, Elapsed: elapsed, Load: load})
+		r.backlog = append(r.backlog, &decide.HealthCheckResult{Cache: a.Cache(), Result: result, Elapsed: elapsed, Load: load})
 		return
 	}
 	q := s.request
 	q.guard.Ended(a.Number, result)
 	r.attemptEnded(q, a, result, elapsed)
 	q.out--
-	q.lost = q.lost || result == decide.ConnLost
+	q.lost = q.lost || result == decide.ConnectionLost
 	r.met(result)
 	ev := &s.outcome
-	*ev = decide.Outcome{ID: q.id, Attempt: a.Number, Result: result, Elapsed: elapsed, Load: load}
+	*ev = decide.AttemptResult{ID: q.id, Attempt: a.Number, Result: result, Elapsed: elapsed, Load: load}
 	r.say(q, ev)
 	if rep != nil {
 		ev.Miss = rep.Miss
@@ -355,16 +355,16 @@
 func (r *Router) balance() {
 	for _, ev := range r.contract.Overdue(r.m.Now()) {
 		switch ev := ev.(type) {
-		case *decide.Outcome:
+		case *decide.AttemptResult:
 			q := r.requests[ev.ID]
 			if q != nil && ev.Attempt < len(q.attempts) && !q.attempts[ev.Attempt].Over() {
-				q.attempts[ev.Attempt].GiveUp(decide.NoAnswer) // its timer was lost
+				q.attempts[ev.Attempt].GiveUp(decide.TimedOut) // its timer was lost
 				continue
 			}
 			if q != nil {
 				q.untold++ // as if it had been said
 			}
-		case *decide.Departed:
+		case *decide.ClientGone:
 			if q := r.requests[ev.ID]; q != nil {
 				q.untold++
 				r.finish(q, []byte(frontend.FailedReply), plugin.WasFailed)
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -52,7 +52,7 @@
 
 // drains tells whether the list has a cache drain.
 func (s *running) drains(cache string) func() bool {
-	return func() bool { return s.r.caches[cache].entry.Condition == decide.Draining }
+	return func() bool { return s.r.caches[cache].entry.Status == decide.Draining }
 }
 
 // TestNoFurtherAttemptForAClientThatHasLeft: the first attempt fails in the very turn in which the client leaves, and another cache
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -88,14 +88,14 @@
 
 // hop is a cache as the list has it.
 type hop struct {
-	entry decide.Entry
+	entry decide.Endpoint
 	told  Time // its last start in the list's words
 	addr  string
 }
 
 // SourcesOf says whom a router with that configuration asks for caches.
 func SourcesOf(cfg *Config) endpointsource.Config {
-	asked := discovery.Options{Discovery: cfg.Bounds.Discovery, Pushed: !cfg.Settings.MustWatch, Grace: cfg.Settings.DrainGrace}
+	asked := discovery.Options{Discovery: cfg.Bounds.Discovery, Pushed: !cfg.Settings.WatchRequired, Grace: cfg.Settings.DrainGrace}
 	return endpointsource.Config{Discovery: cfg.Discovery, Asked: asked, Known: cfg.Known,
 		Membership: cfg.Membership, Eureka: cfg.Eureka}
 }
@@ -169,7 +169,7 @@
 		if q := r.requests[id]; !q.over {
 			r.abandon(q)
 			if len(q.attempts) == 0 { // trying again is harmless
-				r.refuse(q, r.cfg.Settings.RefuseWait)
+				r.refuse(q, r.cfg.Settings.MaxRetryAfter)
 			} else {
 				r.finish(q, []byte(frontend.FailedReply), plugin.WasFailed)
 			}
--- a/internal/router/standstill.go
+++ b/internal/router/standstill.go
@@ -19,7 +19,7 @@
 // are read first go to a cache of which discovery has written long ago that it leaves.
 func (r *Router) watchStandstill() {
 	part := Time(standstillPart)
-	if !r.cfg.Settings.MustWatch {
+	if !r.cfg.Settings.WatchRequired {
 		part = agentPart
 	}
 	r.m.Resumed(max(r.cfg.Settings.DrainGrace/part, shortStandstill), r.resumed)
--- a/internal/router/start.go
+++ b/internal/router/start.go
@@ -65,7 +65,7 @@
 	r := &Router{m: m, cfg: cfg, begun: m.Now(), decider: module, clock: timerqueue.New(m), timers: map[int64]*timer{},
 		requests: map[int64]*request{}, ids: map[string]struct{}{}, caches: map[string]*hop{}, arrivals: lastArrivals}
 	for _, c := range cfg.Settings.Classes {
-		r.longest = max(r.longest, c.Limit)
+		r.longest = max(r.longest, c.ClientTimeout)
 	}
 	var behind guard.Module = module
 	if cfg.Wrap != nil {
@@ -90,8 +90,8 @@
 // hungAfter is how long a cache may keep a router waiting until it may be hung: half of the shortest aim.
 func hungAfter(classes []decide.Class) (after Time) {
 	for i, c := range classes {
-		if i == 0 || c.Aim/2 < after {
-			after = c.Aim / 2
+		if i == 0 || c.LatencyObjective/2 < after {
+			after = c.LatencyObjective / 2
 		}
 	}
 	return after
@@ -111,9 +111,9 @@
 	if r.sources, err = endpointsource.New(r.m, SourcesOf(r.cfg), r); err != nil {
 		return err
 	}
-	if r.cfg.Settings.MustWatch {
+	if r.cfg.Settings.WatchRequired {
 		// The module says when discovery is asked for the first time, and says it at its first list: one without caches.
-		r.backlog = append(r.backlog, &decide.List{Kind: decide.ListStale})
+		r.backlog = append(r.backlog, &decide.EndpointList{Kind: decide.StaleUpdate})
 	}
 	r.Settle()
 	r.watchStandstill()
@@ -126,7 +126,7 @@
 	clients, _ := r.limits().shares()
 	var err error
 	r.front, err = frontend.Listen(r.m, frontend.Options{Listen: r.cfg.Listen, Bounds: r.cfg.Bounds.Clients,
-		Classes: r.cfg.Settings.Classes, Clients: clients, Wait: min(r.cfg.Settings.RefuseWait, doorWait),
+		Classes: r.cfg.Settings.Classes, Clients: clients, Wait: min(r.cfg.Settings.MaxRetryAfter, doorWait),
 		Memory: r.cfg.Limits.memory()}, r)
 	switch {
 	case err == nil:
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -49,7 +49,7 @@
 	after    string          // the cache up to which it is
 	scan     int             // keys that may still be looked at for it
 	keysFrom string          // the cache up to which keys were looked at last
-	buf      []decide.LearnedCache
+	buf      []decide.EndpointSnapshot
 	keyBuf   []uint64 // what the keys of this write stand in
 
 	ending bool     // the last write is under way or done
@@ -142,7 +142,7 @@
 }
 
 // listed takes over what was kept of the caches that a list names, once the module knows them.
-func (k *keeper) listed(entries []decide.Entry) {
+func (k *keeper) listed(entries []decide.Endpoint) {
 	if len(k.known) == 0 {
 		return
 	}
@@ -160,13 +160,13 @@
 	if k.before == nil || k.late {
 		return
 	}
-	usual := k.r.decider.LearnedOfAll()
-	if usual.Fetches == 0 {
+	usual := k.r.decider.SharedSnapshot()
+	if usual.OriginLimit == 0 {
 		return
 	}
 	now, oldest := k.r.m.Wall(), k.cfg.Oldest.Microseconds()
 	if all, ok := k.cfg.HalfLives().All(*k.before, usual, now, oldest); ok {
-		k.r.decider.Learn(all)
+		k.r.decider.Restore(all)
 	}
 	k.before = nil
 }
@@ -179,33 +179,33 @@
 	for _, id := range ids {
 		c, kept := k.known[id]
 		h := k.r.caches[id]
-		if !kept || h == nil || h.told < c.Start { // a list that is older than the state
+		if !kept || h == nil || h.told < c.StartedAt { // a list that is older than the state
 			continue
 		}
 		delete(k.known, id)
-		usual, listed := k.r.decider.LearnedOf(id)
-		if h.told != c.Start || !listed {
+		usual, listed := k.r.decider.EndpointSnapshot(id)
+		if h.told != c.StartedAt || !listed {
 			continue
 		}
 		was, ok := half.Cache(c, usual, now, oldest)
 		if !ok {
 			continue
 		}
-		was.Start = usual.Start
-		if !k.r.cfg.Settings.Probes { // the danger: a mark that no probe will ever take away
-			was.Healthy, was.Fails = usual.Healthy, usual.Fails
+		was.StartedAt = usual.StartedAt
+		if !k.r.cfg.Settings.AllowHealthChecks { // the danger: a mark that no probe will ever take away
+			was.Healthy, was.FailedHealthChecks = usual.Healthy, usual.FailedHealthChecks
 		}
 		l.Caches = append(l.Caches, was)
 	}
 	if len(l.Caches) > 0 {
-		k.r.decider.Learn(l)
+		k.r.decider.Restore(l)
 	}
 }
 
 // nothingOfAll has the figures that are not a single cache's left as they are.
-func nothingOfAll() decide.Learned {
+func nothingOfAll() decide.Snapshot {
 	nan := math.NaN()
-	return decide.Learned{Fetches: nan, Missing: nan, Budget: nan, Erring: nan, Lost: nan}
+	return decide.Snapshot{OriginLimit: nan, OriginMissRatio: nan, RetryBudget: nan, ErrorRatio: nan, LostRatio: nan}
 }
 
 // Keeping.
@@ -233,7 +233,7 @@
 
 // gather begins to gather what has been learned.
 func (k *keeper) gather() {
-	k.next = &snapshot.State{At: k.r.m.Wall(), Router: k.r.decider.LearnedOfAll()}
+	k.next = &snapshot.State{At: k.r.m.Wall(), Router: k.r.decider.SharedSnapshot()}
 	k.next.Caches = make([]snapshot.Cache, 0, len(k.r.caches))
 	k.after, k.scan = "", stateScan
 	k.keyBuf = make([]uint64, 0, stateScan)
@@ -254,7 +254,7 @@
 
 // gatherPart gathers what is known of the next caches, and reports whether there are more.
 func (k *keeper) gatherPart() bool {
-	part := k.r.decider.LearnedAfter(k.buf[:0], k.after, statePiece)
+	part := k.r.decider.AppendEndpointSnapshots(k.buf[:0], k.after, statePiece)
 	k.buf = part
 	for i := range part {
 		c := &part[i]
@@ -263,9 +263,9 @@
 		if h == nil {
 			continue // it goes
 		}
-		c.Start = h.told
-		entry := snapshot.Cache{LearnedCache: *c, At: k.next.At}
-		if k.keys(c.ID, &entry.Keeps) {
+		c.StartedAt = h.told
+		entry := snapshot.Cache{EndpointSnapshot: *c, At: k.next.At}
+		if k.keys(c.ID, &entry.CachedKeys) {
 			entry.KeysAt = k.next.At
 		}
 		k.next.Caches = append(k.next.Caches, entry)
@@ -284,7 +284,7 @@
 	if id <= k.keysFrom || k.scan <= 0 {
 		return false
 	}
-	n := k.r.decider.LearnedKeyCount(id)
+	n := k.r.decider.CachedKeyCount(id)
 	if n > stateScan { // the danger: keys are looked at for longer than a turn may take
 		k.keysFrom = id
 		return false
@@ -294,7 +294,7 @@
 	}
 	k.keysFrom = id
 	from := len(k.keyBuf)
-	k.keyBuf = k.r.decider.LearnedKeys(k.keyBuf, id, k.cfg.Keys)
+	k.keyBuf = k.r.decider.AppendCachedKeys(k.keyBuf, id, k.cfg.Keys)
 	*to = k.keyBuf[from:len(k.keyBuf):len(k.keyBuf)]
 	return true
 }
@@ -311,7 +311,7 @@
 	k.r.m.OnDisk(func(d machine.Disk) {
 		for i := range state.Caches { // not in the loop: it takes longer than all else
 			c := &state.Caches[i]
-			c.Keeps = decide.SortKeys(c.Keeps, keys)
+			c.CachedKeys = decide.SortKeys(c.CachedKeys, keys)
 		}
 		if !k.store.Locked() {
 			if _, _, notes, err = k.store.Open(d, now, oldest); err != nil {
