--- a/internal/router/state_test.go
+++ b/internal/router/state_test.go
@@ -72,22 +72,22 @@
 // teach has the module learn that a cache is bad.
 func (c *cell) teach(id string) {
 	c.Helper()
-	was, ok := c.r.decider.LearnedOf(id)
+	was, ok := c.r.decider.EndpointSnapshot(id)
 	if !ok {
 		c.Fatal("no cache ", id)
 	}
-	was.Limit, was.Late, was.Erring, was.Healthy, was.Fails, was.Prompt = .25, .5, .5, false, 2, false
-	was.Keeps = []uint64{1, 2, 3}
+	was.ConcurrencyLimit, was.LateRatio, was.ErrorRatio, was.Healthy, was.FailedHealthChecks, was.Responsive = .25, .5, .5, false, 2, false
+	was.CachedKeys = []uint64{1, 2, 3}
 	l := nothingOfAll()
-	l.Lost = .25
+	l.LostRatio = .25
 	l.Caches = append(l.Caches, was)
-	c.r.decider.Learn(l)
+	c.r.decider.Restore(l)
 }
 
 // bad reports whether a cache is known to be.
 func (c *cell) bad(id string) bool {
-	was, ok := c.r.decider.LearnedOf(id)
-	return ok && was.Limit < .5 && !was.Healthy && !was.Prompt && was.Late > .4 && len(decide.SortKeys(c.r.decider.LearnedKeys(nil, id, 9), 9)) == 3
+	was, ok := c.r.decider.EndpointSnapshot(id)
+	return ok && was.ConcurrencyLimit < .5 && !was.Healthy && !was.Responsive && was.LateRatio > .4 && len(decide.SortKeys(c.r.decider.AppendCachedKeys(nil, id, 9), 9)) == 3
 }
 
 // logged counts the lines that hold a text.
@@ -130,7 +130,7 @@
 	if !c.r.Serving() || !c.bad("c1") || c.bad("c0") {
 		t.Errorf("serving %v, c1 %v, c0 %v\n%s", c.r.Serving(), c.bad("c1"), c.bad("c0"), strings.Join(c.lines, "\n"))
 	}
-	if lost := c.r.decider.LearnedOfAll().Lost; lost < .2 {
+	if lost := c.r.decider.SharedSnapshot().LostRatio; lost < .2 {
 		t.Errorf("share of lost attempts %v", lost)
 	}
 	c.want("state: taken over, 3 caches, as of ", 1)
@@ -142,7 +142,7 @@
 	c.cfg.Known = parse(t, hosts(1, true, cellHosts(0, int((sim.Start)/1000)+1000, 0)...))
 	c.start()
 	c.run(10 * time.Millisecond)
-	if was, _ := c.r.decider.LearnedOf("c1"); was.Limit < 1 || !was.Healthy || len(decide.SortKeys(c.r.decider.LearnedKeys(nil, "c1", 9), 9)) > 0 {
+	if was, _ := c.r.decider.EndpointSnapshot("c1"); was.ConcurrencyLimit < 1 || !was.Healthy || len(decide.SortKeys(c.r.decider.AppendCachedKeys(nil, "c1", 9), 9)) > 0 {
 		t.Errorf("the new process is held for the old one: %+v", was)
 	}
 }
@@ -174,7 +174,7 @@
 	c.run(time.Minute)
 	c.start()
 	c.run(10 * time.Millisecond)
-	if was, _ := c.r.decider.LearnedOf("c1"); !was.Healthy || was.Limit < 2 {
+	if was, _ := c.r.decider.EndpointSnapshot("c1"); !was.Healthy || was.ConcurrencyLimit < 2 {
 		t.Errorf("after a minute: %+v", was)
 	}
 	c.h.Kill()
@@ -187,10 +187,10 @@
 // TestMarksOfProbesAreNotTakenOverWhereNothingProbes: nothing would ever take them away.
 func TestMarksOfProbesAreNotTakenOverWhereNothingProbes(t *testing.T) {
 	c := taughtCell(t, 0, long0, 0)
-	c.cfg.Settings.Probes = false
+	c.cfg.Settings.AllowHealthChecks = false
 	c.start()
 	c.run(10 * time.Millisecond)
-	if was, _ := c.r.decider.LearnedOf("c1"); !was.Healthy || was.Limit > .5 {
+	if was, _ := c.r.decider.EndpointSnapshot("c1"); !was.Healthy || was.ConcurrencyLimit > .5 {
 		t.Errorf("got %+v", was)
 	}
 }
@@ -210,7 +210,7 @@
 	}
 	c.run(5 * time.Second)
 	c.want("has not answered in time", 1)
-	if was, _ := c.r.decider.LearnedOf("c1"); was.Limit > .9 {
+	if was, _ := c.r.decider.EndpointSnapshot("c1"); was.ConcurrencyLimit > .9 {
 		t.Errorf("got %+v", was)
 	}
 	c.run(30 * time.Second)
@@ -308,7 +308,7 @@
 	c.cfg.State.Folder = "/other"
 	c.start()
 	c.run(10 * time.Millisecond)
-	if was, _ := c.r.decider.LearnedOf("c1"); was.Limit > 2 {
+	if was, _ := c.r.decider.EndpointSnapshot("c1"); was.ConcurrencyLimit > 2 {
 		t.Errorf("what it knew has not moved: %+v", was)
 	}
 }
@@ -362,7 +362,7 @@
 	for _, cache := range k.next.Caches {
 		got = append(got, cache.ID)
 	}
-	for _, cache := range c.r.decider.Learned(0).Caches {
+	for _, cache := range c.r.decider.Snapshot(0).Caches {
 		want = append(want, cache.ID)
 	}
 	k.next = nil
@@ -379,18 +379,18 @@
 	c.run(100 * time.Millisecond)
 	l := nothingOfAll()
 	for i := range 10 {
-		was, _ := c.r.decider.LearnedOf(fmt.Sprint("c", i))
+		was, _ := c.r.decider.EndpointSnapshot(fmt.Sprint("c", i))
 		for key := range uint64(stateScan / 4) {
-			was.Keeps = append(was.Keeps, key+1)
+			was.CachedKeys = append(was.CachedKeys, key+1)
 		}
 		l.Caches = append(l.Caches, was)
 	}
-	c.r.decider.Learn(l)
+	c.r.decider.Restore(l)
 	c.run(4500 * time.Millisecond) // four writes, of three caches' keys each
 	c.start()
 	c.run(10 * time.Millisecond)
 	for i := range 10 {
-		if n := len(c.r.decider.LearnedKeys(nil, fmt.Sprint("c", i), 1000)); n == 0 {
+		if n := len(c.r.decider.AppendCachedKeys(nil, fmt.Sprint("c", i), 1000)); n == 0 {
 			t.Errorf("no keys of c%d are kept", i)
 		}
 	}
@@ -419,24 +419,24 @@
 
 // benchKeeper is that of a router with so many caches that keep 100 keys each.
 func benchKeeper(b *testing.B, caches int) *keeper {
-	module, err := decide.New(decide.Settings{Routers: 3, MaxAttempts: 3, Classes: []decide.Class{{Name: "read", Aim: 1e6}}}, 1)
+	module, err := decide.New(decide.Settings{Routers: 3, MaxAttempts: 3, Classes: []decide.Class{{Name: "read", LatencyObjective: 1e6}}}, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	r := &Router{m: sim.New(1).Host("r", "10.0.0.1", sim.HostOptions{}).Machine(), cfg: &Config{}, decider: module,
 		caches: map[string]*hop{}}
-	list, l := &decide.List{Kind: decide.ListFull}, nothingOfAll()
+	list, l := &decide.EndpointList{Kind: decide.FullUpdate}, nothingOfAll()
 	for i := range caches {
-		e := decide.Entry{ID: fmt.Sprintf("s-%08x", i), Zone: "a", Size: 1}
-		list.Entries = append(list.Entries, e)
+		e := decide.Endpoint{ID: fmt.Sprintf("s-%08x", i), Zone: "a", Weight: 1}
+		list.Endpoints = append(list.Endpoints, e)
 		r.caches[e.ID] = &hop{entry: e}
-		was := decide.LearnedCache{ID: e.ID, Limit: 4, Healthy: true}
+		was := decide.EndpointSnapshot{ID: e.ID, ConcurrencyLimit: 4, Healthy: true}
 		for key := range uint64(100) {
-			was.Keeps = append(was.Keeps, (key+1)*0x9e3779b97f4a7c15+uint64(i))
+			was.CachedKeys = append(was.CachedKeys, (key+1)*0x9e3779b97f4a7c15+uint64(i))
 		}
 		l.Caches = append(l.Caches, was)
 	}
 	module.Handle(1, list)
-	module.Learn(l)
+	module.Restore(l)
 	return &keeper{r: r, cfg: snapshotstore.Default()}
 }
--- a/internal/router/storm.go
+++ b/internal/router/storm.go
@@ -28,7 +28,7 @@
 	}
 	w := &stormWatch{storm: retrystorm.New(cfg.Storm), kinds: map[string]kind{}, told: retrystorm.Bounds{Retries: 1}}
 	for _, c := range cfg.Settings.Classes {
-		w.kinds[c.Name] = kind{frontend.KeyHash([]byte(c.Name)), c.Limit}
+		w.kinds[c.Name] = kind{frontend.KeyHash([]byte(c.Name)), c.ClientTimeout}
 	}
 	return w
 }
@@ -41,7 +41,7 @@
 
 // spreadWait is a time to stay away that differs from one request to the next.
 func (r *Router) spreadWait(id string) Time {
-	most := r.cfg.Settings.RefuseWait
+	most := r.cfg.Settings.MaxRetryAfter
 	return most/2 + Time(frontend.KeyHash([]byte(id))%1024)*(most-most/2)/1024
 }
 
@@ -64,7 +64,7 @@
 	switch result {
 	case decide.Served, decide.Errored, decide.Rejected:
 		r.storm.storm.Attempt(true)
-	case decide.NoConnection:
+	case decide.ConnectFailed:
 		r.storm.storm.Attempt(false)
 	}
 }
@@ -81,7 +81,7 @@
 	if b := w.storm.Bounds(); b != w.told {
 		w.told = b
 		r.pool.Gentle(b.Away && r.cfg.Storm.GentleDials)
-		r.backlog = append(r.backlog, &decide.Pressure{On: b.On, Away: b.Away, Retries: b.Retries, Wait: b.Wait})
+		r.backlog = append(r.backlog, &decide.RetryStorm{Active: b.On, Outage: b.Away, RetryBudgetFraction: b.Retries, RetryAfterJitter: b.Wait})
 		r.Settle()
 	}
 	r.ticking = r.m.At(r.m.Now()+retrystorm.Step, r.tick)
--- a/internal/router/storm_test.go
+++ b/internal/router/storm_test.go
@@ -16,21 +16,21 @@
 	one := dial(t, r.addr)
 	one.Send(second("try1"))
 	q := receive(t, r.requests, "request at the module")
-	if q.Since != 0 {
-		t.Errorf("a first try is told as asked since %d", q.Since)
+	if q.FirstRequestedAt != 0 {
+		t.Errorf("a first try is told as asked since %d", q.FirstRequestedAt)
 	}
-	r.perform(decide.Refuse{ID: q.ID})
+	r.perform(decide.Reject{ID: q.ID})
 	one.Want("-BUSY")
 	one.Send(second("try2"))
 	again := receive(t, r.requests, "request at the module")
-	if again.Since == 0 || again.Since > again.Deadline-20_000_000 {
-		t.Errorf("the retry is told as asked since %d, with a deadline of %d", again.Since, again.Deadline)
+	if again.FirstRequestedAt == 0 || again.FirstRequestedAt > again.Deadline-20_000_000 {
+		t.Errorf("the retry is told as asked since %d, with a deadline of %d", again.FirstRequestedAt, again.Deadline)
 	}
 	r.perform(decide.Fail{ID: again.ID})
 	one.Want("-ERR failed")
 	one.Send(second("try3"))
-	if third := receive(t, r.requests, "request at the module"); third.Since != again.Since {
-		t.Errorf("the third try is told as asked since %d, the second since %d", third.Since, again.Since)
+	if third := receive(t, r.requests, "request at the module"); third.FirstRequestedAt != again.FirstRequestedAt {
+		t.Errorf("the third try is told as asked since %d, the second since %d", third.FirstRequestedAt, again.FirstRequestedAt)
 	}
 }
 
@@ -49,8 +49,8 @@
 		r.Until("the end of the client", func() bool { return r.r.front.Clients() == 0 })
 		again := dial(t, r.addr)
 		again.Send(second("try2"))
-		if q := receive(t, r.requests, "request at the module"); (q.Since == 0) != breaks {
-			t.Errorf("a reset %v: what comes back is told as asked since %d", breaks, q.Since)
+		if q := receive(t, r.requests, "request at the module"); (q.FirstRequestedAt == 0) != breaks {
+			t.Errorf("a reset %v: what comes back is told as asked since %d", breaks, q.FirstRequestedAt)
 		}
 	}
 }
@@ -59,11 +59,11 @@
 	r := newRig(t, newFakeCache(t).Addr(), func(c *Config) { c.Storm.Enabled = false })
 	c := dial(t, r.addr)
 	c.Send(second("try1"))
-	r.perform(decide.Refuse{ID: receive(t, r.requests, "request at the module").ID})
+	r.perform(decide.Reject{ID: receive(t, r.requests, "request at the module").ID})
 	c.Want("-BUSY")
 	c.Send(second("try2"))
-	if q := receive(t, r.requests, "request at the module"); q.Since != 0 {
-		t.Errorf("the retry is told as asked since %d", q.Since)
+	if q := receive(t, r.requests, "request at the module"); q.FirstRequestedAt != 0 {
+		t.Errorf("the retry is told as asked since %d", q.FirstRequestedAt)
 	}
 }
 
@@ -74,21 +74,21 @@
 func BenchmarkServed(b *testing.B) { benchmarkAsk(b, false) }
 
 func benchmarkAsk(b *testing.B, refused bool) {
-	set := decide.Settings{Routers: 3, MaxAttempts: 3, Cancels: true, RefuseWait: 1_500_000, ColdTime: 20_000_000,
-		Classes: []decide.Class{{Name: "read", Effect: decide.Safe, Aim: 500_000, Limit: 1_200_000, Worth: 2}}}
+	set := decide.Settings{Routers: 3, MaxAttempts: 3, AllowCancel: true, MaxRetryAfter: 1_500_000, SlowStartWindow: 20_000_000,
+		Classes: []decide.Class{{Name: "read", Semantics: decide.Idempotent, LatencyObjective: 500_000, ClientTimeout: 1_200_000, PriorityWeight: 2}}}
 	module, err := decide.New(set, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	list := &decide.List{Kind: decide.ListFull}
+	list := &decide.EndpointList{Kind: decide.FullUpdate}
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-		list.Entries = append(list.Entries, decide.Entry{ID: id, Size: 1})
+		list.Endpoints = append(list.Endpoints, decide.Endpoint{ID: id, Weight: 1})
 	}
 	now := Time(1e9)
 	module.Handle(now, list)
 	watch := retrystorm.New(retrystorm.Default())
 	if refused {
-		module.Handle(now, &decide.Pressure{On: true, Wait: 500_000})
+		module.Handle(now, &decide.RetryStorm{Active: true, RetryAfterJitter: 500_000})
 		// With all places taken, first tries are held and then turned away.
 		for id := range int64(1000) {
 			module.Handle(now, &decide.Request{ID: 1 + id, Class: "read", Key: uint64(id), HasKey: true, Deadline: now + 1_200_000})
@@ -107,7 +107,7 @@
 		told := watch.Asked(now, a)
 		q := &decide.Request{ID: 10_000 + int64(i), Class: "read", Key: key, HasKey: true, Deadline: now + 1_000_000}
 		if refused {
-			q.Since = now - 400_000
+			q.FirstRequestedAt = now - 400_000
 		} else {
 			now += 1000
 		}
@@ -117,7 +117,7 @@
 			case decide.Send:
 				sent++
 				answered = true
-			case decide.Refuse:
+			case decide.Reject:
 				answered = true
 				watch.Unserved(now, a, told, now)
 			}
@@ -126,7 +126,7 @@
 			b.Fatal("neither sent nor refused")
 		}
 		if !refused {
-			module.Handle(now+500, &decide.Outcome{ID: q.ID, Result: decide.Served, Last: true, Elapsed: 500})
+			module.Handle(now+500, &decide.AttemptResult{ID: q.ID, Result: decide.Served, Last: true, Elapsed: 500})
 		}
 	}
 	if refused && sent > 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,10 +53,10 @@
 	} `json:"penalties"`
 }
 
-var effects = map[string]decide.Effect{"read_like": decide.Safe, "idempotency_key": decide.Keyed,
-	"non_idempotent": decide.Unsafe}
+var effects = map[string]decide.Semantics{"read_like": decide.Idempotent, "idempotency_key": decide.IdempotentByKey,
+	"non_idempotent": decide.NonIdempotent}
 
-var groups = map[string]decide.Scope{"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell}
+var groups = map[string]decide.DeduplicationScope{"all": decide.DeduplicatedEverywhere, "zone": decide.DeduplicatedInZone, "cell": decide.DeduplicatedInCell}
 
 // Transport holds the settings that bind whoever carries out the decisions.
 // The simulator does that by itself; a real router has to. 0 stands for a
@@ -79,22 +79,22 @@
 		return decide.Settings{}, Transport{}, fmt.Errorf("settings: %w", Plain(err))
 	}
 	s := decide.Settings{
-		Routers: in.Instances, Zone: in.Zone, MustWatch: in.Discovery == "subscribe", LiveSizes: in.Weights == "live",
-		MaxAttempts: 1, Copies: in.Limits.Copies, Cancels: in.Limits.Cancel, Probes: in.Limits.Probes,
-		DrainGrace: in.Rules.DrainGrace,
-		ColdTime:   in.Rules.Cold, ColdShare: in.Rules.StartShare,
-		TipTime: in.Rules.Fall, AskEvery: in.Rules.AskEvery, ProbePrice: in.Penalties.Probe,
-		ConnPrice: in.Penalties.Conn, DialPrice: in.Penalties.Handshake,
+		Routers: in.Instances, Zone: in.Zone, WatchRequired: in.Discovery == "subscribe", WeightsFollowLoad: in.Weights == "live",
+		MaxAttempts: 1, AllowHedging: in.Limits.Copies, AllowCancel: in.Limits.Cancel, AllowHealthChecks: in.Limits.Probes,
+		DrainGrace:      in.Rules.DrainGrace,
+		SlowStartWindow: in.Rules.Cold, SlowStartMinCapacity: in.Rules.StartShare,
+		OverloadWindow: in.Rules.Fall, PollInterval: in.Rules.AskEvery, HealthCheckCost: in.Penalties.Probe,
+		ConnectionCost: in.Penalties.Conn, DialCost: in.Penalties.Handshake,
 	}
 	if in.Limits.MaxAttempts != nil {
 		s.MaxAttempts = *in.Limits.MaxAttempts
 	}
 	if in.Limits.RetryAfter {
-		s.RefuseWait = in.Limits.MaxWait
+		s.MaxRetryAfter = in.Limits.MaxWait
 	}
 	for _, c := range in.Categories {
-		s.Classes = append(s.Classes, decide.Class{Name: c.Name, Effect: effects[c.Effect], Scope: groups[c.Scope],
-			KeyTTL: c.KeyTTL, Aim: c.Aim, Limit: c.Limit, Worth: c.Worth, LateWorth: c.LateWorth})
+		s.Classes = append(s.Classes, decide.Class{Name: c.Name, Semantics: effects[c.Effect], DeduplicationScope: groups[c.Scope],
+			IdempotencyWindow: c.KeyTTL, LatencyObjective: c.Aim, ClientTimeout: c.Limit, PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth})
 	}
 	return s, Transport{MaxOpen: in.Limits.MaxOpen, DialTimeout: in.Limits.DialTimeout,
 		Keepalive: in.Limits.Keepalive, PeerMessages: in.Limits.Peers}, nil
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -18,13 +18,13 @@
 // Host runs the routers of one process. They share nothing but the process.
 type Host struct {
 	routers map[int64]*decide.Router
-	rosters map[int64][]decide.Entry
+	rosters map[int64][]decide.Endpoint
 	line    int
 }
 
 // NewHost returns a Host without routers.
 func NewHost() *Host {
-	return &Host{routers: map[int64]*decide.Router{}, rosters: map[int64][]decide.Entry{}}
+	return &Host{routers: map[int64]*decide.Router{}, rosters: map[int64][]decide.Endpoint{}}
 }
 
 // Run answers each line of in with one line on out, until in ends. The error of
@@ -85,7 +85,7 @@
 			return nil, fmt.Errorf("message %d: %w", k, err)
 		}
 		for _, a := range acts {
-			if _, ok := a.(decide.DropTimer); ok {
+			if _, ok := a.(decide.CancelTimer); ok {
 				continue // the wire has no word for it: what fires all the same does nothing
 			}
 			if !first {
@@ -212,9 +212,9 @@
 		if !ok {
 			return nil, fmt.Errorf("%s: scope: unknown value %q", name, m.Scope)
 		}
-		ev := &decide.List{Kind: kind}
-		if kind != decide.ListFailed {
-			if ev.Entries, ok = h.rosters[m.Roster]; !ok {
+		ev := &decide.EndpointList{Kind: kind}
+		if kind != decide.FailedUpdate {
+			if ev.Endpoints, ok = h.rosters[m.Roster]; !ok {
 				return nil, fmt.Errorf("%s: rosterId: list %d was never defined", name, m.Roster)
 			}
 		}
@@ -227,16 +227,16 @@
 		}
 		return ev, nil
 	case "UnderWay":
-		return &decide.Started{ID: m.ID, Attempt: m.Attempt}, nil
+		return &decide.ResponseStarted{ID: m.ID, Attempt: m.Attempt}, nil
 	case "AttemptEnd":
 		res, err := result(m)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		return &decide.Outcome{ID: m.ID, Attempt: m.Attempt, Result: res, Elapsed: m.Elapsed,
+		return &decide.AttemptResult{ID: m.ID, Attempt: m.Attempt, Result: res, Elapsed: m.Elapsed,
 			Last: m.Last, Miss: note(m.Info) >= 2, Load: load(m)}, nil
 	case "Left":
-		return &decide.Departed{ID: m.ID}, nil
+		return &decide.ClientGone{ID: m.ID}, nil
 	case "Fired":
 		return &decide.Timer{Token: m.Cookie}, nil
 	case "Checked":
@@ -244,19 +244,19 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		return &decide.Probed{Cache: m.Server, Result: res, Elapsed: m.Elapsed, Load: load(m)}, nil
+		return &decide.HealthCheckResult{Cache: m.Server, Result: res, Elapsed: m.Elapsed, Load: load(m)}, nil
 	case "Datagram":
 		return &decide.PeerMessage{From: m.OriginPeer, Data: m.Data}, nil
 	}
 	return nil, fmt.Errorf("unknown message %q", name)
 }
 
-var scopes = map[string]decide.ListKind{"D": decide.ListChanges, "F": decide.ListFull, "C": decide.ListStale,
-	"X": decide.ListFailed}
+var scopes = map[string]decide.UpdateKind{"D": decide.DeltaUpdate, "F": decide.FullUpdate, "C": decide.StaleUpdate,
+	"X": decide.FailedUpdate}
 
 var results = map[string]decide.Result{"served": decide.Served, "server_error": decide.Errored,
-	"turned_away": decide.Rejected, "no_answer": decide.NoAnswer, "no_connection": decide.NoConnection,
-	"connection_lost": decide.ConnLost, "called_off": decide.Cancelled, "not_sent": decide.NotSent,
+	"turned_away": decide.Rejected, "no_answer": decide.TimedOut, "no_connection": decide.ConnectFailed,
+	"connection_lost": decide.ConnectionLost, "called_off": decide.Cancelled, "not_sent": decide.NotSent,
 	"not_stored": decide.NotStored}
 
 func result(m *event) (decide.Result, error) {
@@ -275,15 +275,15 @@
 	return n
 }
 
-func load(m *event) decide.Load {
-	l := decide.Load{Busy: -1, Errors: m.Feedback["fail_rate"]}
+func load(m *event) decide.LoadReport {
+	l := decide.LoadReport{Utilization: -1, ErrorRate: m.Feedback["fail_rate"]}
 	if b, ok := m.Feedback["busy"]; ok {
-		l.Busy = b
+		l.Utilization = b
 	}
 	return l
 }
 
-var conditions = map[string]decide.Condition{"up": decide.Up, "draining": decide.Draining, "removed": decide.Removed}
+var conditions = map[string]decide.Status{"up": decide.Serving, "draining": decide.Draining, "removed": decide.Removed}
 
 func (h *Host) defineList(body []byte) error {
 	var d struct {
@@ -303,15 +303,15 @@
 	if d.Roster == nil {
 		return errors.New("DefineList: no rosterId")
 	}
-	entries := make([]decide.Entry, 0, len(d.Hosts))
+	entries := make([]decide.Endpoint, 0, len(d.Hosts))
 	for _, s := range d.Hosts {
 		cond, ok := conditions[s.Condition]
 		if !ok || s.Server == "" {
 			return fmt.Errorf("DefineList: bad entry %q with condition %q", s.Server, s.Condition)
 		}
-		e := decide.Entry{ID: s.Server, Zone: s.Zone, Cell: s.Cell, Size: 1, Start: s.Start, Condition: cond}
+		e := decide.Endpoint{ID: s.Server, Zone: s.Zone, Cell: s.Cell, Weight: 1, StartedAt: s.Start, Status: cond}
 		if s.Size != nil {
-			e.Size = *s.Size
+			e.Weight = *s.Size
 		}
 		entries = append(entries, e)
 	}
@@ -338,18 +338,18 @@
 		open("CallOut")
 		num("tid", a.ID)
 		text("server", a.Cache)
-		if a.StopAt != 0 {
-			num("stopAt", a.StopAt)
+		if a.AttemptDeadline != 0 {
+			num("stopAt", a.AttemptDeadline)
 		}
 	case decide.Cancel:
 		open("StopAttempt")
 		num("tid", a.ID)
 		num("sendNo", int64(a.Attempt))
-	case decide.Refuse:
+	case decide.Reject:
 		open("Bounce")
 		num("tid", a.ID)
-		if a.Wait > 0 {
-			num("notBeforeFor", a.Wait)
+		if a.RetryAfter > 0 {
+			num("notBeforeFor", a.RetryAfter)
 		}
 	case decide.Fail:
 		open("Lose")
@@ -358,7 +358,7 @@
 		open("Arm")
 		num("cookie", a.Token)
 		num("time", a.At)
-	case decide.Probe:
+	case decide.HealthCheck:
 		open("Sample")
 		text("server", a.Cache)
 	case decide.CloseIdle:
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -40,21 +40,21 @@
 func Encode(s State) []Section {
 	var b []byte
 	b = putTime(b, s.At)
-	for _, v := range [...]float64{s.Router.Fetches, s.Router.Missing, s.Router.Budget, s.Router.Erring, s.Router.Lost} {
+	for _, v := range [...]float64{s.Router.OriginLimit, s.Router.OriginMissRatio, s.Router.RetryBudget, s.Router.ErrorRatio, s.Router.LostRatio} {
 		b = putFigure(b, v)
 	}
 	return []Section{{KindRouter, b}, {KindZones, encodeZones(s.Router.Zones)}, {KindCaches, encodeCaches(s.Caches)},
 		{KindKeys, encodeKeys(s.Caches)}}
 }
 
-func encodeZones(zones []decide.LearnedZone) []byte {
+func encodeZones(zones []decide.ZoneSnapshot) []byte {
 	b := make([]byte, 4)
 	n := uint32(0)
 	for _, z := range zones {
-		if z.Fails > 0 && len(z.Name) <= MostID && n < MostZones {
+		if z.FailedConnections > 0 && len(z.Name) <= MostID && n < MostZones {
 			n++
 			b = putText(b, z.Name)
-			b = append(b, byte(min(z.Fails, 255)))
+			b = append(b, byte(min(z.FailedConnections, 255)))
 		}
 	}
 	binary.BigEndian.PutUint32(b, n)
@@ -70,19 +70,19 @@
 		}
 		n++
 		b = putText(b, c.ID)
-		b = putTime(b, c.Start)
+		b = putTime(b, c.StartedAt)
 		b = putTime(b, c.At)
-		b = putFigure(b, c.Limit)
-		b = putFigure(b, c.Late)
-		b = putFigure(b, c.Erring)
+		b = putFigure(b, c.ConcurrencyLimit)
+		b = putFigure(b, c.LateRatio)
+		b = putFigure(b, c.ErrorRatio)
 		flags := byte(0)
 		if c.Healthy {
 			flags |= flagHealthy
 		}
-		if c.Prompt {
+		if c.Responsive {
 			flags |= flagPrompt
 		}
-		b = append(b, flags, byte(min(max(c.Fails, 0), 255)))
+		b = append(b, flags, byte(min(max(c.FailedHealthChecks, 0), 255)))
 	}
 	binary.BigEndian.PutUint32(b, n)
 	return b
@@ -97,14 +97,14 @@
 			continue
 		}
 		place++
-		if len(c.Keeps) == 0 {
+		if len(c.CachedKeys) == 0 {
 			continue
 		}
 		n++
 		b = binary.BigEndian.AppendUint32(b, place-1)
 		b = putTime(b, c.KeysAt)
-		b = binary.BigEndian.AppendUint32(b, uint32(len(c.Keeps)))
-		for _, key := range c.Keeps {
+		b = binary.BigEndian.AppendUint32(b, uint32(len(c.CachedKeys)))
+		for _, key := range c.CachedKeys {
 			b = binary.BigEndian.AppendUint64(b, key)
 		}
 	}
@@ -136,8 +136,8 @@
 		switch sec.Kind {
 		case KindRouter:
 			s.At = r.time()
-			for _, to := range [...]*float64{&s.Router.Fetches, &s.Router.Missing, &s.Router.Budget, &s.Router.Erring,
-				&s.Router.Lost} {
+			for _, to := range [...]*float64{&s.Router.OriginLimit, &s.Router.OriginMissRatio, &s.Router.RetryBudget, &s.Router.ErrorRatio,
+				&s.Router.LostRatio} {
 				*to = r.figure()
 			}
 		case KindZones:
@@ -251,11 +251,11 @@
 	return int(n)
 }
 
-func (r *reader) zones() []decide.LearnedZone {
+func (r *reader) zones() []decide.ZoneSnapshot {
 	n := r.count(3, MostZones)
-	var all []decide.LearnedZone
+	var all []decide.ZoneSnapshot
 	for i := range n {
-		z := decide.LearnedZone{Name: r.text(), Fails: int(r.byte())}
+		z := decide.ZoneSnapshot{Name: r.text(), FailedConnections: int(r.byte())}
 		if i > 0 && z.Name <= all[i-1].Name {
 			r.fail(errOrder)
 		}
@@ -273,11 +273,11 @@
 	for i := range n {
 		var c Cache
 		c.ID = r.text()
-		c.Start, c.At = r.time(), r.time()
-		c.Limit, c.Late, c.Erring = r.figure(), r.figure(), r.figure()
+		c.StartedAt, c.At = r.time(), r.time()
+		c.ConcurrencyLimit, c.LateRatio, c.ErrorRatio = r.figure(), r.figure(), r.figure()
 		flags := r.byte()
-		c.Healthy, c.Prompt = flags&flagHealthy != 0, flags&flagPrompt != 0
-		c.Fails = int(r.byte())
+		c.Healthy, c.Responsive = flags&flagHealthy != 0, flags&flagPrompt != 0
+		c.FailedHealthChecks = int(r.byte())
 		if i > 0 && c.ID <= all[i-1].ID {
 			r.fail(errOrder)
 		}
@@ -303,10 +303,10 @@
 		}
 		c := &caches[place]
 		next = place + 1
-		c.KeysAt, c.Keeps = at, make([]uint64, many)
-		for i := range c.Keeps {
-			c.Keeps[i] = r.long()
-			if i > 0 && c.Keeps[i] <= c.Keeps[i-1] {
+		c.KeysAt, c.CachedKeys = at, make([]uint64, many)
+		for i := range c.CachedKeys {
+			c.CachedKeys[i] = r.long()
+			if i > 0 && c.CachedKeys[i] <= c.CachedKeys[i-1] {
 				r.fail(errOrder)
 				return
 			}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -18,14 +18,14 @@
 
 // State is all that was learned.
 type State struct {
-	At     Time           // of the figures and the zones
-	Router decide.Learned // of which Caches is not used
-	Caches []Cache        // by id, one each
+	At     Time            // of the figures and the zones
+	Router decide.Snapshot // of which Caches is not used
+	Caches []Cache         // by id, one each
 }
 
 // Cache is what is known of one cache's process. Its Start is the one that the list told, by the system's clock.
 type Cache struct {
-	decide.LearnedCache
+	decide.EndpointSnapshot
 	At     Time // of all but the keys
 	KeysAt Time // of the keys
 }
@@ -58,28 +58,28 @@
 func marked(w float64) bool { return w >= .5 }
 
 // Cache is what a cache's entry counts at an instant, beside what is usual. It reports false where the entry is older than oldest.
-func (h HalfLives) Cache(c Cache, usual decide.LearnedCache, now, oldest Time) (decide.LearnedCache, bool) {
+func (h HalfLives) Cache(c Cache, usual decide.EndpointSnapshot, now, oldest Time) (decide.EndpointSnapshot, bool) {
 	age := now - c.At
 	if age > oldest {
 		return usual, false
 	}
-	out := decide.LearnedCache{ID: c.ID, Start: c.Start, Healthy: usual.Healthy, Prompt: usual.Prompt}
+	out := decide.EndpointSnapshot{ID: c.ID, StartedAt: c.StartedAt, Healthy: usual.Healthy, Responsive: usual.Responsive}
 	// A limit is a multiple of what is usual, and fades as one.
-	out.Limit = usual.Limit
-	if c.Limit > 0 && usual.Limit > 0 {
-		out.Limit = usual.Limit * math.Pow(c.Limit/usual.Limit, weight(age, h.Limit))
+	out.ConcurrencyLimit = usual.ConcurrencyLimit
+	if c.ConcurrencyLimit > 0 && usual.ConcurrencyLimit > 0 {
+		out.ConcurrencyLimit = usual.ConcurrencyLimit * math.Pow(c.ConcurrencyLimit/usual.ConcurrencyLimit, weight(age, h.Limit))
 	}
 	late := weight(age, h.Late)
-	out.Late = fade(c.Late, usual.Late, late)
+	out.LateRatio = fade(c.LateRatio, usual.LateRatio, late)
 	if marked(late) {
-		out.Prompt = c.Prompt
+		out.Responsive = c.Responsive
 	}
-	out.Erring = fade(c.Erring, usual.Erring, weight(age, h.Erring))
+	out.ErrorRatio = fade(c.ErrorRatio, usual.ErrorRatio, weight(age, h.Erring))
 	if marked(weight(age, h.Health)) {
-		out.Healthy, out.Fails = c.Healthy, c.Fails
+		out.Healthy, out.FailedHealthChecks = c.Healthy, c.FailedHealthChecks
 	}
 	if age := now - c.KeysAt; age <= oldest {
-		out.Keeps = part(c.Keeps, weight(age, h.Keys))
+		out.CachedKeys = part(c.CachedKeys, weight(age, h.Keys))
 	}
 	return out, true
 }
@@ -99,18 +99,18 @@
 }
 
 // All is what the figures and zones count at an instant, beside what is usual. It reports false beyond oldest.
-func (h HalfLives) All(s State, usual decide.Learned, now, oldest Time) (decide.Learned, bool) {
+func (h HalfLives) All(s State, usual decide.Snapshot, now, oldest Time) (decide.Snapshot, bool) {
 	age := now - s.At
 	if age > oldest {
 		return usual, false
 	}
 	origin, retry := weight(age, h.Origin), weight(age, h.Retry)
-	out := decide.Learned{
-		Fetches: fade(s.Router.Fetches, usual.Fetches, origin),
-		Missing: fade(s.Router.Missing, usual.Missing, origin),
-		Budget:  fade(s.Router.Budget, usual.Budget, retry),
-		Lost:    fade(s.Router.Lost, usual.Lost, retry),
-		Erring:  fade(s.Router.Erring, usual.Erring, weight(age, h.Erring)),
+	out := decide.Snapshot{
+		OriginLimit:     fade(s.Router.OriginLimit, usual.OriginLimit, origin),
+		OriginMissRatio: fade(s.Router.OriginMissRatio, usual.OriginMissRatio, origin),
+		RetryBudget:     fade(s.Router.RetryBudget, usual.RetryBudget, retry),
+		LostRatio:       fade(s.Router.LostRatio, usual.LostRatio, retry),
+		ErrorRatio:      fade(s.Router.ErrorRatio, usual.ErrorRatio, weight(age, h.Erring)),
 	}
 	if marked(weight(age, h.Zones)) {
 		out.Zones = s.Router.Zones
@@ -141,8 +141,8 @@
 	all := make([]Cache, 0, len(fresh.Caches)+len(kept))
 	for _, c := range fresh.Caches {
 		// Keys that were not looked at this time are as they were.
-		if b := before[c.ID]; c.KeysAt == 0 && b != nil && b.Start == c.Start && fresh.At-b.KeysAt <= oldest {
-			c.Keeps, c.KeysAt = b.Keeps, b.KeysAt
+		if b := before[c.ID]; c.KeysAt == 0 && b != nil && b.StartedAt == c.StartedAt && fresh.At-b.KeysAt <= oldest {
+			c.CachedKeys, c.KeysAt = b.CachedKeys, b.KeysAt
 		}
 		all = append(all, c)
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -13,11 +13,11 @@
 var halves = HalfLives{Limit: 10 * second, Late: 10 * second, Erring: 4 * second, Health: 10 * second, Keys: 20 * second,
 	Zones: 5 * second, Origin: 20 * second, Retry: 10 * second}
 
-var usual = decide.LearnedCache{ID: "c", Limit: 4, Healthy: true, Prompt: true}
+var usual = decide.EndpointSnapshot{ID: "c", ConcurrencyLimit: 4, Healthy: true, Responsive: true}
 
 func bad() Cache {
-	return Cache{At: 0, KeysAt: 0, LearnedCache: decide.LearnedCache{ID: "c", Limit: .25, Late: .8, Erring: .6, Fails: 2,
-		Keeps: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}}}
+	return Cache{At: 0, KeysAt: 0, EndpointSnapshot: decide.EndpointSnapshot{ID: "c", ConcurrencyLimit: .25, LateRatio: .8, ErrorRatio: .6, FailedHealthChecks: 2,
+		CachedKeys: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}}}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
@@ -25,17 +25,17 @@
 // TestFiguresFadeTowardsWhatIsUsual by a half-life of their own.
 func TestFiguresFadeTowardsWhatIsUsual(t *testing.T) {
 	c, ok := halves.Cache(bad(), usual, 0, 100*second)
-	if want := bad().LearnedCache; !ok || !reflect.DeepEqual(c, want) {
+	if want := bad().EndpointSnapshot; !ok || !reflect.DeepEqual(c, want) {
 		t.Errorf("at once: %+v", c)
 	}
-	if c, _ = halves.Cache(bad(), usual, 10*second, 100*second); !near(c.Limit, 1) || !near(c.Late, .4) ||
-		!near(c.Erring, .6*math.Exp2(-2.5)) || c.Healthy || c.Fails != 2 || c.Prompt {
+	if c, _ = halves.Cache(bad(), usual, 10*second, 100*second); !near(c.ConcurrencyLimit, 1) || !near(c.LateRatio, .4) ||
+		!near(c.ErrorRatio, .6*math.Exp2(-2.5)) || c.Healthy || c.FailedHealthChecks != 2 || c.Responsive {
 		t.Errorf("after 10 s: %+v", c)
 	}
-	if c, _ = halves.Cache(bad(), usual, 11*second, 100*second); !c.Healthy || c.Fails != 0 || !c.Prompt {
+	if c, _ = halves.Cache(bad(), usual, 11*second, 100*second); !c.Healthy || c.FailedHealthChecks != 0 || !c.Responsive {
 		t.Errorf("a mark holds beyond its half-life: %+v", c)
 	}
-	if n := len(c.Keeps); n == 0 || n == 16 {
+	if n := len(c.CachedKeys); n == 0 || n == 16 {
 		t.Errorf("after 11 s %d keys of 16 are left", n)
 	}
 	if c, ok = halves.Cache(bad(), usual, 101*second, 100*second); ok || !reflect.DeepEqual(c, usual) {
@@ -52,12 +52,12 @@
 
 // TestFiguresOfAllFadeToo, and a zone's mark holds up to its half-life.
 func TestFiguresOfAllFadeToo(t *testing.T) {
-	s := State{Router: decide.Learned{Fetches: 2, Missing: .2, Budget: 0, Erring: .4, Lost: .4,
-		Zones: []decide.LearnedZone{{Name: "a", Fails: 3}}}}
-	all := decide.Learned{Fetches: 10, Missing: 1, Budget: 10}
+	s := State{Router: decide.Snapshot{OriginLimit: 2, OriginMissRatio: .2, RetryBudget: 0, ErrorRatio: .4, LostRatio: .4,
+		Zones: []decide.ZoneSnapshot{{Name: "a", FailedConnections: 3}}}}
+	all := decide.Snapshot{OriginLimit: 10, OriginMissRatio: 1, RetryBudget: 10}
 	got, ok := halves.All(s, all, 5*second, 100*second)
-	if w := math.Exp2(-.25); !ok || !near(got.Fetches, 10-8*w) || !near(got.Missing, 1-.8*w) || len(got.Zones) != 1 ||
-		!near(got.Lost, .4*math.Exp2(-.5)) || !near(got.Budget, 10-10*math.Exp2(-.5)) {
+	if w := math.Exp2(-.25); !ok || !near(got.OriginLimit, 10-8*w) || !near(got.OriginMissRatio, 1-.8*w) || len(got.Zones) != 1 ||
+		!near(got.LostRatio, .4*math.Exp2(-.5)) || !near(got.RetryBudget, 10-10*math.Exp2(-.5)) {
 		t.Errorf("after 5 s: %+v", got)
 	}
 	if got, _ = halves.All(s, all, 6*second, 100*second); len(got.Zones) != 0 {
@@ -69,7 +69,7 @@
 }
 
 func cacheAt(id string, at Time, keys ...uint64) Cache {
-	c := Cache{At: at, LearnedCache: decide.LearnedCache{ID: id, Keeps: keys}}
+	c := Cache{At: at, EndpointSnapshot: decide.EndpointSnapshot{ID: id, CachedKeys: keys}}
 	if len(keys) > 0 {
 		c.KeysAt = at
 	}
@@ -82,7 +82,7 @@
 	fresh := State{At: 100, Caches: []Cache{cacheAt("a", 100), cacheAt("f", 100, 2)}}
 	got := Merge(old, fresh, 60, 4)
 	a := cacheAt("a", 100)
-	a.Keeps, a.KeysAt = []uint64{1}, 50 // not looked at this time
+	a.CachedKeys, a.KeysAt = []uint64{1}, 50 // not looked at this time
 	want := State{At: 100, Caches: []Cache{a, cacheAt("b", 60), cacheAt("d", 70), cacheAt("f", 100, 2)}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
@@ -95,9 +95,9 @@
 // TestKeysOfAnOldProcessAreNotThoseOfANewOne.
 func TestKeysOfAnOldProcessAreNotThoseOfANewOne(t *testing.T) {
 	fresh := cacheAt("a", 100)
-	fresh.Start = 90
+	fresh.StartedAt = 90
 	got := Merge(State{Caches: []Cache{cacheAt("a", 50, 1)}}, State{At: 100, Caches: []Cache{fresh}}, 60, 9)
-	if len(got.Caches) != 1 || got.Caches[0].Keeps != nil {
+	if len(got.Caches) != 1 || got.Caches[0].CachedKeys != nil {
 		t.Errorf("got %+v", got.Caches)
 	}
 }
--- a/internal/snapshotstore/crash_test.go
+++ b/internal/snapshotstore/crash_test.go
@@ -152,7 +152,7 @@
 		d.restart()
 		got, ok := d.mustOpen(now0 + Time(n)*second)
 		if ok {
-			if at := int(got.Router.Fetches); at < last || !reflect.DeepEqual(got, stateOf(at)) {
+			if at := int(got.Router.OriginLimit); at < last || !reflect.DeepEqual(got, stateOf(at)) {
 				t.Fatalf("kill %d: found %+v, the last known to be written is %d", n, got, last)
 			} else {
 				last = at
--- a/internal/snapshotstore/harness_test.go
+++ b/internal/snapshotstore/harness_test.go
@@ -83,9 +83,9 @@
 // stateOf is a small state that its number tells from others.
 func stateOf(n int) snapshot.State {
 	at := now0 + Time(n)*second
-	s := snapshot.State{At: at, Router: decide.Learned{Fetches: float64(n), Missing: .5, Budget: 3, Erring: .1, Lost: .2}}
-	s.Caches = []snapshot.Cache{{At: at, KeysAt: at, LearnedCache: decide.LearnedCache{ID: "c", Start: 7, Limit: float64(n),
-		Healthy: true, Keeps: []uint64{uint64(n), uint64(n) + 1}}}}
+	s := snapshot.State{At: at, Router: decide.Snapshot{OriginLimit: float64(n), OriginMissRatio: .5, RetryBudget: 3, ErrorRatio: .1, LostRatio: .2}}
+	s.Caches = []snapshot.Cache{{At: at, KeysAt: at, EndpointSnapshot: decide.EndpointSnapshot{ID: "c", StartedAt: 7, ConcurrencyLimit: float64(n),
+		Healthy: true, CachedKeys: []uint64{uint64(n), uint64(n) + 1}}}}
 	return s
 }
 
@@ -94,9 +94,9 @@
 	s := snapshot.State{At: now0}
 	for i := range caches {
 		c := snapshot.Cache{At: now0, KeysAt: now0}
-		c.ID, c.Start, c.Limit, c.Healthy = fmt.Sprintf("s-%08x", i), now0-Time(i)*second, 4.5, true
+		c.ID, c.StartedAt, c.ConcurrencyLimit, c.Healthy = fmt.Sprintf("s-%08x", i), now0-Time(i)*second, 4.5, true
 		for k := range keys {
-			c.Keeps = append(c.Keeps, uint64(k+1)<<32+uint64(i))
+			c.CachedKeys = append(c.CachedKeys, uint64(k+1)<<32+uint64(i))
 		}
 		s.Caches = append(s.Caches, c)
 	}
--- a/internal/snapshotstore/snapshotstore_test.go
+++ b/internal/snapshotstore/snapshotstore_test.go
@@ -31,7 +31,7 @@
 		kept, _ := d.h.File(at(slots[i-1]))
 		d.h.RemoveFile(at(slots[i-1]))
 		d.restart()
-		if got, ok := d.mustOpen(stateOf(11).At); !ok || got.Router.Fetches < 9 {
+		if got, ok := d.mustOpen(stateOf(11).At); !ok || got.Router.OriginLimit < 9 {
 			t.Errorf("without %s: %v, %v", slots[i-1], ok, got.Router)
 		}
 		d.h.PutFile(at(slots[i-1]), kept)
--- a/internal/testbench/lab/baseline/baseline.go
+++ b/internal/testbench/lab/baseline/baseline.go
@@ -140,9 +140,9 @@
 		if r := n.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt].end(decide.Cancelled, nil, false)
 		}
-	case decide.Refuse:
+	case decide.Reject:
 		if r := n.requests[a.ID]; r != nil {
-			r.finish([]byte("-BUSY " + strconv.FormatInt(a.Wait/1000, 10) + "\r\n"))
+			r.finish([]byte("-BUSY " + strconv.FormatInt(a.RetryAfter/1000, 10) + "\r\n"))
 		}
 	case decide.Fail:
 		if r := n.requests[a.ID]; r != nil {
@@ -153,13 +153,13 @@
 			delete(n.timers, a.Token)
 			n.tell(&decide.Timer{Token: a.Token})
 		})
-	case decide.DropTimer:
+	case decide.CancelTimer:
 		if t := n.timers[a.Token]; t != nil {
 			t.Stop()
 			delete(n.timers, a.Token)
 		}
-	case decide.Probe:
-		n.backlog = append(n.backlog, &decide.Probed{Cache: a.Cache, Elapsed: 1000, Load: decide.Load{Busy: -1}})
+	case decide.HealthCheck:
+		n.backlog = append(n.backlog, &decide.HealthCheckResult{Cache: a.Cache, Elapsed: 1000, Load: decide.LoadReport{Utilization: -1}})
 	case decide.Log:
 		n.m.Log(a.Text)
 	}
@@ -170,7 +170,7 @@
 	if r == nil {
 		return
 	}
-	a := &attempt{request: r, number: len(r.attempts), sent: n.m.Now(), writeBy: s.WriteBy}
+	a := &attempt{request: r, number: len(r.attempts), sent: n.m.Now(), writeBy: s.WriteDeadline}
 	r.attempts = append(r.attempts, a)
 	r.out++
 	n.attempts++
@@ -179,11 +179,11 @@
 		a.end(decide.NotSent, nil, false)
 		return
 	}
-	stopAt := s.StopAt
+	stopAt := s.AttemptDeadline
 	if stopAt == 0 || stopAt > r.deadline {
 		stopAt = r.deadline
 	}
-	a.timer = n.m.At(stopAt, func() { a.end(decide.NoAnswer, nil, false) })
+	a.timer = n.m.At(stopAt, func() { a.end(decide.TimedOut, nil, false) })
 	n.conns++
 	a.dialing = n.m.Dial(addr, 200_000, func(conn machine.Conn, err error) machine.Handler {
 		a.dialing = nil
@@ -193,7 +193,7 @@
 		}
 		if err != nil {
 			n.conns--
-			a.end(decide.NoConnection, nil, false)
+			a.end(decide.ConnectFailed, nil, false)
 			return a
 		}
 		a.conn = conn
--- a/internal/testbench/lab/baseline/client.go
+++ b/internal/testbench/lab/baseline/client.go
@@ -63,7 +63,7 @@
 	for _, s := range c.slots {
 		if r := s.request; r != nil && !r.over {
 			r.over = true
-			c.n.tell(&decide.Departed{ID: r.id})
+			c.n.tell(&decide.ClientGone{ID: r.id})
 			r.forget()
 		}
 	}
--- a/internal/testbench/lab/baseline/list.go
+++ b/internal/testbench/lab/baseline/list.go
@@ -117,18 +117,18 @@
 		l.after = -1
 		return false
 	}
-	ev := &decide.List{Kind: decide.ListChanges}
+	ev := &decide.EndpointList{Kind: decide.DeltaUpdate}
 	if in.Snapshot {
-		ev.Kind = decide.ListFull
+		ev.Kind = decide.FullUpdate
 	}
 	for _, e := range in.Endpoints {
-		condition, known := map[string]decide.Condition{"in_service": decide.Up, "terminating": decide.Draining,
+		condition, known := map[string]decide.Status{"in_service": decide.Serving, "terminating": decide.Draining,
 			"terminated": decide.Removed}[e.Status]
 		if !known || e.Name == "" || e.Name == "s-bad" {
 			continue
 		}
-		ev.Entries = append(ev.Entries, decide.Entry{ID: e.Name, Zone: e.Zone, Cell: e.Group, Size: e.Weight,
-			Start: e.Since * 1000, Condition: condition})
+		ev.Endpoints = append(ev.Endpoints, decide.Endpoint{ID: e.Name, Zone: e.Zone, Cell: e.Group, Weight: e.Weight,
+			StartedAt: e.Since * 1000, Status: condition})
 		l.n.addrs[e.Name] = e.Address
 	}
 	l.after = in.Index
--- a/internal/testbench/lab/baseline/request.go
+++ b/internal/testbench/lab/baseline/request.go
@@ -69,7 +69,7 @@
 	case k > 0:
 		a.end(decide.Errored, nil, false)
 	case k < 0 || !on:
-		a.end(decide.ConnLost, nil, false)
+		a.end(decide.ConnectionLost, nil, false)
 	}
 }
 
@@ -99,7 +99,7 @@
 	if answer != nil {
 		r.finish(answer)
 	}
-	n.tell(&decide.Outcome{ID: r.id, Attempt: a.number, Result: result, Elapsed: n.m.Now() - a.sent, Last: r.over,
-		Miss: miss, Load: decide.Load{Busy: -1}})
+	n.tell(&decide.AttemptResult{ID: r.id, Attempt: a.number, Result: result, Elapsed: n.m.Now() - a.sent, Last: r.over,
+		Miss: miss, Load: decide.LoadReport{Utilization: -1}})
 	r.forget()
 }
--- a/internal/testbench/lab/lab_test.go
+++ b/internal/testbench/lab/lab_test.go
@@ -324,7 +324,7 @@
 
 func crashOnError(m guard.Module) guard.Module {
 	return hooked{m, func(_ decide.Time, ev decide.Event) {
-		if o, ok := ev.(*decide.Outcome); ok && o.Result == decide.Errored {
+		if o, ok := ev.(*decide.AttemptResult); ok && o.Result == decide.Errored {
 			panic("an error")
 		}
 	}}
--- a/internal/testbench/lab/loss_report.go
+++ b/internal/testbench/lab/loss_report.go
@@ -64,7 +64,7 @@
 }
 
 var results = [...]string{decide.Served: "served", decide.Errored: "error", decide.Rejected: "turned away",
-	decide.NoAnswer: "no answer", decide.NoConnection: "no connection", decide.ConnLost: "connection lost",
+	decide.TimedOut: "no answer", decide.ConnectFailed: "no connection", decide.ConnectionLost: "connection lost",
 	decide.Cancelled: "called off", decide.NotSent: "not sent", decide.NotStored: "not stored"}
 
 // Handle implements guard.Module.
@@ -73,9 +73,9 @@
 	case *decide.Request:
 		l.all.Requests++
 		l.requests[ev.ID] = &lossy{came: now, aim: l.all.aims[ev.Class]}
-	case *decide.Outcome:
+	case *decide.AttemptResult:
 		l.ended(now, ev)
-	case *decide.Departed:
+	case *decide.ClientGone:
 		if q := l.requests[ev.ID]; q != nil && !q.over {
 			l.all.By["left: its client went"]++
 			l.close(ev.ID, q)
@@ -84,7 +84,7 @@
 	actions := l.Module.Handle(now, ev)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case decide.Probe:
+		case decide.HealthCheck:
 			l.all.Probes++
 		case decide.Send:
 			l.all.Attempts++
@@ -92,10 +92,10 @@
 				q.sent = append(q.sent, now)
 				q.out++
 			}
-		case decide.Refuse:
-			l.answered(a.ID, "refused: "+a.Why.String())
+		case decide.Reject:
+			l.answered(a.ID, "refused: "+a.Reason.String())
 		case decide.Fail:
-			l.answered(a.ID, "failed: "+a.Why.String())
+			l.answered(a.ID, "failed: "+a.Reason.String())
 		}
 	}
 	return actions
@@ -117,7 +117,7 @@
 }
 
 // ended books an attempt's end.
-func (l *losing) ended(now Time, o *decide.Outcome) {
+func (l *losing) ended(now Time, o *decide.AttemptResult) {
 	q := l.requests[o.ID]
 	if q == nil || o.Attempt >= len(q.sent) {
 		return
@@ -145,7 +145,7 @@
 }
 
 // slowest names where the most time went of a request that is served late.
-func (q *lossy) slowest(now Time, o *decide.Outcome) string {
+func (q *lossy) slowest(now Time, o *decide.AttemptResult) string {
 	first, last := q.sent[0], q.sent[o.Attempt]
 	most, where := first-q.came, "it waited before its first attempt"
 	if t := last - first; t > most {
--- a/internal/testbench/lab/placement.go
+++ b/internal/testbench/lab/placement.go
@@ -7,10 +7,10 @@
 
 // Homes tells which of the caches routers send a key to, so that stand-ins hold what a running fleet holds.
 func Homes(caches []string) func(key string) string {
-	var entries []decide.Entry
+	var entries []decide.Endpoint
 	for _, name := range caches {
-		entries = append(entries, decide.Entry{ID: name, Size: 1})
+		entries = append(entries, decide.Endpoint{ID: name, Weight: 1})
 	}
-	home := decide.Homes(entries)
+	home := decide.NewPlacement(entries)
 	return func(key string) string { return home(clientside.KeyHash([]byte(key))) }
 }
--- a/internal/testbench/lab/planted/planted.go
+++ b/internal/testbench/lab/planted/planted.go
@@ -90,14 +90,14 @@
 		guarded(wrap("failures told as refusals", "refused after it may have run", func() filter {
 			return filter{action: func(a decide.Action) []decide.Action {
 				if f, ok := a.(decide.Fail); ok {
-					return []decide.Action{decide.Refuse{ID: f.ID}}
+					return []decide.Action{decide.Reject{ID: f.ID}}
 				}
 				return []decide.Action{a}
 			}}
 		})),
 		guarded(wrap("errors taken for refusals of the cache", "unsafe request sent again", func() filter {
 			return filter{event: func(ev decide.Event) decide.Event {
-				if o, ok := ev.(*decide.Outcome); ok && o.Result == decide.Errored {
+				if o, ok := ev.(*decide.AttemptResult); ok && o.Result == decide.Errored {
 					other := *o
 					other.Result = decide.Rejected
 					return &other
@@ -112,16 +112,16 @@
 			return takenForReads("add-contact", "confirm-contact")
 		})),
 		masked("drains taken for service", "late drain", func() filter {
-			return entries(func(e *decide.Entry) {
-				if e.Condition == decide.Draining {
-					e.Condition = decide.Up
+			return entries(func(e *decide.Endpoint) {
+				if e.Status == decide.Draining {
+					e.Status = decide.Serving
 				}
 			})
 		}),
 		masked("lists after the first not read", "late drain", func() filter {
 			known := false
 			return filter{event: func(ev decide.Event) decide.Event {
-				if _, ok := ev.(*decide.List); !ok {
+				if _, ok := ev.(*decide.EndpointList); !ok {
 					return ev
 				}
 				if known {
@@ -136,7 +136,7 @@
 		guarded(wrap("attempts that were turned away made for ever", "too many attempts", persistent)),
 		wrap("a connection that breaks not expected", lab.Crash, func() filter {
 			return filter{event: func(ev decide.Event) decide.Event {
-				if o, ok := ev.(*decide.Outcome); ok && o.Result == decide.ConnLost {
+				if o, ok := ev.(*decide.AttemptResult); ok && o.Result == decide.ConnectionLost {
 					panic("a connection has broken")
 				}
 				return ev
@@ -167,9 +167,9 @@
 	cold, since := "", decide.Time(0)
 	return filter{
 		handle: func(m guard.Module, now decide.Time, ev decide.Event) []decide.Action {
-			if l, ok := ev.(*decide.List); ok {
-				for _, e := range l.Entries {
-					if e.Start > now-5_000_000 && e.Condition == decide.Up {
+			if l, ok := ev.(*decide.EndpointList); ok {
+				for _, e := range l.Endpoints {
+					if e.StartedAt > now-5_000_000 && e.Status == decide.Serving {
 						cold, since = e.ID, now
 					} else if e.ID == cold {
 						cold = ""
@@ -254,15 +254,15 @@
 }
 
 // entries changes each entry of each list.
-func entries(change func(*decide.Entry)) filter {
+func entries(change func(*decide.Endpoint)) filter {
 	return filter{event: func(ev decide.Event) decide.Event {
-		l, ok := ev.(*decide.List)
+		l, ok := ev.(*decide.EndpointList)
 		if !ok {
 			return ev
 		}
-		other := &decide.List{Kind: l.Kind, Entries: slices.Clone(l.Entries)}
-		for i := range other.Entries {
-			change(&other.Entries[i])
+		other := &decide.EndpointList{Kind: l.Kind, Endpoints: slices.Clone(l.Endpoints)}
+		for i := range other.Endpoints {
+			change(&other.Endpoints[i])
 		}
 		return other
 	}}
@@ -300,13 +300,13 @@
 	return filter{
 		event: func(ev decide.Event) decide.Event {
 			switch e := ev.(type) {
-			case *decide.Outcome:
+			case *decide.AttemptResult:
 				other := *e
 				if other.Attempt = x.number(e.ID, e.Attempt); other.Attempt < 0 {
 					return nil
 				}
 				ev = &other
-			case *decide.Started:
+			case *decide.ResponseStarted:
 				other := *e
 				if other.Attempt = x.number(e.ID, e.Attempt); other.Attempt < 0 {
 					return nil
@@ -355,7 +355,7 @@
 	last := map[int64]*sending{}
 	offset := map[int64]int{} // attempts that the module does not know
 	return filter{handle: func(m guard.Module, now decide.Time, ev decide.Event) []decide.Action {
-		if o, ok := ev.(*decide.Outcome); ok {
+		if o, ok := ev.(*decide.AttemptResult); ok {
 			s := last[o.ID]
 			if s != nil && o.Result == decide.Rejected && !o.Last && s.times < mostPersistent {
 				s.times++
--- a/internal/testbench/lab/planted/throng.go
+++ b/internal/testbench/lab/planted/throng.go
@@ -24,7 +24,7 @@
 	d := wrap(name, "late drain", func() filter {
 		last := int64(-1) // its own timers have tokens below 0
 		return filter{handle: func(m guard.Module, now decide.Time, ev decide.Event) []decide.Action {
-			if l, ok := ev.(*decide.List); ok && l.Kind == decide.ListFailed {
+			if l, ok := ev.(*decide.EndpointList); ok && l.Kind == decide.FailedUpdate {
 				last--
 				return []decide.Action{decide.SetTimer{Token: last, At: now + pause}}
 			}
@@ -58,11 +58,11 @@
 		unmet, doubted := 0, machine.Time(0)
 		c.Wrap = func(module guard.Module) guard.Module {
 			return &filtered{filter{event: func(ev decide.Event) decide.Event {
-				o, ok := ev.(*decide.Outcome)
+				o, ok := ev.(*decide.AttemptResult)
 				if !ok {
 					return ev
 				}
-				if unmet++; o.Result != decide.NoConnection {
+				if unmet++; o.Result != decide.ConnectFailed {
 					unmet = 0
 				}
 				if now := m.Now(); unmet >= doubtAfter && now >= doubted+doubtPause {
--- a/internal/testbench/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -162,11 +162,11 @@
 
 // Handle implements guard.Module.
 func (h *hearing) Handle(now Time, ev decide.Event) []decide.Action {
-	if p, ok := ev.(*decide.Pressure); ok {
-		if p.On && h.retries > 0 {
-			h.seen.jump = max(h.seen.jump, p.Retries-h.retries)
+	if p, ok := ev.(*decide.RetryStorm); ok {
+		if p.Active && h.retries > 0 {
+			h.seen.jump = max(h.seen.jump, p.RetryBudgetFraction-h.retries)
 		}
-		h.retries = p.Retries
+		h.retries = p.RetryBudgetFraction
 	}
 	return h.Module.Handle(now, ev)
 }
@@ -181,8 +181,8 @@
 func (s *standing) Handle(now Time, ev decide.Event) []decide.Action {
 	actions := s.Module.Handle(now, ev)
 	for _, a := range actions {
-		if a, ok := a.(decide.Refuse); ok {
-			s.seen.waits[a.Wait/millisecond]++
+		if a, ok := a.(decide.Reject); ok {
+			s.seen.waits[a.RetryAfter/millisecond]++
 		}
 	}
 	return actions
--- a/internal/testbench/lab/storm_test.go
+++ b/internal/testbench/lab/storm_test.go
@@ -132,8 +132,8 @@
 	inStep := func(r *lab.StormResult) float64 { return r.InStep }
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, action: func(a decide.Action) decide.Action {
-			if r, ok := a.(decide.Refuse); ok {
-				r.Wait = 500_000
+			if r, ok := a.(decide.Reject); ok {
+				r.RetryAfter = 500_000
 				return r
 			}
 			return a
@@ -150,7 +150,7 @@
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, event: func(ev decide.Event) decide.Event {
 			if q, ok := ev.(*decide.Request); ok {
-				q.Since = 0
+				q.FirstRequestedAt = 0
 			}
 			return ev
 		}}
@@ -184,8 +184,8 @@
 	}
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, event: func(ev decide.Event) decide.Event {
-			if p, ok := ev.(*decide.Pressure); ok && p.Retries > retrystorm.Default().Retries {
-				p.Retries = 1
+			if p, ok := ev.(*decide.RetryStorm); ok && p.RetryBudgetFraction > retrystorm.Default().Retries {
+				p.RetryBudgetFraction = 1
 			}
 			return ev
 		}}
--- a/internal/testbench/lab/stubrouter/stubrouter.go
+++ b/internal/testbench/lab/stubrouter/stubrouter.go
@@ -85,7 +85,7 @@
 // change is a change of the list that routers are to take over.
 type change struct {
 	at   time.Time
-	want decide.Condition
+	want decide.Status
 }
 
 // Play starts the routers, measures, and ends them all.
@@ -268,22 +268,22 @@
 
 // Handle implements guard.Module.
 func (o *observer) Handle(now decide.Time, ev decide.Event) []decide.Action {
-	if l, ok := ev.(*decide.List); ok {
+	if l, ok := ev.(*decide.EndpointList); ok {
 		o.list(l)
 	}
 	return o.Module.Handle(now, ev)
 }
 
-func (o *observer) list(l *decide.List) {
+func (o *observer) list(l *decide.EndpointList) {
 	f := o.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !o.heard && (l.Kind == decide.ListFull || l.Kind == decide.ListChanges) && len(l.Entries) > 0 {
+	if !o.heard && (l.Kind == decide.FullUpdate || l.Kind == decide.DeltaUpdate) && len(l.Endpoints) > 0 {
 		o.heard = true
 		f.heard = append(f.heard, time.Since(f.begun))
 	}
-	for _, e := range l.Entries {
-		if c, changed := f.pending[e.ID]; changed && e.Condition == c.want {
+	for _, e := range l.Endpoints {
+		if c, changed := f.pending[e.ID]; changed && e.Status == c.want {
 			f.inForce = append(f.inForce, time.Since(c.at))
 		}
 	}
--- a/internal/testbench/standin/discovery.go
+++ b/internal/testbench/standin/discovery.go
@@ -38,7 +38,7 @@
 	Timeout    Time // a call whose answer would take longer is turned away with 503 at once; 0 never
 	RefuseCost Time // that one which is turned away costs
 
-	// Routers and AskEvery: a change counts as told to a router that has neither waited nor asked for so
+	// Routers and PollInterval: a change counts as told to a router that has neither waited nor asked for so
 	// long. 0 leaves that out.
 	Routers  []string
 	AskEvery Time
--- a/internal/testbench/standin/discoverytold.go
+++ b/internal/testbench/standin/discoverytold.go
@@ -1,7 +1,7 @@
 package standin
 
 // What routers count as told. An answer tells what it says as it is written. Beside that, a change counts as told to a router
-// that has neither waited nor asked for AskEvery, and to every router ToldAfter after the list had it and could be reached,
+// that has neither waited nor asked for PollInterval, and to every router ToldAfter after the list had it and could be reached,
 // whatever became of their calls.
 
 // Forget forgets what a router was told: it has started anew, and knows nothing.
--- a/internal/testbench/standin/fleet_test.go
+++ b/internal/testbench/standin/fleet_test.go
@@ -160,8 +160,8 @@
 		t.Fatal(err)
 	}
 	put := s.Classes[2]
-	if put.Effect != decide.Keyed || put.Scope != decide.ScopeAll || put.KeyTTL != 1200*Millisecond ||
-		!s.MustWatch || s.DrainGrace != Second || transport.Keepalive != 60*Second || s.AskEvery != 6*Second {
+	if put.Semantics != decide.IdempotentByKey || put.DeduplicationScope != decide.DeduplicatedEverywhere || put.IdempotencyWindow != 1200*Millisecond ||
+		!s.WatchRequired || s.DrainGrace != Second || transport.Keepalive != 60*Second || s.PollInterval != 6*Second {
 		t.Errorf("the router read %+v and %+v", s, transport)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -77,7 +77,7 @@
 	p := a.cache.pool
 	switch now := p.m.Now(); {
 	case now >= a.StopAt, a.Unwritten() && a.WriteBy > 0 && now >= a.WriteBy:
-		a.GiveUp(decide.NoAnswer)
+		a.GiveUp(decide.TimedOut)
 	case a.state == waiting && now >= a.connectBy:
 		a.end(unconnected(a.cache.blocked()), nil)
 	default:
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -54,7 +54,7 @@
 	if local {
 		return decide.NotSent
 	}
-	return decide.NoConnection
+	return decide.ConnectFailed
 }
 
 // close ends a connection.
@@ -149,9 +149,9 @@
 	c.close()
 	if a := c.attempt; a != nil {
 		if a.state == writing {
-			a.end(decide.NoConnection, nil) // its last byte was never written
+			a.end(decide.ConnectFailed, nil) // its last byte was never written
 		} else {
-			a.end(decide.ConnLost, nil)
+			a.end(decide.ConnectionLost, nil)
 		}
 	}
 }
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -20,11 +20,11 @@
 		result    decide.Result
 		kept      bool // it is there for the next request
 	}{
-		{"its request is over", func(*rig) {}, decide.NoConnection, true},
+		{"its request is over", func(*rig) {}, decide.ConnectFailed, true},
 		{"its cache drains", func(r *rig) { r.list("c1", "", false, false) }, decide.NotSent, false},
 		{"its cache is gone", func(r *rig) { r.list("c1", "", false, true) }, decide.NotSent, false},
-		{"its cache is elsewhere", func(r *rig) { r.list("c1", routertest.NewCache(r.t).Addr(), true, false) }, decide.NoAnswer, false},
-		{"its cache began anew", func(r *rig) { r.Do(func() { r.pool.Renewed("c1") }) }, decide.NoConnection, true},
+		{"its cache is elsewhere", func(r *rig) { r.list("c1", routertest.NewCache(r.t).Addr(), true, false) }, decide.TimedOut, false},
+		{"its cache began anew", func(r *rig) { r.Do(func() { r.pool.Renewed("c1") }) }, decide.ConnectFailed, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -47,13 +47,13 @@
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	r := newRig(t, routertest.Refusing(t), nil)
 	r.send(r.request(nil), long)
-	r.want(decide.NoConnection)
+	r.want(decide.ConnectFailed)
 }
 
 func TestConnectionThatNeverComesUpNeverRan(t *testing.T) {
 	r := newRig(t, routertest.Unreachable(t), func(o *Options) { o.DialTimeout = 50_000 })
 	r.send(r.request(nil), long)
-	r.want(decide.NoConnection)
+	r.want(decide.ConnectFailed)
 }
 
 // TestDrainAgainstPendingDial: what waits for a connection is not sent once the drain is known.
@@ -70,7 +70,7 @@
 	r := newRig(t, cache.Addr(), nil)
 	r.send(r.request(nil), long)
 	r.command(cache).Conn.Close()
-	r.want(decide.ConnLost)
+	r.want(decide.ConnectionLost)
 }
 
 func TestBreakOnAReusedConnectionMayHaveRun(t *testing.T) {
@@ -86,7 +86,7 @@
 		t.Error("the idle connection was not used again")
 	}
 	second.Conn.Close()
-	r.want(decide.ConnLost)
+	r.want(decide.ConnectionLost)
 }
 
 // begun waits until an attempt's first byte has come at a cache that reads no further.
@@ -104,7 +104,7 @@
 	r := newRig(t, addr, nil)
 	r.send(r.huge(), long)
 	begun(t, conns).Close() // with bytes unread: a reset
-	r.want(decide.NoConnection)
+	r.want(decide.ConnectFailed)
 }
 
 func TestGivingUpBeforeTheLastByteNeverRan(t *testing.T) {
@@ -146,7 +146,7 @@
 	r := newRig(t, cache.Addr(), nil)
 	r.send(r.request(nil), 3*time.Second)
 	r.command(cache)
-	r.want(decide.NoAnswer)
+	r.want(decide.TimedOut)
 	r.end(cache)
 }
 
@@ -175,7 +175,7 @@
 		if strings.HasPrefix(wire, served) {
 			r.want(decide.Served)
 		} else {
-			r.want(decide.ConnLost) // it has run
+			r.want(decide.ConnectionLost) // it has run
 		}
 		r.end(cache) // it is out of step
 	}
@@ -183,7 +183,7 @@
 
 // TestProbeIsAnsweredByItsOwnAnswer alone: a value is none, and an error says that the cache is not well.
 func TestProbeIsAnsweredByItsOwnAnswer(t *testing.T) {
-	for wire, want := range map[string]decide.Result{"+PONG\r\n": decide.Served, served: decide.ConnLost,
+	for wire, want := range map[string]decide.Result{"+PONG\r\n": decide.Served, served: decide.ConnectionLost,
 		"-ERR failed\r\n": decide.Errored, "-BUSY\r\n": decide.Rejected} {
 		cache := routertest.NewCache(t)
 		r := newRig(t, cache.Addr(), nil)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -69,7 +69,7 @@
 	r, _, _ := busyPool(t)
 	r.Do(func() { r.pool.o.DialTimeout = 1000 })
 	r.send(r.request(nil), long)
-	r.want(decide.NoConnection)
+	r.want(decide.ConnectFailed)
 }
 
 // TestBurstDoesNotDialForEach: connections stay under the bound, and all is served in turn.
@@ -164,7 +164,7 @@
 		}
 	})
 	cmd.Conn.Close()
-	r.want(decide.ConnLost)
+	r.want(decide.ConnectionLost)
 	r.command(other).Reply(t, served)
 	r.want(decide.Served)
 	r.send(r.request(nil), long) // the other cache's connection is idle now
@@ -382,11 +382,11 @@
 			r.pool.Sweep()
 		})
 	}
-	end(decide.NoConnection, troubleRow)
+	end(decide.ConnectFailed, troubleRow)
 	r.lines.Want(t, "c1 serves nothing: refused")
 	r.lines.Want(t, "none of 1 caches serves: 1 refused")
 	end(decide.NotSent, troubleRow) // tells nothing
-	end(decide.NoAnswer, troubleRow)
+	end(decide.TimedOut, troubleRow)
 	r.lines.Want(t, "c1 serves nothing: hung")
 	end(decide.Served, 1)
 	r.lines.Want(t, "c1 serves again")
--- a/internal/upstream/repeats_test.go
+++ b/internal/upstream/repeats_test.go
@@ -33,7 +33,7 @@
 		t.Fatal("another connection was used")
 	}
 	second.Reply(t, value("one")) // the copy
-	r.want(decide.ConnLost)
+	r.want(decide.ConnectionLost)
 	second.Reply(t, value("two")) // its own comes too late
 	routertest.Receive(t, cache.Ended, "end of the connection")
 }
@@ -81,5 +81,5 @@
 	asks(r, cache, 2, true).Reply(t, value("done"))
 	r.want(decide.Served) // the first on a new connection
 	asks(r, cache, 3, true).Reply(t, value("done"))
-	r.want(decide.ConnLost)
+	r.want(decide.ConnectionLost)
 }
--- a/internal/upstream/trouble.go
+++ b/internal/upstream/trouble.go
@@ -21,14 +21,14 @@
 }
 
 // causes of trouble, by the outcome of an attempt. What is not sent, or called off early, tells nothing.
-var causes = map[decide.Result]string{decide.NoConnection: "refused: connections do not come up",
-	decide.NoAnswer: "hung: it takes requests and answers none", decide.ConnLost: "reset: its connections break",
+var causes = map[decide.Result]string{decide.ConnectFailed: "refused: connections do not come up",
+	decide.TimedOut: "hung: it takes requests and answers none", decide.ConnectionLost: "reset: its connections break",
 	decide.Errored: "errors: it answers nothing else", decide.Rejected: "busy: it turns all work away"}
 
 // seen notes how an attempt or a probe ended.
 func (u *cache) seen(result decide.Result, elapsed Time) {
 	if result == decide.Cancelled && elapsed >= u.pool.o.HungAfter {
-		result = decide.NoAnswer // another one was served meanwhile
+		result = decide.TimedOut // another one was served meanwhile
 	}
 	cause := causes[result]
 	switch {
