--- a/internal/gossip/suspicion.go
+++ b/internal/gossip/suspicion.go
@@ -8,7 +8,7 @@
 )
 
 // suspects are those under suspicion, by name, so that equal events give equal actions.
-func (f *Fleet) suspects() (names []string) {
+func (f *View) suspects() (names []string) {
 	for name, m := range f.members {
 		if m.State == Suspect {
 			names = append(names, name)
@@ -21,8 +21,8 @@
 // Suspicion.
 
 // suspect holds a member under suspicion, by its own doubt or another one's.
-func (f *Fleet) suspect(m *member, by string) {
-	if m == f.self || !m.State.Here() {
+func (f *View) suspect(m *member, by string) {
+	if m == f.self || !m.State.IsAlive() {
 		return
 	}
 	if m.State != Suspect {
@@ -40,7 +40,7 @@
 }
 
 // tell lets a member know that it is accused, so that it can refute that (Lifeguard, IV-C).
-func (f *Fleet) tell(m *member) {
+func (f *View) tell(m *member) {
 	if f.cfg.Plain || m.Addr == "" || m.toldAt > 0 && f.now < m.toldAt+f.cfg.Interval/2 || len(f.probes) >= mostProbes {
 		return
 	}
@@ -52,7 +52,7 @@
 
 // suspicionEnds is when a suspicion ends, if nobody refutes it: the more routers suspect a member by themselves, the
 // sooner (Lifeguard, IV-B).
-func (f *Fleet) suspicionEnds(m *member) Time {
+func (f *View) suspicionEnds(m *member) Time {
 	n := math.Max(1, math.Log10(float64(len(f.names))+1))
 	least := float64(f.cfg.Suspicion) * n * float64(f.cfg.Interval)
 	if f.cfg.Plain {
@@ -73,9 +73,9 @@
 }
 
 // unsuspected is how many others are here and under no suspicion, up to what it takes to confirm one.
-func (f *Fleet) unsuspected() (n int) {
+func (f *View) unsuspected() (n int) {
 	for _, m := range f.members { // any order: a count
-		if n += b2i(m != f.self && m.State.Here() && m.State != Suspect); n == confirms {
+		if n += b2i(m != f.self && m.State.IsAlive() && m.State != Suspect); n == confirms {
 			break
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // condemn ends a suspicion that nobody has refuted.
-func (f *Fleet) condemn(m *member) {
+func (f *View) condemn(m *member) {
 	by := slices.Clone(m.suspectBy)
 	if m.base == Leaving {
 		f.state(m, Left)
--- a/internal/gossip/transport/link.go
+++ b/internal/gossip/transport/link.go
@@ -2,16 +2,20 @@
 package transport
 
 import (
+	"context"
 	"fmt"
+	"log/slog"
 
 	"starlingwinch/internal/gossip"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/structuredlog"
 )
 
-// Link is a view on a machine. All calls are made in the machine's loop.
-type Link struct {
+// Transport is a view on a machine. All calls are made in the machine's loop.
+type Transport struct {
 	m       machine.Machine
-	fleet   *gossip.Fleet
+	logger  *slog.Logger
+	fleet   *gossip.View
 	conn    machine.PacketConn
 	timer   machine.Timer
 	changed func()
@@ -21,13 +25,13 @@
 
 // Start listens at an address and joins the others. The configuration's name, peers and figures are the caller's; the
 // life of the view (Start, Boot, Seed) comes from the machine. changed is called after the view has changed, and may be nil.
-func Start(m machine.Machine, listen string, cfg gossip.Config, changed func()) (*Link, error) {
+func Start(m machine.Machine, listen string, cfg gossip.Config, changed func()) (*Transport, error) {
 	cfg.Start, cfg.Boot, cfg.Seed = uint64(max(1, m.Wall()/1000)), uint32(m.Entropy()), m.Entropy()
 	f, err := gossip.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{m: m, fleet: f, changed: changed}
+	l := &Transport{m: m, logger: structuredlog.New(m), fleet: f, changed: changed}
 	if l.conn, err = m.ListenPacket(listen, l.got); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -35,19 +39,19 @@
 	return l, nil
 }
 
-func (l *Link) got(from string, b []byte) {
+func (l *Transport) got(from string, b []byte) {
 	if !l.closed {
-		l.tell(&gossip.Heard{From: from, Data: b})
+		l.tell(&gossip.DatagramReceived{From: from, Data: b})
 	}
 }
 
-func (l *Link) tick() {
+func (l *Transport) tick() {
 	if !l.closed {
 		l.tell(&gossip.Tick{})
 	}
 }
 
-func (l *Link) tell(ev gossip.Event) {
+func (l *Transport) tell(ev gossip.Event) {
 	changed := false
 	for _, a := range l.fleet.Handle(l.m.Now(), ev) {
 		switch a := a.(type) {
@@ -63,7 +67,7 @@
 		case gossip.Changed:
 			changed = true
 		case gossip.Log:
-			l.m.Log(a.Text)
+			l.logger.LogAttrs(context.Background(), a.Level, a.Message, a.Attrs...)
 		}
 	}
 	if changed && l.changed != nil {
@@ -71,17 +75,17 @@
 	}
 }
 
-// Own changes what this router says of itself.
-func (l *Link) Own(info gossip.Info) { l.tell(&gossip.Own{Info: info}) }
+// UpdateInfo changes what this router says of itself.
+func (l *Transport) UpdateInfo(info gossip.Info) { l.tell(&gossip.UpdateInfo{Info: info}) }
 
 // Peers takes over changed addresses.
-func (l *Link) Peers(addrs []string) { l.tell(&gossip.Peers{Peers: addrs}) }
+func (l *Transport) Peers(addrs []string) { l.tell(&gossip.Peers{Peers: addrs}) }
 
 // Leave says that this router drains.
-func (l *Link) Leave() { l.tell(&gossip.Leave{}) }
+func (l *Transport) Leave() { l.tell(&gossip.Leave{}) }
 
 // Close says that this router ends, and gives all back.
-func (l *Link) Close() {
+func (l *Transport) Close() {
 	if l.closed {
 		return
 	}
@@ -94,7 +98,7 @@
 }
 
 // View is the view. It is there to be read.
-func (l *Link) View() *gossip.Fleet { return l.fleet }
+func (l *Transport) View() *gossip.View { return l.fleet }
 
 // Addr is where the view listens.
-func (l *Link) Addr() string { return l.conn.Addr() }
+func (l *Transport) Addr() string { return l.conn.Addr() }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -167,7 +167,7 @@
 
 // appendRumour adds a rumour where it fits.
 func appendRumour(b []byte, r *rumour, most int) ([]byte, bool) {
-	var room [MostDatagram]byte
+	var room [MaxDatagramBytes]byte
 	m := putString(room[:0], fName, r.name)
 	m = putUint(m, fState, uint64(r.state))
 	m = putUint(m, fIncarnation, r.incarnation)
@@ -213,14 +213,14 @@
 
 // parse reads a datagram. The error is the same for all that is wrong, as nobody may act on it.
 func parse(b []byte) (d datagram, err error) {
-	if len(b) < 2 || len(b) > MostDatagram || b[0] != version || b[1] == 0 || kind(b[1]) >= kinds {
+	if len(b) < 2 || len(b) > MaxDatagramBytes || b[0] != version || b[1] == 0 || kind(b[1]) >= kinds {
 		return d, errUnreadable
 	}
 	d.kind = kind(b[1])
 	err = fields(b[2:], func(n protowire.Number, v value) bool {
 		switch n {
 		case fName:
-			d.name = v.text(MostName)
+			d.name = v.text(MaxNameBytes)
 		case fBoot:
 			d.boot = uint32(v.n)
 		case fSeq:
@@ -238,7 +238,7 @@
 		case fNonce:
 			d.nonce = uint32(v.n)
 		case fTarget:
-			d.target = v.text(MostName)
+			d.target = v.text(MaxNameBytes)
 		case fAddr:
 			d.addr = v.addr()
 		case fParts:
@@ -250,7 +250,7 @@
 				d.parts, p = append(d.parts, x), p[m:]
 			}
 		case fAgreed:
-			if len(v.b) > MostMembers/8 {
+			if len(v.b) > MaxMembers/8 {
 				return false
 			}
 			d.agreed = v.b
@@ -282,7 +282,7 @@
 	err := fields(b, func(n protowire.Number, v value) bool {
 		switch n {
 		case fName:
-			r.name = v.text(MostName)
+			r.name = v.text(MaxNameBytes)
 		case fState:
 			if v.n >= uint64(states) {
 				return false
@@ -305,7 +305,7 @@
 		case fAddr:
 			r.addr = v.addr()
 		case fBy:
-			r.by = v.text(MostName)
+			r.by = v.text(MaxNameBytes)
 		case fAge:
 			r.age = v.n
 		default:
--- a/internal/guard/contract.go
+++ b/internal/guard/contract.go
@@ -79,7 +79,7 @@
 	Request int64  // 0 where none is concerned
 	Cache   string // empty where none is concerned
 	Text    string
-	Trail   []string // what concerned the request or the cache before, the latest last
+	History []string // what concerned the request or the cache before, the latest last
 }
 
 const (
@@ -91,9 +91,9 @@
 
 // Contract is a Module around another one. Use New. Its methods belong to the loop's goroutine.
 type Contract struct {
-	// Every has all breaches reported with their trails, where else the first of each kind is and
+	// ReportAll has all breaches reported with their trails, where else the first of each kind is and
 	// later ones are only counted: a breach that comes with each request must not cost more than it.
-	Every bool
+	ReportAll bool
 
 	module   Module
 	counter  Counter // nil where the module tells no counts
@@ -211,10 +211,10 @@
 // breach counts and reports one.
 func (b *Contract) breach(k Kind, id int64, cache, text string) {
 	b.counts[k]++
-	if b.report == nil || b.counts[k] > 1 && !b.Every {
+	if b.report == nil || b.counts[k] > 1 && !b.ReportAll {
 		return
 	}
-	b.report(Breach{Kind: k, At: b.now, Request: id, Cache: cache, Text: text, Trail: b.trail(id, cache)})
+	b.report(Breach{Kind: k, At: b.now, Request: id, Cache: cache, Text: text, History: b.trail(id, cache)})
 }
 
 // open takes up a request.
--- a/internal/guard/request.go
+++ b/internal/guard/request.go
@@ -10,19 +10,19 @@
 type Reason uint8
 
 const (
-	Allowed          Reason = iota
-	Answered                // the request has its final answer
-	ClientLeft              // nobody waits for it any more
-	CacheLeaving            // the cache drains, or is not listed any more
-	TimeOver                // the attempt's own time, or the one by which it has to be written, is over
-	TooManyAttempts         // the settings allow no further one
-	SecondCopy              // an earlier attempt is out, and the settings allow no second copy
-	EffectMayRepeat         // an earlier attempt may have run, and nobody drops a repeat
-	OutsideGroup            // ... and this cache is not among those that drop it
-	WindowOver              // ... and they have forgotten it by now
-	DeadlineExceeded        // the cache is told that the router waits longer than its client does
-	RefusedAfterRun         // a refusal promises that another try does no harm
-	ClosedUnanswered        // the router closes a connection that still waits for an answer
+	Allowed                   Reason = iota
+	Answered                         // the request has its final answer
+	ClientGone                       // nobody waits for it any more
+	CacheDraining                    // the cache drains, or is not listed any more
+	DeadlinePassed                   // the attempt's own time, or the one by which it has to be written, is over
+	TooManyAttempts                  // the settings allow no further one
+	HedgeNotAllowed                  // an earlier attempt is out, and the settings allow no second copy
+	EffectMayRepeat                  // an earlier attempt may have run, and nobody drops a repeat
+	OutsideDeduplicationScope        // ... and this cache is not among those that drop it
+	IdempotencyWindowOver            // ... and they have forgotten it by now
+	DeadlineExceeded                 // the cache is told that the router waits longer than its client does
+	RejectedAfterRun                 // a refusal promises that another try does no harm
+	ClosedUnanswered                 // the router closes a connection that still waits for an answer
 	reasons
 )
 
@@ -40,12 +40,12 @@
 	Name    string // as the client named the request
 	Cache   string
 	Attempt int
-	Figure  decide.Time // by how much, where the rule has a measure
+	Excess  decide.Time // by how much, where the rule has a measure
 }
 
 func (v Violation) String() string {
 	return fmt.Sprintf("%v, request %d (%.64q), attempt %d at %q, by %d us", v.Reason, v.Request, v.Name, v.Attempt, v.Cache,
-		v.Figure)
+		v.Excess)
 }
 
 // Counts are of what was prevented and of what was broken, by reason.
@@ -69,10 +69,10 @@
 	maxAttempts int
 	copies      bool
 	counts      Counts
-	// Unarmed has repeats and refusals that are not allowed counted and let through: it is there for tests that plant a
+	// ObserveOnly has repeats and refusals that are not allowed counted and let through: it is there for tests that plant a
 	// defect, which the guard would prevent.
-	Unarmed bool
-	report  func(Violation)
+	ObserveOnly bool
+	report      func(Violation)
 }
 
 // NewGuard is a guard for the settings. report is called with each violation.
@@ -122,21 +122,21 @@
 	return Request{ID: id, Name: name, Deadline: deadline, class: g.classes[class], unkeyed: unkeyed}
 }
 
-// Look is what is known of an attempt in the moment before its first byte.
-type Look struct {
-	Now     decide.Time
-	StopAt  decide.Time // it is given up then
-	WriteBy decide.Time // it has to be written by then; 0 for no such bound
-	CacheUp bool        // the list says that the cache takes work
+// WriteCheck is what is known of an attempt in the moment before its first byte.
+type WriteCheck struct {
+	Now           decide.Time
+	Deadline      decide.Time // it is given up then
+	WriteDeadline decide.Time // it has to be written by then; 0 for no such bound
+	CacheServing  bool        // the list says that the cache takes work
 }
 
 // MayWrite decides what no request need be known for: it holds for probes too.
-func (l Look) MayWrite() Reason {
+func (l WriteCheck) MayWrite() Reason {
 	switch {
-	case !l.CacheUp:
-		return CacheLeaving
-	case l.Now >= l.StopAt, l.WriteBy > 0 && l.Now >= l.WriteBy:
-		return TimeOver
+	case !l.CacheServing:
+		return CacheDraining
+	case l.Now >= l.Deadline, l.WriteDeadline > 0 && l.Now >= l.WriteDeadline:
+		return DeadlinePassed
 	}
 	return Allowed
 }
@@ -149,7 +149,7 @@
 	case q.answered:
 		reason = Answered
 	case clientLeft:
-		reason = ClientLeft
+		reason = ClientGone
 	default:
 		reason = g.mayRepeat(now, q, to)
 	}
@@ -157,7 +157,7 @@
 		return Allowed
 	}
 	g.counts.Prevented[reason]++
-	if g.Unarmed && reason != Answered && reason != ClientLeft {
+	if g.ObserveOnly && reason != Answered && reason != ClientGone {
 		return Allowed
 	}
 	return reason
@@ -171,7 +171,7 @@
 	for i := range q.attempts {
 		a := &q.attempts[i]
 		if !a.over && !g.copies {
-			return SecondCopy
+			return HedgeNotAllowed
 		}
 		if a.neverRan || !a.whole {
 			continue
@@ -193,9 +193,9 @@
 	case q.class.Semantics == decide.NonIdempotent:
 		return EffectMayRepeat
 	case !sameGroup(q.class.DeduplicationScope, a.to, to):
-		return OutsideGroup
+		return OutsideDeduplicationScope
 	case now >= a.wroteAt+q.class.IdempotencyWindow:
-		return WindowOver
+		return IdempotencyWindowOver
 	}
 	return Allowed
 }
@@ -210,30 +210,30 @@
 	return true
 }
 
-// Began is told that the first byte of an attempt was written, and what its cache was told of the time it has.
-func (g *Guard) Began(now decide.Time, q *Request, number int, to Cache, wait decide.Time, whole bool) {
+// WriteStarted is told that the first byte of an attempt was written, and what its cache was told of the time it has.
+func (g *Guard) WriteStarted(now decide.Time, q *Request, number int, to Cache, wait decide.Time, whole bool) {
 	reason, by := Allowed, decide.Time(0)
 	if q.answered {
 		reason = Answered
 	} else if reason = g.mayRepeat(now, q, to); reason == Allowed && now+wait > q.Deadline {
 		reason, by = DeadlineExceeded, now+wait-q.Deadline
 	}
-	g.hold(reason, Violation{At: now, Request: q.ID, Name: q.Name, Cache: to.Name, Attempt: number, Figure: by})
+	g.hold(reason, Violation{At: now, Request: q.ID, Name: q.Name, Cache: to.Name, Attempt: number, Excess: by})
 	if q.attempts == nil {
 		q.attempts = q.room[:0]
 	}
 	q.attempts = append(q.attempts, attemptRecord{number: number, to: to, wroteAt: now, whole: whole})
 }
 
-// Whole is told that the last byte of an attempt was written.
-func (q *Request) Whole(number int) {
+// WriteCompleted is told that the last byte of an attempt was written.
+func (q *Request) WriteCompleted(number int) {
 	if a := q.attempt(number); a != nil {
 		a.whole = true
 	}
 }
 
-// Ended is told how an attempt ended.
-func (q *Request) Ended(number int, result decide.Result) {
+// AttemptEnded is told how an attempt ended.
+func (q *Request) AttemptEnded(number int, result decide.Result) {
 	if a := q.attempt(number); a != nil {
 		a.over, a.neverRan = true, result.NeverRan()
 	}
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// MayRefuse decides whether a request may be refused, which promises that another try does no harm, or only failed.
-func (g *Guard) MayRefuse(q *Request) Reason {
+// MayReject decides whether a request may be refused, which promises that another try does no harm, or only failed.
+func (g *Guard) MayReject(q *Request) Reason {
 	if q.class != nil && !q.unkeyed {
 		if e := q.class.Semantics; e == decide.Idempotent || e == decide.IdempotentByKey && q.class.DeduplicationScope == decide.DeduplicatedEverywhere {
 			return Allowed
@@ -257,18 +257,18 @@
 	}
 	for i := range q.attempts {
 		if a := &q.attempts[i]; a.whole && !a.neverRan {
-			g.counts.Prevented[RefusedAfterRun]++
-			if g.Unarmed {
+			g.counts.Prevented[RejectedAfterRun]++
+			if g.ObserveOnly {
 				return Allowed
 			}
-			return RefusedAfterRun
+			return RejectedAfterRun
 		}
 	}
 	return Allowed
 }
 
-// Answer is told of a final answer; at most one is allowed.
-func (g *Guard) Answer(now decide.Time, q *Request) {
+// Answered is told of a final answer; at most one is allowed.
+func (g *Guard) Answered(now decide.Time, q *Request) {
 	if q.answered {
 		g.hold(Answered, Violation{At: now, Request: q.ID, Name: q.Name})
 	}
@@ -277,7 +277,7 @@
 
 // Closed is told that the router itself has closed the connection of a client that still waits for this answer.
 func (g *Guard) Closed(now decide.Time, q *Request) {
-	g.hold(ClosedUnanswered, Violation{At: now, Request: q.ID, Name: q.Name, Figure: max(0, q.Deadline-now)})
+	g.hold(ClosedUnanswered, Violation{At: now, Request: q.ID, Name: q.Name, Excess: max(0, q.Deadline-now)})
 }
 
 // hold counts and reports a violation.
--- a/internal/hooks/config.go
+++ b/internal/hooks/config.go
@@ -95,7 +95,7 @@
 }
 
 // checkFile looks at what no single range tells.
-func checkFile(f File, bad operatorconfig.Bad) {
+func checkFile(f File, bad operatorconfig.ReportFunc) {
 	if len(f.Hooks) > mostHooks {
 		bad("hook", "%d hooks (wanted at most %d)", len(f.Hooks), mostHooks)
 	}
@@ -210,7 +210,7 @@
 		path := filepath.Join(f.Folder, e.File)
 		var err error
 		if h.Code, err = operatorconfig.Read(path, plugin.MostCode); err != nil {
-			faults.Add(configerror.Fault{File: path, Text: configerror.Plain(err.Error())})
+			faults.Add(configerror.Error{File: path, Text: configerror.Plain(err.Error())})
 			continue
 		}
 		c.Hooks = append(c.Hooks, h)
--- a/internal/httpclient/call.go
+++ b/internal/httpclient/call.go
@@ -148,15 +148,15 @@
 		case ended && len(k.came) == 0:
 			k.lost(io.ErrUnexpectedEOF)
 			return true
-		case ended || len(k.came) > k.client.o.MostHeader:
+		case ended || len(k.came) > k.client.o.MaxHeaderBytes:
 			k.fail(errors.New("no HTTP header that can be read"))
 			return true
 		default:
 			return false
 		}
 	}
-	most := k.client.o.MostBody
-	if len(k.came)-k.header > 2*most+k.client.o.MostHeader { // a body in small chunks takes more room than it holds
+	most := k.client.o.MaxBodyBytes
+	if len(k.came)-k.header > 2*most+k.client.o.MaxHeaderBytes { // a body in small chunks takes more room than it holds
 		k.fail(ErrTooLong)
 		return true
 	}
--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -21,7 +21,7 @@
 type decoder struct{ faults *configerror.List }
 
 func (d *decoder) bad(at, format string, args ...any) {
-	d.faults.Add(configerror.Fault{Field: at, Text: fmt.Sprintf(format, args...)})
+	d.faults.Add(configerror.Error{Field: at, Text: fmt.Sprintf(format, args...)})
 }
 
 func (d *decoder) table(at string, doc map[string]any, v reflect.Value) {
@@ -42,7 +42,7 @@
 	}
 	slices.Sort(unknown)
 	for _, name := range unknown {
-		d.bad(joined(at, configerror.Plain(name)), "unknown key%s", configerror.Meant(name, known))
+		d.bad(joined(at, configerror.Plain(name)), "unknown key%s", configerror.DidYouMean(name, known))
 	}
 }
 
@@ -142,7 +142,7 @@
 		known := strings.Split(words, ",")
 		if !slices.Contains(known, text) {
 			d.bad(at, "unknown word (%s, wanted %s)%s", configerror.Quote(text), configerror.OneOf(known),
-				configerror.Meant(text, known))
+				configerror.DidYouMean(text, known))
 			return
 		}
 	} else if !d.length(at, len(text), "bytes", longestText, tag) {
--- a/internal/operatorconfig/keys.go
+++ b/internal/operatorconfig/keys.go
@@ -116,7 +116,7 @@
 func show(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case time.Duration:
-		return strconv.Quote(Duration(x))
+		return strconv.Quote(FormatDuration(x))
 	case Size:
 		return strconv.Quote(x.String())
 	case string:
--- a/internal/operatorconfig/place.go
+++ b/internal/operatorconfig/place.go
@@ -11,7 +11,7 @@
 // place finds the lines and columns of faults by their paths. The library's decoder keeps no places, so this walks
 // over its syntax tree, and only once something is wrong. That part of the library may change; should it ever
 // give no places, faults go without.
-func place(raw []byte, faults []configerror.Fault) {
+func place(raw []byte, faults []configerror.Error) {
 	wanted := map[string][]int{}
 	for i, f := range faults {
 		if f.Line == 0 {
@@ -36,7 +36,7 @@
 
 type walker struct {
 	raw     []byte
-	faults  []configerror.Fault
+	faults  []configerror.Error
 	wanted  map[string][]int // faults by path
 	entries map[string]int   // of the lists of tables so far, by path
 }
@@ -81,7 +81,7 @@
 func (w *walker) mark(path string, offset uint32) {
 	for _, i := range w.wanted[path] {
 		if w.faults[i].Line == 0 {
-			w.faults[i].Line, w.faults[i].Column = configerror.Place(w.raw, int(offset))
+			w.faults[i].Line, w.faults[i].Column = configerror.Position(w.raw, int(offset))
 		}
 	}
 }
--- a/internal/operatorconfig/units.go
+++ b/internal/operatorconfig/units.go
@@ -42,8 +42,8 @@
 	return 0, errors.New("not a size")
 }
 
-// Duration words a duration as short as it can be: "2.5s", "1m", "4ms".
-func Duration(d time.Duration) string {
+// FormatDuration words a duration as short as it can be: "2.5s", "1m", "4ms".
+func FormatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
 		s = strings.TrimSuffix(s, "0s")
--- a/internal/rankcache/rankcache.go
+++ b/internal/rankcache/rankcache.go
@@ -8,13 +8,13 @@
 
 import "math"
 
-// Most is how many ranks of a key are remembered.
-const Most = 8
+// MaxRanks is how many ranks of a key are remembered.
+const MaxRanks = 8
 
 const sets = 1 << 14 // of two places each: 32,768 keys in 1 MiB
 
 // List is the first ranks of a key, as numbers of caches.
-type List [Most]uint16
+type List [MaxRanks]uint16
 
 type place struct {
 	key   uint64
@@ -24,14 +24,14 @@
 	list  List
 }
 
-// Memo is the table. The zero value is empty and takes its memory with the first Put.
-type Memo struct {
+// Cache is the table. The zero value is empty and takes its memory with the first Put.
+type Cache struct {
 	places []place
 	epoch  uint32
 }
 
 // Forget empties it, in constant time.
-func (m *Memo) Forget() {
+func (m *Cache) Forget() {
 	if m.epoch++; m.epoch == math.MaxUint32 {
 		// The danger: after four billion changes ranks of the first fleet pass for those of today's.
 		m.epoch, m.places = 0, nil
@@ -39,7 +39,7 @@
 }
 
 // Get is what was put for the key since the last Forget; nil where it is not known.
-func (m *Memo) Get(key uint64) []uint16 {
+func (m *Cache) Get(key uint64) []uint16 {
 	if m.places == nil {
 		return nil
 	}
@@ -54,7 +54,7 @@
 }
 
 // Put remembers the first ranks of a key, Most at most, in place of the one of its set that was used longer ago.
-func (m *Memo) Put(key uint64, ranks []uint16) {
+func (m *Cache) Put(key uint64, ranks []uint16) {
 	if m.places == nil {
 		m.places = make([]place, 2*sets)
 	}
@@ -69,7 +69,7 @@
 }
 
 // set is the two places of a key. Multiplying spreads keys of which only the low bits differ (Knuth, 6.4).
-func (m *Memo) set(key uint64) *[2]place {
+func (m *Cache) set(key uint64) *[2]place {
 	i := key * 0x9e3779b97f4a7c15 >> 50 * 2
 	return (*[2]place)(m.places[i : i+2])
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	firstRanks  = rankcache.Most // of an order that are found in one pass; few are asked for
-	mostOrders  = 64             // whole orders that are kept
-	rememberFor = 64             // things from which on first ranks are remembered: below that they cost less than a look
+	firstRanks  = rankcache.MaxRanks // of an order that are found in one pass; few are asked for
+	mostOrders  = 64                 // whole orders that are kept
+	rememberFor = 64                 // things from which on first ranks are remembered: below that they cost less than a look
 )
 
 // Set holds things, each with an id of its own and a size above 0. Its zero value is empty.
 type Set[T any] struct {
 	groups  []group[T] // the things by size
 	n       int
-	order   order[T]                     // of the key that was ranked last
-	orders  map[uint64][]T               // whole orders, while the set stays as it is
-	memo    rankcache.Memo               // first ranks of keys, likewise
-	numbers rankcache.Numbers[*thing[T]] // by which the memo names them
+	order   order[T]                       // of the key that was ranked last
+	orders  map[uint64][]T                 // whole orders, while the set stays as it is
+	memo    rankcache.Cache                // first ranks of keys, likewise
+	numbers rankcache.Numbering[*thing[T]] // by which the memo names them
 }
 
 type thing[T any] struct {
@@ -65,7 +65,7 @@
 // Add takes a thing in.
 func (s *Set[T]) Add(id string, size float64, value T) {
 	t := &thing[T]{id: id, hash: Hash(id), value: value}
-	t.number = s.numbers.Take(t)
+	t.number = s.numbers.Assign(t)
 	g := s.group(size)
 	at, _ := slices.BinarySearchFunc(g.things, id, byID[T])
 	g.things, g.hashes = slices.Insert(g.things, at, t), slices.Insert(g.hashes, at, t.hash)
@@ -77,7 +77,7 @@
 func (s *Set[T]) Remove(id string, size float64) {
 	g := s.group(size)
 	if at, found := slices.BinarySearchFunc(g.things, id, byID[T]); found {
-		s.numbers.Give(g.things[at].number)
+		s.numbers.Release(g.things[at].number)
 		g.things, g.hashes = slices.Delete(g.things, at, at+1), slices.Delete(g.hashes, at, at+1)
 		s.n--
 		s.forget()
@@ -176,7 +176,7 @@
 func (s *Set[T]) Rank(key uint64) {
 	o := &s.order
 	o.key, o.first, o.all = key, o.first[:0], nil
-	large := s.n > rememberFor && s.numbers.Most() <= math.MaxUint16
+	large := s.n > rememberFor && s.numbers.Max() <= math.MaxUint16
 	if large {
 		for _, n := range s.memo.Get(key) {
 			o.first = append(o.first, ranked[T]{t: s.numbers.Of(int(n))})
@@ -197,8 +197,8 @@
 	}
 }
 
-// At is the thing of rank i, from 0, for the key that was ranked last.
-func (s *Set[T]) At(i int) T {
+// Ranked is the thing of rank i, from 0, for the key that was ranked last.
+func (s *Set[T]) Ranked(i int) T {
 	o := &s.order
 	if o.all == nil && i >= len(o.first) {
 		o.all = s.whole(o.key)
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	MostValue   = 64 << 10               // bytes of a value
-	MostWord    = 1 << 10                // ... of a key, an id, a list of names and values, a word of an answer
-	MostCommand = MostValue + 4<<10      // ... of a whole command
-	mostLine    = 512                    // ... of a line
-	MetaArg     = 3                      // place of a command's names and values, behind verb, key and id
-	mostArgs    = 16                     // arguments of a command
-	MostReply   = MostValue + 3*MostWord // bytes of a whole answer
+	MaxValueBytes   = 64 << 10                       // bytes of a value
+	MaxWordBytes    = 1 << 10                        // ... of a key, an id, a list of names and values, a word of an answer
+	MaxCommandBytes = MaxValueBytes + 4<<10          // ... of a whole command
+	mostLine        = 512                            // ... of a line
+	MetaArg         = 3                              // place of a command's names and values, behind verb, key and id
+	mostArgs        = 16                             // arguments of a command
+	MaxReplyBytes   = MaxValueBytes + 3*MaxWordBytes // bytes of a whole answer
 )
 
 var (
@@ -116,9 +116,9 @@
 		return 0, errLength
 	}
 	for i := range n {
-		most := MostWord
+		most := MaxWordBytes
 		if i > MetaArg {
-			most = MostValue
+			most = MaxValueBytes
 		}
 		arg, next, err := bulk(b, at, most)
 		switch {
@@ -144,7 +144,7 @@
 		return list, 0, nil
 	}
 	if b[0] != '*' {
-		text, used, err := line(b, MostWord)
+		text, used, err := line(b, MaxWordBytes)
 		return append(list, bytes.Fields(text)...), used, err
 	}
 	n, at, err := figure(b, 0, '*', mostArgs)
@@ -156,9 +156,9 @@
 	}
 	args = slices.Grow(list, n)
 	for i := range n {
-		most := MostWord
+		most := MaxWordBytes
 		if i > MetaArg {
-			most = MostValue
+			most = MaxValueBytes
 		}
 		arg, next, err := bulk(b, at, most)
 		switch {
@@ -176,18 +176,18 @@
 
 // Reply is a cache's answer.
 type Reply struct {
-	Result decide.Result
-	Value  []byte // a bulk string on the wire, for the client as it is; it lies in what was read
-	Miss   bool
-	Pong   bool
-	Load   decide.LoadReport
+	Result     decide.Result
+	Value      []byte // a bulk string on the wire, for the client as it is; it lies in what was read
+	Miss       bool
+	Pong       bool
+	LoadReport decide.LoadReport
 }
 
 // Next takes one answer off b; used is 0 where it is not whole yet. Legal are an array of value,
 // word or null and report or null, the error lines of the protocol's table, and the answer to a
 // probe. All else is an error, and what follows it on the connection can't be told apart.
 func (rep *Reply) Next(b []byte) (used int, err error) {
-	*rep = Reply{Result: decide.Errored, Load: decide.LoadReport{Utilization: -1}}
+	*rep = Reply{Result: decide.Errored, LoadReport: decide.LoadReport{Utilization: -1}}
 	if len(b) == 0 {
 		return 0, nil
 	}
@@ -201,24 +201,24 @@
 	case n != 3:
 		return 0, ErrReply
 	}
-	value, end, err := bulk(b, at, MostValue)
+	value, end, err := bulk(b, at, MaxValueBytes)
 	if err != nil || end == 0 {
 		return 0, err
 	}
 	if value == nil {
 		return 0, ErrReply // a null serves nobody
 	}
-	word, next, err := bulk(b, end, MostWord)
+	word, next, err := bulk(b, end, MaxWordBytes)
 	if err != nil || next == 0 {
 		return 0, err
 	}
-	report, used, err := bulk(b, next, MostWord)
+	report, used, err := bulk(b, next, MaxWordBytes)
 	if err != nil || used == 0 {
 		return 0, err
 	}
 	rep.Result, rep.Value = decide.Served, b[at:end:end]
 	rep.Miss = string(word) == "miss" || string(word) == "pending"
-	rep.Load = parseLoad(string(report))
+	rep.LoadReport = parseLoad(string(report))
 	return used, nil
 }
 
@@ -242,7 +242,7 @@
 		return 0, ErrReply
 	}
 	if len(words) > 1 {
-		rep.Load = parseLoad(words[len(words)-1])
+		rep.LoadReport = parseLoad(words[len(words)-1])
 	}
 	return used, nil
 }
--- a/internal/retry/pacer.go
+++ b/internal/retry/pacer.go
@@ -23,9 +23,9 @@
 
 // Options say who calls.
 type Options struct {
-	Clients  int  // that share the service, this one among them
-	Grace    Time // within which news of the service has to be acted on
-	AskEvery Time // a client that has not called for so long counts as told; 0 for never
+	Clients      int  // that share the service, this one among them
+	Grace        Time // within which news of the service has to be acted on
+	PollInterval Time // a client that has not called for so long counts as told; 0 for never
 }
 
 // Pacer says when one client calls again. Use NewPacer.
@@ -49,8 +49,8 @@
 // NewPacer returns the pacer of one client.
 func NewPacer(o Options) *Pacer {
 	p := &Pacer{bound: toldAfterReachable, first: max(o.Grace/2, CallPause), alone: o.Clients <= 1}
-	if o.AskEvery > 0 {
-		p.bound = max(min(p.bound, askFailed*o.AskEvery), meanPart*CallPause)
+	if o.PollInterval > 0 {
+		p.bound = max(min(p.bound, askFailed*o.PollInterval), meanPart*CallPause)
 	}
 	return p
 }
--- a/internal/retry/spans.go
+++ b/internal/retry/spans.go
@@ -7,8 +7,8 @@
 	toldAfterSilence = 6_000_000
 	toldAfterWait    = 2_000_000
 
-	// LongestWait is how long a call may wait without any change counting as told later for it.
-	LongestWait = toldAfterSilence - toldAfterWait
+	// MaxWatchWait is how long a call may wait without any change counting as told later for it.
+	MaxWatchWait = toldAfterSilence - toldAfterWait
 
 	shortestPart = 4 // a watch waits at least this part of the longest wait
 
@@ -30,10 +30,10 @@
 
 // Spans are those of one watch.
 type Spans struct {
-	Wait   Time // a call may wait so long for something new
-	Silent Time // a call that waits and has no answer by then has fallen silent
-	Answer Time // a call that does not wait has failed by then
-	Again  Time // from a failure to the next call; 0 where a Pacer says that
+	WatchWait     Time // a call may wait so long for something new
+	SilentAfter   Time // a call that waits and has no answer by then has fallen silent
+	AnswerTimeout Time // a call that does not wait has failed by then
+	RetryDelay    Time // from a failure to the next call; 0 where a Pacer says that
 }
 
 // Spans draws the spans of a watch. Half of the time between the end of a wait and the moment from which what was missed
@@ -47,7 +47,7 @@
 	}
 	shortest := o.WatchTime / shortestPart
 	wait := shortest + Time(chance%uint64(o.WatchTime-shortest+1))
-	return Spans{Wait: wait, Silent: wait + min(o.AnswerTime, toldAfterWait/2), Answer: o.AnswerTime}
+	return Spans{WatchWait: wait, SilentAfter: wait + min(o.AnswerTime, toldAfterWait/2), AnswerTimeout: o.AnswerTime}
 }
 
 // pushed are the spans towards an agent. It is silent while discovery is down, also to a call that is out, and what it gets at
@@ -56,5 +56,5 @@
 func (o CallOptions) pushed() Spans {
 	wait := min(max(o.Grace/4, CallPause), o.WatchTime)
 	answer := min(max(o.Grace/8, minSpan), o.AnswerTime)
-	return Spans{Wait: wait, Silent: wait + answer, Answer: answer, Again: max(o.Grace/8, minSpan)}
+	return Spans{WatchWait: wait, SilentAfter: wait + answer, AnswerTimeout: answer, RetryDelay: max(o.Grace/8, minSpan)}
 }
--- a/internal/retrystorm/explain.go
+++ b/internal/retrystorm/explain.go
@@ -21,13 +21,13 @@
 
 // Change is one change of state as the log has it.
 type Change struct {
-	Line                         int
-	Stamp                        string // what stands before, such as the time
-	From, To                     string
-	Asked, Conns                 float64 // a second
-	Retries, Unserved, Away, New float64 // shares in percent
-	Budget                       float64
-	Wait                         string
+	Line                           int
+	Stamp                          string // what stands before, such as the time
+	From, To                       string
+	Asked, Conns                   float64 // a second
+	Retries, Unserved, Outage, New float64 // shares in percent
+	Budget                         float64
+	Wait                           string
 }
 
 var changeForm = regexp.MustCompile(`^(.*?)storm: (calm|rising|storm|recovering) -> (calm|rising|storm|recovering): ` +
@@ -41,7 +41,7 @@
 		return c, false
 	}
 	c = Change{Stamp: strings.TrimSpace(m[1]), From: m[2], To: m[3], Wait: m[11]}
-	for i, to := range []*float64{&c.Asked, &c.Retries, &c.Unserved, &c.Away, &c.Conns, &c.New, &c.Budget} {
+	for i, to := range []*float64{&c.Asked, &c.Retries, &c.Unserved, &c.Outage, &c.Conns, &c.New, &c.Budget} {
 		v, err := strconv.ParseFloat(m[4+i], 64)
 		if err != nil {
 			return c, false
@@ -60,8 +60,8 @@
 		return "the bounds are what they were"
 	case c.To == "recovering":
 		return fmt.Sprintf("retries fell to %.0f%%; the bounds rise again", c.Retries)
-	case c.Away >= 100*d.EnterAway:
-		return fmt.Sprintf("%.0f%% of attempts met no cache", c.Away)
+	case c.Outage >= 100*d.EnterOutage:
+		return fmt.Sprintf("%.0f%% of attempts met no cache", c.Outage)
 	}
 	return fmt.Sprintf("%.0f%% of %.0f requests a second were retries, %.0f%% got nothing", c.Retries, c.Asked, c.Unserved)
 }
--- a/internal/retrystorm/retrystorm.go
+++ b/internal/retrystorm/retrystorm.go
@@ -44,35 +44,35 @@
 
 // Bounds are what holds until the next Tick.
 type Bounds struct {
-	On      bool
-	Away    bool    // caches are away, or came back in this storm
-	Retries float64 // of the budget of retries, the share that is left
-	Wait    Time    // refusals name times that differ by up to so much
+	Active              bool
+	Outage              bool    // caches are away, or came back in this storm
+	RetryBudgetFraction float64 // of the budget of retries, the share that is left
+	RetryAfterJitter    Time    // refusals name times that differ by up to so much
 }
 
 // calm are the bounds without a storm.
-var calm = Bounds{Retries: 1}
-
-// Ask is a request as a client asks for it.
-type Ask struct {
-	Client   uint64 // a hash of its address
-	Key      uint64 // a hash of key and class
-	Patience Time   // how long its client will try, at most
-	Marked   bool   // the client says that it is a retry
-	Fresh    bool   // it is the first on its connection
+var calm = Bounds{RetryBudgetFraction: 1}
+
+// Request is a request as a client asks for it.
+type Request struct {
+	Client            uint64 // a hash of its address
+	Key               uint64 // a hash of key and class
+	ClientTimeout     Time   // how long its client will try, at most
+	MarkedRetry       bool   // the client says that it is a retry
+	FirstOnConnection bool   // it is the first on its connection
 }
 
-// Told is what is known of an ask.
-type Told struct {
-	Retry bool
-	Since Time // when its client first asked; 0 where it is not known to be a retry
-	Over  bool // its address asks for more than its fair share
+// Verdict is what is known of an ask.
+type Verdict struct {
+	Retry            bool
+	FirstRequestedAt Time // when its client first asked; 0 where it is not known to be a retry
+	OverFairShare    bool // its address asks for more than its fair share
 
 	counted uint32 // when it was counted last as one that came back, in ms; 0 where it never was
 }
 
-// Storm watches one router's clients and caches. Use New.
-type Storm struct {
+// Detector watches one router's clients and caches. Use New.
+type Detector struct {
 	c      Config
 	state  State
 	low    Time // since when the shares are low; 0 where they are not
@@ -92,31 +92,31 @@
 type counts struct{ asked, retries, repeats, refused, met, missed, fresh, conns int }
 
 // New returns a watch of a storm.
-func New(c Config) *Storm {
-	return &Storm{c: c, bounds: calm, memory: refusals{most: c.Remembered}}
+func New(c Config) *Detector {
+	return &Detector{c: c, bounds: calm, memory: refusals{most: c.Remembered}}
 }
 
 // Bounds are those that hold now.
-func (s *Storm) Bounds() Bounds { return s.bounds }
+func (s *Detector) Bounds() Bounds { return s.bounds }
 
 // State is the state now.
-func (s *Storm) State() State { return s.state }
+func (s *Detector) State() State { return s.state }
 
 // Connected notes a new connection of a client.
-func (s *Storm) Connected() { s.counts[s.at].conns++ }
+func (s *Detector) Connected() { s.counts[s.at].conns++ }
 
-// Asked takes an ask in and tells what it is.
-func (s *Storm) Asked(now Time, a Ask) Told {
+// Requested takes an ask in and tells what it is.
+func (s *Detector) Requested(now Time, a Request) Verdict {
 	c, ms := &s.counts[s.at], s.ms(now)
 	c.asked++
-	if a.Fresh {
+	if a.FirstOnConnection {
 		c.fresh++
 	}
-	t := Told{Retry: a.Marked}
+	t := Verdict{Retry: a.MarkedRetry}
 	if e, found := s.memory.take(identity(a), ms); found {
-		t.Retry, t.Since, t.counted = true, s.start+Time(e.since)*1000, e.counted
+		t.Retry, t.FirstRequestedAt, t.counted = true, s.start+Time(e.since)*1000, e.counted
 		if e.counted == lost {
-			t = Told{} // marked or not: what brought it back was no want of room
+			t = Verdict{} // marked or not: what brought it back was no want of room
 		}
 	}
 	switch {
@@ -127,10 +127,10 @@
 	default:
 		c.repeats++
 	}
-	if s.c.AddressShare > 0 {
+	if s.c.FairShareFactor > 0 {
 		n := s.addresses.count(a.Client)
-		t.Over = s.state == Stormy && s.addresses.many >= s.c.Addresses &&
-			float64(n) > s.c.AddressShare*s.addresses.mean
+		t.OverFairShare = s.state == Stormy && s.addresses.many >= s.c.MinAddresses &&
+			float64(n) > s.c.FairShareFactor*s.addresses.mean
 	}
 	return t
 }
@@ -141,26 +141,26 @@
 
 // Unserved notes that an ask got no value: it was refused, it failed, or its client left. t is what was told of it, read
 // when it came.
-func (s *Storm) Unserved(now Time, a Ask, t Told, read Time) {
+func (s *Detector) Unserved(now Time, a Request, t Verdict, read Time) {
 	s.counts[s.at].refused++
 	first := read
-	if t.Since > 0 {
-		first = t.Since
+	if t.FirstRequestedAt > 0 {
+		first = t.FirstRequestedAt
 	}
-	s.memory.put(identity(a), refusal{since: s.ms(first), until: s.ms(first + a.Patience), counted: t.counted}, s.ms(now))
+	s.memory.put(identity(a), refusal{since: s.ms(first), until: s.ms(first + a.ClientTimeout), counted: t.counted}, s.ms(now))
 }
 
-// Lost notes that an ask got no value because a connection broke under it, its client's or a cache's. What comes back of
+// ConnectionLost notes that an ask got no value because a connection broke under it, its client's or a cache's. What comes back of
 // it is a first try.
 //
 // The danger: connections that are reset while all caches have room bring back a fifth of what is asked, which passes for a
 // storm, and retries are refused that would have been served.
-func (s *Storm) Lost(now Time, a Ask, read Time) {
-	s.memory.put(identity(a), refusal{since: s.ms(read), until: s.ms(read + a.Patience), counted: lost}, s.ms(now))
+func (s *Detector) ConnectionLost(now Time, a Request, read Time) {
+	s.memory.put(identity(a), refusal{since: s.ms(read), until: s.ms(read + a.ClientTimeout), counted: lost}, s.ms(now))
 }
 
-// Attempt notes whether an attempt met its cache.
-func (s *Storm) Attempt(met bool) {
+// AttemptEnded notes whether an attempt met its cache.
+func (s *Detector) AttemptEnded(met bool) {
 	if met {
 		s.counts[s.at].met++
 	} else {
@@ -169,14 +169,14 @@
 }
 
 // ms is an instant in what is remembered of it.
-func (s *Storm) ms(t Time) uint32 {
+func (s *Detector) ms(t Time) uint32 {
 	if s.start == 0 {
 		s.start = max(1, t-60_000_000) // what came before is as old as that
 	}
 	return uint32(max(0, t-s.start) / 1000)
 }
 
-func identity(a Ask) uint64 { return mix(a.Client*0x9e3779b97f4a7c15 + mix(a.Key)) }
+func identity(a Request) uint64 { return mix(a.Client*0x9e3779b97f4a7c15 + mix(a.Key)) }
 
 // mix is the finaliser of SplitMix64.
 func mix(x uint64) uint64 {
@@ -193,7 +193,7 @@
 	retries, refused, away, fresh float64 // of all; of requests that came back, each counts once in a second
 }
 
-func (s *Storm) shares() shares {
+func (s *Detector) shares() shares {
 	var sum counts
 	for _, c := range s.counts {
 		sum.asked, sum.retries, sum.repeats = sum.asked+c.asked, sum.retries+c.retries, sum.repeats+c.repeats
@@ -214,7 +214,7 @@
 const leastMissed = 3
 
 // Tick is called every Step. It returns a line for the log where the state changes, else the empty string.
-func (s *Storm) Tick(now Time) (line string) {
+func (s *Detector) Tick(now Time) (line string) {
 	if now-s.turned >= steps*Step {
 		s.turned = now
 		s.addresses.next()
@@ -222,14 +222,14 @@
 	f := s.shares()
 	s.at = (s.at + 1) % steps
 	s.counts[s.at] = counts{}
-	away := f.away >= s.c.EnterAway && f.missed >= leastMissed
-	high := f.again >= s.c.LeastRate && f.retries >= s.c.Enter || away
+	away := f.away >= s.c.EnterOutage && f.missed >= leastMissed
+	high := f.again >= s.c.MinRetryRate && f.retries >= s.c.Enter || away
 	// The danger: where little is asked, one retry a second is a share that never gets low.
-	low := (f.retries < s.c.Leave || f.again < s.c.LeastRate*littleShare) && (f.away < s.c.EnterAway/2 || f.missed < leastMissed)
+	low := (f.retries < s.c.Leave || f.again < s.c.MinRetryRate*littleShare) && (f.away < s.c.EnterOutage/2 || f.missed < leastMissed)
 	s.mark(now, high, low)
 	was := s.state
 	s.step(now, high)
-	if s.bounds.Away = s.bounds.Away || away; s.state == Calm {
+	if s.bounds.Outage = s.bounds.Outage || away; s.state == Calm {
 		s.bounds = calm
 	}
 	if s.state == was {
@@ -237,12 +237,12 @@
 	}
 	return fmt.Sprintf("storm: %v -> %v: asked %.0f/s, retries %.0f%%, unserved %.0f%%, caches away %.0f%%, "+
 		"connections %.0f/s, fresh %.0f%%; bounds: retries %.2f, waits up to %v", was, s.state, f.asked,
-		100*f.retries, 100*f.refused, 100*f.away, f.conns, 100*f.fresh, s.bounds.Retries,
-		time.Duration(s.bounds.Wait)*time.Microsecond)
+		100*f.retries, 100*f.refused, 100*f.away, f.conns, 100*f.fresh, s.bounds.RetryBudgetFraction,
+		time.Duration(s.bounds.RetryAfterJitter)*time.Microsecond)
 }
 
 // mark keeps since when shares are high, or low.
-func (s *Storm) mark(now Time, high, low bool) {
+func (s *Detector) mark(now Time, high, low bool) {
 	if !high {
 		s.high = 0
 	} else if s.high == 0 {
@@ -260,17 +260,17 @@
 
 // step goes from state to state. What leads into a storm is more than what keeps it up: the danger is a state that
 // flaps with each refusal, and bounds that never hold.
-func (s *Storm) step(now Time, high bool) {
+func (s *Detector) step(now Time, high bool) {
 	switch s.state {
 	case Calm:
 		if high {
 			s.state = Rising
-			s.bounds = Bounds{On: true, Retries: (1 + s.c.Retries) / 2, Wait: s.c.LeastWait.Microseconds()}
+			s.bounds = Bounds{Active: true, RetryBudgetFraction: (1 + s.c.RetryBudgetFraction) / 2, RetryAfterJitter: s.c.MinRetryAfterJitter.Microseconds()}
 		}
 	case Rising:
 		if lasted(now, s.high, s.c.Confirm) {
 			s.state = Stormy
-			s.bounds.Retries = s.c.Retries
+			s.bounds.RetryBudgetFraction = s.c.RetryBudgetFraction
 		} else if lasted(now, s.low, s.c.Settle) {
 			s.state = Calm
 		}
@@ -278,19 +278,19 @@
 		if lasted(now, s.low, s.c.Settle) {
 			s.state = Recovering
 		} else if high {
-			s.bounds.Wait = min(s.bounds.Wait*21/20, s.c.MostWait.Microseconds()) // twice as long in 1.4 s
+			s.bounds.RetryAfterJitter = min(s.bounds.RetryAfterJitter*21/20, s.c.MaxRetryAfterJitter.Microseconds()) // twice as long in 1.4 s
 		}
 	case Recovering:
 		if lasted(now, s.high, s.c.Confirm) {
 			s.state = Stormy
-			s.bounds.Retries = s.c.Retries
+			s.bounds.RetryBudgetFraction = s.c.RetryBudgetFraction
 			return
 		}
 		// The danger: a budget that is full again at once lets all that waited come together.
-		steps := max(1, float64(s.c.Ease.Microseconds())/float64(Step))
-		s.bounds.Retries = min(1, s.bounds.Retries+(1-s.c.Retries)/steps)
-		s.bounds.Wait = max(s.c.LeastWait.Microseconds(), s.bounds.Wait*19/20)
-		if s.bounds.Retries >= 1 {
+		steps := max(1, float64(s.c.RecoveryTime.Microseconds())/float64(Step))
+		s.bounds.RetryBudgetFraction = min(1, s.bounds.RetryBudgetFraction+(1-s.c.RetryBudgetFraction)/steps)
+		s.bounds.RetryAfterJitter = max(s.c.MinRetryAfterJitter.Microseconds(), s.bounds.RetryAfterJitter*19/20)
+		if s.bounds.RetryBudgetFraction >= 1 {
 			s.state = Calm
 		}
 	}
--- a/internal/router/aperture.go
+++ b/internal/router/aperture.go
@@ -12,7 +12,7 @@
 
 // narrowed is the fleet as the list has it, of which the router uses the part that its aperture covers.
 type narrowed struct {
-	ring  *aperture.Ring
+	ring  *aperture.Aperture
 	whole map[string]member
 }
 
@@ -24,7 +24,7 @@
 
 // newNarrowed is nil where the router can't know its place among the others, or has descriptors for any fleet.
 func newNarrowed(cfg *Config, connections int) *narrowed {
-	ring, err := aperture.New(cfg.Self, cfg.Peers, connections)
+	ring, err := aperture.New(cfg.RouterNumber, cfg.RouterCount, connections)
 	if err != nil {
 		return nil
 	}
@@ -34,11 +34,11 @@
 // part keeps what the aperture covers of what has changed. The danger: with more caches than descriptors a connection is
 // opened for nearly every request.
 func (n *narrowed) part(p endpoints.Publish, log func(string)) endpoints.Publish {
-	for i, e := range p.Entries {
+	for i, e := range p.Endpoints {
 		if e.Status == decide.Removed {
 			delete(n.whole, e.ID)
 		} else {
-			addr := p.Addrs[i]
+			addr := p.Addresses[i]
 			if addr == "" {
 				addr = n.whole[e.ID].addr // bad news needs none
 			}
@@ -49,13 +49,13 @@
 	if n.ring.Resize(len(n.whole)) {
 		return n.moved(p, &before, log)
 	}
-	if n.ring.Whole() {
+	if n.ring.CoversAll() {
 		return p
 	}
 	out := endpoints.Publish{Kind: p.Kind}
-	for i, e := range p.Entries {
+	for i, e := range p.Endpoints {
 		if n.ring.Covers(e.ID) {
-			out.Entries, out.Addrs = append(out.Entries, e), append(out.Addrs, p.Addrs[i])
+			out.Endpoints, out.Addresses = append(out.Endpoints, e), append(out.Addresses, p.Addresses[i])
 		}
 	}
 	return out
@@ -63,7 +63,7 @@
 
 // moved is what an aperture that has just changed makes of the list: what it does not cover any more has gone, what
 // it covers now has come, and what has changed has.
-func (n *narrowed) moved(p endpoints.Publish, before *aperture.Ring, log func(string)) endpoints.Publish {
+func (n *narrowed) moved(p endpoints.Publish, before *aperture.Aperture, log func(string)) endpoints.Publish {
 	var bad, good []member
 	add := func(e decide.Endpoint, addr string) {
 		if e.Status == decide.Serving {
@@ -73,9 +73,9 @@
 		}
 	}
 	changed := map[string]bool{}
-	for i, e := range p.Entries {
+	for i, e := range p.Endpoints {
 		if changed[e.ID] = true; e.Status == decide.Removed || n.ring.Covers(e.ID) {
-			add(e, p.Addrs[i])
+			add(e, p.Addresses[i])
 		} else if before.Covers(e.ID) {
 			add(decide.Endpoint{ID: e.ID, Status: decide.Removed}, "")
 		}
@@ -96,7 +96,7 @@
 	}
 	out := endpoints.Publish{Kind: p.Kind}
 	for _, m := range append(bad, good...) {
-		out.Entries, out.Addrs = append(out.Entries, m.entry), append(out.Addrs, m.addr)
+		out.Endpoints, out.Addresses = append(out.Endpoints, m.entry), append(out.Addresses, m.addr)
 	}
 	log(fmt.Sprintf("list of caches: %d of %d are used, as there are descriptors for so many", used, len(n.whole)))
 	return out
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -25,36 +25,36 @@
 
 // Config is what a router is told at its start.
 type Config struct {
-	Name       string
-	Listen     string // address for clients
-	Discovery  string // address of the discovery service
-	Seed       uint64
-	Self       int      // the router's number among its peers, from 0
-	Peers      int      // routers of the tier; 0 where its place among them is not told
-	PeerListen string   // where messages of other routers come to; empty where none do
-	PeerAddrs  []string // of the routers of the tier, its own among them
-	Digest     uint32   // of the platform's file, but for what differs from router to router
-	Build      uint32   // digest of the program's version
-	Limits     Limits
-	Known      discovery.List // the caches as last known; may be old
-	Settings   decide.Settings
-	Transport  settings.Transport
+	Name         string
+	Listen       string // address for clients
+	Discovery    string // address of the discovery service
+	Seed         uint64
+	RouterNumber int      // the router's number among its peers, from 0
+	RouterCount  int      // routers of the tier; 0 where its place among them is not told
+	PeerListen   string   // where messages of other routers come to; empty where none do
+	PeerAddrs    []string // of the routers of the tier, its own among them
+	Digest       uint32   // of the platform's file, but for what differs from router to router
+	Build        uint32   // digest of the program's version
+	Limits       Limits
+	LastKnown    discovery.List // the caches as last known; may be old
+	Settings     decide.Settings
+	Transport    settings.Transport
 
 	// The operators' files.
-	Bounds     limits.Limits
-	Membership endpoints.Config
-	Eureka     eureka.Config
-	Hooks      hooks.Config
-	State      snapshotstore.Config
-	Storm      retrystorm.Config
-	Events     eventlog.Config
-	Fleet      gossip.Operator
+	OperatorLimits limits.Limits
+	Endpoints      endpoints.Config
+	Eureka         eureka.Config
+	Hooks          hooks.Config
+	SnapshotStore  snapshotstore.Config
+	RetryStorm     retrystorm.Config
+	Events         eventlog.Config
+	Gossip         gossip.OperatorConfig
 
 	// Wrap puts something between the contract and the decision module; nil for nothing. It is there for
 	// tests that plant a defect.
 	Wrap func(guard.Module) guard.Module
-	// Unguarded has the guard count what is not allowed and prevent none of it. It is there for the same tests.
-	Unguarded bool
+	// GuardObserveOnly has the guard count what is not allowed and prevent none of it. It is there for the same tests.
+	GuardObserveOnly bool
 }
 
 // Limits are those of the router's machine.
@@ -91,9 +91,9 @@
 		return nil, fmt.Errorf("not JSON: %w", err)
 	}
 	c := &Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Limits: in.Limits,
-		Known: discovery.List{Index: discovery.NoIndex}, Bounds: limits.Default(), Membership: endpoints.DefaultConfig(),
-		Eureka: eureka.Default(), State: snapshotstore.Default(), Storm: retrystorm.Default(),
-		Fleet: gossip.DefaultOperator(), PeerListen: in.PeerAddr, PeerAddrs: in.Peers}
+		LastKnown: discovery.List{Index: discovery.NoIndex}, OperatorLimits: limits.Default(), Endpoints: endpoints.DefaultConfig(),
+		Eureka: eureka.Default(), SnapshotStore: snapshotstore.Default(), RetryStorm: retrystorm.Default(),
+		Gossip: gossip.DefaultOperatorConfig(), PeerListen: in.PeerAddr, PeerAddrs: in.Peers}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -107,8 +107,8 @@
 		}
 		c.Seed = seed
 	}
-	if c.Self = slices.Index(in.Peers, in.PeerAddr); c.Self >= 0 {
-		c.Peers = len(in.Peers)
+	if c.RouterNumber = slices.Index(in.Peers, in.PeerAddr); c.RouterNumber >= 0 {
+		c.RouterCount = len(in.Peers)
 	}
 	for _, f := range []struct {
 		name string
@@ -122,7 +122,7 @@
 	}
 	var err error
 	if len(in.Known) > 0 && string(in.Known) != "null" {
-		if c.Known, err = discovery.Parse(in.Known); err != nil {
+		if c.LastKnown, err = discovery.Parse(in.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -14,7 +14,7 @@
 	if result == decide.Served {
 		return
 	}
-	if !r.events.Writes() {
+	if !r.events.Enabled() {
 		r.events.Count(eventlog.AttemptEnded, guard.ResultName(result))
 		return
 	}
@@ -25,10 +25,10 @@
 // retried logs a further attempt of a request, with what became of the one before.
 func (r *Router) retried(q *request, cache string) {
 	before := "out"
-	if last := q.attempts[len(q.attempts)-1]; last.Over() {
+	if last := q.attempts[len(q.attempts)-1]; last.Ended() {
 		before = guard.ResultName(last.outcome.Result)
 	}
-	if !r.events.Writes() {
+	if !r.events.Enabled() {
 		r.events.Count(eventlog.AttemptRetried, before)
 		return
 	}
@@ -38,7 +38,7 @@
 
 // unanswered logs a final answer that does not serve.
 func (r *Router) unanswered(q *request, event eventlog.Event, why string) {
-	if !r.events.Writes() {
+	if !r.events.Enabled() {
 		r.events.Count(event, why)
 		return
 	}
@@ -48,15 +48,15 @@
 // startIs logs how far the start has come, and how long it took up to there.
 func (r *Router) startIs(reason string, fields ...slog.Attr) {
 	fields = append(fields, slog.Int64("after_us", r.m.Now()-r.begun))
-	r.events.Add(eventlog.Start, reason, fields...)
+	r.events.Add(eventlog.StartProgress, reason, fields...)
 }
 
-// ListTold implements sources.Owner.
-func (r *Router) ListTold(what string, version int64, caches int) {
-	r.events.Add(eventlog.ListTold, what, slog.Int64("version", version), slog.Int("caches", caches))
+// DiscoveryCallEnded implements sources.Owner.
+func (r *Router) DiscoveryCallEnded(what string, version int64, caches int) {
+	r.events.Add(eventlog.DiscoveryCallEnded, what, slog.Int64("version", version), slog.Int("caches", caches))
 }
 
-// ClientClosed implements front.Desk.
-func (r *Router) ClientClosed(why string, unanswered int) {
-	r.events.Add(eventlog.ClientClosed, why, slog.Int("unanswered", unanswered))
+// ConnectionClosed implements front.Desk.
+func (r *Router) ConnectionClosed(why string, unanswered int) {
+	r.events.Add(eventlog.ConnectionClosed, why, slog.Int("unanswered", unanswered))
 }
--- a/internal/router/fleet.go
+++ b/internal/router/fleet.go
@@ -14,7 +14,7 @@
 // fleetView is the router's view of the others of its tier, and what it makes of it: the number by which the decision
 // module divides what all may take together.
 type fleetView struct {
-	link    *transport.Link
+	link    *transport.Transport
 	divisor gossip.Divisor
 	shares  bool
 	by      int // as the module was told
@@ -23,7 +23,7 @@
 
 // joinFleet starts the view where operators have switched it on.
 func (r *Router) joinFleet() error {
-	o := &r.cfg.Fleet
+	o := &r.cfg.Gossip
 	if !o.Enabled {
 		return nil
 	}
@@ -35,10 +35,10 @@
 	}
 	cfg := o.Config()
 	cfg.Name, cfg.Addr, cfg.Peers = r.cfg.Name, r.cfg.PeerListen, r.cfg.others()
-	v := &fleetView{shares: o.Shares, by: r.cfg.Settings.Routers}
-	v.divisor = gossip.Divisor{Least: o.Least, Hold: o.Hold.Microseconds()}
-	if o.Least == 0 {
-		v.divisor.Least = r.cfg.Settings.Routers
+	v := &fleetView{shares: o.DivideByMembers, by: r.cfg.Settings.Routers}
+	v.divisor = gossip.Divisor{Min: o.MinMembers, Hold: o.Hold.Microseconds()}
+	if o.MinMembers == 0 {
+		v.divisor.Min = r.cfg.Settings.Routers
 	}
 	v.own = gossip.Info{Config: r.cfg.Digest, Build: r.cfg.Build}
 	cfg.Info = v.own
@@ -83,10 +83,10 @@
 	if r.fleet == nil || !r.fleet.shares || r.closed {
 		return
 	}
-	if by := r.fleet.divisor.By(r.fleet.link.View().Seen()); by != r.fleet.by {
+	if by := r.fleet.divisor.Divisor(r.fleet.link.View().Membership()); by != r.fleet.by {
 		r.fleet.by = by
 		r.backlog = append(r.backlog, &decide.RouterCount{Routers: by})
-		r.Settle()
+		r.ProcessEvents()
 	}
 }
 
@@ -99,7 +99,7 @@
 	own.List, own.Digest = uint64(max(0, version)), r.listDigest()
 	if own != r.fleet.own {
 		r.fleet.own = own
-		r.fleet.link.Own(own)
+		r.fleet.link.UpdateInfo(own)
 	}
 }
 
@@ -114,8 +114,8 @@
 	return sum
 }
 
-// Fleet is the router's view of the others; nil where it keeps none.
-func (r *Router) Fleet() *gossip.Fleet {
+// Gossip is the router's view of the others; nil where it keeps none.
+func (r *Router) Gossip() *gossip.View {
 	if r.fleet == nil {
 		return nil
 	}
--- a/internal/router/hooks.go
+++ b/internal/router/hooks.go
@@ -69,7 +69,7 @@
 	q.judged = r.hooks.Ask(hooks.Request{ID: q.id, Verb: q.cmd.Verb(), Class: q.cmd.Class, Tenant: q.cmd.Tenant, Key: q.cmd.Key(),
 		TimeLeft: q.deadline - r.m.Now(), Size: len(q.cmd.Value()), Value: q.cmd.Value}, func(v hooks.Verdict) {
 		r.verdict(q, v)
-		r.Settle()
+		r.ProcessEvents()
 	})
 	return q.judged
 }
@@ -95,8 +95,8 @@
 // submit puts a request before the module.
 func (r *Router) submit(q *request) {
 	c := q.cmd
-	q.event = decide.Request{ID: q.id, Class: c.Class, Tenant: c.Tenant, Key: c.Hash, HasKey: true,
-		Deadline: q.deadline, FirstRequestedAt: q.told.Since, Cost: c.Cost, Write: c.Write, IdempotencyKeyMissing: c.Unkeyed}
+	q.event = decide.Request{ID: q.id, Class: c.Class, Tenant: c.Tenant, Key: c.KeyHash, HasKey: true,
+		Deadline: q.deadline, FirstRequestedAt: q.told.FirstRequestedAt, Cost: c.Cost, Write: c.Write, IdempotencyKeyMissing: c.IdempotencyKeyMissing}
 	r.backlog = append(r.backlog, &q.event)
 }
 
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -34,7 +34,7 @@
 func (l Limits) shares() (clients, upstreams int) {
 	free := l.free()
 	// Answers of all caches at once must fit into memory beside what is counted there.
-	return free * 3 / 5, min(free*2/5, int(max(1, l.memory()/resp.MostReply)))
+	return free * 3 / 5, min(free*2/5, int(max(1, l.memory()/resp.MaxReplyBytes)))
 }
 
 // memory is the bytes that clients' commands and answers may hold, and those of caches as much again.
--- a/internal/router/list.go
+++ b/internal/router/list.go
@@ -27,9 +27,9 @@
 func (r *Router) takePiece() {
 	next := &r.lists[0]
 	piece := *next
-	if len(next.Entries) > listPiece {
-		piece.Entries, piece.Addrs = next.Entries[:listPiece:listPiece], next.Addrs[:listPiece:listPiece]
-		next.Entries, next.Addrs = next.Entries[listPiece:], next.Addrs[listPiece:]
+	if len(next.Endpoints) > listPiece {
+		piece.Endpoints, piece.Addresses = next.Endpoints[:listPiece:listPiece], next.Addresses[:listPiece:listPiece]
+		next.Endpoints, next.Addresses = next.Endpoints[listPiece:], next.Addresses[listPiece:]
 		next.Kind = decide.DeltaUpdate
 	} else {
 		r.lists = r.lists[1:]
@@ -37,7 +37,7 @@
 	if len(r.lists) > 0 {
 		r.m.Post(func() {
 			r.takePiece()
-			r.Settle()
+			r.ProcessEvents()
 		})
 	} else {
 		r.lists = nil
@@ -47,15 +47,15 @@
 
 // take hands a list, or a piece of one, to the module and to the upstream side.
 func (r *Router) take(p endpoints.Publish) {
-	told := make([]Time, len(p.Entries))
-	for i := range p.Entries {
-		told[i] = p.Entries[i].StartedAt
-		r.date(&p.Entries[i])
+	told := make([]Time, len(p.Endpoints))
+	for i := range p.Endpoints {
+		told[i] = p.Endpoints[i].StartedAt
+		r.date(&p.Endpoints[i])
 	}
 	// The danger: what ends with a drain is told before the drain, and is sent there again.
-	r.backlog = append(r.backlog, &decide.EndpointList{Kind: p.Kind, Endpoints: p.Entries})
+	r.backlog = append(r.backlog, &decide.EndpointList{Kind: p.Kind, Endpoints: p.Endpoints})
 	served := r.takesWork()
-	for i, e := range p.Entries {
+	for i, e := range p.Endpoints {
 		h := r.caches[e.ID]
 		if e.Status == decide.Removed {
 			if h != nil {
@@ -68,11 +68,11 @@
 			h = &hop{}
 			r.caches[e.ID] = h
 		}
-		if p.Addrs[i] != "" {
-			h.addr = p.Addrs[i] // bad news needs none
+		if p.Addresses[i] != "" {
+			h.addr = p.Addresses[i] // bad news needs none
 		}
 		if told[i] != h.told {
-			r.pool.Renewed(e.ID)
+			r.pool.CacheRestarted(e.ID)
 		}
 		h.entry, h.told = e, told[i]
 		r.pool.Update(e.ID, h.addr, e.Status == decide.Serving, false)
@@ -112,14 +112,14 @@
 	return max(0, most)
 }
 
-// Answered implements sources.Owner: also where nothing has changed, the module hears that discovery answers.
-func (r *Router) Answered() {
+// DiscoveryAnswered implements sources.Owner: also where nothing has changed, the module hears that discovery answers.
+func (r *Router) DiscoveryAnswered() {
 	r.backlog = append(r.backlog, &decide.EndpointList{Kind: decide.DeltaUpdate})
 	r.catchUp()
 }
 
-// Failed implements sources.Owner: the module says when to ask again.
-func (r *Router) Failed() {
+// DiscoveryFailed implements sources.Owner: the module says when to ask again.
+func (r *Router) DiscoveryFailed() {
 	r.backlog = append(r.backlog, &decide.EndpointList{Kind: decide.FailedUpdate})
 }
 
@@ -131,18 +131,18 @@
 		return
 	}
 	if r.front == nil { // nothing that the files set has been begun but the list
-		r.cfg.Listen, r.cfg.State, r.cfg.Hooks = cfg.Listen, cfg.State, cfg.Hooks
+		r.cfg.Listen, r.cfg.SnapshotStore, r.cfg.Hooks = cfg.Listen, cfg.SnapshotStore, cfg.Hooks
 	}
 	if cfg.Listen != r.cfg.Listen || cfg.Limits != r.cfg.Limits || !reflect.DeepEqual(cfg.Settings, r.cfg.Settings) ||
-		cfg.Transport != r.cfg.Transport || cfg.Bounds != r.cfg.Bounds || cfg.Storm != r.cfg.Storm || !reflect.DeepEqual(cfg.Fleet, r.cfg.Fleet) ||
-		!reflect.DeepEqual(cfg.Membership, r.cfg.Membership) || !reflect.DeepEqual(cfg.Eureka, r.cfg.Eureka) {
+		cfg.Transport != r.cfg.Transport || cfg.OperatorLimits != r.cfg.OperatorLimits || cfg.RetryStorm != r.cfg.RetryStorm || !reflect.DeepEqual(cfg.Gossip, r.cfg.Gossip) ||
+		!reflect.DeepEqual(cfg.Endpoints, r.cfg.Endpoints) || !reflect.DeepEqual(cfg.Eureka, r.cfg.Eureka) {
 		r.Log("SIGHUP: new addresses for clients, limits, settings and operators' files wait for a restart")
 	}
 	if r.front != nil {
 		r.reloadHooks(cfg.Hooks)
-		r.rekeep(cfg.State)
+		r.rekeep(cfg.SnapshotStore)
 	}
-	r.sources.Reread()
+	r.sources.ReloadFile()
 	if r.fleet != nil && !slices.Equal(cfg.PeerAddrs, r.cfg.PeerAddrs) {
 		r.cfg.PeerAddrs = cfg.PeerAddrs
 		r.Log(fmt.Sprintf("SIGHUP: %d other routers are configured", len(r.cfg.others())))
@@ -154,5 +154,5 @@
 	}
 	r.Log("SIGHUP: discovery moves to " + cfg.Discovery)
 	r.cfg.Discovery = cfg.Discovery
-	r.sources.Move(cfg.Discovery)
+	r.sources.SetDiscovery(cfg.Discovery)
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"context"
 	"fmt"
 	"strings"
 
@@ -20,10 +21,10 @@
 	name     string            // as its client named it
 	cmd      *frontend.Command // the slot's
 	deadline Time
-	slot     *frontend.Slot
+	slot     *frontend.ReplySlot
 	judged   bool // hooks have it, and the module has not heard of it
-	ask      retrystorm.Ask
-	told     retrystorm.Told
+	ask      retrystorm.Request
+	told     retrystorm.Verdict
 	read     Time
 	lost     bool // a connection to a cache broke under it
 	over     bool // the final answer is given, or nobody waits for it
@@ -52,27 +53,27 @@
 // client's connection is looked at again.
 func (s *sending) MaySend(now Time) bool {
 	q := s.request
-	return s.router.guard.MaySend(now, &q.guard, s.to, q.over || q.slot.Gone()) == guard.Allowed
+	return s.router.guard.MaySend(now, &q.guard, s.to, q.over || q.slot.ClientGone()) == guard.Allowed
 }
 
-// Began and Whole implement upstream.Work.
-func (s *sending) Began(now, wait Time, whole bool) {
-	s.router.guard.Began(now, &s.request.guard, s.Number, s.to, wait, whole)
+// WriteStarted and Whole implement upstream.Work.
+func (s *sending) WriteStarted(now, wait Time, whole bool) {
+	s.router.guard.WriteStarted(now, &s.request.guard, s.Number, s.to, wait, whole)
 }
 
-func (s *sending) Whole() { s.request.guard.Whole(s.Number) }
+func (s *sending) WriteCompleted() { s.request.guard.WriteCompleted(s.Number) }
 
-// Key implements upstream.Work.
-func (s *sending) Key() uint64 { return s.request.cmd.Hash }
+// KeyHash implements upstream.Work.
+func (s *sending) KeyHash() uint64 { return s.request.cmd.KeyHash }
 
-// Unsafe implements upstream.Work.
-func (s *sending) Unsafe() bool { return s.request.cmd.Unsafe }
+// NonIdempotent implements upstream.Work.
+func (s *sending) NonIdempotent() bool { return s.request.cmd.NonIdempotent }
 
 // mostBacklog is the number of events that there is room kept for.
 const mostBacklog = 1024
 
-// Settle hands the module what has happened, in order, and does what it says.
-func (r *Router) Settle() {
+// ProcessEvents hands the module what has happened, in order, and does what it says.
+func (r *Router) ProcessEvents() {
 	if r.telling {
 		return // what it says now has happened on its behalf, and is told in its turn
 	}
@@ -81,7 +82,7 @@
 		return
 	}
 	if r.front != nil {
-		r.pool.Lend(r.spare - r.front.Clients())
+		r.pool.LendDescriptors(r.spare - r.front.Connections())
 	}
 	r.telling = true
 	for i := 0; i < len(r.backlog); i++ { // it grows meanwhile
@@ -114,13 +115,13 @@
 		r.send(a)
 	case decide.Cancel:
 		if q := r.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) {
-			q.attempts[a.Attempt].GiveUp(decide.Cancelled)
+			q.attempts[a.Attempt].Abort(decide.Cancelled)
 		}
 	case decide.Reject:
 		if q := r.requests[a.ID]; q != nil {
 			q.lost = false // whatever broke before, what it lacks now is room
 			r.unserved(q)
-			r.unanswered(q, eventlog.RequestRefused, a.Reason.String())
+			r.unanswered(q, eventlog.RequestRejected, a.Reason.String())
 			r.refuse(q, a.RetryAfter)
 		}
 	case decide.Fail:
@@ -140,7 +141,7 @@
 	case decide.Watch:
 		r.sources.Watch()
 	case decide.Log:
-		r.Log(a.Text)
+		r.logger.LogAttrs(context.Background(), a.Level, a.Message, a.Attrs...)
 	}
 }
 
@@ -157,18 +158,18 @@
 	return false
 }
 
-// Ask takes a request from a client and puts it before the module.
-func (r *Router) Ask(s *frontend.Slot, read Time) {
+// HandleRequest takes a request from a client and puts it before the module.
+func (r *Router) HandleRequest(s *frontend.ReplySlot, read Time) {
 	cmd := &s.Command
-	if r.cfg.Transport.MaxOpen > 0 && r.open >= r.cfg.Transport.MaxOpen {
+	if r.cfg.Transport.MaxOpenRequests > 0 && r.open >= r.cfg.Transport.MaxOpenRequests {
 		s.Answer([]byte(frontend.BusyReply)) // beyond what the settings let a router hold; never sent on
 		return
 	}
-	var ask retrystorm.Ask
-	told := retrystorm.Told{}
+	var ask retrystorm.Request
+	told := retrystorm.Verdict{}
 	if r.storm != nil {
 		ask = r.storm.ask(s, cmd)
-		if told = r.storm.storm.Asked(read, ask); told.Over {
+		if told = r.storm.storm.Requested(read, ask); told.OverFairShare {
 			r.storm.storm.Unserved(read, ask, told, read)
 			s.Answer(frontend.AppendBusy(nil, r.spreadWait(cmd.ID()))) // never sent on
 			return
@@ -181,16 +182,16 @@
 	}
 	r.ids[name] = struct{}{}
 	if r.longest > 0 {
-		cmd.Wait = min(cmd.Wait, r.longest) // of a class without a limit of its own
+		cmd.Timeout = min(cmd.Timeout, r.longest) // of a class without a limit of its own
 	}
 	r.lastID++
-	q := &request{id: r.lastID, name: name, cmd: cmd, read: read, deadline: read + cmd.Wait, slot: s, ask: ask, told: told}
+	q := &request{id: r.lastID, name: name, cmd: cmd, read: read, deadline: read + cmd.Timeout, slot: s, ask: ask, told: told}
 	if r.endsBy > 0 {
 		// The danger: what is taken late in a drain has a deadline beyond its end, and is lost with the process.
 		q.deadline = min(q.deadline, r.endsBy-drainAnswers)
 	}
 	q.attempts = q.room[:0]
-	q.guard = r.guard.Open(q.id, name, cmd.Class, cmd.Unkeyed, q.deadline)
+	q.guard = r.guard.Open(q.id, name, cmd.Class, cmd.IdempotencyKeyMissing, q.deadline)
 	s.ID = q.id
 	r.requests[q.id] = q
 	r.open++
@@ -199,8 +200,8 @@
 	}
 }
 
-// Departed notes that a client has closed its connection, or that the router itself has.
-func (r *Router) Departed(slots []*frontend.Slot, byRouter bool) {
+// ClientsGone notes that a client has closed its connection, or that the router itself has.
+func (r *Router) ClientsGone(slots []*frontend.ReplySlot, byRouter bool) {
 	var gone []*request
 	for _, s := range slots {
 		if q := r.requests[s.ID]; q != nil && !q.over {
@@ -229,7 +230,7 @@
 
 // refuse gives a final answer that promises that another try does no harm; where it might, one that promises nothing.
 func (r *Router) refuse(q *request, wait Time) {
-	if r.guard.MayRefuse(&q.guard) != guard.Allowed {
+	if r.guard.MayReject(&q.guard) != guard.Allowed {
 		r.finish(q, []byte(frontend.FailedReply), plugin.WasFailed)
 		return
 	}
@@ -261,11 +262,11 @@
 	r.open--
 	for _, s := range q.attempts {
 		if s.Unwritten() {
-			s.GiveUp(decide.Cancelled)
+			s.Abort(decide.Cancelled)
 		}
 	}
 	if answer != nil {
-		r.guard.Answer(r.m.Now(), &q.guard)
+		r.guard.Answered(r.m.Now(), &q.guard)
 		q.slot.Answer(answer)
 		r.answered(q, o)
 	}
@@ -295,9 +296,9 @@
 	if h := r.caches[a.Cache]; h != nil {
 		s.to.Zone, s.to.Cell = h.entry.Zone, h.entry.Cell
 	}
-	s.Attempt = upstream.Attempt{Work: s, Number: len(q.attempts), Sent: now, StopAt: a.AttemptDeadline, WriteBy: a.WriteDeadline}
-	if s.StopAt == 0 || s.StopAt > q.deadline {
-		s.StopAt = q.deadline
+	s.Attempt = upstream.Attempt{Request: s, Number: len(q.attempts), SentAt: now, Deadline: a.AttemptDeadline, WriteDeadline: a.WriteDeadline}
+	if s.Deadline == 0 || s.Deadline > q.deadline {
+		s.Deadline = q.deadline
 	}
 	q.attempts = append(q.attempts, s)
 	if !q.over {
@@ -308,33 +309,33 @@
 		q.out--
 	}
 	// The cache is gone by now, or the client is: an attempt has an outcome all the same.
-	s.Drop()
+	s.Discard()
 	r.say(q, &decide.AttemptResult{ID: q.id, Attempt: s.Number, Result: decide.NotSent, Last: q.over,
 		Load: decide.LoadReport{Utilization: -1}})
 }
 
 func (r *Router) probe(cache string) {
 	now := r.m.Now()
-	a := &upstream.Attempt{Sent: now, StopAt: now + r.cfg.Bounds.Caches.ProbeTime.Microseconds()}
+	a := &upstream.Attempt{SentAt: now, Deadline: now + r.cfg.OperatorLimits.Caches.HealthCheckTimeout.Microseconds()}
 	if r.front == nil || !r.pool.Start(cache, a) { // a process that waits for its address leaves the caches alone
 		r.backlog = append(r.backlog, &decide.HealthCheckResult{Cache: cache, Result: decide.NotSent, Load: decide.LoadReport{Utilization: -1}})
 	}
 }
 
-// Ended tells the module how an attempt went. The first answer that serves is
+// AttemptEnded tells the module how an attempt went. The first answer that serves is
 // the final one by itself.
-func (r *Router) Ended(a *upstream.Attempt, result decide.Result, rep *resp.Reply) {
-	elapsed, load := r.m.Now()-a.Sent, decide.LoadReport{Utilization: -1}
+func (r *Router) AttemptEnded(a *upstream.Attempt, result decide.Result, rep *resp.Reply) {
+	elapsed, load := r.m.Now()-a.SentAt, decide.LoadReport{Utilization: -1}
 	if rep != nil {
-		load = rep.Load
+		load = rep.LoadReport
 	}
-	s, request := a.Work.(*sending)
+	s, request := a.Request.(*sending)
 	if !request {
 		r.backlog = append(r.backlog, &decide.HealthCheckResult{Cache: a.Cache(), Result: result, Elapsed: elapsed, Load: load})
 		return
 	}
 	q := s.request
-	q.guard.Ended(a.Number, result)
+	q.guard.AttemptEnded(a.Number, result)
 	r.attemptEnded(q, a, result, elapsed)
 	q.out--
 	q.lost = q.lost || result == decide.ConnectionLost
@@ -357,8 +358,8 @@
 		switch ev := ev.(type) {
 		case *decide.AttemptResult:
 			q := r.requests[ev.ID]
-			if q != nil && ev.Attempt < len(q.attempts) && !q.attempts[ev.Attempt].Over() {
-				q.attempts[ev.Attempt].GiveUp(decide.TimedOut) // its timer was lost
+			if q != nil && ev.Attempt < len(q.attempts) && !q.attempts[ev.Attempt].Ended() {
+				q.attempts[ev.Attempt].Abort(decide.TimedOut) // its timer was lost
 				continue
 			}
 			if q != nil {
@@ -379,5 +380,5 @@
 
 func breachLine(b guard.Breach) string {
 	return fmt.Sprintf("contract: %v, request %d, cache %q: %s; before: %s", b.Kind, b.Request, b.Cache, b.Text,
-		strings.Join(b.Trail, " | "))
+		strings.Join(b.History, " | "))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -46,16 +46,17 @@
 	module    guard.Module // the contract, and the decision module behind them
 	contract  *guard.Contract
 	guard     *guard.Guard
+	logger    *slog.Logger
 	events    *eventlog.Log
 	begun     Time           // when the start began
 	counted   Time           // when the counters of events were written last
 	decider   *decide.Router // for what it has learned; all else goes through the module
 	keeper    *keeper        // nil where no state is kept
-	front     *frontend.Front
+	front     *frontend.Server
 	pool      *upstream.Pool
 	backlog   []decide.Event // what the module is still to be told
 	telling   bool
-	clock     *timerqueue.Clock // for the module's timers and the ends of attempts
+	clock     *timerqueue.Queue // for the module's timers and the ends of attempts
 	timers    map[int64]*timer  // of the module, by token
 	spent     *timer            // timers that are over, for the next ones
 	spents    int
@@ -93,11 +94,11 @@
 	addr  string
 }
 
-// SourcesOf says whom a router with that configuration asks for caches.
-func SourcesOf(cfg *Config) endpointsource.Config {
-	asked := discovery.Options{Discovery: cfg.Bounds.Discovery, Pushed: !cfg.Settings.WatchRequired, Grace: cfg.Settings.DrainGrace}
-	return endpointsource.Config{Discovery: cfg.Discovery, Asked: asked, Known: cfg.Known,
-		Membership: cfg.Membership, Eureka: cfg.Eureka}
+// EndpointSources says whom a router with that configuration asks for caches.
+func EndpointSources(cfg *Config) endpointsource.Config {
+	asked := discovery.Options{Discovery: cfg.OperatorLimits.Discovery, Pushed: !cfg.Settings.WatchRequired, Grace: cfg.Settings.DrainGrace}
+	return endpointsource.Config{Discovery: cfg.Discovery, DiscoveryOptions: asked, LastKnown: cfg.LastKnown,
+		Endpoints: cfg.Endpoints, Eureka: cfg.Eureka}
 }
 
 // Addr is the address for clients; empty while the router waits for it.
@@ -141,7 +142,7 @@
 		if r.closed {
 			return
 		}
-		r.front.Retire(func() {
+		r.front.Drain(func() {
 			end := func() {
 				r.keeper.finish(func() {
 					limit.Stop()
@@ -175,7 +176,7 @@
 			}
 		}
 	}
-	r.Settle()
+	r.ProcessEvents()
 }
 
 // Close ends all at once: what is not answered is lost.
@@ -213,12 +214,12 @@
 	}
 }
 
-// Left is what the router holds, by what it is. All but connections, and timers that come again and again, is 0 once
+// Holdings is what the router holds, by what it is. All but connections, and timers that come again and again, is 0 once
 // nothing is asked.
-func (r *Router) Left() map[string]int {
+func (r *Router) Holdings() map[string]int {
 	return map[string]int{"requests": len(r.requests), "ids": len(r.ids), "open": r.open, "attempts": r.pool.Attempts(),
-		"bytes": int(r.front.Held()), "events": len(r.backlog), "lists": len(r.lists), "breaches": r.contract.Breaches(), "violations": r.violations(), "verdicts": r.hooks.Left()["verdicts owed"],
-		"timers": r.clock.Len(), "connections": r.pool.Conns() + r.front.Clients()}
+		"bytes": int(r.front.BufferedBytes()), "events": len(r.backlog), "lists": len(r.lists), "breaches": r.contract.Breaches(), "violations": r.violations(), "verdicts": r.hooks.Left()["verdicts owed"],
+		"timers": r.clock.Len(), "connections": r.pool.Connections() + r.front.Connections()}
 }
 
 // violations is how many rules were broken.
@@ -230,7 +231,7 @@
 // violated logs a rule that was broken.
 func (r *Router) violated(v guard.Violation) {
 	r.events.Add(eventlog.Violation, v.Reason.String(), slog.Int64("request", v.Request), slog.String("id", v.Name),
-		slog.Int("attempt", v.Attempt), slog.String("cache", v.Cache), slog.Int64("by_us", v.Figure))
+		slog.Int("attempt", v.Attempt), slog.String("cache", v.Cache), slog.Int64("by_us", v.Excess))
 }
 
 // breach logs what broke the contract between the loop and the module, with what led to it.
@@ -246,11 +247,11 @@
 		r.counted = now
 		r.events.WriteCounters()
 	}
-	r.Settle()
+	r.ProcessEvents()
 	// Where the loop stood still, what is due since then comes behind this look, and seems to be missing.
 	if r.m.Now()-r.sweepDue <= sweepLate {
 		r.balance()
-		r.Settle()
+		r.ProcessEvents()
 	}
 	r.sweepSoon()
 }
--- a/internal/router/standstill.go
+++ b/internal/router/standstill.go
@@ -36,7 +36,7 @@
 	}
 	r.behind = true
 	r.events.Add(eventlog.Resumed, "list-behind", slog.Int64("version", r.sources.Version()))
-	r.pool.Hold()
+	r.pool.Pause()
 	r.catchUp()
 }
 
@@ -50,5 +50,5 @@
 		return
 	}
 	r.behind = false
-	r.pool.Release()
+	r.pool.Resume()
 }
--- a/internal/router/start.go
+++ b/internal/router/start.go
@@ -12,6 +12,7 @@
 	"starlingwinch/internal/guard"
 	"starlingwinch/internal/hooks"
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/structuredlog"
 	"starlingwinch/internal/timerqueue"
 	"starlingwinch/internal/upstream"
 )
@@ -71,18 +72,19 @@
 	if cfg.Wrap != nil {
 		behind = cfg.Wrap(module)
 	}
+	r.logger = structuredlog.New(m)
 	r.contract = guard.NewContract(behind, r.breach)
 	r.guard = guard.NewGuard(&cfg.Settings, r.violated)
-	r.guard.Unarmed = cfg.Unguarded
-	r.events = eventlog.New(cfg.Events, m.Now, r.Log)
+	r.guard.ObserveOnly = cfg.GuardObserveOnly
+	r.events = eventlog.New(cfg.Events, m.Now, r.logger)
 	r.module = r.contract
 	r.storm = newStormWatch(cfg)
 	limits := r.limits()
 	_, upstreams := limits.shares()
 	r.spare = limits.free() - upstreams
-	r.pool = upstream.New(m, upstream.Options{Bounds: cfg.Bounds.Caches, Routers: cfg.Settings.Routers,
+	r.pool = upstream.New(m, upstream.Options{Limits: cfg.OperatorLimits.Caches, Routers: cfg.Settings.Routers,
 		Descriptors: upstreams, DialTimeout: cfg.Transport.DialTimeout, Keepalive: cfg.Transport.Keepalive,
-		HungAfter: hungAfter(cfg.Settings.Classes), Clock: r.clock}, r)
+		StalledAfter: hungAfter(cfg.Settings.Classes), Clock: r.clock, Logger: r.logger}, r)
 	r.narrowed = newNarrowed(cfg, upstreams)
 	return r, nil
 }
@@ -100,7 +102,7 @@
 // limits are the machine's, less what the router takes itself.
 func (r *Router) limits() Limits {
 	limits := r.cfg.Limits
-	if r.cfg.Fleet.Enabled {
+	if r.cfg.Gossip.Enabled {
 		limits.Sockets-- // for messages between routers
 	}
 	return limits
@@ -108,14 +110,16 @@
 
 // follow begins to follow the list of caches.
 func (r *Router) follow() (err error) {
-	if r.sources, err = endpointsource.New(r.m, SourcesOf(r.cfg), r); err != nil {
+	sources := EndpointSources(r.cfg)
+	sources.Logger = r.logger
+	if r.sources, err = endpointsource.New(r.m, sources, r); err != nil {
 		return err
 	}
 	if r.cfg.Settings.WatchRequired {
 		// The module says when discovery is asked for the first time, and says it at its first list: one without caches.
 		r.backlog = append(r.backlog, &decide.EndpointList{Kind: decide.StaleUpdate})
 	}
-	r.Settle()
+	r.ProcessEvents()
 	r.watchStandstill()
 	r.sources.Start() // also where the settings say that lists are pushed: the agent that has them must be asked
 	return nil
@@ -125,9 +129,9 @@
 func (r *Router) openAddress() error {
 	clients, _ := r.limits().shares()
 	var err error
-	r.front, err = frontend.Listen(r.m, frontend.Options{Listen: r.cfg.Listen, Bounds: r.cfg.Bounds.Clients,
-		Classes: r.cfg.Settings.Classes, Clients: clients, Wait: min(r.cfg.Settings.MaxRetryAfter, doorWait),
-		Memory: r.cfg.Limits.memory()}, r)
+	r.front, err = frontend.Listen(r.m, frontend.Options{Listen: r.cfg.Listen, Limits: r.cfg.OperatorLimits.Clients,
+		Classes: r.cfg.Settings.Classes, MaxConnections: clients, RetryAfter: min(r.cfg.Settings.MaxRetryAfter, doorWait),
+		MaxBufferedBytes: r.cfg.Limits.memory()}, r)
 	switch {
 	case err == nil:
 		return r.serve()
@@ -142,7 +146,7 @@
 	now := r.m.Now()
 	w := &r.address
 	if w.until == 0 {
-		w.until = now + r.predecessorEnds() + r.cfg.Bounds.Clients.AddressTime.Microseconds()
+		w.until = now + r.predecessorEnds() + r.cfg.OperatorLimits.Clients.AddressTimeout.Microseconds()
 	}
 	if now >= w.until {
 		return fmt.Errorf("%w, %.1f s after the start", cause, float64(now-r.begun)/1e6)
@@ -182,8 +186,8 @@
 	if r.hooks, err = hooks.New(r.m, r.cfg.Hooks, r.Log); err != nil {
 		return err
 	}
-	r.Settle()
-	r.keeper = r.keep(r.cfg.State, false) // once the module has heard of the caches that are known
+	r.ProcessEvents()
+	r.keeper = r.keep(r.cfg.SnapshotStore, false) // once the module has heard of the caches that are known
 	if r.cfg.Eureka.Register.Enabled {
 		o := r.cfg.Eureka.Registration()
 		o.Predecessor = r.predecessorEnds() + o.Timeout // its last call may take that long
--- a/internal/router/state.go
+++ b/internal/router/state.go
@@ -32,11 +32,11 @@
 	cfg   snapshotstore.Config
 	store *snapshotstore.Store // for the work on the disk alone
 
-	ready   bool                      // what was kept is taken over, or the time for it is over
-	late    bool                      // ... as it did not come in time
-	known   map[string]snapshot.Cache // what is still to be taken over
-	forget  Time                      // ... of caches that never came, from then on
-	before  *snapshot.State           // whose figures are still to be taken over
+	ready   bool                         // what was kept is taken over, or the time for it is over
+	late    bool                         // ... as it did not come in time
+	known   map[string]snapshot.Endpoint // what is still to be taken over
+	forget  Time                         // ... of caches that never came, from then on
+	before  *snapshot.Snapshot           // whose figures are still to be taken over
 	beat    machine.Timer
 	bound   machine.Timer
 	busy    bool   // a work on the disk is under way
@@ -45,10 +45,10 @@
 	slow    bool   // that the disk does not answer stands there
 	writes  int    // that went well
 
-	next     *snapshot.State // what is being gathered
-	after    string          // the cache up to which it is
-	scan     int             // keys that may still be looked at for it
-	keysFrom string          // the cache up to which keys were looked at last
+	next     *snapshot.Snapshot // what is being gathered
+	after    string             // the cache up to which it is
+	scan     int                // keys that may still be looked at for it
+	keysFrom string             // the cache up to which keys were looked at last
 	buf      []decide.EndpointSnapshot
 	keyBuf   []uint64 // what the keys of this write stand in
 
@@ -64,7 +64,7 @@
 		return nil
 	}
 	k := &keeper{r: r, cfg: cfg, store: snapshotstore.New(cfg.Folder, r.cfg.Name), ready: started, late: started}
-	var found snapshot.State
+	var found snapshot.Snapshot
 	var ok bool
 	var notes []string
 	var err error
@@ -74,7 +74,7 @@
 			r.Log("state: the disk has not answered in time; serving without")
 		})
 	}
-	now, oldest := r.m.Wall(), cfg.Oldest.Microseconds()
+	now, oldest := r.m.Wall(), cfg.MaxAge.Microseconds()
 	k.begin()
 	r.m.OnDisk(func(d machine.Disk) { found, ok, notes, err = k.store.Open(d, now, oldest) }, func() {
 		k.busy = false
@@ -90,7 +90,7 @@
 			k.bound.Stop()
 		}
 		k.ready = true
-		wait := cfg.Every.Microseconds()
+		wait := cfg.WriteInterval.Microseconds()
 		if started {
 			wait = 0
 		}
@@ -128,17 +128,17 @@
 // Taking over.
 
 // recall takes over what was kept: at once for the caches that are listed, later for those that come.
-func (k *keeper) recall(s snapshot.State) {
+func (k *keeper) recall(s snapshot.Snapshot) {
 	age := k.r.m.Wall() - s.At
-	k.forget = k.r.m.Now() + k.cfg.Oldest.Microseconds()
-	k.before, k.known = &s, make(map[string]snapshot.Cache, len(s.Caches))
+	k.forget = k.r.m.Now() + k.cfg.MaxAge.Microseconds()
+	k.before, k.known = &s, make(map[string]snapshot.Endpoint, len(s.Caches))
 	for _, c := range s.Caches {
 		k.known[c.ID] = c
 	}
-	k.r.Log(fmt.Sprintf("state: taken over, %d caches, as of %s ago", len(s.Caches), snapshotstore.Span(age)))
+	k.r.Log(fmt.Sprintf("state: taken over, %d caches, as of %s ago", len(s.Caches), snapshotstore.FormatSpan(age)))
 	k.figures()
 	k.learn(slices.Sorted(maps.Keys(k.r.caches)))
-	k.r.Settle()
+	k.r.ProcessEvents()
 }
 
 // listed takes over what was kept of the caches that a list names, once the module knows them.
@@ -164,8 +164,8 @@
 	if usual.OriginLimit == 0 {
 		return
 	}
-	now, oldest := k.r.m.Wall(), k.cfg.Oldest.Microseconds()
-	if all, ok := k.cfg.HalfLives().All(*k.before, usual, now, oldest); ok {
+	now, oldest := k.r.m.Wall(), k.cfg.MaxAge.Microseconds()
+	if all, ok := k.cfg.HalfLives().DecayShared(*k.before, usual, now, oldest); ok {
 		k.r.decider.Restore(all)
 	}
 	k.before = nil
@@ -175,7 +175,7 @@
 // start that the list has told names a process, as it is the same whatever clock a router had.
 func (k *keeper) learn(ids []string) {
 	l := nothingOfAll()
-	now, oldest, half := k.r.m.Wall(), k.cfg.Oldest.Microseconds(), k.cfg.HalfLives()
+	now, oldest, half := k.r.m.Wall(), k.cfg.MaxAge.Microseconds(), k.cfg.HalfLives()
 	for _, id := range ids {
 		c, kept := k.known[id]
 		h := k.r.caches[id]
@@ -187,7 +187,7 @@
 		if h.told != c.StartedAt || !listed {
 			continue
 		}
-		was, ok := half.Cache(c, usual, now, oldest)
+		was, ok := half.DecayEndpoint(c, usual, now, oldest)
 		if !ok {
 			continue
 		}
@@ -216,7 +216,7 @@
 		return
 	}
 	now := k.r.m.Now()
-	k.beat = k.r.m.At(now+k.cfg.Every.Microseconds(), k.write)
+	k.beat = k.r.m.At(now+k.cfg.WriteInterval.Microseconds(), k.write)
 	if now > k.forget {
 		k.known = nil
 	}
@@ -233,8 +233,8 @@
 
 // gather begins to gather what has been learned.
 func (k *keeper) gather() {
-	k.next = &snapshot.State{At: k.r.m.Wall(), Router: k.r.decider.SharedSnapshot()}
-	k.next.Caches = make([]snapshot.Cache, 0, len(k.r.caches))
+	k.next = &snapshot.Snapshot{At: k.r.m.Wall(), Router: k.r.decider.SharedSnapshot()}
+	k.next.Caches = make([]snapshot.Endpoint, 0, len(k.r.caches))
 	k.after, k.scan = "", stateScan
 	k.keyBuf = make([]uint64, 0, stateScan)
 }
@@ -264,7 +264,7 @@
 			continue // it goes
 		}
 		c.StartedAt = h.told
-		entry := snapshot.Cache{EndpointSnapshot: *c, At: k.next.At}
+		entry := snapshot.Endpoint{EndpointSnapshot: *c, At: k.next.At}
 		if k.keys(c.ID, &entry.CachedKeys) {
 			entry.KeysAt = k.next.At
 		}
@@ -294,7 +294,7 @@
 	}
 	k.keysFrom = id
 	from := len(k.keyBuf)
-	k.keyBuf = k.r.decider.AppendCachedKeys(k.keyBuf, id, k.cfg.Keys)
+	k.keyBuf = k.r.decider.AppendCachedKeys(k.keyBuf, id, k.cfg.KeysPerEndpoint)
 	*to = k.keyBuf[from:len(k.keyBuf):len(k.keyBuf)]
 	return true
 }
@@ -303,11 +303,11 @@
 func (k *keeper) put(done func()) {
 	state := *k.next
 	k.next = nil
-	now, oldest := k.r.m.Wall(), k.cfg.Oldest.Microseconds()
+	now, oldest := k.r.m.Wall(), k.cfg.MaxAge.Microseconds()
 	var notes []string
 	var err error
 	k.begin()
-	keys := k.cfg.Keys
+	keys := k.cfg.KeysPerEndpoint
 	k.r.m.OnDisk(func(d machine.Disk) {
 		for i := range state.Caches { // not in the loop: it takes longer than all else
 			c := &state.Caches[i]
@@ -340,7 +340,7 @@
 
 // finish writes once more, at the end of a drain, and calls done then or when the time for it is over. It may be nil.
 func (k *keeper) finish(done func()) {
-	if k == nil || !k.cfg.AtEnd || k.closed || k.ended {
+	if k == nil || !k.cfg.WriteAtEnd || k.closed || k.ended {
 		done()
 		return
 	}
@@ -384,12 +384,12 @@
 
 // rekeep takes over another file of the kind "state".
 func (r *Router) rekeep(cfg snapshotstore.Config) {
-	if cfg == r.cfg.State {
+	if cfg == r.cfg.SnapshotStore {
 		return
 	}
 	old := r.keeper
 	old.close()
-	r.cfg.State = cfg
+	r.cfg.SnapshotStore = cfg
 	if r.keeper = r.keep(cfg, true); r.keeper == nil {
 		r.Log("SIGHUP: the state is not kept any more")
 		return
--- a/internal/router/storm.go
+++ b/internal/router/storm.go
@@ -9,7 +9,7 @@
 // stormWatch is the router's watch of storms: it tells package storm what happens, and the decision module what
 // package storm makes of it.
 type stormWatch struct {
-	storm *retrystorm.Storm
+	storm *retrystorm.Detector
 	kinds map[string]kind
 	told  retrystorm.Bounds // to the module
 	conns int               // of clients, at the last tick
@@ -23,10 +23,10 @@
 
 // newStormWatch is nil where operators have switched it off.
 func newStormWatch(cfg *Config) *stormWatch {
-	if !cfg.Storm.Enabled {
+	if !cfg.RetryStorm.Enabled {
 		return nil
 	}
-	w := &stormWatch{storm: retrystorm.New(cfg.Storm), kinds: map[string]kind{}, told: retrystorm.Bounds{Retries: 1}}
+	w := &stormWatch{storm: retrystorm.New(cfg.RetryStorm), kinds: map[string]kind{}, told: retrystorm.Bounds{RetryBudgetFraction: 1}}
 	for _, c := range cfg.Settings.Classes {
 		w.kinds[c.Name] = kind{frontend.KeyHash([]byte(c.Name)), c.ClientTimeout}
 	}
@@ -34,9 +34,9 @@
 }
 
 // ask is a command as the watch sees it.
-func (w *stormWatch) ask(s *frontend.Slot, cmd *frontend.Command) retrystorm.Ask {
+func (w *stormWatch) ask(s *frontend.ReplySlot, cmd *frontend.Command) retrystorm.Request {
 	k := w.kinds[cmd.Class]
-	return retrystorm.Ask{Client: s.Client(), Key: cmd.Hash ^ k.hash, Patience: k.patience, Marked: cmd.Retry, Fresh: s.Fresh}
+	return retrystorm.Request{Client: s.Client(), Key: cmd.KeyHash ^ k.hash, ClientTimeout: k.patience, MarkedRetry: cmd.Retry, FirstOnConnection: s.FirstOnConnection}
 }
 
 // spreadWait is a time to stay away that differs from one request to the next.
@@ -49,8 +49,8 @@
 func (r *Router) unserved(q *request) {
 	switch {
 	case r.storm == nil || q.over:
-	case q.lost || q.slot.Broken():
-		r.storm.storm.Lost(r.m.Now(), q.ask, q.read)
+	case q.lost || q.slot.ConnectionBroken():
+		r.storm.storm.ConnectionLost(r.m.Now(), q.ask, q.read)
 	default:
 		r.storm.storm.Unserved(r.m.Now(), q.ask, q.told, q.read)
 	}
@@ -63,9 +63,9 @@
 	}
 	switch result {
 	case decide.Served, decide.Errored, decide.Rejected:
-		r.storm.storm.Attempt(true)
+		r.storm.storm.AttemptEnded(true)
 	case decide.ConnectFailed:
-		r.storm.storm.Attempt(false)
+		r.storm.storm.AttemptEnded(false)
 	}
 }
 
@@ -80,9 +80,9 @@
 	}
 	if b := w.storm.Bounds(); b != w.told {
 		w.told = b
-		r.pool.Gentle(b.Away && r.cfg.Storm.GentleDials)
-		r.backlog = append(r.backlog, &decide.RetryStorm{Active: b.On, Outage: b.Away, RetryBudgetFraction: b.Retries, RetryAfterJitter: b.Wait})
-		r.Settle()
+		r.pool.LimitReconnects(b.Outage && r.cfg.RetryStorm.LimitReconnects)
+		r.backlog = append(r.backlog, &decide.RetryStorm{Active: b.Active, Outage: b.Outage, RetryBudgetFraction: b.RetryBudgetFraction, RetryAfterJitter: b.RetryAfterJitter})
+		r.ProcessEvents()
 	}
 	r.ticking = r.m.At(r.m.Now()+retrystorm.Step, r.tick)
 }
--- a/internal/router/timer.go
+++ b/internal/router/timer.go
@@ -10,7 +10,7 @@
 
 // timer is one of the module's. A request sets two or three and takes nearly all of them back, so the records are used again.
 type timer struct {
-	timerqueue.Alarm
+	timerqueue.Entry
 	router *Router
 	token  int64
 	next   *timer // of those that are over
@@ -26,12 +26,12 @@
 	}
 	t.token = a.Token
 	r.timers[a.Token] = t
-	r.clock.Add(&t.Alarm, a.At, t)
+	r.clock.Add(&t.Entry, a.At, t)
 }
 
 func (r *Router) dropTimer(token int64) {
 	if t := r.timers[token]; t != nil {
-		r.clock.Drop(&t.Alarm)
+		r.clock.Remove(&t.Entry)
 		r.overTimer(t)
 	}
 }
@@ -45,10 +45,10 @@
 	}
 }
 
-// Due implements alarm.Owner.
-func (t *timer) Due() {
+// Expired implements alarm.Owner.
+func (t *timer) Expired() {
 	r := t.router
 	r.backlog = append(r.backlog, &decide.Timer{Token: t.token})
 	r.overTimer(t)
-	r.Settle()
+	r.ProcessEvents()
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -22,9 +22,9 @@
 		line, column := 1, 1
 		var bad *json.SyntaxError
 		if errors.As(err, &bad) {
-			line, column = configerror.Place(raw, int(bad.Offset)-1)
+			line, column = configerror.Position(raw, int(bad.Offset)-1)
 		}
-		c.faults.Add(configerror.Fault{Line: line, Column: column, Text: "not JSON: " + err.Error()})
+		c.faults.Add(configerror.Error{Line: line, Column: column, Text: "not JSON: " + err.Error()})
 		return c.faults
 	}
 	c.dec = json.NewDecoder(bytes.NewReader(raw))
@@ -54,7 +54,7 @@
 }
 
 func (c *checker) bad(at, format string, args ...any) {
-	c.faults.Add(configerror.Fault{Field: at, Text: fmt.Sprintf(format, args...)})
+	c.faults.Add(configerror.Error{Field: at, Text: fmt.Sprintf(format, args...)})
 }
 
 // value checks the next value. What it returns is nil where it is no leaf, or not sound.
@@ -152,7 +152,7 @@
 		child := f.child(name)
 		switch {
 		case child == nil:
-			c.bad(path, "unknown field%s", configerror.Meant(name, f.names()))
+			c.bad(path, "unknown field%s", configerror.DidYouMean(name, f.names()))
 			c.skip(0)
 			continue
 		case found[name]:
@@ -258,7 +258,7 @@
 			}
 		}
 		c.bad(at, "unknown %s (%s, wanted %s)%s", f.what, configerror.Quote(s), configerror.OneOf(f.words),
-			configerror.Meant(s, f.words))
+			configerror.DidYouMean(s, f.words))
 		return nil
 	}
 	return s
--- a/internal/snapshotstore/config.go
+++ b/internal/snapshotstore/config.go
@@ -10,12 +10,12 @@
 
 // Config is an operators' file of the kind "state".
 type Config struct {
-	Folder string        `toml:"folder" max:"4096" doc:"the folder that the state is kept in, which must be there and be this router's alone; empty for none"`
-	Every  time.Duration `toml:"every" min:"50ms" max:"1h" doc:"between two writes, at least"`
-	AtEnd  bool          `toml:"at_end" doc:"write once more at the end of a drain, however soon after the last time"`
-	Oldest time.Duration `toml:"oldest" min:"1s" max:"720h" doc:"what was known longer ago is nothing"`
-	Keys   int           `toml:"keys" min:"0" max:"4096" doc:"keys that each cache likely keeps, at most"`
-	Half   HalfLives     `toml:"half_life"`
+	Folder          string        `toml:"folder" max:"4096" doc:"the folder that the state is kept in, which must be there and be this router's alone; empty for none"`
+	WriteInterval   time.Duration `toml:"every" min:"50ms" max:"1h" doc:"between two writes, at least"`
+	WriteAtEnd      bool          `toml:"at_end" doc:"write once more at the end of a drain, however soon after the last time"`
+	MaxAge          time.Duration `toml:"oldest" min:"1s" max:"720h" doc:"what was known longer ago is nothing"`
+	KeysPerEndpoint int           `toml:"keys" min:"0" max:"4096" doc:"keys that each cache likely keeps, at most"`
+	HalfLife        HalfLives     `toml:"half_life"`
 }
 
 // HalfLives are those of the figures.
@@ -33,10 +33,10 @@
 // Default is what holds where no file says otherwise: nothing is kept.
 func Default() Config {
 	return Config{
-		Every: 2 * time.Second, AtEnd: true, Oldest: 5 * time.Minute, Keys: 64,
+		WriteInterval: 2 * time.Second, WriteAtEnd: true, MaxAge: 5 * time.Minute, KeysPerEndpoint: 64,
 		// A new process does better with open bounds towards the origin and a full budget of retries than with
 		// what trouble has left of them: 2 points of the requests in its first 5 s (docs/design/state.md).
-		Half: HalfLives{Limit: 3 * time.Second, Late: 10 * time.Second, Erring: 4 * time.Second,
+		HalfLife: HalfLives{Limit: 3 * time.Second, Late: 10 * time.Second, Erring: 4 * time.Second,
 			Health: 10 * time.Second, Keys: 20 * time.Second, Zones: 5 * time.Second, Origin: 0, Retry: 0},
 	}
 }
@@ -45,19 +45,19 @@
 var Kind = operatorconfig.Define("state", "what a router has learned, kept over a restart", Default(), checkConfig)
 
 // checkConfig looks at what no single range tells.
-func checkConfig(c Config, bad operatorconfig.Bad) {
+func checkConfig(c Config, bad operatorconfig.ReportFunc) {
 	if c.Folder != "" && !strings.HasPrefix(c.Folder, "/") {
 		bad("folder", "not an absolute path (%.80q)", c.Folder)
 	}
-	if c.Oldest < c.Every {
-		bad("oldest", "below every (%s, wanted at least %s)", operatorconfig.Duration(c.Oldest), operatorconfig.Duration(c.Every))
+	if c.MaxAge < c.WriteInterval {
+		bad("oldest", "below every (%s, wanted at least %s)", operatorconfig.FormatDuration(c.MaxAge), operatorconfig.FormatDuration(c.WriteInterval))
 	}
 }
 
 // HalfLives are those of the learned figures.
 func (c Config) HalfLives() snapshot.HalfLives {
-	h := c.Half
-	return snapshot.HalfLives{Limit: h.Limit.Microseconds(), Late: h.Late.Microseconds(),
-		Erring: h.Erring.Microseconds(), Health: h.Health.Microseconds(), Keys: h.Keys.Microseconds(),
+	h := c.HalfLife
+	return snapshot.HalfLives{ConcurrencyLimit: h.Limit.Microseconds(), LateRatio: h.Late.Microseconds(),
+		ErrorRatio: h.Erring.Microseconds(), Health: h.Health.Microseconds(), Keys: h.Keys.Microseconds(),
 		Zones: h.Zones.Microseconds(), Origin: h.Origin.Microseconds(), Retry: h.Retry.Microseconds()}
 }
--- a/internal/snapshotstore/snapshotstore.go
+++ b/internal/snapshotstore/snapshotstore.go
@@ -32,7 +32,7 @@
 	folder, router string
 	lock           machine.Lock
 	mine           []string // slots that are written to, the next one first
-	last           snapshot.State
+	last           snapshot.Snapshot
 }
 
 // New is a store that has not looked at its folder yet.
@@ -44,13 +44,13 @@
 type found struct {
 	slot  string
 	file  File
-	state snapshot.State
+	state snapshot.Snapshot
 }
 
 // Open takes the folder's lock and looks for the latest state that fits. notes tell what was found and not used. Where
 // the lock is had, what does not fit is set aside, but for a newer program's files, which stay. ok reports whether
 // there is a state; the error says why the folder can't be used.
-func (s *Store) Open(d machine.Disk, now, oldest Time) (state snapshot.State, ok bool, notes []string, err error) {
+func (s *Store) Open(d machine.Disk, now, oldest Time) (state snapshot.Snapshot, ok bool, notes []string, err error) {
 	s.Close()
 	if s.lock, err = d.Lock(s.path(lockName)); err != nil {
 		s.lock = nil
@@ -124,25 +124,25 @@
 }
 
 // Read reads a file, whoever's and however old. The error is a *Refusal, or fs.ErrNotExist.
-func Read(d machine.Disk, path string) (File, snapshot.State, error) {
-	b, err := d.Read(path, MostBytes)
+func Read(d machine.Disk, path string) (File, snapshot.Snapshot, error) {
+	b, err := d.Read(path, MaxFileBytes)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return File{}, snapshot.State{}, err
+		return File{}, snapshot.Snapshot{}, err
 	case errors.Is(err, machine.ErrTooLong):
-		return File{}, snapshot.State{}, refuse(TooLarge, "more than %d bytes", MostBytes)
+		return File{}, snapshot.Snapshot{}, refuse(TooLarge, "more than %d bytes", MaxFileBytes)
 	case errors.Is(err, machine.ErrIrregular):
-		return File{}, snapshot.State{}, refuse(Irregular, "")
+		return File{}, snapshot.Snapshot{}, refuse(Irregular, "")
 	case err != nil:
-		return File{}, snapshot.State{}, refuse(Unreadable, "%v", cause(err))
+		return File{}, snapshot.Snapshot{}, refuse(Unreadable, "%v", cause(err))
 	}
 	f, err := Decode(b)
 	if err != nil {
-		return f, snapshot.State{}, err
+		return f, snapshot.Snapshot{}, err
 	}
 	state, err := snapshot.Decode(f.Sections)
 	if err != nil {
-		return f, snapshot.State{}, refuse(Corrupt, "%v", err)
+		return f, snapshot.Snapshot{}, refuse(Corrupt, "%v", err)
 	}
 	return f, state, nil
 }
@@ -152,7 +152,7 @@
 // them makes room for the next. The danger: each start of a router on a bad disk adds a file.
 func (s *Store) aside(d machine.Disk, slot string, refusal error) (note string, isFree bool) {
 	note = slot + " is not used: " + refusal.Error()
-	var r *Refusal
+	var r *RejectedError
 	if errors.As(refusal, &r) && r.Reason == NewerVersion {
 		return note + "; it stays", false
 	}
@@ -171,7 +171,7 @@
 
 // Write puts a state on the disk: the other of the two generations is replaced in one step by a file that was flushed
 // before. Where the process or its power ends anywhere in it, the folder holds the old state or the new one, whole.
-func (s *Store) Write(d machine.Disk, state snapshot.State, now, oldest Time) error {
+func (s *Store) Write(d machine.Disk, state snapshot.Snapshot, now, oldest Time) error {
 	if s.lock == nil {
 		return errors.New("the folder's lock is not held")
 	}
@@ -179,7 +179,7 @@
 		s.Close() // the danger: another one holds the lock of a folder that was made anew
 		return errors.New("the folder's lock was removed")
 	}
-	state = snapshot.Merge(s.last, state, oldest, snapshot.MostCaches)
+	state = snapshot.Merge(s.last, state, oldest, snapshot.MaxEndpoints)
 	b, err := Encode(File{Written: now, Router: s.router, Sections: snapshot.Encode(state)})
 	if err != nil {
 		return err
@@ -225,8 +225,8 @@
 	return err
 }
 
-// Span words a span.
-func Span(t Time) string {
+// FormatSpan words a span.
+func FormatSpan(t Time) string {
 	d := time.Duration(t) * time.Microsecond
 	switch {
 	case d >= 48*time.Hour:
--- a/internal/testbench/lab/baseline/baseline.go
+++ b/internal/testbench/lab/baseline/baseline.go
@@ -70,7 +70,7 @@
 
 func (n *node) Addr() string { return n.listener.Addr() }
 
-func (n *node) Left() map[string]int {
+func (n *node) Holdings() map[string]int {
 	open := 0
 	for _, r := range n.requests {
 		if !r.over {
@@ -161,7 +161,7 @@
 	case decide.HealthCheck:
 		n.backlog = append(n.backlog, &decide.HealthCheckResult{Cache: a.Cache, Elapsed: 1000, Load: decide.LoadReport{Utilization: -1}})
 	case decide.Log:
-		n.m.Log(a.Text)
+		n.m.Log(a.String())
 	}
 }
 
--- a/internal/testbench/lab/clusterlab/clusterlab.go
+++ b/internal/testbench/lab/clusterlab/clusterlab.go
@@ -58,7 +58,7 @@
 	Host    *sim.Host
 	Name    string
 	Addr    string
-	Link    *transport.Link
+	Link    *transport.Transport
 	Log     []string
 	w       *World
 	i       int
@@ -286,7 +286,7 @@
 		v := n.Link.View()
 		here := map[string]bool{}
 		for _, m := range v.Members() {
-			if m.State.Here() {
+			if m.State.IsAlive() {
 				here[m.Name] = true
 			}
 		}
@@ -350,7 +350,7 @@
 			if j, known := byName[m.Name]; known {
 				is := m.State == gossip.Faulty && w.Nodes[j].awake() && n.awake() && of[i] == of[j] && w.reach(i, j) && w.reach(j, i)
 				wrong([2]int{i, j}, pardon, is, "%s holds %s faulty, which runs and is reached", n.Name, m.Name)
-				is = m.State.Here() && !w.Nodes[j].Up() && n.awake()
+				is = m.State.IsAlive() && !w.Nodes[j].Up() && n.awake()
 				wrong([2]int{i, -2 - j}, notice, is, "%s holds %s to be here, which is down", n.Name, m.Name)
 			}
 		}
--- a/internal/testbench/lab/loopback/views.go
+++ b/internal/testbench/lab/loopback/views.go
@@ -59,7 +59,7 @@
 
 func (w *watched) ask() {
 	w.nonce++
-	_ = w.conn.Send(w.m.peers[w.i], gossip.Question(len(w.reading), w.nonce))
+	_ = w.conn.Send(w.m.peers[w.i], gossip.EncodeQuery(len(w.reading), w.nonce))
 	w.in(askAgainIn)
 }
 
@@ -77,7 +77,7 @@
 }
 
 func (w *watched) got(_ string, b []byte) {
-	p, err := gossip.ReadPage(b, w.nonce)
+	p, err := gossip.DecodePage(b, w.nonce)
 	if err != nil || p.First != len(w.reading) {
 		return
 	}
--- a/internal/testbench/lab/node.go
+++ b/internal/testbench/lab/node.go
@@ -16,8 +16,8 @@
 	Drain(done func())
 	// Reload has it read its configuration again, as after SIGHUP.
 	Reload(config []byte) error
-	// Left is what it holds, by name; all but "connections" is 0 once all is quiet.
-	Left() map[string]int
+	// Holdings is what it holds, by name; all but "connections" is 0 once all is quiet.
+	Holdings() map[string]int
 }
 
 // NodeConfig is what a router is started with.
--- a/internal/testbench/lab/observer.go
+++ b/internal/testbench/lab/observer.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// CacheUp implements rules.Observer.
+// CacheServing implements rules.Observer.
 func (e *eyes) CacheUp(now Time, cache string, capacity, coldShare float64, coldFor Time) {
 	if now > sim.Start {
 		e.sayf("cache %s starts", cache)
