--- a/internal/testbench/lab/script/kinds.go
+++ b/internal/testbench/lab/script/kinds.go
@@ -223,7 +223,7 @@
 }
 
 // check looks at what no single key tells.
-func check(s Script, bad operatorconfig.Bad) {
+func check(s Script, bad operatorconfig.ReportFunc) {
 	checkHooks(s, bad)
 	for i, f := range s.Faults {
 		at := fmt.Sprintf("fault[%d]", i)
@@ -233,7 +233,7 @@
 			if f.Kind == "" {
 				bad(at, "kind is missing")
 			} else {
-				bad(at+".kind", "unknown fault (%s)%s", configerror.Quote(f.Kind), configerror.Meant(f.Kind, names))
+				bad(at+".kind", "unknown fault (%s)%s", configerror.Quote(f.Kind), configerror.DidYouMean(f.Kind, names))
 			}
 			continue
 		}
@@ -246,7 +246,7 @@
 	}
 }
 
-func (k *Kind) checkTimes(f Fault, length time.Duration, at string, bad operatorconfig.Bad) {
+func (k *Kind) checkTimes(f Fault, length time.Duration, at string, bad operatorconfig.ReportFunc) {
 	switch {
 	case f.At >= length:
 		bad(at+".at", "at or past the end of the run (%s, which ends at %s)", f.At, length)
@@ -261,7 +261,7 @@
 	}
 }
 
-func (k *Kind) checkFigures(f Fault, at string, bad operatorconfig.Bad) {
+func (k *Kind) checkFigures(f Fault, at string, bad operatorconfig.ReportFunc) {
 	for _, x := range []struct {
 		name string
 		v    float64
@@ -287,7 +287,7 @@
 	}
 }
 
-func (k *Kind) checkTarget(target string, s Script, at string, bad operatorconfig.Bad) {
+func (k *Kind) checkTarget(target string, s Script, at string, bad operatorconfig.ReportFunc) {
 	if target == "" {
 		bad(at, "target is missing (wanted %s)", k.targets())
 		return
--- a/internal/testbench/lab/script/script.go
+++ b/internal/testbench/lab/script/script.go
@@ -124,7 +124,7 @@
 
 // Load reads a script from a file.
 func Load(path string) (Script, error) {
-	raw, err := operatorconfig.Read(path, operatorconfig.MostBytes)
+	raw, err := operatorconfig.Read(path, operatorconfig.MaxFileBytes)
 	if err != nil {
 		return Script{}, err
 	}
--- a/internal/testbench/lab/script/text.go
+++ b/internal/testbench/lab/script/text.go
@@ -48,7 +48,7 @@
 		}
 		switch x := f.Interface().(type) {
 		case time.Duration:
-			fmt.Fprintf(b, "%s = %q\n", name, operatorconfig.Duration(x))
+			fmt.Fprintf(b, "%s = %q\n", name, operatorconfig.FormatDuration(x))
 		case string:
 			fmt.Fprintf(b, "%s = %q\n", name, x)
 		case float64:
@@ -121,9 +121,9 @@
 	if f.Target != "" {
 		b.WriteString(":" + f.Target)
 	}
-	b.WriteString("@" + operatorconfig.Duration(f.At))
+	b.WriteString("@" + operatorconfig.FormatDuration(f.At))
 	if f.For != 0 {
-		b.WriteString("+" + operatorconfig.Duration(f.For))
+		b.WriteString("+" + operatorconfig.FormatDuration(f.For))
 	}
 	if f.Factor != 0 {
 		b.WriteString(",factor=" + strconv.FormatFloat(f.Factor, 'g', -1, 64))
@@ -135,7 +135,7 @@
 		b.WriteString(",keys=" + strconv.Itoa(f.Keys))
 	}
 	if f.Delay != 0 {
-		b.WriteString(",delay=" + operatorconfig.Duration(f.Delay))
+		b.WriteString(",delay=" + operatorconfig.FormatDuration(f.Delay))
 	}
 	if f.How != "" {
 		b.WriteString(",how=" + f.How)
--- a/internal/testbench/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -201,7 +201,7 @@
 // PlayStorm plays a storm in a virtual world.
 func PlayStorm(s Storm, o Options) (*StormResult, error) {
 	if o.Storm == nil {
-		on := retrystorm.On()
+		on := retrystorm.DefaultEnabled()
 		o.Storm = &on
 	}
 	base := script.Default()
--- a/internal/testbench/lab/storm_test.go
+++ b/internal/testbench/lab/storm_test.go
@@ -168,8 +168,8 @@
 		s.Load, s.For = 0.25, 15*second
 		return len(play(t, s, o).Changes)
 	}
-	flapping := retrystorm.On()
-	flapping.Leave, flapping.Confirm, flapping.Settle, flapping.Ease = flapping.Enter, 0, 0, 0
+	flapping := retrystorm.DefaultEnabled()
+	flapping.Leave, flapping.Confirm, flapping.Settle, flapping.RecoveryTime = flapping.Enter, 0, 0, 0
 	if sound, broken := edge(lab.Options{}), edge(lab.Options{Storm: &flapping}); broken < sound*4/3 {
 		t.Errorf("%d changes of state, with the defect %d", sound, broken)
 	}
@@ -184,7 +184,7 @@
 	}
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, event: func(ev decide.Event) decide.Event {
-			if p, ok := ev.(*decide.RetryStorm); ok && p.RetryBudgetFraction > retrystorm.Default().Retries {
+			if p, ok := ev.(*decide.RetryStorm); ok && p.RetryBudgetFraction > retrystorm.Default().RetryBudgetFraction {
 				p.RetryBudgetFraction = 1
 			}
 			return ev
--- a/internal/testbench/rules/events.go
+++ b/internal/testbench/rules/events.go
@@ -83,7 +83,7 @@
 	// StartTold: discovery has written to a router when a cache last started.
 	StartTold(now Time, router, cache string, start Time)
 
-	// CacheUp: a cache's process has started, with the work it can do a second when warm (in µs of
+	// CacheServing: a cache's process has started, with the work it can do a second when warm (in µs of
 	// work), the share of that it starts with, and how long it takes to be warm; coldFor 0 stands for a
 	// warm one. CacheDown: it has ended, fallen tells that load pushed it over. Offered: the cache has been
 	// sent work of so many µs, also work that it turns away. StoreOffered: the central store was asked for
--- a/internal/testbench/sim/process.go
+++ b/internal/testbench/sim/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"starlingwinch/internal/machine"
+	"starlingwinch/internal/testbench/recordedlog"
 )
 
 // Process is a host as one process sees it, from its start to its death: a machine.Machine. What
@@ -159,7 +160,7 @@
 	if p.dead {
 		p.enter()
 	}
-	p.w.trace = mixBytes(p.w.trace, []byte(line))
+	p.w.trace = mixBytes(p.w.trace, []byte(recordedlog.Wording(line)))
 	if p.host.Logged != nil {
 		p.host.Logged(line)
 	}
--- a/internal/testbench/standin/registry/harness_test.go
+++ b/internal/testbench/standin/registry/harness_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	client := world.Host(fmt.Sprintf("client-%d", n), fmt.Sprintf("10.0.2.%d", n), sim.HostOptions{})
-	f.calls = httpclient.New(client.Machine(), addr, httpclient.Options{DialTime: Second, MostBody: 4 << 20})
+	f.calls = httpclient.New(client.Machine(), addr, httpclient.Options{DialTime: Second, MaxBodyBytes: 4 << 20})
 	return f
 }
 
@@ -79,7 +79,7 @@
 		if err != nil {
 			return
 		}
-		plain, err := resp.Plain(4 << 20)
+		plain, err := resp.DecodedBody(4 << 20)
 		got.status, got.body, got.header, got.err = resp.Status, string(plain), resp.Header, err
 	})
 	for f.world.Now() < start+most+Second && !over {
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -17,25 +17,25 @@
 
 // Owner is what an alarm belongs to.
 type Owner interface {
-	// Due is called once the time has come. The alarm is out by then and may be set again.
-	Due()
+	// Expired is called once the time has come. The alarm is out by then and may be set again.
+	Expired()
 }
 
-// Alarm is one time. It is part of its owner's record; the zero value is out.
-type Alarm struct {
+// Entry is one time. It is part of its owner's record; the zero value is out.
+type Entry struct {
 	owner Owner
 	at    Time
 	nr    uint64 // at one instant, those set first fire first
 	place int    // in the heap, from 1; 0 while it is out
 }
 
-// Set reports whether the alarm is set: it has not fired and was not taken back.
-func (a *Alarm) Set() bool { return a.place > 0 }
+// IsSet reports whether the alarm is set: it has not fired and was not taken back.
+func (a *Entry) IsSet() bool { return a.place > 0 }
 
-// Clock holds the alarms of one machine. Use New.
-type Clock struct {
+// Queue holds the alarms of one machine. Use New.
+type Queue struct {
 	m     machine.Machine
-	heap  []*Alarm
+	heap  []*Entry
 	set   uint64        // how many were ever set
 	timer machine.Timer // nil where none is set
 	at    Time          // what it is set for
@@ -43,13 +43,13 @@
 }
 
 // New returns a clock without alarms.
-func New(m machine.Machine) *Clock { return &Clock{m: m} }
+func New(m machine.Machine) *Queue { return &Queue{m: m} }
 
 // Len is how many alarms are set.
-func (c *Clock) Len() int { return len(c.heap) }
+func (c *Queue) Len() int { return len(c.heap) }
 
 // Add sets an alarm, which is out, for a time; one that has passed comes in a later turn of the loop.
-func (c *Clock) Add(a *Alarm, at Time, owner Owner) {
+func (c *Queue) Add(a *Entry, at Time, owner Owner) {
 	a.owner, a.at, a.nr = owner, max(at, c.m.Now()), c.set
 	c.set++
 	c.heap = append(c.heap, a)
@@ -60,15 +60,15 @@
 	}
 }
 
-// Drop takes an alarm back; one that is out already stays out. It holds nothing from then on.
-func (c *Clock) Drop(a *Alarm) {
+// Remove takes an alarm back; one that is out already stays out. It holds nothing from then on.
+func (c *Queue) Remove(a *Entry) {
 	if a.place > 0 {
 		c.take(a)
 	}
 }
 
 // arm sets the timer for the first alarm, unless it is set for an earlier time.
-func (c *Clock) arm() {
+func (c *Queue) arm() {
 	if len(c.heap) == 0 || c.rings {
 		return
 	}
@@ -85,21 +85,21 @@
 
 // ring fires the alarms that are due. Those that are set meanwhile wait for another turn of the loop. The danger: one
 // that sets itself anew for now holds up the loop for ever.
-func (c *Clock) ring() {
+func (c *Queue) ring() {
 	c.timer, c.rings = nil, true
 	now, set := c.m.Now(), c.set
 	for len(c.heap) > 0 && c.heap[0].at <= now && c.heap[0].nr < set {
 		a := c.heap[0]
 		owner := a.owner
 		c.take(a)
-		owner.Due()
+		owner.Expired()
 	}
 	c.rings = false
 	c.arm()
 }
 
 // Close takes all alarms back.
-func (c *Clock) Close() {
+func (c *Queue) Close() {
 	for len(c.heap) > 0 {
 		c.take(c.heap[len(c.heap)-1])
 	}
@@ -110,7 +110,7 @@
 }
 
 // take takes an alarm out of the heap.
-func (c *Clock) take(a *Alarm) {
+func (c *Queue) take(a *Entry) {
 	i, last := a.place, len(c.heap)
 	c.swap(i, last)
 	c.heap[last-1] = nil
@@ -122,24 +122,24 @@
 	a.owner, a.place = nil, 0
 }
 
-func (c *Clock) before(i, j int) bool {
+func (c *Queue) before(i, j int) bool {
 	a, b := c.heap[i-1], c.heap[j-1]
 	return a.at < b.at || a.at == b.at && a.nr < b.nr
 }
 
-func (c *Clock) swap(i, j int) {
+func (c *Queue) swap(i, j int) {
 	h := c.heap
 	h[i-1], h[j-1] = h[j-1], h[i-1]
 	h[i-1].place, h[j-1].place = i, j
 }
 
-func (c *Clock) up(i int) {
+func (c *Queue) up(i int) {
 	for ; i > 1 && c.before(i, i/2); i /= 2 {
 		c.swap(i, i/2)
 	}
 }
 
-func (c *Clock) down(i int) {
+func (c *Queue) down(i int) {
 	for {
 		least := i
 		for child := 2 * i; child <= 2*i+1 && child <= len(c.heap); child++ {
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -11,18 +11,18 @@
 
 // owner notes when it is told that its time has come.
 type owner struct {
-	alarm Alarm
+	alarm Entry
 	name  int
 	due   func(*owner)
 }
 
-func (o *owner) Due() { o.due(o) }
+func (o *owner) Expired() { o.due(o) }
 
 // rig is a clock on a virtual machine.
 type rig struct {
 	w     *sim.World
 	h     *sim.Host
-	c     *Clock
+	c     *Queue
 	fired []int
 }
 
@@ -70,9 +70,9 @@
 					at := r.w.Now() + draw.Int64N(5000)
 					r.c.Add(&o.alarm, at, o)
 					all, want[step] = append(all, o), at
-				} else if o := all[draw.IntN(len(all))]; o.alarm.Set() {
-					r.c.Drop(&o.alarm)
-					r.c.Drop(&o.alarm) // does nothing
+				} else if o := all[draw.IntN(len(all))]; o.alarm.IsSet() {
+					r.c.Remove(&o.alarm)
+					r.c.Remove(&o.alarm) // does nothing
 					delete(want, o.name)
 				}
 			})
@@ -88,7 +88,7 @@
 			t.Errorf("seed %d: %d fired of %d, %d are left", seed, len(got), len(want), r.c.Len())
 		}
 		for _, o := range all {
-			if o.alarm.Set() || o.alarm.owner != nil {
+			if o.alarm.IsSet() || o.alarm.owner != nil {
 				t.Fatalf("seed %d: an alarm that is out holds its owner", seed)
 			}
 		}
@@ -129,7 +129,7 @@
 			o.due = func(o *owner) {
 				r.fired = append(r.fired, o.name)
 				if next := o.name + 1; next < len(all) && next%2 == 1 {
-					r.c.Drop(&all[next].alarm)
+					r.c.Remove(&all[next].alarm)
 				}
 			}
 			all = append(all, o)
@@ -176,7 +176,7 @@
 			r.in(func() {
 				for i := range b.N {
 					o := held[i%others]
-					r.c.Drop(&o.alarm)
+					r.c.Remove(&o.alarm)
 					r.c.Add(&o.alarm, r.w.Now()+1_100_000+Time(i), o)
 				}
 			})
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -21,33 +21,33 @@
 
 // Attempt is one sending of a request, or a probe if it has no Work. It has exactly one outcome.
 type Attempt struct {
-	Work    Work
-	Number  int  // of its request's, from 0
-	Sent    Time // when it was asked for
-	StopAt  Time // it is given up then
-	WriteBy Time // its last byte has to be written before then; 0 for no such bound
+	Request       Request
+	Number        int  // of its request's, from 0
+	SentAt        Time // when it was asked for
+	Deadline      Time // it is given up then
+	WriteDeadline Time // its last byte has to be written before then; 0 for no such bound
 
 	cache     *cache
 	state     attemptState
 	conn      *conn
 	connectBy Time             // it has to have a connection by then
-	alarm     timerqueue.Alarm // for the next of its times
+	alarm     timerqueue.Entry // for the next of its times
 }
 
 // Cache is the name of the cache that it was sent to.
 func (a *Attempt) Cache() string { return a.cache.name }
 
-// Over reports whether it has had its outcome.
-func (a *Attempt) Over() bool { return a.state == over }
+// Ended reports whether it has had its outcome.
+func (a *Attempt) Ended() bool { return a.state == over }
 
 // Unwritten reports whether its last byte has not been written, so that it can't run.
 func (a *Attempt) Unwritten() bool { return a.state == waiting || a.state == writing }
 
-// Drop makes an attempt that was never started one that is over.
-func (a *Attempt) Drop() { a.state = over }
+// Discard makes an attempt that was never started one that is over.
+func (a *Attempt) Discard() { a.state = over }
 
-// GiveUp ends the wait on an attempt: it was cancelled or its time is up.
-func (a *Attempt) GiveUp(why decide.Result) {
+// Abort ends the wait on an attempt: it was cancelled or its time is up.
+func (a *Attempt) Abort(why decide.Result) {
 	switch a.state {
 	case waiting:
 		a.end(decide.NotSent, nil)
@@ -62,28 +62,28 @@
 
 // arm sets the timer for what is due next.
 func (a *Attempt) arm() {
-	at := a.StopAt
+	at := a.Deadline
 	if a.state == waiting {
 		at = min(at, a.connectBy)
 	}
-	if a.Unwritten() && a.WriteBy > 0 {
-		at = min(at, a.WriteBy)
+	if a.Unwritten() && a.WriteDeadline > 0 {
+		at = min(at, a.WriteDeadline)
 	}
 	a.cache.pool.clock.Add(&a.alarm, at, a)
 }
 
-// Due is called at one of its times. What is written by then has only its end to wait for.
-func (a *Attempt) Due() {
+// Expired is called at one of its times. What is written by then has only its end to wait for.
+func (a *Attempt) Expired() {
 	p := a.cache.pool
 	switch now := p.m.Now(); {
-	case now >= a.StopAt, a.Unwritten() && a.WriteBy > 0 && now >= a.WriteBy:
-		a.GiveUp(decide.TimedOut)
+	case now >= a.Deadline, a.Unwritten() && a.WriteDeadline > 0 && now >= a.WriteDeadline:
+		a.Abort(decide.TimedOut)
 	case a.state == waiting && now >= a.connectBy:
 		a.end(unconnected(a.cache.blocked()), nil)
 	default:
 		a.arm()
 	}
-	p.owner.Settle()
+	p.owner.ProcessEvents()
 }
 
 // end gives the attempt its outcome.
@@ -93,11 +93,11 @@
 	}
 	u := a.cache
 	a.lose()
-	if a.Work != nil {
+	if a.Request != nil {
 		u.out--
 	}
-	u.seen(result, u.pool.m.Now()-a.Sent)
-	u.pool.owner.Ended(a, result, rep)
+	u.seen(result, u.pool.m.Now()-a.SentAt)
+	u.pool.owner.AttemptEnded(a, result, rep)
 	u.drop()
 }
 
@@ -109,7 +109,7 @@
 		}
 	}
 	a.state = over
-	a.cache.pool.clock.Drop(&a.alarm)
+	a.cache.pool.clock.Remove(&a.alarm)
 	if a.conn != nil {
 		a.conn.attempt, a.conn = nil, nil
 	}
@@ -117,8 +117,8 @@
 
 // encode appends what goes over the wire.
 func (a *Attempt) encode(b []byte, now Time) []byte {
-	if a.Work == nil {
+	if a.Request == nil {
 		return redcon.AppendBulkString(redcon.AppendArray(b, 1), "PING")
 	}
-	return a.Work.Encode(b, a.StopAt-now)
+	return a.Request.Encode(b, a.Deadline-now)
 }
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -40,9 +40,9 @@
 }
 
 func newCache(p *Pool, name string) *cache {
-	b := &p.o.Bounds
-	return &cache{pool: p, name: name, most: max(b.LeastConnections, b.FleetConnections/max(1, p.o.Routers)),
-		rest: b.RestTime.Microseconds(), fullRest: b.FullRestTime.Microseconds()}
+	b := &p.o.Limits
+	return &cache{pool: p, name: name, most: max(b.MinConnections, b.FleetConnections/max(1, p.o.Routers)),
+		rest: b.MinRestTime.Microseconds(), fullRest: b.FullRestTime.Microseconds()}
 }
 
 // update takes over what the list says.
@@ -99,22 +99,22 @@
 // start sends an attempt on an idle connection, or has it wait for one.
 func (u *cache) start(a *Attempt) {
 	p := u.pool
-	if a.Work != nil {
+	if a.Request != nil {
 		u.out++
 	}
 	u.waiting = append(u.waiting, a)
 	u.pump()
 	if a.state != over {
 		// The danger: one that waits to the end has neither time for another attempt nor was it sent.
-		a.connectBy = a.Sent + min(p.o.DialTimeout, (a.StopAt-a.Sent)*2/5)
+		a.connectBy = a.SentAt + min(p.o.DialTimeout, (a.Deadline-a.SentAt)*2/5)
 		a.arm()
 	}
 }
 
 // sendable is the last look before an attempt's first byte: all may have changed while it waited.
 func (u *cache) sendable(a *Attempt) bool {
-	look := guard.Look{Now: u.pool.m.Now(), StopAt: a.StopAt, WriteBy: a.WriteBy, CacheUp: u.up}
-	return look.MayWrite() == guard.Allowed && (a.Work == nil || a.Work.MaySend(look.Now))
+	look := guard.WriteCheck{Now: u.pool.m.Now(), Deadline: a.Deadline, WriteDeadline: a.WriteDeadline, CacheServing: u.up}
+	return look.MayWrite() == guard.Allowed && (a.Request == nil || a.Request.MaySend(look.Now))
 }
 
 // pump gives idle connections to waiting attempts, first come first served, and
@@ -220,7 +220,7 @@
 	if u.hold() {
 		return
 	}
-	atATime := p.o.Bounds.DialsAtATime
+	atATime := p.o.Limits.ConcurrentDials
 	if p.gentle {
 		atATime = min(atATime, 1+u.opened)
 	}
@@ -262,7 +262,7 @@
 	if out == 0 || !p.full() {
 		return false
 	}
-	until := u.waiting[0].Sent + holdTime
+	until := u.waiting[0].SentAt + holdTime
 	if p.m.Now() >= until {
 		return false
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -30,7 +30,7 @@
 // dialed takes a connection that is up, or the news that it could not be had.
 func (c *conn) dialed(nc machine.Conn, err error) machine.Handler {
 	u := c.cache
-	defer u.pool.owner.Settle()
+	defer u.pool.owner.ProcessEvents()
 	c.dialing = nil
 	u.dialing--
 	if err != nil {
@@ -108,8 +108,8 @@
 	}
 	u.waiting = slices.Delete(u.waiting, 0, 1)
 	c.attempt, a.conn = a, c
-	if now := p.m.Now(); n > 0 && a.Work != nil {
-		a.Work.Began(now, a.StopAt-now, err == nil && n == len(p.out))
+	if now := p.m.Now(); n > 0 && a.Request != nil {
+		a.Request.WriteStarted(now, a.Deadline-now, err == nil && n == len(p.out))
 	}
 	switch {
 	case err != nil:
@@ -126,7 +126,7 @@
 
 // Writable goes on with a command that did not go out whole.
 func (c *conn) Writable() {
-	defer c.cache.pool.owner.Settle()
+	defer c.cache.pool.owner.ProcessEvents()
 	a := c.attempt
 	if a == nil || a.state != writing {
 		return
@@ -138,8 +138,8 @@
 		c.broken()
 	case len(c.unwritten) == 0:
 		a.state, c.unwritten = written, nil
-		if a.Work != nil {
-			a.Work.Whole()
+		if a.Request != nil {
+			a.Request.WriteCompleted()
 		}
 	}
 }
@@ -159,7 +159,7 @@
 // Readable takes an answer, or what has come unasked.
 func (c *conn) Readable() {
 	p := c.cache.pool
-	defer p.owner.Settle()
+	defer p.owner.ProcessEvents()
 	if c.attempt == nil || c.attempt.state != written {
 		if !c.nc.Quiet() {
 			if c.attempt == nil {
@@ -190,7 +190,7 @@
 		rep := &p.rep
 		used, err := rep.Next(came)
 		switch {
-		case err != nil || used == 0 && len(came) >= resp.MostReply:
+		case err != nil || used == 0 && len(came) >= resp.MaxReplyBytes:
 			c.broken()
 			return
 		case used > 0:
@@ -217,13 +217,13 @@
 func (c *conn) answered(rep *resp.Reply, clean bool) {
 	a := c.attempt
 	result := rep.Result
-	switch probe := a.Work == nil; {
+	switch probe := a.Request == nil; {
 	case rep.Pong != probe && result != decide.Rejected && (rep.Pong || rep.Value != nil):
 		c.broken() // an answer to something else
 		return
 	case rep.Pong:
 		result = decide.Served
-	case c.repeats(a.Work, rep.Value):
+	case c.repeats(a.Request, rep.Value):
 		c.broken()
 		return
 	}
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -12,6 +12,7 @@
 	"starlingwinch/internal/limits"
 	"starlingwinch/internal/machine"
 	"starlingwinch/internal/resp"
+	"starlingwinch/internal/structuredlog"
 	"starlingwinch/internal/testbench/routertest"
 )
 
@@ -30,12 +31,12 @@
 	unsafe bool
 }
 
-func (w *work) Key() uint64  { return w.key }
-func (w *work) Unsafe() bool { return w.unsafe }
+func (w *work) KeyHash() uint64     { return w.key }
+func (w *work) NonIdempotent() bool { return w.unsafe }
 
-func (w *work) MaySend(Time) bool       { return !w.over }
-func (w *work) Began(_, _ Time, _ bool) {}
-func (w *work) Whole()                  {}
+func (w *work) MaySend(Time) bool              { return !w.over }
+func (w *work) WriteStarted(_, _ Time, _ bool) {}
+func (w *work) WriteCompleted()                {}
 
 func (w *work) Encode(b []byte, wait Time) []byte {
 	meta := fmt.Sprint("c=read,d=", wait/1000)
@@ -67,8 +68,8 @@
 	asked    int // works so far
 }
 
-func (r *rig) Ended(a *Attempt, result decide.Result, rep *resp.Reply) {
-	if w, ok := a.Work.(*work); ok && result == decide.Served {
+func (r *rig) AttemptEnded(a *Attempt, result decide.Result, rep *resp.Reply) {
+	if w, ok := a.Request.(*work); ok && result == decide.Served {
 		w.over = true
 	}
 	if rep != nil {
@@ -79,8 +80,7 @@
 	r.outcomes <- outcome{a, result, rep}
 }
 
-func (r *rig) Settle()         {}
-func (r *rig) Log(line string) { r.lines.Write([]byte(line)) }
+func (r *rig) ProcessEvents() {}
 
 func newRig(t *testing.T, addr string, edit func(*Options)) *rig {
 	t.Helper()
@@ -90,20 +90,21 @@
 // newRigOn is a rig on a machine with other options.
 func newRigOn(t *testing.T, on machine.Options, addr string, edit func(*Options)) *rig {
 	t.Helper()
-	o := Options{Bounds: limits.Default().Caches, Routers: 1, Descriptors: 400, DialTimeout: 20_000_000,
-		Keepalive: 600_000_000, HungAfter: 2_500_000}
-	o.Bounds.RestTime = 0 // so that which connection comes next is no matter of time
+	o := Options{Limits: limits.Default().Caches, Routers: 1, Descriptors: 400, DialTimeout: 20_000_000,
+		Keepalive: 600_000_000, StalledAfter: 2_500_000}
+	o.Limits.MinRestTime = 0 // so that which connection comes next is no matter of time
 	if edit != nil {
 		edit(&o)
 	}
 	r := &rig{Loop: routertest.NewLoopOf(t, on), t: t, outcomes: make(chan outcome, 1000),
 		lines: make(routertest.Lines, 1000)}
+	o.Logger = structuredlog.New(structuredlog.SinkFunc(func(line string) { r.lines.Write([]byte(line)) }))
 	r.pool = New(r.Loop, o, r)
 	r.list("c1", addr, true, false)
 	t.Cleanup(func() {
 		r.Do(func() {
 			r.pool.Close()
-			if n := r.pool.Conns(); n != 0 {
+			if n := r.pool.Connections(); n != 0 {
 				t.Errorf("%d connections are left", n)
 			}
 		})
@@ -129,9 +130,9 @@
 // sendTo starts an attempt at a cache that is given up after the given time.
 func (r *rig) sendTo(cache string, w *work, wait time.Duration) *Attempt {
 	r.t.Helper()
-	a := &Attempt{Work: w}
+	a := &Attempt{Request: w}
 	r.Do(func() {
-		a.Sent, a.StopAt = r.Now(), r.Now()+wait.Microseconds()
+		a.SentAt, a.Deadline = r.Now(), r.Now()+wait.Microseconds()
 		if !r.pool.Start(cache, a) {
 			r.t.Errorf("%s is not known", cache)
 		}
--- a/internal/upstream/lack_test.go
+++ b/internal/upstream/lack_test.go
@@ -39,7 +39,7 @@
 				r.want(decide.NotSent)
 			}
 			r.Do(func() {
-				probe := &Attempt{Sent: r.Now(), StopAt: r.Now() + time.Second.Microseconds()}
+				probe := &Attempt{SentAt: r.Now(), Deadline: r.Now() + time.Second.Microseconds()}
 				r.pool.Start("c1", probe)
 			})
 			r.want(decide.NotSent)
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -24,7 +24,7 @@
 		{"its cache drains", func(r *rig) { r.list("c1", "", false, false) }, decide.NotSent, false},
 		{"its cache is gone", func(r *rig) { r.list("c1", "", false, true) }, decide.NotSent, false},
 		{"its cache is elsewhere", func(r *rig) { r.list("c1", routertest.NewCache(r.t).Addr(), true, false) }, decide.TimedOut, false},
-		{"its cache began anew", func(r *rig) { r.Do(func() { r.pool.Renewed("c1") }) }, decide.ConnectFailed, true},
+		{"its cache began anew", func(r *rig) { r.Do(func() { r.pool.CacheRestarted("c1") }) }, decide.ConnectFailed, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -116,7 +116,7 @@
 		if !a.Unwritten() {
 			t.Error("it passes for written")
 		}
-		a.GiveUp(decide.Cancelled)
+		a.Abort(decide.Cancelled)
 	})
 	r.want(decide.NotSent)
 }
@@ -155,7 +155,7 @@
 	r := newRig(t, cache.Addr(), nil)
 	a := r.send(r.request(nil), long)
 	r.command(cache)
-	r.Do(func() { a.GiveUp(decide.Cancelled) })
+	r.Do(func() { a.Abort(decide.Cancelled) })
 	r.want(decide.Cancelled)
 	r.end(cache)
 }
@@ -187,7 +187,7 @@
 		"-ERR failed\r\n": decide.Errored, "-BUSY\r\n": decide.Rejected} {
 		cache := routertest.NewCache(t)
 		r := newRig(t, cache.Addr(), nil)
-		r.Do(func() { r.pool.Start("c1", &Attempt{Sent: r.Now(), StopAt: r.Now() + long.Microseconds()}) })
+		r.Do(func() { r.pool.Start("c1", &Attempt{SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()}) })
 		cmd := r.command(cache)
 		if len(cmd.Args) != 1 || cmd.Args[0] != "PING" {
 			t.Errorf("the cache was sent %q", cmd.Args)
@@ -205,7 +205,7 @@
 func TestAnswerInPieces(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newRig(t, cache.Addr(), nil)
-	value := strings.Repeat("v", resp.MostValue)
+	value := strings.Repeat("v", resp.MaxValueBytes)
 	r.send(r.request(nil), long)
 	cmd := r.command(cache)
 	parts := []string{"*", "3\r", "\n$6553", "6\r\n" + value[:1000], value[1000:], "\r", "\n$3\r\nhit", "\r\n$-1\r\n"}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,6 +9,7 @@
 package upstream
 
 import (
+	"log/slog"
 	"maps"
 	"slices"
 	"strings"
@@ -17,47 +18,47 @@
 	"starlingwinch/internal/limits"
 	"starlingwinch/internal/machine"
 	"starlingwinch/internal/resp"
+	"starlingwinch/internal/structuredlog"
 	"starlingwinch/internal/timerqueue"
 )
 
 // Time is an instant or a span in microseconds.
 type Time = decide.Time
 
-// Work is what an attempt sends.
-type Work interface {
+// Request is what an attempt sends.
+type Request interface {
 	// Encode appends the command as it goes over the wire. wait is how long the router waits.
 	Encode(b []byte, wait Time) []byte
 	// MaySend is the last look before the first byte: whether it may be written now.
 	MaySend(now Time) bool
-	// Began tells that the first byte was written, and that the cache was told to have so long; whole says that the last
+	// WriteStarted tells that the first byte was written, and that the cache was told to have so long; whole says that the last
 	// one was too. Where it was not, Whole tells when it is.
-	Began(now, wait Time, whole bool)
-	Whole()
-	// Key is a hash of what it asks for. Unsafe reports whether a wrong word that the answer was lost does harm.
-	Key() uint64
-	Unsafe() bool
+	WriteStarted(now, wait Time, whole bool)
+	WriteCompleted()
+	// KeyHash is a hash of what it asks for. Unsafe reports whether a wrong word that the answer was lost does harm.
+	KeyHash() uint64
+	NonIdempotent() bool
 }
 
 // Owner is told what becomes of attempts.
 type Owner interface {
-	// Ended gives an attempt its outcome, once. rep is the answer, where one came; it and its value are the
+	// AttemptEnded gives an attempt its outcome, once. rep is the answer, where one came; it and its value are the
 	// owner's until the call returns. The owner notes it and calls nothing here before Settle.
-	Ended(a *Attempt, result decide.Result, rep *resp.Reply)
-	// Settle follows in the same turn, when all is in order here: the owner may act on what it was told.
-	Settle()
-	// Log adds a line to the log.
-	Log(line string)
+	AttemptEnded(a *Attempt, result decide.Result, rep *resp.Reply)
+	// ProcessEvents follows in the same turn, when all is in order here: the owner may act on what it was told.
+	ProcessEvents()
 }
 
 // Options are the bounds of a pool. Times are in microseconds.
 type Options struct {
-	Bounds      limits.Caches
-	Routers     int               // that share each cache's connections
-	Descriptors int               // connections to all caches that are not idle, those coming up included; with idle ones, but for Lend
-	DialTimeout Time              // for a connection to come up
-	Keepalive   Time              // a cache closes a connection that has stood idle so long
-	HungAfter   Time              // an attempt that is called off after that long counts as not answered, for the log
-	Clock       *timerqueue.Clock // for the ends of attempts; nil for one of the pool's own
+	Limits       limits.Caches
+	Routers      int               // that share each cache's connections
+	Descriptors  int               // connections to all caches that are not idle, those coming up included; with idle ones, but for Lend
+	DialTimeout  Time              // for a connection to come up
+	Keepalive    Time              // a cache closes a connection that has stood idle so long
+	StalledAfter Time              // an attempt that is called off after that long counts as not answered, for the log
+	Clock        *timerqueue.Queue // for the ends of attempts; nil for one of the pool's own
+	Logger       *slog.Logger      // nil discards
 }
 
 // Pool holds the connections to all caches.
@@ -65,6 +66,7 @@
 	m       machine.Machine
 	o       Options
 	owner   Owner
+	logger  *slog.Logger
 	caches  map[string]*cache
 	order   []*cache   // the same by name: nothing may depend on a map's order
 	conns   int        // to all caches, those coming up included
@@ -75,7 +77,7 @@
 	gentle  bool       // caches that were away are dialled one at a time at first
 	in, out []byte     // what is read into, and written from, within one call
 	rep     resp.Reply // what was read last, within one call
-	clock   *timerqueue.Clock
+	clock   *timerqueue.Queue
 
 	inTrouble int  // caches that serve nothing, by the log
 	deadSaid  Time // when it was last said that none does
@@ -86,7 +88,10 @@
 	if o.Clock == nil {
 		o.Clock = timerqueue.New(m)
 	}
-	return &Pool{m: m, o: o, owner: owner, caches: map[string]*cache{}, in: make([]byte, resp.MostReply), clock: o.Clock}
+	if o.Logger == nil {
+		o.Logger = structuredlog.Discard()
+	}
+	return &Pool{m: m, o: o, owner: owner, logger: o.Logger, caches: map[string]*cache{}, in: make([]byte, resp.MaxReplyBytes), clock: o.Clock}
 }
 
 // Update takes over what the list says of a cache: up, it may be sent work; gone, it is forgotten once
@@ -107,8 +112,8 @@
 
 func byName(u *cache, name string) int { return strings.Compare(u.name, name) }
 
-// Renewed says that a cache's process is a new one: what the log holds against the old one is dropped.
-func (p *Pool) Renewed(name string) {
+// CacheRestarted says that a cache's process is a new one: what the log holds against the old one is dropped.
+func (p *Pool) CacheRestarted(name string) {
 	if u := p.caches[name]; u != nil {
 		u.recovered()
 	}
@@ -133,20 +138,20 @@
 	}
 }
 
-// Hold has no attempt begun until Release: what is known of the caches may be old. Those that are asked for wait.
-func (p *Pool) Hold() { p.held = true }
+// Pause has no attempt begun until Release: what is known of the caches may be old. Those that are asked for wait.
+func (p *Pool) Pause() { p.held = true }
 
-// Release ends a Hold, and begins what waits in a later turn.
-func (p *Pool) Release() {
+// Resume ends a Hold, and begins what waits in a later turn.
+func (p *Pool) Resume() {
 	p.held = false
 	for _, name := range slices.Sorted(maps.Keys(p.caches)) { // equal runs have equal orders
 		p.caches[name].wake()
 	}
 }
 
-// Gentle says whether connections to a cache that was away are to be opened one at a time at first, and more at a
+// LimitReconnects says whether connections to a cache that was away are to be opened one at a time at first, and more at a
 // time with each that comes up. The danger: a cache that has just started can do little, and connections cost it work.
-func (p *Pool) Gentle(on bool) { p.gentle = on }
+func (p *Pool) LimitReconnects(on bool) { p.gentle = on }
 
 // InFlight is the number of attempts at a cache without an outcome, probes left out.
 func (p *Pool) InFlight(name string) int {
@@ -156,8 +161,8 @@
 	return 0
 }
 
-// Conns is the number of connections, those coming up included.
-func (p *Pool) Conns() int { return p.conns }
+// Connections is the number of connections, those coming up included.
+func (p *Pool) Connections() int { return p.conns }
 
 // Attempts is the number of attempts and probes without an outcome.
 func (p *Pool) Attempts() (n int) {
@@ -186,7 +191,7 @@
 // idleMost is how long a connection may have stood idle. The danger: its cache closes it just then, and the request that is
 // written to it may have run or not. One has to rest first, however short the time is.
 func (p *Pool) idleMost() Time {
-	return max(p.o.Keepalive*3/4, 2*p.o.Bounds.RestTime.Microseconds())
+	return max(p.o.Keepalive*3/4, 2*p.o.Limits.MinRestTime.Microseconds())
 }
 
 // Close ends all connections. Attempts that are out get no outcome, and nothing is dialled any more.
@@ -209,14 +214,14 @@
 func (p *Pool) later(t Time, f func()) machine.Timer {
 	return p.m.At(t, func() {
 		f()
-		p.owner.Settle()
+		p.owner.ProcessEvents()
 	})
 }
 
-// Lend lets the pool keep idle connections beyond its own descriptors, so many of them. They are given back at once
+// LendDescriptors lets the pool keep idle connections beyond its own descriptors, so many of them. They are given back at once
 // where the figure falls. The danger: with many caches, each of which is asked now and then, those that wait for
 // the next request are closed for one another, and most requests open a connection.
-func (p *Pool) Lend(n int) {
+func (p *Pool) LendDescriptors(n int) {
 	p.lent = max(n, 0)
 	for p.conns > p.o.Descriptors+p.lent && p.closeOldest() {
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -16,7 +16,7 @@
 	cache := routertest.NewCache(t)
 	r := newRig(t, cache.Addr(), func(o *Options) { o.Routers = 1000 })
 	var busy []routertest.Command
-	for range limits.Default().Caches.LeastConnections {
+	for range limits.Default().Caches.MinConnections {
 		r.send(r.request(nil), long)
 		busy = append(busy, r.command(cache))
 	}
@@ -40,8 +40,8 @@
 // TestWaitingAttemptIsNotSentWhenItsWorkIsOver holds the last look before the first byte.
 func TestWaitingAttemptIsNotSentWhenItsWorkIsOver(t *testing.T) {
 	for name, end := range map[string]func(*Attempt){
-		"given up":        func(a *Attempt) { a.GiveUp(decide.Cancelled) },
-		"no longer asked": func(a *Attempt) { a.Work.(*work).over = true }, // its owner does not give it up
+		"given up":        func(a *Attempt) { a.Abort(decide.Cancelled) },
+		"no longer asked": func(a *Attempt) { a.Request.(*work).over = true }, // its owner does not give it up
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, cache, busy := busyPool(t)
@@ -96,7 +96,7 @@
 // TestConnectionThatRestsForLongIsNotWaitedFor: another one is opened beside it.
 func TestConnectionThatRestsForLongIsNotWaitedFor(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Bounds.RestTime = time.Hour })
+	r := newRig(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = time.Hour })
 	r.send(r.request(nil), long)
 	first := r.command(cache)
 	first.Reply(t, served)
@@ -132,7 +132,7 @@
 
 func TestConnectionRests(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Bounds.RestTime = 4 * time.Millisecond })
+	r := newRig(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = 4 * time.Millisecond })
 	r.send(r.request(nil), long)
 	r.command(cache).Reply(t, served)
 	r.want(decide.Served)
@@ -178,7 +178,7 @@
 func TestLentDescriptorsHoldIdleConnections(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
 	r := newRig(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
-	r.Do(func() { r.pool.Lend(1) })
+	r.Do(func() { r.pool.LendDescriptors(1) })
 	r.list("c2", other.Addr(), true, false)
 	r.send(r.request(nil), long)
 	first := r.command(cache)
@@ -202,7 +202,7 @@
 	again.Reply(t, served)
 	r.want(decide.Served)
 	r.Do(func() {
-		if r.pool.Lend(0); r.pool.conns != 1 {
+		if r.pool.LendDescriptors(0); r.pool.conns != 1 {
 			t.Errorf("%d connections where one is the pool's own", r.pool.conns)
 		}
 	})
@@ -222,7 +222,7 @@
 	first := r.command(cache)
 	w := r.request(nil)
 	r.Do(func() {
-		r.pool.Start("c1", &Attempt{Work: w, Sent: r.Now(), StopAt: r.Now() + long.Microseconds()})
+		r.pool.Start("c1", &Attempt{Request: w, SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()})
 		if r.pool.conns != 2 || r.pool.idle != 1 {
 			t.Errorf("%d connections, %d idle: another cache's was closed at once", r.pool.conns, r.pool.idle)
 		}
@@ -253,7 +253,7 @@
 	r.Do(func() {
 		u := r.pool.caches["c1"]
 		u.idle[0].idleSince = r.Now() - 299_999
-		if r.pool.Sweep(); r.pool.Conns() != 1 {
+		if r.pool.Sweep(); r.pool.Connections() != 1 {
 			t.Error("it was closed with a quarter of its time left")
 		}
 	})
@@ -280,9 +280,9 @@
 	cache := routertest.NewCache(t)
 	r := newRig(t, cache.Addr(), func(o *Options) {
 		o.Routers = 1
-		o.Bounds.FleetConnections = 1
-		o.Bounds.LeastConnections = 1
-		o.Bounds.RestTime = 0
+		o.Limits.FleetConnections = 1
+		o.Limits.MinConnections = 1
+		o.Limits.MinRestTime = 0
 	})
 	r.send(r.request(nil), long)
 	first := r.command(cache)
@@ -331,7 +331,7 @@
 		cache := routertest.NewCache(t)
 		r, first, _ := holding(t, cache)
 		r.command(cache)
-		r.Do(func() { first.GiveUp(decide.Cancelled) })
+		r.Do(func() { first.Abort(decide.Cancelled) })
 		r.want(decide.Cancelled)
 		wantSecond(cache, r)
 	})
@@ -356,8 +356,8 @@
 	cmd := r.command(cache)
 	r.Do(func() {
 		now := r.Now()
-		r.pool.Start("c1", &Attempt{Work: r.request([]byte("value")), Sent: now, StopAt: now + long.Microseconds(),
-			WriteBy: now + 50_000})
+		r.pool.Start("c1", &Attempt{Request: r.request([]byte("value")), SentAt: now, Deadline: now + long.Microseconds(),
+			WriteDeadline: now + 50_000})
 	})
 	r.want(decide.NotSent) // by its timer: the connection is not free yet
 	cmd.Reply(t, served)
@@ -365,7 +365,7 @@
 	r.Do(func() {
 		// The last look sees the window too, where the timer is late.
 		u := r.pool.caches["c1"]
-		if a := (&Attempt{cache: u, StopAt: r.Now() + 2, WriteBy: r.Now()}); u.sendable(a) {
+		if a := (&Attempt{cache: u, Deadline: r.Now() + 2, WriteDeadline: r.Now()}); u.sendable(a) {
 			t.Error("sendable at the end of its window")
 		}
 	})
@@ -411,9 +411,9 @@
 		r.want(decide.Served)
 	}
 	r.Do(func() {
-		if len(r.pool.caches) != 1 || len(r.pool.order) != 1 || r.pool.Conns() != 0 || r.pool.Attempts() != 0 {
+		if len(r.pool.caches) != 1 || len(r.pool.order) != 1 || r.pool.Connections() != 0 || r.pool.Attempts() != 0 {
 			t.Errorf("%d caches, %d in order, %d connections, %d attempts are kept", len(r.pool.caches),
-				len(r.pool.order), r.pool.Conns(), r.pool.Attempts())
+				len(r.pool.order), r.pool.Connections(), r.pool.Attempts())
 		}
 	})
 }
@@ -427,7 +427,7 @@
 	r.Do(r.pool.Close)
 	r.After(time.Millisecond)
 	r.Do(func() {
-		if n := r.pool.Conns(); n != 0 {
+		if n := r.pool.Connections(); n != 0 {
 			t.Errorf("%d connections were opened after the close", n)
 		}
 	})
--- a/internal/upstream/repeats.go
+++ b/internal/upstream/repeats.go
@@ -31,12 +31,12 @@
 // repeats reports whether an answer is to be taken for a copy of the one before on its connection, and
 // keeps it for the next. A cache that often says the same of different keys is believed; so is an answer to what may do
 // harm if it is wrongly given up, but for a cache that has been seen to send copies.
-func (c *conn) repeats(w Work, value []byte) bool {
+func (c *conn) repeats(w Request, value []byte) bool {
 	if len(value) == 0 {
 		return false
 	}
 	last := c.last
-	c.last = answer{w.Key(), maphash.Bytes(seed, value), len(value)}
+	c.last = answer{w.KeyHash(), maphash.Bytes(seed, value), len(value)}
 	if last.size == 0 || last.key == c.last.key {
 		return false
 	}
@@ -48,7 +48,7 @@
 		e.share += 1 / float64(e.seen)
 	}
 	proven := e.proven > 0 && c.cache.pool.m.Now()-e.proven < provenFor
-	return same && !common && (!w.Unsafe() || proven)
+	return same && !common && (!w.NonIdempotent() || proven)
 }
 
 // stray looks at what has come on a connection on which nothing was asked.
--- a/internal/upstream/trouble.go
+++ b/internal/upstream/trouble.go
@@ -27,14 +27,14 @@
 
 // seen notes how an attempt or a probe ended.
 func (u *cache) seen(result decide.Result, elapsed Time) {
-	if result == decide.Cancelled && elapsed >= u.pool.o.HungAfter {
+	if result == decide.Cancelled && elapsed >= u.pool.o.StalledAfter {
 		result = decide.TimedOut // another one was served meanwhile
 	}
 	cause := causes[result]
 	switch {
 	case result == decide.Served:
 		if u.trouble.told != "" {
-			u.pool.owner.Log(u.name + " serves again")
+			u.pool.logger.Info(u.name + " serves again")
 			u.pool.troubled(-1)
 		}
 		u.trouble = trouble{}
@@ -49,7 +49,7 @@
 	}
 	first := u.trouble.told == ""
 	u.trouble.told = cause
-	u.pool.owner.Log(u.name + " serves nothing: " + cause)
+	u.pool.logger.Info(u.name + " serves nothing: " + cause)
 	if first {
 		u.pool.troubled(1)
 	}
@@ -88,5 +88,5 @@
 		parts = append(parts, fmt.Sprintf("%d %s", n, word))
 	}
 	slices.Sort(parts)
-	p.owner.Log(fmt.Sprintf("none of %d caches serves: %s", up, strings.Join(parts, ", ")))
+	p.logger.Info(fmt.Sprintf("none of %d caches serves: %s", up, strings.Join(parts, ", ")))
 }
