--- a/cmd/lab/brokenhooks_test.go
+++ b/cmd/lab/brokenhooks_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -40,8 +41,9 @@
 				if fails || b.name == "line" {
 					v, err = ask("key1200")
 				}
-				f, failed := err.(*plugin.Failure)
-				if failed != fails || failed && f.Kind != kind {
+				var failure *plugin.Failure
+				failed := errors.As(err, &failure)
+				if failed != fails || failed && failure.Kind != kind {
 					t.Errorf("always %v: %v, wanted %v", always, err, kind)
 				}
 				if b.name == "line" && (len(v.Log) != 1 || len(v.Log[0]) < 100 || len(v.Log[0]) > plugin.Usual.LineSize) {
--- a/cmd/lab/try_test.go
+++ b/cmd/lab/try_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os/exec"
 	"path/filepath"
 	"strings"
@@ -44,7 +45,7 @@
 		cmd := root()
 		cmd.SetArgs(strings.Fields(args))
 		err := cmd.Execute()
-		if _, usage := err.(usageError); !usage || !strings.Contains(err.Error(), want) {
+		if !errors.As(err, new(usageError)) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want %s", args, err, want)
 		}
 	}
--- a/internal/machine/socket.go
+++ b/internal/machine/socket.go
@@ -79,7 +79,8 @@
 
 // failure puts an error of the kernel into the words of the contract; others keep their text.
 func failure(call string, err error) error {
-	if _, ofKernel := err.(syscall.Errno); !ofKernel {
+	var errno syscall.Errno
+	if !errors.As(err, &errno) {
 		return err
 	}
 	switch {
--- a/internal/plugin/wasmfile/wasmfile.go
+++ b/internal/plugin/wasmfile/wasmfile.go
@@ -43,17 +43,31 @@
 // I64Const is a number.
 func I64Const(n int64) Code { return append(Code{0x42}, signed(n)...) }
 
-// LocalGet, LocalSet and LocalTee are of a parameter or a local.
+// LocalGet pushes the value of a parameter or a local.
 func LocalGet(i uint32) Code { return append(Code{0x20}, unsigned(i)...) }
+
+// LocalSet pops a value into a local.
 func LocalSet(i uint32) Code { return append(Code{0x21}, unsigned(i)...) }
+
+// LocalTee stores the value on top of the stack in a local and leaves it there.
 func LocalTee(i uint32) Code { return append(Code{0x22}, unsigned(i)...) }
 
-// I32Load and the others are at an offset from the address on the stack.
-func I32Load(at uint32) Code   { return append(Code{0x28, 0x00}, unsigned(at)...) }
-func I64Load(at uint32) Code   { return append(Code{0x29, 0x00}, unsigned(at)...) }
+// I32Load loads 4 bytes at an offset from the address on the stack.
+func I32Load(at uint32) Code { return append(Code{0x28, 0x00}, unsigned(at)...) }
+
+// I64Load loads 8 bytes.
+func I64Load(at uint32) Code { return append(Code{0x29, 0x00}, unsigned(at)...) }
+
+// I32Load8U loads one byte, without sign.
 func I32Load8U(at uint32) Code { return append(Code{0x2d, 0x00}, unsigned(at)...) }
-func I32Store(at uint32) Code  { return append(Code{0x36, 0x00}, unsigned(at)...) }
-func I64Store(at uint32) Code  { return append(Code{0x37, 0x00}, unsigned(at)...) }
+
+// I32Store stores 4 bytes.
+func I32Store(at uint32) Code { return append(Code{0x36, 0x00}, unsigned(at)...) }
+
+// I64Store stores 8 bytes.
+func I64Store(at uint32) Code { return append(Code{0x37, 0x00}, unsigned(at)...) }
+
+// I32Store8 stores the lowest byte.
 func I32Store8(at uint32) Code { return append(Code{0x3a, 0x00}, unsigned(at)...) }
 
 // Call calls a function by its index: imports come first.
--- a/internal/testbench/lab/script/hook.go
+++ b/internal/testbench/lab/script/hook.go
@@ -42,7 +42,7 @@
 
 var hookPoints = []string{AtRequest, AtAnswered, AtList, AtUnload}
 
-// On a failure of a hook, its request is refused or goes on.
+// OnFailureRefuse rejects a request whose hook has failed; without it the request goes on.
 const OnFailureRefuse = "refuse"
 
 // Hook is one hook of all routers. They are asked in their order.
--- a/internal/testbench/rules/load.go
+++ b/internal/testbench/rules/load.go
@@ -89,7 +89,7 @@
 	c.zone, c.cell = zone, cell
 }
 
-// CacheServing implements Observer.
+// CacheUp implements Observer.
 func (w *Watcher) CacheUp(now Time, name string, capacity, coldShare float64, coldFor Time) {
 	w.advance(now)
 	c := w.cache(name)
