--- a/internal/testbench/lab/throng_test.go
+++ b/internal/testbench/lab/throng_test.go
@@ -21,3 +21,16 @@
 		t.Errorf("seed %d: %v", f.Seed, f.Broken[0])
 	}
 }
+
+// TestDrainIsKeptInThrongSeed1039: router r-9 begins an attempt 0.59 s after it was notified of the drain. KNOWN-RED.txt lists it.
+func TestDrainIsKeptInThrongSeed1039(t *testing.T) {
+	const seed = 1039
+	h := lab.Hunt{From: seed, To: seed, Jobs: 1, Draw: script.DrawThrong, Options: lab.Options{Node: node.Start}}
+	sum, err := h.Run(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range sum.Found {
+		t.Errorf("seed %d: %v", f.Seed, f.Broken[0])
+	}
+}
