--- a/internal/testbench/lab/registry_test.go
+++ b/internal/testbench/lab/registry_test.go
@@ -110,3 +110,17 @@
 		t.Errorf("3 drains were learned %d times by 3 routers", n)
 	}
 }
+
+// TestRoutersSendInRegistrySeed5133: three routers have hundreds of requests and begin no attempt though four caches serve.
+// KNOWN-RED.txt lists it.
+func TestRoutersSendInRegistrySeed5133(t *testing.T) {
+	const seed = 5133
+	h := lab.Hunt{From: seed, To: seed, Length: 10 * time.Second, Jobs: 1, Draw: script.DrawRegistry, Options: lab.Options{Node: node.Start}}
+	sum, err := h.Run(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range sum.Found {
+		t.Errorf("seed %d: %v", f.Seed, f.Broken[0])
+	}
+}
