--- a/internal/machine/conn.go
+++ b/internal/machine/conn.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// conn is a connection that is up.
+// conn is a connection that is up, over TCP or to a worker process.
 type conn struct {
-	m      *Real
-	fd     int // below 0 once it is closed
-	at     place
-	h      Handler
-	local  netip.AddrPort
-	remote netip.AddrPort
-
-	empty   bool // a read has found nothing more, and no event has come since
-	over    bool // the kernel has told of the end, or of an error: from here on there may be no more events
-	failed  bool // ... and it was an error
-	held    bool // a Write took less than it was given
-	broken  bool // an error was seen
-	again   bool // the kernel lacked something: the handler is told once more in a moment
-	noWrite bool // CloseWrite was called
+	m       *Real
+	fd      int // below 0 once it is closed
+	slot    slotRef
+	handler Handler
+	local   netip.AddrPort
+	remote  netip.AddrPort
+
+	drained       bool // a read found nothing more, and no event has come since
+	ended         bool // the kernel reported the end or an error: there may be no more events
+	failed        bool // the kernel reported an error
+	writeBlocked  bool // a Write took less than it was given; Writable is owed
+	broken        bool // a call returned an error: the connection is unusable
+	notifyPending bool // the handler will be notified again after a shortage of the kernel
+	writeClosed   bool // CloseWrite was called
 }
 
 // event implements watcher.
 func (c *conn) event(mask uint32) {
-	held := c.held // as it was before: what Readable writes gets an event of its own
-	if mask&(eventIn|eventEnd|eventOver) != 0 {
-		c.empty = false
-		c.note(mask)
-		c.h.Readable()
+	blocked := c.writeBlocked // before Readable: what that writes gets an event of its own
+	if mask&(eventIn|eventPeerClosed|eventErrorOrHangup) != 0 {
+		c.drained = false
+		c.noteEnd(mask)
+		c.handler.Readable()
 	}
-	if held && c.fd >= 0 && mask&(eventOut|eventOver) != 0 {
-		c.h.Writable()
+	if blocked && c.fd >= 0 && mask&(eventOut|eventErrorOrHangup) != 0 {
+		c.handler.Writable()
 	}
 }
 
-// note takes in what an event says of the connection's end.
-func (c *conn) note(mask uint32) {
-	c.over = c.over || mask&(eventEnd|eventOver) != 0
+// noteEnd records what an event says about the connection's end.
+func (c *conn) noteEnd(mask uint32) {
+	c.ended = c.ended || mask&(eventPeerClosed|eventErrorOrHangup) != 0
 	c.failed = c.failed || mask&syscall.EPOLLERR != 0
 }
 
@@ -53,80 +53,78 @@
 	if len(b) == 0 {
 		return 0, nil
 	}
-	// The kernel tells of what comes once: only a read that found nothing may end the reading. A read may take less than
-	// has come for reasons of the kernel's own; taken for the last one, it leaves the rest unread until more comes.
-	// The end may have come with the event that told of the bytes; then there is no other.
-	if c.empty && !c.over {
+	// Events are edge-triggered, so that only a read that found nothing may stop the reading: a short read need not be the
+	// last one. The end may have come with the event of the bytes, and has no other event then.
+	if c.drained && !c.ended {
 		return 0, ErrWait
 	}
 	n, err := c.m.recv(c.fd, b, 0)
 	switch {
 	case err == syscall.EAGAIN:
-		c.empty = true
+		c.drained = true
 		return 0, ErrWait
-	case isLack(err):
-		c.tellAgain()
+	case isShortage(err):
+		c.notifyLater()
 		return 0, ErrWait
 	case err != nil:
-		return 0, c.breakOff(err)
+		return 0, c.markBroken(err)
 	case n == 0 && c.broken:
-		// The danger: the kernel tells an error once. Where a Write got it, the read after it finds an
-		// end that looks as if the other side had meant it.
+		// The kernel reports an error once. After a Write took it, a read finds what looks like an orderly end.
 		return 0, ErrReset
 	case n == 0:
 		return 0, io.EOF
 	}
-	c.empty = false
+	c.drained = false
 	return n, nil
 }
 
 // Write implements Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	switch {
-	case c.fd < 0 || c.noWrite:
+	case c.fd < 0 || c.writeClosed:
 		return 0, ErrClosed
 	case c.broken:
 		return 0, ErrReset
 	}
-	c.held = false
+	c.writeBlocked = false
 	sent := 0
-	// Up to EAGAIN: only after that the kernel owes an event.
+	// Only after EAGAIN does the kernel owe an event.
 	for sent < len(b) {
 		n, err := c.m.send(c.fd, b[sent:])
 		if err == syscall.EAGAIN {
-			c.held = true
+			c.writeBlocked = true
 			break
 		}
-		if isLack(err) {
-			c.held = true
-			c.tellAgain()
+		if isShortage(err) {
+			c.writeBlocked = true
+			c.notifyLater()
 			break
 		}
 		if err != nil {
-			return sent, c.breakOff(err)
+			return sent, c.markBroken(err)
 		}
 		sent += n
 	}
 	return sent, nil
 }
 
-// tellAgain has the handler come back in a moment: the kernel had no memory for a call, and tells of no event where it
-// has some again.
-func (c *conn) tellAgain() {
-	if c.again {
+// notifyLater notifies the handler again after shortageRetryDelay: the kernel had no memory for a call, and sends no event
+// once it has.
+func (c *conn) notifyLater() {
+	if c.notifyPending {
 		return
 	}
-	c.again = true
-	c.m.at(c.m.Now()+lackPause, func() {
-		c.again = false
+	c.notifyPending = true
+	c.m.at(c.m.Now()+shortageRetryDelay, func() {
+		c.notifyPending = false
 		if c.fd >= 0 {
 			c.event(eventIn | eventOut)
 		}
 	})
 }
 
-// breakOff is what an error of the kernel means to the connection: that it is broken, whatever the cause.
-func (c *conn) breakOff(err error) error {
+// markBroken marks the connection unusable, whatever the cause, and returns the contract's error.
+func (c *conn) markBroken(err error) error {
 	c.broken = true
 	if err == syscall.ECONNRESET || err == syscall.EPIPE {
 		return ErrReset
@@ -139,43 +137,42 @@
 	if c.fd < 0 || c.broken {
 		return false
 	}
-	_, err := c.m.recv(c.fd, c.m.peek[:], syscall.MSG_PEEK)
+	_, err := c.m.recv(c.fd, c.m.peekBuffer[:], syscall.MSG_PEEK)
 	if err == syscall.EAGAIN {
 		return true
 	}
-	// The danger: what was seen here may have come after the last event that was told. A Read that still
-	// held the connection for empty would contradict this answer.
-	c.empty = false
-	if err != nil && !isLack(err) {
-		// The danger: this look has taken the error off the socket, and the next read would find an end.
-		c.breakOff(err)
+	// What was seen here may have come after the last event: a Read must not take the connection for drained any more.
+	c.drained = false
+	if err != nil && !isShortage(err) {
+		// Peeking took the error off the socket, and the next read would find what looks like an orderly end.
+		c.markBroken(err)
 	}
 	return false
 }
 
-// staleAfter is how old the events of a turn may be for what they tell of a connection's end.
+// staleAfter is the age from which a turn's events no longer prove that a connection is open.
 const staleAfter = 5 * time.Millisecond
 
-// End implements Conn. A turn may be held up, by its own work or by the machine, and the other side leaves meanwhile: where
-// the turn's events are old, the kernel is asked again.
+// End implements Conn. The other side may leave while a turn is delayed, so that the kernel is asked again where the turn's
+// events are stale.
 func (c *conn) End() error {
-	if c.fd >= 0 && !c.over && !c.broken && time.Since(c.m.polled) > staleAfter {
-		c.lookForEnd()
+	if c.fd >= 0 && !c.ended && !c.broken && time.Since(c.m.polledAt) > staleAfter {
+		c.checkEnd()
 	}
 	switch {
 	case c.broken || c.failed:
 		return ErrReset
-	case c.over:
+	case c.ended:
 		return io.EOF
 	}
 	return nil
 }
 
-// lookForEnd asks the kernel whether the connection has ended. It takes nothing out, and an event still tells of it.
-func (c *conn) lookForEnd() {
+// checkEnd asks the kernel whether the connection has ended. It reads nothing, and the event of the end still comes.
+func (c *conn) checkEnd() {
 	const ends = syscall.EPOLLRDHUP | syscall.EPOLLERR | syscall.EPOLLHUP // poll's numbers are the same
 	if happened, err := c.m.kernel.Poll(c.fd, syscall.EPOLLRDHUP); err == nil {
-		c.note(uint32(happened) & ends)
+		c.noteEnd(uint32(happened) & ends)
 	}
 }
 
@@ -184,9 +181,9 @@
 	if c.fd < 0 {
 		return ErrClosed
 	}
-	c.noWrite = true
+	c.writeClosed = true
 	if err := syscall.Shutdown(c.fd, syscall.SHUT_WR); err != nil {
-		return c.breakOff(err)
+		return c.markBroken(err)
 	}
 	return nil
 }
@@ -196,29 +193,31 @@
 	if c.fd < 0 {
 		return
 	}
-	c.m.poll.leave(c.at)
+	c.m.poll.release(c.slot)
 	c.m.conns--
-	c.shut()
+	c.closeDescriptor()
 }
 
-// shut implements watcher. The kernel's interest ends with the descriptor, of which there is no copy.
-func (c *conn) shut() {
+// closeDescriptor implements watcher. The kernel's interest ends with the descriptor, of which there is no copy.
+func (c *conn) closeDescriptor() {
 	syscall.Close(c.fd)
 	c.fd = -1
-	c.h = nil
+	c.handler = nil
 }
 
-// Local and Remote implement Conn.
-func (c *conn) Local() string  { return c.local.String() }
+// Local implements Conn.
+func (c *conn) Local() string { return c.local.String() }
+
+// Remote implements Conn.
 func (c *conn) Remote() string { return c.remote.String() }
 
-// begin gives the connection its handler. One without a handler would be open for ever.
-func (c *conn) begin(h Handler) {
+// attachHandler gives the connection its handler. One without a handler would be open for ever.
+func (c *conn) attachHandler(h Handler) {
 	if h == nil {
 		c.Close()
 		return
 	}
 	if c.fd >= 0 {
-		c.h = h
+		c.handler = h
 	}
 }
--- a/internal/machine/dial.go
+++ b/internal/machine/dial.go
@@ -8,26 +8,26 @@
 
 // dialing is a connection that is coming up.
 type dialing struct {
-	m      *Real
-	addr   string
-	remote netip.AddrPort
-	fd     int // below 0 where there is none (any more)
-	at     place
-	limit  *timer // or when the failure of the beginning is told
-	retry  *timer // when it is begun once more, after a lack; nil where it has begun
-	done   func(Conn, error) Handler
+	m             *Real
+	addr          string
+	remote        netip.AddrPort
+	fd            int // below 0 while there is no socket
+	slot          slotRef
+	deadlineTimer *timer // ends the attempt, or reports an error of the first call
+	retryTimer    *timer // the next connect after a shortage; nil once it has begun
+	done          func(Conn, error) Handler
 }
 
 // Dial implements Machine.
 func (m *Real) Dial(addr string, timeout Time, done func(Conn, error) Handler) Dialing {
 	d := &dialing{m: m, addr: addr, fd: -1, done: done}
 	deadline := m.Now() + max(timeout, 0)
-	err := d.begin()
-	if err != nil && !isDialLack(err) {
-		d.limit = m.at(m.Now(), func() { d.fail(failure("dial", err)) })
+	err := d.connect()
+	if err != nil && !isDialShortage(err) {
+		d.deadlineTimer = m.at(m.Now(), func() { d.fail(contractError("dial", err)) })
 		return d
 	}
-	d.limit = m.at(deadline, func() {
+	d.deadlineTimer = m.at(deadline, func() {
 		if d.Blocked() {
 			d.fail(ErrLack)
 		} else {
@@ -35,35 +35,35 @@
 		}
 	})
 	if err != nil {
-		d.beginLater()
+		d.retryLater()
 	}
 	return d
 }
 
-// beginLater begins once more after a pause: the machine lacked something, which says nothing of the address.
-func (d *dialing) beginLater() {
-	d.retry = d.m.at(d.m.Now()+lackPause, func() {
-		d.retry = nil
-		switch err := d.begin(); {
+// retryLater connects again after shortageRetryDelay: a shortage of this machine says nothing about the address.
+func (d *dialing) retryLater() {
+	d.retryTimer = d.m.at(d.m.Now()+shortageRetryDelay, func() {
+		d.retryTimer = nil
+		switch err := d.connect(); {
 		case err == nil:
-		case isDialLack(err):
-			d.beginLater()
+		case isDialShortage(err):
+			d.retryLater()
 		default:
-			d.fail(failure("dial", err))
+			d.fail(contractError("dial", err))
 		}
 	})
 }
 
 // Blocked implements Dialing.
-func (d *dialing) Blocked() bool { return d.retry != nil }
+func (d *dialing) Blocked() bool { return d.retryTimer != nil }
 
-// begin opens the socket and has it connect. The error is the kernel's or one of the contract's.
-func (d *dialing) begin() error {
+// connect opens the socket and starts connecting. The error is the kernel's or one of the contract's.
+func (d *dialing) connect() error {
 	var err error
-	if d.remote, err = parse(d.addr); err != nil {
+	if d.remote, err = parseAddress(d.addr); err != nil {
 		return err
 	}
-	if !d.m.room() {
+	if !d.m.hasConnCapacity() {
 		return ErrDescriptors
 	}
 	fd, err := d.m.socket(d.remote, syscall.SOCK_STREAM)
@@ -76,9 +76,8 @@
 		syscall.Close(fd)
 		return err
 	}
-	// Watched from here on, not before: a socket that has not begun to connect looks hung up. One that is up already
-	// is told of as the others are.
-	if d.at, err = d.m.attach(fd, onEdges, d); err != nil {
+	// Watched only from here on: a socket that has not begun to connect looks hung up.
+	if d.slot, err = d.m.attach(fd, connEvents, d); err != nil {
 		syscall.Close(fd)
 		return err
 	}
@@ -89,64 +88,64 @@
 
 // event implements watcher: the connection is up, or will never be.
 func (d *dialing) event(mask uint32) {
-	if mask&(eventOut|eventOver) == 0 {
+	if mask&(eventOut|eventErrorOrHangup) == 0 {
 		return
 	}
 	errno, err := syscall.GetsockoptInt(d.fd, syscall.SOL_SOCKET, syscall.SO_ERROR)
 	if err != nil {
-		d.fail(failure("getsockopt", err))
+		d.fail(contractError("getsockopt", err))
 		return
 	}
 	if errno != 0 {
-		d.fail(failure("connect", syscall.Errno(errno)))
+		d.fail(contractError("connect", syscall.Errno(errno)))
 		return
 	}
 	local := localAddr(d.fd)
-	// The danger: a port of this machine that nobody listens at may be the very port that the kernel
-	// gave this side, and TCP lets a socket connect to itself (RFC 9293, simultaneous open).
+	// A port without a listener may be the very port that the kernel gave this side, and TCP lets a socket connect to itself
+	// (RFC 9293, simultaneous open).
 	if local == d.remote {
 		d.fail(ErrRefused)
 		return
 	}
 
-	c := &conn{m: d.m, fd: d.fd, at: d.at, local: local, remote: d.remote}
-	d.m.poll.pass(d.at, c)
+	c := &conn{m: d.m, fd: d.fd, slot: d.slot, local: local, remote: d.remote}
+	d.m.poll.transfer(d.slot, c)
 	d.fd = -1
-	d.limit.Stop()
+	d.deadlineTimer.Stop()
 	done := d.done
 	d.done = nil
-	c.begin(done(c, nil))
-	// What came together with the connection is in this event, and in no other.
-	if in := mask & (eventIn | eventEnd | eventOver); in != 0 && c.fd >= 0 {
-		d.m.tick()
+	c.attachHandler(done(c, nil))
+	// Bytes or an end that came with the connection have no event of their own.
+	if in := mask & (eventIn | eventPeerClosed | eventErrorOrHangup); in != 0 && c.fd >= 0 {
+		d.m.readClock()
 		c.event(in)
 	}
 }
 
-// fail tells that no connection came up.
+// fail reports that no connection came up.
 func (d *dialing) fail(err error) {
 	done := d.done
 	d.Cancel()
 	done(nil, fmt.Errorf("dial %s: %w", d.addr, err))
 }
 
-// Cancel implements Dialing. Once the outcome was told it does nothing.
+// Cancel implements Dialing. It does nothing once the outcome was reported.
 func (d *dialing) Cancel() {
 	d.done = nil
-	d.limit.Stop()
-	if d.retry != nil {
-		d.retry.Stop()
-		d.retry = nil
+	d.deadlineTimer.Stop()
+	if d.retryTimer != nil {
+		d.retryTimer.Stop()
+		d.retryTimer = nil
 	}
 	if d.fd >= 0 {
-		d.m.poll.leave(d.at)
+		d.m.poll.release(d.slot)
 		d.m.conns--
-		d.shut()
+		d.closeDescriptor()
 	}
 }
 
-// shut implements watcher.
-func (d *dialing) shut() {
+// closeDescriptor implements watcher.
+func (d *dialing) closeDescriptor() {
 	syscall.Close(d.fd)
 	d.fd = -1
 }
--- a/internal/machine/dial_test.go
+++ b/internal/machine/dial_test.go
@@ -212,13 +212,13 @@
 			t.Error(err)
 		}
 		d := &dialing{m: r.Real, addr: self.String(), remote: self, fd: fd}
-		d.limit = r.at(r.Now()+5_000_000, func() { d.fail(ErrTimeout) })
+		d.deadlineTimer = r.at(r.Now()+5_000_000, func() { d.fail(ErrTimeout) })
 		d.done = func(c Conn, err error) Handler {
 			out <- err
 			return nil
 		}
 		r.conns++
-		if d.at, err = r.attach(fd, onEdges, d); err != nil {
+		if d.slot, err = r.attach(fd, connEvents, d); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/machine/disk.go
+++ b/internal/machine/disk.go
@@ -11,9 +11,8 @@
 // realDisk is the files of this machine. os opens all with O_CLOEXEC: no child inherits a lock.
 type realDisk struct{}
 
-// Read implements Disk.
-//
-// The danger: opening a FIFO waits for a writer, and a link leads to a device that never ends.
+// Read implements Disk. O_NONBLOCK keeps the opening of a FIFO from waiting for a writer, and links are refused as they may
+// lead to a device that never ends.
 func (realDisk) Read(name string, most int64) ([]byte, error) {
 	f, err := os.OpenFile(name, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if errors.Is(err, syscall.ELOOP) {
@@ -77,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := again(func() error { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) }); err != nil {
+	if err := retryInterrupted(func() error { return syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) }); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", name, ErrLocked)
--- a/internal/machine/faultkernel/faultkernel.go
+++ b/internal/machine/faultkernel/faultkernel.go
@@ -14,25 +14,25 @@
 
 // Rates say which calls fail and how often: each float is the probability for one call, 0 for never.
 type Rates struct {
-	ShortReads  float64 // a read takes fewer bytes than have come
-	ReadMost    int     // ... this many at most; 1 where it is 0
-	ShortWrites float64 // a send takes fewer bytes than there is room for
-	Interrupted float64 // a call that may be interrupted by a signal is (EINTR)
-	Accept      float64 // accept4: ECONNABORTED, ENFILE, ENOBUFS, ENOMEM, EPROTO
-	Socket      float64 // socket, and socketpair: ENFILE, ENOBUFS, ENOMEM
-	Connect     float64 // connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN
-	Register    float64 // epoll_ctl: ENOMEM, ENOSPC; epoll_create1 and eventfd2: ENFILE, ENOMEM
-	Wake        float64 // write to the eventfd: EINTR, EAGAIN
-	Memory      float64 // send and recv: ENOBUFS, ENOMEM
-	Broken      float64 // send and recv on a connection that was dialed: it is broken, ETIMEDOUT or EHOSTUNREACH
-	Disk        float64 // a change on the disk: ENOSPC, EIO; a content may be half written
+	ShortReads   float64 // a read takes fewer bytes than have come
+	MaxReadBytes int     // upper bound of a short read, in bytes; 0 stands for 1
+	ShortWrites  float64 // a send takes fewer bytes than there is room for
+	Interrupted  float64 // a call that may be interrupted by a signal is (EINTR)
+	Accept       float64 // accept4: ECONNABORTED, ENFILE, ENOBUFS, ENOMEM, EPROTO
+	Socket       float64 // socket, and socketpair: ENFILE, ENOBUFS, ENOMEM
+	Connect      float64 // connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN
+	Register     float64 // epoll_ctl: ENOMEM, ENOSPC; epoll_create1 and eventfd2: ENFILE, ENOMEM
+	Wake         float64 // write to the eventfd: EINTR, EAGAIN
+	Memory       float64 // send and recv: ENOBUFS, ENOMEM
+	Broken       float64 // send and recv on a connection that was dialed: it is broken, ETIMEDOUT or EHOSTUNREACH
+	Disk         float64 // a change on the disk: ENOSPC, EIO; a content may be half written
 
-	Hold float64 // the process stands still before a send, for up to the 0.15 s that the operators' terms name
+	Stall float64 // the process stands still before a send, for up to 0.15 s
 
-	Burst time.Duration // for how long a call goes on failing once it has failed for a lack of something
+	Burst time.Duration // for how long a call goes on failing once it has failed for a shortage
 
 	ClockStep  time.Duration // by which the system's clock is wrong
-	ClockAfter time.Duration // ... from so long after the start on
+	ClockAfter time.Duration // how long after the start the wrong time begins
 }
 
 // source draws which calls fail. Calls come from the loop and from work beside it.
@@ -42,7 +42,7 @@
 	rates  Rates
 	until  map[string]time.Time // calls that go on failing, and until when
 	dialed map[int]bool         // descriptors that were connected
-	broken map[int]error        // ... and that were broken
+	broken map[int]error        // descriptors whose connection was broken, with the error
 }
 
 // Wrap gives a kernel whose calls fail. Equal seeds draw the same sequence; which call gets which draw depends on the
@@ -196,7 +196,7 @@
 		if err := s.transferFails("recv", fd); err != nil {
 			return 0, err
 		}
-		return real.Recv(fd, b[:s.shortened(len(b), s.rates.ShortReads, s.rates.ReadMost)], flags)
+		return real.Recv(fd, b[:s.shortened(len(b), s.rates.ShortReads, s.rates.MaxReadBytes)], flags)
 	}
 	k.Send = func(fd int, b []byte) (int, error) {
 		s.hold()
@@ -227,11 +227,11 @@
 
 // hold draws whether the process stands still, and does so.
 func (s *source) hold() {
-	if s.rates.Hold <= 0 {
+	if s.rates.Stall <= 0 {
 		return
 	}
 	s.mu.Lock()
-	holds := s.random.Float64() < s.rates.Hold
+	holds := s.random.Float64() < s.rates.Stall
 	span := time.Duration(s.random.Int64N(int64(longestHold)))
 	s.mu.Unlock()
 	if holds {
--- a/internal/machine/faultkernel/parse.go
+++ b/internal/machine/faultkernel/parse.go
@@ -12,7 +12,7 @@
 func Parse(text string) (seed uint64, rates Rates, err error) {
 	chances := map[string]*float64{"short_reads": &rates.ShortReads, "short_writes": &rates.ShortWrites,
 		"interrupted": &rates.Interrupted, "accept": &rates.Accept, "socket": &rates.Socket, "connect": &rates.Connect,
-		"register": &rates.Register, "wake": &rates.Wake, "memory": &rates.Memory, "broken": &rates.Broken, "hold": &rates.Hold,
+		"register": &rates.Register, "wake": &rates.Wake, "memory": &rates.Memory, "broken": &rates.Broken, "hold": &rates.Stall,
 		"disk": &rates.Disk}
 	spans := map[string]*time.Duration{"burst": &rates.Burst, "clock_step": &rates.ClockStep,
 		"clock_after": &rates.ClockAfter}
@@ -22,13 +22,13 @@
 		case name == "seed":
 			seed, err = strconv.ParseUint(value, 10, 64)
 		case name == "read_most":
-			rates.ReadMost, err = strconv.Atoi(value)
+			rates.MaxReadBytes, err = strconv.Atoi(value)
 		case chances[name] != nil:
 			*chances[name], err = strconv.ParseFloat(value, 64)
 		case spans[name] != nil:
 			*spans[name], err = time.ParseDuration(value)
 		default:
-			err = fmt.Errorf("unknown name")
+			err = fmt.Errorf("unknown fault %q", name)
 		}
 		if err != nil {
 			return 0, Rates{}, fmt.Errorf("%q: %w", field, err)
--- a/internal/machine/file.go
+++ b/internal/machine/file.go
@@ -7,9 +7,7 @@
 	"syscall"
 )
 
-// ReadFile implements Machine.
-//
-// The danger: opening a FIFO waits for a writer, and the loop with it; hence O_NONBLOCK, and regular files only.
+// ReadFile implements Machine. O_NONBLOCK keeps the opening of a FIFO from blocking the loop until there is a writer.
 func (m *Real) ReadFile(name string, most int64) ([]byte, error) {
 	f, err := os.OpenFile(name, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
--- a/internal/machine/inbox.go
+++ b/internal/machine/inbox.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// spareMost is the longest batch whose room is kept.
-const spareMost = 1024
+// maxReusedBatch is the capacity up to which a batch's memory is reused.
+const maxReusedBatch = 1024
 
-// wakePause is until a write that was to wake the loop, and failed, is made again.
+// wakePause is the delay before a failed write to the eventfd is retried.
 const wakePause = time.Millisecond
 
 // inbox holds the functions that were posted, from any goroutine, and wakes the loop for them.
 type inbox struct {
 	mu      sync.Mutex
 	posted  []func()
-	spare   []func() // the last batch's room, used again
-	resting bool     // the loop waits, and nothing has woken it yet
+	reused  []func() // memory of the batch before
+	waiting bool     // the loop is about to wait, and nothing has woken it
 	ended   bool
 	kernel  *Kernel
 	fd      int // an eventfd, below 0 once it is closed
@@ -30,19 +30,19 @@
 	if in.fd, err = in.kernel.EventFD(); err != nil {
 		return os.NewSyscallError("eventfd2", err)
 	}
-	// By edges: each write is a new one, so that the number in it need never be read.
-	if _, err := m.attach(in.fd, eventIn|eventEdge, bell{}); err != nil {
+	// Edge-triggered: each write is an event, so that the counter need never be read.
+	if _, err := m.attach(in.fd, eventIn|eventEdge, wakeWatcher{}); err != nil {
 		syscall.Close(in.fd)
 		return err
 	}
 	return nil
 }
 
-// bell is the watcher of the eventfd: that the loop has woken is all it is for.
-type bell struct{}
+// wakeWatcher is the watcher of the eventfd, which only has to wake the loop.
+type wakeWatcher struct{}
 
-func (bell) event(uint32) {}
-func (bell) shut()        {}
+func (wakeWatcher) event(uint32)     {}
+func (wakeWatcher) closeDescriptor() {}
 
 func (in *inbox) put(f func()) {
 	in.mu.Lock()
@@ -63,19 +63,19 @@
 
 // wake wakes the loop, once for all that comes until it is up.
 func (in *inbox) wake() {
-	if !in.resting || in.fd < 0 {
+	if !in.waiting || in.fd < 0 {
 		return
 	}
 	one := [8]byte{0: 1}
-	err := again(func() error {
+	err := retryInterrupted(func() error {
 		_, err := in.kernel.Write(in.fd, one[:])
 		return err
 	})
 	if err == nil {
-		in.resting = false
+		in.waiting = false
 		return
 	}
-	// The loop still rests: what was posted would wait for an event that need not come.
+	// The loop still waits, and no other event need come for what was posted.
 	time.AfterFunc(wakePause, func() {
 		in.mu.Lock()
 		defer in.mu.Unlock()
@@ -83,23 +83,23 @@
 	})
 }
 
-// rest reports whether nothing is there; from then on what comes wakes the loop.
-func (in *inbox) rest() bool {
+// mayWait reports whether nothing was posted; from then on a put wakes the loop.
+func (in *inbox) mayWait() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.resting = len(in.posted) == 0 && !in.ended
-	return in.resting
+	in.waiting = len(in.posted) == 0 && !in.ended
+	return in.waiting
 }
 
-// take is all that was posted, which is the caller's until the next take. false says that the loop is to end.
+// take returns all that was posted, valid until the next take, and whether the loop goes on.
 func (in *inbox) take() ([]func(), bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.resting = false
+	in.waiting = false
 	batch := in.posted
-	in.posted, in.spare = in.spare[:0], batch
-	if cap(batch) > spareMost {
-		in.spare = nil
+	in.posted, in.reused = in.reused[:0], batch
+	if cap(batch) > maxReusedBatch {
+		in.reused = nil
 	}
 	return batch, !in.ended
 }
@@ -108,7 +108,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.ended = true
-	in.posted, in.spare = nil, nil
+	in.posted, in.reused = nil, nil
 	syscall.Close(in.fd)
 	in.fd = -1
 }
--- a/internal/machine/inside.go
+++ b/internal/machine/inside.go
@@ -5,54 +5,54 @@
 	"sync"
 )
 
-// insideRoom is how many bytes wait in each direction of a connection to a worker inside this process.
-const insideRoom = 256 << 10
+// insideBufferBytes bounds the bytes that wait in each direction of a connection to a worker inside this process.
+const insideBufferBytes = 256 << 10
 
-// insideConn is the loop's end of a connection to a worker that is a goroutine of this process. There is no kernel
-// between the two: a round trip costs two hand-overs, where a socket costs four calls and two wake-ups.
+// insideConn is the loop's end of a connection to a worker that is a goroutine of this process. It avoids the four system
+// calls and two wake-ups of a round trip over a socket.
 type insideConn struct {
-	m      *Real
-	h      Handler // nil after Close
-	held   bool    // a Write took less than it was given
-	tellIt func()  // tell, once and for all
-
-	mu      sync.Mutex
-	wake    sync.Cond // the worker waits for out
-	out, in []byte
-	posted  bool // a call of tell is to come
-	ended   bool // the worker has closed its end
-	closed  bool // the loop has
-	noWrite bool // the loop sends nothing more
+	m            *Real
+	handler      Handler // nil after Close
+	writeBlocked bool    // a Write took less than it was given
+	notifyFunc   func()  // notify as a value, made once
+
+	mu           sync.Mutex
+	wake         sync.Cond // the worker waits for out
+	out, in      []byte
+	posted       bool // a call of notify has been posted
+	workerClosed bool // the worker closed its end
+	closed       bool // the loop closed its end
+	writeClosed  bool // CloseWrite was called
 }
 
 func newInsideConn(m *Real) *insideConn {
-	c := &insideConn{m: m, h: nobody{}}
+	c := &insideConn{m: m, handler: noHandler{}}
 	c.wake.L = &c.mu
-	c.tellIt = c.tell
+	c.notifyFunc = c.notify
 	return c
 }
 
-// notice has the loop look at the connection.
-func (c *insideConn) notice() {
+// postNotify has the loop call notify. It is called with mu held.
+func (c *insideConn) postNotify() {
 	if !c.posted && !c.closed {
 		c.posted = true
-		c.m.Post(c.tellIt)
+		c.m.Post(c.notifyFunc)
 	}
 }
 
-// tell is called in the loop where something has come, or there is room again.
-func (c *insideConn) tell() {
+// notify runs in the loop after the worker wrote, read or closed.
+func (c *insideConn) notify() {
 	c.mu.Lock()
 	c.posted = false
-	readable := len(c.in) > 0 || c.ended
-	writable := c.held && len(c.out) < insideRoom/2
+	readable := len(c.in) > 0 || c.workerClosed
+	writable := c.writeBlocked && len(c.out) < insideBufferBytes/2
 	c.mu.Unlock()
-	if readable && c.h != nil {
-		c.h.Readable()
+	if readable && c.handler != nil {
+		c.handler.Readable()
 	}
-	if writable && c.held && c.h != nil {
-		c.held = false
-		c.h.Writable()
+	if writable && c.writeBlocked && c.handler != nil {
+		c.writeBlocked = false
+		c.handler.Writable()
 	}
 }
 
@@ -66,14 +66,14 @@
 	case len(b) == 0:
 		return 0, nil
 	case len(c.in) > 0:
-		full := len(c.in) >= insideRoom
+		full := len(c.in) >= insideBufferBytes
 		n := copy(b, c.in)
 		c.in = c.in[:copy(c.in, c.in[n:])]
 		if full {
 			c.wake.Broadcast()
 		}
 		return n, nil
-	case c.ended:
+	case c.workerClosed:
 		return 0, io.EOF
 	}
 	return 0, ErrWait
@@ -84,17 +84,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.closed || c.noWrite:
+	case c.closed || c.writeClosed:
 		return 0, ErrClosed
-	case c.ended:
+	case c.workerClosed:
 		return 0, ErrReset
 	}
-	n := min(len(b), max(0, insideRoom-len(c.out)))
+	n := min(len(b), max(0, insideBufferBytes-len(c.out)))
 	c.out = append(c.out, b[:n]...)
-	c.held = n < len(b)
+	c.writeBlocked = n < len(b)
 	if n > 0 {
 		c.wake.Broadcast()
-		c.m.roused.Store(true)
+		c.m.wokeGoroutine.Store(true)
 	}
 	return n, nil
 }
@@ -103,14 +103,14 @@
 func (c *insideConn) Quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.closed && !c.ended && len(c.in) == 0
+	return !c.closed && !c.workerClosed && len(c.in) == 0
 }
 
 // End implements Conn.
 func (c *insideConn) End() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.workerClosed {
 		return io.EOF
 	}
 	return nil
@@ -123,7 +123,7 @@
 	if c.closed {
 		return ErrClosed
 	}
-	c.noWrite = true
+	c.writeClosed = true
 	c.wake.Broadcast()
 	return nil
 }
@@ -133,63 +133,68 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	c.h = nil
+	c.handler = nil
 	c.in, c.out = nil, nil
 	c.wake.Broadcast()
 }
 
-// Local and Remote implement Conn.
-func (c *insideConn) Local() string  { return "" }
+// Local implements Conn.
+func (c *insideConn) Local() string { return "" }
+
+// Remote implements Conn.
 func (c *insideConn) Remote() string { return "" }
 
-// insideEnd is the worker's end. Its reads wait.
+// insideEnd is the worker's end. Its calls block.
 type insideEnd struct{ c *insideConn }
 
+// Read implements io.Reader.
 func (e insideEnd) Read(b []byte) (int, error) {
 	c := e.c
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.out) == 0 {
-		if c.closed || c.noWrite || c.ended {
+		if c.closed || c.writeClosed || c.workerClosed {
 			return 0, io.EOF
 		}
 		c.wake.Wait()
 	}
-	full := len(c.out) >= insideRoom
+	full := len(c.out) >= insideBufferBytes
 	n := copy(b, c.out)
 	c.out = c.out[:copy(c.out, c.out[n:])]
 	if full {
-		c.notice()
+		c.postNotify()
 	}
 	return n, nil
 }
 
+// Write implements io.Writer.
 func (e insideEnd) Write(b []byte) (int, error) {
 	c := e.c
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	put := 0
-	for put < len(b) {
-		if c.closed || c.ended {
-			return put, io.ErrClosedPipe
+	written := 0
+	for written < len(b) {
+		if c.closed || c.workerClosed {
+			return written, io.ErrClosedPipe
 		}
-		n := min(len(b)-put, insideRoom-len(c.in))
+		n := min(len(b)-written, insideBufferBytes-len(c.in))
 		if n == 0 {
 			c.wake.Wait()
 			continue
 		}
-		c.in = append(c.in, b[put:put+n]...)
-		put += n
-		c.notice()
+		c.in = append(c.in, b[written:written+n]...)
+		written += n
+		c.postNotify()
 	}
-	return put, nil
+	return written, nil
 }
 
+// Close implements io.Closer.
 func (e insideEnd) Close() error {
 	c := e.c
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = true
-	c.notice()
+	c.workerClosed = true
+	c.postNotify()
 	return nil
 }
--- a/internal/machine/listener.go
+++ b/internal/machine/listener.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	backlog     = 4096 // the kernel's own bound, net.core.somaxconn, is lower or the same
-	acceptATurn = 64   // so that a flood of connections leaves time for those that are there
-	acceptPause = 10_000
+	backlog           = 4096   // the kernel's own bound, net.core.somaxconn, is lower or the same
+	maxAcceptsPerTurn = 64     // leaves time for the connections that are open
+	acceptBackoff     = 10_000 // microseconds without accepting after descriptors ran out
 )
 
 // listener takes connections in at an address.
 type listener struct {
-	m       *Real
-	fd      int // below 0 once it is closed
-	at      place
-	addr    netip.AddrPort
-	accept  func(Conn) Handler
-	paused  bool   // by its owner
-	waiting *timer // for a descriptor; nil where it does not
-	done    func() // to be called once what waits is taken in; nil where it is not to end
-	last    int    // connections that are taken in until then, at most
+	m           *Real
+	fd          int // below 0 once it is closed
+	slot        slotRef
+	addr        netip.AddrPort
+	accept      func(Conn) Handler
+	paused      bool   // by its owner
+	waiting     *timer // the end of a back-off; nil while none is on
+	done        func() // set by Finish: called once the queue is empty
+	acceptsLeft int    // connections that Finish still accepts
 }
 
 // Listen implements Machine. At [::] it takes in IPv4 as well.
 func (m *Real) Listen(addr string, accept func(Conn) Handler) (Listener, error) {
 	l, err := m.listen(addr, accept)
 	if err != nil {
-		return nil, fmt.Errorf("listen at %s: %w", addr, listenFailure(err))
+		return nil, fmt.Errorf("listen at %s: %w", addr, contractListenError(err))
 	}
 	return l, nil
 }
 
 func (m *Real) listen(addr string, accept func(Conn) Handler) (*listener, error) {
-	ap, err := parse(addr)
+	ap, err := parseAddress(addr)
 	if err != nil {
 		return nil, err
 	}
 	l := &listener{m: m, accept: accept}
-	if err := m.outlast(func() error { return l.open(ap) }); err != nil {
+	if err := m.retryShortage(func() error { return l.open(ap) }); err != nil {
 		return nil, err
 	}
 	l.addr = localAddr(l.fd)
-	l.at = m.poll.seat(l)
+	l.slot = m.poll.allocate(l)
 	l.watch()
 	return l, nil
 }
@@ -66,19 +66,19 @@
 
 // event implements watcher.
 func (l *listener) event(uint32) {
-	for i := 0; i < acceptATurn && l.fd >= 0 && !l.paused; i++ {
-		if l.done != nil && l.last == 0 {
+	for i := 0; i < maxAcceptsPerTurn && l.fd >= 0 && !l.paused; i++ {
+		if l.done != nil && l.acceptsLeft == 0 {
 			l.finish()
 			return
 		}
-		if !l.m.room() {
-			l.wait()
+		if !l.m.hasConnCapacity() {
+			l.backOff()
 			return
 		}
 		fd, sa, err := l.m.kernel.Accept(l.fd)
 		switch err {
 		case nil:
-			l.last--
+			l.acceptsLeft--
 			l.admit(fd, fromSockaddr(sa))
 		case syscall.EAGAIN:
 			if l.done != nil {
@@ -88,33 +88,31 @@
 		case syscall.EINTR, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM:
 			// This one is gone; there may be others.
 		default:
-			l.wait()
+			l.backOff()
 			return
 		}
 	}
-	l.look()
+	l.checkQueue()
 }
 
 func (l *listener) admit(fd int, remote netip.AddrPort) {
 	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	c := &conn{m: l.m, fd: fd, local: localAddr(fd), remote: remote}
 	var err error
-	if c.at, err = l.m.attach(fd, onEdges, c); err != nil {
+	if c.slot, err = l.m.attach(fd, connEvents, c); err != nil {
 		syscall.Close(fd)
 		return
 	}
 	l.m.conns++
-	l.m.tick()
-	c.begin(l.accept(c))
+	l.m.readClock()
+	c.attachHandler(l.accept(c))
 }
 
-// wait takes nothing in for a while.
-//
-// The danger: when descriptors have run out the connection stays in the kernel's queue, which goes on
-// reporting it; a loop that tried again at once would spin, one that gave up would never listen again.
-func (l *listener) wait() {
+// backOff stops accepting for acceptBackoff. While descriptors have run out, the kernel goes on reporting the connection in
+// its queue: a loop that tried again at once would spin.
+func (l *listener) backOff() {
 	l.m.poll.unwatch(l.fd)
-	l.waiting = l.m.at(l.m.Now()+acceptPause, func() {
+	l.waiting = l.m.at(l.m.Now()+acceptBackoff, func() {
 		l.waiting = nil
 		l.watch()
 	})
@@ -124,11 +122,11 @@
 	if l.paused || l.waiting != nil {
 		return
 	}
-	if err := l.m.poll.watch(l.fd, eventIn, l.at); err != nil {
-		l.wait() // the kernel has no memory for it at the moment
+	if err := l.m.poll.watch(l.fd, eventIn, l.slot); err != nil {
+		l.backOff() // the kernel has no memory for it at the moment
 		return
 	}
-	l.look()
+	l.checkQueue()
 }
 
 // Addr implements Listener.
@@ -152,18 +150,18 @@
 	l.watch()
 }
 
-// Finish implements Listener. The danger: a connection that the kernel has taken in and the program has not may have
-// its request written already; a socket that is closed on it resets it, and the request is lost.
+// Finish implements Listener. A connection in the kernel's queue may have its request written already, and closing the
+// socket would reset it.
 func (l *listener) Finish(done func()) {
 	if l.fd < 0 || l.done != nil {
 		return
 	}
-	l.done, l.last = done, backlog
-	l.look()
+	l.done, l.acceptsLeft = done, backlog
+	l.checkQueue()
 }
 
-// look has the queue looked at where nothing need have come: an empty one tells of no event.
-func (l *listener) look() {
+// checkQueue polls the queue for Finish: an empty queue causes no event.
+func (l *listener) checkQueue() {
 	if l.done != nil && !l.paused && l.waiting == nil {
 		l.m.Post(func() { l.event(eventIn) })
 	}
@@ -184,14 +182,14 @@
 	if l.waiting != nil {
 		l.waiting.Stop()
 	}
-	// The danger: where another process shares the socket, the kernel's interest in it outlives this descriptor.
+	// The kernel's interest in the socket outlives this descriptor where another process shares the socket.
 	l.m.poll.unwatch(l.fd)
-	l.m.poll.leave(l.at)
-	l.shut()
+	l.m.poll.release(l.slot)
+	l.closeDescriptor()
 }
 
-// shut implements watcher.
-func (l *listener) shut() {
+// closeDescriptor implements watcher.
+func (l *listener) closeDescriptor() {
 	syscall.Close(l.fd)
 	l.fd = -1
 }
--- a/internal/machine/log.go
+++ b/internal/machine/log.go
@@ -10,35 +10,32 @@
 )
 
 const (
-	logLines = 256                    // that wait for the log's reader
-	logWait  = 100 * time.Millisecond // for the last lines, at the end
+	maxQueuedLines = 256                    // queued for the log's reader; more are dropped
+	flushTimeout   = 100 * time.Millisecond // for the last lines, when the machine stops
 )
 
-// logger writes lines in a goroutine of its own, each with the time and the process: while a router is restarted, two
-// processes write into one log.
-//
-// The danger: the log's reader stands still and its pipe is full. A loop that wrote by itself would stand still
-// with it, and with the loop all requests.
+// logger writes lines in a goroutine of its own, so that a log whose reader stalls does not stall the loop. Each line has the
+// time and the process id: while a router is restarted, two processes write into one log.
 type logger struct {
-	lines   chan string
-	dropped atomic.Int64
-	quit    chan struct{}
-	over    chan struct{}
-	out     *log.Logger
+	lines    chan string
+	dropped  atomic.Int64
+	quit     chan struct{}
+	finished chan struct{}
+	out      *log.Logger
 }
 
 func newLogger(w io.Writer) *logger {
 	l := &logger{
-		lines: make(chan string, logLines),
-		quit:  make(chan struct{}),
-		over:  make(chan struct{}),
-		out:   log.New(w, fmt.Sprintf("[%d] ", os.Getpid()), log.LstdFlags|log.Lmsgprefix),
+		lines:    make(chan string, maxQueuedLines),
+		quit:     make(chan struct{}),
+		finished: make(chan struct{}),
+		out:      log.New(w, fmt.Sprintf("[%d] ", os.Getpid()), log.LstdFlags|log.Lmsgprefix),
 	}
 	go l.run()
 	return l
 }
 
-func (l *logger) add(line string) {
+func (l *logger) enqueue(line string) {
 	select {
 	case l.lines <- line:
 	default:
@@ -47,11 +44,11 @@
 }
 
 func (l *logger) run() {
-	defer close(l.over)
+	defer close(l.finished)
 	for since := 0; ; since++ {
-		// What was dropped came after the lines that waited: so it is told behind them.
-		if len(l.lines) == 0 || since > logLines {
-			l.tellDropped()
+		// Dropped lines came after those in the queue, so that they are reported behind them.
+		if len(l.lines) == 0 || since > maxQueuedLines {
+			l.logDropped()
 			since = 0
 		}
 		select {
@@ -65,24 +62,24 @@
 			l.out.Print(line)
 		case <-l.quit:
 			if len(l.lines) == 0 {
-				l.tellDropped()
+				l.logDropped()
 				return
 			}
 		}
 	}
 }
 
-func (l *logger) tellDropped() {
+func (l *logger) logDropped() {
 	if n := l.dropped.Swap(0); n > 0 {
 		l.out.Printf("%d lines dropped", n)
 	}
 }
 
-// end has the last lines written. A reader that stands still is not waited for longer than logWait.
-func (l *logger) end() {
+// close writes the queued lines, within flushTimeout.
+func (l *logger) close() {
 	close(l.quit)
 	select {
-	case <-l.over:
-	case <-time.After(logWait):
+	case <-l.finished:
+	case <-time.After(flushTimeout):
 	}
 }
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -52,7 +52,7 @@
 var ErrReset = errors.New("machine: connection reset")
 
 // ErrClosed says that this side has closed the connection.
-var ErrClosed = errors.New("machine: closed")
+var ErrClosed = errors.New("machine: connection closed by this side")
 
 // ErrLocked says that somebody else holds a lock.
 var ErrLocked = errors.New("machine: locked by another process")
@@ -186,7 +186,7 @@
 type Dialing interface {
 	// Cancel gives it up: done is not called any more and the descriptor is given back.
 	Cancel()
-	// Blocked reports whether it has not begun yet, for a lack on this machine: the other side has not been asked.
+	// Blocked reports whether it has not begun yet, for a shortage of this machine: nothing has been sent yet.
 	Blocked() bool
 }
 
--- a/internal/machine/machinetest/conns.go
+++ b/internal/machine/machinetest/conns.go
@@ -2,167 +2,11 @@
 
 import (
 	"bytes"
-	"errors"
 	"io"
 
 	"starlingwinch/internal/machine"
 )
 
-// end is one end of a connection under test; it reads all that comes, where reads is set.
-type end struct {
-	b        *bench
-	conn     machine.Conn
-	reads    bool
-	got      []byte
-	err      error  // of the last read, ErrWait aside
-	told     int    // calls of Readable
-	rest     []byte // of a short write
-	writable func()
-}
-
-func (e *end) Readable() {
-	defer e.b.turn()()
-	e.told++
-	if e.reads {
-		e.readAll()
-	}
-}
-
-func (e *end) Writable() {
-	defer e.b.turn()()
-	if len(e.rest) > 0 {
-		e.writeRest()
-		return
-	}
-	if e.writable == nil && !e.b.TakesLess {
-		e.b.Error("Writable came though no Write was short")
-		return
-	}
-	if e.writable != nil {
-		e.writable()
-	}
-}
-
-// readAll reads up to ErrWait or another error.
-func (e *end) readAll() {
-	var buf [3000]byte
-	for {
-		n, err := e.conn.Read(buf[:])
-		e.got = append(e.got, buf[:n]...)
-		switch {
-		case err == nil && n == 0:
-			e.b.Error("Read gave neither bytes nor an error")
-			return
-		case err == nil:
-		case err == machine.ErrWait:
-			return
-		default:
-			e.err = err
-			return
-		}
-	}
-}
-
-func (e *end) write(s string) {
-	e.b.Helper()
-	n, err := e.conn.Write([]byte(s))
-	if e.b.TakesLess && err == nil {
-		e.rest = append(e.rest, s[n:]...)
-		return
-	}
-	if n != len(s) || err != nil {
-		e.b.Errorf("a Write of %d bytes gave %d, %v", len(s), n, err)
-	}
-}
-
-func (e *end) writeRest() {
-	n, err := e.conn.Write(e.rest)
-	if e.rest = e.rest[n:]; err != nil {
-		e.rest = nil
-	}
-}
-
-// quiet is Conn.Quiet. A machine that takes less at times may not be able to look.
-func (b *bench) quiet(c machine.Conn) bool {
-	for range 100 {
-		if c.Quiet() {
-			return true
-		}
-		if !b.TakesLess {
-			return false
-		}
-	}
-	return false
-}
-
-// writeThen writes and then does something else in the same call, unless the machine may take less: then what was written goes out
-// first.
-func (e *end) writeThen(s string, then func()) {
-	e.b.Helper()
-	if e.b.TakesLess {
-		e.b.call(func() { e.write(s) })
-		e.flushed()
-		e.b.call(then)
-		return
-	}
-	e.b.call(func() {
-		e.write(s)
-		then()
-	})
-}
-
-// flushed has what was written go out whole.
-func (e *end) flushed() {
-	e.b.Helper()
-	e.b.wait("the rest of a write", func() bool { return len(e.rest) == 0 })
-}
-
-// listen has the ends that come in at B put into a list, each ready to read.
-func (b *bench) listen(reads bool) (machine.Listener, *[]*end) {
-	b.Helper()
-	ends := new([]*end)
-	l, err := b.B.Listen(b.IPB+":0", func(c machine.Conn) machine.Handler {
-		defer b.turn()()
-		e := &end{b: b, conn: c, reads: reads}
-		*ends = append(*ends, e)
-		return e
-	})
-	if err != nil {
-		b.Fatalf("Listen: %v", err)
-	}
-	return l, ends
-}
-
-// dial connects A to an address. The result has an error or a connection some turns later.
-func (b *bench) dial(addr string, then func(*end)) *end {
-	e := &end{b: b, reads: true}
-	b.A.Dial(addr, 5_000_000, func(c machine.Conn, err error) machine.Handler {
-		defer b.turn()()
-		e.conn, e.err = c, err
-		if err != nil {
-			return nil
-		}
-		if then != nil {
-			then(e)
-		}
-		return e
-	})
-	return e
-}
-
-// pair is a connection that is up at both ends: near at A, far at B.
-func (b *bench) pair(farReads bool) (near, far *end) {
-	b.Helper()
-	var in *[]*end
-	b.call(func() {
-		var l machine.Listener
-		l, in = b.listen(farReads)
-		near = b.dial(l.Addr(), nil)
-	})
-	b.wait("the connection", func() bool { return near.conn != nil && len(*in) == 1 })
-	return near, (*in)[0]
-}
-
 func addresses(b *bench) {
 	near, far := b.pair(true)
 	if near.conn.Local() != far.conn.Remote() || near.conn.Remote() != far.conn.Local() {
@@ -260,7 +104,7 @@
 func closeUnread(b *bench) {
 	near, far := b.pair(false)
 	b.call(func() { near.write("nobody reads this") })
-	b.wait("the bytes", func() bool { return far.told > 0 })
+	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(far.conn.Close)
 	b.wait("the end", func() bool { return near.err != nil })
 	if near.err != io.EOF && near.err != machine.ErrReset {
@@ -289,9 +133,9 @@
 			b.Error("a closed connection is quiet")
 		}
 	})
-	told := near.told
+	told := near.readableCalls
 	b.wait("the end", func() bool { return far.err != nil })
-	if near.told != told {
+	if near.readableCalls != told {
 		b.Error("a handler was called after Close")
 	}
 }
@@ -305,7 +149,7 @@
 		near.write("ab")
 	})
 	near.flushed()
-	b.wait("the bytes", func() bool { return far.told > 0 })
+	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(func() {
 		if far.conn.Quiet() {
 			b.Error("quiet though bytes wait")
@@ -349,7 +193,7 @@
 			near.write("unread")
 		})
 		near.flushed()
-		b.wait("the bytes", func() bool { return far.told > 0 })
+		b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 		b.call(func() {
 			if err := far.conn.End(); err != nil {
 				b.Errorf("bytes are taken for the end: %v", err)
@@ -372,240 +216,12 @@
 	near, far := b.pair(false)
 	b.call(func() { near.write("unread there") })
 	near.flushed()
-	b.wait("the bytes", func() bool { return far.told > 0 })
+	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(func() {
 		far.write("unread here")
 		near.reads = false
 	})
-	b.wait("bytes there", func() bool { return near.told > 0 })
+	b.wait("bytes there", func() bool { return near.readableCalls > 0 })
 	b.call(near.conn.Close) // with bytes unread: it resets
 	b.wait("the reset", func() bool { return far.conn.End() == machine.ErrReset })
 }
-
-func finished(b *bench) {
-	for _, pause := range []bool{false, true} {
-		var l machine.Listener
-		var in *[]*end
-		var near, late *end
-		done := false
-		b.call(func() {
-			l, in = b.listen(true)
-			l.Pause()
-			near = b.dial(l.Addr(), nil)
-		})
-		b.wait("the connection", func() bool { return near.conn != nil })
-		came := false
-		b.call(func() {
-			near.write("waits")
-			b.B.At(b.B.Now()+20_000, func() { came = true })
-		})
-		b.wait("the connection in the queue", func() bool { return came })
-		b.call(func() {
-			if !pause {
-				l.Resume()
-			}
-			l.Finish(func() {
-				defer b.turn()()
-				done = true
-			})
-			if done {
-				b.Error("Finish called back at once")
-			}
-		})
-		if pause {
-			passed := false
-			b.call(func() { b.B.At(b.B.Now()+20_000, func() { passed = true }) })
-			b.wait("a while", func() bool { return passed })
-			if done || len(*in) > 0 {
-				b.Fatal("a paused listener went on")
-			}
-			b.call(l.Resume)
-		}
-		b.wait("the end of the listener", func() bool { return done })
-		b.wait("the connection that waited", func() bool { return len(*in) == 1 && string((*in)[0].got) == "waits" })
-		b.call(func() { late = b.dial(l.Addr(), nil) })
-		b.wait("the refusal", func() bool { return late.err != nil })
-	}
-}
-
-func notFinished(b *bench) {
-	done, passed := false, false
-	b.call(func() {
-		l, _ := b.listen(true)
-		l.Finish(func() { done = true })
-		l.Close()
-		b.B.At(b.B.Now()+20_000, func() { passed = true })
-	})
-	b.wait("a while", func() bool { return passed })
-	if done {
-		b.Error("a closed listener finished")
-	}
-}
-
-func refused(b *bench) {
-	var addr string
-	b.call(func() {
-		l, _ := b.listen(true)
-		addr = l.Addr()
-		l.Close()
-	})
-	var e *end
-	b.call(func() { e = b.dial(addr, nil) })
-	b.wait("the refusal", func() bool { return e.err != nil })
-	if !errors.Is(e.err, machine.ErrRefused) {
-		b.Errorf("got %v", e.err)
-	}
-}
-
-func badAddress(b *bench) {
-	var e *end
-	b.call(func() {
-		e = b.dial("no address", nil)
-		if e.err != nil {
-			b.Error("Dial called back at once")
-		}
-	})
-	b.wait("the error", func() bool { return e.err != nil })
-}
-
-func cancelled(b *bench) {
-	var other *end
-	b.call(func() {
-		l, _ := b.listen(true)
-		d := b.A.Dial(l.Addr(), 5_000_000, func(machine.Conn, error) machine.Handler {
-			b.Error("a cancelled Dial was told")
-			return nil
-		})
-		other = b.dial(l.Addr(), nil)
-		d.Cancel()
-		d.Cancel()
-	})
-	b.wait("the other connection", func() bool { return other.conn != nil })
-}
-
-func timesOut(b *bench) {
-	if b.Nowhere == "" {
-		b.Skip("the rig has no address that gives no answer")
-	}
-	var got error
-	b.call(func() {
-		b.A.Dial(b.Nowhere, 200_000, func(_ machine.Conn, err error) machine.Handler {
-			defer b.turn()()
-			got = err
-			return nil
-		})
-	})
-	b.wait("the timeout", func() bool { return got != nil })
-	if !errors.Is(got, machine.ErrTimeout) {
-		b.Errorf("got %v", got)
-	}
-}
-
-func paused(b *bench) {
-	var l machine.Listener
-	var in *[]*end
-	var near *end
-	b.call(func() {
-		l, in = b.listen(true)
-		l.Pause()
-		near = b.dial(l.Addr(), nil)
-	})
-	b.wait("the connection", func() bool { return near.conn != nil })
-	later := false
-	b.call(func() {
-		near.write("waits")
-		b.B.At(b.B.Now()+20_000, func() { later = true })
-	})
-	b.wait("a while", func() bool { return later })
-	if len(*in) != 0 {
-		b.Fatal("a paused listener took a connection in")
-	}
-	b.call(func() {
-		l.Resume()
-		if len(*in) != 0 {
-			b.Error("Resume called back at once")
-		}
-	})
-	b.wait("the connection taken in", func() bool { return len(*in) == 1 && string((*in)[0].got) == "waits" })
-}
-
-func listenerClosed(b *bench) {
-	var l machine.Listener
-	var in *[]*end
-	var near, late *end
-	b.call(func() {
-		l, in = b.listen(true)
-		near = b.dial(l.Addr(), nil)
-	})
-	b.wait("the connection", func() bool { return len(*in) == 1 && near.conn != nil })
-	b.call(func() {
-		l.Close()
-		l.Close()
-		late = b.dial(l.Addr(), nil)
-		near.write("still here")
-	})
-	b.wait("the refusal", func() bool { return late.err != nil })
-	b.wait("bytes on what was taken in", func() bool { return string((*in)[0].got) == "still here" })
-}
-
-func addressInUse(b *bench) {
-	b.call(func() {
-		l, _ := b.listen(true)
-		if _, err := b.B.Listen(l.Addr(), nil); !errors.Is(err, machine.ErrAddressInUse) {
-			b.Errorf("an address that is listened at: %v", err)
-		}
-		if _, err := b.B.Listen("192.0.2.1:7000", nil); !errors.Is(err, machine.ErrAddressMissing) {
-			b.Errorf("an address of another machine: %v", err)
-		}
-	})
-}
-
-// send sends a datagram as soon as the machine takes it.
-func send(p machine.PacketConn, to, text string) error {
-	for {
-		if err := p.Send(to, []byte(text)); err != machine.ErrWait {
-			return err
-		}
-	}
-}
-
-func datagrams(b *bench) {
-	var near, far machine.PacketConn
-	var got string
-	b.call(func() {
-		var err error
-		far, err = b.B.ListenPacket(b.IPB+":0", func(from string, data []byte) {
-			defer b.turn()()
-			if err := send(far, from, "re: "+string(data)); err != nil {
-				b.Errorf("Send: %v", err)
-			}
-		})
-		if err != nil {
-			b.Fatalf("ListenPacket: %v", err)
-		}
-		near, err = b.A.ListenPacket(b.IPA+":0", func(from string, data []byte) {
-			defer b.turn()()
-			got = string(data)
-			if from != far.Addr() {
-				b.Errorf("an answer came from %s, not %s", from, far.Addr())
-			}
-		})
-		if err != nil {
-			b.Fatalf("ListenPacket: %v", err)
-		}
-		if err := send(near, far.Addr(), "hello"); err != nil {
-			b.Errorf("Send: %v", err)
-		}
-	})
-	b.wait("the answer", func() bool { return got != "" })
-	if got != "re: hello" {
-		b.Errorf("got %q", got)
-	}
-	b.call(func() {
-		near.Close()
-		near.Close()
-		if err := near.Send(far.Addr(), nil); err == nil {
-			b.Error("a closed PacketConn sent")
-		}
-	})
-}
--- a/internal/machine/machinetest/worker.go
+++ b/internal/machine/machinetest/worker.go
@@ -55,9 +55,13 @@
 	return &deaf{}
 }
 
+// deaf is a worker that reads nothing.
 type deaf struct{}
 
+// Readable implements machine.Handler.
 func (deaf) Readable() {}
+
+// Writable implements machine.Handler.
 func (deaf) Writable() {}
 
 // echo sends back what comes, as soon as that is taken.
@@ -66,7 +70,10 @@
 	left []byte
 }
 
+// Writable implements machine.Handler.
 func (e *echo) Writable() { e.Readable() }
+
+// Readable implements machine.Handler.
 func (e *echo) Readable() {
 	for {
 		n, err := e.c.Write(e.left)
@@ -174,7 +181,7 @@
 	}
 	e, p := b.spawn(DeafWorker, nil)
 	b.wait("the worker", func() bool { return e.conn != nil })
-	told := e.told
+	told := e.readableCalls
 	b.call(func() {
 		p.Kill()
 		p.Kill()
@@ -183,7 +190,7 @@
 		}
 	})
 	b.settle()
-	if e.told != told {
+	if e.readableCalls != told {
 		b.Error("the handler was called after the Kill")
 	}
 }
--- a/internal/machine/packet.go
+++ b/internal/machine/packet.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	packetMost   = 2048 // the longest datagram that is taken in; a longer one is lost
-	packetsATurn = 64
-	restAfter    = 30     // datagrams within restFor, after which it rests
-	restFor      = 15_000 // what a datagram may wait for the next turn, where many come
+	maxPacketBytes    = 2048 // longer datagrams are dropped
+	maxPacketsPerTurn = 64
+	burstPackets      = 30     // datagrams within burstWindow from which the socket pauses
+	burstWindow       = 15_000 // length of the window and of the pause, in microseconds
 )
 
 // packetConn sends datagrams, and takes them in, over UDP.
 type packetConn struct {
 	m    *Real
 	fd   int // below 0 once it is closed
-	at   place
+	slot slotRef
 	addr netip.AddrPort
 	got  func(from string, b []byte)
 
-	since   Time
-	came    int // since then
-	resting *timer
+	windowStart   Time
+	windowPackets int // datagrams received in it
+	pause         *timer
 }
 
 // ListenPacket implements Machine.
 func (m *Real) ListenPacket(addr string, got func(from string, b []byte)) (PacketConn, error) {
 	p, err := m.listenPacket(addr, got)
 	if err != nil {
-		return nil, fmt.Errorf("listen for datagrams at %s: %w", addr, listenFailure(err))
+		return nil, fmt.Errorf("listen for datagrams at %s: %w", addr, contractListenError(err))
 	}
 	return p, nil
 }
 
 func (m *Real) listenPacket(addr string, got func(string, []byte)) (*packetConn, error) {
-	ap, err := parse(addr)
+	ap, err := parseAddress(addr)
 	if err != nil {
 		return nil, err
 	}
 	p := &packetConn{m: m, got: got}
-	err = m.outlast(func() (err error) {
+	err = m.retryShortage(func() (err error) {
 		p.fd, err = m.bound(ap, syscall.SOCK_DGRAM)
 		return err
 	})
@@ -49,20 +49,20 @@
 		return nil, err
 	}
 	p.addr = localAddr(p.fd)
-	p.at = m.poll.seat(p)
+	p.slot = m.poll.allocate(p)
 	p.watch()
 	if m.packets == nil {
-		m.packets = newPackets(&m.kernel)
+		m.packets = newReceiveBuffers(&m.kernel)
 	}
 	return p, nil
 }
 
 // event implements watcher.
-func (p *packetConn) event(uint32) { p.rest(p.take()) }
+func (p *packetConn) event(uint32) { p.pauseIfBusy(p.receiveAll()) }
 
-// take hands on what has come, and tells how much it was.
-func (p *packetConn) take() (taken int) {
-	for taken < packetsATurn && p.fd >= 0 {
+// receiveAll passes on what has come, and returns how many datagrams that were.
+func (p *packetConn) receiveAll() (taken int) {
+	for taken < maxPacketsPerTurn && p.fd >= 0 {
 		n, err := p.m.packets.receive(p.fd)
 		if err == syscall.EINTR {
 			continue
@@ -71,43 +71,43 @@
 			return taken // nothing more, or an error that the call has taken off the socket
 		}
 		for i := 0; i < n && p.fd >= 0; i++ {
-			// The danger: half a datagram may read as a whole one that says something else.
-			if from, b, whole := p.m.packets.at(i); whole {
-				p.m.tick()
+			// A truncated datagram could be read as a complete one.
+			if from, b, whole := p.m.packets.packet(i); whole {
+				p.m.readClock()
 				p.got(from, b)
 			}
 		}
-		if taken += n; n < packetsACall {
+		if taken += n; n < maxPacketsPerCall {
 			return taken
 		}
 	}
 	return taken
 }
 
-// rest leaves the socket alone for a moment where datagrams come fast. The danger: each of ten thousand a second wakes
-// the loop by itself, and the turns cost more than the datagrams.
-func (p *packetConn) rest(taken int) {
+// pauseIfBusy stops watching the socket for burstWindow where datagrams come fast: waking the loop for each of them would
+// cost more than reading them.
+func (p *packetConn) pauseIfBusy(taken int) {
 	now := p.m.Now()
-	if now-p.since > restFor {
-		p.since, p.came = now, 0
+	if now-p.windowStart > burstWindow {
+		p.windowStart, p.windowPackets = now, 0
 	}
-	if p.came += taken; p.came <= restAfter || p.fd < 0 || p.resting != nil {
+	if p.windowPackets += taken; p.windowPackets <= burstPackets || p.fd < 0 || p.pause != nil {
 		return
 	}
 	p.m.poll.unwatch(p.fd)
-	p.watchLater(restFor)
+	p.watchLater(burstWindow)
 }
 
-// watch has the kernel tell of datagrams, now or, where it has no memory for it at the moment, later.
+// watch registers the socket with the poller, later where the kernel has no memory for it.
 func (p *packetConn) watch() {
-	if p.m.poll.watch(p.fd, eventIn, p.at) != nil {
-		p.watchLater(lackPause)
+	if p.m.poll.watch(p.fd, eventIn, p.slot) != nil {
+		p.watchLater(shortageRetryDelay)
 	}
 }
 
 func (p *packetConn) watchLater(wait Time) {
-	p.resting = p.m.at(p.m.Now()+wait, func() {
-		p.resting = nil
+	p.pause = p.m.at(p.m.Now()+wait, func() {
+		p.pause = nil
 		p.watch()
 	})
 }
@@ -120,7 +120,7 @@
 	if p.fd < 0 {
 		return ErrClosed
 	}
-	ap, err := parse(to)
+	ap, err := parseAddress(to)
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 		case syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM:
 			return ErrWait
 		default:
-			return fmt.Errorf("send to %s: %w", to, failure("sendto", err))
+			return fmt.Errorf("send to %s: %w", to, contractError("sendto", err))
 		}
 	}
 }
@@ -146,17 +146,17 @@
 	if p.fd < 0 {
 		return
 	}
-	if p.resting != nil {
-		p.resting.Stop()
+	if p.pause != nil {
+		p.pause.Stop()
 	} else {
 		p.m.poll.unwatch(p.fd)
 	}
-	p.m.poll.leave(p.at)
-	p.shut()
+	p.m.poll.release(p.slot)
+	p.closeDescriptor()
 }
 
-// shut implements watcher.
-func (p *packetConn) shut() {
+// closeDescriptor implements watcher.
+func (p *packetConn) closeDescriptor() {
 	syscall.Close(p.fd)
 	p.fd = -1
 }
--- a/internal/machine/packet_test.go
+++ b/internal/machine/packet_test.go
@@ -30,15 +30,15 @@
 					t.Error(err)
 				}
 			}
-			b.Send(a.Addr(), make([]byte, packetMost+1))
-			b.Send(a.Addr(), []byte(strings.Repeat("x", packetMost)))
+			b.Send(a.Addr(), make([]byte, maxPacketBytes+1))
+			b.Send(a.Addr(), []byte(strings.Repeat("x", maxPacketBytes)))
 		})
 		for i := range 100 {
 			if d := await(t, "a datagram", got); d != (datagram{b.Addr(), fmt.Sprint(i)}) {
 				t.Fatalf("%v came as number %d", d, i)
 			}
 		}
-		if d := await(t, "the longest datagram", got); len(d.text) != packetMost {
+		if d := await(t, "the longest datagram", got); len(d.text) != maxPacketBytes {
 			t.Errorf("%d bytes came of the longest, or a longer one was taken in", len(d.text))
 		}
 		r.do(func() {
--- a/internal/machine/poller.go
+++ b/internal/machine/poller.go
@@ -6,37 +6,38 @@
 	"syscall"
 )
 
-// What a descriptor can be watched for. Connections are told of by edges, for which one call to the
-// kernel in a connection's life is enough; all else by levels, so that what a turn leaves comes back.
+// Events of a descriptor. Connections are edge-triggered, which takes one epoll_ctl in a connection's life; listeners and
+// datagram sockets are level-triggered, so that what a turn leaves is reported again.
 const (
-	eventIn   = syscall.EPOLLIN
-	eventOut  = syscall.EPOLLOUT
-	eventOver = syscall.EPOLLERR | syscall.EPOLLHUP // the kernel reports these unasked
-	eventEnd  = syscall.EPOLLRDHUP
-	eventEdge = 1 << 31 // EPOLLET, which package syscall has as a negative number
+	eventIn            = syscall.EPOLLIN
+	eventOut           = syscall.EPOLLOUT
+	eventErrorOrHangup = syscall.EPOLLERR | syscall.EPOLLHUP // the kernel reports these unasked
+	eventPeerClosed    = syscall.EPOLLRDHUP
+	eventEdge          = 1 << 31 // EPOLLET, which package syscall has as a negative number
 
-	onEdges = eventIn | eventOut | eventEnd | eventEdge
+	connEvents = eventIn | eventOut | eventPeerClosed | eventEdge
 )
 
-// eventsATurn is how many events one turn takes from the kernel; the others wait there.
-const eventsATurn = 128
+// maxEventsPerTurn bounds the events of one turn; the others stay in the kernel.
+const maxEventsPerTurn = 128
 
-// A watcher is what owns a descriptor and is told of its events.
+// A watcher owns a descriptor and is notified of its events.
 type watcher interface {
+	// event is called in the loop with the events of epoll(7).
 	event(mask uint32)
-	// shut closes the descriptor, with no call to anyone. The poller does it when the machine stops.
-	shut()
+	// closeDescriptor closes the descriptor without notifying anyone. The poller calls it when the machine stops.
+	closeDescriptor()
 }
 
-// A place is a watcher's mark in the poller. The kernel hands it back with each event.
-type place struct {
-	slot  int32
-	birth int32
+// A slotRef refers to a watcher's slot in the poller. The kernel returns it with each event.
+type slotRef struct {
+	index      int32
+	generation int32
 }
 
 type slot struct {
-	birth int32 // how often the slot was given away: events of former owners bear a smaller number
-	w     watcher
+	generation int32 // counts the owners: events of former owners carry a smaller number
+	watcher    watcher
 }
 
 // poller is the machine's epoll instance.
@@ -45,8 +46,8 @@
 	fd     int
 	slots  []slot
 	free   []int32
-	events [eventsATurn]syscall.EpollEvent
-	n      int // of events that the last fetch brought
+	events [maxEventsPerTurn]syscall.EpollEvent
+	n      int // events of the last poll
 }
 
 func newPoller(k *Kernel) (*poller, error) {
@@ -57,8 +58,8 @@
 	return &poller{kernel: k, fd: fd}, nil
 }
 
-// seat gives w a place, before any descriptor is watched for it.
-func (p *poller) seat(w watcher) place {
+// allocate reserves a slot for w, before any descriptor is watched for it.
+func (p *poller) allocate(w watcher) slotRef {
 	if len(p.free) == 0 {
 		p.slots = append(p.slots, slot{})
 		p.free = append(p.free, int32(len(p.slots)-1))
@@ -66,52 +67,49 @@
 	i := p.free[len(p.free)-1]
 	p.free = p.free[:len(p.free)-1]
 	s := &p.slots[i]
-	s.birth++
-	s.w = w
-	return place{i, s.birth}
+	s.generation++
+	s.watcher = w
+	return slotRef{i, s.generation}
 }
 
-// pass gives w the place of another watcher.
-func (p *poller) pass(at place, w watcher) { p.slots[at.slot].w = w }
+// transfer gives w the slot of another watcher.
+func (p *poller) transfer(at slotRef, w watcher) { p.slots[at.index].watcher = w }
 
-// holds reports whether a place is still its first owner's, or was passed on by it.
-func (p *poller) holds(at place) bool {
-	s := &p.slots[at.slot]
-	return s.birth == at.birth && s.w != nil
+// isCurrent reports whether a slot is still in use under the same generation.
+func (p *poller) isCurrent(at slotRef) bool {
+	s := &p.slots[at.index]
+	return s.generation == at.generation && s.watcher != nil
 }
 
-// leave frees a place: events that were fetched for it are told to nobody.
-func (p *poller) leave(at place) {
-	p.slots[at.slot].w = nil
-	p.free = append(p.free, at.slot)
+// release frees a slot: events already polled for it are dropped.
+func (p *poller) release(at slotRef) {
+	p.slots[at.index].watcher = nil
+	p.free = append(p.free, at.index)
 }
 
-// watch and unwatch begin and end the kernel's interest in fd.
-func (p *poller) watch(fd int, mask uint32, at place) error {
-	ev := syscall.EpollEvent{Events: mask, Fd: at.slot, Pad: at.birth}
+// watch registers fd for the events of mask.
+func (p *poller) watch(fd int, mask uint32, at slotRef) error {
+	ev := syscall.EpollEvent{Events: mask, Fd: at.index, Pad: at.generation}
 	return os.NewSyscallError("epoll_ctl", p.kernel.EpollCtl(p.fd, syscall.EPOLL_CTL_ADD, fd, &ev))
 }
 
+// unwatch removes fd; it is not an error where fd was not watched.
 func (p *poller) unwatch(fd int) {
 	var ev syscall.EpollEvent
 	p.kernel.EpollCtl(p.fd, syscall.EPOLL_CTL_DEL, fd, &ev) // fails only where it was not watched
 }
 
-// owner is who is to be told of an event, if anyone.
-//
-// The danger: a handler closes a connection whose event was fetched in the same turn, and opens another
-// that gets the same descriptor. The event must not reach the new one, which the kernel's number alone
-// would not tell.
+// owner returns the watcher that an event is for, or nil. A handler may close a connection whose event was polled in the same
+// turn and open another that gets the same descriptor number: the generation tells the two apart.
 func (p *poller) owner(ev *syscall.EpollEvent) watcher {
 	s := &p.slots[ev.Fd]
-	if s.birth != ev.Pad {
+	if s.generation != ev.Pad {
 		return nil
 	}
-	return s.w
+	return s.watcher
 }
 
-// poll fetches what has happened, without waiting. As it can't block, it needs no word to the scheduler
-// before and after.
+// poll fetches the events that are there, without blocking.
 func (p *poller) poll() {
 	n, err := p.kernel.EpollPoll(p.fd, p.events[:])
 	if err != nil {
@@ -120,20 +118,17 @@
 	p.n = n
 }
 
-// wait fetches what has happened, waiting for it for a time that is rounded up to a millisecond, or, below 0, for
-// ever.
+// wait fetches events, and blocks for up to a span that is rounded up to a millisecond, or, below 0, until there is one.
 //
-// It waits in the system call. With the epoll descriptor in the runtime's own poller the loop would
-// wait as a parked goroutine; with one busy connection that took 14 µs of processor time a round trip
-// instead of 11, and with 64 the same or more. The scheduler takes the processor away from a call
-// that lasts, but only after up to 10 ms: see Real.turn.
-func (p *poller) wait(most Time) {
+// It blocks in the system call rather than in the runtime's own poller, which costs more processor time a round trip
+// (docs/design/machine.md). The scheduler takes the processor away from a blocked call only after up to 10 ms: see Real.turn.
+func (p *poller) wait(limit Time) {
 	if p.poll(); p.n > 0 {
 		return
 	}
 	ms := Time(-1)
-	if most >= 0 {
-		ms = min((most+999)/1000, math.MaxInt32)
+	if limit >= 0 {
+		ms = min((limit+999)/1000, math.MaxInt32)
 	}
 	n, err := p.kernel.EpollWait(p.fd, p.events[:], int(ms))
 	if err != nil {
@@ -142,11 +137,11 @@
 	p.n = n
 }
 
-// shut closes all that is watched, and the poller.
-func (p *poller) shut() {
+// close closes all that is watched, and the poller.
+func (p *poller) close() {
 	for i := range p.slots {
-		if w := p.slots[i].w; w != nil {
-			w.shut()
+		if w := p.slots[i].watcher; w != nil {
+			w.closeDescriptor()
 		}
 	}
 	syscall.Close(p.fd)
--- a/internal/machine/real.go
+++ b/internal/machine/real.go
@@ -28,31 +28,31 @@
 //
 // Until Run is called, the goroutine that called New takes the loop's place.
 type Real struct {
-	kernel  Kernel
-	start   time.Time
-	base    Time // Unix time at the start
-	now     Time
-	running bool
-	polled  time.Time // when the kernel was last asked for events
-	called  Time      // when anybody was called last
-	resumed func()    // to be called after a span without a call; nil for none
-	span    Time      // that span
-
-	poll   *poller
-	timers timers
-	conns  int // open ones and those coming up
-	most   int // that may be; 0 is no bound
+	kernel       Kernel
+	start        time.Time
+	startWall    Time // Unix time at the start
+	now          Time
+	running      bool
+	polledAt     time.Time // when the kernel was last asked for events
+	lastCall     Time      // when anybody was called last
+	resumed      func()    // to be called after a span without a call; nil for none
+	resumedAfter Time      // that span
+
+	poll     *poller
+	timers   timers
+	conns    int // open ones and those coming up
+	maxConns int // upper bound on conns; 0 for none
 
 	workers map[*process]bool // those that run
 
-	inbox   inbox
-	work    work
-	disk    work
-	signals signals
-	log     *logger
-	peek    [1]byte     // what Conn.Quiet looks into
-	roused  atomic.Bool // Work or Log has given a goroutine something to do
-	packets *packets    // what datagrams are received into; nil where none are
+	inbox         inbox
+	work          workQueue
+	disk          workQueue
+	signals       signals
+	log           *logger
+	peekBuffer    [1]byte         // what Conn.Quiet looks into
+	wokeGoroutine atomic.Bool     // Work or Log has given a goroutine something to do
+	packets       *receiveBuffers // what datagrams are received into; nil where none are
 
 	mu    sync.Mutex
 	state state
@@ -70,12 +70,12 @@
 
 // New gives a machine whose loop does not run yet. Signals are taken from here on.
 func New(opts Options) (*Real, error) {
-	m := &Real{kernel: RealKernel(), start: time.Now(), most: opts.Descriptors, workers: map[*process]bool{}}
+	m := &Real{kernel: RealKernel(), start: time.Now(), maxConns: opts.Descriptors, workers: map[*process]bool{}}
 	if opts.Kernel != nil {
 		m.kernel = *opts.Kernel
 	}
-	m.base = m.kernel.Wall().UnixMicro()
-	m.now = m.base
+	m.startWall = m.kernel.Wall().UnixMicro()
+	m.now = m.startWall
 	// First of all: what follows may have to wait, and a SIGHUP that nobody takes ends the process.
 	m.signals.begin(m.Post)
 	if err := m.open(); err != nil {
@@ -87,22 +87,22 @@
 		w = os.Stderr
 	}
 	m.log = newLogger(w)
-	m.work.post, m.work.most = m.Post, workers
-	m.disk.post, m.disk.most = m.Post, 1
+	m.work.post, m.work.maxWorkers = m.Post, defaultWorkers
+	m.disk.post, m.disk.maxWorkers = m.Post, 1
 	return m, nil
 }
 
 // open opens the poller and what wakes it.
 func (m *Real) open() error {
-	err := m.outlast(func() (err error) {
+	err := m.retryShortage(func() (err error) {
 		m.poll, err = newPoller(&m.kernel)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if err := m.outlast(func() error { return m.inbox.open(m) }); err != nil {
-		m.poll.shut()
+	if err := m.retryShortage(func() error { return m.inbox.open(m) }); err != nil {
+		m.poll.close()
 		return err
 	}
 	return nil
@@ -111,27 +111,27 @@
 // Run runs the loop until Stop is called, and then closes all that is open and has the last lines of
 // the log written, for which it waits 100 ms at most. A machine runs once.
 func (m *Real) Run() {
-	if !m.enter(ready, running) {
+	if !m.changeState(ready, running) {
 		return
 	}
 	m.running = true
 	for m.turn() {
 	}
-	m.enter(running, stopped)
-	m.shut()
+	m.changeState(running, stopped)
+	m.close()
 }
 
 // Stop has Run return soon. Any goroutine may call it, and more than once. Nothing is called from the turn's
 // end on, and what is posted is dropped; work that has begun goes on, but its end is told to nobody.
 func (m *Real) Stop() {
-	if m.enter(ready, stopped) {
-		m.shut()
+	if m.changeState(ready, stopped) {
+		m.close()
 		return
 	}
 	m.inbox.stop()
 }
 
-func (m *Real) enter(from, to state) bool {
+func (m *Real) changeState(from, to state) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state != from {
@@ -143,34 +143,34 @@
 
 // turn is one round of the loop; false says that it was the last.
 func (m *Real) turn() bool {
-	if m.idle() {
-		// The danger: with one processor, a goroutine that this turn has made runnable would wait until the
-		// scheduler notices that the loop waits. Asked for each time, it would cost more than it brings.
-		if m.roused.Load() {
-			m.roused.Store(false)
+	if m.mayWait() {
+		// On one processor, a goroutine made runnable in this turn would wait until the scheduler notices that the loop
+		// blocks in a system call.
+		if m.wokeGoroutine.Load() {
+			m.wokeGoroutine.Store(false)
 			runtime.Gosched()
 		}
-		m.poll.wait(m.left())
+		m.poll.wait(m.timeToNextTimer())
 	} else {
 		m.poll.poll()
 	}
-	m.polled = time.Now()
-	m.tick()
-	looked, before := m.now, m.timers.set
+	m.polledAt = time.Now()
+	m.readClock()
+	polledNow, before := m.now, m.timers.set
 	posted, goesOn := m.inbox.take()
 	if !goesOn {
 		return false
 	}
 
-	// The danger: what one connection's event sets off is for another one whose end is told of behind it, in the same turn.
+	// The ends of all connections are recorded first: a handler may act on a connection whose event comes later in this turn.
 	for i := range m.poll.n {
 		if c, ok := m.poll.owner(&m.poll.events[i]).(*conn); ok {
-			c.note(m.poll.events[i].Events)
+			c.noteEnd(m.poll.events[i].Events)
 		}
 	}
 	for i := 0; i < m.poll.n; i++ {
 		ev := &m.poll.events[i]
-		m.goOn() // which may close what the event is for
+		m.beforeCall() // which may close what the event is for
 		if w := m.poll.owner(ev); w != nil {
 			w.event(ev.Events)
 		}
@@ -178,62 +178,59 @@
 
 	for i, f := range posted {
 		posted[i] = nil
-		m.goOn()
+		m.beforeCall()
 		f()
 	}
 
-	// The danger: a turn takes long, what came meanwhile is still with the kernel, and the timers that were to bound the wait
-	// for it are due. So of those set before it only those fire that were due when the kernel was asked: all that had come by
-	// then was told.
-	//
-	// Timers set meanwhile are due at this moment at the earliest and come behind those that are due: At
-	// sees to that. A timer that sets itself anew thus neither holds the turn up nor others back.
-	m.tick()
+	// In a long turn, timers that bound a wait come due while what they wait for is still unread in the kernel. Of the timers
+	// set before the turn only those fire that were due when the kernel was polled. Timers set in the turn come behind them
+	// (At sees to that), so that a timer which sets itself again delays neither the turn nor the others.
+	m.readClock()
 	now, set := m.now, m.timers.set
-	due := func(t *timer) bool { return t.nr < set && (t.at <= looked || t.nr >= before && t.at <= now) }
+	due := func(t *timer) bool { return t.nr < set && (t.at <= polledNow || t.nr >= before && t.at <= now) }
 	for t := m.timers.first(); t != nil && due(t); t = m.timers.first() {
-		if m.goOn(); t != m.timers.first() {
+		if m.beforeCall(); t != m.timers.first() {
 			continue // it was taken back
 		}
 		t.take()()
-		m.tick()
+		m.readClock()
 	}
 	return true
 }
 
-// idle reports whether the loop may wait; from then on a Post wakes it.
-func (m *Real) idle() bool {
+// mayWait reports whether the loop may wait; from then on a Post wakes it.
+func (m *Real) mayWait() bool {
 	if t := m.timers.first(); t != nil {
-		m.tick()
+		m.readClock()
 		if t.at <= m.now {
 			return false
 		}
 	}
-	return m.inbox.rest()
+	return m.inbox.mayWait()
 }
 
-// left is how long the loop may wait; below 0 is for ever.
-func (m *Real) left() Time {
+// timeToNextTimer returns how long the loop may wait; a negative value means until an event.
+func (m *Real) timeToNextTimer() Time {
 	if t := m.timers.first(); t != nil {
 		return t.at - m.now
 	}
 	return -1
 }
 
-func (m *Real) tick() { m.now = m.base + time.Since(m.start).Microseconds() }
+func (m *Real) readClock() { m.now = m.startWall + time.Since(m.start).Microseconds() }
 
-// goOn reads the clock for the next call, and tells where there was none for long.
-func (m *Real) goOn() {
-	m.tick()
-	before := m.called
-	m.called = m.now
-	if m.resumed != nil && m.now-before >= m.span {
+// beforeCall reads the clock for the next call, and calls the function of Resumed after a long span without one.
+func (m *Real) beforeCall() {
+	m.readClock()
+	before := m.lastCall
+	m.lastCall = m.now
+	if m.resumed != nil && m.now-before >= m.resumedAfter {
 		m.resumed()
 	}
 }
 
-// shut gives everything back.
-func (m *Real) shut() {
+// close gives everything back.
+func (m *Real) close() {
 	m.signals.end()
 	m.work.end()
 	m.disk.end()
@@ -242,15 +239,15 @@
 		p.end()
 		p.conn.Close()
 	}
-	m.poll.shut()
+	m.poll.close()
 	m.timers = timers{}
-	m.log.end()
+	m.log.close()
 }
 
 // Now implements Machine.
 func (m *Real) Now() Time {
 	if !m.running {
-		m.tick()
+		m.readClock()
 	}
 	return m.now
 }
@@ -259,10 +256,10 @@
 func (m *Real) Wall() Time { return m.kernel.Wall().UnixMicro() }
 
 // Late implements Machine.
-func (m *Real) Late() Time { return m.base + time.Since(m.start).Microseconds() - m.now }
+func (m *Real) Late() Time { return m.startWall + time.Since(m.start).Microseconds() - m.now }
 
 // Resumed implements Machine.
-func (m *Real) Resumed(after Time, f func()) { m.resumed, m.span, m.called = f, after, m.now }
+func (m *Real) Resumed(after Time, f func()) { m.resumed, m.resumedAfter, m.lastCall = f, after, m.now }
 
 // Entropy implements Machine.
 func (m *Real) Entropy() uint64 {
@@ -282,25 +279,25 @@
 // Work implements Machine. Two of them run at a time; the others wait in the order in which they came.
 func (m *Real) Work(f, done func()) {
 	m.work.add(f, done)
-	m.roused.Store(true)
+	m.wokeGoroutine.Store(true)
 }
 
 // OnDisk implements Machine.
 func (m *Real) OnDisk(f func(Disk), done func()) {
 	m.disk.add(func() { f(m.kernel.Disk) }, done)
-	m.roused.Store(true)
+	m.wokeGoroutine.Store(true)
 }
 
 // Signals implements Machine.
-func (m *Real) Signals(f func(Signal)) { m.signals.to(f) }
+func (m *Real) Signals(f func(Signal)) { m.signals.handleWith(f) }
 
 // Log implements Machine.
 func (m *Real) Log(line string) {
-	m.log.add(line)
-	m.roused.Store(true)
+	m.log.enqueue(line)
+	m.wokeGoroutine.Store(true)
 }
 
-// room reports whether one more connection may be opened.
-func (m *Real) room() bool { return m.most == 0 || m.conns < m.most }
+// hasConnCapacity reports whether one more connection may be opened.
+func (m *Real) hasConnCapacity() bool { return m.maxConns == 0 || m.conns < m.maxConns }
 
 var errNoIP = errors.New("not an IP address and a port")
--- a/internal/machine/real_test.go
+++ b/internal/machine/real_test.go
@@ -94,7 +94,7 @@
 	r.pass() // the loop goes on meanwhile
 	close(hold)
 	await(t, "the end of all work", all)
-	if most != workers {
+	if most != defaultWorkers {
 		t.Errorf("%d ran at a time", most)
 	}
 }
@@ -137,7 +137,7 @@
 func TestSignalsAreKeptUntilAskedForAndThenToldInTheLoop(t *testing.T) {
 	r := newRig(t, Options{})
 	kept := func() (n int) {
-		r.do(func() { n = len(r.signals.kept) })
+		r.do(func() { n = len(r.signals.pending) })
 		return n
 	}
 	for i, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
@@ -194,10 +194,10 @@
 	close(g.open)
 	r.end()
 	lines := g.lines()
-	if want := 1 + logLines + 1; len(lines) != want {
+	if want := 1 + maxQueuedLines + 1; len(lines) != want {
 		t.Fatalf("%d lines, want %d", len(lines), want)
 	}
-	for i, want := range map[int]string{0: "first", 1: "line 0", logLines: "line 255", logLines + 1: "44 lines dropped"} {
+	for i, want := range map[int]string{0: "first", 1: "line 0", maxQueuedLines: "line 255", maxQueuedLines + 1: "44 lines dropped"} {
 		if !strings.HasSuffix(lines[i], " "+want) {
 			t.Errorf("line %d is %q, want %q", i, lines[i], want)
 		}
--- /dev/null
+++ b/internal/machine/shortage.go
@@ -0,0 +1,114 @@
+package machine
+
+import (
+	"errors"
+	"syscall"
+	"time"
+)
+
+// A shortage is a failed call that says nothing about its object: the kernel has no descriptor, memory, port or route at the
+// moment. The call is made again after shortageRetryDelay.
+const (
+	shortageRetryDelay = 10_000          // microseconds until a call that failed for a shortage is made again
+	maxStartRetry      = 3 * time.Second // how long Outlast goes on
+)
+
+// isShortage reports whether a call failed for a shortage of this machine that may pass by itself. EMFILE is none: it lasts
+// until the process closes a descriptor.
+func isShortage(err error) bool {
+	for _, errno := range [...]syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EINTR} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
+}
+
+// isDialShortage is isShortage for socket and connect, which also fail while all local ports are taken (EAGAIN, EADDRNOTAVAIL)
+// or there is no route (ENETUNREACH): none of these is an answer of the other side.
+func isDialShortage(err error) bool {
+	return isShortage(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.EAGAIN) ||
+		errors.Is(err, syscall.ENETUNREACH)
+}
+
+// Passes reports whether an error of Listen or ListenPacket may pass by itself, so that the caller may try again.
+func Passes(err error) bool {
+	return errors.Is(err, ErrAddressInUse) || errors.Is(err, ErrAddressMissing) || errors.Is(err, ErrLack)
+}
+
+// listenError joins a sentinel of the contract and the kernel's error, whose text it has.
+type listenError struct {
+	kind  error
+	cause error
+}
+
+// Error implements error.
+func (e *listenError) Error() string { return e.cause.Error() }
+
+// Unwrap returns the sentinel and the kernel's error.
+func (e *listenError) Unwrap() []error { return []error{e.kind, e.cause} }
+
+// contractListenError maps an error on the way to a listening socket to the contract's.
+func contractListenError(err error) error {
+	switch {
+	case errors.Is(err, syscall.EADDRINUSE):
+		return &listenError{ErrAddressInUse, err}
+	case errors.Is(err, syscall.EADDRNOTAVAIL):
+		return &listenError{ErrAddressMissing, err}
+	case isShortage(err):
+		return &listenError{ErrLack, err}
+	}
+	return err
+}
+
+// IsLocal reports whether a dial failed for a cause on this machine, which says nothing about the address.
+func IsLocal(err error) bool {
+	return errors.Is(err, ErrDescriptors) || errors.Is(err, ErrLack)
+}
+
+// Outlast repeats a call while it fails for a shortage, for up to maxStartRetry. It blocks, and is for the start of a process
+// and for work beside the loop, where one failed call would end the process or lose a signal.
+func Outlast(call func() error) error {
+	for end := time.Now().Add(maxStartRetry); ; {
+		err := call()
+		if err == nil || !isShortage(err) && !errors.Is(err, syscall.EAGAIN) || time.Now().After(end) {
+			return err
+		}
+		time.Sleep(shortageRetryDelay * time.Microsecond / 10)
+	}
+}
+
+// retryShortage is Outlast before the loop runs. In the loop, which must not block, the first failure counts.
+func (m *Real) retryShortage(call func() error) error {
+	if m.running {
+		return call()
+	}
+	return Outlast(call)
+}
+
+// attach has the poller watch a descriptor for w, now or as soon as the kernel has memory for it. Nothing is missed in
+// between: epoll reports what a descriptor is ready for when it is added.
+func (m *Real) attach(fd int, mask uint32, w watcher) (slotRef, error) {
+	at := m.poll.allocate(w)
+	err := m.poll.watch(fd, mask, at)
+	if err != nil && !isShortage(err) {
+		m.poll.release(at)
+		return slotRef{}, err
+	}
+	if err != nil {
+		m.attachLater(fd, mask, at)
+	}
+	return at, nil
+}
+
+func (m *Real) attachLater(fd int, mask uint32, at slotRef) {
+	m.at(m.Now()+shortageRetryDelay, func() {
+		// The descriptor number may have been reused by now, under another slot.
+		if !m.poll.isCurrent(at) {
+			return
+		}
+		if err := m.poll.watch(fd, mask, at); err != nil {
+			m.attachLater(fd, mask, at)
+		}
+	})
+}
--- a/internal/machine/signal.go
+++ b/internal/machine/signal.go
@@ -6,25 +6,22 @@
 	"syscall"
 )
 
-// signalsKept is how many signals are kept for who has not asked for them yet.
-const signalsKept = 64
+// maxPendingSignals bounds the signals that wait for a handler.
+const maxPendingSignals = 64
 
-// signals takes the process's signals from the machine's start to its end; then they have their
-// usual effect again.
-//
-// The danger: a SIGHUP that nobody takes ends the process, so one that comes while the
-// configuration is still being read would.
+// signals receives the process's signals from the machine's start to its end. Signals that come before there is a handler, as
+// while the configuration is read, wait: by default a SIGHUP would end the process.
 type signals struct {
-	post func(func())
-	in   chan os.Signal
-	quit chan struct{}
-	kept []Signal
-	f    func(Signal)
+	post    func(func())
+	in      chan os.Signal
+	quit    chan struct{}
+	pending []Signal
+	handler func(Signal)
 }
 
 func (s *signals) begin(post func(func())) {
 	s.post = post
-	s.in = make(chan os.Signal, signalsKept)
+	s.in = make(chan os.Signal, maxPendingSignals)
 	s.quit = make(chan struct{})
 	signal.Notify(s.in, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	go s.run()
@@ -38,31 +35,31 @@
 			if sig == syscall.SIGHUP {
 				what = HangUp
 			}
-			s.post(func() { s.keep(what) })
+			s.post(func() { s.add(what) })
 		case <-s.quit:
 			return
 		}
 	}
 }
 
-// keep is called in the loop with each signal.
-func (s *signals) keep(what Signal) {
-	if len(s.kept) < signalsKept {
-		s.kept = append(s.kept, what)
+// add is called in the loop with each signal.
+func (s *signals) add(what Signal) {
+	if len(s.pending) < maxPendingSignals {
+		s.pending = append(s.pending, what)
 	}
-	s.tell()
+	s.deliver()
 }
 
-func (s *signals) to(f func(Signal)) {
-	s.f = f
-	s.post(s.tell)
+func (s *signals) handleWith(f func(Signal)) {
+	s.handler = f
+	s.post(s.deliver)
 }
 
-func (s *signals) tell() {
-	for s.f != nil && len(s.kept) > 0 {
-		what := s.kept[0]
-		s.kept = s.kept[1:]
-		s.f(what)
+func (s *signals) deliver() {
+	for s.handler != nil && len(s.pending) > 0 {
+		what := s.pending[0]
+		s.pending = s.pending[1:]
+		s.handler(what)
 	}
 }
 
--- a/internal/machine/socket.go
+++ b/internal/machine/socket.go
@@ -8,18 +8,20 @@
 	"syscall"
 )
 
-// parse reads an IP address and a port. An IPv4 address in IPv6 clothes is an IPv4 address.
-func parse(addr string) (netip.AddrPort, error) {
+// parseAddress reads an IP address and a port. An IPv4-mapped IPv6 address becomes an IPv4 address.
+func parseAddress(addr string) (netip.AddrPort, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Addr().Zone() != "" {
 		return netip.AddrPort{}, fmt.Errorf("%q: %w", addr, errNoIP)
 	}
-	return plain(ap), nil
+	return unmapAddress(ap), nil
 }
 
-func plain(ap netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port()) }
+func unmapAddress(ap netip.AddrPort) netip.AddrPort {
+	return netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
+}
 
-// socket opens a socket that never blocks and that no child process inherits, for peers like ap.
+// socket opens a non-blocking socket of the address's family that no child process inherits.
 func (m *Real) socket(ap netip.AddrPort, kind int) (int, error) {
 	family := syscall.AF_INET6
 	if ap.Addr().Is4() {
@@ -28,7 +30,7 @@
 	return m.kernel.Socket(family, kind)
 }
 
-// bound opens a socket at an address. At the IPv6 address of all interfaces it takes IPv4 peers too.
+// bound opens a socket bound to an address. The IPv6 address of all interfaces accepts IPv4 peers too.
 func (m *Real) bound(ap netip.AddrPort, kind int) (int, error) {
 	fd, err := m.socket(ap, kind)
 	if err != nil {
@@ -64,7 +66,7 @@
 	case *syscall.SockaddrInet4:
 		return netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port))
 	case *syscall.SockaddrInet6:
-		return plain(netip.AddrPortFrom(netip.AddrFrom16(sa.Addr), uint16(sa.Port)))
+		return unmapAddress(netip.AddrPortFrom(netip.AddrFrom16(sa.Addr), uint16(sa.Port)))
 	}
 	return netip.AddrPort{}
 }
@@ -77,11 +79,11 @@
 	return fromSockaddr(sa)
 }
 
-// failure puts an error of the kernel into the words of the contract; others keep their text.
-func failure(call string, err error) error {
+// contractError maps an error of the kernel to one of the contract; others keep their text.
+func contractError(call string, err error) error {
 	var errno syscall.Errno
-	if !errors.As(err, &errno) {
-		return err
+	if !errors.As(err, &errno) || err != error(errno) {
+		return err // an error of the contract, or one that names its call already
 	}
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -96,8 +98,8 @@
 	return os.NewSyscallError(call, err)
 }
 
-// again makes a system call until no signal interrupts it.
-func again(call func() error) error {
+// retryInterrupted repeats a system call while a signal interrupts it.
+func retryInterrupted(call func() error) error {
 	for {
 		if err := call(); err != syscall.EINTR {
 			return err
@@ -105,7 +107,7 @@
 	}
 }
 
-// recv and send are the calls on a connected socket, made again where a signal interrupts them.
+// recv is recv(2) on a connected socket, repeated while a signal interrupts it.
 func (m *Real) recv(fd int, b []byte, flags int) (int, error) {
 	for {
 		if n, err := m.kernel.Recv(fd, b, flags); err != syscall.EINTR {
@@ -114,6 +116,7 @@
 	}
 }
 
+// send is send(2) on a connected socket, repeated while a signal interrupts it.
 func (m *Real) send(fd int, b []byte) (int, error) {
 	for {
 		if n, err := m.kernel.Send(fd, b); err != syscall.EINTR {
--- a/internal/machine/work.go
+++ b/internal/machine/work.go
@@ -2,15 +2,14 @@
 
 import "sync"
 
-// workers is how many goroutines do work beside the loop: what is worth it is rare, and a processor
-// must be left to the loop.
-const workers = 2
+// defaultWorkers is the number of goroutines for Work: long work is rare, and the loop needs a processor for itself.
+const defaultWorkers = 2
 
-// work is what runs beside the loop. Its queue has no bound of its own: it is for a few things at a time, such as
-// writing a file, and who gives it work waits for the end before giving more.
-type work struct {
-	post func(func())
-	most int // goroutines
+// workQueue runs functions beside the loop. The queue has no bound: callers wait for the end of one work, such as writing a
+// file, before they give the next.
+type workQueue struct {
+	post       func(func())
+	maxWorkers int // goroutines
 
 	mu    sync.Mutex
 	queue []job
@@ -20,21 +19,21 @@
 
 type job struct{ f, done func() }
 
-func (w *work) add(f, done func()) {
+func (w *workQueue) add(f, done func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
 		return
 	}
 	w.queue = append(w.queue, job{f, done})
-	if w.busy < w.most {
+	if w.busy < w.maxWorkers {
 		w.busy++
 		go w.run()
 	}
 }
 
-// run does what is in the queue and ends with it: a machine at rest has no idle workers.
-func (w *work) run() {
+// run works until the queue is empty, so that an idle machine has no worker goroutines.
+func (w *workQueue) run() {
 	for {
 		j, ok := w.next()
 		if !ok {
@@ -45,7 +44,7 @@
 	}
 }
 
-func (w *work) next() (job, bool) {
+func (w *workQueue) next() (job, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue) == 0 {
@@ -58,7 +57,7 @@
 	return j, true
 }
 
-func (w *work) end() {
+func (w *workQueue) end() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
--- a/internal/machine/worker.go
+++ b/internal/machine/worker.go
@@ -8,19 +8,18 @@
 	"syscall"
 )
 
-// perWorker is how many descriptors a worker takes: the connection, and the one by which the runtime waits for
-// the process to end.
-const perWorker = 2
+// descriptorsPerWorker counts the connection, and the descriptor by which the runtime waits for the process to end.
+const descriptorsPerWorker = 2
 
-// program is this program's file, also where its name has come to stand for another one since the start.
-const program = "/proc/self/exe"
+// ownExecutable is this program's file, also where its path was replaced since the start.
+const ownExecutable = "/proc/self/exe"
 
-// process is a worker. The loop has all of it but what mu guards.
+// process is a worker process. The loop owns all fields that mu does not guard.
 type process struct {
-	m    *Real
-	conn handled                   // nil where none could be opened
-	done func(Conn, error) Handler // nil once it was told, or is not to be
-	over bool                      // Kill was called
+	m          *Real
+	conn       handledConn               // nil if none could be opened
+	done       func(Conn, error) Handler // nil once called, or after Kill
+	killCalled bool                      // Kill was called
 
 	mu     sync.Mutex
 	os     *os.Process
@@ -35,65 +34,65 @@
 		p.conn = c
 		m.workers[p] = true
 		go w.Inside(insideEnd{c})
-		m.Post(func() { p.up(nil) })
+		m.Post(func() { p.started(nil) })
 		return p
 	}
-	p.begin(w, m.Now()+startTime.Microseconds())
+	p.spawn(w, m.Now()+maxStartRetry.Microseconds())
 	return p
 }
 
-// begin starts the process, now or after a lack that passes until the given time.
-func (p *process) begin(w Worker, until Time) {
+// spawn starts the process, now or after a shortage that passes before the given time.
+func (p *process) spawn(w Worker, until Time) {
 	m := p.m
 	far, err := p.connect()
 	switch {
-	case isLack(err) && m.Now() < until:
-		m.at(m.Now()+lackPause, func() {
-			if !p.over {
-				p.begin(w, until)
+	case isShortage(err) && m.Now() < until:
+		m.at(m.Now()+shortageRetryDelay, func() {
+			if !p.killCalled {
+				p.spawn(w, until)
 			}
 		})
 		return
 	case err != nil:
-		m.Post(func() { p.up(failure("socketpair", err)) })
+		m.Post(func() { p.started(contractError("socketpair", err)) })
 		return
 	}
 	m.conns++
 	m.workers[p] = true
 	go p.run(w, far)
-	m.roused.Store(true)
+	m.wokeGoroutine.Store(true)
 }
 
-// handled is a connection whose handler can be named.
-type handled interface {
+// handledConn is a connection whose handler can be named.
+type handledConn interface {
 	Conn
-	handle(Handler)
-	open() bool
+	setHandler(Handler)
+	isOpen() bool
 }
 
-func (c *conn) open() bool       { return c.fd >= 0 }
-func (c *insideConn) open() bool { return c.h != nil }
+func (c *conn) isOpen() bool       { return c.fd >= 0 }
+func (c *insideConn) isOpen() bool { return c.handler != nil }
 
-func (c *conn) handle(h Handler) {
-	if c.open() {
-		c.h = h
+func (c *conn) setHandler(h Handler) {
+	if c.isOpen() {
+		c.handler = h
 	}
 }
 
-func (c *insideConn) handle(h Handler) {
-	if c.open() {
-		c.h = h
+func (c *insideConn) setHandler(h Handler) {
+	if c.isOpen() {
+		c.handler = h
 	}
 }
 
-// connect opens the connection, and gives its other end, which blocks.
+// connect opens the connection and returns the worker's end, which blocks.
 func (p *process) connect() (*os.File, error) {
 	m := p.m
-	if m.most > 0 && m.conns+perWorker > m.most {
+	if m.maxConns > 0 && m.conns+descriptorsPerWorker > m.maxConns {
 		return nil, ErrDescriptors
 	}
 	var ends [2]int
-	err := again(func() (err error) {
+	err := retryInterrupted(func() (err error) {
 		ends, err = m.kernel.SocketPair()
 		return err
 	})
@@ -101,8 +100,8 @@
 		return nil, err
 	}
 	syscall.SetNonblock(ends[0], true)
-	c := &conn{m: m, fd: ends[0], h: nobody{}}
-	if c.at, err = m.attach(c.fd, onEdges, c); err != nil {
+	c := &conn{m: m, fd: ends[0], handler: noHandler{}}
+	if c.slot, err = m.attach(c.fd, connEvents, c); err != nil {
 		syscall.Close(ends[0])
 		syscall.Close(ends[1])
 		return nil, err
@@ -112,19 +111,20 @@
 	return os.NewFile(uintptr(ends[1]), "worker"), nil
 }
 
-// nobody is the handler of a connection whose worker has not come up.
-type nobody struct{}
+// noHandler is the handler of a connection whose worker has not started yet.
+type noHandler struct{}
 
-func (nobody) Readable() {}
-func (nobody) Writable() {}
+// Readable implements Handler.
+func (noHandler) Readable() {}
 
-// run is the life of the process. It is a goroutine with a thread of its own, for the kernel kills the worker when
-// the thread that started it ends.
-//
-// The danger: a router that is killed would leave a worker behind that loops for ever.
+// Writable implements Handler.
+func (noHandler) Writable() {}
+
+// run starts the process and waits for its end, in a goroutine locked to its thread: the kernel kills the worker when that
+// thread ends (PR_SET_PDEATHSIG), so that no worker outlives a router that is killed.
 func (p *process) run(w Worker, far *os.File) {
 	runtime.LockOSThread()
-	cmd := exec.Command(program)
+	cmd := exec.Command(ownExecutable)
 	cmd.Args = append([]string{os.Args[0]}, w.Args...)
 	cmd.Env = append([]string{}, w.Env...)
 	cmd.Stdin = far
@@ -134,8 +134,8 @@
 	far.Close()
 	if err != nil {
 		p.m.Post(func() {
-			p.gone()
-			p.up(failure("start", err))
+			p.exited()
+			p.started(contractError("start", err))
 		})
 		return
 	}
@@ -145,13 +145,13 @@
 		p.os.Kill()
 	}
 	p.mu.Unlock()
-	p.m.Post(func() { p.up(nil) })
+	p.m.Post(func() { p.started(nil) })
 	cmd.Wait()
-	p.m.Post(p.gone)
+	p.m.Post(p.exited)
 }
 
-// up tells how the start went.
-func (p *process) up(err error) {
+// started reports how the start went.
+func (p *process) started(err error) {
 	done := p.done
 	p.done = nil
 	if done == nil {
@@ -168,19 +168,19 @@
 		p.Kill()
 		return
 	}
-	c.handle(h)
-	p.m.Post(func() { p.early(h) })
+	c.setHandler(h)
+	p.m.Post(func() { p.notifyEarlyData(h) })
 }
 
-// early tells of what came before there was a handler, in a turn of its own.
-func (p *process) early(h Handler) {
-	if !p.over && p.conn.open() {
+// notifyEarlyData notifies the handler of data that came before it was set.
+func (p *process) notifyEarlyData(h Handler) {
+	if !p.killCalled && p.conn.isOpen() {
 		h.Readable()
 	}
 }
 
-// gone is called once the process has ended and left no zombie.
-func (p *process) gone() {
+// exited is called in the loop once the process has been waited for.
+func (p *process) exited() {
 	p.m.conns--
 	delete(p.m.workers, p)
 }
@@ -188,7 +188,7 @@
 // Kill implements Process.
 func (p *process) Kill() {
 	p.done = nil
-	p.over = true
+	p.killCalled = true
 	p.end()
 	if p.conn != nil {
 		p.conn.Close()
@@ -198,7 +198,7 @@
 	}
 }
 
-// end has the kernel end the process. It reaches no other that has its number by now: the runtime knows.
+// end kills the process. os.Process makes sure that a reused process id is not hit.
 func (p *process) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
