--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -11,8 +11,8 @@
 
 // What is wrong with a section.
 var (
-	errShort          = errors.New("ends too early")
-	errOrder          = errors.New("not in order")
+	errShort   = errors.New("ends too early")
+	errOrder   = errors.New("not in order")
 	errTooMany = errors.New("more entries than it may have")
 )
 
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -11,16 +11,20 @@
 const second Time = 1_000_000
 
 // halfLives differ between figures that a test tells apart.
-var halfLives = HalfLives{ConcurrencyLimit: 10 * second, LateRatio: 10 * second, ErrorRatio: 4 * second, Health: 10 * second, Keys: 20 * second,
-	Zones: 5 * second, Origin: 20 * second, Retry: 10 * second}
+var halfLives = HalfLives{
+	ConcurrencyLimit: 10 * second, LateRatio: 10 * second, ErrorRatio: 4 * second, Health: 10 * second, Keys: 20 * second,
+	Zones: 5 * second, Origin: 20 * second, Retry: 10 * second,
+}
 
 // usual is the entry of a cache that nothing is known of.
 var usual = decide.EndpointSnapshot{ID: "c", ConcurrencyLimit: 4, Healthy: true, Responsive: true}
 
 // overloadedEndpoint is an entry with all figures off their defaults.
 func overloadedEndpoint() Endpoint {
-	return Endpoint{At: 0, KeysAt: 0, EndpointSnapshot: decide.EndpointSnapshot{ID: "c", ConcurrencyLimit: .25, LateRatio: .8, ErrorRatio: .6, FailedHealthChecks: 2,
-		CachedKeys: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}}}
+	return Endpoint{At: 0, KeysAt: 0, EndpointSnapshot: decide.EndpointSnapshot{
+		ID: "c", ConcurrencyLimit: .25, LateRatio: .8, ErrorRatio: .6, FailedHealthChecks: 2,
+		CachedKeys: []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16},
+	}}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
@@ -31,11 +35,12 @@
 	if want := overloadedEndpoint().EndpointSnapshot; !ok || !reflect.DeepEqual(c, want) {
 		t.Errorf("at once: %+v", c)
 	}
-	if c, _ = halfLives.DecayEndpoint(overloadedEndpoint(), usual, 10*second, 100*second); !near(c.ConcurrencyLimit, 1) || !near(c.LateRatio, .4) ||
-		!near(c.ErrorRatio, .6*math.Exp2(-2.5)) || c.Healthy || c.FailedHealthChecks != 2 || c.Responsive {
+	c, _ = halfLives.DecayEndpoint(overloadedEndpoint(), usual, 10*second, 100*second)
+	if !near(c.ConcurrencyLimit, 1) || !near(c.LateRatio, .4) || !near(c.ErrorRatio, .6*math.Exp2(-2.5)) || c.Healthy || c.FailedHealthChecks != 2 || c.Responsive {
 		t.Errorf("after 10 s: %+v", c)
 	}
-	if c, _ = halfLives.DecayEndpoint(overloadedEndpoint(), usual, 11*second, 100*second); !c.Healthy || c.FailedHealthChecks != 0 || !c.Responsive {
+	c, _ = halfLives.DecayEndpoint(overloadedEndpoint(), usual, 11*second, 100*second)
+	if !c.Healthy || c.FailedHealthChecks != 0 || !c.Responsive {
 		t.Errorf("a flag holds beyond its half-life: %+v", c)
 	}
 	if n := len(c.CachedKeys); n == 0 || n == 16 {
