--- a/internal/snapshotstore/crash_test.go
+++ b/internal/snapshotstore/crash_test.go
@@ -10,7 +10,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// choices goes through all that a loss of power may leave, one way after another.
+// choices enumerates what a loss of power may leave.
 type choices struct {
 	took, of []int
 	at       int
@@ -24,7 +24,7 @@
 	return c.took[c.at-1]
 }
 
-// next is the next way; false where all have been gone.
+// next moves on to the next combination. It reports false after the last one.
 func (c *choices) next() bool {
 	c.at = 0
 	for i := len(c.took) - 1; i >= 0; i-- {
@@ -37,9 +37,9 @@
 	return false
 }
 
-// before is a folder with so many generations; the last state that was written is the old one.
-func before(t *testing.T, generations int) (*desk, snapshot.Snapshot) {
-	d := newDesk(t)
+// folderWith returns a folder with so many generations; the last state that was written is the old one.
+func folderWith(t *testing.T, generations int) (*harness, snapshot.Snapshot) {
+	d := newHarness(t)
 	d.mustOpen(now0)
 	var old snapshot.Snapshot
 	for n := 1; n <= generations; n++ {
@@ -49,8 +49,8 @@
 	return d, old
 }
 
-// checkAfter starts another process: it has to find the old state or the new one, whole, with nothing to say, and can write again.
-func checkAfter(t *testing.T, d *desk, old, next snapshot.Snapshot, generations int, what string) (isNew bool) {
+// checkRestart starts another process. It must find the old state or the new one, whole and without notes, and must be able to write.
+func checkRestart(t *testing.T, d *harness, old, next snapshot.Snapshot, generations int, what string) (isNew bool) {
 	t.Helper()
 	d.restart()
 	got, ok := d.mustOpen(next.At + second)
@@ -71,12 +71,12 @@
 	return isNew
 }
 
-// TestEveryCrashPointOfAWriteLeavesTheOldStateOrTheNew: the process is killed, or loses its power, at each step and each byte; of what
-// was not flushed each part is there or not.
-func TestEveryCrashPointOfAWriteLeavesTheOldStateOrTheNew(t *testing.T) {
+// TestWriteIsAtomicAtEveryCrashPoint kills the process, or cuts its power, at each step and each byte of a write; what was not
+// flushed is there or not, part by part. The next process must find the old state or the new one, whole.
+func TestWriteIsAtomicAtEveryCrashPoint(t *testing.T) {
 	points, news := 0, 0
 	for generations := range 3 {
-		d, _ := before(t, generations)
+		d, _ := folderWith(t, generations)
 		next, began := stateOf(5), d.h.DiskSteps()
 		d.mustWrite(next, next.At)
 		steps := d.h.DiskSteps() - began
@@ -84,8 +84,8 @@
 		for step := range steps + 1 {
 			for part := 0; part <= size; part++ {
 				cut := sim.Cut{Step: step, Part: part}
-				killed := func() (*desk, snapshot.Snapshot) {
-					d, old := before(t, generations)
+				killed := func() (*harness, snapshot.Snapshot) {
+					d, old := folderWith(t, generations)
 					d.h.CutDisk(cut)
 					err := d.write(next, next.At)
 					if done := step == steps; done != (err == nil) {
@@ -97,14 +97,14 @@
 				d, old := killed()
 				d.h.CutDisk(sim.Cut{Step: 1 << 30}) // SIGKILL: what was written is there for others
 				points++
-				if checkAfter(t, d, old, next, generations, what) {
+				if checkRestart(t, d, old, next, generations, what) {
 					news++
 				}
 				for c := (choices{}); ; {
 					d, old := killed()
 					d.h.Power(c.leaves)
 					points++
-					if checkAfter(t, d, old, next, generations, fmt.Sprint(what, " power ", c.took)) {
+					if checkRestart(t, d, old, next, generations, fmt.Sprint(what, " power ", c.took)) {
 						news++
 					} else if step == steps {
 						t.Fatalf("%s: a state that was written is lost with the power", what)
@@ -134,19 +134,19 @@
 func contentStep(t *testing.T, generations int, next snapshot.Snapshot, step int) bool {
 	partial := 0
 	for _, part := range []int{0, 1} {
-		d, _ := before(t, generations)
+		d, _ := folderWith(t, generations)
 		d.h.CutDisk(sim.Cut{Step: step, Part: part})
 		d.write(next, next.At)
-		if b, ok := d.h.File(folder + "/" + newName); ok && len(b) == 1 {
+		if b, ok := d.h.File(folder + "/" + temporaryName); ok && len(b) == 1 {
 			partial++
 		}
 	}
 	return partial == 1
 }
 
-// TestProcessKilledAtAnyTimeWhileItWrites leaves a whole state: the work on the disk ends anywhere.
-func TestProcessKilledAtAnyTimeWhileItWrites(t *testing.T) {
-	d := newDesk(t)
+// TestWriteKilledAtRandomTimes checks that a whole state is found after each kill.
+func TestWriteKilledAtRandomTimes(t *testing.T) {
+	d := newHarness(t)
 	last := 0
 	for n := 1; n <= 500; n++ {
 		d.restart()
--- a/internal/snapshotstore/format.go
+++ b/internal/snapshotstore/format.go
@@ -1,9 +1,8 @@
-// Package snapshotstore keeps a router's state in a folder: a file that is there whole or not at all, with its checksum, the
-// time of its writing and its router's name; and reads back only what fits all of these. Nothing it meets in the
-// folder is fatal, and what it does not trust it sets aside and does not destroy.
+// Package snapshotstore stores a router's state in a folder, as a file that is there whole or not at all, with a checksum,
+// the time of its writing and the router's name. It reads back only what fits all of these. Nothing that it finds in the
+// folder is fatal, and a file that it does not trust is set aside and not destroyed.
 //
-// All its work is done on a machine.Disk, beside the loop. The form of the file stands byte by byte in
-// docs/design/state.md.
+// The package works on a machine.Disk, outside the router's loop. docs/design/state.md has the form of the file byte by byte.
 package snapshotstore
 
 import (
@@ -11,7 +10,6 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"fmt"
-	"strings"
 
 	"starlingwinch/internal/snapshot"
 )
@@ -19,76 +17,44 @@
 // Time is an instant or a span in microseconds.
 type Time = snapshot.Time
 
-// Version is that of the files that are written.
+// Version is the version of files that are written.
 const Version = 1
 
-// MaxFileBytes is a file's size at most.
+// MaxFileBytes is the size limit of a file.
 const MaxFileBytes = 16 << 20
 
-// magic has a byte above 127 and both ends of lines: what a transfer as text does to it shows.
+// magic begins each file. It has a byte above 127 and both kinds of line ends, so that a transfer as text is detected.
 var magic = [8]byte{0x89, 'S', 'W', 'S', 'T', '\r', '\n', 0x1a}
 
+// Offsets and sizes in bytes. Magic, version and size, and the checksum at the end, have the same places in all versions.
 const (
-	headSize    = 30 // up to the name
-	sumSize     = sha256.Size
-	sectionHead = 6
-	mostName    = 255
+	versionOffset      = len(magic)
+	sizeOffset         = versionOffset + 2
+	fixedBytes         = sizeOffset + 8 // in all versions
+	writtenOffset      = fixedBytes
+	sectionsOffset     = writtenOffset + 8
+	nameLengthOffset   = sectionsOffset + 2
+	headBytes          = nameLengthOffset + 2 // up to the router's name
+	checksumBytes      = sha256.Size
+	sectionHeadBytes   = 2 + 4 // kind and length
+	maxRouterNameBytes = 255
 )
 
-// File is the content of a file that was found sound.
+// File is the content of a file whose checksum was verified.
 type File struct {
 	Written  Time // by the system's clock
 	Router   string
 	Sections []snapshot.Section
 }
 
-// Reason is why a file is not used.
-type Reason uint8
-
-const (
-	Truncated    Reason = iota // its end is missing
-	Corrupt                    // its bytes are not what was written
-	NotAState                  // it is something else
-	OtherRouter                // another router has written it
-	FromFuture                 // it was written later than now
-	TooOld                     // it was written too long ago
-	NewerVersion               // a newer program has written it
-	OlderVersion               // of a version that is not read any more
-	TooLarge                   // it is longer than a state may be
-	Irregular                  // a link, a folder, a device
-	Unreadable                 // the disk or its rights keep it from being read
-)
-
-var reasonWords = [...]string{"torn", "corrupt", "not a state", "other router", "from the future", "too old",
-	"newer version", "older version", "too large", "not a regular file", "unreadable"}
-
-func (r Reason) String() string { return reasonWords[r] }
-
-// RejectedError says why a file is not used.
-type RejectedError struct {
-	Reason Reason
-	Detail string
-}
-
-func (r *RejectedError) Error() string {
-	if r.Detail == "" {
-		return r.Reason.String()
-	}
-	return r.Reason.String() + ": " + r.Detail
-}
-
-func refuse(r Reason, format string, args ...any) *RejectedError {
-	return &RejectedError{r, fmt.Sprintf(format, args...)}
-}
-
-// Encode writes a file.
+// Encode returns the bytes of a file.
 func Encode(f File) ([]byte, error) {
-	if len(f.Router) > mostName {
-		return nil, fmt.Errorf("the router's name has %d bytes, more than %d", len(f.Router), mostName)
+	if len(f.Router) > maxRouterNameBytes {
+		return nil, fmt.Errorf("the router's name has %d bytes, more than %d", len(f.Router), maxRouterNameBytes)
 	}
-	size := headSize + len(f.Router) + sumSize
-	for _, s := range f.Sections {
-		size += sectionHead + len(s.Body)
+	size := headBytes + len(f.Router) + checksumBytes
+	for _, section := range f.Sections {
+		size += sectionHeadBytes + len(section.Body)
 	}
 	if size > MaxFileBytes {
 		return nil, fmt.Errorf("the state has %d bytes, more than %d", size, MaxFileBytes)
@@ -101,91 +67,92 @@
 	b = binary.BigEndian.AppendUint16(b, uint16(len(f.Sections)))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(f.Router)))
 	b = append(b, f.Router...)
-	for _, s := range f.Sections {
-		b = binary.BigEndian.AppendUint16(b, s.Kind)
-		b = binary.BigEndian.AppendUint32(b, uint32(len(s.Body)))
-		b = append(b, s.Body...)
+	for _, section := range f.Sections {
+		b = binary.BigEndian.AppendUint16(b, section.Kind)
+		b = binary.BigEndian.AppendUint32(b, uint32(len(section.Body)))
+		b = append(b, section.Body...)
 	}
-	sum := sha256.Sum256(b)
-	return append(b, sum[:]...), nil
+	checksum := sha256.Sum256(b)
+	return append(b, checksum[:]...), nil
 }
 
-// Decode reads a file. The error is a *Refusal.
+// Decode reads a file. The error is a *RejectedError.
 //
-// Magic, version, length and the checksum at the end have their places in all versions to come: this is how a newer
-// file is told from a broken one.
+// The checksum is verified before the version is looked at, so that a newer program's file is told from a broken one.
 func Decode(b []byte) (File, error) {
-	const fixed = len(magic) + 2 + 8
-	if len(b) < len(magic) || !bytes.Equal(b[:len(magic)], magic[:]) {
-		if len(b) < len(magic) && bytes.HasPrefix(magic[:], b) {
-			return File{}, refuse(Truncated, "%d bytes", len(b))
-		}
-		return File{}, refuse(NotAState, "it begins differently")
+	if rejected := checkMagic(b); rejected != nil {
+		return File{}, rejected
 	}
-	if len(b) < fixed {
-		return File{}, refuse(Truncated, "%d bytes", len(b))
+	if rejected := checkSize(b); rejected != nil {
+		return File{}, rejected
 	}
-	version, size := binary.BigEndian.Uint16(b[8:]), binary.BigEndian.Uint64(b[10:])
-	if uint64(len(b)) < size {
-		return File{}, refuse(Truncated, "%d bytes of %d", len(b), size)
+	body, checksum := b[:len(b)-checksumBytes], b[len(b)-checksumBytes:]
+	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], checksum) {
+		return File{}, reject(Corrupt, "the checksum does not fit")
 	}
-	if uint64(len(b)) > size || size < uint64(fixed+sumSize) {
-		return File{}, refuse(Corrupt, "%d bytes, it tells of %d", len(b), size)
+	version := binary.BigEndian.Uint16(b[versionOffset:])
+	switch {
+	case version > Version:
+		return File{}, reject(NewerVersion, "version %d, this program knows %d", version, Version)
+	case version < Version:
+		return File{}, reject(OlderVersion, "version %d, this program reads %d", version, Version)
 	}
-	body := b[:len(b)-sumSize]
-	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], b[len(body):]) {
-		return File{}, refuse(Corrupt, "the checksum does not fit")
+	return decodeBody(body)
+}
+
+// checkMagic reports a file that does not begin as one of this package's.
+func checkMagic(b []byte) *RejectedError {
+	switch {
+	case bytes.HasPrefix(b, magic[:]):
+		return nil
+	case len(b) < len(magic) && bytes.HasPrefix(magic[:], b):
+		return reject(Truncated, "%d bytes", len(b))
 	}
-	if version > Version {
-		return File{}, refuse(NewerVersion, "version %d, this program knows %d", version, Version)
+	return reject(NotAState, "it begins differently")
+}
+
+// checkSize reports a file that is shorter or longer than its head says.
+func checkSize(b []byte) *RejectedError {
+	if len(b) < fixedBytes {
+		return reject(Truncated, "%d bytes", len(b))
 	}
-	if version < Version {
-		return File{}, refuse(OlderVersion, "version %d, this program reads %d", version, Version)
+	size := binary.BigEndian.Uint64(b[sizeOffset:])
+	switch {
+	case uint64(len(b)) < size:
+		return reject(Truncated, "%d bytes of %d", len(b), size)
+	case uint64(len(b)) > size || size < uint64(fixedBytes+checksumBytes):
+		return reject(Corrupt, "%d bytes, it tells of %d", len(b), size)
 	}
-	return decodeBody(body)
+	return nil
 }
 
-// decodeBody reads a file of this version whose checksum has held.
+// decodeBody reads a file of this version without its checksum, which the caller has verified.
 func decodeBody(b []byte) (File, error) {
-	if len(b) < headSize {
-		return File{}, refuse(Corrupt, "its head is cut off")
-	}
-	f := File{Written: Time(binary.BigEndian.Uint64(b[18:]))}
-	sections, name := int(binary.BigEndian.Uint16(b[26:])), int(binary.BigEndian.Uint16(b[28:]))
-	b = b[headSize:]
-	if name > len(b) || name > mostName {
-		return File{}, refuse(Corrupt, "its name is cut off")
-	}
-	f.Router, b = string(b[:name]), b[name:]
-	for range sections {
-		if len(b) < sectionHead {
-			return File{}, refuse(Corrupt, "a section is cut off")
+	if len(b) < headBytes {
+		return File{}, reject(Corrupt, "its head is cut off")
+	}
+	f := File{Written: Time(binary.BigEndian.Uint64(b[writtenOffset:]))}
+	sectionCount := int(binary.BigEndian.Uint16(b[sectionsOffset:]))
+	nameBytes := int(binary.BigEndian.Uint16(b[nameLengthOffset:]))
+	rest := b[headBytes:]
+	if nameBytes > len(rest) || nameBytes > maxRouterNameBytes {
+		return File{}, reject(Corrupt, "its name is cut off")
+	}
+	f.Router, rest = string(rest[:nameBytes]), rest[nameBytes:]
+	for range sectionCount {
+		if len(rest) < sectionHeadBytes {
+			return File{}, reject(Corrupt, "a section is cut off")
 		}
-		kind, n := binary.BigEndian.Uint16(b), uint64(binary.BigEndian.Uint32(b[2:]))
-		if b = b[sectionHead:]; n > uint64(len(b)) {
-			return File{}, refuse(Corrupt, "section %d is cut off", kind)
+		kind, bodyBytes := binary.BigEndian.Uint16(rest), uint64(binary.BigEndian.Uint32(rest[2:]))
+		rest = rest[sectionHeadBytes:]
+		if bodyBytes > uint64(len(rest)) {
+			return File{}, reject(Corrupt, "section %d is cut off", kind)
 		}
-		f.Sections = append(f.Sections, snapshot.Section{Kind: kind, Body: b[:n]})
-		b = b[n:]
+		f.Sections = append(f.Sections, snapshot.Section{Kind: kind, Body: rest[:bodyBytes]})
+		rest = rest[bodyBytes:]
 	}
-	if len(b) > 0 {
-		return File{}, refuse(Corrupt, "%d bytes behind its sections", len(b))
+	if len(rest) > 0 {
+		return File{}, reject(Corrupt, "%d bytes behind its sections", len(rest))
 	}
 	return f, nil
 }
-
-// ahead is how far in the future a file may have been written: the clock may have been put right by as much.
-const ahead Time = 2_000_000
-
-// Fits says why a sound file is not that router's state of now; nil where it is.
-func (f File) Fits(router string, now, oldest Time) *RejectedError {
-	switch age := now - f.Written; {
-	case f.Router != router:
-		return refuse(OtherRouter, "%.80q, this one is %.80q", strings.ToValidUTF8(f.Router, "?"), router)
-	case age < -ahead:
-		return refuse(FromFuture, "by %s", FormatSpan(-age))
-	case age > oldest:
-		return refuse(TooOld, "%s, at most %s", FormatSpan(age), FormatSpan(oldest))
-	}
-	return nil
-}
--- a/internal/snapshotstore/format_test.go
+++ b/internal/snapshotstore/format_test.go
@@ -11,8 +11,8 @@
 	"starlingwinch/internal/snapshot"
 )
 
-// TestWhatIsWrittenIsRead back the same.
-func TestWhatIsWrittenIsRead(t *testing.T) {
+// TestDecodeReadsEncodedFile checks that a state is read as it was written.
+func TestDecodeReadsEncodedFile(t *testing.T) {
 	want := largeState(30, 5)
 	f, err := Decode(encoded(t, router, want, now0))
 	if err != nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestEveryCutOfAFileIsRefused as torn, and each byte too many.
-func TestEveryCutOfAFileIsRefused(t *testing.T) {
+// TestDecodeRejectsTruncatedFile cuts a file at each byte, and adds one.
+func TestDecodeRejectsTruncatedFile(t *testing.T) {
 	whole := encoded(t, router, stateOf(1), now0)
 	for n := range whole {
 		_, err := Decode(whole[:n])
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestEveryFlippedBitIsRefused, wherever it is.
-func TestEveryFlippedBitIsRefused(t *testing.T) {
+// TestDecodeRejectsFlippedBit flips each bit of a file. None makes it pass for one of another version.
+func TestDecodeRejectsFlippedBit(t *testing.T) {
 	whole := encoded(t, router, stateOf(1), now0)
 	for i := range 8 * len(whole) {
 		bad := bytes.Clone(whole)
@@ -60,13 +60,13 @@
 func ofVersion(t *testing.T, version uint16) []byte {
 	b := encoded(t, router, stateOf(1), now0)
 	binary.BigEndian.PutUint16(b[8:], version)
-	body := b[:len(b)-sumSize]
+	body := b[:len(b)-checksumBytes]
 	sum := sha256.Sum256(body)
 	return append(body, sum[:]...)
 }
 
-// TestOtherVersionsAreToldFromBrokenFiles, also where all but the fixed places means something else.
-func TestOtherVersionsAreToldFromBrokenFiles(t *testing.T) {
+// TestDecodeNamesOtherVersions checks sound files of older and newer versions, in which only the fixed places mean the same.
+func TestDecodeNamesOtherVersions(t *testing.T) {
 	for version, want := range map[uint16]Reason{0: OlderVersion, 2: NewerVersion, 65535: NewerVersion} {
 		_, err := Decode(ofVersion(t, version))
 		var r *RejectedError
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSectionsThatNobodyKnowsAreSkipped.
-func TestSectionsThatNobodyKnowsAreSkipped(t *testing.T) {
+// TestDecodeSkipsUnknownSections checks that a section of an unknown kind does not keep the others from being read.
+func TestDecodeSkipsUnknownSections(t *testing.T) {
 	want := stateOf(3)
 	sections := append([]snapshot.Section{{Kind: 900, Body: []byte("new")}}, snapshot.Encode(want)...)
 	b, err := Encode(File{Written: now0, Router: router, Sections: sections})
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestClockThatSteps: a file from later than now or from long ago is not this router's state of now.
-func TestClockThatSteps(t *testing.T) {
+// TestFitsChecksRouterAndAge checks files of other routers, from the future and from long ago.
+func TestFitsChecksRouterAndAge(t *testing.T) {
 	f := File{Written: now0, Router: router}
 	const hour, year = 3600 * second, 365 * 24 * 3600 * second
 	for _, c := range []struct {
@@ -118,7 +118,7 @@
 	}
 }
 
-// FuzzDecode: whatever the bytes, the reader ends with an answer, and what it takes is what it would write.
+// FuzzDecode checks that any bytes are rejected or read, and that what is read is what would be written.
 func FuzzDecode(f *testing.F) {
 	whole := encoded(f, router, stateOf(1), now0)
 	f.Add(whole)
@@ -138,13 +138,18 @@
 				return
 			}
 		}
-		if again, err := Encode(file); err != nil || !bytes.HasSuffix(again[:len(again)-sumSize], b[min(len(b), headSize):min(len(b), len(again)-sumSize)]) {
+		again, err := Encode(file)
+		if err != nil {
+			t.Fatalf("what was taken can't be written: %v", err)
+		}
+		body := again[:len(again)-checksumBytes]
+		if !bytes.HasSuffix(body, b[min(len(b), headBytes):min(len(b), len(body))]) {
 			t.Fatalf("what was taken is written differently: %v", err)
 		}
 	})
 }
 
-// FuzzSections: the parser of what stands in the sections.
+// FuzzSections checks that any sections are rejected or read, and that what is read can be written.
 func FuzzSections(f *testing.F) {
 	for _, s := range snapshot.Encode(stateOf(1)) {
 		f.Add(s.Kind, s.Body, s.Body)
--- a/internal/snapshotstore/harness_test.go
+++ b/internal/snapshotstore/harness_test.go
@@ -18,24 +18,24 @@
 	router      = "r-1"
 )
 
-// desk is a host with a folder and the store of the process that runs on it.
-type desk struct {
+// harness is a simulated host with a folder and the store of the process that runs on it.
+type harness struct {
 	testing.TB
 	w *sim.World
 	h *sim.Host
 	s *Store
 }
 
-func newDesk(t testing.TB) *desk {
-	d := &desk{TB: t, w: sim.New(1)}
+func newHarness(t testing.TB) *harness {
+	d := &harness{TB: t, w: sim.New(1)}
 	d.h = d.w.Host("h", "10.0.0.1", sim.HostOptions{})
 	d.h.MakeFolder(folder)
 	d.s = New(folder, router)
 	return d
 }
 
-// do has f work on the disk and waits for its end.
-func (d *desk) do(f func(machine.Disk)) {
+// do runs f on the disk and waits for its end.
+func (d *harness) do(f func(machine.Disk)) {
 	d.Helper()
 	done := false
 	d.h.Machine().OnDisk(f, func() { done = true })
@@ -45,20 +45,20 @@
 }
 
 // restart starts another process, with a store of its own.
-func (d *desk) restart() {
+func (d *harness) restart() {
 	d.h.Restart()
 	d.s = New(folder, router)
 }
 
 // open opens the store at an instant.
-func (d *desk) open(now Time) (state snapshot.Snapshot, ok bool, notes []string, err error) {
+func (d *harness) open(now Time) (state snapshot.Snapshot, ok bool, notes []string, err error) {
 	d.Helper()
 	d.do(func(disk machine.Disk) { state, ok, notes, err = d.s.Open(disk, now, oldest) })
 	return
 }
 
 // mustOpen opens it where nothing may be wrong.
-func (d *desk) mustOpen(now Time) (snapshot.Snapshot, bool) {
+func (d *harness) mustOpen(now Time) (snapshot.Snapshot, bool) {
 	d.Helper()
 	state, ok, notes, err := d.open(now)
 	if err != nil || len(notes) > 0 {
@@ -67,29 +67,34 @@
 	return state, ok
 }
 
-func (d *desk) write(s snapshot.Snapshot, now Time) (err error) {
+func (d *harness) write(s snapshot.Snapshot, now Time) (err error) {
 	d.Helper()
 	d.do(func(disk machine.Disk) { err = d.s.Write(disk, s, now, oldest) })
 	return
 }
 
-func (d *desk) mustWrite(s snapshot.Snapshot, now Time) {
+func (d *harness) mustWrite(s snapshot.Snapshot, now Time) {
 	d.Helper()
 	if err := d.write(s, now); err != nil {
 		d.Fatal(err)
 	}
 }
 
-// stateOf is a small state that its number tells from others.
+// stateOf returns a small state whose figures hold its number.
 func stateOf(n int) snapshot.Snapshot {
 	at := now0 + Time(n)*second
-	s := snapshot.Snapshot{At: at, Router: decide.Snapshot{OriginLimit: float64(n), OriginMissRatio: .5, RetryBudget: 3, ErrorRatio: .1, LostRatio: .2}}
-	s.Caches = []snapshot.Endpoint{{At: at, KeysAt: at, EndpointSnapshot: decide.EndpointSnapshot{ID: "c", StartedAt: 7, ConcurrencyLimit: float64(n),
-		Healthy: true, CachedKeys: []uint64{uint64(n), uint64(n) + 1}}}}
+	s := snapshot.Snapshot{At: at}
+	s.Router = decide.Snapshot{OriginLimit: float64(n), OriginMissRatio: .5, RetryBudget: 3, ErrorRatio: .1, LostRatio: .2}
+	s.Caches = []snapshot.Endpoint{{
+		EndpointSnapshot: decide.EndpointSnapshot{
+			ID: "c", StartedAt: 7, ConcurrencyLimit: float64(n), Healthy: true, CachedKeys: []uint64{uint64(n), uint64(n) + 1},
+		},
+		At: at, KeysAt: at,
+	}}
 	return s
 }
 
-// largeState is that of so many caches with so many keys each.
+// largeState returns a state of so many caches with so many keys each.
 func largeState(caches, keys int) snapshot.Snapshot {
 	s := snapshot.Snapshot{At: now0}
 	for i := range caches {
@@ -103,7 +108,7 @@
 	return s
 }
 
-// encoded is the file of a state.
+// encoded returns the file of a state.
 func encoded(t testing.TB, name string, s snapshot.Snapshot, written Time) []byte {
 	t.Helper()
 	b, err := Encode(File{Written: written, Router: name, Sections: snapshot.Encode(s)})
--- a/internal/snapshotstore/snapshotstore_test.go
+++ b/internal/snapshotstore/store_test.go
@@ -16,9 +16,9 @@
 
 func at(name string) string { return folder + "/" + name }
 
-// TestTwoGenerationsAreKept and no more files, however often it is written.
-func TestTwoGenerationsAreKept(t *testing.T) {
-	d := newDesk(t)
+// TestWriteKeepsTwoGenerations checks that the folder never holds more files, and that each of the two alone is enough.
+func TestWriteKeepsTwoGenerations(t *testing.T) {
+	d := newHarness(t)
 	d.mustOpen(now0)
 	for n := 1; n <= 10; n++ {
 		d.mustWrite(stateOf(n), stateOf(n).At)
@@ -38,8 +38,9 @@
 	}
 }
 
-// TestWhatDoesNotFitIsToldSetAsideAndNotDestroyed, and the other generation is used.
-func TestWhatDoesNotFitIsToldSetAsideAndNotDestroyed(t *testing.T) {
+// TestOpenSetsAsideRejectedFiles checks that each file that does not fit is noted and set aside unchanged, and that the other
+// generation is used.
+func TestOpenSetsAsideRejectedFiles(t *testing.T) {
 	good := encoded(t, router, stateOf(1), stateOf(1).At)
 	flipped := bytes.Clone(good)
 	flipped[70] ^= 4
@@ -58,7 +59,7 @@
 		{"older", ofVersion(t, 0), "older version"},
 		{"large", make([]byte, MaxFileBytes+1), "too large"},
 	} {
-		d := newDesk(t)
+		d := newHarness(t)
 		d.h.PutFile(at("state.1"), c.bad)
 		d.h.PutFile(at("state.2"), good)
 		got, ok, notes, err := d.open(now0 + 2*second)
@@ -76,9 +77,9 @@
 	}
 }
 
-// TestWhatIsNoFileOrCannotBeRead is told and set aside: a link, a folder, wrong rights.
-func TestWhatIsNoFileOrCannotBeRead(t *testing.T) {
-	d := newDesk(t)
+// TestOpenSetsAsideIrregularAndUnreadableFiles checks a link or folder, and a file without access.
+func TestOpenSetsAsideIrregularAndUnreadableFiles(t *testing.T) {
+	d := newHarness(t)
 	d.h.PutOdd(at("state.1"))
 	d.h.FailFile(at("state.2"), fs.ErrPermission)
 	_, ok, notes, err := d.open(now0)
@@ -90,9 +91,9 @@
 	d.mustWrite(stateOf(1), stateOf(1).At)
 }
 
-// TestSetAsideFilesAreBounded, and the first ones stay.
-func TestSetAsideFilesAreBounded(t *testing.T) {
-	d := newDesk(t)
+// TestOpenBoundsFilesSetAside checks that there are never more than maxSetAside, and that the first ones stay.
+func TestOpenBoundsFilesSetAside(t *testing.T) {
+	d := newHarness(t)
 	for n := range 30 {
 		d.h.PutFile(at("state.1"), fmt.Append(nil, "bad ", n))
 		d.restart()
@@ -100,21 +101,22 @@
 			t.Fatalf("%v, %q", err, notes)
 		}
 	}
-	if files := d.h.Files(folder); len(files) != 1+mostBad {
+	if files := d.h.Files(folder); len(files) != 1+maxSetAside {
 		t.Errorf("files %v", files)
 	}
 	first, _ := d.h.File(at("set-aside.1"))
-	last, _ := d.h.File(at(badName(mostBad - 1)))
+	last, _ := d.h.File(at(setAsideName(maxSetAside - 1)))
 	if string(first) != "bad 0" || string(last) != "bad 29" {
 		t.Errorf("the first is %q, the last %q", first, last)
 	}
 }
 
-// TestFileOfANewerVersionStays, and this program writes beside it.
-func TestFileOfANewerVersionStays(t *testing.T) {
+// TestOpenLeavesFilesOfNewerVersion checks that they stay, that states are written beside them, and that a folder without a
+// free slot is an error.
+func TestOpenLeavesFilesOfNewerVersion(t *testing.T) {
 	newer := ofVersion(t, 2)
 	for _, places := range [][]string{{"state.1"}, {"state.1", "state.2"}, {"state.1", "state.2", "state.3"}} {
-		d := newDesk(t)
+		d := newHarness(t)
 		for _, slot := range places {
 			d.h.PutFile(at(slot), newer)
 		}
@@ -135,7 +137,7 @@
 			t.Errorf("beside %v: %v, %v, %+v", places, ok, err, got)
 		}
 	}
-	d := newDesk(t)
+	d := newHarness(t)
 	for _, slot := range slots {
 		d.h.PutFile(at(slot), newer)
 	}
@@ -144,9 +146,9 @@
 	}
 }
 
-// TestOneOfTwoWinsTheFolder, and the other one gets it once the first has ended.
-func TestOneOfTwoWinsTheFolder(t *testing.T) {
-	d := newDesk(t)
+// TestOpenLocksFolder checks that a second store can neither open nor write, until the first has closed.
+func TestOpenLocksFolder(t *testing.T) {
+	d := newHarness(t)
 	d.mustOpen(now0)
 	d.mustWrite(stateOf(1), stateOf(1).At)
 	other := New(folder, router)
@@ -168,9 +170,9 @@
 	}
 }
 
-// TestLockThatWasRemovedIsNotRelied on: another process may have locked the folder anew.
-func TestLockThatWasRemovedIsNotRelied(t *testing.T) {
-	d := newDesk(t)
+// TestWriteNeedsLock checks that a lock that was removed is not relied on: another process may have locked the folder anew.
+func TestWriteNeedsLock(t *testing.T) {
+	d := newHarness(t)
 	d.mustOpen(now0)
 	d.h.RemoveFile(at("lock"))
 	if err := d.write(stateOf(1), now0); err == nil || d.s.Locked() {
@@ -180,10 +182,10 @@
 	d.mustWrite(stateOf(2), now0)
 }
 
-// TestDiskThatFailsLosesNothingThatWasKept, and is written to again when it is well.
-func TestDiskThatFailsLosesNothingThatWasKept(t *testing.T) {
+// TestWriteAfterDiskError checks that a failed write is reported and loses nothing, and that the next one succeeds.
+func TestWriteAfterDiskError(t *testing.T) {
 	for _, cause := range []error{sim.ErrFull, fs.ErrPermission, errors.New("input/output error")} {
-		d := newDesk(t)
+		d := newHarness(t)
 		d.mustOpen(now0)
 		d.mustWrite(stateOf(1), stateOf(1).At)
 		d.h.FailDisk(cause)
@@ -199,9 +201,9 @@
 	}
 }
 
-// TestFolderThatVanishedAndCameBack.
-func TestFolderThatVanishedAndCameBack(t *testing.T) {
-	d := newDesk(t)
+// TestFolderRemovedAndMadeAgain checks that a removed folder is an error and is used again once it is back.
+func TestFolderRemovedAndMadeAgain(t *testing.T) {
+	d := newHarness(t)
 	d.mustOpen(now0)
 	d.h.RemoveFolder(folder)
 	if err := d.write(stateOf(1), now0); err == nil {
@@ -215,9 +217,9 @@
 	d.mustWrite(stateOf(1), now0)
 }
 
-// TestNothingElseInTheFolderIsTouched, nor looked at.
-func TestNothingElseInTheFolderIsTouched(t *testing.T) {
-	d := newDesk(t)
+// TestStoreLeavesOtherFiles checks that files of other names stay.
+func TestStoreLeavesOtherFiles(t *testing.T) {
+	d := newHarness(t)
 	for n := range 1000 {
 		d.h.PutFile(at(fmt.Sprint("other.", n)), []byte("x"))
 	}
@@ -228,9 +230,9 @@
 	}
 }
 
-// TestVerifyTellsOfEachFile.
-func TestVerifyTellsOfEachFile(t *testing.T) {
-	d := newDesk(t)
+// TestVerifyReportsEachFile checks sound, broken and future files, in use or set aside.
+func TestVerifyReportsEachFile(t *testing.T) {
+	d := newHarness(t)
 	d.h.PutFile(at("state.1"), encoded(t, router, stateOf(1), now0))
 	d.h.PutFile(at("state.2"), []byte("bad"))
 	d.h.PutFile(at("set-aside.3"), encoded(t, router, stateOf(1), now0+100*second))
--- a/internal/snapshotstore/sync_test.go
+++ b/internal/snapshotstore/sync_test.go
@@ -13,24 +13,24 @@
 
 func (unsynced) SyncFolder(string) error { return syscall.EIO }
 
-// TestFailedSyncKeepsDurableGeneration: names can't be flushed for some writes; a loss of power then leaves the last state
-// that was flushed, or a later one.
+// TestFailedSyncKeepsDurableGeneration checks that a loss of power after writes whose names could not be flushed leaves the
+// last state that was flushed, or a later one.
 func TestFailedSyncKeepsDurableGeneration(t *testing.T) {
 	for _, failures := range []int{1, 2, 3} {
 		for c := (choices{}); ; {
-			d := newDesk(t)
+			d := newHarness(t)
 			d.mustOpen(now0)
 			d.mustWrite(stateOf(1), stateOf(1).At)
 			durable := stateOf(2)
 			d.mustWrite(durable, durable.At)
-			flushed := folder + "/" + d.s.mine[len(d.s.mine)-1]
+			flushed := folder + "/" + d.s.order[len(d.s.order)-1]
 			before, _ := d.h.File(flushed)
 			for n := range failures {
 				var err error
 				next := stateOf(3 + n)
 				d.do(func(disk machine.Disk) { err = d.s.Write(unsynced{disk}, next, next.At, oldest) })
 				if err == nil {
-					t.Fatal("a write that was not flushed is told as done")
+					t.Fatal("a write that was not flushed is reported as done")
 				}
 			}
 			if after, _ := d.h.File(flushed); !reflect.DeepEqual(before, after) {
--- a/internal/snapshotstore/verify.go
+++ b/internal/snapshotstore/verify.go
@@ -12,32 +12,35 @@
 // Row is one file of a folder, as Verify finds it.
 type Row struct {
 	Name     string
-	InUse    bool // a router looks at it when it starts
+	InUse    bool // a router reads it when it starts
 	File     File
 	Snapshot snapshot.Snapshot
 	Rejected *RejectedError // nil for a sound one
 }
 
-// Verify looks at the files that a router knows, and changes nothing. The age and the router's name are the reader's to
-// judge, but for what was written later than now.
+// Verify reads the files of a folder that belong to a store, and changes nothing. A file that was written later than now is
+// rejected; its age and the router's name are for the caller to judge.
 func Verify(d machine.Disk, folder string, now Time) []Row {
-	var names []string
-	names = append(names, slots[:]...)
-	names = append(names, newName)
-	for i := range mostBad {
-		names = append(names, badName(i))
-	}
 	var rows []Row
-	for i, name := range names {
-		f, state, err := Read(d, filepath.Join(folder, name))
+	for i, name := range storeNames() {
+		file, state, err := Read(d, filepath.Join(folder, name))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
-		row := Row{Name: name, InUse: i < len(slots), File: f, Snapshot: state}
-		if !errors.As(err, &row.Rejected) && f.Written > now+ahead {
-			row.Rejected = refuse(FromFuture, "by %s", FormatSpan(f.Written-now))
+		row := Row{Name: name, InUse: i < len(slots), File: file, Snapshot: state}
+		if !errors.As(err, &row.Rejected) && file.Written > now+maxClockStep {
+			row.Rejected = reject(FromFuture, "by %s", FormatSpan(file.Written-now))
 		}
 		rows = append(rows, row)
 	}
 	return rows
 }
+
+// storeNames returns the names that a store gives its files, the slots first.
+func storeNames() []string {
+	names := append(slots[:len(slots):len(slots)], temporaryName)
+	for i := range maxSetAside {
+		names = append(names, setAsideName(i))
+	}
+	return names
+}
