--- a/internal/endpointsource/endpointsource_test.go
+++ b/internal/endpointsource/endpointsource_test.go
@@ -14,25 +14,25 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// owner keeps the merged list.
+// owner records what Sources reports.
 type owner struct {
-	caches  map[string]decide.Endpoint
-	addrs   map[string]string
-	settled int
-	failed  int
+	endpoints map[string]decide.Endpoint // the merged list
+	addresses map[string]string          // by endpoint
+	turns     int                        // calls of ProcessEvents
+	failures  int                        // calls of DiscoveryFailed
 }
 
 func (o *owner) Publish(p endpoints.Publish) {
 	for i, e := range p.Endpoints {
-		o.caches[e.ID], o.addrs[e.ID] = e, p.Addresses[i]
+		o.endpoints[e.ID], o.addresses[e.ID] = e, p.Addresses[i]
 	}
 }
 func (o *owner) DiscoveryAnswered()                    {}
 func (o *owner) DiscoveryCallEnded(string, int64, int) {}
-func (o *owner) DiscoveryFailed()                      { o.failed++ }
-func (o *owner) ProcessEvents()                        { o.settled++ }
+func (o *owner) DiscoveryFailed()                      { o.failures++ }
+func (o *owner) ProcessEvents()                        { o.turns++ }
 
-// rig is sources that run on a machine of their own, with a file among them.
+// rig runs Sources on a loop of its own, with a file that the test writes.
 type rig struct {
 	*routertest.Loop
 	t       *testing.T
@@ -46,7 +46,7 @@
 	return newEditedRig(t, order, discoveryAddr, nil)
 }
 
-// newPushedRig has lists pushed to the agent at an address; c1 takes work, as last known.
+// newPushedRig has lists pushed to the agent at an address; the list as last known has c1 serving.
 func newPushedRig(t *testing.T, agent string, edit func(*Config)) *rig {
 	t.Helper()
 	return newEditedRig(t, []string{endpoints.Discovery}, agent, func(c *Config) {
@@ -64,7 +64,7 @@
 func newEditedRig(t *testing.T, order []string, discoveryAddr string, edit func(*Config)) *rig {
 	t.Helper()
 	r := &rig{Loop: routertest.NewLoop(t, nil), t: t, path: filepath.Join(t.TempDir(), "caches.json"),
-		owner: &owner{caches: map[string]decide.Endpoint{}, addrs: map[string]string{}}}
+		owner: &owner{endpoints: map[string]decide.Endpoint{}, addresses: map[string]string{}}}
 	cfg := Config{Discovery: discoveryAddr, DiscoveryOptions: discovery.Options{Discovery: limits.Default().Discovery},
 		LastKnown: discovery.List{Index: discovery.NoIndex}, Endpoints: endpoints.DefaultConfig()}
 	cfg.Endpoints.Order, cfg.Endpoints.File = order, r.path
@@ -81,7 +81,7 @@
 	return r
 }
 
-// start starts the sources, and has the platform's discovery asked as their owner does.
+// start starts the sources and makes the first discovery call, as their owner does.
 func (r *rig) start() {
 	r.t.Helper()
 	r.Do(func() {
@@ -97,16 +97,16 @@
 	}
 }
 
-// want waits for what the merged list says of a cache.
-func (r *rig) want(name string, cond decide.Status, addr string) {
+// want waits until the merged list has an endpoint with this status, and at this address unless it is empty.
+func (r *rig) want(name string, status decide.Status, addr string) {
 	r.t.Helper()
 	r.Until(name, func() bool {
-		e, known := r.owner.caches[name]
-		return known && e.Status == cond && (addr == "" || r.owner.addrs[name] == addr)
+		e, known := r.owner.endpoints[name]
+		return known && e.Status == status && (addr == "" || r.owner.addresses[name] == addr)
 	})
 }
 
-func TestFileIsReadAtTheStartAndAgain(t *testing.T) {
+func TestFileIsReadAtStartAndOnReload(t *testing.T) {
 	r := newRig(t, []string{endpoints.File}, "127.0.0.1:1")
 	r.write(routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"),
 		routertest.Host("c2", "127.0.0.1:7002", "in_service")))
@@ -118,31 +118,30 @@
 	r.want("c2", decide.Removed, "")
 }
 
-// TestFileThatCannotBeUsedChangesNothing, whatever is wrong with it.
-func TestFileThatCannotBeUsedChangesNothing(t *testing.T) {
+func TestReloadFileKeepsListWhenFileIsInvalid(t *testing.T) {
 	r := newRig(t, []string{endpoints.File}, "127.0.0.1:1")
 	r.write(routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7001", "in_service")))
 	r.start()
 	r.want("c1", decide.Serving, "127.0.0.1:7001")
 	for _, text := range []string{"", "{", `{"index":1,"endpoints":[{"name":""}]}`} {
 		r.write(text)
-		settled := 0
+		turns := 0
 		r.Do(func() {
-			settled = r.owner.settled
+			turns = r.owner.turns
 			r.sources.ReloadFile()
 		})
-		r.Until("the end of the reading", func() bool { return r.owner.settled > settled })
+		r.Until("the end of the reading", func() bool { return r.owner.turns > turns })
 		r.want("c1", decide.Serving, "127.0.0.1:7001")
 		r.Do(func() {
 			if _, rows := r.sources.Table(); rows[0].UnavailableFor < 0 {
-				t.Errorf("%q was taken", text)
+				t.Errorf("%q was accepted", text)
 			}
 		})
 	}
 }
 
-// TestOneSourcesBadNewsKeepsWorkAway, and the first in the order says where a cache is.
-func TestOneSourcesBadNewsKeepsWorkAway(t *testing.T) {
+// TestDrainOfAnySourceDrainsEndpoint also shows that the first source of the order sets the address.
+func TestDrainOfAnySourceDrainsEndpoint(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newRig(t, []string{endpoints.Discovery, endpoints.File}, addr)
 	r.write(routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7009", "in_service"),
@@ -155,8 +154,7 @@
 	r.want("c2", decide.Draining, "")
 }
 
-// TestPlatformIsNotAskedWhereTheOrderLeavesItOut.
-func TestPlatformIsNotAskedWhereTheOrderLeavesItOut(t *testing.T) {
+func TestDiscoveryIsNotPolledUnlessInOrder(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newRig(t, []string{endpoints.File}, addr)
 	r.write(routertest.Hosts(1, true, routertest.Host("c1", "127.0.0.1:7001", "in_service")))
@@ -168,18 +166,18 @@
 	r.want("c1", decide.Serving, "127.0.0.1:7001")
 	select {
 	case c := <-calls:
-		t.Errorf("asked %s", c.Query)
+		t.Errorf("polled with %s", c.Query)
 	default:
 	}
 	r.Do(func() {
-		if r.owner.failed > 0 {
-			t.Error("a call failed that nobody made")
+		if r.owner.failures > 0 {
+			t.Error("a call that was not made is reported as failed")
 		}
 	})
 }
 
-// TestWatchThatIsOpenIsKept: another call would end it where discovery turns that one away.
-func TestWatchThatIsOpenIsKept(t *testing.T) {
+// TestWatchKeepsOpenCall: where discovery rejects a second call, it ends the first one too.
+func TestWatchKeepsOpenCall(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newRig(t, []string{endpoints.Discovery}, addr)
 	r.start()
@@ -193,56 +191,56 @@
 	r.want("c1", decide.Draining, "")
 	next := routertest.Receive(t, calls, "the next call")
 	if !strings.Contains(next.Query, "?after=8&") || len(calls) > 0 {
-		t.Errorf("asked %s, and %d calls more: want the one that goes on with the watch", next.Query, len(calls))
+		t.Errorf("polled with %s, and %d calls more: want the one that continues the watch", next.Query, len(calls))
 	}
-	if r.owner.failed != 0 {
-		t.Errorf("%d calls failed", r.owner.failed)
+	if r.owner.failures != 0 {
+		t.Errorf("%d calls failed", r.owner.failures)
 	}
 }
 
-// TestWatchThatFallsSilentIsAskedForWhatItMissed, in one call, and where that is silent too for the whole list: a discovery that
-// has started anew has nothing to say of what comes after the old versions.
-func TestWatchThatFallsSilentIsAskedForWhatItMissed(t *testing.T) {
+// TestSilentWatchResumesFromItsVersionThenFromFullList: the call after a silence asks for the changes that were missed. Where
+// that is silent too, discovery may have restarted and numbered its versions anew, so that the full list is fetched.
+func TestSilentWatchResumesFromItsVersionThenFromFullList(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newRig(t, []string{endpoints.Discovery}, addr)
 	r.Do(func() {
 		r.sources.cfg.DiscoveryOptions.WatchTime, r.sources.cfg.DiscoveryOptions.AnswerTime = 200*time.Millisecond, 100*time.Millisecond
 	})
 	r.start()
-	ask := func(after string) routertest.Call {
+	receive := func(after string) routertest.Call {
 		t.Helper()
 		c := routertest.Receive(t, calls, "call")
 		if after == "" && strings.Contains(c.Query, "?") || after != "" && !strings.Contains(c.Query, "?after="+after+"&") {
-			t.Fatalf("asked %s, want what comes after %q", c.Query, after)
+			t.Fatalf("polled with %s, want the changes after %q", c.Query, after)
 		}
 		return c
 	}
 	again := func(failures int) {
 		t.Helper()
-		r.Until("the silence", func() bool { return r.owner.failed == failures })
+		r.Until("the silence", func() bool { return r.owner.failures == failures })
 		r.Do(r.sources.Watch)
 	}
-	ask("").Reply <- routertest.Hosts(7, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"))
-	ask("7") // silent from its beginning
+	receive("").Reply <- routertest.Hosts(7, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"))
+	receive("7") // not answered
 	again(1)
-	c := ask("7")
+	c := receive("7")
 	c.Reply <- routertest.Hosts(8, false, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
 	r.want("c1", decide.Draining, "")
-	ask("8")
+	receive("8")
 	again(2)
-	ask("8") // silent to that too
+	receive("8") // not answered either
 	again(3)
-	ask("").Reply <- routertest.Hosts(3, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
+	receive("").Reply <- routertest.Hosts(3, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
 	r.want("c2", decide.Serving, "")
 	r.want("c1", decide.Removed, "")
 }
 
-// TestLapsedWatchIsHeardUntilTheNextOneAnswers. The danger: discovery writes a drain to a watch just as the router gives it up for
-// another. It counts as told, and the next call, which hangs, brings it when it is too late.
-func TestLapsedWatchIsHeardUntilTheNextOneAnswers(t *testing.T) {
+// TestTimedOutWatchIsReadUntilNextOneAnswers: discovery may write a drain to a watch just as it times out, and counts the router
+// as notified. Without the old watch, the drain would come with the next answer only, which may be too late.
+func TestTimedOutWatchIsReadUntilNextOneAnswers(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		first bool // the one that has lapsed is answered first
+		name     string
+		oldFirst bool // the watch that has timed out is answered first
 	}{{"the old one answers", true}, {"the new one answers", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, calls := routertest.Discovery(t)
@@ -253,14 +251,14 @@
 			r.start()
 			routertest.Receive(t, calls, "the first call").Reply <- routertest.Hosts(7, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"))
 			old := routertest.Receive(t, calls, "the watch")
-			r.Until("its silence", func() bool { return r.owner.failed == 1 })
+			r.Until("its silence", func() bool { return r.owner.failures == 1 })
 			r.Do(func() {
 				r.sources.cfg.DiscoveryOptions.WatchTime, r.sources.cfg.DiscoveryOptions.AnswerTime = time.Minute, time.Minute
 				r.sources.Watch()
 			})
 			again := routertest.Receive(t, calls, "the watch, opened anew")
 			one, other := again, old
-			if c.first {
+			if c.oldFirst {
 				one, other = old, again
 			}
 			one.Reply <- routertest.Hosts(8, false, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
@@ -268,48 +266,49 @@
 			routertest.Receive(t, other.Gone, "end of the other one")
 			next := routertest.Receive(t, calls, "the next call")
 			if !strings.Contains(next.Query, "?after=8&") {
-				t.Errorf("asked %s, want what comes after 8", next.Query)
+				t.Errorf("polled with %s, want the changes after 8", next.Query)
 			}
 			r.Do(func() {
-				if r.sources.previous != nil || r.sources.watching == nil || r.owner.failed != 1 {
-					t.Errorf("lapsed %v, watching %v, failed %d", r.sources.previous, r.sources.watching, r.owner.failed)
+				if r.sources.discovery.previous != nil || r.sources.discovery.watch == nil || r.owner.failures != 1 {
+					t.Errorf("previous watch %v, watch %v, failures %d", r.sources.discovery.previous, r.sources.discovery.watch, r.owner.failures)
 				}
 			})
 		})
 	}
 }
 
-// TestWhatAnAgentHasGoesBeforeTheListAsLastKnown. The danger: what it has counts as told from a process's first moment on, and
-// the router sends to a cache that drained before its start.
-func TestWhatAnAgentHasGoesBeforeTheListAsLastKnown(t *testing.T) {
+// TestAgentListSupersedesLastKnownList: what the agent has counts as known from the start of the process, also a drain that
+// came before it.
+func TestAgentListSupersedesLastKnownList(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newPushedRig(t, addr, func(c *Config) { c.DiscoveryOptions.Grace = 800_000_000 })
 	r.start()
 	first := routertest.Receive(t, calls, "the first call")
 	if strings.Contains(first.Query, "?") {
-		t.Errorf("asked %s, which may wait", first.Query)
+		t.Errorf("polled with %s, which may wait", first.Query)
 	}
 	r.Do(func() {
-		if len(r.owner.caches) > 0 {
-			t.Errorf("%v is published before the agent has spoken", r.owner.caches)
+		if len(r.owner.endpoints) > 0 {
+			t.Errorf("%v is published before the agent has answered", r.owner.endpoints)
 		}
 	})
 	first.Reply <- routertest.Hosts(9, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
 	r.want("c2", decide.Serving, "")
 	r.Do(func() {
-		r.sources.useLastKnown()
-		if _, old := r.owner.caches["c1"]; old {
-			t.Error("the list as last known is published behind a newer one")
+		r.sources.discovery.useLastKnown()
+		if _, old := r.owner.endpoints["c1"]; old {
+			t.Error("the list as last known is published after a newer one")
 		}
 	})
 }
 
-// TestListAsLastKnownServesWhereNoAgentSpeaks: at once where there is none, after a while where it is silent.
-func TestListAsLastKnownServesWhereNoAgentSpeaks(t *testing.T) {
+// TestLastKnownListIsUsedWithoutAgent: at once where the agent refuses connections, after AnswerTime where it is silent.
+func TestLastKnownListIsUsedWithoutAgent(t *testing.T) {
 	for name, agent := range map[string]string{"none": routertest.Refusing(t), "silent": routertest.SilentDiscovery(t)} {
 		t.Run(name, func(t *testing.T) {
 			r := newPushedRig(t, agent, func(c *Config) {
-				if c.DiscoveryOptions.AnswerTime = time.Hour; name == "silent" {
+				c.DiscoveryOptions.AnswerTime = time.Hour
+				if name == "silent" {
 					c.DiscoveryOptions.AnswerTime = 300 * time.Millisecond
 				}
 			})
@@ -319,9 +318,9 @@
 	}
 }
 
-// TestSilentAgentIsAskedAgainAndAgain, without its owner, and each call that is answered counts. The danger: it is silent while
-// discovery is down, and what it gets at the return counts as told; a pause that grows with each failure lasts longer than the grace.
-func TestSilentAgentIsAskedAgainAndAgain(t *testing.T) {
+// TestSilentAgentIsPolledAtAConstantPace, without its owner: an agent is silent while discovery is down, and what it receives
+// at the return counts as known at once. A delay that grew with each failure would outlast the drain grace.
+func TestSilentAgentIsPolledAtAConstantPace(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newPushedRig(t, addr, nil)
 	r.start()
@@ -331,25 +330,25 @@
 	}
 	latest.Reply <- routertest.Hosts(9, true, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
 	r.want("c1", decide.Draining, "")
-	watch := routertest.Receive(t, calls, "the watch") // which falls silent
+	watch := routertest.Receive(t, calls, "the watch") // which is not answered
 	if !strings.Contains(watch.Query, "?after=9&") {
-		t.Errorf("asked %s", watch.Query)
+		t.Errorf("polled with %s", watch.Query)
 	}
 	again := routertest.Receive(t, calls, "the next call")
 	if strings.Contains(again.Query, "?") {
-		t.Errorf("asked %s after a silence, want the whole list: its versions may have begun anew", again.Query)
+		t.Errorf("polled with %s after a silence, want the full list: its versions may have begun anew", again.Query)
 	}
 	again.Reply <- routertest.Hosts(9, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
 	r.want("c2", decide.Serving, "")
 	r.Do(func() {
-		if r.owner.failed != 0 {
-			t.Errorf("the owner is to ask again, %d times", r.owner.failed)
+		if r.owner.failures != 0 {
+			t.Errorf("the retry is left to the owner, %d times", r.owner.failures)
 		}
 	})
 	r.Do(func() { r.sources.Stop() })
 	r.Do(func() {
-		if r.sources.again != nil {
-			t.Error("a call is due after the end")
+		if r.sources.discovery.retryTimer != nil {
+			t.Error("a call is due after Stop")
 		}
 	})
 }
