--- a/internal/endpoints/api.go
+++ b/internal/endpoints/api.go
@@ -1,19 +1,19 @@
-// Package endpoints merges what several sources say of the caches (the platform's discovery, registries,
-// a fixed file) into the one list that the decision module takes.
+// Package endpoints merges what several sources say of the caches (the platform's discovery, a registry, a fixed file) into
+// the one endpoint list that the decision module takes.
 //
-// It is fed events and returns actions, performs no I/O, reads no clock and starts no goroutine: the
-// time comes in with each event, and equal events give equal actions.
+// A Merger is fed events and returns actions. It performs no I/O, reads no clock and starts no goroutines: the time comes in
+// with each event, and equal events give equal actions.
 //
-// Its rules, in the order in which they win:
-//   - Bad news (a drain, a departure, out of service) is acted on at once and never damped.
-//   - Good news after flapping is held down for a span that grows with each flap and decays while it is
-//     quiet (after RFC 2439), so that a cache that flaps does not move keys to and fro.
-//   - A source that can't be reached takes nothing away; how old its word is can be seen.
-//   - A source whose whole list leaves out most of its caches at once is asked again, elsewhere where it has
-//     another server, and obeyed when that confirms it, or when nothing comes of it within the grace. Only
-//     absence is held back so, never bad news in so many words; a Lost confirms nothing.
-//   - Where sources disagree, the one that stands first in the operators' order says where a cache is and
-//     what it is like; any one's bad news keeps new work away from it.
+// Its rules, in the order of their precedence:
+//   - A drain or a removal that a source reports is published at once, and is never suppressed.
+//   - An endpoint that flaps is suppressed for a time that grows with each flap and decays while it is stable (route flap
+//     damping, RFC 2439), so that it does not move keys to and fro.
+//   - A source that is unavailable removes nothing; its claims stay, and their age can be seen.
+//   - A source whose full list omits most of its endpoints at once is asked to confirm that, by another of its servers where
+//     it has several. The omissions are published when it confirms them, or when it neither confirms nor denies them in time.
+//     Only omissions wait so, never a claim of a drain or removal; a source that becomes unavailable confirms nothing.
+//   - Where sources disagree, the first in the operators' order says where an endpoint is and what it is like; a drain or
+//     removal reported by any other source drains it.
 package endpoints
 
 import (
@@ -25,60 +25,56 @@
 // Time is an instant or a span in microseconds.
 type Time = decide.Time
 
-// Claim is what one source says of one cache.
+// Claim is what one source says of one endpoint.
 type Claim struct {
-	Endpoint decide.Endpoint // Condition Removed says in so many words that it is gone
-	Address  string          // an IP address and a port; may be empty for bad news, and the last one stays
-	Reason   string          // the source's own word for it, for the log: "OUT_OF_SERVICE", "lease expired"
-	LastSeen Time            // when the source itself last heard of it, on the events' clock; 0 where it does not say
+	Endpoint decide.Endpoint // Status is decide.Removed where the source says explicitly that it is gone
+	Address  string          // an IP address and a port; empty in a drain or removal leaves the address as it is
+	Reason   string          // the source's own word for the status, for the log: "OUT_OF_SERVICE"
+	LastSeen Time            // when the source itself last had contact with it, on the events' clock; 0 where it does not say
 }
 
-// Event is anything the module is told: *Heard, *Lost or *Tick.
+// Event is an input of the Merger: *SourceUpdate, *SourceUnavailable or *Tick.
 type Event interface{ event() }
 
-// SourceUpdate brings a source's list. Full: it names every cache that the source knows, and one that it leaves
-// out has departed. Else it holds the changed ones. Stale: it is the last known one, and may be old.
-// Repeat: the source was asked again after a Confirm, and this is its whole list. Unread names caches
-// that stand in the list by an entry that can't be used: they stay as they are.
+// SourceUpdate is a list of a source.
 type SourceUpdate struct {
-	Source     string
-	Full       bool
-	Stale      bool
-	Repeat     bool
-	Claims     []Claim
-	Unreadable []string
+	Source     string   // its name in Options.Sources
+	Full       bool     // it names every endpoint that the source knows, so that an omitted one is removed; else those that changed
+	Stale      bool     // it is the list as last known, and may be old
+	Repeat     bool     // it is the full list that was fetched to answer a Confirm
+	Claims     []Claim  // one for each entry
+	Unreadable []string // endpoints whose entry can't be used: they stay as they are
 }
 
-// SourceUnavailable says that a source can't be reached, or answers nothing that can be used. Why is for the log.
+// SourceUnavailable says that a source can't be reached, or sends nothing that can be used. Reason is for the log.
 type SourceUnavailable struct{ Source, Reason string }
 
-// Tick is the echo of a Wake.
+// Tick is the answer to a Wake.
 type Tick struct{}
 
 func (*SourceUpdate) event()      {}
 func (*SourceUnavailable) event() {}
 func (*Tick) event()              {}
 
-// Action is anything the module asks for. The caller carries actions out in order.
+// Action is an output of the Merger: Publish, Confirm, Wake or Log. The caller carries actions out in order.
 type Action interface{ action() }
 
-// Publish hands on entries of the merged list that have changed, with their addresses in the same order; bad news
-// first. Entry.Start is as a source gave it. Kind is decide.StaleUpdate for the first one where it is from an old
-// list, and decide.DeltaUpdate else. The first one comes with the first list, also where nothing stands in it.
+// Publish has the entries of the merged list that have changed: removals first, then drains, then the others. The first one
+// comes with the first list of any source, also where that is empty.
 type Publish struct {
-	Kind      decide.UpdateKind
-	Endpoints []decide.Endpoint
-	Addresses []string
+	Kind      decide.UpdateKind // decide.StaleUpdate for the first one where it is made of a stale list, else decide.DeltaUpdate
+	Endpoints []decide.Endpoint // StartedAt is as a source gave it
+	Addresses []string          // of Endpoints, in the same order
 }
 
-// Confirm asks a source for its whole list once more, at another of its servers where it has one. What
-// comes of it is a Heard with Repeat, or a Lost.
+// Confirm asks for a source's full list once more, by another of its servers where it has several. The caller answers with
+// a SourceUpdate with Repeat set, or a SourceUnavailable.
 type Confirm struct{ Source string }
 
-// Wake asks for a Tick at or after At. A later Wake takes the place of the one before.
+// Wake asks for a Tick at or after At. It replaces the Wake before.
 type Wake struct{ At Time }
 
-// Log adds a line to the log, for the engineer on call.
+// Log is a line for the log, for the engineer on call.
 type Log struct {
 	Level   slog.Level
 	Message string
--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -7,7 +7,7 @@
 	"starlingwinch/decide"
 )
 
-func benchMembers(b *testing.B, n int) (*Merger, []Claim) {
+func newBenchMerger(b *testing.B, n int) (*Merger, []Claim) {
 	b.Helper()
 	m, err := New(Options{Sources: []SourceOptions{platform, eureka}, Damping: DefaultDamping(), MassRemoval: DefaultMassRemoval()})
 	if err != nil {
@@ -20,11 +20,11 @@
 	return m, all
 }
 
-// BenchmarkChange: one cache drains and comes back, told by the second of two sources.
+// BenchmarkChange: the second of two sources drains one endpoint and brings it back.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{14, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m, all := benchMembers(b, n)
+			m, all := newBenchMerger(b, n)
 			drains := all[0]
 			drains.Endpoint.Status = decide.Draining
 			evs := []*SourceUpdate{{Source: "eureka", Claims: []Claim{drains}}, {Source: "eureka", Claims: all[:1]}}
@@ -36,11 +36,11 @@
 	}
 }
 
-// BenchmarkFull: a whole list in which nothing has changed.
+// BenchmarkFull: a full list in which nothing has changed.
 func BenchmarkFull(b *testing.B) {
 	for _, n := range []int{14, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m, all := benchMembers(b, n)
+			m, all := newBenchMerger(b, n)
 			ev := &SourceUpdate{Source: "eureka", Full: true, Claims: all}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkFullNew: the first whole list, in which all caches are new.
+// BenchmarkFullNew: the first full list, in which all endpoints are new.
 func BenchmarkFullNew(b *testing.B) {
 	for _, n := range []int{14, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/endpoints/config.go
+++ b/internal/endpoints/config.go
@@ -7,11 +7,11 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// The sources that there are, by the names that operators know them by.
+// The names of the sources in the operators' file and in the log.
 const (
-	Discovery = "discovery" // the platform's
-	Eureka    = "eureka"
-	File      = "file"
+	Discovery = "discovery" // the platform's discovery service
+	Eureka    = "eureka"    // a Eureka registry
+	File      = "file"      // a file with a fixed list
 )
 
 // Config is an operators' file of the kind "membership".
@@ -22,7 +22,7 @@
 	MassRemoval MassRemovalSection `toml:"loss"`
 }
 
-// DampingSection holds caches down that a registry takes away and brings back again and again.
+// DampingSection sets the flap damping of caches that a registry takes away and brings back again and again.
 type DampingSection struct {
 	Penalty     int           `toml:"penalty" min:"1" max:"1000000" doc:"added for each flap"`
 	Suppress    int           `toml:"suppress" min:"1" max:"1000000" doc:"above that, good news is held down"`
@@ -31,7 +31,7 @@
 	MaxSuppress time.Duration `toml:"longest" min:"100ms" max:"24h" doc:"for which good news is held down, at most"`
 }
 
-// MassRemovalSection says when a registry's list is asked for again before it is believed.
+// MassRemovalSection says when a registry must confirm a list before it is believed.
 type MassRemovalSection struct {
 	Percent       int           `toml:"percent" min:"1" max:"100" doc:"more than so many of the caches that took work are left out at once"`
 	ConfirmWithin time.Duration `toml:"within" min:"10ms" max:"10s" doc:"an absence that nobody has confirmed or denied by then is obeyed"`
@@ -40,52 +40,73 @@
 
 // DefaultConfig is what holds where no file says otherwise.
 func DefaultConfig() Config {
-	d, l := DefaultDamping(), DefaultMassRemoval()
+	damping, massRemoval := DefaultDamping(), DefaultMassRemoval()
 	return Config{
 		Order: []string{Discovery, Eureka, File},
-		Damping: DampingSection{Penalty: int(d.Penalty), Suppress: int(d.Suppress), Reuse: int(d.Reuse),
-			HalfLife: time.Duration(d.HalfLife) * time.Microsecond, MaxSuppress: time.Duration(d.MaxSuppress) * time.Microsecond},
-		MassRemoval: MassRemovalSection{Percent: int(100 * l.Fraction), ConfirmWithin: time.Duration(l.ConfirmWithin) * time.Microsecond, MinEndpoints: l.MinEndpoints},
+		Damping: DampingSection{
+			Penalty:     int(damping.Penalty),
+			Suppress:    int(damping.Suppress),
+			Reuse:       int(damping.Reuse),
+			HalfLife:    duration(damping.HalfLife),
+			MaxSuppress: duration(damping.MaxSuppress),
+		},
+		MassRemoval: MassRemovalSection{
+			Percent:       int(100 * massRemoval.Fraction),
+			ConfirmWithin: duration(massRemoval.ConfirmWithin),
+			MinEndpoints:  massRemoval.MinEndpoints,
+		},
 	}
 }
 
-// Kind is the kind of file that sets it.
+// Kind is the kind of operators' file that sets a Config.
 var Kind = operatorconfig.Define("membership", "how the sources of the list of caches are merged", DefaultConfig(), checkConfig)
 
-// checkConfig looks at what no single range tells.
-func checkConfig(c Config, bad operatorconfig.ReportFunc) {
+// checkConfig reports what the range of a single key can't express.
+func checkConfig(c Config, report operatorconfig.ReportFunc) {
 	known := []string{Discovery, Eureka, File}
 	for i, name := range c.Order {
 		switch {
 		case !slices.Contains(known, name):
-			bad("order", "unknown source %.40q (wanted discovery, eureka or file)", name)
+			report("order", "unknown source %.40q (wanted discovery, eureka or file)", name)
 		case slices.Index(c.Order, name) < i:
-			bad("order", "%s stands twice", name)
+			report("order", "%s stands twice", name)
 		}
 	}
 	if c.File != "" && !slices.Contains(c.Order, File) {
-		bad("file", "set, but order does not name file")
+		report("file", "set, but order does not name file")
 	}
-	o := c.Options(known)
-	if err := o.check(); err != nil {
-		bad("damping", "%v", err)
+	options := c.Options(known)
+	if err := options.check(); err != nil {
+		report("damping", "%v", err)
 	}
 }
 
-// Options are those of New, for the sources that are in use. Registries flap and lose their lists; the
-// platform's word, and a file's, is taken as it is.
+// maxRemovedRemembered bounds the removed endpoints that a router remembers.
+const maxRemovedRemembered = 2000
+
+// Options are those of New, for the sources that are in use. Only a registry is damped and has to confirm a mass removal: the
+// lists of the platform and of the file are authoritative.
 func (c Config) Options(inUse []string) Options {
-	o := Options{
-		Damping: Damping{Penalty: float64(c.Damping.Penalty), Suppress: float64(c.Damping.Suppress),
-			Reuse: float64(c.Damping.Reuse), HalfLife: c.Damping.HalfLife.Microseconds(),
-			MaxSuppress: c.Damping.MaxSuppress.Microseconds()},
-		MassRemoval: MassRemoval{Fraction: float64(c.MassRemoval.Percent) / 100, ConfirmWithin: c.MassRemoval.ConfirmWithin.Microseconds(), MinEndpoints: c.MassRemoval.MinEndpoints},
-		MaxRemoved:  2000,
+	options := Options{
+		Damping: Damping{
+			Penalty:     float64(c.Damping.Penalty),
+			Suppress:    float64(c.Damping.Suppress),
+			Reuse:       float64(c.Damping.Reuse),
+			HalfLife:    c.Damping.HalfLife.Microseconds(),
+			MaxSuppress: c.Damping.MaxSuppress.Microseconds(),
+		},
+		MassRemoval: MassRemoval{
+			Fraction:      float64(c.MassRemoval.Percent) / 100,
+			ConfirmWithin: c.MassRemoval.ConfirmWithin.Microseconds(),
+			MinEndpoints:  c.MassRemoval.MinEndpoints,
+		},
+		MaxRemoved: maxRemovedRemembered,
 	}
 	for _, name := range c.Order {
 		if slices.Contains(inUse, name) {
-			o.Sources = append(o.Sources, SourceOptions{Name: name, Damped: name == Eureka, ConfirmMassRemoval: name == Eureka})
+			isRegistry := name == Eureka
+			options.Sources = append(options.Sources, SourceOptions{Name: name, Damped: isRegistry, ConfirmMassRemoval: isRegistry})
 		}
 	}
-	return o
+	return options
 }
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -10,15 +10,15 @@
 
 const second Time = 1e6
 
-// rig is a Members, and what came of it.
+// rig is a Merger under test, with the list that it has published.
 type rig struct {
 	*testing.T
 	*Merger
-	at      Time
-	list    map[string]decide.Endpoint // as handed on
-	addrs   map[string]string
-	ups     map[string]int // how often a cache was handed on as taking work, when it did not
-	actions []Action       // of the last event
+	at      Time                       // of the next event
+	list    map[string]decide.Endpoint // as published
+	addrs   map[string]string          // as published
+	ups     map[string]int             // how often an endpoint became serving, by id
+	actions []Action                   // of the last event
 }
 
 func newRig(t *testing.T, sources ...SourceOptions) *rig {
@@ -36,8 +36,8 @@
 		ups: map[string]int{}}
 }
 
-// tell hands an event over and takes in what is published.
-func (r *rig) tell(ev Event) []Action {
+// handle passes an event to the Merger and applies what is published.
+func (r *rig) handle(ev Event) []Action {
 	r.Helper()
 	r.actions = r.Handle(r.at, ev)
 	for _, a := range r.actions {
@@ -48,7 +48,7 @@
 		worst := decide.Removed
 		for i, e := range p.Endpoints {
 			if e.Status > worst {
-				r.Errorf("at %d: good news comes before bad: %+v", r.at, p.Endpoints)
+				r.Errorf("at %d: an endpoint is published before one that is closer to removal: %+v", r.at, p.Endpoints)
 			}
 			worst = e.Status
 			if old, was := r.list[e.ID]; e.Status == decide.Serving && (!was || old.Status != decide.Serving) {
@@ -69,33 +69,34 @@
 func (r *rig) after(span Time) *rig {
 	r.Helper()
 	end := r.at + span
-	for r.wake != 0 && r.wake <= end {
-		r.at = max(r.at, r.wake)
-		r.tell(&Tick{})
+	for r.wakeAt != 0 && r.wakeAt <= end {
+		r.at = max(r.at, r.wakeAt)
+		r.handle(&Tick{})
 	}
 	r.at = end
 	return r
 }
 
-// full and changes tell a list: "c1" takes work, "c1-" drains, "c1x" is gone.
+// full, repeat and changes bring a list of a source: "c1" is serving, "c1-" draining, "c1x" removed.
 func (r *rig) full(source string, caches ...string) []Action {
 	r.Helper()
-	return r.tell(&SourceUpdate{Source: source, Full: true, Claims: claims(caches...)})
+	return r.handle(&SourceUpdate{Source: source, Full: true, Claims: claims(caches...)})
 }
 
 func (r *rig) repeat(source string, caches ...string) []Action {
 	r.Helper()
-	return r.tell(&SourceUpdate{Source: source, Full: true, Repeat: true, Claims: claims(caches...)})
+	return r.handle(&SourceUpdate{Source: source, Full: true, Repeat: true, Claims: claims(caches...)})
 }
 
 func (r *rig) changes(source string, caches ...string) []Action {
 	r.Helper()
-	return r.tell(&SourceUpdate{Source: source, Claims: claims(caches...)})
+	return r.handle(&SourceUpdate{Source: source, Claims: claims(caches...)})
 }
 
-func (r *rig) lost(source string) []Action {
+// unavailable makes a source unavailable.
+func (r *rig) unavailable(source string) []Action {
 	r.Helper()
-	return r.tell(&SourceUnavailable{Source: source, Reason: "connection refused"})
+	return r.handle(&SourceUnavailable{Source: source, Reason: "connection refused"})
 }
 
 func claims(caches ...string) []Claim {
@@ -114,7 +115,7 @@
 	return all
 }
 
-// names is c1 to cN.
+// names returns the ids from "c<from>" to "c<to>".
 func names(from, to int) []string {
 	var all []string
 	for i := from; i <= to; i++ {
@@ -123,16 +124,16 @@
 	return all
 }
 
-// state is a cache as handed on: "up", "drains", "gone".
+// state is the status of an endpoint as published: "serving", "draining" or "removed".
 func (r *rig) state(id string) string {
 	e, is := r.list[id]
 	switch {
 	case !is:
-		return "gone"
+		return "removed"
 	case e.Status == decide.Draining:
-		return "drains"
+		return "draining"
 	}
-	return "up"
+	return "serving"
 }
 
 func (r *rig) want(id, state string) {
@@ -149,6 +150,7 @@
 	}
 }
 
+// confirms is how many Confirms the last event led to.
 func (r *rig) confirms() int {
 	n := 0
 	for _, a := range r.actions {
@@ -159,7 +161,7 @@
 	return n
 }
 
-// wakes are the instants that the last event has asked for.
+// wakes are the Wakes that the last event led to.
 func (r *rig) wakes() []Time {
 	var all []Time
 	for _, a := range r.actions {
--- a/internal/endpoints/random_test.go
+++ b/internal/endpoints/invariants_test.go
@@ -10,13 +10,13 @@
 	"starlingwinch/decide"
 )
 
-// randomClaims names some of n caches, in any condition.
-func randomClaims(rnd *rand.Rand, n int, bad float64) []Claim {
+// randomClaims are claims on some of n endpoints, a fraction of them drains and removals.
+func randomClaims(rnd *rand.Rand, n int, downgraded float64) []Claim {
 	var all []Claim
 	for _, i := range rnd.Perm(n)[:rnd.IntN(n+1)] {
 		c := Claim{Address: fmt.Sprintf("10.0.0.%d:%d", rnd.IntN(3), i+1), Reason: "word",
 			Endpoint: decide.Endpoint{ID: fmt.Sprintf("c%d", i), Zone: "a", Weight: 1, StartedAt: Time(rnd.IntN(2))}}
-		if rnd.Float64() < bad {
+		if rnd.Float64() < downgraded {
 			c.Endpoint.Status = decide.Status(1 + rnd.IntN(2))
 		}
 		if c.Endpoint.Status != decide.Serving && rnd.IntN(2) == 0 {
@@ -27,8 +27,8 @@
 	return all
 }
 
-// TestPlatformAloneIsPublishedAsItSpeaks, in the same turn: a plain replay of its lists holds the same caches.
-func TestPlatformAloneIsPublishedAsItSpeaks(t *testing.T) {
+// TestSingleSourceIsPublishedAsItIs, in the same turn: a plain replay of its lists gives the same endpoints.
+func TestSingleSourceIsPublishedAsItIs(t *testing.T) {
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		r := newRigOf(t, Options{Sources: []SourceOptions{platform}})
@@ -37,7 +37,7 @@
 			r.after(Time(rnd.Int64N(second)))
 			ev := &SourceUpdate{Source: "platform", Full: rnd.IntN(3) == 0, Claims: randomClaims(rnd, 12, 0.3)}
 			if rnd.IntN(10) == 0 {
-				r.lost("platform")
+				r.unavailable("platform")
 			}
 			named := map[string]bool{}
 			if ev.Full && rnd.IntN(4) == 0 {
@@ -61,7 +61,7 @@
 				maps.DeleteFunc(list, func(id string, _ decide.Endpoint) bool { return !named[id] })
 				maps.DeleteFunc(addrs, func(id string, _ string) bool { return !named[id] })
 			}
-			r.tell(ev)
+			r.handle(ev)
 			if !maps.Equal(r.list, list) {
 				t.Fatalf("seed %d, step %d: %v, want %v", seed, step, r.list, list)
 			}
@@ -74,47 +74,47 @@
 	}
 }
 
-// oracle knows which caches must not take work: those of which a source's latest word is bad. It does not
-// look at how the module works that out.
+// oracle knows which endpoints must not be serving: those that the latest claim of a source drains or removes. It shares no
+// code with the Merger.
 type oracle struct {
-	bad    map[string]map[string]bool // by source, then cache: false for one that it says takes work
-	missed map[string]map[string]Time // left out by a source that is checked, once so far
+	unusable map[string]map[string]bool // by source, then endpoint: false for one that it claims to be serving
+	omitted  map[string]map[string]Time // omitted once so far by a source that must confirm a mass removal
 }
 
 func newOracle(sources ...string) *oracle {
-	o := &oracle{bad: map[string]map[string]bool{}, missed: map[string]map[string]Time{}}
+	o := &oracle{unusable: map[string]map[string]bool{}, omitted: map[string]map[string]Time{}}
 	for _, s := range sources {
-		o.bad[s], o.missed[s] = map[string]bool{}, map[string]Time{}
+		o.unusable[s], o.omitted[s] = map[string]bool{}, map[string]Time{}
 	}
 	return o
 }
 
-func (o *oracle) hear(now Time, ev *SourceUpdate, checked bool) {
-	bad, missed := o.bad[ev.Source], o.missed[ev.Source]
+func (o *oracle) update(now Time, ev *SourceUpdate, confirms bool) {
+	unusable, omitted := o.unusable[ev.Source], o.omitted[ev.Source]
 	named := map[string]bool{}
 	for _, c := range ev.Claims {
 		id := c.Endpoint.ID
-		bad[id] = c.Endpoint.Status != decide.Serving
+		unusable[id] = c.Endpoint.Status != decide.Serving
 		named[id] = true
-		delete(missed, id)
+		delete(omitted, id)
 	}
 	if !ev.Full {
 		return
 	}
-	for id := range bad {
-		since, again := missed[id]
+	for id := range unusable {
+		since, again := omitted[id]
 		switch {
-		case named[id] || bad[id]:
-		case !checked, again && (ev.Repeat || now-since >= DefaultMassRemoval().ConfirmWithin):
-			bad[id] = true
-			delete(missed, id)
+		case named[id] || unusable[id]:
+		case !confirms, again && (ev.Repeat || now-since >= DefaultMassRemoval().ConfirmWithin):
+			unusable[id] = true
+			delete(omitted, id)
 		case !again:
-			missed[id] = now
+			omitted[id] = now
 		}
 	}
 }
 
-// randomEvent is anything that one of three sources may tell.
+// randomEvent is any event of one of three sources.
 func randomEvent(rnd *rand.Rand, caches int) Event {
 	name := []string{"platform", "eureka", "file"}[rnd.IntN(3)]
 	if rnd.IntN(8) == 0 {
@@ -125,10 +125,10 @@
 	return ev
 }
 
-// TestNoCacheTakesWorkOfWhichASourceHasBadNews, from the turn on in which it is told.
-func TestNoCacheTakesWorkOfWhichASourceHasBadNews(t *testing.T) {
+// TestNoEndpointServesThatASourceDrainsOrRemoves, from the turn of the update on.
+func TestNoEndpointServesThatASourceDrainsOrRemoves(t *testing.T) {
 	const caches = 10
-	taken := 0
+	checked := 0
 	for seed := range uint64(500) {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		r := newRig(t, platform, eureka, fixed)
@@ -137,50 +137,62 @@
 			r.after(Time(rnd.Int64N(2 * second)))
 			ev := randomEvent(rnd, caches)
 			if h, is := ev.(*SourceUpdate); is {
-				o.hear(r.at, h, h.Source == "eureka")
+				o.update(r.at, h, h.Source == "eureka")
 			}
-			r.tell(ev)
+			r.handle(ev)
 			for id, e := range r.list {
-				for source, words := range o.bad {
-					if e.Status == decide.Serving && words[id] {
-						t.Fatalf("seed %d, step %d: %s takes work, and %s says no", seed, step, id, source)
+				for source, unusable := range o.unusable {
+					if e.Status == decide.Serving && unusable[id] {
+						t.Fatalf("seed %d, step %d: %s is serving, and %s drains or removes it", seed, step, id, source)
 					}
 				}
 				if e.Status == decide.Serving {
-					taken++
+					checked++
 				}
 			}
 		}
-		// In the end all sources agree, and when it has been quiet for long enough all caches take work.
+		// In the end all sources agree, and once the suppressions are over all endpoints are serving.
 		all := names(0, caches-1)
 		for _, source := range []string{"platform", "eureka", "file"} {
 			r.full(source, all...)
 		}
-		r.after(DefaultDamping().MaxSuppress).wantAll(all, "up")
+		r.after(DefaultDamping().MaxSuppress).wantAll(all, "serving")
 		for _, s := range r.Sources(r.at) {
 			if s.Caches != caches || s.Up != caches || s.Unconfirmed != 0 {
-				t.Fatalf("seed %d: the books are wrong: %+v", seed, s)
+				t.Fatalf("seed %d: wrong counters: %+v", seed, s)
 			}
 		}
-		if r.up != caches || r.gone.Len() != 0 || len(r.held) != 0 {
-			t.Fatalf("seed %d: %d up, %d gone, %d held", seed, r.up, r.gone.Len(), len(r.held))
+		if r.serving != caches || r.removed.Len() != 0 || len(r.suppressed) != 0 {
+			t.Fatalf("seed %d: %d serving, %d removed, %d suppressed", seed, r.serving, r.removed.Len(), len(r.suppressed))
 		}
 	}
-	if taken < 10_000 {
-		t.Errorf("only %d times was a cache that takes work looked at", taken)
+	if checked < 10_000 {
+		t.Errorf("only %d checks of a serving endpoint", checked)
 	}
 }
 
-// TestEqualEventsGiveEqualActions, also where so many caches have gone that some are forgotten.
+// textual returns actions in a form that reflect.DeepEqual compares whole: of a text in a slog.Value it sees one byte.
+func textual(actions []Action) []any {
+	all := make([]any, len(actions))
+	for i, a := range actions {
+		all[i] = a
+		if line, is := a.(Log); is {
+			all[i] = fmt.Sprint(line.Level, line.Message, line.Attrs)
+		}
+	}
+	return all
+}
+
+// TestEqualEventsGiveEqualActions, also where so many endpoints were removed that some are forgotten.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(50) {
-		run := func() (all [][]Action, rows []Row) {
+		run := func() (all [][]any, rows []Row) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
 			r := newRigOf(t, Options{Sources: []SourceOptions{platform, eureka, fixed}, Damping: DefaultDamping(),
 				MassRemoval: DefaultMassRemoval(), MaxRemoved: 5, MaxEndpoints: 30})
 			for range 100 {
 				r.after(Time(rnd.Int64N(second)))
-				all = append(all, r.tell(randomEvent(rnd, 40)))
+				all = append(all, textual(r.handle(randomEvent(rnd, 40))))
 			}
 			return all, r.Table(r.at)
 		}
@@ -192,31 +204,32 @@
 	}
 }
 
-// TestMemoryIsBounded. The danger: caches come and go under ever new names, for weeks.
+// TestMemoryIsBounded where endpoints come and go under ever new ids.
 func TestMemoryIsBounded(t *testing.T) {
 	r := newRigOf(t, Options{Sources: []SourceOptions{platform, eureka}, Damping: DefaultDamping(), MassRemoval: DefaultMassRemoval(),
 		MaxEndpoints: 100, MaxRemoved: 1000})
 	for i := 0; i < 100_000; i += 50 {
 		r.at += second / 100
-		var gone []string
+		var removed []string
 		for _, id := range names(i, i+49) {
-			gone = append(gone, id+"x")
+			removed = append(removed, id+"x")
 		}
-		for range 3 { // so that they are held down
+		for range 3 { // so that they are suppressed
 			r.changes("eureka", names(i, i+49)...)
-			r.changes("eureka", gone...)
+			r.changes("eureka", removed...)
 		}
-		r.changes("platform", fmt.Sprintf("c%dx", i+1_000_000)) // gone before anyone knew it
-		if len(r.caches) > 1100 || r.gone.Len() > 1000 || len(r.held) > len(r.caches) {
-			t.Fatalf("%d caches, %d gone, %d held", len(r.caches), r.gone.Len(), len(r.held))
+		r.changes("platform", fmt.Sprintf("c%dx", i+1_000_000)) // removed before any source named it
+		if len(r.endpoints) > 1100 || r.removed.Len() > 1000 || len(r.suppressed) > len(r.endpoints) {
+			t.Fatalf("%d endpoints, %d removed, %d suppressed", len(r.endpoints), r.removed.Len(), len(r.suppressed))
 		}
 	}
 	r.changes("eureka", names(2_000_000, 2_000_300)...)
 	if len(r.list) != 100 {
-		t.Errorf("%d caches handed on, the bound is 100", len(r.list))
+		t.Errorf("%d endpoints published, the bound is 100", len(r.list))
 	}
-	r.at += 2 * keepGone
-	if r.tell(&Tick{}); r.gone.Len() != 0 || len(r.caches) != 100 {
-		t.Errorf("%d caches are remembered after a long time", r.gone.Len())
+	r.at += 2 * minRemovedRetention
+	r.handle(&Tick{})
+	if r.removed.Len() != 0 || len(r.endpoints) != 100 {
+		t.Errorf("%d removed endpoints are remembered after a long time", r.removed.Len())
 	}
 }
--- a/internal/endpoints/merge_test.go
+++ b/internal/endpoints/merger_test.go
@@ -13,86 +13,85 @@
 	fixed    = SourceOptions{Name: "file"}
 )
 
-// TestSourcesThatDisagreeHaveAnOrder: what is handed on of a cache of which two sources know, by the words of the
-// first and of the second one.
-func TestSourcesThatDisagreeHaveAnOrder(t *testing.T) {
+// TestMergeOfTwoSources is the truth table of an endpoint by the claims of the first and of the second source.
+func TestMergeOfTwoSources(t *testing.T) {
 	for _, c := range []struct{ first, second, want string }{
-		{"c1", "c1", "up"}, {"c1", "c1-", "drains"}, {"c1", "c1x", "drains"}, {"c1", "", "up"},
-		{"c1-", "c1", "drains"}, {"c1-", "c1-", "drains"}, {"c1-", "c1x", "drains"}, {"c1-", "", "drains"},
-		{"c1x", "c1", "gone"}, {"c1x", "c1-", "gone"}, {"c1x", "c1x", "gone"}, {"c1x", "", "gone"},
-		{"", "c1", "up"}, {"", "c1-", "drains"}, {"", "c1x", "gone"},
+		{"c1", "c1", "serving"}, {"c1", "c1-", "draining"}, {"c1", "c1x", "draining"}, {"c1", "", "serving"},
+		{"c1-", "c1", "draining"}, {"c1-", "c1-", "draining"}, {"c1-", "c1x", "draining"}, {"c1-", "", "draining"},
+		{"c1x", "c1", "removed"}, {"c1x", "c1-", "removed"}, {"c1x", "c1x", "removed"}, {"c1x", "", "removed"},
+		{"", "c1", "serving"}, {"", "c1-", "draining"}, {"", "c1x", "removed"},
 	} {
-		for _, turned := range []bool{false, true} { // whoever speaks first
+		for _, secondComesFirst := range []bool{false, true} {
 			r := newRig(t, platform, eureka)
-			say := func(source, word string) {
-				if word != "" {
-					r.changes(source, word)
+			claim := func(source, endpoint string) {
+				if endpoint != "" {
+					r.changes(source, endpoint)
 				}
 			}
-			if turned {
-				say("eureka", c.second)
-				say("platform", c.first)
+			if secondComesFirst {
+				claim("eureka", c.second)
+				claim("platform", c.first)
 			} else {
-				say("platform", c.first)
-				say("eureka", c.second)
+				claim("platform", c.first)
+				claim("eureka", c.second)
 			}
 			if got := r.state("c1"); got != c.want {
-				t.Errorf("first %q, second %q, turned %v: %s, want %s", c.first, c.second, turned, got, c.want)
+				t.Errorf("first %q, second %q, second comes first %v: %s, want %s", c.first, c.second, secondComesFirst, got, c.want)
 			}
 		}
 	}
 }
 
-func TestCacheThatASourceLeavesOutStaysAwayUntilItNamesItAgain(t *testing.T) {
+func TestOmittedEndpointIsRemovedUntilItIsNamedAgain(t *testing.T) {
 	r := newRig(t, platform, fixed)
 	r.full("platform", "c1", "c2")
 	r.full("file", "c1", "c2")
 	r.full("file", "c2")
-	r.want("c1", "drains")
+	r.want("c1", "draining")
 	r.full("platform", "c1", "c2")
-	r.want("c1", "drains")
+	r.want("c1", "draining")
 	r.full("platform", "c2")
-	r.want("c1", "gone")
+	r.want("c1", "removed")
 	r.full("platform", "c1", "c2")
-	r.want("c1", "drains") // the file has not named it since
+	r.want("c1", "draining") // the file has not named it since
 	r.full("file", "c1", "c2")
-	r.want("c1", "up")
+	r.want("c1", "serving")
 }
 
-func TestFirstSourceSaysWhatACacheIsLike(t *testing.T) {
+func TestFirstSourceDescribesTheEndpoint(t *testing.T) {
 	r := newRig(t, fixed, eureka)
-	r.tell(&SourceUpdate{Source: "eureka", Claims: []Claim{{Address: "10.0.0.2:2",
+	r.handle(&SourceUpdate{Source: "eureka", Claims: []Claim{{Address: "10.0.0.2:2",
 		Endpoint: decide.Endpoint{ID: "c1", Zone: "b", Cell: 2, Weight: 2, StartedAt: 77}}}})
 	if e := r.list["c1"]; e.Zone != "b" || r.addrs["c1"] != "10.0.0.2:2" {
 		t.Errorf("%+v at %s", e, r.addrs["c1"])
 	}
-	r.tell(&SourceUpdate{Source: "file", Claims: []Claim{{Address: "10.0.0.1:1",
+	r.handle(&SourceUpdate{Source: "file", Claims: []Claim{{Address: "10.0.0.1:1",
 		Endpoint: decide.Endpoint{ID: "c1", Zone: "a", Cell: 1, Weight: 1}}}})
-	want := decide.Endpoint{ID: "c1", Zone: "a", Cell: 1, Weight: 1, StartedAt: 77} // the file knows no start
+	want := decide.Endpoint{ID: "c1", Zone: "a", Cell: 1, Weight: 1, StartedAt: 77} // the file knows no start time
 	if r.list["c1"] != want || r.addrs["c1"] != "10.0.0.1:1" {
 		t.Errorf("%+v at %s, want %+v", r.list["c1"], r.addrs["c1"], want)
 	}
 }
 
-// TestAddressHandedOnIsToldInOnePublishBadNewsFirst: a cache drains, and a new one has its address within one poll.
-func TestAddressHandedOnIsToldInOnePublishBadNewsFirst(t *testing.T) {
+// TestDrainIsPublishedBeforeTheNewEndpointAtItsAddress, in one Publish where one list has both.
+func TestDrainIsPublishedBeforeTheNewEndpointAtItsAddress(t *testing.T) {
 	r := newRig(t, platform)
 	r.full("platform", "c1", "c2")
 	next := claims("c1-", "c2", "c3")
 	next[2].Address, next[0].Address = next[0].Address, ""
-	r.tell(&SourceUpdate{Source: "platform", Full: true, Claims: next})
+	r.handle(&SourceUpdate{Source: "platform", Full: true, Claims: next})
 	p := r.actions[0].(Publish)
 	if len(p.Endpoints) != 2 || p.Endpoints[0].ID != "c1" || p.Endpoints[1].ID != "c3" || p.Addresses[0] != p.Addresses[1] {
 		t.Errorf("published %+v at %q", p.Endpoints, p.Addresses)
 	}
 }
 
-func TestNewStartIsPassedOnAtOnce(t *testing.T) {
+func TestNewStartTimeIsPublishedAtOnce(t *testing.T) {
 	r := newRig(t, eureka)
 	r.full("eureka", "c1", "c2")
 	again := claims("c1", "c2")
 	again[0].Endpoint.StartedAt = 9
-	r.tell(&SourceUpdate{Source: "eureka", Full: true, Claims: again})
+	r.handle(&SourceUpdate{Source: "eureka", Full: true, Claims: again})
 	if e := r.list["c1"]; e.StartedAt != 9 || e.Status != decide.Serving {
 		t.Errorf("%+v", e)
 	}
@@ -101,12 +100,12 @@
 	}
 }
 
-func TestSourceThatIsLostTakesNothingAwayAndItsAgeShows(t *testing.T) {
+func TestUnavailableSourceRemovesNothingAndShowsItsAge(t *testing.T) {
 	r := newRig(t, platform, eureka)
 	r.full("eureka", names(1, 9)...)
-	r.after(5 * second).lost("eureka")
-	r.after(20 * second).lost("eureka")
-	r.wantAll(names(1, 9), "up")
+	r.after(5 * second).unavailable("eureka")
+	r.after(20 * second).unavailable("eureka")
+	r.wantAll(names(1, 9), "serving")
 	s := r.Sources(r.at)[1]
 	if s.Age != 25*second || s.UnavailableFor != 20*second || s.Caches != 9 || s.Reason == "" {
 		t.Errorf("%+v", s)
@@ -123,33 +122,32 @@
 	}
 }
 
-func TestOldListComesFirstAndRemovesNothing(t *testing.T) {
+func TestStaleListIsPublishedFirstAndRemovesNothing(t *testing.T) {
 	r := newRig(t, platform, eureka)
-	r.tell(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c1", "c2")})
+	r.handle(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c1", "c2")})
 	if p := r.actions[0].(Publish); p.Kind != decide.StaleUpdate || len(p.Endpoints) != 2 {
 		t.Errorf("%+v", p)
 	}
 	if !strings.Contains(r.rowOf("c1").Reason, "old list") {
 		t.Errorf("%+v", r.rowOf("c1"))
 	}
-	r.tell(&SourceUpdate{Source: "eureka", Full: true, Stale: true, Claims: claims("c3")})
+	r.handle(&SourceUpdate{Source: "eureka", Full: true, Stale: true, Claims: claims("c3")})
 	if p := r.actions[0].(Publish); p.Kind != decide.DeltaUpdate {
-		t.Errorf("%+v", p) // a second one of the kind would take the first one's caches away
+		t.Errorf("%+v", p) // a second StaleUpdate would remove the endpoints of the first one
 	}
 	r.full("platform", "c1")
-	r.want("c2", "gone")
-	r.tell(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c2", "c4")})
-	r.want("c1", "up")
-	r.want("c2", "gone")
-	r.want("c4", "gone")
+	r.want("c2", "removed")
+	r.handle(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c2", "c4")})
+	r.want("c1", "serving")
+	r.want("c2", "removed")
+	r.want("c4", "removed")
 }
 
-// TestFirstOldListOfASourceCounts, not the next one.
-func TestFirstOldListOfASourceCounts(t *testing.T) {
+func TestFirstStaleListOfASourceCounts(t *testing.T) {
 	r := newRig(t, platform)
-	r.tell(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c1-")})
-	r.tell(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c1")})
-	r.want("c1", "drains")
+	r.handle(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c1-")})
+	r.handle(&SourceUpdate{Source: "platform", Full: true, Stale: true, Claims: claims("c1")})
+	r.want("c1", "draining")
 }
 
 func TestUnknownSourceChangesNothing(t *testing.T) {
@@ -159,7 +157,7 @@
 	}
 }
 
-func TestFirstListIsPublishedThoughItIsEmpty(t *testing.T) {
+func TestFirstListIsPublishedEvenIfEmpty(t *testing.T) {
 	r := newRig(t, platform)
 	r.full("platform")
 	if p, is := r.actions[0].(Publish); !is || p.Kind != decide.DeltaUpdate {
@@ -170,24 +168,24 @@
 	}
 }
 
-func TestCacheThatStandsTwiceInAListHasTheWorseNews(t *testing.T) {
+func TestOfTwoEntriesTheOneCloserToRemovalCounts(t *testing.T) {
 	r := newRig(t, platform)
 	r.full("platform", "c1", "c1-", "c2-", "c2", "c3")
-	r.want("c1", "drains")
-	r.want("c2", "drains")
-	r.want("c3", "up")
+	r.want("c1", "draining")
+	r.want("c2", "draining")
+	r.want("c3", "serving")
 }
 
-func TestEntryThatCannotBeReadStaysAsItIs(t *testing.T) {
+func TestUnreadableEntryLeavesEndpointAsItIs(t *testing.T) {
 	r := newRig(t, platform)
 	r.full("platform", "c1", "c2", "c3")
-	r.tell(&SourceUpdate{Source: "platform", Full: true, Claims: claims("c3"), Unreadable: []string{"c1", "c9"}})
-	r.want("c1", "up")
-	r.want("c2", "gone")
-	r.want("c9", "gone")
+	r.handle(&SourceUpdate{Source: "platform", Full: true, Claims: claims("c3"), Unreadable: []string{"c1", "c9"}})
+	r.want("c1", "serving")
+	r.want("c2", "removed")
+	r.want("c9", "removed")
 }
 
-func TestOptionsAreCheckedByName(t *testing.T) {
+func TestNewNamesTheInvalidOption(t *testing.T) {
 	good := func() Options {
 		return Options{Sources: []SourceOptions{platform, eureka}, Damping: DefaultDamping(), MassRemoval: DefaultMassRemoval()}
 	}
@@ -210,10 +208,10 @@
 		o := good()
 		spoil(&o)
 		if _, err := New(o); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("want a word on %s, got %v", name, err)
+			t.Errorf("want an error that names %s, got %v", name, err)
 		}
 	}
 	if _, err := New(Options{Sources: []SourceOptions{platform}}); err != nil {
-		t.Errorf("the platform alone needs no more: %v", err)
+		t.Errorf("a source without damping or confirmation needs no other options: %v", err)
 	}
 }
--- a/internal/router/list_test.go
+++ b/internal/router/list_test.go
@@ -163,9 +163,13 @@
 	want := func(text string) {
 		t.Helper()
 		for {
-			_, got, ok := strings.Cut(strings.TrimRight(receive(t, lines, "line"), "\"\n"), "list of caches: ")
-			if !ok || strings.HasPrefix(got, "discovery ") {
-				continue // of the calls, not of the caches
+			line := strings.TrimRight(receive(t, lines, "line"), "\n")
+			_, got, ok := strings.Cut(line, `msg="endpoint `)
+			if !ok {
+				_, got, ok = strings.Cut(line, "list of caches: ")
+			}
+			if !ok || strings.HasPrefix(got, "discovery ") || strings.HasPrefix(got, "source ") {
+				continue // of the calls, not of the endpoints
 			}
 			if got != text {
 				t.Errorf("logged %q, want %q", got, text)
@@ -173,15 +177,18 @@
 			return
 		}
 	}
-	want("c1 takes work (discovery: in_service)")
+	status := func(endpoint, status, reason string) string {
+		return fmt.Sprintf("status changed\" endpoint=%s status=%s source=discovery reason=%s", endpoint, status, reason)
+	}
+	want(status("c1", "serving", "in_service"))
 	r.list(2, false, host("c2", cache.Addr(), "in_service"), host("c1", cache.Addr(), "terminating"))
-	want("c1 drains (discovery: terminating)") // bad news first
-	want("c2 takes work (discovery: in_service)")
+	want(status("c1", "draining", "terminating")) // before c2, though c2 comes first in the list
+	want(status("c2", "serving", "in_service"))
 	r.list(3, true, host("c1", cache.Addr(), "terminating"))
 	want("none is left that takes work")
-	want("c2 has gone (discovery: left out of its list)")
+	want(status("c2", "removed", `"left out of its list"`))
 	r.list(4, true, host("c1", cache.Addr(), "in_service"))
-	want("c1 takes work (discovery: in_service)")
+	want(status("c1", "serving", "in_service"))
 }
 
 // TestDrainInTheLastOfManyEntriesIsKeptInTheTurnOfItsList, also where a send to that cache comes in the same turn.
--- a/internal/testbench/lab/loopback/registry_test.go
+++ b/internal/testbench/lab/loopback/registry_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("2 caches were marked, and these are told: %+v", r.Outs)
 	}
 	log := strings.Join(r.Routers[0].Tail, "\n")
-	for _, want := range []string{"drains (eureka: OUT_OF_SERVICE)", "has gone (eureka: "} {
+	for _, want := range []string{"status=draining source=eureka reason=OUT_OF_SERVICE", "status=removed source=eureka reason="} {
 		if !strings.Contains(log, want) {
 			t.Errorf("%q is not in the router's log:\n%s", want, log)
 		}
--- a/internal/testbench/lab/registry_test.go
+++ b/internal/testbench/lab/registry_test.go
@@ -57,10 +57,10 @@
 func TestCachesThatOneServerAloneLeavesOutStay(t *testing.T) {
 	for _, name := range []string{"registry-comes-back-empty", "registry-half-hidden"} {
 		lines := timeline(t, name)
-		if n := count(lines, "leaves out"); n < 3 {
+		if n := count(lines, "endpoint mass removal awaits confirmation"); n < 3 {
 			t.Errorf("%s: %d routers of 3 have asked again", name, n)
 		}
-		if n := count(lines, "has gone"); n > 0 {
+		if n := count(lines, "status=removed"); n > 0 {
 			t.Errorf("%s: caches were taken away %d times", name, n)
 		}
 	}
@@ -68,7 +68,7 @@
 
 func TestCachesThatAreTrulyGoneAreTakenAwayByAll(t *testing.T) {
 	lines := timeline(t, "registry-half-gone")
-	if n := count(lines, "^r-.*has gone"); n != 3*5 {
+	if n := count(lines, "^r-.*status=removed"); n != 3*5 {
 		t.Errorf("5 caches were taken away %d times by 3 routers", n)
 	}
 	if n := count(lines, "^r-. is told that .* takes no work"); n != 3*5 {
@@ -79,34 +79,34 @@
 func TestSilentRegistryTakesNothingAwayAndItsDeadCacheIsFound(t *testing.T) {
 	lines := timeline(t, "registry-silent-while-stale")
 	end := slices.IndexFunc(lines, func(line string) bool { return strings.HasPrefix(line, "fault registry-silent") })
-	if n := count(lines[:end], "has gone"); n > 0 {
+	if n := count(lines[:end], "status=removed"); n > 0 {
 		t.Errorf("a registry that says nothing has taken caches away %d times", n)
 	}
 	if n := count(lines[:end], "serves nothing"); n != 3 {
 		t.Errorf("%d routers of 3 have found the dead cache by themselves", n)
 	}
-	if n := count(lines[end:], "has gone"); n != 3 {
+	if n := count(lines[end:], "status=removed"); n != 3 {
 		t.Errorf("%d routers of 3 have learned of its end", n)
 	}
 }
 
 func TestFlappingCacheIsHeldDownAfterThreeFlaps(t *testing.T) {
 	lines := timeline(t, "registry-flaps")
-	if n := count(lines, "^r-1: .*list of caches: .* drains"); n == 0 || n > 3 {
+	if n := count(lines, "^r-1: .*endpoint status changed.* status=draining"); n == 0 || n > 3 {
 		t.Errorf("it was taken away %d times in 20 s", n)
 	}
 }
 
 func TestNewCacheAtAnOldAddressIsAnotherOne(t *testing.T) {
 	lines := timeline(t, "registry-address-reused")
-	if gone, new := count(lines, "^r-.*has gone"), count(lines, "^cache .* starts"); gone != 3 || new != 1 {
+	if gone, new := count(lines, "^r-.*status=removed"), count(lines, "^cache .* starts"); gone != 3 || new != 1 {
 		t.Errorf("the old one went %d times, %d have started", gone, new)
 	}
 }
 
 func TestLostDeltaIsMadeGoodByAWholeList(t *testing.T) {
 	lines := timeline(t, "registry-deltas-go-wrong")
-	if n := count(lines, "^r-.*drains .eureka: OUT_OF_SERVICE"); n != 3*3 {
+	if n := count(lines, "^r-.*status=draining source=eureka reason=OUT_OF_SERVICE"); n != 3*3 {
 		t.Errorf("3 drains were learned %d times by 3 routers", n)
 	}
 }
