--- /dev/null
+++ b/internal/frontend/client_end_test.go
@@ -0,0 +1,276 @@
+package frontend
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"starlingwinch/internal/testbench/routertest"
+)
+
+// clientEnds are the ways in which a client can end its connection.
+var clientEnds = map[string]func(c *routertest.Client){
+	"by its end":      func(c *routertest.Client) { c.Close() },
+	"by a reset":      func(c *routertest.Client) { c.SetLinger(0); c.Close() },
+	"by a half close": func(c *routertest.Client) { c.CloseWrite() },
+}
+
+// TestClientEndIsSeenWhileNotReading checks states in which the connection is not read. Requests of a client that has gone must
+// not be sent on.
+func TestClientEndIsSeenWhileNotReading(t *testing.T) {
+	for situation, prepare := range map[string]func(r *testServer, c *routertest.Client) (due int){
+		"too many answers are due": func(r *testServer, c *routertest.Client) int {
+			for i := range 10 {
+				c.Send(get(fmt.Sprint("r", i)))
+			}
+			for range 4 {
+				r.nextRequest()
+			}
+			r.Until("the pause of reading", func() bool { l := r.server.lists[stateAwaitingReplies].first; return l != nil && l.readPaused })
+			return 4
+		},
+		"behind QUIT": func(r *testServer, c *routertest.Client) int {
+			c.Send(get("r0") + get("r1") + words("QUIT") + get("r2"))
+			r.nextRequest()
+			r.nextRequest()
+			return 2
+		},
+		"behind bytes that are no command": func(r *testServer, c *routertest.Client) int {
+			c.Send(get("r0") + "*x\r\n" + get("r1"))
+			r.nextRequest()
+			return 1
+		},
+		"half a command unread": func(r *testServer, c *routertest.Client) int {
+			c.Send(get("r0") + get("r1")[:20])
+			r.nextRequest()
+			return 1
+		},
+	} {
+		for way, leave := range clientEnds {
+			t.Run(situation+", "+way, func(t *testing.T) {
+				r := newTestServer(t, func(o *Options) { o.Limits.MaxPipelined = 4 })
+				c := r.dial()
+				due := prepare(r, c)
+				leave(c)
+				for range due {
+					routertest.Receive(t, r.gone, "client that has gone")
+				}
+				r.waitUntilEmpty()
+				r.wantNoRequest()
+			})
+		}
+	}
+}
+
+// TestClientEndIsSeenWhileWriteBlocked checks a client that goes while the socket takes no more of its replies and the handler
+// has more of its requests.
+func TestClientEndIsSeenWhileWriteBlocked(t *testing.T) {
+	for way, leave := range clientEnds {
+		t.Run(way, func(t *testing.T) {
+			r := newTestServer(t, nil)
+			c := r.dial()
+			c.Send(get("r0") + get("r1"))
+			first := r.nextRequest()
+			r.nextRequest()
+			r.answer(first, "$"+fmt.Sprint(16<<20)+"\r\n"+strings.Repeat("v", 16<<20)+"\r\n")
+			r.Until("an answer that is not taken", func() bool { return r.server.lists[stateWriteBlocked].first != nil })
+			leave(c)
+			routertest.Receive(t, r.gone, "client that has gone")
+			r.waitUntilEmpty()
+		})
+	}
+}
+
+// TestManyClientsEndAtOnce checks that each of many clients that go in one turn is reported once, and that no memory stays
+// reserved for them.
+func TestManyClientsEndAtOnce(t *testing.T) {
+	const many = 500
+	r := newTestServer(t, func(o *Options) { o.MaxConnections = many })
+	var all []*routertest.Client
+	for i := range many {
+		c := r.dial()
+		c.Send(get(fmt.Sprint("r", i)))
+		all = append(all, c)
+	}
+	for range many {
+		r.nextRequest()
+	}
+	r.Do(func() { // so that one turn has them all
+		for _, c := range all {
+			c.Close()
+		}
+	})
+	seen := map[*ReplySlot]bool{}
+	for range many {
+		seen[routertest.Receive(t, r.gone, "client that has gone")] = true
+	}
+	r.waitUntilEmpty()
+	if len(seen) != many || len(r.gone) > 0 {
+		t.Errorf("%d of %d clients are reported as gone, %d twice", len(seen), many, len(r.gone))
+	}
+}
+
+// TestDrainServesListenerBacklog checks connections that the kernel has accepted and the program has not when a drain begins.
+// Closing the listener would reset them, and lose requests already written to them.
+func TestDrainServesListenerBacklog(t *testing.T) {
+	const many = 3 * 64 // more than one turn takes in
+	for name, pause := range map[string]bool{"in one turn": false, "while it is paused": true} {
+		t.Run(name, func(t *testing.T) {
+			r := newTestServer(t, func(o *Options) { o.MaxConnections = 2 * many })
+			var all []*routertest.Client
+			drained := make(chan struct{})
+			r.Do(func() {
+				if pause {
+					r.server.listener.Pause()
+				}
+				for i := range many {
+					c := r.dial()
+					c.Send(get(fmt.Sprint("r", i)))
+					all = append(all, c)
+				}
+				r.server.Drain(func() { close(drained) })
+			})
+			if pause {
+				r.Do(func() { r.server.listener.Resume() })
+			}
+			for range many {
+				r.answer(r.nextRequest(), value)
+			}
+			for _, c := range all {
+				c.Want("value")
+				c.WantClosed()
+			}
+			routertest.Receive(t, drained, "end of the drain")
+			r.waitUntilEmpty()
+		})
+	}
+}
+
+// TestDrainCompletesAtConnectionLimit checks that a drain ends where more connections wait at the listener than may be open,
+// and that each client gets a reply.
+func TestDrainCompletesAtConnectionLimit(t *testing.T) {
+	const limit, many = 4, 40
+	r := newTestServer(t, func(o *Options) { o.MaxConnections = limit })
+	var all []*routertest.Client
+	drained := make(chan struct{})
+	r.Do(func() {
+		for i := range many {
+			c := r.dial()
+			c.Send(get(fmt.Sprint("r", i)))
+			all = append(all, c)
+		}
+		r.server.Drain(func() { close(drained) })
+	})
+	go func() {
+		for a := range r.requests {
+			r.Post(func() { a.Answer([]byte(value)) })
+		}
+	}()
+	for _, c := range all {
+		if got := c.Line(); got != "value" && !strings.HasPrefix(got, "-BUSY") {
+			t.Errorf("answer %q", got)
+		}
+		c.WantClosed()
+	}
+	routertest.Receive(t, drained, "end of the drain")
+	r.waitUntilEmpty()
+	close(r.requests)
+}
+
+// TestDrainGivesNewConnectionsGrace checks that a client that has just connected as a drain begins can send its first command.
+func TestDrainGivesNewConnectionsGrace(t *testing.T) {
+	r := newTestServer(t, nil)
+	asks, silent := r.dial(), r.dial()
+	r.Until("both connections", func() bool { return r.server.Connections() == 2 })
+	drained := make(chan struct{})
+	r.Do(func() {
+		for c := r.server.lists[stateNew].first; c != nil; c = c.next {
+			c.stateSince = r.Now() // however slow the machine is
+		}
+		r.server.Drain(func() { close(drained) })
+	})
+	asks.Send(get("r1"))
+	r.answer(r.nextRequest(), value)
+	asks.Want("value")
+	asks.WantClosed()
+	silent.WantClosed()
+	routertest.Receive(t, drained, "end of the drain")
+	r.waitUntilEmpty()
+}
+
+// stallLoop makes a turn of the loop that lasts until the span has passed, with play at its beginning. The commands of the
+// other clients come first and are more than one turn has events for, so that what play sends is still unread when the timers
+// of the turn fire.
+func (r *testServer) stallLoop(span time.Duration, others []*routertest.Client, play func()) {
+	r.t.Helper()
+	r.Do(func() {
+		for _, c := range others {
+			c.Send(words("PING"))
+		}
+		play()
+		time.Sleep(span) // the stall is what is tested
+	})
+}
+
+// connectMany opens more connections than one turn has events for.
+func (r *testServer) connectMany() (all []*routertest.Client) {
+	for range 300 {
+		c := r.dial()
+		c.Send(words("PING"))
+		c.Want("+PONG")
+		all = append(all, c)
+	}
+	return all
+}
+
+// TestExpiryReadsArrivedBytesFirst checks bytes that arrive in time in a turn that takes so long that the time limit is over
+// before they are read: the rest of a partial command, with and without a drain, and a request on an idle connection.
+func TestExpiryReadsArrivedBytesFirst(t *testing.T) {
+	const span = time.Duration(2*commandGrace) * time.Microsecond
+	wire := get("r1")
+	for name, c := range map[string]struct{ first, rest string }{
+		"half a command": {wire[:20], wire[20:]}, "an idle connection": {words("PING"), wire}, "a new connection": {"", wire},
+	} {
+		for _, drains := range []bool{false, true} {
+			if drains && name == "an idle connection" {
+				continue // it is closed at once
+			}
+			t.Run(fmt.Sprintf("%s, drains %t", name, drains), func(t *testing.T) {
+				r := newTestServer(t, func(o *Options) {
+					o.MaxConnections = 1000
+					if !drains {
+						o.Limits.IdleTime, o.Limits.CommandTime = span/2, span/2
+					}
+				})
+				r.server.options.Limits.CrowdedIdleTime = time.Hour
+				others := r.connectMany()
+				one := r.dial()
+				one.Send(c.first)
+				if strings.HasPrefix(c.first, "*1") {
+					one.Want("+PONG")
+				}
+				before := r.server.Accepted
+				r.Until("the connection", func() bool { return before() == len(others)+1 })
+				drained := make(chan struct{})
+				r.stallLoop(span, others, func() {
+					for s := range r.server.lists {
+						for c := r.server.lists[s].first; c != nil; c = c.next {
+							c.stateSince = r.Now() // however slow the machine was so far
+						}
+					}
+					one.Send(c.rest)
+					if drains {
+						r.server.Drain(func() { close(drained) })
+					}
+				})
+				r.answer(r.nextRequest(), value)
+				one.Want("value")
+				if drains {
+					one.WantClosed()
+					routertest.Receive(t, drained, "end of the drain")
+				}
+			})
+		}
+	}
+}
--- a/internal/frontend/command.go
+++ b/internal/frontend/command.go
@@ -14,165 +14,219 @@
 	"starlingwinch/internal/resp"
 )
 
+// Places of arguments in a request. The metadata stands at resp.MetaArg, and the value of a write behind it.
 const (
-	idArg    = 2                // place of the id in a command
-	mostArgs = resp.MetaArg + 2 // arguments of a request
+	keyArg   = 1
+	idArg    = 2
+	valueArg = resp.MetaArg + 1
+	maxArgs  = valueArg + 1 // number of arguments of a write
 )
 
-var getVerb, setVerb, pingVerb, quitVerb, equals = []byte("C.GET"), []byte("C.SET"), []byte("PING"), []byte("QUIT"), []byte("=")
+var (
+	getVerb, setVerb   = []byte("C.GET"), []byte("C.SET")
+	pingVerb, quitVerb = []byte("PING"), []byte("QUIT")
+	equalsSign         = []byte("=")
+)
+
+// Errors of Command.Parse. Clients receive their texts.
+var (
+	errArgumentLength     = errors.New("an argument is empty or too long")
+	errUnknownClass       = errors.New("unknown class")
+	errClassTwice         = errors.New("c stands twice")
+	errInvalidTimeout     = errors.New("d is not a number of milliseconds")
+	errMetadataIncomplete = errors.New("c and d are needed")
+)
 
-// Command is a client's request as it came.
+// argumentCountError says that a request has too few or too many arguments. Clients receive its text.
+type argumentCountError struct{ verb string }
+
+// Error implements error.
+func (e *argumentCountError) Error() string {
+	return fmt.Sprintf("wrong number of arguments for %s", e.verb)
+}
+
+// Command is a client's request as it was read.
 type Command struct {
 	Class                 string
 	Tenant                string
-	KeyHash               uint64 // of the key
-	Timeout               Time   // how long the client waits, cut at what its class allows
-	Cost                  Time   // the client's guess at the work; 0 where it has none
-	Write                 bool
-	Retry                 bool // its client says that it has asked before
-	NonIdempotent         bool // it must never run twice, and no cache drops a repeat
-	IdempotencyKeyMissing bool // ... as its class wants a key, and it has none
-
-	args     [mostArgs][]byte // verb, key, id, names and values, and the value to set if there is one
-	count    int              // of them
-	size     int              // bytes on the wire
-	waitFrom int              // place of d's figure in the names and values
-	waitTo   int
+	KeyHash               uint64 // places the key among the caches
+	Timeout               Time   // how long the client waits, at most what its class allows
+	Cost                  Time   // the client's estimate of the work; 0 where it sends none
+	Write                 bool   // C.SET
+	Retry                 bool   // the client marks it as a retry
+	NonIdempotent         bool   // it must never run twice, and no cache drops a repeat
+	IdempotencyKeyMissing bool   // it is NonIdempotent because its class requires a key and it has none
+
+	args         [maxArgs][]byte // verb, key, id, metadata, and the value of a write
+	argCount     int
+	timeoutStart int // where the number of the client's timeout begins in the metadata
+	timeoutEnd   int // where it ends; 0 until it is found
 }
 
-// KeyHash is the number that places a key, by FNV-1a. All routers agree on it: another one would move all keys.
+// KeyHash returns the number that places a key: its 64-bit FNV-1a hash. All routers must agree on it, as another one would
+// move all keys.
 func KeyHash(key []byte) uint64 {
-	const offset, prime = 14695981039346656037, 1099511628211
-	h := uint64(offset)
-	for _, c := range key {
-		h = (h ^ uint64(c)) * prime
+	const offsetBasis, prime = 14695981039346656037, 1099511628211
+	hash := uint64(offsetBasis)
+	for _, b := range key {
+		hash = (hash ^ uint64(b)) * prime
 	}
-	return h
+	return hash
 }
 
-// ID is the request's id in the client's words.
+// ID returns the id that the client gave the request.
 func (c *Command) ID() string { return string(c.args[idArg]) }
 
-// Verb is C.GET or C.SET.
+// Verb returns C.GET or C.SET.
 func (c *Command) Verb() string {
 	if c.Write {
-		return "C.SET"
+		return string(setVerb)
 	}
-	return "C.GET"
+	return string(getVerb)
 }
 
-// Key is what is asked for, in the client's words.
-func (c *Command) Key() string { return string(c.args[1]) }
+// Key returns the requested key.
+func (c *Command) Key() string { return string(c.args[keyArg]) }
 
-// Value is what a write sets; nil for a read.
+// Value returns what a write sets, and nil for a read.
 func (c *Command) Value() []byte {
 	if !c.Write {
 		return nil
 	}
-	return c.args[resp.MetaArg+1]
+	return c.args[valueArg]
 }
 
-// Parse reads a C.GET or C.SET of one of the classes, whose arguments took size bytes on the wire. It keeps what
-// they hold, not their list. The error is worded for the client.
-func (c *Command) Parse(args [][]byte, size int, classes []decide.Class) error {
-	*c = Command{size: size, Write: bytes.EqualFold(args[0], setVerb)}
-	want := resp.MetaArg + 1
+// Parse reads a C.GET or C.SET of one of the classes. It refers to the arguments
+// afterwards, but not to the slice that lists them. The text of its error goes to the client.
+func (c *Command) Parse(args [][]byte, classes []decide.Class) error {
+	*c = Command{Write: bytes.EqualFold(args[0], setVerb)}
+	want := maxArgs - 1
 	if c.Write {
-		want++
+		want = maxArgs
 	}
 	if len(args) != want {
-		return fmt.Errorf("wrong number of arguments for %s", args[0])
+		return &argumentCountError{verb: string(args[0])}
 	}
-	for _, a := range args[:resp.MetaArg+1] {
-		if len(a) == 0 || len(a) > resp.MaxWordBytes {
-			return errors.New("an argument is empty or too long")
+	for _, arg := range args[:valueArg] {
+		if len(arg) == 0 || len(arg) > resp.MaxWordBytes {
+			return errArgumentLength
 		}
 	}
-	c.count = copy(c.args[:], args)
-	c.KeyHash = KeyHash(args[1])
-	class, keyed, err := c.names(args[resp.MetaArg])
+	c.argCount = copy(c.args[:], args)
+	c.KeyHash = KeyHash(args[keyArg])
+	metadata, err := c.parseMetadata(args[resp.MetaArg])
 	if err != nil {
 		return err
 	}
-	i := slices.IndexFunc(classes, func(known decide.Class) bool { return known.Name == string(class) })
+	i := slices.IndexFunc(classes, func(known decide.Class) bool { return known.Name == string(metadata.class) })
 	if i < 0 {
-		return errors.New("unknown class")
-	}
-	c.Class = classes[i].Name
-	// What a repeat does is for the settings to say, not for the verb: they may call a read unsafe and a write safe.
-	// The danger: a keyed class without a key is repeated, and no cache can drop it.
-	c.IdempotencyKeyMissing = classes[i].Semantics == decide.IdempotentByKey && !keyed
-	c.NonIdempotent = classes[i].Semantics == decide.NonIdempotent || c.IdempotencyKeyMissing
-	if limit := classes[i].ClientTimeout; limit > 0 {
-		// The danger: timers last as long as the client claims to wait, and hold the request.
-		c.Timeout = min(c.Timeout, limit)
+		return errUnknownClass
 	}
+	c.applyClass(&classes[i], metadata.hasIdempotencyKey)
 	return nil
 }
 
-// names reads the list of names and values: the class's name, which lies in it, and whether there is an idempotency key.
-func (c *Command) names(meta []byte) (class []byte, keyed bool, err error) {
-	for from := 0; from < len(meta); {
-		to := from + len(meta[from:])
-		if i := bytes.IndexByte(meta[from:], ','); i >= 0 {
-			to = from + i
+// applyClass sets what follows from the request's class. Its semantics hold whichever the verb: the settings may call a read
+// not idempotent, and a write idempotent.
+func (c *Command) applyClass(class *decide.Class, hasIdempotencyKey bool) {
+	c.Class = class.Name
+	// No cache can drop a repeat of a request that lacks the key.
+	c.IdempotencyKeyMissing = class.Semantics == decide.IdempotentByKey && !hasIdempotencyKey
+	c.NonIdempotent = class.Semantics == decide.NonIdempotent || c.IdempotencyKeyMissing
+	if class.ClientTimeout > 0 {
+		// Without this bound, timers and the request would last for as long as the client claims to wait.
+		c.Timeout = min(c.Timeout, class.ClientTimeout)
+	}
+}
+
+// metadata is what Parse needs of a request's metadata beside the fields of Command.
+type metadata struct {
+	class             []byte // part of the argument
+	hasIdempotencyKey bool
+}
+
+// parseMetadata reads the comma-separated list of names and values.
+func (c *Command) parseMetadata(list []byte) (metadata, error) {
+	var found metadata
+	for start := 0; start < len(list); {
+		end := len(list)
+		if comma := bytes.IndexByte(list[start:], ','); comma >= 0 {
+			end = start + comma
 		}
-		name, value, _ := bytes.Cut(meta[from:to], equals)
+		name, value, _ := bytes.Cut(list[start:end], equalsSign)
 		switch string(name) {
 		case "c":
-			if len(class) > 0 {
-				return nil, false, errors.New("c stands twice")
+			if len(found.class) > 0 {
+				return metadata{}, errClassTwice
 			}
-			class = value
+			found.class = value
 		case "t":
 			c.Tenant = string(value)
 		case "d":
-			ms, err := strconv.ParseUint(string(value), 10, 31)
-			if err != nil || c.waitTo > 0 {
-				return nil, false, errors.New("d is not a number of milliseconds")
+			if err := c.parseTimeout(value, end); err != nil {
+				return metadata{}, err
 			}
-			c.Timeout, c.waitFrom, c.waitTo = Time(ms)*1000, to-len(value), to
 		case "k":
-			keyed = keyed || len(value) > 0
+			found.hasIdempotencyKey = found.hasIdempotencyKey || len(value) > 0
 		case "r":
 			c.Retry = string(value) == "1"
 		case "h":
-			if us, err := strconv.ParseInt(string(value), 10, 64); err == nil && us > 0 {
-				c.Cost = us
+			cost, err := strconv.ParseInt(string(value), 10, 64)
+			if err == nil && cost > 0 {
+				c.Cost = cost
 			}
 		}
-		from = to + 1
+		start = end + 1
 	}
-	if len(class) == 0 || c.waitTo == 0 {
-		return nil, false, errors.New("c and d are needed")
+	if len(found.class) == 0 || c.timeoutEnd == 0 {
+		return metadata{}, errMetadataIncomplete
 	}
-	return class, keyed, nil
+	return found, nil
 }
 
-// Encode appends what goes on to a cache: the client's words, but for the time that is left.
+// parseTimeout reads the client's timeout, whose number ends at the given place of the metadata.
+func (c *Command) parseTimeout(value []byte, end int) error {
+	milliseconds, err := strconv.ParseUint(string(value), 10, 31)
+	if err != nil || c.timeoutEnd > 0 {
+		return errInvalidTimeout
+	}
+	c.Timeout = Time(milliseconds) * microsecondsPerMillisecond
+	c.timeoutStart, c.timeoutEnd = end-len(value), end
+	return nil
+}
+
+// Encode appends the request as it goes on to a cache: as the client sent it, with the time for which the router waits in
+// place of the client's timeout.
 func (c *Command) Encode(b []byte, wait Time) []byte {
-	meta := c.args[resp.MetaArg]
-	b = redcon.AppendArray(b, c.count)
-	for i, arg := range c.args[:c.count] {
-		if i != resp.MetaArg {
+	b = redcon.AppendArray(b, c.argCount)
+	for i, arg := range c.args[:c.argCount] {
+		if i == resp.MetaArg {
+			b = c.appendMetadata(b, wait)
+		} else {
 			b = redcon.AppendBulk(b, arg)
-			continue
 		}
-		var figure [20]byte
-		left := strconv.AppendInt(figure[:0], max(1, wait/1000), 10)
-		b = append(b, '$')
-		b = strconv.AppendInt(b, int64(c.waitFrom+len(left)+len(meta)-c.waitTo), 10)
-		b = append(b, "\r\n"...)
-		b = append(b, meta[:c.waitFrom]...)
-		b = append(b, left...)
-		b = append(b, meta[c.waitTo:]...)
-		b = append(b, "\r\n"...)
 	}
 	return b
 }
 
-// isHTTP reports whether a line of words belongs to HTTP.
-func isHTTP(args [][]byte) bool {
-	first := strings.ToUpper(string(args[0][:min(len(args[0]), 32)]))
+// appendMetadata appends the metadata as a bulk string, with another timeout. A timeout of 0 would be invalid.
+func (c *Command) appendMetadata(b []byte, wait Time) []byte {
+	const maxDigits = 20
+	var digits [maxDigits]byte
+	timeout := strconv.AppendInt(digits[:0], max(1, wait/microsecondsPerMillisecond), 10)
+	list := c.args[resp.MetaArg]
+	b = append(b, '$')
+	b = strconv.AppendInt(b, int64(c.timeoutStart+len(timeout)+len(list)-c.timeoutEnd), 10)
+	b = append(b, "\r\n"...)
+	b = append(b, list[:c.timeoutStart]...)
+	b = append(b, timeout...)
+	b = append(b, list[c.timeoutEnd:]...)
+	return append(b, "\r\n"...)
+}
+
+// looksLikeHTTP reports whether the arguments of an inline command are a line of an HTTP request.
+func looksLikeHTTP(args [][]byte) bool {
+	const maxMethodBytes = 32 // no method or header name compared here is longer
+	first := strings.ToUpper(string(args[0][:min(len(args[0]), maxMethodBytes)]))
 	return first == "POST" || first == "HOST:" || bytes.Contains(args[len(args)-1], []byte("HTTP/"))
 }
--- a/internal/frontend/command_test.go
+++ b/internal/frontend/command_test.go
@@ -8,10 +8,10 @@
 	"starlingwinch/internal/resp"
 )
 
-// TestMalformedCommands: what is wrong is answered and never sent on; where the bytes can't be
-// told apart any more, the connection ends.
+// TestMalformedCommands checks that malformed commands are answered and never sent on, and that the connection closes where the
+// end of a command can not be found.
 func TestMalformedCommands(t *testing.T) {
-	r := newRig(t, nil)
+	r := newTestServer(t, nil)
 	for _, c := range []struct {
 		wire string
 		ends bool
@@ -62,17 +62,17 @@
 		}
 		cl.Close()
 	}
-	r.none()
-	r.empty()
+	r.wantNoRequest()
+	r.waitUntilEmpty()
 }
 
-// TestVerbAndEffectAreTwoThings: the settings may call a read unsafe or keyed, and a write safe. Where a keyed class comes
-// without its key, no cache could drop a repeat, and it counts as unsafe.
-func TestVerbAndEffectAreTwoThings(t *testing.T) {
+// TestParseTakesSemanticsFromClass checks that semantics do not follow from the verb, and that a request of a keyed class
+// without its key is not idempotent.
+func TestParseTakesSemanticsFromClass(t *testing.T) {
 	classes := []decide.Class{{Name: "safe", Semantics: decide.Idempotent}, {Name: "keyed", Semantics: decide.IdempotentByKey}, {Name: "once"}}
 	for _, c := range []struct {
-		meta            string
-		unsafe, unkeyed bool
+		meta                      string
+		nonIdempotent, keyMissing bool
 	}{
 		{"c=safe,d=9", false, false}, {"c=keyed,d=9,k=1", false, false}, {"c=keyed,d=9", true, true}, {"c=keyed,d=9,k=", true, true},
 		{"c=once,d=9", true, false}, {"c=once,d=9,k=1", true, false},
@@ -83,34 +83,34 @@
 				words = append(words, []byte(a))
 			}
 			var cmd Command
-			if err := cmd.Parse(words, 50, classes); err != nil {
+			if err := cmd.Parse(words, classes); err != nil {
 				t.Errorf("%v: %v", args, err)
 			}
-			if cmd.NonIdempotent != c.unsafe || cmd.IdempotencyKeyMissing != c.unkeyed || cmd.Write != (args[0] == "C.SET") {
-				t.Errorf("%v: unsafe %t, without its key %t, write %t", args, cmd.NonIdempotent, cmd.IdempotencyKeyMissing, cmd.Write)
+			if cmd.NonIdempotent != c.nonIdempotent || cmd.IdempotencyKeyMissing != c.keyMissing || cmd.Write != (args[0] == "C.SET") {
+				t.Errorf("%v: not idempotent %t, key missing %t, write %t", args, cmd.NonIdempotent, cmd.IdempotencyKeyMissing, cmd.Write)
 			}
 		}
 	}
 }
 
-// TestTimeIsCutAtWhatTheClassAllows, its own and no other's.
-func TestTimeIsCutAtWhatTheClassAllows(t *testing.T) {
+// TestParseBoundsTimeoutByClass checks that a timeout is bounded by that of its own class.
+func TestParseBoundsTimeoutByClass(t *testing.T) {
 	classes := []decide.Class{{Name: "short", Semantics: decide.Idempotent, ClientTimeout: 1_200_000},
 		{Name: "long", Semantics: decide.Idempotent, ClientTimeout: 3_000_000}}
 	for class, want := range map[string]decide.Time{"short": 1_200_000, "long": 3_000_000} {
 		args := [][]byte{[]byte("C.GET"), []byte("k"), []byte("i"), []byte("c=" + class + ",d=9000")}
 		var cmd Command
-		err := cmd.Parse(args, 50, classes)
+		err := cmd.Parse(args, classes)
 		if err != nil || cmd.Timeout != want {
 			t.Errorf("%s waits %d, %v", class, cmd.Timeout, err)
 		}
 	}
 }
 
-// TestHTTPIsClosed. The danger: a page in a browser posts to the router's address; line by line its
-// header is skipped as bad commands, and the command in its body is carried out.
-func TestHTTPIsClosed(t *testing.T) {
-	r := newRig(t, nil)
+// TestHTTPRequestsAreRefused checks that a browser that posts to the address of the router can not have a command in the body
+// executed.
+func TestHTTPRequestsAreRefused(t *testing.T) {
+	r := newTestServer(t, nil)
 	for _, head := range []string{"POST / HTTP/1.1\r\n", "GET / HTTP/1.1\r\n", "Host: here\r\n", "post /\r\n"} {
 		c := r.dial()
 		c.Send(head + "\r\n" + get("r1"))
@@ -119,27 +119,29 @@
 		}
 		c.WantClosed()
 	}
-	r.none()
+	r.wantNoRequest()
 }
 
-// TestFloodOfBadCommands ends with the connection, and others are served meanwhile.
-func TestFloodOfBadCommands(t *testing.T) {
-	r := newRig(t, nil)
+// TestConsecutiveErrorsCloseConnection checks that a client that sends only invalid commands is disconnected, while others are
+// served.
+func TestConsecutiveErrorsCloseConnection(t *testing.T) {
+	r := newTestServer(t, nil)
 	bad, good := r.dial(), r.dial()
-	most := r.f.o.Limits.MaxConsecutiveErrors
-	bad.Send(strings.Repeat(words("C.GET", "k", "id", "c=none,d=10"), most))
-	for range most {
+	limit := r.server.options.Limits.MaxConsecutiveErrors
+	bad.Send(strings.Repeat(words("C.GET", "k", "id", "c=none,d=10"), limit))
+	for range limit {
 		if got := bad.Line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("answer %q", got)
 		}
 	}
 	bad.WantClosed()
 	good.Send(get("r1"))
-	r.answer(r.next(), value)
+	r.answer(r.nextRequest(), value)
 	good.Want("value")
 }
 
-// FuzzParseCommand: what is taken has a class, a bounded time and goes on as it came but for d.
+// FuzzParseCommand checks that a command that is accepted has a class and a bounded timeout, and is encoded as it came except
+// for the timeout.
 func FuzzParseCommand(f *testing.F) {
 	f.Add([]byte(get("r1")))
 	f.Add([]byte(words("C.SET", "k", "id", "c=put,t=a,d=9,k=5c,size=1", "value")))
@@ -150,60 +152,60 @@
 			return
 		}
 		var cmd, next Command
-		if err := cmd.Parse(args, used, classes); err != nil {
+		if err := cmd.Parse(args, classes); err != nil {
 			return
 		}
 		if cmd.Timeout < 0 || cmd.Timeout > 20_000_000 || cmd.Cost < 0 || cmd.ID() == "" {
-			t.Fatalf("taken: %+v", cmd)
+			t.Fatalf("accepted: %+v", cmd)
 		}
 		out := cmd.Encode(nil, cmd.Timeout)
 		again, n, err := resp.NextCommand(out)
 		if err != nil || n != len(out) {
-			t.Fatalf("what goes on can't be read: %q", out)
+			t.Fatalf("the encoding can't be parsed: %q", out)
 		}
-		err = next.Parse(again, n, classes)
+		err = next.Parse(again, classes)
 		if err != nil || next.Class != cmd.Class || next.Tenant != cmd.Tenant || next.KeyHash != cmd.KeyHash ||
 			next.Cost != cmd.Cost || next.Write != cmd.Write || next.Timeout > max(cmd.Timeout, 1000) {
-			t.Fatalf("%+v went on as %+v, %v", cmd, next, err)
+			t.Fatalf("%+v is encoded as %+v, %v", cmd, next, err)
 		}
 	})
 }
 
-func TestRetriesAreMarkedByTheirClients(t *testing.T) {
+func TestParseReadsRetryMark(t *testing.T) {
 	for meta, want := range map[string]bool{"c=read,d=10,r=1": true, "c=read,d=10,r=0": false, "c=read,d=10": false} {
 		args := [][]byte{[]byte("C.GET"), []byte("k"), []byte("id"), []byte(meta)}
 		var c Command
-		err := c.Parse(args, 40, classes)
+		err := c.Parse(args, classes)
 		if err != nil || c.Retry != want {
 			t.Errorf("%s: retry %v, %v", meta, c.Retry, err)
 		}
 	}
 }
 
-func TestSlotKnowsItsClientsAddressAndItsConnectionsFirstRequest(t *testing.T) {
-	r := newRig(t, nil)
+func TestReplySlotKnowsClientAndFirstRequest(t *testing.T) {
+	r := newTestServer(t, nil)
 	one, two := r.dial(), r.dial()
 	one.Send(get("r1"))
-	first := r.next()
+	first := r.nextRequest()
 	one.Send(get("r2"))
-	second := r.next()
+	second := r.nextRequest()
 	two.Send(get("r3"))
-	third := r.next()
+	third := r.nextRequest()
 	if !first.FirstOnConnection || second.FirstOnConnection || !third.FirstOnConnection {
 		t.Errorf("first on their connections: %v, %v, %v", first.FirstOnConnection, second.FirstOnConnection, third.FirstOnConnection)
 	}
 	if first.Client() != third.Client() || first.Client() != addressHash("127.0.0.1:1") {
-		t.Error("clients of one address are told apart by their ports")
+		t.Error("clients of one address differ by their ports")
 	}
 	if addressHash("127.0.0.1:1") == addressHash("127.0.0.2:1") || addressHash("[::1]:7") != addressHash("[::1]:8") {
-		t.Error("addresses are not told by their IP addresses alone")
+		t.Error("the hash is not that of the IP address alone")
 	}
-	for _, a := range []asked{first, second, third} {
+	for _, a := range []receivedRequest{first, second, third} {
 		r.answer(a, value)
 	}
 	var accepted int
-	r.Do(func() { accepted = r.f.Accepted() })
+	r.Do(func() { accepted = r.server.Accepted() })
 	if accepted != 2 {
-		t.Errorf("%d connections came in, by the front's count", accepted)
+		t.Errorf("%d connections are counted as accepted", accepted)
 	}
 }
--- /dev/null
+++ b/internal/frontend/connection_limit_test.go
@@ -0,0 +1,72 @@
+package frontend
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+func TestAppendBusyRoundsUp(t *testing.T) {
+	for wait, want := range map[Time]string{0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 1000: "-BUSY 1\r\n",
+		1001: "-BUSY 2\r\n", 600_000: "-BUSY 600\r\n"} {
+		if got := string(AppendBusy(nil, wait)); got != want {
+			t.Errorf("%d: %q, want %q", wait, got, want)
+		}
+	}
+}
+
+// fullServer returns a server whose connections are all in use by clients that wait for a reply.
+func fullServer(t *testing.T) (*testServer, []receivedRequest) {
+	r := newTestServer(t, func(o *Options) { o.MaxConnections, o.RetryAfter = 3, 70_000 })
+	var waiting []receivedRequest
+	for i := range 3 {
+		r.dial().Send(get(fmt.Sprint("busy", i)))
+		waiting = append(waiting, r.nextRequest())
+	}
+	return r, waiting
+}
+
+// TestExcessConnectionIsRefused checks that a client past the connection limit is refused at once: in the kernel's
+// queue it would wait until its timeout.
+func TestExcessConnectionIsRefused(t *testing.T) {
+	r, _ := fullServer(t)
+	for i := range 2 * maxExcessConnections {
+		c := r.dial()
+		c.Send(get(fmt.Sprint("late", i)) + get("behind"))
+		c.Want("-BUSY 70")
+		c.WantClosed()
+	}
+	r.wantNoRequest()
+}
+
+// TestSilentExcessConnectionExpires checks that a connection past the limit that sends no request is closed soon.
+func TestSilentExcessConnectionExpires(t *testing.T) {
+	r, _ := fullServer(t)
+	silent, half := r.dial(), r.dial()
+	half.Send("*4\r\n$5\r\nC.G")
+	silent.WantClosed()
+	half.WantClosed()
+	r.wantNoRequest()
+}
+
+// TestExcessConnectionIsServedBelowLimit checks that a connection that was past the limit is served once another has closed.
+func TestExcessConnectionIsServedBelowLimit(t *testing.T) {
+	r, waiting := fullServer(t)
+	late := r.dial()
+	late.Send(words("PING"))
+	late.Want("+PONG") // it is accepted, past the limit
+	r.answer(waiting[0], value)
+	r.Do(func() {
+		waiting[0].connection.close()
+		if r.server.lists[stateExcess].first != nil {
+			t.Error("it counts as past the limit, though it is not")
+		}
+	})
+	late.Send(get("late"))
+	a := r.nextRequest()
+	if !strings.HasPrefix(a.cmd.ID(), "late") {
+		t.Errorf("got request %s", a.cmd.ID())
+	}
+	r.answer(a, value)
+	late.Want("value")
+}
--- a/internal/frontend/retire_test.go
+++ b/internal/frontend/drain_test.go
@@ -11,18 +11,19 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// retire begins a drain. The channel is closed at its end.
-func (r *rig) retire() <-chan struct{} {
+// startDrain begins a drain. The channel is closed at its end.
+func (r *testServer) startDrain() <-chan struct{} {
 	r.t.Helper()
 	drained := make(chan struct{})
-	r.Do(func() { r.f.Drain(func() { close(drained) }) })
+	r.Do(func() { r.server.Drain(func() { close(drained) }) })
 	return drained
 }
 
-// TestWhatComesInWhileAConnectionIsRetiredIsServed, as long as it can be had, and none of it is lost.
-func TestWhatComesInWhileAConnectionIsRetiredIsServed(t *testing.T) {
+// TestDrainServesRequestsInProgress checks that requests that have arrived when a drain begins are served, with those sent
+// behind them.
+func TestDrainServesRequestsInProgress(t *testing.T) {
 	const clients = 30
-	r := newRig(t, nil)
+	r := newTestServer(t, nil)
 	var all []*routertest.Client
 	for range clients {
 		c := r.dial()
@@ -32,14 +33,14 @@
 	}
 	drained := make(chan struct{})
 	r.Do(func() {
-		for i, c := range all { // these have come, and nobody has looked
+		for i, c := range all { // these have arrived unread
 			c.Send(get(fmt.Sprint("r", i)))
 		}
-		r.f.Drain(func() { close(drained) })
+		r.server.Drain(func() { close(drained) })
 	})
 	for i := range clients {
-		a := r.next()
-		// More comes behind what is due: it is read too.
+		a := r.nextRequest()
+		// A second request is sent behind the first one: it is served too.
 		var n int
 		fmt.Sscanf(a.cmd.ID(), "r%d", &n)
 		all[n].Send(get(fmt.Sprint("more", n)))
@@ -47,7 +48,7 @@
 		if i == 0 {
 			select {
 			case <-drained:
-				t.Error("the drain ended with work in hand")
+				t.Error("the drain ended with requests in progress")
 			default:
 			}
 		}
@@ -58,44 +59,45 @@
 		c.WantClosed()
 	}
 	routertest.Receive(t, drained, "end of the drain")
-	r.empty()
+	r.waitUntilEmpty()
 }
 
-// answerNext answers a request, and before it the one with the given id, which comes behind it.
-func (r *rig) answerNext(a asked, id string) {
+// answerNext answers the request with the given id, which may come behind others, and then a.
+func (r *testServer) answerNext(a receivedRequest, id string) {
 	r.t.Helper()
-	var passed []asked
+	var passed []receivedRequest
 	for {
-		b := r.next()
+		b := r.nextRequest()
 		if b.cmd.ID() == id {
 			r.answer(b, value)
 			break
 		}
 		passed = append(passed, b)
 	}
-	for _, b := range passed { // they wait for their own turn
-		r.asked <- b
+	for _, b := range passed { // later calls answer them
+		r.requests <- b
 	}
 	r.answer(a, value)
 }
 
-// TestRetiredClientWithHalfACommandHasAMoment to send the rest; then it is told and closed.
-func TestRetiredClientWithHalfACommandHasAMoment(t *testing.T) {
-	r := newRig(t, nil)
+// TestDrainGivesPartialCommandsGrace checks that the rest of a partial command is awaited for a moment, and that the connection
+// is then closed with an error.
+func TestDrainGivesPartialCommandsGrace(t *testing.T) {
+	r := newTestServer(t, nil)
 	halting, goesOn := r.dial(), r.dial()
 	wire := get("r1")
 	halting.Send(wire[:20])
 	goesOn.Send(wire[:20])
 	r.Until("both halves", func() bool {
-		l := r.f.lists[partial]
+		l := r.server.lists[statePartialCommand]
 		return l.first != nil && l.first != l.last
 	})
 	drained := make(chan struct{})
 	r.Do(func() {
-		r.f.Drain(func() { close(drained) })
+		r.server.Drain(func() { close(drained) })
 		goesOn.Send(wire[20:])
 	})
-	a := r.next()
+	a := r.nextRequest()
 	if got := halting.Line(); !strings.Contains(got, "does not go on") {
 		t.Errorf("half a command: %q", got)
 	}
@@ -104,47 +106,47 @@
 	goesOn.Want("value")
 	goesOn.WantClosed()
 	routertest.Receive(t, drained, "end of the drain")
-	r.empty()
+	r.waitUntilEmpty()
 }
 
-// TestIdleConnectionsEndAtOnceAndNewOnesAreRefused when the drain begins.
-func TestIdleConnectionsEndAtOnceAndNewOnesAreRefused(t *testing.T) {
-	r := newRig(t, nil)
+// TestDrainClosesIdleConnectionsAtOnce checks that a drain does not wait for connections without requests.
+func TestDrainClosesIdleConnectionsAtOnce(t *testing.T) {
+	r := newTestServer(t, nil)
 	c := r.dial()
 	c.Send(words("PING"))
 	c.Want("+PONG")
-	drained := r.retire()
+	drained := r.startDrain()
 	c.WantClosed()
 	routertest.Receive(t, drained, "end of the drain")
-	r.empty()
+	r.waitUntilEmpty()
 }
 
-// TestRetireServesUnreadRequest: a second request lies unread on the connection when the last answer before its close is given.
-// A close at that moment would reset the connection and lose the request.
+// TestRetireServesUnreadRequest checks a second request that lies unread when the last reply before the close is given. A close
+// at that moment would reset the connection and lose the request.
 func TestRetireServesUnreadRequest(t *testing.T) {
-	r := newRig(t, nil)
+	r := newTestServer(t, nil)
 	c := r.dial()
 	c.Send(get("first"))
-	first := r.next()
-	drained := r.retire()
+	first := r.nextRequest()
+	drained := r.startDrain()
 	r.Do(func() {
 		c.Send(get("second"))
-		if first.client.nc.Quiet() {
+		if first.connection.conn.Quiet() {
 			t.Error("the second request has not come")
 		}
 		first.Answer([]byte(value))
 	})
 	c.Want("value")
-	r.answer(r.next(), value)
+	r.answer(r.nextRequest(), value)
 	c.Want("value")
 	c.WantClosed()
 	routertest.Receive(t, drained, "end of the drain")
-	r.empty()
+	r.waitUntilEmpty()
 }
 
-// TestRetiredConnectionKeepsAnswerThatIsPartlySent: the last answer is partly with a client that does not take more for now,
-// and nothing else is due, as the moment is over that a retired connection is given. The rest is still owed.
-func TestRetiredConnectionKeepsAnswerThatIsPartlySent(t *testing.T) {
+// TestRetireSendsRestOfPartlySentReply checks a reply that is partly written when the grace of a retired connection ends, with
+// nothing else due. The rest must still be sent.
+func TestRetireSendsRestOfPartlySentReply(t *testing.T) {
 	const sent = 10 // bytes of it
 	var holds atomic.Bool
 	k := machine.RealKernel()
@@ -158,13 +160,13 @@
 		}
 		return 0, syscall.ENOBUFS
 	}
-	r := newRigOn(t, machine.Options{Kernel: &k}, nil)
+	r := newTestServerOn(t, machine.Options{Kernel: &k}, nil)
 	c := r.dial()
 	c.Send(get("r1"))
-	a := r.next()
+	a := r.nextRequest()
 	holds.Store(true)
 	r.answer(a, value)
-	drained := r.retire()
+	drained := r.startDrain()
 	var over machine.Time
 	r.Do(func() { over = r.Now() + 2*commandGrace })
 	r.Until("the end of the moment", func() bool { return r.Now() > over })
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -23,54 +23,55 @@
 	{Name: "put", Semantics: decide.IdempotentByKey, ClientTimeout: 20_000_000},
 }
 
-// asked is a request that has come to the desk.
-type asked struct {
+// receivedRequest is a request as the handler got it.
+type receivedRequest struct {
 	*ReplySlot
 	cmd  *Command
 	read Time
 }
 
-// rig is a front on a running machine. It is the front's desk: it hands all requests to the test, which
-// answers them in the loop.
-type rig struct {
+// testServer is a server on a running machine, and its handler: it hands requests to the test, which answers them in the loop.
+type testServer struct {
 	*routertest.Loop
 	t        *testing.T
-	f        *Server
-	asked    chan asked
-	departed chan *ReplySlot
+	server   *Server
+	requests chan receivedRequest
+	gone     chan *ReplySlot
 	starting bool // no cache is known
 }
 
-func (r *rig) HandleRequest(s *ReplySlot, read Time) { r.asked <- asked{s, &s.Command, read} }
-func (r *rig) ProcessEvents()                        {}
-func (r *rig) Serving() bool                         { return !r.starting }
-func (r *rig) ConnectionClosed(string, int)          {}
+func (r *testServer) HandleRequest(s *ReplySlot, read Time) {
+	r.requests <- receivedRequest{s, &s.Command, read}
+}
+func (r *testServer) ProcessEvents()               {}
+func (r *testServer) Serving() bool                { return !r.starting }
+func (r *testServer) ConnectionClosed(string, int) {}
 
-func (r *rig) ClientsGone(slots []*ReplySlot, _ bool) {
+func (r *testServer) ClientsGone(slots []*ReplySlot, _ bool) {
 	for _, s := range slots {
-		r.departed <- s
+		r.gone <- s
 	}
 }
 
-// newRig starts a front. At the test's end it is closed, and must then hold nothing.
-func newRig(t *testing.T, edit func(*Options)) *rig {
+// newTestServer starts a server. It is closed when the test ends, and no memory may be reserved then.
+func newTestServer(t *testing.T, edit func(*Options)) *testServer {
 	t.Helper()
-	return newRigOn(t, machine.Options{}, edit)
+	return newTestServerOn(t, machine.Options{}, edit)
 }
 
-// newRigOn is a rig on a machine with other options.
-func newRigOn(t *testing.T, on machine.Options, edit func(*Options)) *rig {
+// newTestServerOn starts a server on a machine with other options.
+func newTestServerOn(t *testing.T, on machine.Options, edit func(*Options)) *testServer {
 	t.Helper()
 	o := Options{Listen: "127.0.0.1:0", Limits: limits.Default().Clients, Classes: classes, MaxConnections: 100,
 		MaxBufferedBytes: 48 << 20}
 	if edit != nil {
 		edit(&o)
 	}
-	r := &rig{Loop: routertest.NewLoopOf(t, on), t: t, asked: make(chan asked, 10_000),
-		departed: make(chan *ReplySlot, 10_000)}
+	r := &testServer{Loop: routertest.NewLoopOf(t, on), t: t, requests: make(chan receivedRequest, 10_000),
+		gone: make(chan *ReplySlot, 10_000)}
 	r.Do(func() {
 		var err error
-		if r.f, err = Listen(r.Loop, o, r); err != nil {
+		if r.server, err = Listen(r.Loop, o, r); err != nil {
 			t.Error(err)
 		}
 	})
@@ -79,57 +80,57 @@
 	}
 	t.Cleanup(func() {
 		r.Do(func() {
-			r.f.Close()
-			if r.f.BufferedBytes() != 0 || r.f.Connections() != 0 {
-				t.Errorf("a closed front holds %d bytes of %d clients", r.f.BufferedBytes(), r.f.Connections())
+			r.server.Close()
+			if r.server.BufferedBytes() != 0 || r.server.Connections() != 0 {
+				t.Errorf("a closed server holds %d bytes and %d connections", r.server.BufferedBytes(), r.server.Connections())
 			}
 		})
 	})
 	return r
 }
 
-func (r *rig) dial() *routertest.Client {
+func (r *testServer) dial() *routertest.Client {
 	r.t.Helper()
-	return routertest.Dial(r.t, r.f.Addr())
+	return routertest.Dial(r.t, r.server.Addr())
 }
 
-// next is the next request at the desk.
-func (r *rig) next() asked {
+// nextRequest returns the next request of the handler.
+func (r *testServer) nextRequest() receivedRequest {
 	r.t.Helper()
-	return routertest.Receive(r.t, r.asked, "request at the desk")
+	return routertest.Receive(r.t, r.requests, "request at the handler")
 }
 
-// answer answers a request.
-func (r *rig) answer(a asked, b string) {
+// answer answers a request, in the loop.
+func (r *testServer) answer(a receivedRequest, b string) {
 	r.t.Helper()
 	r.Do(func() { a.Answer([]byte(b)) })
 }
 
-// none checks that the desk was asked for nothing.
-func (r *rig) none() {
+// wantNoRequest checks that the handler has no further request.
+func (r *testServer) wantNoRequest() {
 	r.t.Helper()
 	select {
-	case a := <-r.asked:
-		r.t.Errorf("the desk was asked for %s", a.cmd.ID())
+	case a := <-r.requests:
+		r.t.Errorf("the handler got request %s", a.cmd.ID())
 	default:
 	}
 }
 
-// empty waits until no client is left, and checks that nothing is held for any.
-func (r *rig) empty() {
+// waitUntilEmpty waits until no connection is left, and checks that nothing stays reserved or listed.
+func (r *testServer) waitUntilEmpty() {
 	r.t.Helper()
-	r.Until("the end of all clients", func() bool { return r.f.Connections() == 0 })
+	r.Until("the end of all clients", func() bool { return r.server.Connections() == 0 })
 	r.Do(func() {
-		if n := r.f.BufferedBytes(); n != 0 {
-			r.t.Errorf("%d bytes are held for nobody", n)
+		if n := r.server.BufferedBytes(); n != 0 {
+			r.t.Errorf("%d bytes stay reserved", n)
 		}
-		for s, l := range r.f.lists {
+		for s, l := range r.server.lists {
 			if l.first != nil || l.last != nil {
-				r.t.Errorf("a client is left in state %d", s)
+				r.t.Errorf("a connection is left in state %d", s)
 			}
 		}
 	})
 }
 
-// brief is the shortest time that an operator may set.
-const brief = 100 * time.Millisecond
+// shortTimeout is the minimum of the time limits that can be configured.
+const shortTimeout = 100 * time.Millisecond
