--- a/cmd/lab/statekill.go
+++ b/cmd/lab/statekill.go
@@ -23,6 +23,13 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
+// Beginnings of log lines, up to the value of the first field.
+const (
+	servingLine  = "msg=serving address="
+	restoredLine = `msg="snapshot restored"`
+	rejectedLine = `msg="snapshot file rejected" detail="`
+)
+
 // The marks of state-kill: each start serves, nothing broken is trusted, and the folder holds no growing number of files:
 // the lock, two generations, one that was not finished, and at most eight that were set aside.
 const (
@@ -151,10 +158,10 @@
 	}()
 	var wanted []string
 	if hurt != "" {
-		wanted = append(wanted, "state: "+hurt+" is not used: ")
+		wanted = append(wanted, rejectedLine+hurt+" is not used: ")
 	}
 	if len(sound) > 0 {
-		wanted = append(wanted, "state: taken over")
+		wanted = append(wanted, restoredLine)
 	}
 	log, served := k.served(lines, wanted)
 	if served {
@@ -194,7 +201,8 @@
 				return log, false
 			}
 			log = append(log, line)
-			if _, addr, found := strings.Cut(line, "serving on "); found {
+			if _, fields, found := strings.Cut(line, servingLine); found {
+				addr, _, _ := strings.Cut(fields, " ")
 				if ok = pong(addr); !ok {
 					return log, false
 				}
@@ -228,7 +236,7 @@
 // judge holds what a start has said of its state against what was there.
 func (k *killing) judge(log []string, hurt string, sound map[string]bool) {
 	text := strings.Join(log, "\n")
-	taken := strings.Contains(text, "state: taken over")
+	taken := strings.Contains(text, restoredLine)
 	if taken {
 		k.taken++
 	}
@@ -239,7 +247,7 @@
 	if hurt == "" {
 		return
 	}
-	if strings.Contains(text, "state: "+hurt+" is not used: ") {
+	if strings.Contains(text, rejectedLine+hurt+" is not used: ") {
 		k.refused++
 		return
 	}
--- a/cmd/starlingwinch/check.go
+++ b/cmd/starlingwinch/check.go
@@ -45,7 +45,7 @@
 
 // check checks one file, and tells what it is.
 func check(path string) (string, error) {
-	raw, err := operatorconfig.Read(path, mostConfig)
+	raw, err := operatorconfig.Read(path, maxConfigBytes)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/starlingwinch/commands_test.go
+++ b/cmd/starlingwinch/commands_test.go
@@ -12,6 +12,7 @@
 	"path/filepath"
 	"regexp"
 	"runtime/debug"
+	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -156,14 +157,14 @@
 		t.Fatal(err)
 	}
 	s.hangUp(t)
-	if got := s.wait(t, "the old configuration stays: "); !strings.Contains(got, "clients.command_time: out of range") {
+	if got := s.wait(t, `msg="reload failed" cause=`); !strings.Contains(got, "clients.command_time: out of range") {
 		t.Errorf("logged %q", got)
 	}
 	if err := os.WriteFile(mine, []byte("kind = \"limits\"\n[clients]\ncommand_time = \"200ms\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.hangUp(t)
-	s.wait(t, "wait for a restart")
+	s.wait(t, "waits for a restart")
 	s.end(t)
 }
 
@@ -215,7 +216,7 @@
 		t.Fatal(err)
 	}
 	s := &started{cmd: cmd, log: bufio.NewReader(stderr)}
-	if got := s.wait(t, "warning: "); got != path+": settings.newKey: unknown field" {
+	if got := s.wait(t, `msg="configuration warning" detail=`); got != strconv.Quote(path+": settings.newKey: unknown field") {
 		t.Errorf("warned %q", got)
 	}
 	s.end(t)
--- a/cmd/starlingwinch/daemon.go
+++ b/cmd/starlingwinch/daemon.go
@@ -6,27 +6,30 @@
 	"fmt"
 	"io"
 	"io/fs"
+	"log/slog"
 	"strings"
 
+	"starlingwinch/internal/eventlog"
 	"starlingwinch/internal/machine"
 	"starlingwinch/internal/router"
 )
 
-// A file that is being replaced may not be there for a moment, or not be whole. A start reads the files again until then.
+// Bounds of the wait for files that are being replaced, in microseconds.
 const (
-	filesPause  = 50_000
-	filesWithin = 2_000_000
+	filesRetryInterval = 50_000
+	maxFilesWait       = 2_000_000
 )
 
-// errLogged is an error that the log has told already.
+// errLogged stands for an error that is in the log already: nothing more is printed.
 var errLogged = errors.New("")
 
-// errUnfinished is an error for files that may be there, or be whole, in a moment.
+// errUnfinished wraps an error about files that may exist, or be complete, in a moment.
 type errUnfinished struct{ error }
 
+// Unwrap returns the wrapped error.
 func (e errUnfinished) Unwrap() error { return e.error }
 
-// isUnfinished reports whether a file could not be read, or not be parsed, for something that may pass.
+// isUnfinished reports whether a file is missing or ends too early, as it does for a moment while it is being replaced.
 func isUnfinished(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, io.ErrUnexpectedEOF)
 }
@@ -42,64 +45,88 @@
 	return err
 }
 
-// daemon is the router on the machine's loop, from the reading of its files on.
+// daemonState is a phase in the life of the process. The states follow one another in this order; the router's own states
+// (see package router) lie within daemonRunning.
+type daemonState uint8
+
+const (
+	// daemonReadingFiles holds from the start until the files were read for the first time.
+	daemonReadingFiles daemonState = iota
+	// daemonWaitingForFiles holds while a file is missing or incomplete, as it is for a moment while it is being replaced.
+	// The files are read again until filesDeadline.
+	daemonWaitingForFiles
+	// daemonRunning holds while there is a router.
+	daemonRunning
+	// daemonFailed holds once the process ends for an error.
+	daemonFailed
+)
+
+// daemon is the process on the machine's loop: it reads the files, starts the router, and passes signals on to it.
 type daemon struct {
-	m        *machine.Real
-	inputs   inputs
-	until    machine.Time // the files are read again up to then
-	said     bool         // ... which stands in the log
-	cfg      *router.Config
-	warnings []string
-	err      error // why the process ends, other than for a signal
+	m      *machine.Real
+	logger *slog.Logger
+	inputs inputs
+	state  daemonState
+	err    error // why the process ends, once it has failed
+
+	filesDeadline machine.Time // until then, files that are missing or incomplete are read again
+	cfg           *router.Config
+	warnings      []string
 }
 
-// begin reads the files, beside the loop, and starts the router.
+// begin begins to read the files, once, as the first thing on the loop.
 func (d *daemon) begin(s inputs) {
-	d.inputs, d.until = s, d.m.Now()+filesWithin
-	d.read()
+	d.inputs = s
+	d.filesDeadline = d.m.Now() + maxFilesWait
+	d.readFiles()
 }
 
-func (d *daemon) read() {
+// readFiles reads the files beside the loop, and goes on to the start, to another reading or to the end.
+func (d *daemon) readFiles() {
 	var err error
 	d.m.Work(func() { d.cfg, d.warnings, err = d.inputs.load() }, func() {
 		switch {
 		case err == nil:
 			d.start()
-		case errors.As(err, new(errUnfinished)) && d.m.Now() < d.until:
-			d.readAgain(err)
+		case errors.As(err, new(errUnfinished)) && d.m.Now() < d.filesDeadline:
+			d.waitForFiles(err)
 		default:
 			d.fail(err)
 		}
 	})
 }
 
-// readAgain reads the files again in a moment. Until then SIGTERM ends the process, and SIGHUP asks for what is done anyway.
-func (d *daemon) readAgain(err error) {
-	if !d.said {
-		d.said = true
-		d.m.Log(fmt.Sprintf("level=INFO msg=start reason=waiting-for-files cause=%q", strings.ReplaceAll(err.Error(), "\n", "; ")))
+// waitForFiles is the transition to daemonWaitingForFiles. It happens when a file is missing or incomplete, and again at each
+// reading that finds it so; the next reading follows after filesRetryInterval. Until then SIGTERM ends the process, and SIGHUP
+// changes nothing, as it asks for another reading.
+func (d *daemon) waitForFiles(cause error) {
+	if d.state != daemonWaitingForFiles {
+		d.state = daemonWaitingForFiles
+		d.logger.Info(string(eventlog.StartProgress), "reason", "waiting-for-files", "cause", oneLine(cause))
 	}
-	d.m.Signals(func(sig machine.Signal) {
-		if sig == machine.Terminate {
+	d.m.Signals(func(signal machine.Signal) {
+		if signal == machine.Terminate {
 			d.m.Stop()
 		}
 	})
-	d.m.At(d.m.Now()+filesPause, d.read)
+	d.m.At(d.m.Now()+filesRetryInterval, d.readFiles)
 }
 
-// start starts the router, and has signals reach it.
+// start is the transition to daemonRunning, once the files are read: it starts the router, and has signals reach it. An
+// error of the router's start ends the process.
 func (d *daemon) start() {
 	d.cfg.Limits.Apply()
 	r, err := router.Start(d.m, d.cfg)
-	if err != nil { // what was only a warning may name the cause in the file's own words
+	if err != nil { // what was only a warning may explain the error in the file's own terms
 		d.fail(errors.New(strings.Join(append(d.warnings, "starlingwinch: "+err.Error()), "\n")))
 		return
 	}
+	d.state = daemonRunning
 	r.OnFailure(func(err error) { d.fail(fmt.Errorf("starlingwinch: %w", err)) })
-	warn(d.m, d.warnings)
-	reloads := reloader{inputs: d.inputs, m: d.m, router: r}
-	d.m.Signals(func(sig machine.Signal) {
-		if sig == machine.HangUp {
+	logWarnings(d.logger, d.warnings)
+	reloads := reloader{inputs: d.inputs, m: d.m, logger: d.logger, router: r}
+	d.m.Signals(func(signal machine.Signal) {
+		if signal == machine.HangUp {
 			reloads.begin()
 		} else {
 			r.Drain(d.m.Stop)
@@ -107,9 +134,10 @@
 	})
 }
 
-// fail ends the process for an error, which is the last word of the log: on a way of its own it would overtake lines that were
-// logged earlier, and have neither their time nor their process.
+// fail is the transition to daemonFailed, from any state. It logs the error, a line each, and ends the process. The lines go
+// through the machine's log as they are: on a way of their own they could overtake lines that were logged before.
 func (d *daemon) fail(err error) {
+	d.state = daemonFailed
 	for line := range strings.SplitSeq(err.Error(), "\n") {
 		d.m.Log(line)
 	}
--- a/cmd/starlingwinch/files_test.go
+++ b/cmd/starlingwinch/files_test.go
@@ -26,7 +26,7 @@
 			if err := os.Rename(path+".next", path); err != nil {
 				t.Fatal(err)
 			}
-			s.wait(t, "serving on ")
+			s.waitServing(t)
 			s.end(t)
 		})
 	}
@@ -36,7 +36,7 @@
 		s := startLogged(t, command(t, "run", "--config", file(t, "config.json", whole), "--operator", path))
 		s.wait(t, "reason=waiting-for-files")
 		write(t, path, "kind = \"limits\"\n")
-		s.wait(t, "serving on ")
+		s.waitServing(t)
 		s.end(t)
 	})
 	t.Run("Terminated", func(t *testing.T) {
--- a/cmd/starlingwinch/handover_test.go
+++ b/cmd/starlingwinch/handover_test.go
@@ -49,7 +49,7 @@
 		h.args = append(h.args, "--operator", file(t, fmt.Sprintf("operator-%d.toml", i), f))
 	}
 	h.old = h.start()
-	h.old.addr = h.old.wait(t, "serving on ")
+	h.old.addr = h.old.waitServing(t)
 	return h
 }
 
@@ -77,7 +77,7 @@
 // serves waits until a process serves, and asks it.
 func (h *handOver) serves(s *started) {
 	h.t.Helper()
-	if s.wait(h.t, "serving on ") != h.addr {
+	if s.waitServing(h.t) != h.addr {
 		h.t.Errorf("it serves elsewhere than at %s", h.addr)
 	}
 	answer := ask(h.t, h.addr, "PING")
@@ -130,7 +130,7 @@
 			t.Run("Drains", func(t *testing.T) {
 				h := newHandOver(t, files.files...)
 				h.signal(h.old, syscall.SIGTERM)
-				h.old.wait(t, "draining")
+				h.old.wait(t, "msg=draining")
 				next := h.start()
 				h.serves(next)
 				h.ended(h.old, 0)
@@ -226,7 +226,7 @@
 		next := h.start()
 		h.waits(next)
 		h.signal(next, syscall.SIGHUP)
-		next.wait(t, "SIGHUP: ")
+		next.wait(t, `msg="discovery address unchanged"`)
 		h.signal(next, syscall.SIGTERM)
 		h.ended(next, 0)
 		h.old.end(t)
--- a/cmd/starlingwinch/main_test.go
+++ b/cmd/starlingwinch/main_test.go
@@ -32,6 +32,12 @@
 	return cmd
 }
 
+// Beginnings of log lines that tests wait for, up to the value of the first field.
+const (
+	servingLine    = "msg=serving address="
+	discoveryMoved = `msg="discovery address changed" address=`
+)
+
 // started is the program at work.
 type started struct {
 	cmd  *exec.Cmd
@@ -46,7 +52,7 @@
 func start(t *testing.T, cmd *exec.Cmd) *started {
 	t.Helper()
 	s := startLogged(t, cmd)
-	s.addr = s.wait(t, "serving on ")
+	s.addr = s.waitServing(t)
 	return s
 }
 
@@ -80,9 +86,16 @@
 	}
 }
 
+// waitServing reads the log up to the line that says that the router serves, and returns its address.
+func (s *started) waitServing(t *testing.T) string {
+	t.Helper()
+	address, _, _ := strings.Cut(s.wait(t, servingLine), " ")
+	return address
+}
+
 // note takes in what a line of the log tells.
 func (s *started) note(line string) {
-	if _, addr, ok := strings.Cut(strings.TrimSpace(line), "discovery moves to "); ok {
+	if _, addr, ok := strings.Cut(strings.TrimSpace(line), discoveryMoved); ok {
 		s.moves, s.lastMove = s.moves+1, addr
 	}
 }
@@ -157,15 +170,15 @@
 		s.wait(t, logged)
 	}
 	good := fmt.Sprintf(config, "127.0.0.1:0")
-	hangUp("{", "the old configuration stays")
-	hangUp(strings.Replace(good, `"127.0.0.1:1","seed"`, `"127.0.0.1:2","seed"`, 1), "discovery moves to 127.0.0.1:2")
-	hangUp(good, "discovery moves to 127.0.0.1:1")
+	hangUp("{", `msg="reload failed"`)
+	hangUp(strings.Replace(good, `"127.0.0.1:1","seed"`, `"127.0.0.1:2","seed"`, 1), discoveryMoved+"127.0.0.1:2")
+	hangUp(good, discoveryMoved+"127.0.0.1:1")
 	close(stop)
 	if err := <-failed; err != nil {
 		t.Error(err)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.wait(t, "draining")
+	s.wait(t, "msg=draining")
 	s.cmd.Process.Signal(syscall.SIGHUP)
 	s.end(t)
 }
@@ -200,7 +213,7 @@
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
-	if text := log.String(); !strings.Contains(text, "serving on") || !strings.Contains(text, "draining") {
+	if text := log.String(); !strings.Contains(text, servingLine) || !strings.Contains(text, "msg=draining") {
 		t.Errorf("log: %q", text)
 	}
 }
--- a/cmd/starlingwinch/reload_test.go
+++ b/cmd/starlingwinch/reload_test.go
@@ -35,13 +35,13 @@
 		t.Fatal(err)
 	}
 	s.hangUp(t)
-	s.wait(t, "SIGHUP: ") // the second signal was taken
+	s.wait(t, `msg="reload queued"`) // the second signal was taken
 	if _, err := older.WriteString(at(2)); err != nil {
 		t.Fatal(err)
 	}
 	older.Close()
 	for s.moves < 2 {
-		s.wait(t, "discovery moves to ")
+		s.wait(t, discoveryMoved)
 	}
 	s.end(t)
 	if last := s.lastMove; last != "127.0.0.1:3" {
--- a/cmd/starlingwinch/run.go
+++ b/cmd/starlingwinch/run.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"log"
+	"log/slog"
 	"math"
 	"os"
 	"os/signal"
@@ -26,6 +27,7 @@
 	"starlingwinch/internal/router"
 	"starlingwinch/internal/settings"
 	"starlingwinch/internal/snapshotstore"
+	"starlingwinch/internal/structuredlog"
 )
 
 // kinds are the operators' files that the program knows. A subsystem adds its own here.
@@ -33,8 +35,8 @@
 
 const (
 	configVariable = "BALANCER_CONFIG"
-	mostConfig     = 16 << 20 // bytes of the platform's file: its list of caches alone may have 8 MiB
-	mostWarnings   = 20       // lines of the log
+	maxConfigBytes = 16 << 20 // of the platform's file, whose endpoint list alone may have 8 MiB
+	maxWarnings    = 20       // of one reading of the files that are logged
 )
 
 // inputs are the files that a router is started with.
@@ -83,7 +85,7 @@
 	}
 	// A log whose reader has gone must not end the router: the program would end by the signal.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGPIPE)
-	d := daemon{m: m}
+	d := daemon{m: m, logger: structuredlog.New(m)}
 	m.Post(func() { d.begin(s) })
 	m.Run()
 	return d.err
@@ -94,52 +96,58 @@
 type reloader struct {
 	inputs inputs
 	m      machine.Machine
+	logger *slog.Logger
 	router *router.Router
-	reads  bool // files are being read
-	again  bool // ... and a signal has come since
+
+	isReading bool // files are being read
+	isQueued  bool // a signal has come since the reading began: the files are read again after it
 }
 
+// begin reads the files, or has them read again after the reading that is under way. Each SIGHUP calls it.
 func (l *reloader) begin() {
-	if l.reads {
-		l.again = true
-		l.m.Log("SIGHUP: the files are read again once those of the signal before are")
+	if l.isReading {
+		l.isQueued = true
+		l.logger.Info("reload queued", "trigger", "SIGHUP")
 		return
 	}
-	l.reads = true
+	l.isReading = true
 	var next *router.Config
 	var warnings []string
 	var err error
 	l.m.Work(func() { next, warnings, err = l.inputs.load() }, func() {
-		l.reads = false
-		l.take(next, warnings, err)
-		if l.again {
-			l.again = false
+		l.isReading = false
+		l.apply(next, warnings, err)
+		if l.isQueued {
+			l.isQueued = false
 			l.begin()
 		}
 	})
 }
 
-// take has the router take over what was read.
-func (l *reloader) take(next *router.Config, warnings []string, err error) {
+// apply has the router take over what was read. Where the files are not valid, the router keeps its configuration.
+func (l *reloader) apply(next *router.Config, warnings []string, err error) {
 	if err != nil {
-		l.m.Log("SIGHUP: the old configuration stays: " + strings.ReplaceAll(err.Error(), "\n", "; "))
+		l.logger.Error("reload failed", "cause", oneLine(err))
 		return
 	}
-	warn(l.m, warnings)
+	logWarnings(l.logger, warnings)
 	l.router.Reload(next)
 }
 
-// warn logs what is wrong and does not keep the router from serving.
-func warn(m machine.Machine, warnings []string) {
-	for i, w := range warnings {
-		if i == mostWarnings {
-			m.Log(fmt.Sprintf("warning: %d more; starlingwinch check names them", len(warnings)-i))
+// logWarnings logs what is wrong with the files and does not keep the router from serving.
+func logWarnings(logger *slog.Logger, warnings []string) {
+	for i, warning := range warnings {
+		if i == maxWarnings {
+			logger.Warn("more configuration warnings; starlingwinch check prints them", "count", len(warnings)-i)
 			return
 		}
-		m.Log("warning: " + w)
+		logger.Warn("configuration warning", "detail", warning)
 	}
 }
 
+// oneLine returns an error's text, which may have several lines, as one.
+func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
+
 // load reads all files. The error names all that is wrong with any of them, a line each.
 func (s inputs) load() (*router.Config, []string, error) {
 	var faults configerror.List
@@ -225,12 +233,12 @@
 		return nil, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, mostConfig+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(raw) > mostConfig {
-		return nil, fmt.Errorf("%s: too large (wanted at most %d bytes)", configerror.Plain(path), mostConfig)
+	if len(raw) > maxConfigBytes {
+		return nil, fmt.Errorf("%s: too large (wanted at most %d bytes)", configerror.Plain(path), maxConfigBytes)
 	}
 	return raw, nil
 }
--- a/cmd/starlingwinch/state_test.go
+++ b/cmd/starlingwinch/state_test.go
@@ -114,10 +114,10 @@
 	s.cmd.Process.Kill()
 	s.cmd.Wait()
 	s = start(t, command(t, "run", "--config", config, "--operator", toml))
-	s.wait(t, "state: taken over, 1 caches, as of ")
+	s.wait(t, `msg="snapshot restored" caches=1 age=`)
 	name(other)
 	s.cmd.Process.Signal(syscall.SIGHUP)
-	s.wait(t, "SIGHUP: the state is kept in "+other)
+	s.wait(t, `msg="snapshot folder changed" folder=`+other)
 	written(other)
 	s.end(t)
 	if code, _, errs := outcome(t, "state", "verify", other); code != 0 {
--- a/internal/router/address_test.go
+++ b/internal/router/address_test.go
@@ -102,7 +102,7 @@
 	t.Cleanup(func() { loop.Do(r.Close) })
 	receive(t, calls, "call").Reply <- hosts(1, true, host("c1", leaving.Addr(), "in_service"))
 	watch := receive(t, calls, "watch")
-	loop.Until("the list", func() bool { return len(r.caches) == 1 })
+	loop.Until("the list", func() bool { return len(r.endpoints) == 1 })
 	loop.After(2 * cfg.OperatorLimits.Caches.HealthCheckTimeout) // a round of probes
 	watch.Reply <- hosts(2, true, host("c1", leaving.Addr(), "terminating"), host("c2", staying.Addr(), "in_service"))
 	receive(t, calls, "watch")
--- a/internal/router/aperture.go
+++ b/internal/router/aperture.go
@@ -1,7 +1,7 @@
 package router
 
 import (
-	"fmt"
+	"log/slog"
 	"maps"
 	"slices"
 
@@ -10,94 +10,114 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// narrowed is the fleet as the list has it, of which the router uses the part that its aperture covers.
-type narrowed struct {
-	ring  *aperture.Aperture
-	whole map[string]member
+// endpointSubset restricts a fleet that has more caches than the router has descriptors to the part that its aperture
+// covers. Without it, nearly every request would open a connection.
+type endpointSubset struct {
+	aperture *aperture.Aperture
+	all      map[string]subsetEntry // the whole list, by name
 }
 
-// member is a line of the whole list.
-type member struct {
-	entry decide.Endpoint
-	addr  string
+// subsetEntry is an endpoint of the whole list.
+type subsetEntry struct {
+	entry   decide.Endpoint
+	address string
 }
 
-// newNarrowed is nil where the router can't know its place among the others, or has descriptors for any fleet.
-func newNarrowed(cfg *Config, connections int) *narrowed {
-	ring, err := aperture.New(cfg.RouterNumber, cfg.RouterCount, connections)
+// newEndpointSubset returns a subset for so many connections; nil where the router's number among its peers is not known or
+// its descriptors are enough for any fleet.
+func newEndpointSubset(cfg *Config, connections int) *endpointSubset {
+	covered, err := aperture.New(cfg.RouterNumber, cfg.RouterCount, connections)
 	if err != nil {
 		return nil
 	}
-	return &narrowed{ring: ring, whole: map[string]member{}}
+	return &endpointSubset{aperture: covered, all: map[string]subsetEntry{}}
 }
 
-// part keeps what the aperture covers of what has changed. The danger: with more caches than descriptors a connection is
-// opened for nearly every request.
-func (n *narrowed) part(p endpoints.Publish, log func(string)) endpoints.Publish {
-	for i, e := range p.Endpoints {
-		if e.Status == decide.Removed {
-			delete(n.whole, e.ID)
-		} else {
-			addr := p.Addresses[i]
-			if addr == "" {
-				addr = n.whole[e.ID].addr // bad news needs none
-			}
-			n.whole[e.ID] = member{e, addr}
-		}
+// restrict takes in a change of the whole list, and returns the change of the part that the aperture covers.
+func (s *endpointSubset) restrict(list endpoints.Publish, logger *slog.Logger) endpoints.Publish {
+	for i, e := range list.Endpoints {
+		s.update(e, list.Addresses[i])
 	}
-	before := *n.ring
-	if n.ring.Resize(len(n.whole)) {
-		return n.moved(p, &before, log)
+	before := *s.aperture
+	if s.aperture.Resize(len(s.all)) {
+		return s.afterResize(list, &before, logger)
 	}
-	if n.ring.CoversAll() {
-		return p
+	if s.aperture.CoversAll() {
+		return list
 	}
-	out := endpoints.Publish{Kind: p.Kind}
-	for i, e := range p.Endpoints {
-		if n.ring.Covers(e.ID) {
-			out.Endpoints, out.Addresses = append(out.Endpoints, e), append(out.Addresses, p.Addresses[i])
+	restricted := endpoints.Publish{Kind: list.Kind}
+	for i, e := range list.Endpoints {
+		if s.aperture.Covers(e.ID) {
+			restricted.Endpoints = append(restricted.Endpoints, e)
+			restricted.Addresses = append(restricted.Addresses, list.Addresses[i])
 		}
 	}
-	return out
+	return restricted
 }
 
-// moved is what an aperture that has just changed makes of the list: what it does not cover any more has gone, what
-// it covers now has come, and what has changed has.
-func (n *narrowed) moved(p endpoints.Publish, before *aperture.Aperture, log func(string)) endpoints.Publish {
-	var bad, good []member
-	add := func(e decide.Endpoint, addr string) {
-		if e.Status == decide.Serving {
-			good = append(good, member{e, addr})
-		} else {
-			bad = append(bad, member{e, addr})
-		}
+// update takes one endpoint into the whole list. A drain may come without an address.
+func (s *endpointSubset) update(e decide.Endpoint, address string) {
+	if e.Status == decide.Removed {
+		delete(s.all, e.ID)
+		return
+	}
+	if address == "" {
+		address = s.all[e.ID].address
+	}
+	s.all[e.ID] = subsetEntry{e, address}
+}
+
+// subsetChange is a change of the covered part, in two halves: removals and drains come first.
+type subsetChange struct {
+	leaving, serving []subsetEntry
+}
+
+// add adds an endpoint to its half of the change.
+func (c *subsetChange) add(e decide.Endpoint, address string) {
+	if e.Status == decide.Serving {
+		c.serving = append(c.serving, subsetEntry{e, address})
+	} else {
+		c.leaving = append(c.leaving, subsetEntry{e, address})
 	}
-	changed := map[string]bool{}
-	for i, e := range p.Endpoints {
-		if changed[e.ID] = true; e.Status == decide.Removed || n.ring.Covers(e.ID) {
-			add(e, p.Addresses[i])
+}
+
+// remove adds the removal of an endpoint.
+func (c *subsetChange) remove(id string) {
+	c.leaving = append(c.leaving, subsetEntry{entry: decide.Endpoint{ID: id, Status: decide.Removed}})
+}
+
+// afterResize returns the change that a resized aperture makes of a change of the whole list: endpoints that it covers no
+// more are removed, those that it covers now are added, beside those that have changed themselves.
+func (s *endpointSubset) afterResize(list endpoints.Publish, before *aperture.Aperture, logger *slog.Logger) endpoints.Publish {
+	var change subsetChange
+	inList := map[string]bool{}
+	for i, e := range list.Endpoints {
+		inList[e.ID] = true
+		if e.Status == decide.Removed || s.aperture.Covers(e.ID) {
+			change.add(e, list.Addresses[i])
 		} else if before.Covers(e.ID) {
-			add(decide.Endpoint{ID: e.ID, Status: decide.Removed}, "")
+			change.remove(e.ID)
 		}
 	}
 	used := 0
-	for _, name := range slices.Sorted(maps.Keys(n.whole)) {
-		was, is := before.Covers(name), n.ring.Covers(name)
-		if is {
+	for _, id := range slices.Sorted(maps.Keys(s.all)) {
+		wasCovered, isCovered := before.Covers(id), s.aperture.Covers(id)
+		if isCovered {
 			used++
 		}
 		switch {
-		case changed[name] || was == is:
-		case is:
-			add(n.whole[name].entry, n.whole[name].addr)
+		case inList[id] || wasCovered == isCovered:
+		case isCovered:
+			change.add(s.all[id].entry, s.all[id].address)
 		default:
-			add(decide.Endpoint{ID: name, Status: decide.Removed}, "")
+			change.remove(id)
 		}
 	}
-	out := endpoints.Publish{Kind: p.Kind}
-	for _, m := range append(bad, good...) {
-		out.Endpoints, out.Addresses = append(out.Endpoints, m.entry), append(out.Addresses, m.addr)
+	restricted := endpoints.Publish{Kind: list.Kind}
+	for _, e := range append(change.leaving, change.serving...) {
+		restricted.Endpoints = append(restricted.Endpoints, e.entry)
+		restricted.Addresses = append(restricted.Addresses, e.address)
 	}
-	log(fmt.Sprintf("list of caches: %d of %d are used, as there are descriptors for so many", used, len(n.whole)))
-	return out
+	logger.Info("endpoint subset resized", "used", used, "listed", len(s.all))
+	return restricted
 }
--- a/internal/router/aperture_test.go
+++ b/internal/router/aperture_test.go
@@ -6,6 +6,7 @@
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/endpoints"
+	"starlingwinch/internal/structuredlog"
 )
 
 // fleetOf is a list of so many caches that take work.
@@ -20,13 +21,13 @@
 
 // used plays lists and keeps what the router uses of them.
 type used struct {
-	n     *narrowed
+	n     *endpointSubset
 	known map[string]bool
 }
 
 func (u *used) play(t *testing.T, p endpoints.Publish) {
 	t.Helper()
-	out := u.n.part(p, func(string) {})
+	out := u.n.restrict(p, structuredlog.Discard())
 	good := false
 	for i, e := range out.Endpoints {
 		if e.Status != decide.Removed && out.Addresses[i] == "" {
@@ -47,7 +48,7 @@
 // TestLargeFleetIsUsedInPart: no more caches than there are descriptors, and all again once the fleet is smaller.
 func TestLargeFleetIsUsedInPart(t *testing.T) {
 	cfg := &Config{RouterNumber: 1, RouterCount: 3}
-	u := &used{newNarrowed(cfg, 390), map[string]bool{}}
+	u := &used{newEndpointSubset(cfg, 390), map[string]bool{}}
 	u.play(t, fleetOf(300))
 	if len(u.known) != 300 {
 		t.Errorf("%d of 300 are used", len(u.known))
@@ -58,7 +59,7 @@
 		t.Errorf("%d of 500 are used, there are descriptors for 390", n)
 	}
 	for id := range u.known {
-		if !u.n.ring.Covers(id) {
+		if !u.n.aperture.Covers(id) {
 			t.Errorf("%s is used, the aperture does not cover it", id)
 		}
 	}
@@ -66,7 +67,7 @@
 	for _, e := range whole.Endpoints[:20] {
 		was := u.known[e.ID]
 		e.Status = decide.Draining
-		out := u.n.part(endpoints.Publish{Endpoints: []decide.Endpoint{e}, Addresses: []string{""}}, func(string) {})
+		out := u.n.restrict(endpoints.Publish{Endpoints: []decide.Endpoint{e}, Addresses: []string{""}}, structuredlog.Discard())
 		if heard := len(out.Endpoints) == 1; heard != was {
 			t.Errorf("%s, used %v: its drain was heard %v", e.ID, was, heard)
 		}
@@ -82,7 +83,7 @@
 }
 
 func TestRouterThatDoesNotKnowItsPlaceUsesAll(t *testing.T) {
-	if n := newNarrowed(&Config{RouterNumber: -1}, 10); n != nil {
+	if n := newEndpointSubset(&Config{RouterNumber: -1}, 10); n != nil {
 		t.Error("it has an aperture")
 	}
 }
--- /dev/null
+++ b/internal/router/attempt.go
@@ -0,0 +1,146 @@
+package router
+
+import (
+	"starlingwinch/decide"
+	"starlingwinch/internal/guard"
+	"starlingwinch/internal/resp"
+	"starlingwinch/internal/upstream"
+)
+
+// unknownLoad is the load report of a cache that sent none.
+var unknownLoad = decide.LoadReport{Utilization: -1}
+
+// attempt is one sending of a request to one cache. It implements upstream.Work.
+type attempt struct {
+	upstream.Attempt
+	router  *Router
+	request *request
+	target  guard.Cache          // the cache as it was listed when the attempt began
+	result  decide.AttemptResult // the event that the module receives
+}
+
+// Encode implements upstream.Work.
+func (a *attempt) Encode(b []byte, wait Time) []byte { return a.request.command.Encode(b, wait) }
+
+// MaySend implements upstream.Work. The client's connection is checked again, as one turn may bring both what lets a request
+// go out and, behind it, the end of its client.
+func (a *attempt) MaySend(now Time) bool {
+	q := a.request
+	isOver := q.finished || q.slot.ClientGone()
+	return a.router.guard.MaySend(now, &q.guard, a.target, isOver) == guard.Allowed
+}
+
+// WriteStarted implements upstream.Work.
+func (a *attempt) WriteStarted(now, wait Time, whole bool) {
+	a.router.guard.WriteStarted(now, &a.request.guard, a.Number, a.target, wait, whole)
+}
+
+// WriteCompleted implements upstream.Work.
+func (a *attempt) WriteCompleted() { a.request.guard.WriteCompleted(a.Number) }
+
+// KeyHash implements upstream.Work.
+func (a *attempt) KeyHash() uint64 { return a.request.command.KeyHash }
+
+// NonIdempotent implements upstream.Work.
+func (a *attempt) NonIdempotent() bool { return a.request.command.NonIdempotent }
+
+// startAttempt carries out a Send. An attempt that can't begin, as its cache or its client has gone, gets a result all the
+// same.
+func (r *Router) startAttempt(action decide.Send) {
+	q := r.requests[action.ID]
+	if q == nil {
+		return // the contract has reported it and makes up a result
+	}
+	a := r.newAttempt(q, action)
+	q.attempts = append(q.attempts, a)
+	if !q.finished {
+		q.attemptsOut++
+		if r.pool.Start(action.Cache, &a.Attempt) {
+			return
+		}
+		q.attemptsOut--
+	}
+	a.Discard()
+	r.queueRequestEvent(q, &decide.AttemptResult{
+		ID:      q.id,
+		Attempt: a.Number,
+		Result:  decide.NotSent,
+		Last:    q.finished,
+		Load:    unknownLoad,
+	})
+}
+
+// newAttempt makes the record of a request's next attempt.
+func (r *Router) newAttempt(q *request, action decide.Send) *attempt {
+	now := r.m.Now()
+	a := &q.firstAttempt
+	if len(q.attempts) > 0 {
+		r.logRetry(q, action.Cache)
+		a = &attempt{}
+	}
+	a.router = r
+	a.request = q
+	a.target = guard.Cache{Name: action.Cache}
+	if e := r.endpoints[action.Cache]; e != nil {
+		a.target.Zone, a.target.Cell = e.entry.Zone, e.entry.Cell
+	}
+	a.Attempt = upstream.Attempt{
+		Request:       a,
+		Number:        len(q.attempts),
+		SentAt:        now,
+		Deadline:      action.AttemptDeadline,
+		WriteDeadline: action.WriteDeadline,
+	}
+	if a.Deadline == 0 || a.Deadline > q.deadline {
+		a.Deadline = q.deadline
+	}
+	return a
+}
+
+// cancelAttempt carries out a Cancel.
+func (r *Router) cancelAttempt(action decide.Cancel) {
+	q := r.requests[action.ID]
+	if q != nil && action.Attempt < len(q.attempts) {
+		q.attempts[action.Attempt].Abort(decide.Cancelled)
+	}
+}
+
+// startHealthCheck carries out a HealthCheck. A router that waits for its address checks no cache.
+func (r *Router) startHealthCheck(cache string) {
+	now := r.m.Now()
+	check := &upstream.Attempt{SentAt: now, Deadline: now + r.cfg.OperatorLimits.Caches.HealthCheckTimeout.Microseconds()}
+	if r.frontend == nil || !r.pool.Start(cache, check) {
+		r.queueEvent(&decide.HealthCheckResult{Cache: cache, Result: decide.NotSent, Load: unknownLoad})
+	}
+}
+
+// AttemptEnded implements upstream.Owner: an attempt or a health check has its result. The first value that arrives is the
+// final answer of its request.
+func (r *Router) AttemptEnded(ended *upstream.Attempt, result decide.Result, reply *resp.Reply) {
+	elapsed := r.m.Now() - ended.SentAt
+	load := unknownLoad
+	if reply != nil {
+		load = reply.LoadReport
+	}
+	a, ofRequest := ended.Request.(*attempt)
+	if !ofRequest {
+		r.queueEvent(&decide.HealthCheckResult{Cache: ended.Cache(), Result: result, Elapsed: elapsed, Load: load})
+		return
+	}
+	q := a.request
+	q.guard.AttemptEnded(ended.Number, result)
+	r.logAttemptEnded(q, ended, result, elapsed)
+	q.attemptsOut--
+	q.connectionLost = q.connectionLost || result == decide.ConnectionLost
+	r.recordAttempt(result)
+	event := &a.result
+	*event = decide.AttemptResult{ID: q.id, Attempt: ended.Number, Result: result, Elapsed: elapsed, Load: load}
+	r.queueRequestEvent(q, event)
+	if reply != nil {
+		event.Miss = reply.Miss
+		if result == decide.Served {
+			r.finishRequest(q, servedWith(reply.Value))
+		}
+	}
+	event.Last = q.finished
+}
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -181,7 +181,7 @@
 				c.in = answer
 				c.h.Readable()
 			}
-			if m.turn(1300); r.open > 0 && len(carrying) == 0 {
+			if m.turn(1300); r.openRequests > 0 && len(carrying) == 0 {
 				m.turn(5000)
 			}
 		}
@@ -198,7 +198,7 @@
 		done += n
 	}
 	b.StopTimer()
-	if r.open > 0 || r.contract.Breaches() > 0 {
-		b.Fatalf("%d requests are open, %d breaches", r.open, r.contract.Breaches())
+	if r.openRequests > 0 || r.contract.Breaches() > 0 {
+		b.Fatalf("%d requests are open, %d breaches", r.openRequests, r.contract.Breaches())
 	}
 }
--- a/internal/router/burst_test.go
+++ b/internal/router/burst_test.go
@@ -164,8 +164,8 @@
 		r.list(2*i+3, false, host(name, cache.Addr(), "terminated"))
 	}
 	r.Do(func() {
-		if len(r.r.caches) != 1 || r.r.pool.InFlight("s49") != 1 { // c1, and the attempt that is out elsewhere
-			t.Errorf("%d caches are kept, %d attempts are out", len(r.r.caches), r.r.pool.InFlight("s49"))
+		if len(r.r.endpoints) != 1 || r.r.pool.InFlight("s49") != 1 { // c1, and the attempt that is out elsewhere
+			t.Errorf("%d caches are kept, %d attempts are out", len(r.r.endpoints), r.r.pool.InFlight("s49"))
 		}
 	})
 	r.perform(decide.Send{ID: last.id, Cache: "s3"})
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -64,7 +64,7 @@
 	for i := range most {
 		c.Send(get(fmt.Sprint("r", i)))
 	}
-	r.Until("all commands taken", func() bool { return r.r.open == most })
+	r.Until("all commands taken", func() bool { return r.r.openRequests == most })
 }
 
 // TestClientGone: nobody waits for the answer any more, so the attempt is stopped.
@@ -211,10 +211,10 @@
 	// The command on the wire is made huge: no socket takes it at once.
 	r.Do(func() {
 		request := r.r.requests[q.id]
-		s := &sending{router: r.r, request: request}
+		s := &attempt{router: r.r, request: request}
 		s.Attempt = upstream.Attempt{Request: hugeWork{s}, SentAt: r.Now(), Deadline: request.deadline}
 		request.attempts = append(request.attempts, s)
-		request.out++
+		request.attemptsOut++
 		r.r.pool.Start("c1", &s.Attempt)
 	})
 	if _, err := receive(t, conns, "connection").Read(make([]byte, 1)); err != nil {
@@ -234,7 +234,7 @@
 }
 
 // hugeWork is a sending whose command no socket takes at once.
-type hugeWork struct{ *sending }
+type hugeWork struct{ *attempt }
 
 func (w hugeWork) Encode(b []byte, _ Time) []byte { return append(b, make([]byte, 64<<20)...) }
 
@@ -285,13 +285,13 @@
 func TestIdleClientsMakeRoom(t *testing.T) {
 	cache := newFakeCache(t)
 	cfg := testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
-		in["limits"].(map[string]any)["sockets"] = leastSockets
+		in["limits"].(map[string]any)["sockets"] = minSockets
 	}, host("c1", cache.Addr(), "in_service"))
 	r := start(t, cfg, nil, nil)
 	busy := dial(t, r.addr)
 	busy.Send(get("r1"))
 	cmd := receive(t, cache.Commands, "command")
-	most, _ := cfg.Limits.shares()
+	most, _ := cfg.Limits.descriptorQuotas()
 	var all []*routertest.Client
 	for range 4 * most {
 		c := dial(t, r.addr)
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -115,7 +115,7 @@
 		bad  bool
 	}{{"cores", !(c.Limits.Cores >= 0 && c.Limits.Cores <= settings.MostCores)},
 		{"memory_mb", c.Limits.MemoryMB < 0 || c.Limits.MemoryMB > settings.MostMemoryMB},
-		{"sockets", c.Limits.Sockets < 0 || c.Limits.Sockets > 0 && c.Limits.Sockets < leastSockets}} {
+		{"sockets", c.Limits.Sockets < 0 || c.Limits.Sockets > 0 && c.Limits.Sockets < minSockets}} {
 		if f.bad {
 			return nil, fmt.Errorf("limits.%s: out of range", f.name)
 		}
--- /dev/null
+++ b/internal/router/contract.go
@@ -0,0 +1,92 @@
+package router
+
+import (
+	"log/slog"
+	"strings"
+
+	"starlingwinch/decide"
+	"starlingwinch/internal/eventlog"
+	"starlingwinch/internal/guard"
+)
+
+// Bounds of the periodic check, in microseconds.
+const (
+	sweepInterval = 1_000_000 // between two checks
+	maxSweepDelay = 100_000   // a check that comes later than that proves nothing about what is overdue
+)
+
+// scheduleSweep sets the timer for the next periodic check.
+func (r *Router) scheduleSweep() {
+	r.sweepDue = r.m.Now() + sweepInterval
+	r.sweepTimer = r.m.At(r.sweepDue, r.periodicCheck)
+}
+
+// periodicCheck does, once in sweepInterval while the router serves or drains, what no event calls for: it closes idle
+// connections, brings the router count up to date, logs the event counters, and checks the contract.
+func (r *Router) periodicCheck() {
+	r.pool.Sweep()
+	r.updateRouterCount() // its hold time may be over
+	if now := r.m.Now(); now-r.countersWrittenAt >= r.cfg.Events.Counters.Microseconds() {
+		r.countersWrittenAt = now
+		r.events.WriteCounters()
+	}
+	r.ProcessEvents()
+	// After a pause of the loop, what was due meanwhile is handled after this check, and only seems to be overdue.
+	if r.m.Now()-r.sweepDue <= maxSweepDelay {
+		r.repairContract()
+		r.ProcessEvents()
+	}
+	r.scheduleSweep()
+}
+
+// repairContract makes up for what the contract finds overdue.
+func (r *Router) repairContract() {
+	for _, event := range r.contract.Overdue(r.m.Now()) {
+		switch event := event.(type) {
+		case *decide.AttemptResult:
+			if r.abortOverdueAttempt(event) {
+				continue // the result follows from that
+			}
+			if q := r.requests[event.ID]; q != nil {
+				q.undeliveredEvents++
+			}
+		case *decide.ClientGone:
+			if q := r.requests[event.ID]; q != nil {
+				q.undeliveredEvents++
+				r.finishRequest(q, failure)
+			}
+		}
+		r.queueEvent(event)
+	}
+	if len(r.pendingEvents) == 0 {
+		r.contract.Check(r.m.Now(), r.pool.InFlight)
+	}
+}
+
+// abortOverdueAttempt ends an attempt whose deadline timer was lost. It reports whether there was such an attempt.
+func (r *Router) abortOverdueAttempt(overdue *decide.AttemptResult) bool {
+	q := r.requests[overdue.ID]
+	if q == nil || overdue.Attempt >= len(q.attempts) || q.attempts[overdue.Attempt].Ended() {
+		return false
+	}
+	q.attempts[overdue.Attempt].Abort(decide.TimedOut)
+	return true
+}
+
+// violations returns how many rules were broken.
+func (r *Router) violations() int {
+	counts := r.guard.Counts()
+	return counts.Broken()
+}
+
+// logViolation logs a rule that was broken.
+func (r *Router) logViolation(v guard.Violation) {
+	r.events.Add(eventlog.Violation, v.Reason.String(), slog.Int64("request", v.Request), slog.String("id", v.Name),
+		slog.Int("attempt", v.Attempt), slog.String("cache", v.Cache), slog.Int64("by_us", v.Excess))
+}
+
+// logBreach logs a breach of the contract between the loop and the module, with the events and actions before it.
+func (r *Router) logBreach(b guard.Breach) {
+	r.logger.Error("contract breach", "kind", b.Kind.String(), "request", b.Request, "cache", b.Cache, "detail", b.Text,
+		"before", strings.Join(b.History, " | "))
+}
--- a/internal/router/books_test.go
+++ b/internal/router/contract_test.go
@@ -56,7 +56,7 @@
 	if got := c.Line(); !strings.HasPrefix(got, "-") {
 		t.Errorf("answered %q", got)
 	}
-	lines.Want(t, "contract: outcome-missing")
+	lines.Want(t, `msg="contract breach" kind=outcome-missing`)
 	s.Until("the end of the request", func() bool {
 		return s.r.contract.Open() == 0 && len(s.r.requests) == 0
 	})
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -14,7 +14,7 @@
 func TestDrainWithWorkInHand(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
-		func(r *Router) { r.arrivals = 2_000_000 }) // a slow machine must not miss it, nor the drain's end come first
+		func(r *Router) { r.acceptGrace = 2_000_000 }) // a slow machine must not miss it, nor the drain's end come first
 	idle, busy := dial(t, r.addr), dial(t, r.addr)
 	idle.Send(words("PING"))
 	idle.Want("+PONG")
@@ -39,8 +39,8 @@
 func TestDrainEndsInTime(t *testing.T) {
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil), nil, func(r *Router) {
 		r.module = newScript() // answers nothing
-		r.sweeping.Stop()
-		r.longest = 1000
+		r.sweepTimer.Stop()
+		r.maxClientTimeout = 1000
 	})
 	stuck, half := dial(t, r.addr), dial(t, r.addr)
 	stuck.Send(words("PING") + get("r1"))
@@ -54,7 +54,7 @@
 // TestDrainEndsThoughNobodyReadsTheLog.
 func TestDrainEndsThoughNobodyReadsTheLog(t *testing.T) {
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil), routertest.NewStuck(t),
-		func(r *Router) { r.arrivals = 0 })
+		func(r *Router) { r.acceptGrace = 0 })
 	dial(t, r.addr).Close()
 	r.drain()
 	receive(t, r.ended, "end of the router")
@@ -76,7 +76,7 @@
 	const asked = 200
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
-		func(r *Router) { r.arrivals = 1000 })
+		func(r *Router) { r.acceptGrace = 1000 })
 	value := strings.Repeat("v", 60_000)
 	answer := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
 	go func() {
@@ -93,7 +93,7 @@
 		return left["attempts"] == 0 && left["requests"] == 0 && left["bytes"] > 1<<20
 	})
 	r.drain()
-	r.Until("a drain that waits for nothing else", func() bool { return r.r.front.Accepted() > 0 && r.r.onDrained != nil })
+	r.Until("a drain that waits for nothing else", func() bool { return r.r.frontend.Accepted() > 0 && r.r.isEnding() })
 	for i := range asked {
 		if got := c.Line(); got != value {
 			t.Fatalf("answer %d is not whole: %d bytes", i, len(got))
--- a/internal/router/endings_test.go
+++ b/internal/router/endings_test.go
@@ -33,9 +33,9 @@
 			first := receive(t, cache.Commands, "command")
 			leaves := dial(t, r.addr)
 			leaves.Send(c.wire) // it waits for the one connection
-			r.Until("a request that waits", func() bool { return r.r.open >= 2 })
+			r.Until("a request that waits", func() bool { return r.r.openRequests >= 2 })
 			leaves.Close()
-			r.Until("that nobody waits for", func() bool { return r.r.open == 1 })
+			r.Until("that nobody waits for", func() bool { return r.r.openRequests == 1 })
 			first.Reply(t, served)
 			busy.Want("value")
 			busy.Send(get("last"))
@@ -67,7 +67,7 @@
 			busy.Send(get("first"))
 			first := receive(t, cache.Commands, "command")
 			leaves.Send(get("leaves"))
-			r.Until("a request that waits", func() bool { return r.r.open == 2 })
+			r.Until("a request that waits", func() bool { return r.r.openRequests == 2 })
 			r.Do(func() {
 				first.Reply(t, served)
 				leave(leaves)
@@ -97,7 +97,7 @@
 	first.Send(get("r1"))
 	cmd := receive(t, cache.Commands, "command")
 	first.Close()
-	r.Until("that nobody waits for it", func() bool { return r.r.open == 0 })
+	r.Until("that nobody waits for it", func() bool { return r.r.openRequests == 0 })
 	second.Send(get("r1"))
 	if got := second.Line(); !strings.HasPrefix(got, "-ERR the id") {
 		t.Errorf("answer %q", got)
@@ -121,11 +121,11 @@
 			r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", addr, "in_service")), nil, nil)
 			c := dial(t, r.addr)
 			c.Send(get("r1") + words("C.SET", "k", "w1", "c=put,d=20000,k=1", "v"))
-			r.Until("requests in hand", func() bool { return r.r.open == 2 && r.r.pool.Attempts() == 2 })
+			r.Until("requests in hand", func() bool { return r.r.openRequests == 2 && r.r.pool.Attempts() == 2 })
 			r.drain()
-			r.Do(func() { endsIn = r.r.endsBy - r.Now() })
-			if endsIn > drainPatience+drainSlack {
-				t.Errorf("the drain ends in %d µs, SIGKILL comes %d µs after SIGTERM", endsIn, drainPatience+700_000)
+			r.Do(func() { endsIn = r.r.drainDeadline - r.Now() })
+			if endsIn > maxDrainTimeout+drainSlack {
+				t.Errorf("the drain ends in %d µs, SIGKILL comes %d µs after SIGTERM", endsIn, maxDrainTimeout+700_000)
 			}
 			c.Want("-ERR failed")
 			c.Want("-ERR failed")
@@ -146,7 +146,7 @@
 func TestWhatIsTakenLateInADrainIsAnsweredBeforeItsEnd(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
-		func(r *Router) { r.longest = 300_000 })
+		func(r *Router) { r.maxClientTimeout = 300_000 })
 	c := dial(t, r.addr)
 	c.Send(get("r0"))
 	receive(t, cache.Commands, "command")
@@ -173,8 +173,8 @@
 	receive(t, asked, "end of the client")
 	answers := 0
 	r.Do(func() {
-		if n := len(r.r.requests) - r.r.pool.Attempts(); r.r.open != 0 || n > 0 {
-			t.Errorf("%d requests are open", r.r.open)
+		if n := len(r.r.requests) - r.r.pool.Attempts(); r.r.openRequests != 0 || n > 0 {
+			t.Errorf("%d requests are open", r.r.openRequests)
 		}
 	})
 	for {
@@ -204,7 +204,7 @@
 	c.Line()
 	r.drain()
 	r.Do(func() { r.r.Reload(&next) })
-	lines.Want(t, "about to end")
+	lines.Want(t, "reload ignored: the router is ending")
 	c.WantClosed()
 	receive(t, r.ended, "end of the router")
 	r.Do(func() {
@@ -231,7 +231,7 @@
 	busy.Send(get("first"))
 	first := receive(t, cache.Commands, "command")
 	waits.Send(get("waits"))
-	r.Until("a request that waits", func() bool { return r.r.open == 2 })
+	r.Until("a request that waits", func() bool { return r.r.openRequests == 2 })
 	drains := parse(t, hosts(2, false, host("c1", cache.Addr(), "terminating")))
 	r.Do(func() { // the list, the answer that frees the connection, and a new request come in one turn
 		late.Send(get("late"))
@@ -249,7 +249,7 @@
 		t.Errorf("%d commands were sent to a cache that drains", n)
 	}
 	r.Do(func() {
-		if h := r.r.caches["c1"]; h.entry.Status != decide.Draining {
+		if h := r.r.endpoints["c1"]; h.entry.Status != decide.Draining {
 			t.Error("the drain was not taken over")
 		}
 	})
--- a/internal/router/list_test.go
+++ b/internal/router/endpoint_list_test.go
@@ -17,16 +17,16 @@
 	r := newRig(t, cache.Addr(), nil)
 	r.list(2, true, host("c1", "cache.example.org:1", "in_service"), host("c2", cache.Addr(), "terminating"))
 	r.Do(func() {
-		if h := r.r.caches["c1"]; h == nil || h.entry.Status != decide.Serving || h.addr != cache.Addr() {
+		if h := r.r.endpoints["c1"]; h == nil || h.entry.Status != decide.Serving || h.address != cache.Addr() {
 			t.Errorf("c1 is %+v", h)
 		}
-		if h := r.r.caches["c2"]; h == nil || h.entry.Status == decide.Serving {
+		if h := r.r.endpoints["c2"]; h == nil || h.entry.Status == decide.Serving {
 			t.Errorf("c2 is %+v", h)
 		}
 	})
 	r.list(3, true, host("c2", cache.Addr(), "in_service"))
 	r.Do(func() {
-		if r.r.caches["c1"] != nil {
+		if r.r.endpoints["c1"] != nil {
 			t.Error("c1, which the list leaves out, is still there")
 		}
 	})
@@ -63,7 +63,7 @@
 	const hour = 3600 * 1_000_000
 	started := wall.Load() - 5_000_000
 	start := func(name string) (at decide.Time) {
-		r.Do(func() { at = r.r.caches[name].entry.StartedAt })
+		r.Do(func() { at = r.r.endpoints[name].entry.StartedAt })
 		return at
 	}
 	r.list(2, false, since(host("c2", cache.Addr(), "in_service"), started))
@@ -77,7 +77,7 @@
 		name := fmt.Sprint("n", step)
 		r.list(5+step, false, since(host(name, cache.Addr(), "in_service"), wall.Load()-2_000_000))
 		age := decide.Time(0)
-		r.Do(func() { age = r.Now() - r.r.caches[name].entry.StartedAt })
+		r.Do(func() { age = r.Now() - r.r.endpoints[name].entry.StartedAt })
 		if age < 1_990_000 || age > 60_000_000 {
 			t.Errorf("after a step of %d a cache of 2 s is %d old", by, age)
 		}
@@ -95,7 +95,7 @@
 		wall.Add(by)
 		r.list(2, false, since(host("c2", cache.Addr(), "in_service"), started))
 		r.Do(func() {
-			if age := r.Now() - r.r.caches["c2"].entry.StartedAt; age < 0 || age > 60_000_000 {
+			if age := r.Now() - r.r.endpoints["c2"].entry.StartedAt; age < 0 || age > 60_000_000 {
 				t.Errorf("after a step of %d a cache of 2 s is %d old", by, age)
 			}
 		})
@@ -108,13 +108,13 @@
 	r, wall := stepped(t, cache.Addr())
 	r.list(2, false, since(host("c2", cache.Addr(), "in_service"), wall.Load()+3600*1_000_000))
 	r.Do(func() {
-		if at := r.r.caches["c2"].entry.StartedAt; at > r.Now() {
+		if at := r.r.endpoints["c2"].entry.StartedAt; at > r.Now() {
 			t.Errorf("it starts in %d", at-r.Now())
 		}
 	})
 	r.list(3, false, host("c2", cache.Addr(), "in_service"))
 	r.Do(func() {
-		if at := r.r.caches["c2"].entry.StartedAt; at != 0 {
+		if at := r.r.endpoints["c2"].entry.StartedAt; at != 0 {
 			t.Errorf("after the correction its start is %d", at)
 		}
 	})
@@ -124,7 +124,7 @@
 func TestLargeListIsTakenInPieces(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
-	const caches = 4 * listPiece
+	const caches = 4 * maxEndpointsPerTurn
 	var lines []string
 	for i := range caches {
 		lines = append(lines, host(fmt.Sprint("n", i), cache.Addr(), "in_service"))
@@ -136,15 +136,15 @@
 		if r.up("c1") {
 			t.Error("the drain waits for the rest of the list")
 		}
-		if n := len(r.r.caches); n > listPiece+1 {
+		if n := len(r.r.endpoints); n > maxEndpointsPerTurn+1 {
 			t.Errorf("%d caches were taken in one turn", n)
 		}
 	})
 	// A newer list that comes meanwhile is not overtaken by the rest of the old one.
 	r.list(3, false, host("n1999", cache.Addr(), "terminating"))
-	r.Until("the whole list", func() bool { return len(r.r.lists) == 0 })
+	r.Until("the whole list", func() bool { return len(r.r.pendingLists) == 0 })
 	r.Do(func() {
-		if n := len(r.r.caches); n != caches+1 {
+		if n := len(r.r.endpoints); n != caches+1 {
 			t.Errorf("%d caches are known", n)
 		}
 		if r.up("n1999") {
@@ -152,7 +152,7 @@
 		}
 	})
 	r.list(4, true, host("c1", cache.Addr(), "in_service"))
-	r.Until("the end of all others", func() bool { return len(r.r.caches) == 1 })
+	r.Until("the end of all others", func() bool { return len(r.r.endpoints) == 1 })
 }
 
 // TestChangesOfTheListAreLogged, each with its cause.
@@ -160,10 +160,15 @@
 	cache := newFakeCache(t)
 	lines := make(routertest.Lines, 1000)
 	r := newLoggedRig(t, cache.Addr(), nil, lines)
+	const noServingEndpoint = `msg="no serving endpoint left"`
 	want := func(text string) {
 		t.Helper()
 		for {
-			_, got, ok := strings.Cut(strings.TrimRight(receive(t, lines, "line"), "\"\n"), "list of caches: ")
+			line := strings.TrimRight(receive(t, lines, "line"), "\"\n")
+			_, got, ok := strings.Cut(line, "list of caches: ")
+			if strings.Contains(line, noServingEndpoint) {
+				got, ok = noServingEndpoint, true
+			}
 			if !ok || strings.HasPrefix(got, "discovery ") {
 				continue // of the calls, not of the caches
 			}
@@ -178,7 +183,7 @@
 	want("c1 drains (discovery: terminating)") // bad news first
 	want("c2 takes work (discovery: in_service)")
 	r.list(3, true, host("c1", cache.Addr(), "terminating"))
-	want("none is left that takes work")
+	want(noServingEndpoint)
 	want("c2 has gone (discovery: left out of its list)")
 	r.list(4, true, host("c1", cache.Addr(), "in_service"))
 	want("c1 takes work (discovery: in_service)")
@@ -206,8 +211,8 @@
 	default:
 	}
 	r.Do(func() {
-		if len(r.r.caches) != 201 {
-			t.Errorf("%d caches are known", len(r.r.caches))
+		if len(r.r.endpoints) != 201 {
+			t.Errorf("%d caches are known", len(r.r.endpoints))
 		}
 	})
 }
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -9,54 +9,58 @@
 	"starlingwinch/internal/upstream"
 )
 
-// attemptEnded logs an attempt that was not served.
-func (r *Router) attemptEnded(q *request, a *upstream.Attempt, result decide.Result, elapsed Time) {
+// previousAttemptOut is the reason of a retry whose attempt before is still out: a hedged request.
+const previousAttemptOut = "out"
+
+// logAttemptEnded logs an attempt that brought no value.
+func (r *Router) logAttemptEnded(q *request, a *upstream.Attempt, result decide.Result, elapsed Time) {
 	if result == decide.Served {
 		return
 	}
+	reason := guard.ResultName(result)
 	if !r.events.Enabled() {
-		r.events.Count(eventlog.AttemptEnded, guard.ResultName(result))
+		r.events.Count(eventlog.AttemptEnded, reason)
 		return
 	}
-	r.events.Add(eventlog.AttemptEnded, guard.ResultName(result), slog.Int64("request", q.id), slog.String("id", q.name),
+	r.events.Add(eventlog.AttemptEnded, reason, slog.Int64("request", q.id), slog.String("id", q.clientID),
 		slog.Int("attempt", a.Number), slog.String("cache", a.Cache()), slog.Int64("took_us", elapsed))
 }
 
-// retried logs a further attempt of a request, with what became of the one before.
-func (r *Router) retried(q *request, cache string) {
-	before := "out"
-	if last := q.attempts[len(q.attempts)-1]; last.Ended() {
-		before = guard.ResultName(last.outcome.Result)
+// logRetry logs a further attempt of a request, with the result of the one before.
+func (r *Router) logRetry(q *request, cache string) {
+	reason := previousAttemptOut
+	if previous := q.attempts[len(q.attempts)-1]; previous.Ended() {
+		reason = guard.ResultName(previous.result.Result)
 	}
 	if !r.events.Enabled() {
-		r.events.Count(eventlog.AttemptRetried, before)
+		r.events.Count(eventlog.AttemptRetried, reason)
 		return
 	}
-	r.events.Add(eventlog.AttemptRetried, before, slog.Int64("request", q.id), slog.String("id", q.name),
+	r.events.Add(eventlog.AttemptRetried, reason, slog.Int64("request", q.id), slog.String("id", q.clientID),
 		slog.Int("attempt", len(q.attempts)), slog.String("cache", cache))
 }
 
-// unanswered logs a final answer that does not serve.
-func (r *Router) unanswered(q *request, event eventlog.Event, why string) {
+// logUnserved logs that the module has rejected or failed a request.
+func (r *Router) logUnserved(q *request, event eventlog.Event, reason string) {
 	if !r.events.Enabled() {
-		r.events.Count(event, why)
+		r.events.Count(event, reason)
 		return
 	}
-	r.events.Add(event, why, slog.Int64("request", q.id), slog.String("id", q.name), slog.Int("attempts", len(q.attempts)))
+	r.events.Add(event, reason, slog.Int64("request", q.id), slog.String("id", q.clientID), slog.Int("attempts", len(q.attempts)))
 }
 
-// startIs logs how far the start has come, and how long it took up to there.
-func (r *Router) startIs(reason string, fields ...slog.Attr) {
-	fields = append(fields, slog.Int64("after_us", r.m.Now()-r.begun))
+// logStartProgress logs how far the start has come, and how long it took up to there.
+func (r *Router) logStartProgress(reason string, fields ...slog.Attr) {
+	fields = append(fields, slog.Int64("after_us", r.m.Now()-r.startedAt))
 	r.events.Add(eventlog.StartProgress, reason, fields...)
 }
 
-// DiscoveryCallEnded implements sources.Owner.
-func (r *Router) DiscoveryCallEnded(what string, version int64, caches int) {
-	r.events.Add(eventlog.DiscoveryCallEnded, what, slog.Int64("version", version), slog.Int("caches", caches))
+// DiscoveryCallEnded implements endpointsource.Owner: it logs the result of a call of discovery.
+func (r *Router) DiscoveryCallEnded(result string, version int64, caches int) {
+	r.events.Add(eventlog.DiscoveryCallEnded, result, slog.Int64("version", version), slog.Int("caches", caches))
 }
 
-// ConnectionClosed implements front.Desk.
-func (r *Router) ConnectionClosed(why string, unanswered int) {
-	r.events.Add(eventlog.ConnectionClosed, why, slog.Int("unanswered", unanswered))
+// ConnectionClosed implements frontend.Handler: it logs the end of a client's connection.
+func (r *Router) ConnectionClosed(reason string, unanswered int) {
+	r.events.Add(eventlog.ConnectionClosed, reason, slog.Int("unanswered", unanswered))
 }
--- a/internal/router/fleet_test.go
+++ b/internal/router/gossip_test.go
@@ -164,7 +164,7 @@
 	cfg.Gossip.Enabled = false
 	s := start(t, cfg, nil, nil)
 	s.Do(func() {
-		if s.r.fleet != nil || s.r.Gossip() != nil {
+		if s.r.gossip != nil || s.r.Gossip() != nil {
 			t.Error("a view is kept that is switched off")
 		}
 	})
--- a/internal/router/hard_test.go
+++ b/internal/router/hard_test.go
@@ -47,7 +47,7 @@
 			t.Fatalf("the fast client's answer %d is %.30q", i, got)
 		}
 		r.Do(func() {
-			if held, most := r.r.front.BufferedBytes(), r.r.cfg.Limits.memory(); held > most+readers*each*64 {
+			if held, most := r.r.frontend.BufferedBytes(), r.r.cfg.Limits.bufferBytes(); held > most+readers*each*64 {
 				t.Errorf("%d bytes are held of %d", held, most)
 			}
 		})
@@ -57,8 +57,8 @@
 	}
 	mostHeld := int64(0)
 	r.Until("answers to all that was asked", func() bool {
-		mostHeld = max(mostHeld, r.r.front.BufferedBytes())
-		return r.r.open == 0
+		mostHeld = max(mostHeld, r.r.frontend.BufferedBytes())
+		return r.r.openRequests == 0
 	})
 	large64 := 0
 	for i, c := range slow {
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -175,7 +175,7 @@
 	r := &rig{script: newScript(), t: t}
 	r.running = start(t, cfg, log, func(router *Router) {
 		router.module = r.script
-		router.sweeping.Stop() // its look at the contract, which hears of nothing here
+		router.sweepTimer.Stop() // its look at the contract, which hears of nothing here
 	})
 	return r
 }
@@ -245,6 +245,6 @@
 
 // up reports whether a cache is known and takes work, by the list.
 func (r *rig) up(name string) bool {
-	h := r.r.caches[name]
+	h := r.r.endpoints[name]
 	return h != nil && h.entry.Status == decide.Serving
 }
--- a/internal/router/hooks.go
+++ b/internal/router/hooks.go
@@ -11,114 +11,130 @@
 	"starlingwinch/internal/plugin/worker"
 )
 
-// What hooks take of the router's limits. Each worker holds two descriptors, and a set that loads stands beside the
-// old one.
+// What hooks take of the machine's limits. Each worker has two descriptors, and while a set of hooks is loaded, it stands
+// beside the one before.
 const (
-	hookDescriptors = 4
-	hookMemory      = 2 // times what a hook and its worker may use
-	leastMemoryMB   = 16
+	descriptorsPerHook = 4
+	hookSetsInMemory   = 2
+	minMemoryMB        = 16 // that hooks leave to the router
 )
 
-// hooksMB is the memory that hooks may take, in MiB.
+const bytesPerMB = 1 << 20
+
+// hooksMB returns the memory that hooks may take, in MiB, rounded up.
 func hooksMB(c hooks.Config) int64 {
 	bytes := int64(0)
 	for _, h := range c.Hooks {
 		bytes += h.Budget.Memory + worker.Own
 	}
-	return (bytes*hookMemory + 1<<20 - 1) >> 20
+	return (bytes*hookSetsInMemory + bytesPerMB - 1) / bytesPerMB
 }
 
-// Without is the limits without what hooks may use. The error says that too little is left for the router.
+// Without returns the limits less what the hooks may use. The error says that too little is left for the router.
 func (l Limits) Without(c hooks.Config) (Limits, error) {
 	if len(c.Hooks) == 0 {
 		return l, nil
 	}
 	needed := hooksMB(c)
-	if l.MemoryMB -= needed; l.MemoryMB < leastMemoryMB {
+	l.MemoryMB -= needed
+	if l.MemoryMB < minMemoryMB {
 		return l, fmt.Errorf("hooks: they may take %d MB while a set loads, which leaves %d MB of memory_mb (wanted at least %d)",
-			needed, l.MemoryMB, leastMemoryMB)
+			needed, l.MemoryMB, minMemoryMB)
 	}
-	if l.Sockets -= hookDescriptors * len(c.Hooks); l.Sockets < leastSockets {
-		return l, fmt.Errorf("hooks: their workers leave %d descriptors of sockets (wanted at least %d)", l.Sockets, leastSockets)
+	l.Sockets -= descriptorsPerHook * len(c.Hooks)
+	if l.Sockets < minSockets {
+		return l, fmt.Errorf("hooks: their workers leave %d descriptors of sockets (wanted at least %d)", l.Sockets, minSockets)
 	}
 	return l, nil
 }
 
-// reloadHooks has a new set of hooks take over, where there is room for it.
+// reloadHooks loads a new set of hooks. The one before stays where the new one needs more memory than the limits were
+// reduced by at the start, or is not valid.
 func (r *Router) reloadHooks(c hooks.Config) {
 	if len(c.Hooks) == 0 && r.hooks.Idle() {
 		return
 	}
-	if had, needed := hooksMB(r.cfg.Hooks), hooksMB(c); needed > had {
-		r.Log(fmt.Sprintf("SIGHUP: the old hooks stay: the new ones may take %d MB instead of %d, which needs a restart", needed, had))
+	reserved, needed := hooksMB(r.cfg.Hooks), hooksMB(c)
+	if needed > reserved {
+		r.logger.Warn("hooks not reloaded: restart needed", "needed_mb", needed, "reserved_mb", reserved)
 		return
 	}
 	if err := r.hooks.Reload(c); err != nil {
-		r.Log("SIGHUP: the old hooks stay: " + err.Error())
+		r.logger.Error("hooks not reloaded", "cause", err)
 	}
 }
 
-// Hooks tells of each hook, in the order in which they are asked.
+// Hooks returns the status of each hook, in the order in which they are consulted.
 func (r *Router) Hooks() []policy.Row { return r.hooks.Status() }
 
-// judge has the hooks look at a request before the module does. It reports whether the request waits for them.
-func (r *Router) judge(q *request) bool {
+// consultHooks has the hooks look at a request before the module gets it. It reports whether the request waits for them:
+// applyVerdict goes on with it then.
+func (r *Router) consultHooks(q *request) bool {
 	if r.hooks.Idle() {
 		return false
 	}
-	q.judged = r.hooks.Ask(hooks.Request{ID: q.id, Verb: q.cmd.Verb(), Class: q.cmd.Class, Tenant: q.cmd.Tenant, Key: q.cmd.Key(),
-		TimeLeft: q.deadline - r.m.Now(), Size: len(q.cmd.Value()), Value: q.cmd.Value}, func(v hooks.Verdict) {
-		r.verdict(q, v)
+	hookRequest := hooks.Request{
+		ID:       q.id,
+		Verb:     q.command.Verb(),
+		Class:    q.command.Class,
+		Tenant:   q.command.Tenant,
+		Key:      q.command.Key(),
+		TimeLeft: q.deadline - r.m.Now(),
+		Size:     len(q.command.Value()),
+		Value:    q.command.Value,
+	}
+	q.awaitingHooks = r.hooks.Ask(hookRequest, func(v hooks.Verdict) {
+		r.applyVerdict(q, v)
 		r.ProcessEvents()
 	})
-	return q.judged
+	return q.awaitingHooks
 }
 
-// verdict takes what the hooks say of a request. What they do not pass never reaches the module: it was never sent.
-func (r *Router) verdict(q *request, v hooks.Verdict) {
-	if q.judged = false; q.over {
+// applyVerdict goes on with a request as the hooks say. One that they end never reaches the module, and was never sent.
+func (r *Router) applyVerdict(q *request, v hooks.Verdict) {
+	q.awaitingHooks = false
+	if q.finished {
 		return
 	}
 	switch v.Say {
 	case plugin.Refuse:
-		r.finish(q, frontend.AppendBusy(nil, v.Wait), plugin.WasRefused)
+		r.finishRequest(q, completion{reply: frontend.AppendBusy(nil, v.Wait), outcome: plugin.WasRefused})
 	case plugin.Fail:
-		r.finish(q, frontend.AppendFailed(nil, v.Text), plugin.WasFailed)
+		r.finishRequest(q, completion{reply: frontend.AppendFailed(nil, v.Text), outcome: plugin.WasFailed})
 	default:
 		if v.Tenant != "" {
-			q.cmd.Tenant = v.Tenant
+			q.command.Tenant = v.Tenant
 		}
 		r.submit(q)
 	}
 }
 
-// submit puts a request before the module.
-func (r *Router) submit(q *request) {
-	c := q.cmd
-	q.event = decide.Request{ID: q.id, Class: c.Class, Tenant: c.Tenant, Key: c.KeyHash, HasKey: true,
-		Deadline: q.deadline, FirstRequestedAt: q.told.FirstRequestedAt, Cost: c.Cost, Write: c.Write, IdempotencyKeyMissing: c.IdempotencyKeyMissing}
-	r.backlog = append(r.backlog, &q.event)
-}
-
-// answered has the hooks see a final answer.
-func (r *Router) answered(q *request, o plugin.Outcome) {
+// notifyHooksOfAnswer shows the hooks a final answer.
+func (r *Router) notifyHooksOfAnswer(q *request, outcome plugin.Outcome) {
 	if r.hooks.Idle() {
 		return
 	}
-	r.hooks.Answered(hooks.Answer{Verb: q.cmd.Verb(), Class: q.cmd.Class, Tenant: q.cmd.Tenant, Key: q.cmd.Key(),
-		Size: len(q.cmd.Value()), Outcome: o, Took: r.m.Now() - q.read})
+	r.hooks.Answered(hooks.Answer{
+		Verb:    q.command.Verb(),
+		Class:   q.command.Class,
+		Tenant:  q.command.Tenant,
+		Key:     q.command.Key(),
+		Size:    len(q.command.Value()),
+		Outcome: outcome,
+		Took:    r.m.Now() - q.readAt,
+	})
 }
 
-// showList has the hooks see how many caches there are.
-func (r *Router) showList() {
+// notifyHooksOfList shows the hooks how many caches there are, and how many of them take requests.
+func (r *Router) notifyHooksOfList() {
 	if r.hooks == nil || r.hooks.Idle() {
 		return
 	}
-	up := 0
-	for _, h := range r.caches { // any order: they are only counted
-		if h.entry.Status == decide.Serving {
-			up++
+	serving := 0
+	for _, e := range r.endpoints { // any order: they are only counted
+		if e.entry.Status == decide.Serving {
+			serving++
 		}
 	}
-	r.hooks.ListChanged(len(r.caches), up)
+	r.hooks.ListChanged(len(r.endpoints), serving)
 }
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -52,7 +52,7 @@
 
 // drains tells whether the list has a cache drain.
 func (s *running) drains(cache string) func() bool {
-	return func() bool { return s.r.caches[cache].entry.Status == decide.Draining }
+	return func() bool { return s.r.endpoints[cache].entry.Status == decide.Draining }
 }
 
 // TestNoFurtherAttemptForAClientThatHasLeft: the first attempt fails in the very turn in which the client leaves, and another cache
@@ -117,7 +117,7 @@
 // and more, and rest. As discovery returns, a descriptor is left to ask it.
 func TestDiscoveryIsHeardThoughIdleClientsFillTheDescriptors(t *testing.T) {
 	const (
-		sockets        = leastSockets
+		sockets        = minSockets
 		ownDescriptors = 8 // of the process: its standard streams, the poller, the inbox
 	)
 	cache := newFakeCache(t)
@@ -149,7 +149,7 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	r.Until("as many clients as may be", func() bool { return r.r.front.Accepted() >= sockets/2 })
+	r.Until("as many clients as may be", func() bool { return r.r.frontend.Accepted() >= sockets/2 })
 	returned.Store(true)
 	r.Until("the drain that discovery tells of at its return", r.drains("c1"))
 }
--- /dev/null
+++ b/internal/router/reload.go
@@ -0,0 +1,85 @@
+package router
+
+import (
+	"reflect"
+	"slices"
+
+	"starlingwinch/internal/snapshotstore"
+)
+
+// Reload takes over a new configuration, at SIGHUP. The address of discovery, the file with the fixed endpoint list, the
+// hooks, the snapshot folder and the peers take effect at once, all else at the next start. A router that is ending takes
+// over nothing, so that it doesn't open again what it has closed.
+func (r *Router) Reload(cfg *Config) {
+	if r.isEnding() {
+		r.logger.Info("reload ignored: the router is ending", "trigger", "SIGHUP")
+		return
+	}
+	isServing := r.state == stateServing
+	if !isServing { // nothing of these is in use yet
+		r.cfg.Listen, r.cfg.SnapshotStore, r.cfg.Hooks = cfg.Listen, cfg.SnapshotStore, cfg.Hooks
+	}
+	if r.needsRestart(cfg) {
+		r.logger.Warn("changed configuration waits for a restart", "trigger", "SIGHUP")
+	}
+	if isServing {
+		r.reloadHooks(cfg.Hooks)
+		r.reloadSnapshotStore(cfg.SnapshotStore)
+	}
+	r.sources.ReloadFile()
+	r.reloadPeers(cfg.PeerAddrs)
+	r.reloadDiscovery(cfg.Discovery)
+}
+
+// needsRestart reports whether a configuration differs in what is read at a start alone.
+func (r *Router) needsRestart(cfg *Config) bool {
+	return cfg.Listen != r.cfg.Listen ||
+		cfg.Limits != r.cfg.Limits ||
+		!reflect.DeepEqual(cfg.Settings, r.cfg.Settings) ||
+		cfg.Transport != r.cfg.Transport ||
+		cfg.OperatorLimits != r.cfg.OperatorLimits ||
+		cfg.RetryStorm != r.cfg.RetryStorm ||
+		!reflect.DeepEqual(cfg.Gossip, r.cfg.Gossip) ||
+		!reflect.DeepEqual(cfg.Endpoints, r.cfg.Endpoints) ||
+		!reflect.DeepEqual(cfg.Eureka, r.cfg.Eureka)
+}
+
+// reloadSnapshotStore moves the snapshots to another folder, or switches them on or off.
+func (r *Router) reloadSnapshotStore(cfg snapshotstore.Config) {
+	if cfg == r.cfg.SnapshotStore {
+		return
+	}
+	previous := r.snapshots
+	previous.close()
+	r.cfg.SnapshotStore = cfg
+	r.snapshots = r.openSnapshots(cfg, true)
+	if r.snapshots == nil {
+		r.logger.Info("snapshots switched off", "trigger", "SIGHUP")
+		return
+	}
+	if previous != nil {
+		r.snapshots.unrestored, r.snapshots.unrestoredExpiry = previous.unrestored, previous.unrestoredExpiry
+	}
+	r.logger.Info("snapshot folder changed", "folder", cfg.Folder)
+}
+
+// reloadPeers takes over the addresses of the other routers, where the router takes part in gossip.
+func (r *Router) reloadPeers(addrs []string) {
+	if r.gossip == nil || slices.Equal(addrs, r.cfg.PeerAddrs) {
+		return
+	}
+	r.cfg.PeerAddrs = addrs
+	r.logger.Info("peers changed", "peers", len(r.cfg.peers()))
+	r.gossip.transport.Peers(r.cfg.peers())
+}
+
+// reloadDiscovery takes over the address of discovery.
+func (r *Router) reloadDiscovery(addr string) {
+	if addr == r.cfg.Discovery {
+		r.logger.Info("discovery address unchanged", "address", addr)
+		return
+	}
+	r.logger.Info("discovery address changed", "address", addr)
+	r.cfg.Discovery = addr
+	r.sources.SetDiscovery(addr)
+}
--- a/internal/router/storm_test.go
+++ b/internal/router/retry_storm_test.go
@@ -46,7 +46,7 @@
 			one.SetLinger(0)
 		}
 		one.Close()
-		r.Until("the end of the client", func() bool { return r.r.front.Connections() == 0 })
+		r.Until("the end of the client", func() bool { return r.r.frontend.Connections() == 0 })
 		again := dial(t, r.addr)
 		again.Send(second("try2"))
 		if q := receive(t, r.requests, "request at the module"); (q.FirstRequestedAt == 0) != breaks {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,15 +1,17 @@
-// Package router is the router's loop: it brings the decision module together with the clients' side
-// (package front), the caches' side (package upstream) and the list of caches (package sources), and
-// carries out what the module says.
+// Package router is the event loop of one router. It connects the decision module (package decide) with the clients' side
+// (package frontend), the caches' side (package upstream) and the sources of the endpoint list (package endpointsource),
+// and carries out the module's actions.
 //
-// All of it runs in the one loop of its machine (package machine), which may be a real or a virtual one.
-// Nothing can slip in between a decision and what carries it out, and nothing here waits.
+// All of it runs on the one loop of its machine (package machine), which may be real or virtual. Nothing runs between a
+// decision and the actions that carry it out, and nothing here blocks.
+//
+// A request is followed through request.go (it arrives and it ends), actions.go (the module's decisions) and attempt.go
+// (its attempts at caches). The states of the process are in lifecycle.go.
 package router
 
 import (
+	"fmt"
 	"log/slog"
-	"maps"
-	"slices"
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/discovery"
@@ -21,7 +23,7 @@
 	"starlingwinch/internal/guard"
 	"starlingwinch/internal/hooks"
 	"starlingwinch/internal/machine"
-	"starlingwinch/internal/plugin"
+	"starlingwinch/internal/structuredlog"
 	"starlingwinch/internal/timerqueue"
 	"starlingwinch/internal/upstream"
 )
@@ -29,235 +31,204 @@
 // Time is an instant or a span in microseconds.
 type Time = decide.Time
 
-const (
-	lastArrivals  = 500_000   // new connections may still come so long after SIGTERM
-	drainAnswers  = 50_000    // before a drain's end, by which all is to be answered
-	drainPatience = 3_000_000 // of the longest deadline, what a planned restart waits for: clients that wait longer may not
-	drainSlack    = 650_000   // beyond that, for the drain after SIGTERM: SIGKILL may follow 50 ms later
-	doorWait      = 500_000   // that a client is to stay away for which there is no descriptor, at most
-	sweepLate     = 100_000   // a look that comes later than that proves nothing
-	sweepInterval = 1_000_000 // between looks for idle connections and what the contract misses
-)
-
-// Router serves on a machine. Use Start; all methods are for the machine's loop.
+// Router serves clients on a machine. Start makes one; all methods belong to the machine's loop.
 type Router struct {
-	m         machine.Machine
-	cfg       *Config
-	module    guard.Module // the contract, and the decision module behind them
-	contract  *guard.Contract
-	guard     *guard.Guard
-	logger    *slog.Logger
-	events    *eventlog.Log
-	begun     Time           // when the start began
-	counted   Time           // when the counters of events were written last
-	decider   *decide.Router // for what it has learned; all else goes through the module
-	keeper    *keeper        // nil where no state is kept
-	front     *frontend.Server
-	pool      *upstream.Pool
-	backlog   []decide.Event // what the module is still to be told
-	telling   bool
-	clock     *timerqueue.Queue // for the module's timers and the ends of attempts
-	timers    map[int64]*timer  // of the module, by token
-	spent     *timer            // timers that are over, for the next ones
-	spents    int
-	requests  map[int64]*request
-	ids       map[string]struct{} // of these requests, as their clients named them
-	lastID    int64
-	open      int             // requests that still want their final answer
-	caches    map[string]*hop // those listed
-	sources   *endpointsource.Sources
-	narrowed  *narrowed           // nil where all caches are used, whatever their number
-	lists     []endpoints.Publish // that are still to be taken over
-	hooks     *hooks.Hooks
-	enrolled  *eureka.Registration // of the router itself; nil for none
-	longest   Time                 // patience of any client
-	sweeping  machine.Timer
-	sweepDue  Time
-	arrivals  Time        // how long connections are still taken after SIGTERM
-	endsBy    Time        // the drain's end; 0 while there is none
-	spare     int         // descriptors that connections to caches may use while clients do not
-	storm     *stormWatch // nil where it is switched off
-	fleet     *fleetView  // likewise
-	ticking   machine.Timer
-	closed    bool
-	onDrained func()
-	onFailure func(error)
-	behind    bool // attempts are held back: discovery has written what was not taken in yet
-	address   addressWait
-	joining   machine.Timer // for the next look at the address for datagrams
+	lifecycle
+
+	// What the router is made of. Set at the start, and never replaced.
+	m          machine.Machine
+	cfg        *Config // Reload changes the fields that it takes over
+	logger     *slog.Logger
+	events     *eventlog.Log
+	timerQueue *timerqueue.Queue // of the module's timers and the deadlines of attempts
+	pool       *upstream.Pool    // connections to the caches
+
+	// The decision module and its checks. Set at the start.
+	decider  *decide.Router  // used directly for snapshots alone; all events go through module
+	module   guard.Module    // the contract, with the decision module behind it
+	contract *guard.Contract // checks that loop and module keep what they owe each other
+	guard    *guard.Guard    // prevents what the rules forbid, whatever the module decides
+
+	// Events for the module. See ProcessEvents.
+	pendingEvents []decide.Event // in the order in which they happened
+	dispatching   bool           // ProcessEvents is running
+
+	// Timers of the module. See timer.go.
+	timers         map[int64]*policyTimer // those set, by token
+	freeTimers     *policyTimer           // records for reuse, a linked list
+	freeTimerCount int
+
+	// Requests. See request.go.
+	requests         map[int64]*request  // until releaseRequest
+	openIDs          map[string]struct{} // the clients' names of these requests
+	lastRequestID    int64
+	openRequests     int  // requests without a final answer
+	maxClientTimeout Time // the longest client timeout of any class
+
+	// Clients. The frontend and what follows are nil until the router has its address.
+	frontend            *frontend.Server
+	hooks               *hooks.Hooks
+	lendableDescriptors int                // descriptors that idle connections to caches may use while clients do not
+	retryStorm          *retryStormMonitor // nil where it is switched off
+	retryStormTimer     machine.Timer      // for the next checkRetryStorm
+
+	// The endpoint list. See endpoint_list.go, aperture.go and standstill.go.
+	sources      *endpointsource.Sources
+	endpoints    map[string]*listedEndpoint // the caches in use, by name
+	subset       *endpointSubset            // nil where all caches are used, whatever their number
+	pendingLists []endpoints.Publish        // lists that are still to be applied, the oldest first
+	listBehind   bool                       // attempts are paused until the list is current
+
+	// What is kept or published of this router. Set once it serves; nil where it is switched off.
+	snapshots        *snapshotKeeper // replaced by a reload
+	registration     *eureka.Registration
+	gossip           *gossipMember // set later where its address is not free
+	gossipRetryTimer machine.Timer // for the next try to take that address
+
+	// The periodic check. See contract.go.
+	sweepTimer        machine.Timer
+	sweepDue          Time // when the next one is due
+	countersWrittenAt Time // when the event counters were last logged
 }
 
-// hop is a cache as the list has it.
-type hop struct {
-	entry decide.Endpoint
-	told  Time // its last start in the list's words
-	addr  string
+// listedEndpoint is a cache as the endpoint list describes it.
+type listedEndpoint struct {
+	entry       decide.Endpoint
+	listedStart Time // its last start by the list's clock; entry.StartedAt is the same by the loop's clock
+	address     string
 }
 
-// EndpointSources says whom a router with that configuration asks for caches.
+// EndpointSources returns the configuration of the sources that a router with this configuration follows.
 func EndpointSources(cfg *Config) endpointsource.Config {
-	asked := discovery.Options{Discovery: cfg.OperatorLimits.Discovery, Pushed: !cfg.Settings.WatchRequired, Grace: cfg.Settings.DrainGrace}
-	return endpointsource.Config{Discovery: cfg.Discovery, DiscoveryOptions: asked, LastKnown: cfg.LastKnown,
+	options := discovery.Options{Discovery: cfg.OperatorLimits.Discovery, Pushed: !cfg.Settings.WatchRequired, Grace: cfg.Settings.DrainGrace}
+	return endpointsource.Config{Discovery: cfg.Discovery, DiscoveryOptions: options, LastKnown: cfg.LastKnown,
 		Endpoints: cfg.Endpoints, Eureka: cfg.Eureka}
 }
 
-// Addr is the address for clients; empty while the router waits for it.
-func (r *Router) Addr() string {
-	if r.front == nil {
-		return ""
-	}
-	return r.front.Addr()
+// newRouter returns a router that knows no cache and has opened nothing.
+func newRouter(m machine.Machine, cfg *Config) (*Router, error) {
+	seed := cfg.Seed
+	if seed == 0 {
+		seed = m.Entropy()
+	}
+	decider, err := decide.New(cfg.Settings, seed)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	r := &Router{
+		lifecycle:  lifecycle{startedAt: m.Now(), acceptGrace: drainAcceptGrace},
+		m:          m,
+		cfg:        cfg,
+		logger:     structuredlog.New(m),
+		timerQueue: timerqueue.New(m),
+		decider:    decider,
+		timers:     map[int64]*policyTimer{},
+		requests:   map[int64]*request{},
+		openIDs:    map[string]struct{}{},
+		endpoints:  map[string]*listedEndpoint{},
+		retryStorm: newRetryStormMonitor(cfg),
+	}
+	for _, class := range cfg.Settings.Classes {
+		r.maxClientTimeout = max(r.maxClientTimeout, class.ClientTimeout)
+	}
+	r.events = eventlog.New(cfg.Events, m.Now, r.logger)
+	r.initModule()
+	r.initPool()
+	return r, nil
 }
 
-// Log adds a line to the log. It never waits: a log that nobody reads must not stop the router.
-func (r *Router) Log(line string) { r.m.Log(line) }
-
-// Drain takes connections for a moment more, answers all that has come in, and closes each connection
-// between requests. done is called when none is left or the time is over; the router is closed then.
-func (r *Router) Drain(done func()) {
-	if r.onDrained != nil || r.closed {
-		return
-	}
-	r.onDrained = done
-	r.Log("draining")
-	if r.front == nil { // it waits for its address, and has taken nothing
-		r.Close()
-		return
+// initModule puts the contract and the guard round the decision module.
+func (r *Router) initModule() {
+	var checked guard.Module = r.decider
+	if r.cfg.Wrap != nil {
+		checked = r.cfg.Wrap(r.decider)
 	}
-	if r.fleet != nil {
-		r.fleet.link.Leave()
-	}
-	if r.enrolled != nil {
-		r.enrolled.Drain()
-	}
-	r.endsBy = r.m.Now() + min(r.longest, drainPatience) + drainSlack
-	limit := r.m.At(r.endsBy, r.Close)
-	r.m.At(r.endsBy-drainAnswers/2, r.answerAll)
-	r.m.At(r.endsBy-beforeEnd, func() {
-		if !r.closed {
-			r.keeper.finish(func() {})
-		}
-	})
-	r.m.At(r.m.Now()+r.arrivals, func() {
-		if r.closed {
-			return
-		}
-		r.front.Drain(func() {
-			end := func() {
-				r.keeper.finish(func() {
-					limit.Stop()
-					r.Close()
-				})
-			}
-			r.hooks.Close(func() { // which takes a moment; the limit holds for it too
-				if r.enrolled == nil {
-					end()
-					return
-				}
-				r.enrolled.Cancel(end)
-			})
-		})
-	})
+	r.contract = guard.NewContract(checked, r.logBreach)
+	r.module = r.contract
+	r.guard = guard.NewGuard(&r.cfg.Settings, r.logViolation)
+	r.guard.ObserveOnly = r.cfg.GuardObserveOnly
 }
 
-// answerAll answers what is still open shortly before a drain's end. The danger: a class allows more time than a planned
-// restart gives, or nobody bounds it; what was taken before SIGTERM is open when the process ends, and lost with it.
-func (r *Router) answerAll() {
-	if r.closed {
-		return
-	}
-	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
-		if q := r.requests[id]; !q.over {
-			r.abandon(q)
-			if len(q.attempts) == 0 { // trying again is harmless
-				r.refuse(q, r.cfg.Settings.MaxRetryAfter)
-			} else {
-				r.finish(q, []byte(frontend.FailedReply), plugin.WasFailed)
-			}
-		}
-	}
-	r.ProcessEvents()
+// initPool makes the pool of connections to caches, within their quota of descriptors.
+func (r *Router) initPool() {
+	limits := r.limits()
+	_, upstreams := limits.descriptorQuotas()
+	r.lendableDescriptors = limits.usableDescriptors() - upstreams
+	r.pool = upstream.New(r.m, upstream.Options{
+		Limits:       r.cfg.OperatorLimits.Caches,
+		Routers:      r.cfg.Settings.Routers,
+		Descriptors:  upstreams,
+		DialTimeout:  r.cfg.Transport.DialTimeout,
+		Keepalive:    r.cfg.Transport.Keepalive,
+		StalledAfter: stalledAfter(r.cfg.Settings.Classes),
+		Clock:        r.timerQueue,
+		Logger:       r.logger,
+	}, r)
+	r.subset = newEndpointSubset(r.cfg, upstreams)
 }
 
-// Close ends all at once: what is not answered is lost.
-func (r *Router) Close() {
-	if r.closed {
-		return
-	}
-	r.events.WriteCounters()
-	r.closed = true
-	if r.sources != nil {
-		r.sources.Stop()
-	}
-	if r.enrolled != nil {
-		r.enrolled.Stop()
-	}
-	for _, t := range []machine.Timer{r.sweeping, r.ticking, r.joining, r.address.timer} {
-		if t != nil {
-			t.Stop()
+// stalledAfter returns how long a cache may keep an attempt waiting before it counts as stalled: half of the shortest
+// latency objective.
+func stalledAfter(classes []decide.Class) (after Time) {
+	for i, class := range classes {
+		if i == 0 || class.LatencyObjective/2 < after {
+			after = class.LatencyObjective / 2
 		}
 	}
-	if r.fleet != nil {
-		r.fleet.link.Close()
-	}
-	if r.hooks != nil {
-		r.hooks.Close(func() {})
-	}
-	r.keeper.close()
-	if r.front != nil {
-		r.front.Close()
-	}
-	r.pool.Close()
-	r.clock.Close()
-	if r.onDrained != nil {
-		r.onDrained()
-	}
+	return after
 }
 
-// Holdings is what the router holds, by what it is. All but connections, and timers that come again and again, is 0 once
-// nothing is asked.
-func (r *Router) Holdings() map[string]int {
-	return map[string]int{"requests": len(r.requests), "ids": len(r.ids), "open": r.open, "attempts": r.pool.Attempts(),
-		"bytes": int(r.front.BufferedBytes()), "events": len(r.backlog), "lists": len(r.lists), "breaches": r.contract.Breaches(), "violations": r.violations(), "verdicts": r.hooks.Left()["verdicts owed"],
-		"timers": r.clock.Len(), "connections": r.pool.Connections() + r.front.Connections()}
+// limits returns the machine's limits less what the router takes itself.
+func (r *Router) limits() Limits {
+	limits := r.cfg.Limits
+	if r.cfg.Gossip.Enabled {
+		limits.Sockets-- // the gossip socket
+	}
+	return limits
 }
 
-// violations is how many rules were broken.
-func (r *Router) violations() int {
-	counts := r.guard.Counts()
-	return counts.Broken()
-}
+// logSentence logs a line of a package that words its lines itself.
+func (r *Router) logSentence(line string) { r.logger.Info(line) }
 
-// violated logs a rule that was broken.
-func (r *Router) violated(v guard.Violation) {
-	r.events.Add(eventlog.Violation, v.Reason.String(), slog.Int64("request", v.Request), slog.String("id", v.Name),
-		slog.Int("attempt", v.Attempt), slog.String("cache", v.Cache), slog.Int64("by_us", v.Excess))
+// Addr returns the address for clients; empty while the router waits for it.
+func (r *Router) Addr() string {
+	if r.frontend == nil {
+		return ""
+	}
+	return r.frontend.Addr()
 }
 
-// breach logs what broke the contract between the loop and the module, with what led to it.
-func (r *Router) breach(b guard.Breach) {
-	r.Log(breachLine(b))
+// Serving implements frontend.Handler: it reports whether a cache takes requests, and the snapshot is restored or was
+// waited for long enough.
+func (r *Router) Serving() bool {
+	return (r.snapshots == nil || r.snapshots.ready) && r.hasServingEndpoint()
 }
 
-// sweep looks now and then for what nobody tells of.
-func (r *Router) sweep() {
-	r.pool.Sweep()
-	r.divide() // a hold may be over
-	if now := r.m.Now(); now-r.counted >= r.cfg.Events.Counters.Microseconds() {
-		r.counted = now
-		r.events.WriteCounters()
-	}
-	r.ProcessEvents()
-	// Where the loop stood still, what is due since then comes behind this look, and seems to be missing.
-	if r.m.Now()-r.sweepDue <= sweepLate {
-		r.balance()
-		r.ProcessEvents()
+// hasServingEndpoint reports whether a cache is listed that takes requests.
+func (r *Router) hasServingEndpoint() bool {
+	for _, e := range r.endpoints { // any order: one is enough
+		if e.entry.Status == decide.Serving {
+			return true
+		}
 	}
-	r.sweepSoon()
+	return false
 }
 
-// sweepSoon sets the next sweep.
-func (r *Router) sweepSoon() {
-	r.sweepDue = r.m.Now() + sweepInterval
-	r.sweeping = r.m.At(r.sweepDue, r.sweep)
+// Holdings returns how many records of each kind the router holds. All but connections and periodic timers are 0 once no
+// request is open.
+func (r *Router) Holdings() map[string]int {
+	return map[string]int{
+		"requests":    len(r.requests),
+		"ids":         len(r.openIDs),
+		"open":        r.openRequests,
+		"attempts":    r.pool.Attempts(),
+		"bytes":       int(r.frontend.BufferedBytes()),
+		"events":      len(r.pendingEvents),
+		"lists":       len(r.pendingLists),
+		"breaches":    r.contract.Breaches(),
+		"violations":  r.violations(),
+		"verdicts":    r.hooks.Left()["verdicts owed"],
+		"timers":      r.timerQueue.Len(),
+		"connections": r.pool.Connections() + r.frontend.Connections(),
+	}
 }
--- a/internal/router/state_test.go
+++ b/internal/router/snapshot_test.go
@@ -78,7 +78,7 @@
 	}
 	was.ConcurrencyLimit, was.LateRatio, was.ErrorRatio, was.Healthy, was.FailedHealthChecks, was.Responsive = .25, .5, .5, false, 2, false
 	was.CachedKeys = []uint64{1, 2, 3}
-	l := nothingOfAll()
+	l := endpointsOnlySnapshot()
 	l.LostRatio = .25
 	l.Caches = append(l.Caches, was)
 	c.r.decider.Restore(l)
@@ -133,7 +133,7 @@
 	if lost := c.r.decider.SharedSnapshot().LostRatio; lost < .2 {
 		t.Errorf("share of lost attempts %v", lost)
 	}
-	c.want("state: taken over, 3 caches, as of ", 1)
+	c.want(`msg="snapshot restored" caches=3 age=`, 1)
 }
 
 // TestCacheThatWasRestartedMeanwhileBeginsAfresh: its id is the same, its start is another.
@@ -200,7 +200,7 @@
 	c := taughtCell(t, 0, long0, 0)
 	c.h.SlowDisk(5 * sim.Second)
 	c.start()
-	c.run(readWithin*time.Microsecond - time.Millisecond)
+	c.run(snapshotReadTimeout*time.Microsecond - time.Millisecond)
 	if c.r.Serving() {
 		t.Error("it serves before its state or the bound")
 	}
@@ -209,12 +209,12 @@
 		t.Error("it does not serve at the bound")
 	}
 	c.run(5 * time.Second)
-	c.want("has not answered in time", 1)
+	c.want("snapshot not read in time", 1)
 	if was, _ := c.r.decider.EndpointSnapshot("c1"); was.ConcurrencyLimit > .9 {
 		t.Errorf("got %+v", was)
 	}
 	c.run(30 * time.Second)
-	c.want("the disk takes longer", 1)
+	c.want("snapshot disk is slow", 1)
 }
 
 // TestDiskThatFailsCostsOneLine, and its recovery another.
@@ -227,19 +227,19 @@
 		c := newCell(t, 0, 0)
 		c.start()
 		c.run(5 * time.Second)
-		before := c.logged("state: ")
+		before := c.logged(`msg="snapshot`)
 		trouble.on(c.h)
 		c.run(time.Minute)
-		if n := c.logged("state: ") - before; n != 1 {
+		if n := c.logged(`msg="snapshot`) - before; n != 1 {
 			t.Errorf("%s: %d lines:\n%s", what, n, strings.Join(c.lines, "\n"))
 		}
-		c.want("not kept until that is over", 1)
+		c.want(`msg="snapshots not stored"`, 1)
 		trouble.off(c.h)
 		c.run(5 * time.Second)
-		c.want("state: it is kept again", 1)
+		c.want(`msg="snapshots stored again"`, 1)
 		c.start()
 		c.run(10 * time.Millisecond)
-		c.want("state: taken over", 1)
+		c.want(`msg="snapshot restored"`, 1)
 	}
 }
 
@@ -249,7 +249,7 @@
 	c.cfg.SnapshotStore.WriteInterval = 7 * time.Second
 	c.start()
 	c.run(69 * time.Second)
-	if n := c.r.keeper.writes; n != 9 {
+	if n := c.r.snapshots.completedWrites; n != 9 {
 		t.Errorf("%d writes in 69 s", n)
 	}
 }
@@ -268,7 +268,7 @@
 		began := c.w.Now()
 		c.w.At(began, func() { c.r.Drain(func() { ended = c.w.Now() }) })
 		c.run(time.Second)
-		if took := ended - began; ended == 0 || took > lastArrivals+writeWithin+1000 {
+		if took := ended - began; ended == 0 || took > drainAcceptGrace+finalWriteTimeout+1000 {
 			t.Errorf("the drain took %d us", took)
 		}
 		c.h.Kill()
@@ -291,7 +291,7 @@
 	moved.SnapshotStore.Folder = "/other"
 	c.w.At(c.w.Now(), func() { c.r.Reload(&moved) })
 	c.run(100 * time.Millisecond)
-	c.want("SIGHUP: the state is kept in /other", 1)
+	c.want(`msg="snapshot folder changed" folder=/other`, 1)
 	if !c.r.Serving() || len(c.h.Files("/other")) != 2 {
 		t.Errorf("serving %v, files %v", c.r.Serving(), c.h.Files("/other"))
 	}
@@ -301,7 +301,7 @@
 	c.run(10 * time.Millisecond)
 	steps := c.h.DiskSteps()
 	c.run(10 * time.Second)
-	c.want("SIGHUP: the state is not kept any more", 1)
+	c.want(`msg="snapshots switched off"`, 1)
 	if c.h.DiskSteps() != steps {
 		t.Error("it is written on")
 	}
@@ -337,35 +337,35 @@
 	}
 	log1, log2 := make(routertest.Lines, 1000), make(routertest.Lines, 1000)
 	first := startOne(log1)
-	first.Until("a write of the first", func() bool { return first.r.keeper.writes > 0 })
+	first.Until("a write of the first", func() bool { return first.r.snapshots.completedWrites > 0 })
 	second := startOne(log2)
-	log2.Want(t, "another process keeps its state there; this one runs without")
+	log2.Want(t, "locked=true")
 	second.Until("service of the second", second.r.Serving)
 	first.Do(first.r.Close)
-	log2.Want(t, "state: it is kept again")
-	second.Until("a write of the second", func() bool { return second.r.keeper.writes > 0 })
+	log2.Want(t, `msg="snapshots stored again"`)
+	second.Until("a write of the second", func() bool { return second.r.snapshots.completedWrites > 0 })
 }
 
 // TestExportOfALargeFleetIsTheSameInPieces: what is gathered over several turns is all there is, by id.
 func TestExportOfALargeFleetIsTheSameInPieces(t *testing.T) {
-	starts := make([]int, 3*statePiece+7)
+	starts := make([]int, 3*maxCachesPerTurn+7)
 	c := newCell(t, starts...)
 	c.start()
 	c.run(time.Second)
-	k := c.r.keeper
-	k.gather()
+	k := c.r.snapshots
+	k.beginGathering()
 	turns := 1
 	for k.gatherPart() {
 		turns++
 	}
 	var got, want []string
-	for _, cache := range k.next.Caches {
+	for _, cache := range k.gathering.Caches {
 		got = append(got, cache.ID)
 	}
 	for _, cache := range c.r.decider.Snapshot(0).Caches {
 		want = append(want, cache.ID)
 	}
-	k.next = nil
+	k.gathering = nil
 	if turns != 4 || !reflect.DeepEqual(got, want) || len(got) != len(starts) {
 		t.Errorf("%d caches in %d turns", len(got), turns)
 	}
@@ -377,10 +377,10 @@
 	c.cfg.SnapshotStore.WriteInterval = time.Second
 	c.start()
 	c.run(100 * time.Millisecond)
-	l := nothingOfAll()
+	l := endpointsOnlySnapshot()
 	for i := range 10 {
 		was, _ := c.r.decider.EndpointSnapshot(fmt.Sprint("c", i))
-		for key := range uint64(stateScan / 4) {
+		for key := range uint64(maxKeysPerWrite / 4) {
 			was.CachedKeys = append(was.CachedKeys, key+1)
 		}
 		l.Caches = append(l.Caches, was)
@@ -404,7 +404,7 @@
 			longest := time.Duration(0)
 			for b.Loop() {
 				begin := time.Now()
-				k.gather()
+				k.beginGathering()
 				for more := true; more; {
 					more = k.gatherPart()
 					now := time.Now()
@@ -418,18 +418,18 @@
 }
 
 // benchKeeper is that of a router with so many caches that keep 100 keys each.
-func benchKeeper(b *testing.B, caches int) *keeper {
+func benchKeeper(b *testing.B, caches int) *snapshotKeeper {
 	module, err := decide.New(decide.Settings{Routers: 3, MaxAttempts: 3, Classes: []decide.Class{{Name: "read", LatencyObjective: 1e6}}}, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	r := &Router{m: sim.New(1).Host("r", "10.0.0.1", sim.HostOptions{}).Machine(), cfg: &Config{}, decider: module,
-		caches: map[string]*hop{}}
-	list, l := &decide.EndpointList{Kind: decide.FullUpdate}, nothingOfAll()
+		endpoints: map[string]*listedEndpoint{}}
+	list, l := &decide.EndpointList{Kind: decide.FullUpdate}, endpointsOnlySnapshot()
 	for i := range caches {
 		e := decide.Endpoint{ID: fmt.Sprintf("s-%08x", i), Zone: "a", Weight: 1}
 		list.Endpoints = append(list.Endpoints, e)
-		r.caches[e.ID] = &hop{entry: e}
+		r.endpoints[e.ID] = &listedEndpoint{entry: e}
 		was := decide.EndpointSnapshot{ID: e.ID, ConcurrencyLimit: 4, Healthy: true}
 		for key := range uint64(100) {
 			was.CachedKeys = append(was.CachedKeys, (key+1)*0x9e3779b97f4a7c15+uint64(i))
@@ -438,5 +438,5 @@
 	}
 	module.Handle(1, list)
 	module.Restore(l)
-	return &keeper{r: r, cfg: snapshotstore.Default()}
+	return &snapshotKeeper{router: r, cfg: snapshotstore.Default()}
 }
--- a/internal/router/standstill.go
+++ b/internal/router/standstill.go
@@ -6,49 +6,52 @@
 	"starlingwinch/internal/eventlog"
 )
 
+// Which pauses of the loop are long enough that the endpoint list may have become too old.
 const (
-	standstillPart  = 4      // of the drain grace, after which the list may have grown too old
-	agentPart       = 2      // ... where lists are pushed: half of the grace is for asking the agent as usual, see retry.Spans
-	shortStandstill = 10_000 // ... at least
-	behindPause     = 5_000  // between looks at what discovery has written
+	watchPauseDivisor = 4      // of the drain grace, where lists are watched
+	pushPauseDivisor  = 2      // where lists are pushed, as half of the grace is for polling the agent: see retry.Spans
+	minPause          = 10_000 // microseconds
 )
 
-// watchStandstill has the router look for news of discovery first where its loop goes on after a pause.
+// listBehindInterval is the time between two checks of whether the list is current, in microseconds.
+const listBehindInterval = 5_000
+
+// watchPauses has the router check for changes of the endpoint list first where its loop goes on after a pause.
 //
-// A process that stood still finds requests and news side by side, and reads them in any order. Without the look, requests that
-// are read first go to a cache of which discovery has written long ago that it leaves.
-func (r *Router) watchStandstill() {
-	part := Time(standstillPart)
+// A process that stood still finds requests and list changes side by side, and reads them in any order. Without the check,
+// requests that are read first would go to a cache that discovery removed long ago.
+func (r *Router) watchPauses() {
+	divisor := Time(watchPauseDivisor)
 	if !r.cfg.Settings.WatchRequired {
-		part = agentPart
+		divisor = pushPauseDivisor
 	}
-	r.m.Resumed(max(r.cfg.Settings.DrainGrace/part, shortStandstill), r.resumed)
+	r.m.Resumed(max(r.cfg.Settings.DrainGrace/divisor, minPause), r.afterPause)
 }
 
-// resumed holds attempts back while there is news of discovery that was not taken in yet.
-func (r *Router) resumed() {
-	if r.closed || r.behind {
+// afterPause pauses new attempts while there are list changes that were not read yet. The machine calls it after a pause.
+func (r *Router) afterPause() {
+	if r.isStopped() || r.listBehind {
 		return
 	}
 	r.sources.CatchUp()
 	if !r.sources.IsBehind() {
 		return
 	}
-	r.behind = true
+	r.listBehind = true
 	r.events.Add(eventlog.Resumed, "list-behind", slog.Int64("version", r.sources.Version()))
 	r.pool.Pause()
-	r.catchUp()
+	r.resumeWhenCurrent()
 }
 
-// catchUp lets attempts begin again once all that discovery has written is taken in.
-func (r *Router) catchUp() {
-	if r.closed || !r.behind {
+// resumeWhenCurrent lets attempts begin again once the list is current, and otherwise checks again later.
+func (r *Router) resumeWhenCurrent() {
+	if r.isStopped() || !r.listBehind {
 		return
 	}
 	if r.sources.IsBehind() {
-		r.m.At(r.m.Now()+behindPause, r.catchUp)
+		r.m.At(r.m.Now()+listBehindInterval, r.resumeWhenCurrent)
 		return
 	}
-	r.behind = false
+	r.listBehind = false
 	r.pool.Resume()
 }
--- a/internal/router/standstill_test.go
+++ b/internal/router/standstill_test.go
@@ -100,9 +100,9 @@
 	c.Send(words("C.GET", "k1", "r1", "c=read,d=1500"))
 	r.Until("an attempt", func() bool { return r.r.pool.Attempts() > 0 })
 	r.Do(func() {
-		r.r.sweeping.Stop()
+		r.r.sweepTimer.Stop()
 		r.r.sweepDue = r.Now() // before all that the request has set a time for
-		r.r.sweeping = r.At(r.r.sweepDue, r.r.sweep)
+		r.r.sweepTimer = r.At(r.r.sweepDue, r.r.periodicCheck)
 		for r.Late() < 4_500_000 { // past the attempt's end and the contract's slack: the time that passes is what the test is about
 		}
 	})
--- a/internal/router/timer.go
+++ b/internal/router/timer.go
@@ -5,50 +5,53 @@
 	"starlingwinch/internal/timerqueue"
 )
 
-// mostSpent is how many records of timers are kept for the next ones.
-const mostSpent = 4096
+// maxFreeTimers bounds the records of timers that are retained for reuse.
+const maxFreeTimers = 4096
 
-// timer is one of the module's. A request sets two or three and takes nearly all of them back, so the records are used again.
-type timer struct {
+// policyTimer is a timer that the module has set. Its record is reused, as each request sets two or three and cancels nearly
+// all of them.
+type policyTimer struct {
 	timerqueue.Entry
-	router *Router
-	token  int64
-	next   *timer // of those that are over
+	router   *Router
+	token    int64
+	nextFree *policyTimer // while it is in Router.freeTimers
 }
 
-func (r *Router) setTimer(a decide.SetTimer) {
-	t := r.spent
+// setTimer carries out a SetTimer.
+func (r *Router) setTimer(action decide.SetTimer) {
+	t := r.freeTimers
 	if t == nil {
-		t = &timer{router: r}
+		t = &policyTimer{router: r}
 	} else {
-		r.spent, t.next = t.next, nil
-		r.spents--
+		r.freeTimers, t.nextFree = t.nextFree, nil
+		r.freeTimerCount--
 	}
-	t.token = a.Token
-	r.timers[a.Token] = t
-	r.clock.Add(&t.Entry, a.At, t)
+	t.token = action.Token
+	r.timers[action.Token] = t
+	r.timerQueue.Add(&t.Entry, action.At, t)
 }
 
-func (r *Router) dropTimer(token int64) {
+// cancelTimer carries out a CancelTimer.
+func (r *Router) cancelTimer(token int64) {
 	if t := r.timers[token]; t != nil {
-		r.clock.Remove(&t.Entry)
-		r.overTimer(t)
+		r.timerQueue.Remove(&t.Entry)
+		r.freeTimer(t)
 	}
 }
 
-// overTimer keeps the record of a timer that has fired or was taken back, up to a bound.
-func (r *Router) overTimer(t *timer) {
+// freeTimer retains the record of a timer that has fired or was cancelled, up to a bound.
+func (r *Router) freeTimer(t *policyTimer) {
 	delete(r.timers, t.token)
-	if r.spents < mostSpent {
-		t.next, r.spent = r.spent, t
-		r.spents++
+	if r.freeTimerCount < maxFreeTimers {
+		t.nextFree, r.freeTimers = r.freeTimers, t
+		r.freeTimerCount++
 	}
 }
 
-// Expired implements alarm.Owner.
-func (t *timer) Expired() {
+// Expired implements timerqueue.Owner.
+func (t *policyTimer) Expired() {
 	r := t.router
-	r.backlog = append(r.backlog, &decide.Timer{Token: t.token})
-	r.overTimer(t)
+	r.queueEvent(&decide.Timer{Token: t.token})
+	r.freeTimer(t)
 	r.ProcessEvents()
 }
--- a/internal/testbench/lab/loopback/router.go
+++ b/internal/testbench/lab/loopback/router.go
@@ -19,10 +19,10 @@
 // Bounds of what is kept of a router.
 const (
 	mostTail    = 40 // last lines of its log
-	servingLine = "serving on "
+	servingLine = "msg=serving address="
 	// Lines by which a router tells that it broke a rule, or the contract between its parts, and what it has counted.
 	violationLine = "msg=violation "
-	contractLine  = "contract: "
+	contractLine  = `msg="contract breach" `
 	countersLine  = "msg=counters "
 	pingAgain     = 10 * millisecond
 	pingWithin    = second
@@ -199,10 +199,11 @@
 	if _, counters, told := strings.Cut(text, countersLine); told {
 		rt.count(counters)
 	}
-	_, addr, found := strings.Cut(text, servingLine)
+	_, fields, found := strings.Cut(text, servingLine)
 	if !found || rt.life != life || rt.state != coming {
 		return
 	}
+	addr, _, _ := strings.Cut(fields, " ")
 	if addr != rt.port.addr {
 		rt.r.trouble("%s serves on %s and was told %s", rt.name, addr, rt.port.addr)
 	}
--- a/internal/testbench/load/target.go
+++ b/internal/testbench/load/target.go
@@ -97,8 +97,9 @@
 		defer close(addr)
 		lines := bufio.NewScanner(log)
 		for lines.Scan() {
-			if _, a, ok := strings.Cut(lines.Text(), "serving on "); ok {
-				addr <- strings.TrimSpace(a)
+			if _, fields, ok := strings.Cut(lines.Text(), "msg=serving address="); ok {
+				address, _, _ := strings.Cut(fields, " ")
+				addr <- address
 				break
 			}
 		}
