--- a/internal/gossip/api.go
+++ b/internal/gossip/api.go
@@ -1,18 +1,17 @@
-// Package gossip is a router's view of the routers of its tier: which there are, which are held to be gone, and whether
-// the others see the same.
+// Package gossip is a router's view of the other routers: which there are, which of them are believed to have failed, and
+// whether all routers have the same view.
 //
-// It is SWIM (Das, Gupta, Motivala 2002) with the parts of Lifeguard (Dadgar, Phillips, Currey 2018): members probe
-// one another at a fixed pace, ask others to probe for them where no answer comes, and hold a member faulty only after
-// a suspicion that it can refute. What changes is carried along with probes, a bounded number of times. Beyond that:
-//   - Members that are held faulty are asked again for as long as they are configured, so that a healed partition meets
-//     again by itself.
-//   - A claim that a member is faulty is no proof: whoever hears it suspects for itself, and tells the accused.
-//   - What piggyback has lost is found by comparing digests in pairs.
-//   - A view is settled where all members that are held alive have said the same digest.
+// It is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018): members probe one
+// another at a fixed interval, probe indirectly through others where no acknowledgement comes, and declare a member faulty
+// only after a suspicion that it can refute. Updates are piggybacked on probes, each a bounded number of times. Beyond that:
+//   - Faulty members are polled for as long as they are configured, so that a partition heals by itself.
+//   - A claim that a member is faulty is not believed: a router that receives one suspects the member itself, and notifies it.
+//   - Updates that were lost are found by comparing digests in pairs (anti-entropy).
+//   - A view is settled once all members that are alive have announced the same digest.
 //
-// It is fed events and returns actions, performs no I/O, reads no clock and starts no goroutine: the time comes in with
-// each event, and equal events give equal actions. It never says anything about caches, and no router may act on a
-// cache by its word.
+// A View is fed events and returns actions. It performs no I/O, reads no clock and starts no goroutine: the time comes in
+// with each event, and equal events give equal actions. It never says anything about caches, and no router may act on a
+// cache because of it.
 package gossip
 
 import (
@@ -20,100 +19,113 @@
 	"fmt"
 	"log/slog"
 	"net/netip"
+	"slices"
 )
 
 // Time is an instant or a span in microseconds.
 type Time = int64
 
-// Bounds of what is taken in.
+// Bounds of what is accepted.
 const (
-	MaxNameBytes = 32   // bytes of a name
-	MaxMembers   = 8192 // members of a view, configured addresses included
-	// MaxDatagramBytes is the longest datagram that is sent or taken in, which is the platform's bound.
-	MaxDatagramBytes = 256
-	// ahead is how far an incarnation may lie ahead of this router's clock. The danger: one near the largest number
-	// leaves no room to refute it, and its member can never be told apart from an older life of it again.
-	ahead = 24 * 60 * 60 * 1000
+	MaxNameBytes     = 32   // bytes of a name
+	MaxMembers       = 8192 // members of a view, configured addresses included
+	MaxDatagramBytes = 256  // bytes of a datagram that is sent or received: the platform's bound
 )
 
-// State is what a member is held to be.
+// maxIncarnationLead is how far, in milliseconds, an incarnation may be ahead of this router's clock. One near the largest
+// number could never be refuted, and a restarted member never be told from its earlier process.
+const maxIncarnationLead = 24 * 60 * 60 * 1000
+
+// State is what a member is believed to be.
 type State uint8
 
+// States of a member.
 const (
-	Alive   State = iota
-	Leaving       // it drains, by its own word
-	Suspect       // it did not answer, and may yet
-	Faulty        // it is held to be gone; it is asked again
-	Left          // it has gone after it said that it would
+	Alive   State = iota // it answers
+	Leaving              // it drains, as it has announced
+	Suspect              // it did not answer, and may refute that it has failed
+	Faulty               // it is believed to have failed; it is polled
+	Left                 // it has ended, as it had announced
 	states
 )
 
-func (s State) String() string {
-	return [...]string{"alive", "leaving", "suspect", "faulty", "left"}[min(s, states-1)]
-}
+var stateNames = [...]string{"alive", "leaving", "suspect", "faulty", "left"}
+
+// String returns the state in lower case.
+func (s State) String() string { return stateNames[min(s, Left)] }
 
-// IsAlive reports whether a member in that state is held to run.
+// IsAlive reports whether a member in that state is believed to run.
 func (s State) IsAlive() bool { return s == Alive || s == Leaving || s == Suspect }
 
-// Info is the small state that each member carries for itself.
+// Info is what each member announces of itself.
 type Info struct {
-	List   uint64 // the version of the list of caches that it acts on
-	Digest uint32 // of that list's content
+	List   uint64 // version of the endpoint list that it acts on
+	Digest uint32 // digest of that list
 	Config uint32 // digest of its configuration
-	Build  uint32 // of its program
+	Build  uint32 // digest of its program
 }
 
-// Member is one line of a view.
+// Member is one member of a view.
 type Member struct {
 	Name        string
-	Addr        string // where this router sends to; empty where it does not know
+	Addr        string // where this router sends to; empty where it is unknown
 	State       State
 	Incarnation uint64 // in Unix milliseconds of its start, and one more for each refutation
-	Since       Time   // when it came into that state here
+	Since       Time   // when it came into that state at this router
 	Info        Info
 	Configured  bool // its address stands in this router's configuration
 }
 
-// Config is what a view is told at its start.
+// Config configures a view. DefaultConfig has the defaults of the figures.
 type Config struct {
-	Name  string
-	Start uint64 // Unix time in milliseconds: the first incarnation
-	Boot  uint32 // a random number that tells this life of the router from its others
-	Seed  uint64 // for its choices
-	Peers []string
-	Seeds []string // addresses that are asked as peers are; who comes from anywhere else by them is taken in
-	Addr  string   // where others reach this router, told where Seeds are set
+	Name  string   // of this router; 1 to MaxNameBytes bytes
+	Start uint64   // Unix time in milliseconds: the first incarnation
+	Boot  uint32   // random; tells this process from earlier ones of the same name
+	Seed  uint64   // of the view's random choices
+	Peers []string // addresses of other routers
+	Seeds []string // addresses that are polled as peers are; members that come through them are accepted from any address
+	Addr  string   // where other routers reach this one; needed with Seeds, announced to all
 	Info  Info
 
-	Interval  Time // between probes
-	Timeout   Time // within which an answer should come
-	Suspicion int  // intervals, times the logarithm of the members, for which a member is suspected at least
-	// Plain leaves out what Lifeguard adds, and what this package does beyond SWIM. It is there to be measured against.
+	// Interval is the time between probes. Raising it detects failures later; lowering it costs datagrams.
+	Interval Time
+	// Timeout is the time in which a probe should be acknowledged. Raising it delays indirect probes; lowering it makes more
+	// of them, and suspicions on slow links.
+	Timeout Time
+	// Suspicion is the minimum time for which a member is suspected, in intervals times the logarithm of the number of
+	// members. Raising it detects failures later; lowering it leaves less time to refute.
+	Suspicion int
+	// Plain leaves out the extensions of Lifeguard, and what this package adds to SWIM, for measurements against them.
 	Plain bool
-	// Defect plants a defect, to see that the lab finds it.
+	// Defect plants a defect, to check that tests find it.
 	Defect Defect
 }
 
 // Defect is a defect that can be planted.
 type Defect uint8
 
+// Defects, with what goes wrong.
 const (
 	NoDefect          Defect = iota
-	FaultyNeverProbed        // members that are held faulty are not asked again
+	FaultyNeverProbed        // faulty members are not polled
 	NotRaised                // a refutation does not raise the incarnation
-	UpdatesForever           // a rumour is sent for ever
+	UpdatesForever           // an update is sent without a bound
 	NoTimeout                // a suspicion does not end
-	GreedyMinority           // shares grow in a minority
-	SettledEarly             // a view is settled before all have said its digest
-	Replayable               // datagrams are believed again
-	Defects
+	GreedyMinority           // the divisor shrinks in a minority
+	SettledEarly             // a view is settled before all have announced its digest
+	Replayable               // replayed datagrams are accepted
+	Defects                  // the number of them
 )
 
-// DefaultConfig holds the figures that docs/design/fleet.md measures.
+// DefaultConfig returns the figures that hold where nothing else is configured. docs/design/fleet.md has what they were
+// measured by.
 func DefaultConfig() Config {
 	return Config{Interval: 150_000, Timeout: 50_000, Suspicion: 3}
 }
 
+// minInterval is the shortest interval between probes.
+const minInterval Time = 10_000
+
 // check names the first field that is out of range.
 func (c *Config) check() error {
 	if len(c.Name) == 0 || len(c.Name) > MaxNameBytes {
@@ -122,9 +134,9 @@
 	if len(c.Peers)+len(c.Seeds) > MaxMembers {
 		return fmt.Errorf("fleet: %d peers and seeds, at most %d", len(c.Peers)+len(c.Seeds), MaxMembers)
 	}
-	for _, a := range append(append([]string{}, c.Peers...), c.Seeds...) {
-		if _, err := netip.ParseAddrPort(a); err != nil {
-			return fmt.Errorf("fleet: peer %q: %w", a, err)
+	for _, address := range slices.Concat(c.Peers, c.Seeds) {
+		if _, err := netip.ParseAddrPort(address); err != nil {
+			return fmt.Errorf("fleet: peer %q: %w", address, err)
 		}
 	}
 	if len(c.Seeds) > 0 {
@@ -132,31 +144,33 @@
 			return fmt.Errorf("fleet: address %q, to be told to others: %w", c.Addr, err)
 		}
 	}
-	if c.Interval < 10_000 || c.Timeout <= 0 || c.Timeout*2 >= c.Interval || c.Suspicion < 1 {
-		return errors.New("fleet: the timeout has to be under half of the interval, which is 10 ms at least")
+	if c.Interval < minInterval || c.Timeout <= 0 || c.Timeout*2 >= c.Interval || c.Suspicion < 1 {
+		return errTimeout
 	}
 	return nil
 }
 
-// Event is anything a view is told: *Heard, *Tick, *Own, *Leave or *Peers.
+var errTimeout = errors.New("fleet: the timeout has to be under half of the interval, which is 10 ms at least")
+
+// Event is anything that a view is notified of: *DatagramReceived, *Tick, *UpdateInfo, *Leave or *Peers.
 type Event interface{ event() }
 
-// DatagramReceived brings a datagram. Data is not kept.
+// DatagramReceived brings a datagram. The view does not retain Data.
 type DatagramReceived struct {
 	From string
 	Data []byte
 }
 
-// Tick is the echo of a Wake.
+// Tick comes at or after the time that a Wake has asked for.
 type Tick struct{}
 
-// UpdateInfo changes what this router says of itself.
+// UpdateInfo changes what this router announces of itself.
 type UpdateInfo struct{ Info Info }
 
-// Leave says that this router drains. Gone says that it ends now.
+// Leave says that this router drains, or with Gone that it ends now.
 type Leave struct{ Gone bool }
 
-// Peers takes over changed addresses.
+// Peers replaces the configured addresses.
 type Peers struct{ Peers []string }
 
 func (*DatagramReceived) event() {}
@@ -165,19 +179,20 @@
 func (*Leave) event()            {}
 func (*Peers) event()            {}
 
-// Action is anything a view asks for. The caller carries actions out in order.
+// Action is anything that a view wants done. The caller carries actions out in order.
 type Action interface{ action() }
 
-// Send sends a datagram. Data holds until the next event.
+// Send sends a datagram. Data is valid until the next event.
 type Send struct {
 	To   string
 	Data []byte
 }
 
-// Wake asks for a Tick at or after At. A later Wake takes the place of the one before.
+// Wake asks for a Tick at or after At. It replaces the Wake before.
 type Wake struct{ At Time }
 
-// Changed says that the view has changed in what routers are here, or in whether it is settled.
+// Changed says that a member came, went or changed its state other than by a suspicion, or that the view became settled or
+// unsettled.
 type Changed struct{}
 
 // Log adds a line to the log, for the engineer on call.
@@ -192,10 +207,17 @@
 func (Changed) action() {}
 func (Log) action()     {}
 
-// Counts are what a view has come across.
+// Counts are counters of a view since its start.
 type Counts struct {
-	Sent, SentBytes, Taken            int
-	Longest                           int // datagram that was sent
-	Garbage, Foreign, Replayed, Wrong int // datagrams not believed: unreadable, of no member, old, with figures out of range
-	Stalls, Refuted, Accused          int // this process stood still; it refuted; members that it came to hold faulty
+	Sent      int // datagrams sent
+	SentBytes int // bytes of them
+	Taken     int // datagrams accepted
+	Longest   int // bytes of the longest datagram sent
+	Garbage   int // datagrams that could not be read
+	Foreign   int // datagrams of routers that are no members, or that bear this router's name
+	Replayed  int // datagrams that came again, or of an earlier process
+	Wrong     int // figures out of range
+	Stalls    int // times that this process did not run for longer than an interval
+	Refuted   int // claims on this router that it refuted
+	Accused   int // members that this router declared faulty
 }
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/codec_test.go
@@ -8,21 +8,27 @@
 
 // full is a datagram with every field set.
 func full(k kind) *datagram {
-	return &datagram{header: header{kind: k, name: "n17", boot: 0xfeed, seq: 9, incarnation: 1_796_000_000_000, runs: 12, leaving: true,
-		settled: true, digest: 1 << 63}, nonce: 5, target: "n3", addr: "10.0.0.4:7946", number: 3, pages: 9, age: 77}
+	return &datagram{
+		header: header{
+			kind: k, name: "n17", boot: 0xfeed, sequence: 9, incarnation: 1_796_000_000_000, runTime: 12, leaving: true, settled: true,
+			digest: 1 << 63,
+		},
+		nonce: 5, target: "n3", addr: "10.0.0.4:7946", first: 3, total: 9, age: 77,
+	}
 }
 
-func TestADatagramReadsAsItWasWritten(t *testing.T) {
+// TestParseReadsAppendedDatagram checks each kind of datagram, with every field set.
+func TestParseReadsAppendedDatagram(t *testing.T) {
 	for k := ping; k < kinds; k++ {
 		want := full(k)
-		want.parts = make([]uint32, partsOfView)
+		want.parts = make([]uint32, viewParts)
 		want.parts[3] = 8
-		b := putBytes(want.append(nil), fAgreed, []byte{1, 0, 255})
+		b := appendBytes(want.append(nil), fieldAgreed, []byte{1, 0, 255})
 		want.agreed = []byte{1, 0, 255}
-		r := rumour{name: "n4", state: Faulty, incarnation: 7, boot: 6, rev: 2, info: Info{List: 9, Digest: 8, Config: 7, Build: 6},
+		r := update{name: "n4", state: Faulty, incarnation: 7, boot: 6, revision: 2, info: Info{List: 9, Digest: 8, Config: 7, Build: 6},
 			addr: "[2001:db8::1]:80", by: "n5", age: 4}
-		want.rumours = []rumour{r}
-		b, fits := appendRumour(b, &r, 1000)
+		want.updates = []update{r}
+		b, fits := appendUpdate(b, &r, 1000)
 		if !fits || len(b) > MaxDatagramBytes {
 			t.Fatalf("%d bytes, fits %v", len(b), fits)
 		}
@@ -33,8 +39,12 @@
 	}
 }
 
-func TestWhatIsNotADatagramIsNotRead(t *testing.T) {
+// TestParseRejectsInvalidDatagrams checks datagrams that are truncated, of another version, or with fields that are not valid.
+func TestParseRejectsInvalidDatagrams(t *testing.T) {
 	good := full(ping).append(nil)
+	smallest := func() []byte { return (&datagram{header: header{kind: ping, name: "n", boot: 1}}).append(nil) }
+	unknownState := appendFixed32(appendString(nil, fieldName, "a"), fieldBoot, 1)
+	unknownState = appendUint(unknownState, fieldState, uint64(states))
 	for name, b := range map[string][]byte{
 		"nothing":                    nil,
 		"another version":            append([]byte{version + 1}, good[1:]...),
@@ -42,11 +52,11 @@
 		"an unknown kind":            append([]byte{version, byte(kinds)}, good[2:]...),
 		"no name":                    {version, byte(ping)},
 		"too long":                   append(bytes.Clone(good), make([]byte, MaxDatagramBytes)...),
-		"a field twice":              putString(bytes.Clone(good), fTarget, "n3"),
-		"an unknown field":           putUint(bytes.Clone(good), fPad+1, 1),
-		"a name to break a terminal": putString(putFixed([]byte{version, byte(ping)}, fBoot, 1), fName, "n\x1b[2J"),
-		"an address that is none":    putString((&datagram{header: header{kind: ping, name: "n", boot: 1}}).append(nil), fAddr, "xyz"),
-		"a state that is none":       putBytes((&datagram{header: header{kind: ping, name: "n", boot: 1}}).append(nil), fRumour, putUint(putFixed(putString(nil, fName, "a"), fBoot, 1), fState, uint64(states))),
+		"a field twice":              appendString(bytes.Clone(good), fieldTarget, "n3"),
+		"an unknown field":           appendUint(bytes.Clone(good), fieldPadding+1, 1),
+		"a name to break a terminal": appendString(appendFixed32([]byte{version, byte(ping)}, fieldBoot, 1), fieldName, "n\x1b[2J"),
+		"an address that is none":    appendString(smallest(), fieldAddr, "xyz"),
+		"a state that is none":       appendBytes(smallest(), fieldUpdate, unknownState),
 	} {
 		if d, err := parse(b); err == nil {
 			t.Errorf("%s was read as %+v", name, d)
@@ -63,9 +73,10 @@
 	}
 }
 
-func TestPaddingFillsToTheByte(t *testing.T) {
+// TestPadReachesSize checks that padding comes to within four bytes of each size, and never beyond.
+func TestPadReachesSize(t *testing.T) {
 	for size := range MaxDatagramBytes {
-		d := datagram{header: header{kind: ask, name: "n", boot: 1}}
+		d := datagram{header: header{kind: query, name: "n", boot: 1}}
 		b := d.append(nil)
 		for len(b) < size {
 			b = append(b, 0)
@@ -79,12 +90,14 @@
 	}
 }
 
+// FuzzDatagram checks that a view stays within its bounds whatever it receives, and that unknown senders get no more bytes than
+// they sent.
 func FuzzDatagram(f *testing.F) {
 	for k := ping; k < kinds; k++ {
 		d := full(k)
-		d.parts = make([]uint32, partsOfView)
+		d.parts = make([]uint32, viewParts)
 		b := d.append(nil)
-		b, _ = appendRumour(b, &rumour{name: "n4", state: Suspect, incarnation: 7, boot: 6, by: "n5"}, MaxDatagramBytes)
+		b, _ = appendUpdate(b, &update{name: "n4", state: Suspect, incarnation: 7, boot: 6, by: "n5"}, MaxDatagramBytes)
 		f.Add(b)
 	}
 	f.Add(EncodeQuery(3, 9))
@@ -93,7 +106,7 @@
 		if err != nil {
 			return
 		}
-		if len(b) > MaxDatagramBytes || len(d.rumours) > mostRumours || len(d.name) > MaxNameBytes || len(d.target) > MaxNameBytes {
+		if len(b) > MaxDatagramBytes || len(d.updates) > maxUpdates || len(d.name) > MaxNameBytes || len(d.target) > MaxNameBytes {
 			t.Errorf("beyond the bounds: %+v", d)
 		}
 		// Whatever is said, a view stays within its bounds and answers no stranger at length.
@@ -109,7 +122,7 @@
 				}
 			}
 			if from == "10.9.9.9:1" && sent > len(b) {
-				t.Errorf("a stranger's %d bytes were answered by %d", len(b), sent)
+				t.Errorf("%d bytes of an unknown sender were answered by %d", len(b), sent)
 			}
 		}
 		if len(v.Members()) > MaxMembers {
--- a/internal/gossip/compatibility_test.go
+++ b/internal/gossip/compatibility_test.go
@@ -7,8 +7,6 @@
 	"reflect"
 	"strings"
 	"testing"
-
-	"google.golang.org/protobuf/encoding/protowire"
 )
 
 // earlierDatagrams are the datagrams that release ea855d0 wrote, by name.
@@ -43,9 +41,9 @@
 		"nack":              earlierDatagram(4, nil, nil, Left),
 		"digests":           earlierDatagram(5, nil, digests, states),
 		"differences":       earlierDatagram(6, nil, nil, Leaving),
-		"query":             {header: header{kind: 7}, nonce: 5, number: 3},
+		"query":             {header: header{kind: 7}, nonce: 5, first: 3},
 		"page":              earlierDatagram(8, nil, nil, Faulty),
-		"query-of-observer": {header: header{kind: 7}, nonce: 0xabcdef, number: 7},
+		"query-of-observer": {header: header{kind: 7}, nonce: 0xabcdef, first: 7},
 		"digests-padded":    earlierDatagram(5, nil, []uint32{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, states),
 	}
 	written := earlierDatagrams(t)
@@ -69,11 +67,11 @@
 func encodeWhole(t *testing.T, d *datagram, size int) []byte {
 	b := d.append(nil)
 	if d.agreed != nil {
-		b = putBytes(b, protowire.Number(13), d.agreed)
+		b = appendBytes(b, fieldAgreed, d.agreed)
 	}
-	for i := range d.rumours {
+	for i := range d.updates {
 		var fits bool
-		if b, fits = appendRumour(b, &d.rumours[i], MaxDatagramBytes); !fits {
+		if b, fits = appendUpdate(b, &d.updates[i], MaxDatagramBytes); !fits {
 			t.Fatal("a claim does not fit")
 		}
 	}
@@ -86,14 +84,17 @@
 // earlierDatagram is what a datagram of the fixture holds. States stands for one without claims on members.
 func earlierDatagram(k kind, agreed []byte, digests []uint32, second State) datagram {
 	d := datagram{
-		header: header{kind: k, name: "n17", boot: 0xfeed, seq: 9, incarnation: 1_796_000_000_000, runs: 12, leaving: true, settled: true,
+		header: header{kind: k, name: "n17", boot: 0xfeed, sequence: 9, incarnation: 1_796_000_000_000, runTime: 12, leaving: true, settled: true,
 			digest: 1 << 63},
-		nonce: 5, target: "n3", addr: "10.0.0.4:7946", number: 3, pages: 9, age: 77, agreed: agreed, parts: digests,
+		nonce: 5, target: "n3", addr: "10.0.0.4:7946", first: 3, total: 9, age: 77, agreed: agreed, parts: digests,
 	}
 	if second < states {
 		info := Info{List: 9, Digest: 8, Config: 7, Build: 6}
-		d.rumours = []rumour{
-			{name: "n4", state: Faulty, incarnation: 1_796_000_000_007, boot: 6, rev: 2, info: info, addr: "[2001:db8::1]:80", by: "n5", age: 4},
+		d.updates = []update{
+			{
+				name: "n4", state: Faulty, incarnation: 1_796_000_000_007, boot: 6, revision: 2, info: info, addr: "[2001:db8::1]:80",
+				by: "n5", age: 4,
+			},
 			{name: "n6", state: second, incarnation: 7, boot: 0xffffffff},
 		}
 	}
--- a/internal/gossip/operator_test.go
+++ b/internal/gossip/config_test.go
@@ -9,7 +9,8 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-func TestTheDeployedFileIsTheDefault(t *testing.T) {
+// TestDeployedFileHoldsDefaults checks deploy/fleet.toml.
+func TestDeployedFileHoldsDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/fleet.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +28,8 @@
 	}
 }
 
-func TestFaultsOfTheFileAreNamed(t *testing.T) {
+// TestOperatorConfigErrorsNameKeys checks that each error names the key and what is wanted.
+func TestOperatorConfigErrorsNameKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		`timeout = "100ms"`:    "timeout: not under half of interval",
 		`seeds = ["there"]`:    `seeds: no address ("there", wanted IP:PORT)`,
--- /dev/null
+++ b/internal/gossip/divisor_test.go
@@ -0,0 +1,71 @@
+package gossip
+
+import (
+	"fmt"
+	"testing"
+)
+
+// routerNames returns names of routers from one number up to another.
+func routerNames(from, to int) (names []string) {
+	for i := from; i < to; i++ {
+		names = append(names, fmt.Sprint("n", i))
+	}
+	return names
+}
+
+// checkSteps passes memberships one after another, each with the divisor that is wanted.
+func checkSteps(t *testing.T, d *Divisor, memberships []Membership, want ...int) {
+	t.Helper()
+	for i, s := range memberships {
+		if got := d.Divisor(s); got != want[i] {
+			t.Errorf("step %d: %+v divides by %d, want %d", i, s, got, want[i])
+		}
+	}
+}
+
+const hold = 10_000_000
+
+func settledView(names []string) Membership {
+	return Membership{Alive: names, Settled: true, For: hold}
+}
+
+// TestDivisorFollowsJoinsAndLeavesAtOnce checks that neither waits for the hold.
+func TestDivisorFollowsJoinsAndLeavesAtOnce(t *testing.T) {
+	checkSteps(t, &Divisor{Hold: hold}, []Membership{
+		settledView(routerNames(0, 30)), {Alive: routerNames(1, 30), Left: routerNames(0, 1)}, {Alive: routerNames(2, 30), Left: routerNames(0, 2), Settled: true},
+		{Alive: routerNames(2, 33), Left: routerNames(0, 2)},
+	}, 30, 29, 28, 31)
+}
+
+// TestDivisorDropsFaultyMembersAfterHold checks that the larger side of a partition does not count the smaller one, once its
+// view was settled for the hold.
+func TestDivisorDropsFaultyMembersAfterHold(t *testing.T) {
+	checkSteps(t, &Divisor{Hold: hold}, []Membership{
+		settledView(routerNames(0, 30)), {Alive: routerNames(0, 20), For: hold}, {Alive: routerNames(0, 20), Settled: true, For: hold - 1},
+		settledView(routerNames(0, 20)),
+	}, 30, 30, 30, 20)
+}
+
+// TestDivisorCountsBothHalvesOfPartition checks that neither of two halves drops the other.
+func TestDivisorCountsBothHalvesOfPartition(t *testing.T) {
+	for _, all := range []int{30, 31} {
+		checkSteps(t, &Divisor{Hold: hold}, []Membership{settledView(routerNames(0, all)), settledView(routerNames(0, 15))}, all, all)
+	}
+}
+
+// TestDivisorIgnoresJoinsForMajority checks that a half does not become the larger side by a member that joins it.
+func TestDivisorIgnoresJoinsForMajority(t *testing.T) {
+	checkSteps(t, &Divisor{Hold: hold}, []Membership{settledView(routerNames(0, 28)), settledView(routerNames(0, 14)),
+		settledView(append(routerNames(0, 14), "n99"))}, 28, 28, 29)
+}
+
+// TestDivisorIsAtLeastMin checks that the divisor never falls below Min.
+func TestDivisorIsAtLeastMin(t *testing.T) {
+	checkSteps(t, &Divisor{Hold: hold, Min: 30}, []Membership{{Alive: routerNames(0, 1)}, settledView(routerNames(0, 20)), {Alive: routerNames(0, 40)}}, 30, 30, 40)
+}
+
+// TestDivisorCountsLeftMemberOnce checks that a member which left is subtracted once, however long the view names it.
+func TestDivisorCountsLeftMemberOnce(t *testing.T) {
+	checkSteps(t, &Divisor{Hold: hold}, []Membership{settledView(routerNames(0, 10)), {Alive: routerNames(1, 10), Left: routerNames(0, 1)}, {Alive: routerNames(1, 10)},
+		{Alive: routerNames(2, 10), Left: routerNames(1, 2)}}, 10, 9, 9, 8)
+}
--- /dev/null
+++ b/internal/gossip/fields.go
@@ -0,0 +1,92 @@
+package gossip
+
+import (
+	"net/netip"
+
+	"google.golang.org/protobuf/encoding/protowire"
+)
+
+// fieldValue is the content of a field: bytes or a number, by the field's form.
+type fieldValue struct {
+	number  uint64
+	bytes   []byte
+	invalid bool // set by the methods that read a text or an address
+}
+
+// text returns a text of at least one byte. Only visible ASCII is valid, as texts are written to logs and terminals.
+func (v *fieldValue) text(maxBytes int) string {
+	if len(v.bytes) == 0 || len(v.bytes) > maxBytes {
+		v.invalid = true
+		return ""
+	}
+	for _, c := range v.bytes {
+		if c <= ' ' || c > '~' {
+			v.invalid = true
+			return ""
+		}
+	}
+	return string(v.bytes)
+}
+
+// addr returns an address as IP:PORT.
+func (v *fieldValue) addr() string {
+	var address netip.AddrPort
+	if len(v.bytes) > maxPackedAddr || address.UnmarshalBinary(v.bytes) != nil || !address.IsValid() || address.Port() == 0 {
+		v.invalid = true
+		return ""
+	}
+	return address.String()
+}
+
+// parseFields calls set with each field in turn, until set reports that one is not valid. Fields other than updates may come
+// once.
+func parseFields(b []byte, set func(protowire.Number, fieldValue) bool) error {
+	var seen uint64 // bit set of the numbers that have come
+	for len(b) > 0 {
+		number, wireType, size := protowire.ConsumeTag(b)
+		if size < 0 || number > fieldPadding || number != fieldUpdate && seen&(1<<number) != 0 {
+			return errUnreadable
+		}
+		seen |= 1 << number
+		b = b[size:]
+		if wireType != typeOf(number) {
+			return errUnreadable
+		}
+		value, size := consumeValue(b, wireType)
+		if size < 0 || !set(number, value) {
+			return errUnreadable
+		}
+		b = b[size:]
+	}
+	return nil
+}
+
+// consumeValue reads the content of a field. The size is negative where it is truncated.
+func consumeValue(b []byte, wireType protowire.Type) (v fieldValue, size int) {
+	switch wireType {
+	case protowire.BytesType:
+		v.bytes, size = protowire.ConsumeBytes(b)
+	case protowire.Fixed32Type:
+		var number uint32
+		number, size = protowire.ConsumeFixed32(b)
+		v.number = uint64(number)
+	case protowire.Fixed64Type:
+		v.number, size = protowire.ConsumeFixed64(b)
+	default:
+		v.number, size = protowire.ConsumeVarint(b)
+	}
+	return v, size
+}
+
+// typeOf returns the form in which a field is written.
+func typeOf(n protowire.Number) protowire.Type {
+	switch n {
+	case fieldName, fieldTarget, fieldAddr, fieldParts, fieldAgreed, fieldUpdate, fieldBy, fieldPadding:
+		return protowire.BytesType
+	case fieldBoot, fieldNonce, fieldListDigest, fieldConfig, fieldBuild:
+		return protowire.Fixed32Type
+	case fieldDigest:
+		return protowire.Fixed64Type
+	}
+	return protowire.VarintType
+}
--- a/internal/gossip/suspicion.go
+++ b/internal/gossip/suspicion.go
@@ -1,100 +1,147 @@
-// How a member that does not answer becomes one that is held to be gone.
-
 package gossip
 
 import (
+	"log/slog"
 	"math"
 	"slices"
+	"time"
 )
 
-// suspects are those under suspicion, by name, so that equal events give equal actions.
-func (f *View) suspects() (names []string) {
-	for name, m := range f.members {
-		if m.State == Suspect {
-			names = append(names, name)
-		}
-	}
-	slices.Sort(names)
-	return names
+const (
+	// confirmations is the number of other routers whose suspicion shortens one to its minimum (Lifeguard's K).
+	confirmations = 3
+	// maxTimeoutFactor is the maximum time of a suspicion that nobody confirms, in minimum times.
+	maxTimeoutFactor = 6
+	// directProbers is the mean number of routers that probe a suspect themselves.
+	directProbers = 4
+)
+
+// suspicion is why and since when a member is suspect.
+type suspicion struct {
+	by       []string // routers that suspect it; the first began the suspicion
+	since    Time
+	deadline Time // where another router has declared it faulty, its time to refute that; else 0
 }
 
-// Suspicion.
+// begin begins a suspicion that nobody holds yet.
+func (s *suspicion) begin(now Time) { s.by, s.since, s.deadline = s.by[:0], now, 0 }
+
+// clear ends a suspicion.
+func (s *suspicion) clear() { s.by, s.deadline = s.by[:0], 0 }
+
+// postpone moves a suspicion by a time in which it could not be refuted.
+func (s *suspicion) postpone(d Time) {
+	s.since += d
+	if s.deadline > 0 {
+		s.deadline += d
+	}
+}
 
-// suspect holds a member under suspicion, by its own doubt or another one's.
-func (f *View) suspect(m *member, by string) {
-	if m == f.self || !m.State.IsAlive() {
+// suspect puts a member under suspicion, or confirms a suspicion, by a router.
+func (v *View) suspect(m *member, by string) {
+	if m == v.self || !m.State.IsAlive() {
 		return
 	}
 	if m.State != Suspect {
-		m.suspectBy, m.suspected, m.confirmed = m.suspectBy[:0], f.now, 0
-		f.state(m, Suspect)
-		f.logf("fleet: %s is suspected, by %s", m.Name, by)
+		m.suspicion.begin(v.now)
+		v.setState(m, Suspect)
+		v.log(slog.LevelWarn, "gossip member suspected", slog.String("member", m.Name), slog.String("by", by))
 	}
-	if slices.Contains(m.suspectBy, by) || len(m.suspectBy) > confirms {
+	if slices.Contains(m.suspicion.by, by) || len(m.suspicion.by) > confirmations {
 		return
 	}
-	m.suspectBy = append(m.suspectBy, by)
-	f.news = slices.DeleteFunc(f.news, func(e *entry) bool { return e.rumour.name == m.Name && e.rumour.by == "" })
-	f.spreadAs(m, by)
-	f.tell(m)
+	m.suspicion.by = append(m.suspicion.by, by)
+	v.dropUpdatesOf(m)
+	v.broadcastSuspicion(m, by)
+	v.notifySuspect(m)
 }
 
-// tell lets a member know that it is accused, so that it can refute that (Lifeguard, IV-C).
-func (f *View) tell(m *member) {
-	if f.cfg.Plain || m.Addr == "" || m.toldAt > 0 && f.now < m.toldAt+f.cfg.Interval/2 || len(f.probes) >= mostProbes {
+// notifySuspect probes a member that is suspect or faulty, so that it can refute that (Lifeguard, IV-C).
+func (v *View) notifySuspect(m *member) {
+	recently := m.notifiedAt > 0 && v.now < m.notifiedAt+v.cfg.Interval/2
+	if v.cfg.Plain || m.Addr == "" || recently || v.prober.full() {
 		return
 	}
-	m.toldAt = f.now
-	// Some look for themselves, so that a suspicion is soon confirmed, or not; few, whatever the fleet's size.
-	look := f.rng.Float64() < lookers/float64(len(f.members))
-	f.probe(m.Name, m.Addr, !look)
+	m.notifiedAt = v.now
+	// A few routers count the probe as one of their own, so that a suspicion is confirmed or refuted soon; how many does not
+	// depend on the number of members.
+	direct := v.rng.Float64() < directProbers/float64(len(v.members))
+	v.probe(m.Name, m.Addr, !direct)
 }
 
-// suspicionEnds is when a suspicion ends, if nobody refutes it: the more routers suspect a member by themselves, the
-// sooner (Lifeguard, IV-B).
-func (f *View) suspicionEnds(m *member) Time {
-	n := math.Max(1, math.Log10(float64(len(f.names))+1))
-	least := float64(f.cfg.Suspicion) * n * float64(f.cfg.Interval)
-	if f.cfg.Plain {
-		return m.suspected + Time(least)
+// suspicionDeadline is when a suspicion ends that nobody refutes: the more routers suspect the member themselves, the sooner
+// (Lifeguard, IV-B).
+func (v *View) suspicionDeadline(m *member) Time {
+	scale := math.Max(1, math.Log10(float64(len(v.agreement.names))+1))
+	minTimeout := float64(v.cfg.Suspicion) * scale * float64(v.cfg.Interval)
+	if v.cfg.Plain {
+		return m.suspicion.since + Time(minTimeout)
 	}
-	most := longer * least
-	// Where nobody is left who could confirm it, nobody does: a router that is cut off is soon done.
-	c := float64(max(0, len(m.suspectBy)-1, confirms-f.unsuspected()))
-	span := max(least, most-(most-least)*math.Log(c+1)/math.Log(confirms+1))
-	ends := m.suspected + Time(span)
-	if f.cfg.Defect == NoTimeout {
+	maxTimeout := maxTimeoutFactor * minTimeout
+	// Where too few routers are left that could confirm a suspicion, it counts as confirmed: a router that is cut off would
+	// wait for the maximum time with each member.
+	confirmed := float64(max(0, len(m.suspicion.by)-1, confirmations-v.countConfirmers()))
+	timeout := max(minTimeout, maxTimeout-(maxTimeout-minTimeout)*math.Log(confirmed+1)/math.Log(confirmations+1))
+	deadline := m.suspicion.since + Time(timeout)
+	if v.cfg.Defect == NoTimeout {
 		return math.MaxInt64 / 4
 	}
-	if m.confirmed > 0 {
-		ends = min(ends, m.confirmed)
+	if m.suspicion.deadline > 0 {
+		deadline = min(deadline, m.suspicion.deadline)
 	}
-	return ends
+	return deadline
 }
 
-// unsuspected is how many others are here and under no suspicion, up to what it takes to confirm one.
-func (f *View) unsuspected() (n int) {
-	for _, m := range f.members { // any order: a count
-		if n += b2i(m != f.self && m.State.IsAlive() && m.State != Suspect); n == confirms {
+// countConfirmers returns the number of other members that could confirm a suspicion, up to confirmations.
+func (v *View) countConfirmers() int {
+	count := 0
+	for _, m := range v.members { // any order: a count
+		if m != v.self && m.State.IsAlive() && m.State != Suspect {
+			count++
+		}
+		if count == confirmations {
 			break
 		}
 	}
-	return n
+	return count
+}
+
+// suspects returns the names of suspects in order, so that equal events give equal actions.
+func (v *View) suspects() []string {
+	var names []string
+	for name, m := range v.members { // any order: sorted below
+		if m.State == Suspect {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// expireSuspicions declares members faulty whose suspicion has ended.
+func (v *View) expireSuspicions() {
+	for _, name := range v.suspects() {
+		if m := v.members[name]; v.now >= v.suspicionDeadline(m) {
+			v.declareFaulty(m)
+		}
+	}
 }
 
-// condemn ends a suspicion that nobody has refuted.
-func (f *View) condemn(m *member) {
-	by := slices.Clone(m.suspectBy)
-	if m.base == Leaving {
-		f.state(m, Left)
-		f.logf("fleet: %s has left", m.Name)
+// declareFaulty ends a suspicion that nobody refuted. A member that was leaving has left.
+func (v *View) declareFaulty(m *member) {
+	by := slices.Clone(m.suspicion.by)
+	if m.announcedState == Leaving {
+		v.setState(m, Left)
+		v.log(slog.LevelInfo, "gossip member left", slog.String("member", m.Name))
 	} else {
-		f.counts.Accused++
-		f.state(m, Faulty)
-		f.logf("fleet: %s is held faulty, suspected by %v for %.1f s", m.Name, by, float64(f.now-m.suspected)/1e6)
+		v.counts.Accused++
+		v.setState(m, Faulty)
+		suspectedFor := time.Duration(v.now-m.suspicion.since) * time.Microsecond
+		v.log(slog.LevelWarn, "gossip member faulty", slog.String("member", m.Name),
+			slog.Any("suspected_by", by), slog.Duration("suspected_for", suspectedFor))
 	}
-	if c := f.contact[m.Addr]; c != nil {
-		c.wait, c.next = 0, f.now+askFirst
+	if c := v.contacts[m.Addr]; c != nil {
+		c.pollDelay, c.pollAt = 0, v.now+minPollDelay
 	}
-	f.spread(m)
+	v.broadcast(m)
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -1,38 +1,164 @@
 package gossip
 
-import "fmt"
+import (
+	"log/slog"
+	"math"
+	"math/rand/v2"
+	"slices"
+)
 
-// Observers ask a router for its view by datagrams, a page each. They never become members.
+// never is a time that does not come.
+const never Time = math.MaxInt64 / 2
 
-// EncodeQuery is a datagram that asks for the members from number first on. It is as long as a datagram may be, as no
-// answer is longer than its question.
-func EncodeQuery(first int, nonce uint32) []byte {
-	return pad((&datagram{header: header{kind: ask}, nonce: nonce, number: uint64(first)}).append(nil), MaxDatagramBytes)
-}
+// View is one router's view. Use New.
+type View struct {
+	cfg     Config
+	rng     *rand.Rand
+	now     Time // of the present event
+	started bool // the first event has come
+	startAt Time // when it came
+	gone    bool // this router has ended
+	retired bool // another router with its name has started later
+
+	actions     []Action // of the present event
+	buffers     [][]byte // of datagrams to be sent; reused at the next event
+	usedBuffers int
+
+	self     *member
+	members  map[string]*member // this router included
+	contacts map[string]*contact
+
+	nextRoundAt Time
+	wakeAt      Time   // the Wake that was asked for
+	rounds      int    // rounds that have begun
+	sequence    uint64 // of datagrams sent and updates queued
 
-// Page is an answer to a question.
-type Page struct {
-	Router  string
-	Digest  uint64
-	Settled bool
-	For     Time // for which the view has been settled, or has not been
-	First   int
-	Of      int // members there are
-	Members []Member
+	prober    prober
+	awareness int // local health score; 0 is healthy, each point stretches timeouts by their length
+	updates   []*queuedUpdate
+	agreement agreement
+
+	compareRound int // the round in which digests are compared next
+	replies      replyLimiter
+
+	incarnationRaises int  // since raisesSince, because of another process with this name
+	raisesSince       Time // when the first of them was
+	lastReceivedAt    Time // when a member's datagram was accepted last
+	lastPollAllAt     Time // when all contacts were made due last
+
+	counts Counts
 }
 
-// DecodePage reads the answer to the question with that nonce. Since of its members is an age.
-func DecodePage(b []byte, nonce uint32) (*Page, error) {
-	d, err := parse(b)
-	if err != nil {
+// New returns a view of a router that knows no member yet. The error names a field that is out of range.
+func New(cfg Config) (*View, error) {
+	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	if d.kind != page || d.nonce != nonce || d.pages > MaxMembers {
-		return nil, fmt.Errorf("fleet: no answer to the question: kind %d, nonce %d", d.kind, d.nonce)
+	self := &member{
+		Member:   Member{Name: cfg.Name, Incarnation: max(1, cfg.Start), Info: cfg.Info, Configured: true},
+		boot:     max(1, cfg.Boot),
+		revision: 1,
+	}
+	if len(cfg.Seeds) > 0 {
+		self.announcedAddr = cfg.Addr
 	}
-	p := &Page{Router: d.name, Digest: d.digest, Settled: d.settled, For: Time(d.age) * 1000, First: int(d.number), Of: int(d.pages)}
-	for _, r := range d.rumours {
-		p.Members = append(p.Members, Member{Name: r.name, State: r.state, Incarnation: r.incarnation, Since: Time(r.age) * 1000, Info: r.info})
+	v := &View{
+		cfg:      cfg,
+		rng:      rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Boot))),
+		self:     self,
+		members:  map[string]*member{cfg.Name: self},
+		contacts: map[string]*contact{},
 	}
-	return p, nil
+	for _, address := range slices.Concat(cfg.Peers, cfg.Seeds) {
+		v.contacts[address] = &contact{addr: address, configured: true}
+	}
+	v.agreement = agreement{digest: self.digest(), namesStale: true}
+	return v, nil
+}
+
+// Handle takes one event and returns what is to be done, in order. The slice is valid until the next call.
+func (v *View) Handle(now Time, ev Event) []Action {
+	v.now, v.actions, v.usedBuffers = now, v.actions[:0], 0
+	var received datagram
+	if ev, is := ev.(*DatagramReceived); is {
+		var ok bool
+		// A datagram that is not accepted must cost little, as anybody can send many.
+		if received, ok = v.read(ev); !ok {
+			return nil
+		}
+	}
+	v.resume()
+	switch ev := ev.(type) {
+	case *DatagramReceived:
+		v.receive(ev, &received)
+	case *Tick:
+	case *UpdateInfo:
+		v.self.Info = ev.Info
+		v.self.revision++
+		v.broadcast(v.self)
+	case *Leave:
+		v.leave(ev.Gone)
+	case *Peers:
+		v.replacePeers(ev.Peers)
+	}
+	if !v.gone {
+		v.runDue()
+	}
+	v.updateSettled()
+	v.requestWake()
+	return v.actions
+}
+
+// resume starts the view at its first event. Later it detects that this process did not run for a while.
+func (v *View) resume() {
+	if v.started {
+		if late := v.now - v.wakeAt; late > v.cfg.Interval && !v.cfg.Plain {
+			v.recoverFromStall(late)
+		}
+		return
+	}
+	v.started, v.startAt = true, v.now
+	// Routers that are started together must not probe at the same instants.
+	v.nextRoundAt = v.now + Time(v.rng.Int64N(v.cfg.Interval))
+	v.agreement.settledChangedAt, v.self.Since = v.now, v.now
+	v.broadcast(v.self)
+}
+
+// runDue does what is due: a round, probes and relays that time out, suspicions that end.
+func (v *View) runDue() {
+	if v.now >= v.nextRoundAt {
+		v.nextRoundAt = max(v.nextRoundAt+v.cfg.Interval, v.now+v.cfg.Interval/2)
+		v.beginRound()
+	}
+	v.expireProbes()
+	v.expireRelays()
+	v.expireSuspicions()
+}
+
+// requestWake asks for the next Tick.
+func (v *View) requestWake() {
+	if v.gone {
+		v.wakeAt = never
+		return
+	}
+	at := min(v.nextRoundAt, v.prober.nextTimeout())
+	for _, m := range v.members { // any order: a minimum
+		if m.State == Suspect {
+			at = min(at, v.suspicionDeadline(m))
+		}
+	}
+	v.wakeAt = max(at, v.now+1)
+	v.do(Wake{v.wakeAt})
+}
+
+// Retired reports whether another router with this one's name has started later.
+func (v *View) Retired() bool { return v.retired }
+
+// Counts returns the view's counters.
+func (v *View) Counts() Counts { return v.counts }
+
+func (v *View) do(a Action) { v.actions = append(v.actions, a) }
+
+func (v *View) log(level slog.Level, message string, attrs ...slog.Attr) {
+	v.do(Log{Level: level, Message: message, Attrs: attrs})
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/view_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// pair is two views that hear all that the other sends, at once.
+// pair is two views; each receives at once what the other one sends.
 type pair struct {
 	t     *testing.T
 	now   Time
 	views [2]*View
 	addrs [2]string
 	sent  [2][][]byte // by each
-	deaf  bool
+	disconnected  bool
 }
 
 func newPair(t *testing.T) *pair {
@@ -30,7 +30,7 @@
 	return p
 }
 
-func (p *pair) tell(i int, ev Event) {
+func (p *pair) handle(i int, ev Event) {
 	var out [][]byte
 	for _, a := range p.views[i].Handle(p.now, ev) {
 		if s, is := a.(Send); is {
@@ -38,26 +38,26 @@
 		}
 	}
 	p.sent[i] = append(p.sent[i], out...)
-	if p.deaf {
+	if p.disconnected {
 		return
 	}
 	for _, b := range out {
-		p.tell(1-i, &DatagramReceived{From: p.addrs[i], Data: b})
+		p.handle(1-i, &DatagramReceived{From: p.addrs[i], Data: b})
 	}
 }
 
-// run plays on in steps of 10 ms.
+// run lets time pass in steps of 10 ms.
 func (p *pair) run(d Time) {
 	for end := p.now + d; p.now < end; p.now += 10_000 {
-		p.tell(0, &Tick{})
-		p.tell(1, &Tick{})
+		p.handle(0, &Tick{})
+		p.handle(1, &Tick{})
 	}
 }
 
-// other is what the first view holds of the second.
+// other is the second view as a member of the first.
 func (p *pair) other() *member { return p.views[0].members["n2"] }
 
-func met2(t *testing.T) *pair {
+func newMetPair(t *testing.T) *pair {
 	p := newPair(t)
 	p.run(3_000_000)
 	if m := p.other(); m == nil || m.State != Alive {
@@ -69,16 +69,17 @@
 	return p
 }
 
-func TestARecordingIsNotBelieved(t *testing.T) {
-	p := met2(t)
+// TestReplayedDatagramsAreRejected checks that a recording of a member does not make it alive again.
+func TestReplayedDatagramsAreRejected(t *testing.T) {
+	p := newMetPair(t)
 	old := p.sent[1]
-	p.deaf = true
+	p.disconnected = true
 	p.run(10_000_000)
 	if s := p.other().State; s != Faulty {
 		t.Fatalf("one that says nothing for 10 s is %v", s)
 	}
 	for _, b := range old {
-		p.tell(0, &DatagramReceived{From: p.addrs[1], Data: b})
+		p.handle(0, &DatagramReceived{From: p.addrs[1], Data: b})
 	}
 	if s := p.other().State; s != Faulty {
 		t.Errorf("by a recording it is %v again", s)
@@ -88,34 +89,36 @@
 	}
 }
 
-func TestALifeBeforeIsNotBelieved(t *testing.T) {
-	p := met2(t)
+// TestDatagramsOfEarlierProcessAreRejected checks that what a member sent before its restart does not count after it.
+func TestDatagramsOfEarlierProcessAreRejected(t *testing.T) {
+	p := newMetPair(t)
 	old := p.sent[1]
 	c := testConfig()
 	c.Name, c.Boot, c.Start, c.Peers = "n2", 77, c.Start+9000, []string{p.addrs[0]}
 	p.views[1], _ = New(c)
 	p.run(2_000_000)
 	if m := p.other(); m.boot != 77 {
-		t.Fatalf("the later life is not known: %+v", m.Member)
+		t.Fatalf("the later process is not known: %+v", m.Member)
 	}
 	for _, b := range old {
-		p.tell(0, &DatagramReceived{From: p.addrs[1], Data: b})
+		p.handle(0, &DatagramReceived{From: p.addrs[1], Data: b})
 	}
 	if m := p.other(); m.boot != 77 || m.State != Alive {
-		t.Errorf("after what the earlier life had said: %+v", m.Member)
+		t.Errorf("after datagrams of the earlier process: %+v", m.Member)
 	}
 }
 
-func TestAnIncarnationNearTheLargestNumberIsNotBelieved(t *testing.T) {
-	p := met2(t)
+// TestImplausibleIncarnationsAreRejected checks incarnations that are far ahead of the clock, in headers and updates.
+func TestImplausibleIncarnationsAreRejected(t *testing.T) {
+	p := newMetPair(t)
 	was := p.other().Incarnation
-	d := datagram{header: header{kind: ping, name: "n2", boot: 2, seq: 1 << 40, incarnation: 1<<64 - 2}}
-	p.tell(0, &DatagramReceived{From: p.addrs[1], Data: d.append(nil)})
-	b := (&datagram{header: header{kind: ping, name: "n2", boot: 2, seq: 1 << 41, incarnation: was}}).append(nil)
+	d := datagram{header: header{kind: ping, name: "n2", boot: 2, sequence: 1 << 40, incarnation: 1<<64 - 2}}
+	p.handle(0, &DatagramReceived{From: p.addrs[1], Data: d.append(nil)})
+	b := (&datagram{header: header{kind: ping, name: "n2", boot: 2, sequence: 1 << 41, incarnation: was}}).append(nil)
 	for _, name := range []string{"n1", "n2", "n3"} {
-		b, _ = appendRumour(b, &rumour{name: name, state: Faulty, incarnation: 1<<64 - 2, boot: 2}, MaxDatagramBytes)
+		b, _ = appendUpdate(b, &update{name: name, state: Faulty, incarnation: 1<<64 - 2, boot: 2}, MaxDatagramBytes)
 	}
-	p.tell(0, &DatagramReceived{From: p.addrs[1], Data: b})
+	p.handle(0, &DatagramReceived{From: p.addrs[1], Data: b})
 	if m := p.other(); m.Incarnation > was+1 || m.State == Faulty || p.views[0].members["n3"] != nil || p.views[0].self.Incarnation > was+10 {
 		t.Errorf("believed: %+v, itself %+v", m.Member, p.views[0].self.Member)
 	}
@@ -124,29 +127,31 @@
 	}
 }
 
-func TestGarbageAndStrangersAreCountedAndNotAnswered(t *testing.T) {
-	p := met2(t)
+// TestGarbageAndUnknownSendersAreCounted checks that neither is answered, and that an unknown sender does not become a member.
+func TestGarbageAndUnknownSendersAreCounted(t *testing.T) {
+	p := newMetPair(t)
 	before := p.views[0].Counts()
-	p.deaf = true
+	p.disconnected = true
 	for _, b := range [][]byte{nil, {1}, bytes.Repeat([]byte{0xff}, 300), []byte("GET / HTTP/1.1\r\n\r\n")} {
-		p.tell(0, &DatagramReceived{From: "10.9.9.9:9", Data: b})
+		p.handle(0, &DatagramReceived{From: "10.9.9.9:9", Data: b})
 	}
-	d := datagram{header: header{kind: ping, name: "n9", boot: 9, seq: 1, incarnation: 1_796_000_000_000}, nonce: 1}
-	p.tell(0, &DatagramReceived{From: "10.9.9.9:9", Data: d.append(nil)})
+	d := datagram{header: header{kind: ping, name: "n9", boot: 9, sequence: 1, incarnation: 1_796_000_000_000}, nonce: 1}
+	p.handle(0, &DatagramReceived{From: "10.9.9.9:9", Data: d.append(nil)})
 	c := p.views[0].Counts()
 	if c.Garbage != before.Garbage+4 || c.Foreign != before.Foreign+1 || c.Sent != before.Sent {
 		t.Errorf("before %+v, after %+v", before, c)
 	}
 	if p.views[0].members["n9"] != nil {
-		t.Error("a stranger has become a member")
+		t.Error("an unknown sender has become a member")
 	}
 }
 
-func TestAnObserverReadsTheViewAndIsNoMember(t *testing.T) {
-	p := met2(t)
-	p.deaf = true
+// TestObserverReadsView checks that an observer gets a page and does not become a member.
+func TestObserverReadsView(t *testing.T) {
+	p := newMetPair(t)
+	p.disconnected = true
 	p.sent[0] = nil
-	p.tell(0, &DatagramReceived{From: "10.9.9.9:9", Data: EncodeQuery(0, 42)})
+	p.handle(0, &DatagramReceived{From: "10.9.9.9:9", Data: EncodeQuery(0, 42)})
 	if len(p.sent[0]) != 1 || len(p.sent[0][0]) > MaxDatagramBytes {
 		t.Fatalf("%d answers", len(p.sent[0]))
 	}
@@ -162,32 +167,35 @@
 	}
 }
 
-func TestObserversGetSoManyAnswersASecondAtMost(t *testing.T) {
-	p := met2(t)
-	p.deaf = true
+// TestRepliesToObserversAreLimited checks the number of answers at one instant.
+func TestRepliesToObserversAreLimited(t *testing.T) {
+	p := newMetPair(t)
+	p.disconnected = true
 	p.sent[0] = nil
-	for range 10 * strangers {
-		p.tell(0, &DatagramReceived{From: "10.9.9.9:9", Data: EncodeQuery(0, 42)})
+	for range 10 * maxReplyRate {
+		p.handle(0, &DatagramReceived{From: "10.9.9.9:9", Data: EncodeQuery(0, 42)})
 	}
-	if n := len(p.sent[0]); n > strangers+1 {
+	if n := len(p.sent[0]); n > maxReplyRate+1 {
 		t.Errorf("%d answers at one instant", n)
 	}
 }
 
-func TestARumourIsSentABoundedNumberOfTimes(t *testing.T) {
-	p := met2(t)
-	p.deaf = true
-	p.tell(0, &UpdateInfo{Info: Info{List: 5}})
-	if len(p.views[0].news) == 0 {
-		t.Fatal("what is new is not told")
+// TestUpdatesAreSentABoundedNumberOfTimes checks that no update is pending a minute after a change.
+func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
+	p := newMetPair(t)
+	p.disconnected = true
+	p.handle(0, &UpdateInfo{Info: Info{List: 5}})
+	if len(p.views[0].updates) == 0 {
+		t.Fatal("a change is not sent")
 	}
 	p.run(60_000_000)
-	if len(p.views[0].news) != 0 {
-		t.Errorf("after a minute %d rumours are still told", len(p.views[0].news))
+	if len(p.views[0].updates) != 0 {
+		t.Errorf("after a minute %d updates are still told", len(p.views[0].updates))
 	}
 }
 
-func TestAFaultInTheConfigurationIsNamed(t *testing.T) {
+// TestNewRejectsInvalidConfig checks each field that can be out of range.
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	for name, bend := range map[string]func(*Config){
 		"no name":          func(c *Config) { c.Name = "" },
 		"a long name":      func(c *Config) { c.Name = string(make([]byte, MaxNameBytes+1)) },
