--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -109,7 +109,7 @@
 		if len(b) > MaxDatagramBytes || len(d.updates) > maxUpdates || len(d.name) > MaxNameBytes || len(d.target) > MaxNameBytes {
 			t.Errorf("beyond the bounds: %+v", d)
 		}
-		// Whatever is said, a view stays within its bounds and answers no stranger at length.
+		// Whatever is said, a view stays within its bounds and answers no unknown sender at length.
 		v, err := New(testConfig())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gossip/divisor_test.go
+++ b/internal/gossip/divisor_test.go
@@ -32,7 +32,9 @@
 // TestDivisorFollowsJoinsAndLeavesAtOnce checks that neither waits for the hold.
 func TestDivisorFollowsJoinsAndLeavesAtOnce(t *testing.T) {
 	checkSteps(t, &Divisor{Hold: hold}, []Membership{
-		settledView(routerNames(0, 30)), {Alive: routerNames(1, 30), Left: routerNames(0, 1)}, {Alive: routerNames(2, 30), Left: routerNames(0, 2), Settled: true},
+		settledView(routerNames(0, 30)),
+		{Alive: routerNames(1, 30), Left: routerNames(0, 1)},
+		{Alive: routerNames(2, 30), Left: routerNames(0, 2), Settled: true},
 		{Alive: routerNames(2, 33), Left: routerNames(0, 2)},
 	}, 30, 29, 28, 31)
 }
@@ -61,11 +63,16 @@
 
 // TestDivisorIsAtLeastMin checks that the divisor never falls below Min.
 func TestDivisorIsAtLeastMin(t *testing.T) {
-	checkSteps(t, &Divisor{Hold: hold, Min: 30}, []Membership{{Alive: routerNames(0, 1)}, settledView(routerNames(0, 20)), {Alive: routerNames(0, 40)}}, 30, 30, 40)
+	checkSteps(t, &Divisor{Hold: hold, Min: 30}, []Membership{
+		{Alive: routerNames(0, 1)}, settledView(routerNames(0, 20)), {Alive: routerNames(0, 40)},
+	}, 30, 30, 40)
 }
 
 // TestDivisorCountsLeftMemberOnce checks that a member which left is subtracted once, however long the view names it.
 func TestDivisorCountsLeftMemberOnce(t *testing.T) {
-	checkSteps(t, &Divisor{Hold: hold}, []Membership{settledView(routerNames(0, 10)), {Alive: routerNames(1, 10), Left: routerNames(0, 1)}, {Alive: routerNames(1, 10)},
+	checkSteps(t, &Divisor{Hold: hold}, []Membership{
+		settledView(routerNames(0, 10)),
+		{Alive: routerNames(1, 10), Left: routerNames(0, 1)},
+		{Alive: routerNames(1, 10)},
 		{Alive: routerNames(2, 10), Left: routerNames(1, 2)}}, 10, 9, 9, 8)
 }
--- a/internal/gossip/view_test.go
+++ b/internal/gossip/view_test.go
@@ -7,12 +7,12 @@
 
 // pair is two views; each receives at once what the other one sends.
 type pair struct {
-	t     *testing.T
-	now   Time
-	views [2]*View
-	addrs [2]string
-	sent  [2][][]byte // by each
-	disconnected  bool
+	t            *testing.T
+	now          Time
+	views        [2]*View
+	addrs        [2]string
+	sent         [2][][]byte // by each
+	disconnected bool
 }
 
 func newPair(t *testing.T) *pair {
@@ -120,7 +120,7 @@
 	}
 	p.handle(0, &DatagramReceived{From: p.addrs[1], Data: b})
 	if m := p.other(); m.Incarnation > was+1 || m.State == Faulty || p.views[0].members["n3"] != nil || p.views[0].self.Incarnation > was+10 {
-		t.Errorf("believed: %+v, itself %+v", m.Member, p.views[0].self.Member)
+		t.Errorf("accepted: %+v, itself %+v", m.Member, p.views[0].self.Member)
 	}
 	if c := p.views[0].Counts(); c.Wrong != 4 {
 		t.Errorf("%d figures out of range were counted, of 4", c.Wrong)
@@ -190,7 +190,7 @@
 	}
 	p.run(60_000_000)
 	if len(p.views[0].updates) != 0 {
-		t.Errorf("after a minute %d updates are still told", len(p.views[0].updates))
+		t.Errorf("after a minute %d updates are still pending", len(p.views[0].updates))
 	}
 }
 
