--- /dev/null
+++ b/internal/retrystorm/explain_test.go
@@ -0,0 +1,79 @@
+package retrystorm
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+)
+
+// FuzzParseChange checks that any line is read as no change, or as one that is written and read again the same.
+func FuzzParseChange(f *testing.F) {
+	f.Add("2026-05-01 storm: calm -> rising: asked 800/s, retries 45%, unserved 41%, caches away 0%, connections 120/s, " +
+		"fresh 10%; bounds: retries 0.55, waits up to 250ms")
+	f.Add("storm: storm -> calm:")
+	f.Add("2026-05-01 " + logLine(Change{From: Calm, To: Rising, RequestRate: 800, RetryPercent: 45, RetryBudgetFraction: 0.55}))
+	f.Fuzz(func(t *testing.T, line string) {
+		c, ok := ParseChange(line)
+		if !ok {
+			return
+		}
+		if c.From >= states || c.To >= states {
+			t.Fatalf("%q is read as %+v", line, c)
+		}
+		if again, ok := ParseChange(logLine(c.Change)); !ok || again.Change != c.Change {
+			t.Fatalf("%q is read as %+v, which is written and read as %+v", line, c, again)
+		}
+	})
+}
+
+// TestParseChangeReadsBothForms checks that a line of this release and the sentence of an earlier one hold the same.
+func TestParseChangeReadsBothForms(t *testing.T) {
+	change := Change{
+		From: Calm, To: Rising, RequestRate: 800, RetryPercent: 45, UnservedPercent: 41, OutagePercent: 3, ConnectionRate: 120,
+		FirstRequestPercent: 10, RetryBudgetFraction: 0.55, RetryAfterJitter: 250 * time.Millisecond,
+	}
+	want := LoggedChange{Prefix: "2026/05/01 10:00:00 n0", Change: change}
+	for name, line := range map[string]string{
+		"fields": "2026/05/01 10:00:00 n0 " + logLine(change),
+		"sentence": "2026/05/01 10:00:00 n0 storm: calm -> rising: asked 800/s, retries 45%, unserved 41%, caches away 3%, " +
+			"connections 120/s, fresh 10%; bounds: retries 0.55, waits up to 250ms",
+	} {
+		if got, ok := ParseChange(line); !ok || got != want {
+			t.Errorf("%s: %q is read as %+v, %v", name, line, got, ok)
+		}
+	}
+	for _, line := range []string{
+		"", "serving on 127.0.0.1:7000", "storm: calm -> rising", "storm: calm -> odd: asked 800/s",
+		`level=WARN msg="retry storm state changed"`, `level=WARN msg="retry storm state changed" from=calm to=odd`,
+		`level=WARN msg="retry storm" from=calm to=rising`,
+	} {
+		if got, ok := ParseChange(line); ok {
+			t.Errorf("%q is read as %+v", line, got)
+		}
+	}
+}
+
+// TestExplainDescribesCauses checks a log with one storm among other lines, and one without.
+func TestExplainDescribesCauses(t *testing.T) {
+	sc := newScene(t, nil)
+	sc.run(sec, sc.storming(50))
+	sc.run(10*sec, nil)
+	var out strings.Builder
+	log := "serving on 127.0.0.1:7000\n"
+	for _, change := range sc.changes {
+		log += "2026/05/01 10:00:00 n0 " + logLine(change) + "\n"
+	}
+	log += "list lost, asking again\n"
+	if err := Explain(strings.NewReader(log), &out); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"storm 1", "line 2", "were retries", "recovering", "calm", "at its changes"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("%q is missing in\n%s", want, out.String())
+		}
+	}
+	if err := Explain(strings.NewReader("serving\n"), &out); !errors.Is(err, ErrNoStorm) {
+		t.Errorf("a calm log: %v", err)
+	}
+}
--- a/internal/router/storm.go
+++ b/internal/router/storm.go
@@ -1,6 +1,8 @@
 package router
 
 import (
+	"context"
+
 	"starlingwinch/decide"
 	"starlingwinch/internal/frontend"
 	"starlingwinch/internal/retrystorm"
@@ -75,8 +77,8 @@
 	for conns := r.front.Accepted(); w.conns < conns; w.conns++ {
 		w.storm.Connected()
 	}
-	if line := w.storm.Tick(r.m.Now()); line != "" {
-		r.Log(line)
+	if change, changed := w.storm.Tick(r.m.Now()); changed {
+		r.logger.LogAttrs(context.Background(), change.Level(), retrystorm.ChangeMessage, change.Attrs()...)
 	}
 	if b := w.storm.Bounds(); b != w.told {
 		w.told = b
--- a/internal/testbench/lab/router.go
+++ b/internal/testbench/lab/router.go
@@ -47,7 +47,7 @@
 	}
 	r.host.Logged = func(line string) {
 		w.eyes.say(r.name + ": " + line)
-		if strings.HasPrefix(line, stormLine) {
+		if strings.Contains(line, stormLine) {
 			w.storms = append(w.storms, StormChange{w.now(), r.name, line})
 		}
 	}
--- a/internal/testbench/recordedlog/state.go
+++ b/internal/testbench/recordedlog/state.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strconv"
 	"time"
 )
 
@@ -43,6 +44,12 @@
 		"gossip view unsettled": func(f Fields) string {
 			return fmt.Sprintf("fleet: not settled any more, digest %s", f["digest"])
 		},
+		"retry storm state changed": func(f Fields) string {
+			return fmt.Sprintf("storm: %s -> %s: asked %s/s, retries %s%%, unserved %s%%, caches away %s%%, connections %s/s, "+
+				"fresh %s%%; bounds: retries %.2f, waits up to %s", f["from"], f["to"], f["requests_per_second"], f["retry_percent"],
+				f["unserved_percent"], f["outage_percent"], f["connections_per_second"], f["first_request_percent"],
+				f.float("retry_budget_fraction"), f["retry_after_jitter"])
+		},
 	})
 }
 
@@ -54,3 +61,12 @@
 	}
 	return float64(d.Microseconds())
 }
+
+// float is a field's number; it panics where there is none.
+func (f Fields) float(key string) float64 {
+	v, err := strconv.ParseFloat(f[key], 64)
+	if err != nil {
+		panic(fmt.Sprintf("recordedlog: field %s of %v: %v", key, f, err))
+	}
+	return v
+}
