--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -189,7 +189,7 @@
 	least, hasLeast := bound(tag, "min", parse)
 	most, hasMost := bound(tag, "max", parse)
 	if x != x || hasLeast && x < least || hasMost && x > most {
-		key := Key{Least: tag.Get("min"), Most: tag.Get("max")}
+		key := Key{Min: tag.Get("min"), Max: tag.Get("max")}
 		d.bad(at, "out of range (%s, wanted %s)", shown, key.Range())
 		return false
 	}
--- a/internal/operatorconfig/keys.go
+++ b/internal/operatorconfig/keys.go
@@ -14,8 +14,8 @@
 	Path    string // clients.idle_time; entries of lists of tables as members[].name
 	Unit    string // what its values are
 	Default string // in the form of the file
-	Least   string // "" where there is no bound
-	Most    string
+	Min     string // "" where there is no bound
+	Max     string
 	Words   []string
 	Doc     string
 }
@@ -25,14 +25,14 @@
 	switch {
 	case len(k.Words) > 0:
 		return strings.Join(k.Words, ", ")
-	case k.Least == "" && k.Most == "":
+	case k.Min == "" && k.Max == "":
 		return ""
-	case k.Least == "":
-		return "at most " + k.Most
-	case k.Most == "":
-		return "at least " + k.Least
+	case k.Min == "":
+		return "at most " + k.Max
+	case k.Max == "":
+		return "at least " + k.Min
 	}
-	return k.Least + " to " + k.Most
+	return k.Min + " to " + k.Max
 }
 
 // Keys lists the keys of a kind, in the order of its struct.
@@ -52,8 +52,8 @@
 			all = append(all, keys(path+"[]", reflect.New(f.Type.Elem()).Elem())...)
 			continue
 		}
-		key := Key{Path: path, Unit: unit(f.Type), Default: show(value), Least: f.Tag.Get("min"),
-			Most: f.Tag.Get("max"), Doc: f.Tag.Get("doc")}
+		key := Key{Path: path, Unit: unit(f.Type), Default: show(value), Min: f.Tag.Get("min"),
+			Max: f.Tag.Get("max"), Doc: f.Tag.Get("doc")}
 		if words := f.Tag.Get("words"); words != "" {
 			key.Words = strings.Split(words, ",")
 		}
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -113,8 +113,8 @@
 	for _, f := range []struct {
 		name string
 		bad  bool
-	}{{"cores", !(c.Limits.Cores >= 0 && c.Limits.Cores <= settings.MostCores)},
-		{"memory_mb", c.Limits.MemoryMB < 0 || c.Limits.MemoryMB > settings.MostMemoryMB},
+	}{{"cores", !(c.Limits.Cores >= 0 && c.Limits.Cores <= settings.MaxCores)},
+		{"memory_mb", c.Limits.MemoryMB < 0 || c.Limits.MemoryMB > settings.MaxMemoryMB},
 		{"sockets", c.Limits.Sockets < 0 || c.Limits.Sockets > 0 && c.Limits.Sockets < leastSockets}} {
 		if f.bad {
 			return nil, fmt.Errorf("limits.%s: out of range", f.name)
@@ -130,10 +130,10 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	// The danger: a time that overflows turns negative, and every dial fails or every connection is closed.
-	if c.Transport.DialTimeout > settings.Day {
+	if c.Transport.DialTimeout > settings.MaxTime {
 		return nil, errors.New("settings.limits.dialTimeout: out of range")
 	}
-	if c.Transport.Keepalive > settings.Day {
+	if c.Transport.Keepalive > settings.MaxTime {
 		return nil, errors.New("settings.limits.keepalive: out of range")
 	}
 	if c.Transport.DialTimeout <= 0 {
--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -12,7 +12,7 @@
 const (
 	defaultSockets  = 1024
 	defaultMemoryMB = 192
-	leastSockets    = settings.LeastSockets
+	leastSockets    = settings.MinSockets
 	reserved        = 48 // descriptors for what is not counted: the log, the poller, discovery, a moment's overlap
 )
 
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -8,39 +8,39 @@
 	"math"
 	"net/netip"
 	"strconv"
-	"strings"
 
 	"starlingwinch/internal/configerror"
 )
 
-// Check names all that is wrong with a configuration file, in the file's own words. It is stricter than what
-// reads the file at a start, which skips what it does not know: a slip of the pen is to be found before.
+// Check reports everything that is wrong with a configuration file, in the file's own words. It is stricter than Parse, which
+// skips unknown keys: an operator runs it to find misspelled ones before a router starts.
 func Check(raw []byte) configerror.List {
 	c := &checker{}
-	var any json.RawMessage
-	if err := json.Unmarshal(raw, &any); err != nil {
+	var content json.RawMessage
+	if err := json.Unmarshal(raw, &content); err != nil {
 		line, column := 1, 1
 		var bad *json.SyntaxError
 		if errors.As(err, &bad) {
 			line, column = configerror.Position(raw, int(bad.Offset)-1)
 		}
-		c.faults.Add(configerror.Error{Line: line, Column: column, Text: "not JSON: " + err.Error()})
-		return c.faults
+		c.errors.Add(configerror.Error{Line: line, Column: column, Text: "not JSON: " + err.Error()})
+		return c.errors
 	}
 	c.dec = json.NewDecoder(bytes.NewReader(raw))
 	c.dec.UseNumber()
-	c.value("", &file)
-	return c.faults
+	c.value("", &fileSchema)
+	return c.errors
 }
 
-// checker walks over a file that is JSON, one word at a time: it holds no more than the schema names.
+// checker walks over a file that is JSON, token by token, so that its memory is bounded by the schema and not by the file.
 type checker struct {
 	dec    *json.Decoder
-	faults configerror.List
-	names  map[string]int // of the entries of the list at hand: where each stands first
+	errors configerror.List
+	names  map[string]int // indices of the entries of the present array, by name; the first of each counts
 }
 
-// values are the sound leaves of an object, by name: string, bool, int64 or float64.
+// values are the valid scalars of an object by name, as string, bool, int64 or float64. The value of a scalar itself has the
+// name "", and so has the length of an array.
 type values map[string]any
 
 func (v values) text(name string) string {
@@ -53,11 +53,12 @@
 	return n, ok
 }
 
+// bad reports an error at a path.
 func (c *checker) bad(at, format string, args ...any) {
-	c.faults.Add(configerror.Error{Field: at, Text: fmt.Sprintf(format, args...)})
+	c.errors.Add(configerror.Error{Field: at, Text: fmt.Sprintf(format, args...)})
 }
 
-// value checks the next value. What it returns is nil where it is no leaf, or not sound.
+// value checks the next value and returns it; nil where it is no scalar, or not valid.
 func (c *checker) value(at string, f *field) any {
 	token, err := c.dec.Token()
 	if err != nil { // the file is JSON, so this is a depth or a size that the decoder refuses
@@ -91,12 +92,13 @@
 	case json.Number:
 		v = c.number(at, f, string(t))
 	}
-	if v != nil && f.whole != nil {
-		f.whole(c, at, values{"": v})
+	if v != nil && f.checkWhole != nil {
+		f.checkWhole(c, at, values{"": v})
 	}
 	return v
 }
 
+// wrong reports a value of the wrong type.
 func (c *checker) wrong(at string, f *field, got string) {
 	if at == "" {
 		at = "the file"
@@ -104,7 +106,7 @@
 	c.bad(at, "wrong type (%s, wanted %s)", got, f.wanted())
 }
 
-// wanted words what a field holds.
+// wanted describes what a field holds, for messages.
 func (f *field) wanted() string {
 	switch f.shape {
 	case object:
@@ -124,7 +126,7 @@
 	return f.bounds()
 }
 
-// bounds words the range and the unit of a number.
+// bounds describes the range and the unit of a number.
 func (f *field) bounds() string {
 	kind := ""
 	if f.shape == integer {
@@ -139,8 +141,9 @@
 
 func plainNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
+// object checks the keys of an object, whose brace has been read.
 func (c *checker) object(at string, f *field) {
-	found, sound := map[string]bool{}, values{}
+	found, valid := map[string]bool{}, values{}
 	for c.dec.More() {
 		token, err := c.dec.Token()
 		name, ok := token.(string)
@@ -160,21 +163,21 @@
 		}
 		found[name] = true
 		if v := c.value(path, child); v != nil {
-			sound[name] = v
+			valid[name] = v
 		}
 	}
 	c.dec.Token()
 	for i := range f.fields {
-		if child := &f.fields[i]; child.needed && !found[child.name] {
+		if child := &f.fields[i]; child.required && !found[child.name] {
 			c.bad(joined(at, child.name), "missing (wanted %s)", child.wanted())
 		}
 	}
-	if f.whole != nil {
-		f.whole(c, at, sound)
+	if f.checkWhole != nil {
+		f.checkWhole(c, at, valid)
 	}
 }
 
-// joined is the path of a field of an object.
+// joined returns the path of an object's key.
 func joined(at, name string) string {
 	if at == "" {
 		return configerror.Plain(name)
@@ -182,6 +185,7 @@
 	return at + "." + configerror.Plain(name)
 }
 
+// child returns the key of that name, or nil.
 func (f *field) child(name string) *field {
 	for i := range f.fields {
 		if f.fields[i].name == name {
@@ -191,6 +195,7 @@
 	return nil
 }
 
+// names returns the names of an object's keys.
 func (f *field) names() []string {
 	var names []string
 	for i := range f.fields {
@@ -199,6 +204,7 @@
 	return names
 }
 
+// array checks the items of an array, whose bracket has been read. Names of its items are its own.
 func (c *checker) array(at string, f *field) {
 	outer := c.names
 	c.names = map[string]int{}
@@ -213,12 +219,12 @@
 		c.value(fmt.Sprintf("%s[%d]", at, n), f.items)
 	}
 	c.dec.Token()
-	if f.whole != nil {
-		f.whole(c, at, values{"": int64(n)})
+	if f.checkWhole != nil {
+		f.checkWhole(c, at, values{"": int64(n)})
 	}
 }
 
-// skip passes over what is left of so many objects and arrays, or over one value.
+// skip passes over the rest of so many open objects and arrays; with depth 0, over one value.
 func (c *checker) skip(depth int) {
 	for {
 		token, err := c.dec.Token()
@@ -237,19 +243,19 @@
 	}
 }
 
-// text checks a text; nil stands for one that is not sound.
+// text checks a text and returns it; nil where it is not valid.
 func (c *checker) text(at string, f *field, s string) any {
 	switch {
 	case f.shape == address:
-		if why := badAddress(s, f.port); why != "" {
-			c.bad(at, "%s (%s, wanted IP:PORT)", why, configerror.Quote(s))
+		if reason := addressError(s, f.callable); reason != "" {
+			c.bad(at, "%s (%s, wanted IP:PORT)", reason, configerror.Quote(s))
 			return nil
 		}
 	case f.shape != text:
 		c.wrong(at, f, "the text "+configerror.Quote(s))
 		return nil
-	case len(s) > longest:
-		c.bad(at, "too long (%d bytes, wanted at most %d)", len(s), longest)
+	case len(s) > maxTextBytes:
+		c.bad(at, "too long (%d bytes, wanted at most %d)", len(s), maxTextBytes)
 		return nil
 	case len(f.words) > 0:
 		for _, w := range f.words {
@@ -257,26 +263,26 @@
 				return s
 			}
 		}
-		c.bad(at, "unknown %s (%s, wanted %s)%s", f.what, configerror.Quote(s), configerror.OneOf(f.words),
+		c.bad(at, "unknown %s (%s, wanted %s)%s", f.wordsAre, configerror.Quote(s), configerror.OneOf(f.words),
 			configerror.DidYouMean(s, f.words))
 		return nil
 	}
 	return s
 }
 
-// badAddress tells why an address can't be used, or "".
-func badAddress(s string, port bool) string {
+// addressError says why an address can't be used, or nothing.
+func addressError(s string, callable bool) string {
 	a, err := netip.ParseAddrPort(s)
 	switch {
 	case err != nil:
 		return "not an address"
-	case port && a.Port() == 0:
+	case callable && a.Port() == 0:
 		return "port 0 can't be called"
 	}
 	return ""
 }
 
-// number checks a number; nil stands for one that is not sound.
+// number checks a number and returns it; nil where it is not valid.
 func (c *checker) number(at string, f *field, s string) any {
 	if f.shape != integer && f.shape != number {
 		c.wrong(at, f, "the number "+cut(s))
@@ -295,96 +301,17 @@
 		c.bad(at, "not a whole number (%s, wanted %s)", cut(s), f.bounds())
 		return nil
 	}
-	if n > 0 && n < f.tiny {
-		c.bad(at, "looks like milliseconds; microseconds are wanted (%d, wanted at least %d µs)", n, f.tiny)
+	if n > 0 && n < f.minMicros {
+		c.bad(at, "looks like milliseconds; microseconds are wanted (%d, wanted at least %d µs)", n, f.minMicros)
 		return nil
 	}
 	return n
 }
 
-// cut shows a number of the file's own, which may be as long as the file.
+// cut shortens a number for messages, as it may be as long as the file.
 func cut(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "..."
 	}
 	return s
 }
-
-// What no field tells by itself.
-
-func (c *checker) seed(at string, v values) {
-	s := v.text("")
-	if s == "" {
-		return
-	}
-	if _, err := strconv.ParseUint(s, 16, 64); err != nil {
-		c.bad(at, "not a seed (%s, wanted 1 to 16 hexadecimal digits)", configerror.Quote(s))
-	}
-}
-
-func (c *checker) sockets(at string, v values) {
-	if n, _ := v.integer(""); n > 0 && n < LeastSockets {
-		c.bad(at, "out of range (%d, wanted at least %d descriptors, or 0 for the default)", n, LeastSockets)
-	}
-}
-
-// since looks for a time that was not given in milliseconds, as that field alone is.
-func (c *checker) since(at string, v values) {
-	const year2200 = 7_258_118_400_000
-	if n, _ := v.integer(""); n > year2200 {
-		c.bad(at, "looks like microseconds; milliseconds are wanted (%d, wanted 0 to %d ms)", n, int64(year2200))
-	}
-}
-
-// twice names an entry whose name an earlier one has.
-func (c *checker) twice(at, what, name string) {
-	if name == "" {
-		return
-	}
-	path, index, _ := strings.Cut(at, "[")
-	n, _ := strconv.Atoi(strings.TrimSuffix(index, "]"))
-	if first, taken := c.names[name]; taken {
-		c.bad(at+".name", "names a second %s %s (the first is %s[%d])", what, configerror.Quote(name), path, first)
-		return
-	}
-	c.names[name] = n
-}
-
-func (c *checker) endpoint(at string, v values) {
-	if name, ok := v["name"].(string); ok && name == "" {
-		c.bad(at+".name", "empty (wanted 1 to %d bytes)", longest)
-	}
-	c.twice(at, "cache", v.text("name"))
-	if s := v.text("address"); v.text("status") != "terminated" {
-		if why := badAddress(s, true); why != "" {
-			c.bad(at+".address", "%s (%s, wanted IP:PORT)", why, configerror.Quote(s))
-		}
-	}
-}
-
-func (c *checker) classes(at string, v values) {
-	if n, _ := v.integer(""); n == 0 {
-		c.bad(at, "no classes (wanted at least 1)")
-	}
-}
-
-func (c *checker) class(at string, v values) {
-	if name, ok := v["name"].(string); ok && name == "" {
-		c.bad(at+".name", "empty (wanted 1 to %d bytes)", longest)
-	}
-	c.twice(at, "class", v.text("name"))
-	aim, okAim := v.integer("aim")
-	limit, okLimit := v.integer("hardLimit")
-	if okAim && okLimit && aim > limit {
-		c.bad(at+".aim", "above hardLimit (%d, wanted at most %d µs)", aim, limit)
-	}
-	if v.text("effect") != "idempotency_key" {
-		return
-	}
-	if _, ok := v["dedupScope"]; !ok {
-		c.bad(at+".dedupScope", "needed for a keyed class, and missing or wrong (wanted all, zone or cell)")
-	}
-	if ttl, ok := v.integer("keyTtl"); !ok || ttl == 0 {
-		c.bad(at+".keyTtl", "needed for a keyed class, and missing or wrong (wanted 10000 to %d µs)", int64(Day))
-	}
-}
--- a/internal/settings/check_test.go
+++ b/internal/settings/check_test.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/configerror"
 )
 
-// good holds every key that is told of in the platform's papers once.
+// good returns a valid file in which every key of the schema stands once.
 func good(t testing.TB) string {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/good.json")
@@ -24,13 +24,15 @@
 	return faults.Lines()
 }
 
-func TestNothingIsWrongWithAWholeFile(t *testing.T) {
+// TestCheckPassesValidFile checks a file with every key of the schema.
+func TestCheckPassesValidFile(t *testing.T) {
 	if got := lines(good(t)); len(got) > 0 {
-		t.Errorf("faults of a sound file:\n%s", strings.Join(got, "\n"))
+		t.Errorf("errors of a valid file:\n%s", strings.Join(got, "\n"))
 	}
 }
 
-func TestEachFaultIsNamed(t *testing.T) {
+// TestCheckReportsEachError changes one place of a valid file at a time.
+func TestCheckReportsEachError(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"listen"`, `"listn"`, `listn: unknown field (did you mean "listen"?)`},
 		{`"listen"`, `"listn"`, `listen: missing (wanted IP:PORT in quotes)`},
@@ -100,7 +102,7 @@
 	} {
 		raw := strings.Replace(good(t), c.old, c.new, 1)
 		if raw == good(t) {
-			t.Fatalf("%s does not stand in the sound file", c.old)
+			t.Fatalf("%s is not in the valid file", c.old)
 		}
 		got := lines(raw)
 		found := false
@@ -113,7 +115,8 @@
 	}
 }
 
-func TestWhatIsNotJSONIsNamedWithItsPlace(t *testing.T) {
+// TestCheckReportsPlaceOfSyntaxError checks line and column of files that are not JSON.
+func TestCheckReportsPlaceOfSyntaxError(t *testing.T) {
 	for raw, want := range map[string]string{
 		"{\"a\": 1,\n \"ü\" 2}": `2:6: not JSON: invalid character '2' after object key`,
 		"":                      `1:1: not JSON: unexpected end of JSON input`,
@@ -132,22 +135,23 @@
 	}
 }
 
-func TestAllFaultsAreNamedAtOnceAndBounded(t *testing.T) {
+// TestCheckReportsAllErrorsUpToBound checks several errors at once, and more than are listed.
+func TestCheckReportsAllErrorsUpToBound(t *testing.T) {
 	raw := good(t)
 	for _, c := range [][2]string{{`"listen"`, `"listn"`}, {`"cores":1`, `"cores":-1`}, {`"aim":600000`, `"aim":600`},
 		{`"fall":3000000`, `"fall":3000`}, {`"subscribe"`, `"watch"`}} {
 		raw = strings.Replace(raw, c[0], c[1], 1)
 	}
 	if got := lines(raw); len(got) != 6 { // the missing listen too
-		t.Errorf("%d faults:\n%s", len(got), strings.Join(got, "\n"))
+		t.Errorf("%d errors:\n%s", len(got), strings.Join(got, "\n"))
 	}
 	many := `{"x":1` + strings.Repeat(`,"x":1`, 10_000) + `}`
 	if got := lines(many); len(got) != configerror.MaxErrors+1 || got[configerror.MaxErrors] != "and 9904 more" {
-		t.Errorf("%d lines for 10,004 faults, the last %q", len(got), got[len(got)-1])
+		t.Errorf("%d lines for 10,004 errors, the last %q", len(got), got[len(got)-1])
 	}
 }
 
-// FuzzCheck: it never panics, its report is bounded and forges no line, and what it passes the start reads.
+// FuzzCheck checks that the report of any file is bounded and has no forged lines, and that Parse reads a file without errors.
 func FuzzCheck(f *testing.F) {
 	f.Add(good(f))
 	f.Add(`{"known":{"endpoints":[{"name":"a"},{"name":"a"}]},"settings":{"categories":[{},{"aim":1e3}]}}`)
--- a/internal/settings/compatibility_test.go
+++ b/internal/settings/compatibility_test.go
@@ -71,7 +71,9 @@
 		{"no attempts named", `{}`, func(s decide.Settings, _ Transport) bool { return s.MaxAttempts == 1 }},
 		{"attempts 0", `{"limits":{"maxAttempts":0}}`, func(s decide.Settings, _ Transport) bool { return s.MaxAttempts == 0 }},
 		{"retryAfter not passed on", `{"limits":{"maxRetryAfter":9}}`, func(s decide.Settings, _ Transport) bool { return s.MaxRetryAfter == 0 }},
-		{"peer messages", `{"limits":{"peerMessages":true}}`, func(_ decide.Settings, transport Transport) bool { return transport.PeerMessages }},
+		{"peer messages", `{"limits":{"peerMessages":true}}`, func(_ decide.Settings, transport Transport) bool {
+			return transport.PeerMessages
+		}},
 		{"an unknown key", `{"later":[1]}`, func(s decide.Settings, transport Transport) bool {
 			return reflect.DeepEqual(s, decide.Settings{MaxAttempts: 1}) && transport == Transport{}
 		}},
