--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs routers on the simulator's wire: batches of events on
-// standard input, one reply a line on standard output.
+// Command simhost runs routers on the simulator's protocol: batches of messages on standard input, one reply a line on
+// standard output. It exits with 1 at a malformed line, which it names on standard error.
 package main
 
 import (
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/host_test.go
@@ -24,7 +24,8 @@
 	return out.String(), err
 }
 
-func TestGolden(t *testing.T) {
+// TestRunAnswersEachBatch plays one router from its start to its end.
+func TestRunAnswersEachBatch(t *testing.T) {
 	in := line("1000", "1") +
 		line("2000", "2", start, list) +
 		line("3000", "3", `{"WorkItem":{"i":3,"tid":8,"tierClass":"get","entity":77,"dropDead":403000,"repeat":true}}`) +
@@ -56,7 +57,8 @@
 	}
 }
 
-func TestRestartInOneBatch(t *testing.T) {
+// TestInstanceRestartsInOneBatch checks that a batch may end a router and start another one of its instance.
+func TestInstanceRestartsInOneBatch(t *testing.T) {
 	in := line("1", "1", start, list) + line("2", "2", `{"Exit":{"i":3}}`, start, list) +
 		line("3", "3", `{"WorkItem":{"i":3,"tid":1,"tierClass":"get","dropDead":400003}}`)
 	if out, err := run(t, in); err != nil || !strings.Contains(out, `"CallOut":{"i":3,"tid":1,"server":"s-one"`) {
@@ -64,7 +66,8 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+// TestRunNamesMalformedLine checks that the error names line, message and field, and that the lines before are answered.
+func TestRunNamesMalformedLine(t *testing.T) {
 	good := line("1", "1")
 	for in, want := range map[string]string{
 		"nonsense\n":                           "line 2: not JSON",
@@ -95,7 +98,8 @@
 	}
 }
 
-func TestEndOfInput(t *testing.T) {
+// TestRunEndsWithInput checks an empty input, and a last line without a line break.
+func TestRunEndsWithInput(t *testing.T) {
 	if out, err := run(t, ""); err != nil || out != "" {
 		t.Fatal(out, err)
 	}
@@ -104,6 +108,7 @@
 	}
 }
 
+// FuzzRun checks that no input makes an error of several lines, or the module panic.
 func FuzzRun(f *testing.F) {
 	f.Add(line("1", "1", start, list))
 	f.Add(line("1", "1", start, list, `{"Checked":{"i":3,"server":"s-one","stateCode":"served","feedback":{"busy":0.5}}}`))
