--- a/internal/configerror/configerror_test.go
+++ b/internal/configerror/configerror_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestNearFindsWhatWasMeant(t *testing.T) {
+// TestSuggestFindsSimilarWord checks swapped, missing and foreign letters, and words that are similar to none.
+func TestSuggestFindsSimilarWord(t *testing.T) {
 	known := []string{"aim", "hardLimit", "maxAttempts", "run", "check"}
 	for word, want := range map[string]string{"amis": "aim", "Aim": "aim", "hard_limit": "hardLimit", "chekc": "check",
 		"rnu": "run", "max-attempt": "maxAttempts", "zzzzz": "", "": "", strings.Repeat("a", 1000): ""} {
@@ -15,7 +16,8 @@
 	}
 }
 
-func TestPlaceCountsLinesAndCharacters(t *testing.T) {
+// TestPositionCountsLinesAndCharacters checks offsets within and beyond a text with a character of two bytes.
+func TestPositionCountsLinesAndCharacters(t *testing.T) {
 	raw := []byte("ab\nüx\n")
 	for offset, want := range map[int][2]int{-1: {1, 1}, 0: {1, 1}, 2: {1, 3}, 3: {2, 1}, 5: {2, 2}, 7: {3, 1}, 99: {3, 1}} {
 		if line, column := Position(raw, offset); line != want[0] || column != want[1] {
@@ -24,7 +26,8 @@
 	}
 }
 
-func TestNamesOfAFileForgeNoLines(t *testing.T) {
+// TestErrorIsOneLine checks that line ends in names do not forge lines, and that long words are shortened.
+func TestErrorIsOneLine(t *testing.T) {
 	f := Error{File: "a\nb", Field: Plain("x\ny"), Text: "bad " + Quote("\r\nz")}
 	if got := f.String(); strings.ContainsAny(got, "\r\n") {
 		t.Errorf("%q", got)
@@ -34,6 +37,7 @@
 	}
 }
 
+// TestListIsBounded checks that errors beyond MaxErrors are counted, also when lists are joined.
 func TestListIsBounded(t *testing.T) {
 	var l, all List
 	for range MaxErrors + 5 {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,7 +7,8 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-func TestLimitsThatBindOneAnotherAreChecked(t *testing.T) {
+// TestLimitErrorsNameKeys checks limits out of range, and limits that are wrong beside one another.
+func TestLimitErrorsNameKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		"clients.idle_time = \"1s\"":        `clients.crowded_idle_time: above clients.idle_time (2.2s, wanted at most 1s)`,
 		"caches.fleet_connections = 1":      `caches.least_connections: above caches.fleet_connections (2, wanted at most 1)`,
@@ -24,7 +25,8 @@
 	}
 }
 
-func TestFileOfItsKindAloneIsTheDefault(t *testing.T) {
+// TestEmptyFileHoldsDefaults checks a file with nothing but its kind.
+func TestEmptyFileHoldsDefaults(t *testing.T) {
 	file, err := operatorconfig.Registry{Kind}.Parse("f", []byte(`kind = "limits"`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -3,6 +3,7 @@
 import (
 	"encoding"
 	"fmt"
+	"math"
 	"reflect"
 	"slices"
 	"strconv"
@@ -13,17 +14,24 @@
 )
 
 const (
-	longestText = 4096 // bytes of a text that has no range of its own
-	longestList = 4096 // entries of a list that has none
+	maxTextBytes   = 4096 // bytes of a text that has no range of its own
+	maxListEntries = 4096 // entries of a list that has none
 )
 
-// decoder carries a document over into a struct, and goes on after a fault.
-type decoder struct{ faults *configerror.List }
+// decoder reads a document into a struct, and goes on after an error.
+type decoder struct{ errors *configerror.List }
 
+// bad reports an error at a path.
 func (d *decoder) bad(at, format string, args ...any) {
-	d.faults.Add(configerror.Error{Field: at, Text: fmt.Sprintf(format, args...)})
+	d.errors.Add(configerror.Error{Field: at, Text: fmt.Sprintf(format, args...)})
 }
 
+// wrongType reports a value that is not of the wanted type.
+func (d *decoder) wrongType(at string, value any, tag reflect.StructTag, wanted string) {
+	d.bad(at, "wrong type (%s, wanted %s)", describeUnlessSecret(tag, value), wanted)
+}
+
+// table reads a table. Keys that are not part of the struct are errors.
 func (d *decoder) table(at string, doc map[string]any, v reflect.Value) {
 	var known []string
 	for i := range v.NumField() {
@@ -35,7 +43,7 @@
 		}
 	}
 	var unknown []string
-	for name := range doc {
+	for name := range doc { // any order: sorted below
 		if !slices.Contains(known, name) {
 			unknown = append(unknown, name)
 		}
@@ -46,45 +54,21 @@
 	}
 }
 
-// value carries one value over, and looks at its range.
+// value reads one value by its type, and checks its range.
 func (d *decoder) value(at string, value any, v reflect.Value, tag reflect.StructTag) {
 	t := v.Type()
-	wrong := func(wanted string) { d.bad(at, "wrong type (%s, wanted %s)", gotOf(tag, value), wanted) }
-	text, isText := value.(string)
 	switch {
 	case t == durationType:
-		span, err := time.ParseDuration(text)
-		switch {
-		case !isText:
-			wrong(`a duration in quotes, as "250ms"`)
-		case err != nil:
-			d.bad(at, `not a duration (%s, wanted digits and ms, s or m, as "250ms")`, configerror.Quote(text))
-		default:
-			v.SetInt(int64(span))
-			d.within(at, float64(span), configerror.Quote(text), tag, durationBound)
-		}
+		d.duration(at, value, v, tag)
 	case t == sizeType:
-		size, err := ParseSize(text)
-		switch {
-		case !isText:
-			wrong(`a size in quotes, as "64KiB"`)
-		case err != nil:
-			d.bad(at, "not a size (%s, wanted digits and B, KiB, MiB or GiB, as \"64KiB\")", configerror.Quote(text))
-		default:
-			v.SetInt(int64(size))
-			d.within(at, float64(size), configerror.Quote(text), tag, sizeBound)
-		}
+		d.size(at, value, v, tag)
 	case isTextual(t):
-		if !isText {
-			wrong("a text in quotes")
-		} else if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(text)); err != nil {
-			d.bad(at, "%s: %s", configerror.Quote(text), configerror.Plain(err.Error()))
-		}
+		d.textual(at, value, v, tag)
 	case t.Kind() == reflect.Struct:
 		if doc, ok := value.(map[string]any); ok {
 			d.table(at, doc, v)
 		} else {
-			wrong("a table")
+			d.wrongType(at, value, tag, "a table")
 		}
 	case t.Kind() == reflect.Slice:
 		d.list(at, value, v, tag)
@@ -93,102 +77,158 @@
 	}
 }
 
+func (d *decoder) duration(at string, value any, v reflect.Value, tag reflect.StructTag) {
+	text, isText := value.(string)
+	if !isText {
+		d.wrongType(at, value, tag, `a duration in quotes, as "250ms"`)
+		return
+	}
+	duration, err := time.ParseDuration(text)
+	if err != nil {
+		d.bad(at, `not a duration (%s, wanted digits and ms, s or m, as "250ms")`, configerror.Quote(text))
+		return
+	}
+	v.SetInt(int64(duration))
+	d.checkRange(at, float64(duration), configerror.Quote(text), tag, parseDurationBound)
+}
+
+func (d *decoder) size(at string, value any, v reflect.Value, tag reflect.StructTag) {
+	text, isText := value.(string)
+	if !isText {
+		d.wrongType(at, value, tag, `a size in quotes, as "64KiB"`)
+		return
+	}
+	size, err := ParseSize(text)
+	if err != nil {
+		d.bad(at, `not a size (%s, wanted digits and B, KiB, MiB or GiB, as "64KiB")`, configerror.Quote(text))
+		return
+	}
+	v.SetInt(int64(size))
+	d.checkRange(at, float64(size), configerror.Quote(text), tag, parseSizeBound)
+}
+
+// textual reads a value that unmarshals itself from text.
+func (d *decoder) textual(at string, value any, v reflect.Value, tag reflect.StructTag) {
+	text, isText := value.(string)
+	if !isText {
+		d.wrongType(at, value, tag, "a text in quotes")
+		return
+	}
+	if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(text)); err != nil {
+		d.bad(at, "%s: %s", configerror.Quote(text), configerror.Plain(err.Error()))
+	}
+}
+
+// scalar reads a value of one of Go's own types.
 func (d *decoder) scalar(at string, value any, v reflect.Value, tag reflect.StructTag) {
-	wrong := func(wanted string) { d.bad(at, "wrong type (%s, wanted %s)", gotOf(tag, value), wanted) }
 	switch v.Kind() {
 	case reflect.Bool:
 		if b, ok := value.(bool); ok {
 			v.SetBool(b)
 		} else {
-			wrong("true or false")
+			d.wrongType(at, value, tag, "true or false")
 		}
 	case reflect.Int, reflect.Int64, reflect.Uint16:
-		n, ok := value.(int64)
-		if !ok {
-			wrong("a whole number")
-			return
-		}
-		if !d.within(at, float64(n), strconv.FormatInt(n, 10), tag, numberBound) {
-			return
-		}
-		if v.CanInt() {
-			v.SetInt(n)
-		} else {
-			v.SetUint(uint64(n))
-		}
+		d.integer(at, value, v, tag)
 	case reflect.Float64:
-		x, ok := value.(float64)
-		if n, whole := value.(int64); whole {
-			x, ok = float64(n), true
-		}
-		if !ok {
-			wrong("a number")
-			return
-		}
-		if d.within(at, x, strconv.FormatFloat(x, 'g', -1, 64), tag, numberBound) {
-			v.SetFloat(x)
-		}
+		d.float(at, value, v, tag)
 	case reflect.String:
 		if text, ok := value.(string); ok {
 			d.text(at, text, v, tag)
 		} else {
-			wrong("a text in quotes")
+			d.wrongType(at, value, tag, "a text in quotes")
 		}
 	}
 }
 
+func (d *decoder) integer(at string, value any, v reflect.Value, tag reflect.StructTag) {
+	n, ok := value.(int64)
+	if !ok {
+		d.wrongType(at, value, tag, "a whole number")
+		return
+	}
+	if !d.checkRange(at, float64(n), strconv.FormatInt(n, 10), tag, parseNumberBound) {
+		return
+	}
+	if v.CanInt() {
+		v.SetInt(n)
+	} else {
+		v.SetUint(uint64(n))
+	}
+}
+
+// float reads a number, which may be whole.
+func (d *decoder) float(at string, value any, v reflect.Value, tag reflect.StructTag) {
+	x, ok := value.(float64)
+	if n, isWhole := value.(int64); isWhole {
+		x, ok = float64(n), true
+	}
+	if !ok {
+		d.wrongType(at, value, tag, "a number")
+		return
+	}
+	if d.checkRange(at, x, strconv.FormatFloat(x, 'g', -1, 64), tag, parseNumberBound) {
+		v.SetFloat(x)
+	}
+}
+
 func (d *decoder) text(at, text string, v reflect.Value, tag reflect.StructTag) {
-	if words := tag.Get("words"); words != "" {
-		known := strings.Split(words, ",")
-		if !slices.Contains(known, text) {
-			d.bad(at, "unknown word (%s, wanted %s)%s", configerror.Quote(text), configerror.OneOf(known),
-				configerror.DidYouMean(text, known))
-			return
+	words := tag.Get("words")
+	if words == "" {
+		if d.checkLength(at, len(text), "bytes", maxTextBytes, tag) {
+			v.SetString(text)
 		}
-	} else if !d.length(at, len(text), "bytes", longestText, tag) {
+		return
+	}
+	known := strings.Split(words, ",")
+	if !slices.Contains(known, text) {
+		d.bad(at, "unknown word (%s, wanted %s)%s",
+			configerror.Quote(text), configerror.OneOf(known), configerror.DidYouMean(text, known))
 		return
 	}
 	v.SetString(text)
 }
 
+// list reads a list. Its items have no ranges of their own; those of a secret list are secret.
 func (d *decoder) list(at string, value any, v reflect.Value, tag reflect.StructTag) {
 	items, ok := value.([]any)
 	if !ok {
-		d.bad(at, "wrong type (%s, wanted a list)", gotOf(tag, value))
+		d.wrongType(at, value, tag, "a list")
 		return
 	}
-	if !d.length(at, len(items), "entries", longestList, tag) {
+	if !d.checkLength(at, len(items), "entries", maxListEntries, tag) {
 		return
 	}
-	out := reflect.MakeSlice(v.Type(), len(items), len(items))
+	list := reflect.MakeSlice(v.Type(), len(items), len(items))
 	var itemTag reflect.StructTag
-	if secret(tag) {
+	if isSecret(tag) {
 		itemTag = `secret:"true"`
 	}
 	for i, item := range items {
-		d.value(fmt.Sprintf("%s[%d]", at, i), item, out.Index(i), itemTag)
+		d.value(fmt.Sprintf("%s[%d]", at, i), item, list.Index(i), itemTag)
 	}
-	v.Set(out)
+	v.Set(list)
 }
 
-// length looks at the length of a text or a list.
-func (d *decoder) length(at string, n int, what string, most float64, tag reflect.StructTag) bool {
-	least, hasLeast := bound(tag, "min", numberBound)
-	if m, ok := bound(tag, "max", numberBound); ok {
-		most = m
-	}
-	if float64(n) > most || hasLeast && float64(n) < least {
-		d.bad(at, "out of range (%d %s, wanted %v to %v)", n, what, least, most)
+// checkLength checks the length of a text or a list.
+func (d *decoder) checkLength(at string, n int, what string, defaultMax float64, tag reflect.StructTag) bool {
+	low, hasMin := bound(tag, "min", parseNumberBound)
+	high, hasMax := bound(tag, "max", parseNumberBound)
+	if !hasMax {
+		high = defaultMax
+	}
+	if float64(n) > high || hasMin && float64(n) < low {
+		d.bad(at, "out of range (%d %s, wanted %v to %v)", n, what, low, high)
 		return false
 	}
 	return true
 }
 
-// within looks at the range of a figure. What is not a number is in no range.
-func (d *decoder) within(at string, x float64, shown string, tag reflect.StructTag, parse func(string) float64) bool {
-	least, hasLeast := bound(tag, "min", parse)
-	most, hasMost := bound(tag, "max", parse)
-	if x != x || hasLeast && x < least || hasMost && x > most {
+// checkRange checks the range of a figure. NaN is in no range.
+func (d *decoder) checkRange(at string, x float64, shown string, tag reflect.StructTag, parse func(string) float64) bool {
+	low, hasMin := bound(tag, "min", parse)
+	high, hasMax := bound(tag, "max", parse)
+	if math.IsNaN(x) || hasMin && x < low || hasMax && x > high {
 		key := Key{Min: tag.Get("min"), Max: tag.Get("max")}
 		d.bad(at, "out of range (%s, wanted %s)", shown, key.Range())
 		return false
@@ -196,7 +236,8 @@
 	return true
 }
 
-// bound reads a bound of a tag. The tags are the program's own: a bad one is found by its first test.
+// bound reads a bound of a tag, if it has one. Tags are part of the program, so that a malformed one is a defect of it: the
+// parsers panic.
 func bound(tag reflect.StructTag, name string, parse func(string) float64) (float64, bool) {
 	text, ok := tag.Lookup(name)
 	if !ok {
@@ -205,43 +246,44 @@
 	return parse(text), true
 }
 
-func durationBound(text string) float64 {
+func parseDurationBound(text string) float64 {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		panic("opfile: bound of a duration: " + err.Error())
+		panic("operatorconfig: bound of a duration: " + err.Error())
 	}
 	return float64(d)
 }
 
-func sizeBound(text string) float64 {
+func parseSizeBound(text string) float64 {
 	s, err := ParseSize(text)
 	if err != nil {
-		panic("opfile: bound of a size: " + err.Error())
+		panic("operatorconfig: bound of a size: " + err.Error())
 	}
 	return float64(s)
 }
 
-func numberBound(text string) float64 {
+func parseNumberBound(text string) float64 {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic("opfile: bound of a number: " + err.Error())
+		panic("operatorconfig: bound of a number: " + err.Error())
 	}
 	return x
 }
 
-// secret reports whether a key's value must not be shown.
-func secret(tag reflect.StructTag) bool { return tag.Get("secret") == "true" }
+// isSecret reports whether a key's value must not be shown.
+func isSecret(tag reflect.StructTag) bool { return tag.Get("secret") == "true" }
 
-// gotOf words the value of a key. The danger: a password that stands there as a number, or not in a list, is shown.
-func gotOf(tag reflect.StructTag, value any) string {
-	if !secret(tag) {
-		return got(value)
+// describeUnlessSecret describes a value. A secret one is not shown whatever its type, as a password may have been written as
+// a number or outside of its list.
+func describeUnlessSecret(tag reflect.StructTag, value any) string {
+	if isSecret(tag) {
+		return "a value that is not shown"
 	}
-	return "a value that is not shown"
+	return describe(value)
 }
 
-// got words a value of the file.
-func got(value any) string {
+// describe describes a value of a file.
+func describe(value any) string {
 	switch x := value.(type) {
 	case string:
 		return "the text " + configerror.Quote(x)
--- a/internal/operatorconfig/keys.go
+++ b/internal/operatorconfig/keys.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Key is one key of a kind of file.
+// Key describes one key of a kind of file, for documents and messages.
 type Key struct {
-	Path    string // clients.idle_time; entries of lists of tables as members[].name
-	Unit    string // what its values are
-	Default string // in the form of the file
-	Min     string // "" where there is no bound
-	Max     string
-	Words   []string
+	Path    string   // clients.idle_time; entries of lists of tables as members[].name
+	Unit    string   // what its values are
+	Default string   // in the form of the file
+	Min     string   // in the form of the file; empty where there is no bound
+	Max     string   // as Min
+	Words   []string // the only values of a text; nil for any
 	Doc     string
 }
 
-// Range words the bounds of a key.
+// Range describes the values that a key may have; empty for any.
 func (k Key) Range() string {
 	switch {
 	case len(k.Words) > 0:
@@ -35,9 +35,10 @@
 	return k.Min + " to " + k.Max
 }
 
-// Keys lists the keys of a kind, in the order of its struct.
+// Keys returns the keys of a kind, in the order of its struct.
 func (k Kind) Keys() []Key { return keys("", reflect.ValueOf(k.defaults)) }
 
+// keys returns the keys of a table at a path.
 func keys(at string, v reflect.Value) []Key {
 	var all []Key
 	for i := range v.NumField() {
@@ -62,15 +63,16 @@
 	return all
 }
 
-// keyName is the name of a field in the file. Every field is a key.
+// keyName returns the name of a field in the file. Every field of a kind's struct is a key.
 func keyName(f reflect.StructField) string {
 	name := f.Tag.Get("toml")
 	if name == "" || !f.IsExported() {
-		panic(fmt.Sprintf("opfile: field %s is no key: it has no name in its tag, or is not exported", f.Name))
+		panic(fmt.Sprintf("operatorconfig: field %s is no key: it has no name in its tag, or is not exported", f.Name))
 	}
 	return name
 }
 
+// joined returns the path of a key in a table.
 func joined(at, name string) string {
 	if at == "" {
 		return name
@@ -84,10 +86,13 @@
 	textual      = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
+// isTextual reports whether values of a type are read from text by their own method.
 func isTextual(t reflect.Type) bool { return reflect.PointerTo(t).Implements(textual) }
-func isTable(t reflect.Type) bool   { return t.Kind() == reflect.Struct && !isTextual(t) }
 
-// unit names what the values of a type are.
+// isTable reports whether values of a type are tables of the file.
+func isTable(t reflect.Type) bool { return t.Kind() == reflect.Struct && !isTextual(t) }
+
+// unit describes the values of a type.
 func unit(t reflect.Type) string {
 	switch {
 	case t == durationType:
@@ -109,10 +114,10 @@
 	case reflect.Slice:
 		return "list of " + unit(t.Elem())
 	}
-	panic("opfile: no key can be a " + t.String())
+	panic("operatorconfig: no key can be a " + t.String())
 }
 
-// show words a value in the form of the file.
+// show returns a value in the form of the file.
 func show(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case time.Duration:
@@ -135,7 +140,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// clone copies a value whole: what one file sets must not change the defaults.
+// clone returns a deep copy, so that what one file sets does not change the defaults.
 func clone(v reflect.Value) reflect.Value {
 	out := reflect.New(v.Type()).Elem()
 	out.Set(v)
--- a/internal/operatorconfig/place.go
+++ b/internal/operatorconfig/locate.go
@@ -8,17 +8,16 @@
 	"starlingwinch/internal/configerror"
 )
 
-// place finds the lines and columns of faults by their paths. The library's decoder keeps no places, so this walks
-// over its syntax tree, and only once something is wrong. That part of the library may change; should it ever
-// give no places, faults go without.
-func place(raw []byte, faults []configerror.Error) {
+// locate sets the lines and columns of errors by their paths. The library's decoder has no positions, so this walks over its
+// syntax tree, which is an unstable part of the library: an error for which it gives no position goes without one.
+func locate(raw []byte, errors []configerror.Error) {
 	wanted := map[string][]int{}
-	for i, f := range faults {
-		if f.Line == 0 {
-			wanted[f.Field] = append(wanted[f.Field], i)
+	for i, e := range errors {
+		if e.Line == 0 {
+			wanted[e.Field] = append(wanted[e.Field], i)
 		}
 	}
-	w := walker{raw: raw, faults: faults, wanted: wanted, entries: map[string]int{}}
+	w := walker{raw: raw, errors: errors, wanted: wanted, entries: map[string]int{}}
 	var p unstable.Parser
 	p.Reset(raw)
 	table := ""
@@ -34,14 +33,15 @@
 	}
 }
 
+// walker walks over the syntax tree of a file.
 type walker struct {
 	raw     []byte
-	faults  []configerror.Error
-	wanted  map[string][]int // faults by path
-	entries map[string]int   // of the lists of tables so far, by path
+	errors  []configerror.Error
+	wanted  map[string][]int // indices of the errors without a position, by path
+	entries map[string]int   // numbers of entries so far of lists of tables, by path
 }
 
-// key marks the keys of a node and returns the path of the last. A list of tables means its entry of the moment.
+// key marks the keys of a node and returns the path of the last one. The key of a list of tables stands for its latest entry.
 func (w *walker) key(at string, node *unstable.Node, entry bool) string {
 	for it := node.Key(); it.Next(); {
 		part := it.Node()
@@ -58,7 +58,7 @@
 	return at
 }
 
-// value marks what stands in a list or a table inside a line.
+// value marks the items of a list and the keys of a table that are written inline.
 func (w *walker) value(at string, node *unstable.Node) {
 	switch node.Kind {
 	case unstable.Array:
@@ -77,11 +77,11 @@
 	}
 }
 
-// mark gives the faults at a path their place, unless they have one: the first place counts.
+// mark sets the position of the errors at a path. The first position counts.
 func (w *walker) mark(path string, offset uint32) {
 	for _, i := range w.wanted[path] {
-		if w.faults[i].Line == 0 {
-			w.faults[i].Line, w.faults[i].Column = configerror.Position(w.raw, int(offset))
+		if w.errors[i].Line == 0 {
+			w.errors[i].Line, w.errors[i].Column = configerror.Position(w.raw, int(offset))
 		}
 	}
 }
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -59,7 +59,8 @@
 	return file, nil
 }
 
-func TestFileIsReadOverItsDefaults(t *testing.T) {
+// TestParseOverridesDefaults checks a file with keys of all shapes, and that the defaults stay as they are.
+func TestParseOverridesDefaults(t *testing.T) {
 	file, faults := parse(`kind = "sample"
 wait = "1.5s"
 room = "2KiB"
@@ -89,7 +90,8 @@
 	}
 }
 
-func TestEachFaultIsNamedWithItsPlace(t *testing.T) {
+// TestParseReportsErrorWithPosition checks the message and the position of each error.
+func TestParseReportsErrorWithPosition(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`on = true`, `f: kind: missing (wanted sample or other)`},
 		{`kind = 5`, `f:1:1: kind: wrong type (the number 5, wanted sample or other)`},
@@ -134,7 +136,8 @@
 	}
 }
 
-func TestAllFaultsAreNamedAtOnceInTheFilesOrder(t *testing.T) {
+// TestParseReportsAllErrorsInOrder checks that one call reports them all, in the order of the file.
+func TestParseReportsAllErrorsInOrder(t *testing.T) {
 	_, faults := parse("kind = \"sample\"\nzzz = 1\ncount = 0\nwait = 5\n[part]\nlow = true\nhihg = 1\n")
 	if len(faults) != 5 {
 		t.Fatalf("%d faults:\n%s", len(faults), strings.Join(faults, "\n"))
@@ -146,7 +149,8 @@
 	}
 }
 
-func TestSizesAndDurationsReadAsTheyAreShown(t *testing.T) {
+// TestSizesAndDurationsRoundTrip checks that they are read as they are shown.
+func TestSizesAndDurationsRoundTrip(t *testing.T) {
 	for _, size := range []Size{0, 1, 1023, 1 << 10, 3 << 20, 5 << 30, 1<<62 + 1} {
 		if got, err := ParseSize(size.String()); err != nil || got != size {
 			t.Errorf("%d is shown as %s and read as %d, %v", int64(size), size, int64(got), err)
@@ -160,7 +164,8 @@
 	}
 }
 
-func TestOnlyBoundedRegularFilesAreRead(t *testing.T) {
+// TestLoadReadsBoundedRegularFiles checks a large file, a folder, a device and a missing file.
+func TestLoadReadsBoundedRegularFiles(t *testing.T) {
 	dir := t.TempDir()
 	large := filepath.Join(dir, "large.toml")
 	if err := os.WriteFile(large, make([]byte, MaxFileBytes+1), 0o600); err != nil {
@@ -173,7 +178,8 @@
 	}
 }
 
-func TestKeysTellAllOfAKind(t *testing.T) {
+// TestKeysDescribeKind checks path, unit, default, range and meaning of keys of all shapes.
+func TestKeysDescribeKind(t *testing.T) {
 	var got []string
 	for _, k := range registry[0].Keys() {
 		got = append(got, strings.Join([]string{k.Path, k.Unit, k.Default, k.Range(), k.Doc}, "|"))
@@ -190,7 +196,7 @@
 	}
 }
 
-// FuzzParse: it never panics, the report is bounded, and no line of it is forged.
+// FuzzParse checks that the report of any text is bounded and has no forged lines, and that values are in range.
 func FuzzParse(f *testing.F) {
 	f.Add("kind = \"sample\"\nwait = \"1s\"\n[part]\nlow = 1\n[[members]]\nhigh = 2\n")
 	f.Add("kind = \"sample\"\npart = { low = [ { x = 1 } ], \"a.b\" = 1979-05-27 }\nzones = [[1], {}]\n")
--- a/internal/operatorconfig/units.go
+++ b/internal/operatorconfig/units.go
@@ -8,14 +8,18 @@
 	"time"
 )
 
+var errNotSize = errors.New("not a size")
+
 // Size is a number of bytes, written as "64KiB".
 type Size int64
 
+// sizeUnits are the units of sizes, the largest first.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
+// String returns the size in the largest unit that shows it exactly.
 func (s Size) String() string {
 	for _, u := range sizeUnits {
 		if int64(s)%u.bytes == 0 && (s != 0 || u.bytes == 1) {
@@ -25,8 +29,7 @@
 	return ""
 }
 
-// ParseSize reads a size: digits and one of B, KiB, MiB, GiB. Units of 1000 are not taken, as half of those who
-// write them mean 1024.
+// ParseSize reads a size: digits and one of B, KiB, MiB, GiB. Units of 1000 are errors, as many who write them mean 1024.
 func ParseSize(text string) (Size, error) {
 	for _, u := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, u.name)
@@ -39,10 +42,10 @@
 		}
 		return Size(int64(n) * u.bytes), nil
 	}
-	return 0, errors.New("not a size")
+	return 0, errNotSize
 }
 
-// FormatDuration words a duration as short as it can be: "2.5s", "1m", "4ms".
+// FormatDuration returns a duration in its shortest form: "2.5s", "1m", "4ms".
 func FormatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -69,31 +70,44 @@
 // TestRunNamesMalformedLine checks that the error names line, message and field, and that the lines before are answered.
 func TestRunNamesMalformedLine(t *testing.T) {
 	good := line("1", "1")
-	for in, want := range map[string]string{
-		"nonsense\n":                           "line 2: not JSON",
-		"[]\n":                                 "line 2: wrong shape",
-		"{}\n":                                 "line 2: a batch needs",
-		"\n":                                   "line 2: empty line",
-		line("1", "2", `{"Surprise":{"i":3}}`): `line 2: message 0: unknown message "Surprise"`,
-		line("1", "2", `{"Left":{"i":3,"tid":1}}`):                                                 "line 2: message 0: Left: instance 3 was never started",
-		line("1", "2", `{"Left":{"tid":1}}`):                                                       "line 2: message 0: Left: i: no instance",
-		line("1", "2", `{"Left":{"i":3},"Fired":{"i":3}}`):                                         "line 2: message 0: want an object with one key",
-		line("1", "2", `{"Left":7}`):                                                               "line 2: message 0: Left: want an object",
-		line("1", "2", `null`):                                                                     "line 2: message 0 is null",
-		line("1", "2", `{"Left":{"i":"x"}}`):                                                       "line 2: message 0: Left: wrong shape",
-		line("1", "2", start, `{"Registry":{"i":3,"scope":"F","rosterId":9}}`):                     "line 2: message 1: Registry: rosterId: list 9 was never defined",
-		line("1", "2", start, `{"Registry":{"i":3,"scope":"Q"}}`):                                  `line 2: message 1: Registry: scope: unknown value "Q"`,
-		line("1", "2", start, `{"AttemptEnd":{"i":3,"tid":1,"stateCode":"dozed"}}`):                `line 2: message 1: AttemptEnd: stateCode: unknown outcome "dozed"`,
-		line("1", "2", `{"NewInstance":{"i":3,"info":{}}}`):                                        "line 2: message 0: NewInstance: decide: Classes is empty",
-		line("1", "2", strings.Replace(start, `"maxAttempts":3`, `"maxAttempts":0`, 1)):            "MaxAttempts is 0",
-		line("1", "2", `{"DefineList":{"rosterId":0,"hosts":[{"server":"a","condition":"odd"}]}}`): "line 2: message 0: DefineList: bad entry",
+	for _, c := range []struct{ in, want string }{
+		{"nonsense\n", "line 2: not JSON"},
+		{"[]\n", "line 2: wrong shape"},
+		{"{}\n", "line 2: a batch needs"},
+		{"\n", "line 2: empty line"},
+		{line("1", "2", `{"Surprise":{"i":3}}`), `line 2: message 0: unknown message "Surprise"`},
+		{line("1", "2", `{"Left":{"i":3,"tid":1}}`), "line 2: message 0: Left: instance 3 was never started"},
+		{line("1", "2", `{"Left":{"tid":1}}`), "line 2: message 0: Left: i: no instance"},
+		{line("1", "2", `{"Left":{"i":3},"Fired":{"i":3}}`), "line 2: message 0: want an object with one key"},
+		{line("1", "2", `{"Left":7}`), "line 2: message 0: Left: want an object"},
+		{line("1", "2", `null`), "line 2: message 0 is null"},
+		{line("1", "2", `{"Left":{"i":"x"}}`), "line 2: message 0: Left: wrong shape"},
+		{
+			line("1", "2", start, `{"Registry":{"i":3,"scope":"F","rosterId":9}}`),
+			"line 2: message 1: Registry: rosterId: list 9 was never defined",
+		},
+		{line("1", "2", start, `{"Registry":{"i":3,"scope":"Q"}}`), `line 2: message 1: Registry: scope: unknown value "Q"`},
+		{
+			line("1", "2", start, `{"AttemptEnd":{"i":3,"tid":1,"stateCode":"dozed"}}`),
+			`line 2: message 1: AttemptEnd: stateCode: unknown outcome "dozed"`,
+		},
+		{line("1", "2", `{"NewInstance":{"i":3,"info":{}}}`), "line 2: message 0: NewInstance: decide: Classes is empty"},
+		{line("1", "2", strings.Replace(start, `"maxAttempts":3`, `"maxAttempts":0`, 1)), "MaxAttempts is 0"},
+		{
+			line("1", "2", `{"DefineList":{"rosterId":0,"hosts":[{"server":"a","condition":"odd"}]}}`),
+			"line 2: message 0: DefineList: bad entry",
+		},
 	} {
-		out, err := run(t, good+in)
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q:\n got %v\nwant %s", in, err, want)
+		out, err := run(t, good+c.in)
+		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q:\n got %v\nwant %s", c.in, err, c.want)
+		}
+		var at *LineError
+		if !errors.As(err, &at) || at.Line != 2 {
+			t.Errorf("%q: the error is %#v, want a LineError of line 2", c.in, err)
 		}
 		if out != "{\"batch\":1,\"decisions\":[]}\n" {
-			t.Errorf("%q: wrote %q", in, out)
+			t.Errorf("%q: wrote %q", c.in, out)
 		}
 	}
 }
