--- a/internal/router/limits.go
+++ b/internal/router/limits.go
@@ -13,7 +13,7 @@
 const (
 	defaultSockets  = 1024
 	defaultMemoryMB = 192
-	minSockets      = settings.LeastSockets
+	minSockets      = settings.MinSockets
 
 	// reservedDescriptors are for what is not counted one by one: the log, the poller, discovery, and connections that
 	// overlap for a moment.
--- a/internal/router/retry_storm.go
+++ b/internal/router/retry_storm.go
@@ -1,6 +1,8 @@
 package router
 
 import (
+	"context"
+
 	"starlingwinch/decide"
 	"starlingwinch/internal/frontend"
 	"starlingwinch/internal/retrystorm"
@@ -106,8 +108,8 @@
 	for accepted := r.frontend.Accepted(); monitor.seenConnections < accepted; monitor.seenConnections++ {
 		monitor.detector.Connected()
 	}
-	if line := monitor.detector.Tick(r.m.Now()); line != "" {
-		r.logSentence(line)
+	if change, changed := monitor.detector.Tick(r.m.Now()); changed {
+		r.logger.LogAttrs(context.Background(), change.Level(), retrystorm.ChangeMessage, change.Attrs()...)
 	}
 	if bounds := monitor.detector.Bounds(); bounds != monitor.bounds {
 		r.applyRetryStormBounds(bounds)
