--- a/internal/eureka/client_test.go
+++ b/internal/eureka/client_test.go
@@ -8,18 +8,18 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// told reports whether one of the claims reads so.
-func told(want string) func(h *endpoints.SourceUpdate) bool {
-	return func(h *endpoints.SourceUpdate) bool { return strings.Contains(words(h.Claims), want) }
+// hasClaim matches an update with this text among its claims.
+func hasClaim(want string) func(h *endpoints.SourceUpdate) bool {
+	return func(h *endpoints.SourceUpdate) bool { return strings.Contains(claimTexts(h.Claims), want) }
 }
 
 func TestFullListThenDeltas(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	c := f.follow(options(r))
-	h := f.waitHeard(second, "the list", full)
-	if got := words(h.Claims); got != "a up, bb up" {
-		t.Errorf("told %s", got)
+	h := f.waitUpdate(second, "the list", isFull)
+	if got := claimTexts(h.Claims); got != "a up, bb up" {
+		t.Errorf("reported %s", got)
 	}
 	if e := h.Claims[0]; e.Address != "10.1.0.1:6379" || e.Endpoint.Zone != "z1" || e.Endpoint.Cell != 3 || e.Endpoint.Weight != 1.5 ||
 		e.LastSeen != 1_750_000_000*second {
@@ -34,62 +34,62 @@
 	} {
 		at := f.Now()
 		fl.set(step.id, step.status)
-		h := f.waitHeard(second, step.want, told(step.want))
-		if words(h.Claims) != step.want || h.Full {
-			t.Errorf("told %s (full: %v), want %s", words(h.Claims), h.Full, step.want)
+		h := f.waitUpdate(second, step.want, hasClaim(step.want))
+		if claimTexts(h.Claims) != step.want || h.Full {
+			t.Errorf("reported %s (full: %v), want %s", claimTexts(h.Claims), h.Full, step.want)
 		}
 		if took := f.Now() - at; took > 400*millisecond {
-			t.Errorf("%s was told after %d ms", step.want, took/1000)
+			t.Errorf("%s was reported after %d ms", step.want, took/1000)
 		}
 	}
-	if s := c.Status(); s.Fulls != 1 || s.Mismatches != 0 || s.Failures != 0 || s.Server != "http://10.0.0.1:8761/eureka" {
+	if s := c.Status(); s.FullCalls != 1 || s.Mismatches != 0 || s.Failures != 0 || s.Server != "http://10.0.0.1:8761/eureka" {
 		t.Errorf("status %+v, calls %v, log %q", s, r.paths(), f.log)
 	}
 }
 
-func TestRepeatedDeltaTellsNothingNew(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+func TestRepeatedDeltaReportsNoClaims(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	f.follow(options(r))
-	f.waitHeard(second, "the list", full)
+	f.waitUpdate(second, "the list", isFull)
 	fl.set("a", "DOWN")
 	fl.set("bb", "")
-	f.waitHeard(second, "the drain", told("a draining"))
+	f.waitUpdate(second, "the drain", hasClaim("a draining"))
 	from := len(f.events)
 	f.after(10 * second)
 	for _, e := range f.events[from:] {
 		if h, ok := e.(*endpoints.SourceUpdate); !ok || h.Full || len(h.Claims) > 0 {
-			t.Fatalf("told %+v", e)
+			t.Fatalf("reported %+v", e)
 		}
 	}
 	if len(f.events)-from < 20 {
-		t.Errorf("%d signs of life in 10 s", len(f.events)-from)
+		t.Errorf("%d updates in 10 s", len(f.events)-from)
 	}
 }
 
-func TestHashMismatchTakesTheFullList(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb", "ccc")
+func TestHashMismatchFetchesFullList(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb", "ccc")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	c := f.follow(options(r))
-	f.waitHeard(second, "the list", full)
+	f.waitUpdate(second, "the list", isFull)
 	fl.set("bb", "DOWN")
-	fl.changes = nil // that delta is lost
-	h := f.waitHeard(second, "the full list", full)
-	if got := words(h.Claims); got != "a up, bb draining (DOWN), ccc up" {
-		t.Errorf("told %s", got)
+	fl.changes = nil // the delta that has it is lost
+	h := f.waitUpdate(second, "the full list", isFull)
+	if got := claimTexts(h.Claims); got != "a up, bb draining (DOWN), ccc up" {
+		t.Errorf("reported %s", got)
 	}
 	if s := c.Status(); s.Mismatches != 1 {
 		t.Errorf("%d mismatches", s.Mismatches)
 	}
 	f.after(5 * second)
-	if s := c.Status(); s.Fulls != 2 {
-		t.Errorf("%d full lists", s.Fulls)
+	if s := c.Status(); s.FullCalls != 2 {
+		t.Errorf("%d full lists", s.FullCalls)
 	}
 }
 
-func TestDeltasThatNeverAddUpAreLeftAloneForAWhile(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
-	r := f.registry("r", "10.0.0.1", func(a asked) answer {
+func TestInconsistentDeltasAreNotPolledForAWhile(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
+	r := f.registry("r", "10.0.0.1", func(a request) response {
 		got := fl.script(a)
 		if a.path == "/apps/delta" {
 			got.body = list(1, nil, nil)
@@ -104,96 +104,96 @@
 			deltas++
 		}
 	}
-	if deltas != mostStrikes {
+	if deltas != maxDeltaMismatches {
 		t.Errorf("%d deltas in 50 s", deltas)
 	}
 	if n := len(r.calls); n > 50*1000/240+1 {
 		t.Errorf("%d calls in 50 s", n)
 	}
 	fl.set("a", "DOWN")
-	f.waitHeard(second, "the drain", told("a draining"))
+	f.waitUpdate(second, "the drain", hasClaim("a draining"))
 }
 
-func TestOldDeltaTakesNoBadNewsBack(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+func TestOutdatedDeltaRevertsNoDrain(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	old := ""
-	r := f.registry("r", "10.0.0.1", func(a asked) answer {
+	r := f.registry("r", "10.0.0.1", func(a request) response {
 		if old != "" {
-			return answer{status: 200, body: old}
+			return response{status: 200, body: old}
 		}
 		return fl.script(a)
 	})
 	f.follow(options(r))
-	f.waitHeard(second, "the list", full)
+	f.waitUpdate(second, "the list", isFull)
 	fl.set("a", "UP")
-	f.waitHeard(second, "a delta", func(h *endpoints.SourceUpdate) bool { return !h.Full })
-	kept := list(fl.version, fl.nodes, fl.changes)
+	f.waitUpdate(second, "a delta", func(h *endpoints.SourceUpdate) bool { return !h.Full })
+	outdated := list(fl.version, fl.nodes, fl.changes)
 	fl.set("a", "DOWN")
-	f.waitHeard(second, "the drain", told("a draining"))
+	f.waitUpdate(second, "the drain", hasClaim("a draining"))
 	fl.set("bb", "")
-	f.waitHeard(second, "the departure", told("bb removed"))
+	f.waitUpdate(second, "the departure", hasClaim("bb removed"))
 	from := len(f.events)
-	old = kept // as another server behind the same address that lags
+	old = outdated // as from another server behind the same address that lags
 	f.after(10 * second)
 	for _, e := range f.events[from:] {
-		if h, ok := e.(*endpoints.SourceUpdate); ok && (told("a up")(h) || told("bb up")(h)) {
-			t.Fatalf("told %s", words(h.Claims))
+		if h, ok := e.(*endpoints.SourceUpdate); ok && (hasClaim("a up")(h) || hasClaim("bb up")(h)) {
+			t.Fatalf("reported %s", claimTexts(h.Claims))
 		}
 	}
-	f.waitHeard(lag+second, "the word of a registry that keeps to it", told("a up"))
+	f.waitUpdate(maxReplicationLag+second, "the list of a registry that goes on to send it", hasClaim("a up"))
 }
 
-func TestDeltaOfALowerVersionTakesTheFullList(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+func TestDeltaOfLowerVersionFetchesFullList(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	c := f.follow(options(r))
 	fl.version = 100
 	f.after(2 * second)
-	fl.version = 5 // another process, or a kept answer
+	fl.version = 5 // another process, or a cached response
 	f.after(2 * second)
-	if s := c.Status(); s.Fulls != 2 || s.Mismatches != 1 {
+	if s := c.Status(); s.FullCalls != 2 || s.Mismatches != 1 {
 		t.Errorf("status %+v", s)
 	}
 }
 
-// TestChangeThatTheHashCodeDoesNotTell is one that leaves as many instances of each status as before.
-func TestChangeThatTheHashCodeDoesNotTellIsFoundByTheNextFullList(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+// TestFullListFindsChangeThatHashCodeMisses: the change leaves as many instances of each status as before.
+func TestFullListFindsChangeThatHashCodeMisses(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	fl.set("bb", "DOWN")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	o := options(r)
-	o.FullEvery = 10 * second
+	o.FullListInterval = 10 * second
 	f.follow(o)
-	f.waitHeard(second, "the list", full)
+	f.waitUpdate(second, "the list", isFull)
 	fl.set("a", "DOWN")
 	fl.set("bb", "UP")
 	fl.changes = nil
-	f.waitHeard(11*second, "both", told("a draining (DOWN), bb up"))
+	f.waitUpdate(11*second, "both", hasClaim("a draining (DOWN), bb up"))
 }
 
-func TestFullListAfterALongSilence(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+func TestLongGapFetchesFullList(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	o := options(r)
-	o.FullEvery = 60 * minute
+	o.FullListInterval = 60 * minute
 	c := f.follow(o)
 	f.after(2 * minute)
-	if n := c.Status().Fulls; n != 1 {
+	if n := c.Status().FullCalls; n != 1 {
 		t.Fatalf("%d full lists", n)
 	}
 	f.client.Stall(4 * minute) // as long as servers keep changes
 	f.after(4*minute + second)
-	if s := c.Status(); s.Fulls != 2 || s.Failures != 0 {
+	if s := c.Status(); s.FullCalls != 2 || s.Failures != 0 {
 		t.Errorf("status %+v", s)
 	}
 }
 
 func TestLargeApplicationIsFollowedByDeltas(t *testing.T) {
-	f, fl := newField(t), newFleet(manyIDs(100)...)
+	f, fl := newRig(t), newScriptedFleet(numberedIDs(100)...)
 	whole := true
-	r := f.registry("r", "10.0.0.1", func(a asked) answer {
+	r := f.registry("r", "10.0.0.1", func(a request) response {
 		if a.path == "/apps" && !whole {
-			return answer{status: 500}
+			return response{status: 500}
 		}
 		return fl.script(a)
 	})
@@ -205,7 +205,7 @@
 		t.Errorf("calls %v", got)
 	}
 	whole = false // as where it has grown beyond the bounds
-	fl.changes = []node{{id: "i1", status: "DOWN", updated: fl.clock + 1}}
+	fl.changes = []scriptedInstance{{id: "i1", status: "DOWN", updated: fl.clock + 1}}
 	f.after(10 * second)
 	from := len(r.calls)
 	f.after(10 * second)
@@ -214,54 +214,54 @@
 	}
 }
 
-func TestRegistryWithoutDeltasIsAskedForWholeLists(t *testing.T) {
+func TestRegistryWithoutDeltasIsPolledForFullLists(t *testing.T) {
 	for _, status := range []int{403, 404} {
-		f, fl := newField(t), newFleet("a", "bb")
-		r := f.registry("r", "10.0.0.1", func(a asked) answer {
+		f, fl := newRig(t), newScriptedFleet("a", "bb")
+		r := f.registry("r", "10.0.0.1", func(a request) response {
 			if a.path == "/apps/delta" {
-				return answer{status: status}
+				return response{status: status}
 			}
 			return fl.script(a)
 		})
 		f.follow(options(r))
 		f.after(20 * second)
 		fl.set("bb", "STARTING")
-		f.waitHeard(500*millisecond, "the drain", told("bb draining (STARTING)"))
-		if f.losts() > 0 || !slices.Equal(r.paths()[:3], []string{"/apps", "/apps/delta", "/apps"}) ||
+		f.waitUpdate(500*millisecond, "the drain", hasClaim("bb draining (STARTING)"))
+		if f.unavailableEvents() > 0 || !slices.Equal(r.paths()[:3], []string{"/apps", "/apps/delta", "/apps"}) ||
 			slices.Contains(r.paths()[2:], "/apps/delta") {
-			t.Errorf("after %d: %d times lost, %v", status, f.losts(), r.paths()[:4])
+			t.Errorf("after %d: %d times unavailable, %v", status, f.unavailableEvents(), r.paths()[:4])
 		}
 	}
 }
 
-func TestOneApplicationIsAskedForAlone(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+func TestApplicationFilterPollsThatApplicationOnly(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	o := options(r)
 	o.Application = "cache"
 	f.follow(o)
-	f.waitHeard(second, "the list", full)
+	f.waitUpdate(second, "the list", isFull)
 	fl.set("a", "OUT_OF_SERVICE")
-	f.waitHeard(500*millisecond, "the drain", told("a draining"))
+	f.waitUpdate(500*millisecond, "the drain", hasClaim("a draining"))
 	fl.set("a", "")
 	fl.set("bb", "")
-	h := f.waitHeard(500*millisecond, "the empty list", func(h *endpoints.SourceUpdate) bool { return h.Full && len(h.Claims) == 0 })
-	if h.Repeat || f.losts() > 0 || slices.ContainsFunc(r.paths(), func(p string) bool { return p != "/apps/CACHE" }) {
-		t.Errorf("%d times lost, calls %v", f.losts(), r.paths())
+	h := f.waitUpdate(500*millisecond, "the empty list", func(h *endpoints.SourceUpdate) bool { return h.Full && len(h.Claims) == 0 })
+	if h.Repeat || f.unavailableEvents() > 0 || slices.ContainsFunc(r.paths(), func(p string) bool { return p != "/apps/CACHE" }) {
+		t.Errorf("%d times unavailable, calls %v", f.unavailableEvents(), r.paths())
 	}
 }
 
-func TestWholeListThatStaysTheSameIsASignOfLifeOnly(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
+func TestUnchangedFullListReportsNoClaims(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	o := options(r)
 	o.Delta = DeltaNever
 	f.follow(o)
-	f.waitHeard(second, "the list", full)
+	f.waitUpdate(second, "the list", isFull)
 	f.after(10 * second)
 	for _, e := range f.events[1:] {
 		if h, ok := e.(*endpoints.SourceUpdate); !ok || h.Full || len(h.Claims) > 0 {
-			t.Fatalf("told %+v", e)
+			t.Fatalf("reported %+v", e)
 		}
 	}
 	if len(f.events) < 25 {
@@ -269,51 +269,51 @@
 	}
 }
 
-func TestUnknownApplicationIsNoEmptyList(t *testing.T) {
-	f, fl := newField(t), newFleet("a")
+func TestUnknownApplicationIsNotAnEmptyList(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	o := options(r)
 	o.Application = "CASH"
 	f.follow(o)
 	f.after(5 * second)
-	if f.losts() != 1 || len(f.events) != 1 {
+	if f.unavailableEvents() != 1 || len(f.events) != 1 {
 		t.Errorf("events %v", f.events)
 	}
 }
 
-func TestDeltasOfOtherApplicationsAreLeftOut(t *testing.T) {
-	f, fl := newField(t), newFleet("a", "bb")
-	fl.nodes = append(fl.nodes, node{id: "x", status: "UP", updated: fl.clock, app: "OTHER"})
+func TestDeltasOfOtherApplicationsAreDropped(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a", "bb")
+	fl.nodes = append(fl.nodes, scriptedInstance{id: "x", status: "UP", updated: fl.clock, app: "OTHER"})
 	r := f.registry("r", "10.0.0.1", fl.script)
 	o := options(r)
 	o.Application, o.Delta = "CACHE", DeltaAlways
 	c := f.follow(o)
-	if got := words(f.waitHeard(second, "the list", full).Claims); got != "a up, bb up" {
-		t.Errorf("told %s", got)
+	if got := claimTexts(f.waitUpdate(second, "the list", isFull).Claims); got != "a up, bb up" {
+		t.Errorf("reported %s", got)
 	}
 	fl.nodes[2].status, fl.nodes[2].updated = "DOWN", fl.clock+1
 	fl.changes = append(fl.changes, fl.nodes[2])
 	fl.version++
 	f.after(second)
 	fl.set("bb", "DOWN")
-	f.waitHeard(500*millisecond, "the drain", told("bb draining"))
-	if s := c.Status(); s.Fulls != 1 || s.Mismatches != 0 {
+	f.waitUpdate(500*millisecond, "the drain", hasClaim("bb draining"))
+	if s := c.Status(); s.FullCalls != 1 || s.Mismatches != 0 {
 		t.Errorf("status %+v", s)
 	}
 	for _, e := range f.events {
-		if h, ok := e.(*endpoints.SourceUpdate); ok && strings.Contains(words(h.Claims), "x") {
-			t.Errorf("told %s", words(h.Claims))
+		if h, ok := e.(*endpoints.SourceUpdate); ok && strings.Contains(claimTexts(h.Claims), "x") {
+			t.Errorf("reported %s", claimTexts(h.Claims))
 		}
 	}
 }
 
-func TestVirtualAddressPicksInstances(t *testing.T) {
-	f, fl := newField(t), newFleet("a")
+func TestVIPFilterSelectsInstances(t *testing.T) {
+	f, fl := newRig(t), newScriptedFleet("a")
 	r := f.registry("r", "10.0.0.1", fl.script)
 	o := options(r)
 	o.VIP = "cache"
 	f.follow(o)
-	if got := words(f.waitHeard(second, "the list", full).Claims); got != "a up" || r.calls[0].path != "/vips/cache" {
-		t.Errorf("told %s, asked for %v", got, r.paths())
+	if got := claimTexts(f.waitUpdate(second, "the list", isFull).Claims); got != "a up" || r.calls[0].path != "/vips/cache" {
+		t.Errorf("reported %s, paths %v", got, r.paths())
 	}
 }
--- a/internal/eureka/config.go
+++ b/internal/eureka/config.go
@@ -18,7 +18,7 @@
 	Delta       string              `toml:"delta" words:"auto,always,never" doc:"whether the registry is asked for changes alone"`
 	Cadence     time.Duration       `toml:"cadence" min:"50ms" max:"1m" doc:"between calls, give or take a fifth"`
 	Timeout     time.Duration       `toml:"timeout" min:"100ms" max:"1m" doc:"for an answer to come whole"`
-	BackoffMost time.Duration       `toml:"backoff_most" min:"100ms" max:"10m" doc:"between calls to a server that fails, at most"`
+	MaxBackoff  time.Duration       `toml:"backoff_most" min:"100ms" max:"10m" doc:"between calls to a server that fails, at most"`
 	PreferAgain time.Duration       `toml:"prefer_again" min:"1s" max:"1h" doc:"a server that failed is tried again after that, while another serves"`
 	FullEvery   time.Duration       `toml:"full_every" min:"1s" max:"1h" doc:"the whole list is fetched at least so often"`
 	Body        operatorconfig.Size `toml:"body" min:"64KiB" max:"64MiB" doc:"bytes of an answer, packed or not"`
@@ -33,7 +33,7 @@
 	Register Section  `toml:"register"`
 }
 
-// Metadata are the names of what instances tell of themselves.
+// Metadata are the keys of the metadata by which instances describe themselves.
 type Metadata struct {
 	Zone             string `toml:"zone" max:"256" doc:"the key that holds the zone; empty for none"`
 	Group            string `toml:"group" max:"256" doc:"the key that holds the number of the group; empty for none"`
@@ -43,7 +43,7 @@
 	ServiceUp        bool   `toml:"service_up" doc:"without a start in metadata, the time since when the registry has it up counts"`
 }
 
-// Section is the registration of the router itself.
+// Section sets the registration of the router itself.
 type Section struct {
 	Enabled     bool          `toml:"enabled" doc:"the router registers itself"`
 	Application string        `toml:"application" min:"1" max:"256" doc:"the application that the router is registered under"`
@@ -56,15 +56,14 @@
 	Timeout     time.Duration `toml:"timeout" min:"50ms" max:"10s" doc:"for a call, and for the whole of the end"`
 }
 
-// Default is what holds where no file says otherwise. The URL is a placeholder from the addresses for documents
-// (RFC 5737), at which nobody answers.
+// Default is what holds where no file says otherwise. Its URL is a placeholder, an address reserved for documentation (RFC 5737).
 func Default() Config {
 	return Config{
 		URLs:        []string{"http://192.0.2.1:8761/eureka"},
 		Delta:       DeltaAuto,
 		Cadence:     300 * time.Millisecond,
 		Timeout:     time.Second,
-		BackoffMost: 5 * time.Second,
+		MaxBackoff:  5 * time.Second,
 		PreferAgain: 30 * time.Second,
 		FullEvery:   time.Minute,
 		Body:        16 << 20,
@@ -79,74 +78,91 @@
 	}
 }
 
-// Kind is the kind of file that sets it.
+// Kind is the kind of operators' file that sets a Config.
 var Kind = operatorconfig.Define("eureka", "an Eureka registry as a source of the list of caches", Default(), check)
 
-// check looks at what no single range tells.
-func check(c Config, bad operatorconfig.ReportFunc) {
+// check reports what the range of a single key can't express.
+func check(c Config, report operatorconfig.ReportFunc) {
+	c.checkURLs(report)
+	if c.Application != "" && c.VIP != "" {
+		report("vip", "application is set too (one of them is wanted)")
+	}
+	c.checkNames(report)
+	if c.MaxBackoff < c.Cadence {
+		report("backoff_most", "below cadence (%s, wanted at least %s)",
+			operatorconfig.FormatDuration(c.MaxBackoff), operatorconfig.FormatDuration(c.Cadence))
+	}
+	switch {
+	case c.Password != "" && c.PasswordFile != "":
+		report("password_file", "password is set too (one of them is wanted)")
+	case c.User == "" && (c.Password != "" || c.PasswordFile != ""):
+		report("user", "empty, but there is a password")
+	case strings.Contains(c.User, ":"):
+		report("user", "holds a colon")
+	}
+	c.Register.check(report)
+}
+
+func (c Config) checkURLs(report operatorconfig.ReportFunc) {
 	seen := map[string]bool{}
 	for i, text := range c.URLs {
 		key := fmt.Sprintf("urls[%d]", i)
 		u, err := ParseURL(text)
 		switch {
 		case err != nil:
-			bad(key, "%v", err)
+			report(key, "%v", err)
 		case seen[u.String()]:
-			bad(key, "stands twice")
+			report(key, "stands twice")
 		}
 		seen[u.String()] = true
 	}
-	if c.Application != "" && c.VIP != "" {
-		bad("vip", "application is set too (one of them is wanted)")
+}
+
+// checkNames reports names that can't stand in the path of a URL.
+func (c Config) checkNames(report operatorconfig.ReportFunc) {
+	isUnsafe := func(r rune) bool { return r <= ' ' || r == '/' || r == 0x7f }
+	names := []struct{ key, text string }{
+		{"application", c.Application},
+		{"vip", c.VIP},
+		{"register.application", c.Register.Application},
+		{"register.instance", c.Register.Instance},
 	}
-	for _, name := range []struct{ key, text string }{{"application", c.Application}, {"vip", c.VIP},
-		{"register.application", c.Register.Application}, {"register.instance", c.Register.Instance}} {
-		if strings.ContainsFunc(name.text, func(r rune) bool { return r <= ' ' || r == '/' || r == 0x7f }) {
-			bad(name.key, "holds a space, a slash or a control character")
+	for _, name := range names {
+		if strings.ContainsFunc(name.text, isUnsafe) {
+			report(name.key, "holds a space, a slash or a control character")
 		}
 	}
-	if c.BackoffMost < c.Cadence {
-		bad("backoff_most", "below cadence (%s, wanted at least %s)", operatorconfig.FormatDuration(c.BackoffMost), operatorconfig.FormatDuration(c.Cadence))
-	}
-	switch {
-	case c.Password != "" && c.PasswordFile != "":
-		bad("password_file", "password is set too (one of them is wanted)")
-	case c.User == "" && (c.Password != "" || c.PasswordFile != ""):
-		bad("user", "empty, but there is a password")
-	case strings.Contains(c.User, ":"):
-		bad("user", "holds a colon")
-	}
-	c.Register.check(bad)
 }
 
-func (s Section) check(bad operatorconfig.ReportFunc) {
+func (s Section) check(report operatorconfig.ReportFunc) {
 	if s.Duration < 2*s.Renewal {
-		bad("register.duration", "below two renewals (%s, wanted at least %s)",
+		report("register.duration", "below two renewals (%s, wanted at least %s)",
 			operatorconfig.FormatDuration(s.Duration), operatorconfig.FormatDuration(2*s.Renewal))
 	}
-	for _, span := range []struct {
-		key string
-		d   time.Duration
-	}{{"renewal", s.Renewal}, {"duration", s.Duration}} {
-		if span.d%time.Second != 0 {
-			bad("register."+span.key, "not in whole seconds (%s)", operatorconfig.FormatDuration(span.d))
+	reportFraction := func(key string, span time.Duration) {
+		if span%time.Second != 0 {
+			report(key, "not in whole seconds (%s)", operatorconfig.FormatDuration(span))
 		}
 	}
+	reportFraction("register.renewal", s.Renewal)
+	reportFraction("register.duration", s.Duration)
 	if !s.Enabled {
 		return
 	}
-	if ip, err := netip.ParseAddr(s.IP); err != nil || ip.IsUnspecified() || ip.Zone() != "" {
-		bad("register.ip", "not an IP address that clients can use (%.64q)", s.IP)
+	ip, err := netip.ParseAddr(s.IP)
+	if err != nil || ip.IsUnspecified() || ip.Zone() != "" {
+		report("register.ip", "not an IP address that clients can use (%.64q)", s.IP)
 	}
 	if s.Port == 0 {
-		bad("register.port", "out of range (0, wanted 1 to 65535)")
+		report("register.port", "out of range (0, wanted 1 to 65535)")
 	}
 }
 
+// servers are the URLs of the registry's servers.
 func (c Config) servers() []URL {
 	var all []URL
 	for _, text := range c.URLs {
-		if u, err := ParseURL(text); err == nil { // check has seen to it
+		if u, err := ParseURL(text); err == nil { // as check has verified
 			all = append(all, u)
 		}
 	}
@@ -157,24 +173,24 @@
 	return Login{User: c.User, Password: c.Password, PasswordFile: c.PasswordFile}
 }
 
-// Options are those of Follow, for a source of that name.
+// Options returns the parameters of Follow, for a source of this name.
 func (c Config) Options(name string) Options {
 	return Options{
-		Name:        name,
-		Servers:     c.servers(),
-		Login:       c.login(),
-		Application: c.Application,
-		VIP:         c.VIP,
-		Delta:       c.Delta,
-		Cadence:     c.Cadence.Microseconds(),
-		Timeout:     c.Timeout.Microseconds(),
-		BackoffMost: c.BackoffMost.Microseconds(),
-		PreferAgain: c.PreferAgain.Microseconds(),
-		FullEvery:   c.FullEvery.Microseconds(),
-		Body:        int(c.Body),
-		Bandwidth:   int(c.Bandwidth),
-		LeaseGrace:  c.LeaseGrace,
-		Names: Names{
+		Name:                name,
+		Servers:             c.servers(),
+		Login:               c.login(),
+		Application:         c.Application,
+		VIP:                 c.VIP,
+		Delta:               c.Delta,
+		PollInterval:        c.Cadence.Microseconds(),
+		Timeout:             c.Timeout.Microseconds(),
+		MaxBackoff:          c.MaxBackoff.Microseconds(),
+		RetryPreferredAfter: c.PreferAgain.Microseconds(),
+		FullListInterval:    c.FullEvery.Microseconds(),
+		MaxBodyBytes:        int(c.Body),
+		Bandwidth:           int(c.Bandwidth),
+		LeaseGrace:          c.LeaseGrace,
+		MetadataKeys: MetadataKeys{
 			Zone:             c.Metadata.Zone,
 			Group:            c.Metadata.Group,
 			Weight:           c.Metadata.Weight,
@@ -185,24 +201,24 @@
 	}
 }
 
-// Registration gives the options of Register. They hold only where Register.Enabled.
+// Registration returns the parameters of Register. They are valid only where Register.Enabled.
 func (c Config) Registration() RegisterOptions {
 	s := c.Register
-	ip, _ := netip.ParseAddr(s.IP) // check has seen to it
+	ip, _ := netip.ParseAddr(s.IP) // as check has verified
 	o := RegisterOptions{
 		Servers:     c.servers(),
 		Login:       c.login(),
 		Application: strings.ToUpper(s.Application),
 		Instance:    s.Instance,
 		VIP:         s.VIP,
-		Addr:        netip.AddrPortFrom(ip, uint16(s.Port)),
+		Address:     netip.AddrPortFrom(ip, uint16(s.Port)),
 		Renewal:     s.Renewal.Microseconds(),
 		Duration:    s.Duration.Microseconds(),
 		Timeout:     s.Timeout.Microseconds(),
-		BackoffMost: c.BackoffMost.Microseconds(),
+		MaxBackoff:  c.MaxBackoff.Microseconds(),
 	}
 	if o.Instance == "" {
-		o.Instance = fmt.Sprintf("%s:%s", strings.ToLower(s.Application), o.Addr)
+		o.Instance = fmt.Sprintf("%s:%s", strings.ToLower(s.Application), o.Address)
 	}
 	return o
 }
--- a/internal/eureka/cost_test.go
+++ b/internal/eureka/cost_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// packed is the length of a text as gzip has it.
-func packed(s string) int {
+// gzipSize is the length of a text compressed by gzip.
+func gzipSize(s string) int {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	z.Write([]byte(s))
@@ -16,14 +16,14 @@
 	return b.Len()
 }
 
-// TestDeltaIsCheaperThanWholeLists by the factor that the operators' page gives, in a registry where nothing happens.
-func TestDeltaIsCheaperThanWholeLists(t *testing.T) {
+// TestDeltaIsCheaperThanFullList by a factor of four at least, in a registry without changes.
+func TestDeltaIsCheaperThanFullList(t *testing.T) {
 	for _, n := range []int{10, 100, 1000} {
 		var ids []string
 		for i := range n {
 			ids = append(ids, fmt.Sprintf("10.1.%d.%d:cache:6379", i/250, i%250))
 		}
-		fl := newFleet(ids...)
+		fl := newScriptedFleet(ids...)
 		for i := range fl.nodes {
 			fl.nodes[i].updated += int64(i) * 977
 		}
@@ -33,9 +33,9 @@
 		}
 		busy := list(1, fl.nodes, fl.changes)
 		t.Logf("%d instances: whole list %d bytes, packed %d; delta without changes %d, packed %d; with a tenth changed %d, packed %d",
-			n, len(whole), packed(whole), len(quiet), packed(quiet), len(busy), packed(busy))
-		if packed(quiet)*4 > packed(whole) || packed(quiet) > 200 {
-			t.Errorf("%d instances: a quiet delta takes %d bytes, the whole list %d", n, packed(quiet), packed(whole))
+			n, len(whole), gzipSize(whole), len(quiet), gzipSize(quiet), len(busy), gzipSize(busy))
+		if gzipSize(quiet)*4 > gzipSize(whole) || gzipSize(quiet) > 200 {
+			t.Errorf("%d instances: a quiet delta takes %d bytes, the whole list %d", n, gzipSize(quiet), gzipSize(whole))
 		}
 	}
 }
--- a/internal/eureka/eureka.go
+++ b/internal/eureka/eureka.go
@@ -1,13 +1,11 @@
-// Package eureka follows an Eureka registry (Netflix Eureka 1.x, Spring Cloud's server) by its REST interface, as one
-// of the sources of the list of caches, and registers the router there where operators ask for it.
+// Package eureka follows an Eureka registry (Netflix Eureka 1.x, Spring Cloud's server) by its REST interface, as one of the
+// sources of the endpoint list, and registers the router there where operators configure it.
 //
-// Clients of Eureka ask every 30 s and learn of a change up to 90 s later. This one asks several times a
-// second for what has changed, which costs a registry little as it keeps that answer ready; see
-// docs/operators/eureka.md for the figures.
+// Clients of Eureka poll every 30 s and see a change up to 90 s later. This one polls several times a second for the changes,
+// which costs a registry little as it caches that answer; docs/operators/eureka.md has the figures.
 //
-// It decides nothing about what the list means, looks up no names, follows no redirect, and speaks HTTP
-// without TLS. The form is that of the registry's wiki ("Eureka REST operations") and of what servers
-// send, which is more than the wiki tells.
+// The package decides nothing about what the list means, resolves no names, follows no redirects, and speaks HTTP without TLS.
+// The format is that of the registry's wiki ("Eureka REST operations") and of what servers send beyond it.
 package eureka
 
 import "starlingwinch/internal/machine"
--- a/internal/eureka/harness_test.go
+++ b/internal/eureka/harness_test.go
@@ -16,27 +16,27 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// field is a world with a client's host and scripted registries.
-type field struct {
+// rig is a simulated network with a client's host and scripted registries.
+type rig struct {
 	*testing.T
 	*sim.World
-	client *sim.Host
-	log    []string
-	events []endpoints.Event
-	heard  []Time // when they came
+	client     *sim.Host
+	log        []string
+	events     []endpoints.Event
+	eventTimes []Time // when they came
 }
 
-func newField(t *testing.T) *field {
+func newRig(t *testing.T) *rig {
 	w := sim.New(1)
 	w.Near = sim.Link{Latency: millisecond / 2, Split: 0.3}
-	f := &field{T: t, World: w}
+	f := &rig{T: t, World: w}
 	f.client = w.Host("client", "10.0.0.9", sim.HostOptions{Zone: "a"})
 	f.client.Logged = func(line string) { f.log = append(f.log, line) }
 	return f
 }
 
-// asked is a request that came to a registry.
-type asked struct {
+// request is a request that a registry received.
+type request struct {
 	at     Time
 	method string
 	path   string
@@ -44,10 +44,10 @@
 	body   string
 }
 
-func (a asked) String() string { return a.method + " " + a.path }
+func (a request) String() string { return a.method + " " + a.path }
 
-// answer is what a registry says. Raw goes out as it is.
-type answer struct {
+// response is what a registry answers. Raw is sent as it is.
+type response struct {
 	status int
 	body   string
 	header string // lines, each with its end
@@ -59,18 +59,18 @@
 
 // registry is a scripted server.
 type registry struct {
-	f      *field
+	f      *rig
 	host   *sim.Host
 	m      machine.Machine
-	calls  []asked
-	answer func(a asked) answer
+	calls  []request
+	answer func(a request) response
 }
 
-func (f *field) registry(name, ip string, script func(a asked) answer) *registry {
+func (f *rig) registry(name, ip string, script func(a request) response) *registry {
 	r := &registry{f: f, answer: script}
 	r.host = f.World.Host(name, ip, sim.HostOptions{Zone: "a"})
 	r.m = r.host.Machine()
-	_, err := r.m.Listen(ip+":8761", func(c machine.Conn) machine.Handler { return &peer{r: r, conn: c} })
+	_, err := r.m.Listen(ip+":8761", func(c machine.Conn) machine.Handler { return &registryConn{r: r, conn: c} })
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	return u
 }
 
-// paths are the paths asked for so far.
+// paths are those of the requests so far.
 func (r *registry) paths() []string {
 	var all []string
 	for _, a := range r.calls {
@@ -94,8 +94,8 @@
 	return all
 }
 
-// peer is one connection of a registry.
-type peer struct {
+// registryConn is one connection of a registry.
+type registryConn struct {
 	r    *registry
 	conn machine.Conn
 	in   []byte
@@ -103,7 +103,7 @@
 	more bool // bytes without end
 }
 
-func (p *peer) Readable() {
+func (p *registryConn) Readable() {
 	var b [4096]byte
 	for {
 		n, err := p.conn.Read(b[:])
@@ -127,7 +127,7 @@
 	}
 	p.in = nil
 	path := strings.TrimPrefix(q.URL.RequestURI(), "/eureka")
-	a := asked{at: p.r.f.Now(), method: q.Method, path: path, header: q.Header, body: string(body)}
+	a := request{at: p.r.f.Now(), method: q.Method, path: path, header: q.Header, body: string(body)}
 	p.r.calls = append(p.r.calls, a)
 	got := p.r.answer(a)
 	if got.silent {
@@ -136,7 +136,7 @@
 	p.r.m.At(p.r.m.Now()+got.delay, func() { p.send(got) })
 }
 
-func (p *peer) send(a answer) {
+func (p *registryConn) send(a response) {
 	switch {
 	case a.raw != "":
 		p.out = append(p.out, a.raw...)
@@ -149,7 +149,7 @@
 	p.Writable()
 }
 
-func (p *peer) Writable() {
+func (p *registryConn) Writable() {
 	for len(p.out) > 0 || p.more {
 		if len(p.out) == 0 {
 			p.out = bytes.Repeat([]byte("["), 64<<10)
@@ -162,15 +162,15 @@
 	}
 }
 
-// node is an instance of the scripts.
-type node struct {
+// scriptedInstance is an instance of the scripts.
+type scriptedInstance struct {
 	id, status string
 	updated    int64 // ms
 	action     string
 	app        string // "CACHE" where it is empty
 }
 
-func (n node) json() string {
+func (n scriptedInstance) json() string {
 	app := n.app
 	if app == "" {
 		app = "CACHE"
@@ -186,8 +186,8 @@
 		`"lastDirtyTimestamp":"%d","actionType":%q}`, n.id, app, len(n.id), n.status, n.updated, n.updated, n.action)
 }
 
-// list is the text of an answer that holds all of the nodes, with the hash code of counted.
-func list(version int, counted, nodes []node) string {
+// list is the text of a response with these nodes, and with the hash code of counted.
+func list(version int, counted, nodes []scriptedInstance) string {
 	counts := map[string]int{}
 	for _, n := range counted {
 		counts[n.status]++
@@ -214,28 +214,28 @@
 		version, hashCode(counts), strings.Join(texts, ","))
 }
 
-// fleet is a registry's content, which a script changes.
-type fleet struct {
-	nodes   []node
-	changes []node
+// scriptedFleet is a registry's content, which a test changes.
+type scriptedFleet struct {
+	nodes   []scriptedInstance
+	changes []scriptedInstance
 	version int
 	clock   int64
 }
 
-func newFleet(ids ...string) *fleet {
-	fl := &fleet{version: 1, clock: 1_750_000_000_000}
+func newScriptedFleet(ids ...string) *scriptedFleet {
+	fl := &scriptedFleet{version: 1, clock: 1_750_000_000_000}
 	for _, id := range ids {
-		fl.nodes = append(fl.nodes, node{id: id, status: "UP", updated: fl.clock, action: "ADDED"})
+		fl.nodes = append(fl.nodes, scriptedInstance{id: id, status: "UP", updated: fl.clock, action: "ADDED"})
 	}
 	return fl
 }
 
 // set changes an instance, or adds it; status "" takes it away.
-func (fl *fleet) set(id, status string) {
+func (fl *scriptedFleet) set(id, status string) {
 	fl.clock++
 	fl.version++
-	at := slices.IndexFunc(fl.nodes, func(n node) bool { return n.id == id })
-	n := node{id: id, status: status, updated: fl.clock, action: "MODIFIED"}
+	at := slices.IndexFunc(fl.nodes, func(n scriptedInstance) bool { return n.id == id })
+	n := scriptedInstance{id: id, status: status, updated: fl.clock, action: "MODIFIED"}
 	switch {
 	case status == "":
 		n.status, n.action = fl.nodes[at].status, "DELETED"
@@ -250,23 +250,23 @@
 }
 
 // script answers as a registry with that content.
-func (fl *fleet) script(a asked) answer {
+func (fl *scriptedFleet) script(a request) response {
 	switch a.path {
 	case "/apps/delta":
-		return answer{status: 200, body: list(fl.version, fl.nodes, fl.changes)}
+		return response{status: 200, body: list(fl.version, fl.nodes, fl.changes)}
 	case "/apps/CACHE":
 		if len(fl.nodes) == 0 {
-			return answer{status: 404}
+			return response{status: 404}
 		}
 		var all []string
 		for _, n := range fl.nodes {
 			all = append(all, n.json())
 		}
-		return answer{status: 200, body: `{"application":{"name":"CACHE","instance":[` + strings.Join(all, ",") + `]}}`}
+		return response{status: 200, body: `{"application":{"name":"CACHE","instance":[` + strings.Join(all, ",") + `]}}`}
 	case "/apps", "/vips/cache":
-		return answer{status: 200, body: list(1, fl.nodes, fl.nodes)}
+		return response{status: 200, body: list(1, fl.nodes, fl.nodes)}
 	}
-	return answer{status: 404}
+	return response{status: 404}
 }
 
 // options are the defaults, for these registries.
@@ -279,33 +279,33 @@
 	return o
 }
 
-// follow starts a client whose events are kept.
-func (f *field) follow(o Options) *Client {
+// follow starts a client whose events are recorded.
+func (f *rig) follow(o Options) *Client {
 	return Follow(f.client.Machine(), o, func(e endpoints.Event) {
 		f.events = append(f.events, e)
-		f.heard = append(f.heard, f.Now())
+		f.eventTimes = append(f.eventTimes, f.Now())
 	})
 }
 
 // after runs the world for a span.
-func (f *field) after(d Time) { f.World.Run(f.Now() + d) }
+func (f *rig) after(d Time) { f.World.Run(f.Now() + d) }
 
 // wait runs the world until done, for a span at most.
-func (f *field) wait(d Time, what string, done func() bool) {
+func (f *rig) wait(d Time, what string, done func() bool) {
 	f.Helper()
 	if !f.RunUntil(f.Now()+d, done) {
 		f.Fatalf("not within %d ms: %s\nlog: %q", d/1000, what, f.log)
 	}
 }
 
-// waitHeard waits for what keeps.
-func (f *field) waitHeard(d Time, what string, keeps func(h *endpoints.SourceUpdate) bool) *endpoints.SourceUpdate {
+// waitUpdate waits for an update that matches.
+func (f *rig) waitUpdate(d Time, what string, matches func(h *endpoints.SourceUpdate) bool) *endpoints.SourceUpdate {
 	f.Helper()
 	from := len(f.events)
 	var found *endpoints.SourceUpdate
 	f.wait(d, what, func() bool {
 		for ; from < len(f.events); from++ {
-			if h, ok := f.events[from].(*endpoints.SourceUpdate); ok && keeps(h) {
+			if h, ok := f.events[from].(*endpoints.SourceUpdate); ok && matches(h) {
 				found = h
 				return true
 			}
@@ -315,10 +315,10 @@
 	return found
 }
 
-func full(h *endpoints.SourceUpdate) bool { return h.Full }
+func isFull(h *endpoints.SourceUpdate) bool { return h.Full }
 
-// words are the claims as "id condition", with the reason of what is not up.
-func words(claims []endpoints.Claim) string {
+// claimTexts are the claims as "id status", with the reason of those that are not up.
+func claimTexts(claims []endpoints.Claim) string {
 	var all []string
 	for _, c := range claims {
 		text := c.Endpoint.ID + [...]string{" up", " draining", " removed"}[c.Endpoint.Status]
@@ -330,8 +330,8 @@
 	return strings.Join(all, ", ")
 }
 
-// losts counts the Lost.
-func (f *field) losts() int {
+// unavailableEvents counts the SourceUnavailable events.
+func (f *rig) unavailableEvents() int {
 	n := 0
 	for _, e := range f.events {
 		if _, ok := e.(*endpoints.SourceUnavailable); ok {
--- a/internal/eureka/parse.go
+++ b/internal/eureka/parse.go
@@ -5,75 +5,39 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
-	"net/netip"
-	"strconv"
 	"strings"
 )
 
-// Bounds of an answer; that of its size is the operators'.
+// Bounds of a list. The size of a response is bounded by Options.MaxBodyBytes.
 const (
-	mostInstances = 10_000
-	mostListed    = 100_000  // instances that are read at all
-	mostMetadata  = 16 << 10 // bytes of an instance's
-	mostName      = 256      // bytes of an id, a zone, an application
-	mostFaults    = 20       // that are worded; more are counted
+	maxInstances       = 10_000   // that are up; as many that are not up are taken beyond them
+	maxListedInstances = 100_000  // that are read at all
+	maxMetadataSize    = 16 << 10 // of an instance; bytes
+	maxNameLength      = 256      // of an id, zone or application; bytes
+	maxFaults          = 20       // that are listed; more are counted
 )
 
-// Names are the keys of metadata under which instances tell what the router wants to know. "" for none.
-type Names struct {
-	Zone, Group, Weight string
-	Start               string // Unix time in milliseconds
-	AvailabilityZone    bool   // where Zone gives none, the data centre's zone counts
-	ServiceUp           bool   // where Start gives none, serviceUpTimestamp counts
-}
-
-// Change says what a delta tells of an instance.
-type Change uint8
-
-const (
-	Listed  Change = iota // no delta, or ADDED or MODIFIED
-	Deleted               // DELETED
-)
-
-// Instance is one instance of a list, checked.
-type Instance struct {
-	App    string // in upper case, as registries keep it
-	ID     string
-	VIP    string // virtual addresses, with commas between them
-	Addr   string // "" where there is none that can be used: then Unread
-	Status string // as listed, for the hash code
-	Word   string // the status that counts
-	Change Change
-	Unread bool // it can't be given work to
+// utf8BOM is the byte order mark that some servers put before the text.
+const utf8BOM = "\xef\xbb\xbf"
 
-	Zone    string
-	Group   int
-	Weight  float64
-	Start   Time
-	Renewed Time // its last renewal, and ...
-	Updated Time // ... its last change, by the registry's clock; 0 where it does not say
-	Lease   Time // how long a renewal holds
-}
-
-// List is an answer of a registry, checked.
+// List is a response of a registry, checked.
 type List struct {
-	Hash      string // what it says that hashCode is; "" is that of no instance
-	Hashed    bool   // it says so
-	Version   int64  // of a delta; 0 where it gives none
-	Instances []Instance
-	Faults    []string // what can't be read, for the log
-	cut       bool     // it holds fewer instances than the registry has sent
-	more      int      // faults beyond those worded
+	Hash           string // the hash code that it declares; "" is that of no instance
+	Hashed         bool   // it declares one
+	Version        int64  // of a delta; 0 where it has none
+	Instances      []Instance
+	Faults         []string // what can't be read, for the log
+	truncated      bool     // it holds fewer instances than the registry has sent
+	unlistedFaults int      // beyond maxFaults
 }
 
-// Parse reads an answer to /apps, /apps/APP, /apps/delta or /vips/VIP. An error says that nothing of it can be
-// used. Else each instance is taken by itself, and what is wrong is named.
+// Parse reads a response to /apps, /apps/APP, /apps/delta or /vips/VIP. It returns an error where nothing of it can be used.
+// Else each instance is checked by itself, and the faults are named in List.Faults.
 //
-// It walks over the lists and reads one instance at a time. The danger: a body of empty lists within lists takes
-// many times its size where it is read as a whole.
-func Parse(body []byte, names Names) (List, error) {
-	body = bytes.TrimPrefix(body, []byte("\xef\xbb\xbf"))
+// It walks over the response and decodes one instance at a time: decoded as a whole, a body of empty lists within lists would
+// take many times its size.
+func Parse(body []byte, keys MetadataKeys) (List, error) {
+	body = bytes.TrimPrefix(body, []byte(utf8BOM))
 	body = bytes.TrimLeft(body, " \t\r\n")
 	switch {
 	case len(body) == 0:
@@ -83,7 +47,33 @@
 	case body[0] != '{':
 		return List{}, errors.New("the answer is no JSON object")
 	}
-	p := parser{body: body, dec: json.NewDecoder(bytes.NewReader(body)), names: names}
+	p := parser{body: body, decoder: json.NewDecoder(bytes.NewReader(body)), keys: keys}
+	if err := p.response(); err != nil {
+		return List{}, fmt.Errorf("list of instances: %w", err)
+	}
+	if len(p.list.Instances) == 0 && p.unidentified > 0 { // these can't be told from instances that have departed
+		return List{}, fmt.Errorf("list of instances: none can be used: %s", p.list.Faults[0])
+	}
+	if p.list.unlistedFaults > 0 {
+		p.list.Faults = append(p.list.Faults, fmt.Sprintf("%d faults more", p.list.unlistedFaults))
+	}
+	return p.list, nil
+}
+
+// parser walks over a response.
+type parser struct {
+	body         []byte
+	decoder      *json.Decoder
+	keys         MetadataKeys
+	raw          json.RawMessage // the value that was read last
+	list         List            // so far
+	application  string          // the name of the current application
+	instances    int             // that were read so far
+	unidentified int             // of these, without an id that can be used
+}
+
+// response reads the object that a response is.
+func (p *parser) response() error {
 	found := false
 	err := p.object(func(key string) error {
 		switch key {
@@ -92,42 +82,24 @@
 			return p.applications()
 		case "application":
 			found = true
-			return p.each(p.application)
+			return p.each(p.parseApplication)
 		}
 		return p.skip()
 	})
-	if err == nil && len(bytes.TrimSpace(body[p.dec.InputOffset():])) > 0 {
-		err = errors.New("more follows the answer")
-	}
 	switch {
 	case err != nil:
-		return List{}, fmt.Errorf("list of instances: %w", err)
+		return err
+	case len(bytes.TrimSpace(p.body[p.decoder.InputOffset():])) > 0:
+		return errors.New("more follows the answer")
 	case !found:
-		return List{}, errors.New("list of instances: neither applications nor application stands in it")
-	}
-	if len(p.list.Instances) == 0 && p.nameless > 0 { // its instances can't be told from departed ones
-		return List{}, fmt.Errorf("list of instances: none can be used: %s", p.list.Faults[0])
+		return errors.New("neither applications nor application stands in it")
 	}
-	if p.list.more > 0 {
-		p.list.Faults = append(p.list.Faults, fmt.Sprintf("%d faults more", p.list.more))
-	}
-	return p.list, nil
-}
-
-type parser struct {
-	body     []byte
-	dec      *json.Decoder
-	raw      json.RawMessage // the value of the moment
-	names    Names
-	list     List
-	app      string
-	at       int // instances so far
-	nameless int
+	return nil
 }
 
-// next is the first byte of the value to come.
+// next returns the first byte of the next value; 0 at the end.
 func (p *parser) next() byte {
-	for _, c := range p.body[p.dec.InputOffset():] {
+	for _, c := range p.body[p.decoder.InputOffset():] {
 		switch c {
 		case ' ', '\t', '\r', '\n', ',', ':':
 		default:
@@ -137,10 +109,10 @@
 	return 0
 }
 
-// skip reads a value and forgets it. The decoder bounds how deep it may be.
-func (p *parser) skip() error { return p.dec.Decode(&p.raw) }
+// skip reads a value into p.raw. The decoder bounds its depth.
+func (p *parser) skip() error { return p.decoder.Decode(&p.raw) }
 
-// object reads an object, each value by a call. Keys are in lower case. Null is an empty one.
+// object reads an object, each value by a call with its key in lower case. Null is an empty object.
 func (p *parser) object(value func(key string) error) error {
 	if p.next() != '{' {
 		if p.skip() == nil && string(p.raw) == "null" {
@@ -148,11 +120,11 @@
 		}
 		return errors.New("an object is wanted")
 	}
-	if _, err := p.dec.Token(); err != nil {
+	if _, err := p.decoder.Token(); err != nil {
 		return err
 	}
-	for p.dec.More() {
-		key, err := p.dec.Token()
+	for p.decoder.More() {
+		key, err := p.decoder.Token()
 		if err != nil {
 			return err
 		}
@@ -161,11 +133,11 @@
 			return err
 		}
 	}
-	_, err := p.dec.Token()
+	_, err := p.decoder.Token()
 	return err
 }
 
-// each reads a list, each entry by a call. A value that stands bare is a list of one; null is an empty one.
+// each reads a list, each entry by a call. A bare value is a list of one; null is an empty list.
 func (p *parser) each(entry func() error) error {
 	switch p.next() {
 	case '[':
@@ -174,263 +146,119 @@
 	default:
 		return entry()
 	}
-	if _, err := p.dec.Token(); err != nil {
+	if _, err := p.decoder.Token(); err != nil {
 		return err
 	}
-	for p.dec.More() {
+	for p.decoder.More() {
 		if err := entry(); err != nil {
 			return err
 		}
 	}
-	_, err := p.dec.Token()
+	_, err := p.decoder.Token()
 	return err
 }
 
+// applications reads the object that holds all applications.
 func (p *parser) applications() error {
 	return p.object(func(key string) error {
 		switch key {
 		case "apps__hashcode":
-			given := p.next() != 'n' // no null
-			var t text
-			err := p.dec.Decode(&t)
-			p.list.Hash, p.list.Hashed = t.s, given && !t.bad
+			isNull := p.next() == 'n'
+			var hash lenientText
+			err := p.decoder.Decode(&hash)
+			p.list.Hash, p.list.Hashed = hash.value, !isNull && !hash.invalid
 			return err
 		case "versions__delta":
-			var n number
-			err := p.dec.Decode(&n)
-			p.list.Version = n.n
+			var version lenientNumber
+			err := p.decoder.Decode(&version)
+			p.list.Version = version.value
 			return err
 		case "application":
-			return p.each(p.application)
+			return p.each(p.parseApplication)
 		}
 		return p.skip()
 	})
 }
 
-func (p *parser) application() error {
-	if c := p.next(); c != '{' {
-		p.fault("an application that is no object")
+// parseApplication reads one application. Its name may follow its instances.
+func (p *parser) parseApplication() error {
+	if p.next() != '{' {
+		p.addFault("an application that is no object")
 		return p.skip()
 	}
-	p.app = ""
+	p.application = ""
 	first := len(p.list.Instances)
 	err := p.object(func(key string) error {
 		switch key {
 		case "name":
-			var t text
-			err := p.dec.Decode(&t)
-			p.app = strings.ToUpper(t.s)
+			var name lenientText
+			err := p.decoder.Decode(&name)
+			p.application = strings.ToUpper(name.value)
 			return err
 		case "instance":
-			return p.each(p.instance)
+			return p.each(p.parseInstance)
 		}
 		return p.skip()
 	})
-	for i := first; i < len(p.list.Instances); i++ { // the name may stand behind the instances
-		if in := &p.list.Instances[i]; p.app != "" && len(p.app) <= mostName {
-			in.App = p.app
+	if p.application != "" && len(p.application) <= maxNameLength {
+		for i := first; i < len(p.list.Instances); i++ {
+			p.list.Instances[i].App = p.application
 		}
 	}
 	return err
 }
 
-// fault words what is wrong. The danger: a long list of broken instances fills the log.
-func (p *parser) fault(format string, args ...any) {
-	if len(p.list.Faults) == mostFaults {
-		p.list.more++
-		return
-	}
-	p.list.Faults = append(p.list.Faults, fmt.Sprintf(format, args...))
-}
-
-// wireInstance is an instance as it comes. Names are taken in any case.
-type wireInstance struct {
-	InstanceID  text   `json:"instanceId"`
-	App         text   `json:"app"`
-	HostName    text   `json:"hostName"`
-	IPAddr      text   `json:"ipAddr"`
-	VIPAddress  text   `json:"vipAddress"`
-	Status      word   `json:"status"`
-	Overridden  word   `json:"overriddenStatus"`
-	Port        port   `json:"port"`
-	ActionType  text   `json:"actionType"`
-	LastUpdated number `json:"lastUpdatedTimestamp"`
-	Metadata    metadata
-	LeaseInfo   wireLease
-	DataCenter  wireDataCenter `json:"dataCenterInfo"`
-}
-
-type wireLease struct {
-	DurationInSecs       number
-	LastRenewalTimestamp number
-	// An old server's spelling of the same.
-	RenewalTimestamp   number
-	ServiceUpTimestamp number
-}
-
-// UnmarshalJSON implements json.Unmarshaler.
-func (l *wireLease) UnmarshalJSON(b []byte) error {
-	type plain wireLease
-	json.Unmarshal(b, (*plain)(l)) // one that is no object tells nothing
-	return nil
-}
-
-type wireDataCenter struct {
-	Metadata struct {
-		InstanceID text `json:"instance-id"`
-		Zone       text `json:"availability-zone"`
-	}
-}
-
-// UnmarshalJSON implements json.Unmarshaler.
-func (d *wireDataCenter) UnmarshalJSON(b []byte) error {
-	type plain wireDataCenter
-	json.Unmarshal(b, (*plain)(d))
-	return nil
-}
-
-func (p *parser) instance() error {
+// parseInstance reads one instance. The number of those that are read is bounded, as millions of empty ones would take seconds.
+func (p *parser) parseInstance() error {
 	if err := p.skip(); err != nil {
 		return err
 	}
-	at := p.at
-	// The danger: millions of empty ones take seconds.
-	if p.at++; p.at > mostListed || p.nameless > mostInstances {
-		return fmt.Errorf("more than %d instances, or more than %d that have no id", mostListed, mostInstances)
+	place := p.instances
+	p.instances++
+	if p.instances > maxListedInstances || p.unidentified > maxInstances {
+		return fmt.Errorf("more than %d instances, or more than %d that have no id", maxListedInstances, maxInstances)
 	}
-	var in wireInstance
-	if p.raw[0] != '{' || json.Unmarshal(p.raw, &in) != nil {
-		p.nameless++
-		p.fault("instance %d: not an object", at)
+	var wire instanceJSON
+	if p.raw[0] != '{' || json.Unmarshal(p.raw, &wire) != nil {
+		p.unidentified++
+		p.addFault("instance %d: not an object", place)
 		return nil
 	}
-	i, ok := p.read(at, &in)
-	switch {
-	case !ok:
-		p.nameless++
-	case len(p.list.Instances) < mostInstances:
-		p.list.Instances = append(p.list.Instances, i)
-	case i.Change == Deleted || i.Word != statusUp: // bad news past the bound is still learned, up to twice of it
-		if p.list.Instances = append(p.list.Instances, i); len(p.list.Instances) > 2*mostInstances {
-			return fmt.Errorf("more than %d instances that take no work", mostInstances)
-		}
-		p.list.cut = true
-	default:
-		if !p.list.cut {
-			p.fault("instance %d: instances that are up past the first %d are not used", at, mostInstances)
-		}
-		p.list.cut = true
-	}
-	return nil
-}
-
-// read checks one instance. It is false where nothing of it can be used.
-func (p *parser) read(at int, in *wireInstance) (Instance, bool) {
-	i := Instance{
-		ID:      in.InstanceID.s,
-		App:     strings.ToUpper(in.App.s),
-		VIP:     in.VIPAddress.s,
-		Status:  in.Status.s,
-		Word:    effective(in.Status.s, in.Overridden.s),
-		Weight:  1,
-		Renewed: max(in.LeaseInfo.LastRenewalTimestamp.stamp(), in.LeaseInfo.RenewalTimestamp.stamp()),
-		Updated: in.LastUpdated.stamp(),
-		Lease:   max(0, min(in.LeaseInfo.DurationInSecs.n, 1<<31)) * 1_000_000,
-	}
-	for _, other := range []string{in.DataCenter.Metadata.InstanceID.s, in.HostName.s} {
-		if i.ID == "" { // as old servers have it
-			i.ID = other
-		}
-	}
-	if i.Status == "" {
-		i.Status = statusUnknown
-	}
-	if i.ID == "" || len(i.ID) > mostName || len(i.App) > mostName {
-		p.fault("instance %d: instanceId: empty or too long (%.40q)", at, i.ID)
-		return i, false
-	}
-	bad := func(field, what string) { p.fault("instance %d, %.80q: %s: %s", at, i.ID, field, what) }
-	if len(i.VIP) > mostMetadata {
-		bad("vipAddress", "too long: taken for none")
-		i.VIP = ""
-	}
-	if strings.EqualFold(in.ActionType.s, "DELETED") {
-		i.Change = Deleted
-		return i, true
-	}
-	addr, field, what := address(in)
-	if i.Addr = addr; addr == "" {
-		i.Unread = true
-		bad(field, what)
-	}
-	all, what := in.Metadata.read()
-	if what != "" {
-		i.Unread = true
-		bad("metadata", what)
+	instance, ok := p.checkInstance(place, &wire)
+	if !ok {
+		p.unidentified++
+		return nil
 	}
-	p.describe(&i, in, all, bad)
-	return i, true
+	return p.addInstance(place, instance)
 }
 
-// describe takes over what metadata says. What can't be read there is taken for its default.
-func (p *parser) describe(i *Instance, in *wireInstance, all map[string]text, bad func(field, what string)) {
-	value := func(name string) string {
-		if name == "" {
-			return ""
-		}
-		return strings.TrimSpace(all[name].s)
-	}
-	i.Zone = value(p.names.Zone)
-	if i.Zone == "" && p.names.AvailabilityZone {
-		i.Zone = in.DataCenter.Metadata.Zone.s
-	}
-	if len(i.Zone) > mostName {
-		bad("metadata."+p.names.Zone, "too long: taken for none")
-		i.Zone = ""
-	}
-	if s := value(p.names.Group); s != "" {
-		group, err := strconv.ParseInt(s, 10, 32)
-		if err != nil {
-			bad("metadata."+p.names.Group, fmt.Sprintf("%.40q is no number of a group: taken for 0", s))
-			group = 0
-		}
-		i.Group = int(group)
+// addInstance adds an instance to the list. Beyond maxInstances, those that are not up are still added, up to as many again.
+func (p *parser) addInstance(place int, i Instance) error {
+	if len(p.list.Instances) < maxInstances {
+		p.list.Instances = append(p.list.Instances, i)
+		return nil
 	}
-	if s := value(p.names.Weight); s != "" {
-		weight, err := strconv.ParseFloat(s, 64)
-		if err != nil || !(weight >= 0) || math.IsInf(weight, 0) {
-			bad("metadata."+p.names.Weight, fmt.Sprintf("%.40q is no weight: taken for 1", s))
-			weight = 1
+	isUp := i.Change != Deleted && i.EffectiveStatus == statusUp
+	if isUp {
+		if !p.list.truncated {
+			p.addFault("instance %d: instances that are up past the first %d are not used", place, maxInstances)
 		}
-		i.Weight = weight
+		p.list.truncated = true
+		return nil
 	}
-	if s := value(p.names.Start); s != "" {
-		ms, err := strconv.ParseInt(s, 10, 64)
-		if err != nil || ms < 0 {
-			bad("metadata."+p.names.Start, fmt.Sprintf("%.40q is no time in ms: taken for long ago", s))
-		}
-		start := number{n: ms}
-		i.Start = start.stamp()
-	} else if p.names.ServiceUp {
-		i.Start = in.LeaseInfo.ServiceUpTimestamp.stamp()
+	p.list.Instances = append(p.list.Instances, i)
+	if len(p.list.Instances) > 2*maxInstances {
+		return fmt.Errorf("more than %d instances that take no work", maxInstances)
 	}
+	p.list.truncated = true
+	return nil
 }
 
-// address is where an instance serves, or the field that is wrong. Names are not looked up.
-func address(in *wireInstance) (addr, field, what string) {
-	field, host := "ipAddr", in.IPAddr.s
-	if host == "" {
-		field, host = "hostName", in.HostName.s
-	}
-	ip, err := netip.ParseAddr(host)
-	if err != nil || ip.Zone() != "" {
-		return "", field, fmt.Sprintf("%.60q is no IP address", host)
-	}
-	switch {
-	case in.Port.off:
-		return "", "port", "not enabled"
-	case in.Port.bad || in.Port.n < 1 || in.Port.n > 65535:
-		return "", "port", fmt.Sprintf("%d is no port", in.Port.n)
+// addFault notes what is wrong. The number of texts is bounded, as a list of broken instances would fill the log.
+func (p *parser) addFault(format string, args ...any) {
+	if len(p.list.Faults) == maxFaults {
+		p.list.unlistedFaults++
+		return
 	}
-	return netip.AddrPortFrom(ip.Unmap(), uint16(in.Port.n)).String(), "", ""
+	p.list.Faults = append(p.list.Faults, fmt.Sprintf(format, args...))
 }
--- a/internal/eureka/parse_test.go
+++ b/internal/eureka/parse_test.go
@@ -10,17 +10,17 @@
 	"starlingwinch/decide"
 )
 
-var names = Default().Options("").Names
+var defaultKeys = Default().Options("").MetadataKeys
 
-// one is an answer with one instance of these fields.
-func one(fields string) string {
+// answerWith is an answer with one instance of these fields.
+func answerWith(fields string) string {
 	return `{"applications":{"application":{"name":"CACHE","instance":{` + fields + `}}}}`
 }
 
-const good = `"instanceId":"a","ipAddr":"10.0.0.1","port":{"$":6379,"@enabled":"true"},"status":"UP"`
+const validFields = `"instanceId":"a","ipAddr":"10.0.0.1","port":{"$":6379,"@enabled":"true"},"status":"UP"`
 
-func TestServersFormsOfTheSameList(t *testing.T) {
-	instance := `{` + good + `,"metadata":{"zone":"z"}}`
+func TestParseReadsEveryFormOfAList(t *testing.T) {
+	instance := `{` + validFields + `,"metadata":{"zone":"z"}}`
 	for _, body := range []string{
 		`{"applications":{"versions__delta":"1","apps__hashcode":"UP_1_","application":[{"name":"CACHE","instance":[` + instance + `]}]}}`,
 		`{"applications":{"versions__delta":1,"apps__hashcode":"UP_1_","application":{"name":"CACHE","instance":` + instance + `}}}`,
@@ -29,48 +29,49 @@
 		`{"application":{"name":"CACHE","instance":[` + instance + `]}}`,
 		`{"Applications":{"Application":[{"Name":"CACHE","Instance":[{"InstanceID":"a","IPADDR":"10.0.0.1","Port":"6379",` +
 			`"STATUS":"up","MetaData":{"zone":"z"},"overriddenstatus":"UNKNOWN","isCoordinatingDiscoveryServer":false}]}]}}`,
-		one(`"hostName":"10.0.0.1","ipAddr":"","instanceId":"a","port":{"@enabled":true,"$":"6379"},"status":"UP","overriddenStatus":null,` +
+		answerWith(`"hostName":"10.0.0.1","ipAddr":"","instanceId":"a",` +
+			`"port":{"@enabled":true,"$":"6379"},"status":"UP","overriddenStatus":null,` +
 			`"metadata":{"@class":"java.util.Collections$EmptyMap","zone":"z"},"leaseInfo":null,"dataCenterInfo":null`),
-		one(good + `,"app":"other","metadata":{"zone":"z","n":5,"t":true,"deep":{"er":[]}}`),
+		answerWith(validFields + `,"app":"other","metadata":{"zone":"z","n":5,"t":true,"deep":{"er":[]}}`),
 	} {
-		l, err := Parse([]byte(body), names)
+		l, err := Parse([]byte(body), defaultKeys)
 		if err != nil || len(l.Instances) != 1 || len(l.Faults) > 0 {
 			t.Errorf("%s\n gives %v, %v, %q", body, l.Instances, err, l.Faults)
 			continue
 		}
 		i := l.Instances[0]
-		if i.ID != "a" || i.App != "CACHE" || i.Addr != "10.0.0.1:6379" || i.Word != "UP" || i.Zone != "z" || i.Unread {
+		if i.ID != "a" || i.App != "CACHE" || i.Address != "10.0.0.1:6379" || i.EffectiveStatus != "UP" || i.Zone != "z" || i.Unusable {
 			t.Errorf("%s\n gives %+v", body, i)
 		}
 	}
 }
 
-func TestEmptyListsAreListsAndNothingElseIs(t *testing.T) {
+func TestParseAcceptsEmptyListsAndRejectsInvalidOnes(t *testing.T) {
 	for _, body := range []string{`{"applications":{"application":[]}}`, `{"applications":{"apps__hashcode":"","application":null}}`,
 		`{"applications":{}}`, `{"applications":null}`, `{"applications":{"application":[{"name":"X","instance":null}]}}`} {
-		if l, err := Parse([]byte(body), names); err != nil || len(l.Instances) > 0 {
+		if l, err := Parse([]byte(body), defaultKeys); err != nil || len(l.Instances) > 0 {
 			t.Errorf("%s gives %v, %v", body, l, err)
 		}
 	}
 	for body, want := range map[string]string{
-		"":                              "empty",
-		"  ":                            "empty",
-		"<applications/>":               "XML",
-		"[]":                            "no JSON object",
-		"{}":                            "neither applications",
-		`{"applications":[]}`:           "object",
-		`{"applications":5}`:            "object",
-		`{"applications":{}`:            "",
-		`{"applications":{}} {}`:        "more follows",
-		`{"applications":{},}`:          "",
-		one(`"status":"UP"`):            "none can be used",
-		one(good)[:len(one(good))/2]:    "",
-		`{"error":"x","status":500}`:    "neither applications",
-		"\xff\xfe{\x00}\x00":            "no JSON object",
-		strings.Repeat("[", 100):        "no JSON object",
-		`{"applications":` + deep(20e3): "",
+		"":                          "empty",
+		"  ":                        "empty",
+		"<applications/>":           "XML",
+		"[]":                        "no JSON object",
+		"{}":                        "neither applications",
+		`{"applications":[]}`:       "object",
+		`{"applications":5}`:        "object",
+		`{"applications":{}`:        "",
+		`{"applications":{}} {}`:    "more follows",
+		`{"applications":{},}`:      "",
+		answerWith(`"status":"UP"`): "none can be used",
+		answerWith(validFields)[:len(answerWith(validFields))/2]: "",
+		`{"error":"x","status":500}`:                             "neither applications",
+		"\xff\xfe{\x00}\x00":                                     "no JSON object",
+		strings.Repeat("[", 100):                                 "no JSON object",
+		`{"applications":` + deep(20e3):                          "",
 	} {
-		if _, err := Parse([]byte(body), names); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse([]byte(body), defaultKeys); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.60s gives %v, want %q", body, err, want)
 		}
 	}
@@ -78,7 +79,7 @@
 
 func deep(n int) string { return strings.Repeat(`{"application":`, n) }
 
-func TestBadFieldsLoseNoBadNews(t *testing.T) {
+func TestParseReadsStatusBesideInvalidFields(t *testing.T) {
 	for _, c := range []struct{ fields, addr, fault string }{
 		{`"instanceId":"a","ipAddr":"cache.local","port":1`, "", `instance 0, "a": ipAddr: "cache.local" is no IP address`},
 		{`"instanceId":"a","hostName":"cache.local","port":1`, "", `instance 0, "a": hostName: "cache.local" is no IP address`},
@@ -87,105 +88,105 @@
 		{`"instanceId":"a","ipAddr":"10.0.0.1","port":{"$":{}}`, "", `port: 0 is no port`},
 		{`"instanceId":"a","ipAddr":["10.0.0.1"],"port":[]`, "", `hostName: "" is no IP address`},
 		{`"instanceId":"a","ipAddr":"10.0.0.1","port":7,"metadata":[]`, "10.0.0.1:7", `metadata: not an object`},
-		{`"instanceId":"a","ipAddr":"10.0.0.1","port":7,"metadata":{"x":"` + strings.Repeat("y", mostMetadata) + `"}`, "10.0.0.1:7",
+		{`"instanceId":"a","ipAddr":"10.0.0.1","port":7,"metadata":{"x":"` + strings.Repeat("y", maxMetadataSize) + `"}`, "10.0.0.1:7",
 			`metadata: longer`},
 		{`"hostName":"a","port":[[[[]]]],"leaseInfo":7,"dataCenterInfo":"x","vipAddress":{}`, "", `hostName`},
 	} {
-		for _, word := range []string{"OUT_OF_SERVICE", "DOWN", "STARTING", "UNKNOWN", "SHUTTING", ""} {
-			l, err := Parse([]byte(one(c.fields+`,"status":"`+word+`"`)), names)
-			if err != nil || len(l.Instances) != 1 || l.Instances[0].Addr != c.addr || !l.Instances[0].Unread ||
+		for _, status := range []string{"OUT_OF_SERVICE", "DOWN", "STARTING", "UNKNOWN", "SHUTTING", ""} {
+			l, err := Parse([]byte(answerWith(c.fields+`,"status":"`+status+`"`)), defaultKeys)
+			if err != nil || len(l.Instances) != 1 || l.Instances[0].Address != c.addr || !l.Instances[0].Unusable ||
 				len(l.Faults) != 1 || !strings.Contains(l.Faults[0], c.fault) {
 				t.Fatalf("%s gives %+v, %q, %v", c.fields, l.Instances, l.Faults, err)
 			}
-			k := known{Instance: l.Instances[0]}
-			if k.unread() || k.claim().Endpoint.Status != decide.Draining {
-				t.Errorf("%s with status %q is %+v", c.fields, word, k.claim())
+			k := knownInstance{Instance: l.Instances[0]}
+			if k.isUnusable() || k.claim().Endpoint.Status != decide.Draining {
+				t.Errorf("%s with status %q is %+v", c.fields, status, k.claim())
 			}
 		}
-		l, _ := Parse([]byte(one(c.fields+`,"status":"UP"`)), names)
-		if k := (known{Instance: l.Instances[0]}); !k.unread() {
+		l, _ := Parse([]byte(answerWith(c.fields+`,"status":"UP"`)), defaultKeys)
+		if k := (knownInstance{Instance: l.Instances[0]}); !k.isUnusable() {
 			t.Errorf("%s is to be unread", c.fields)
 		}
 	}
 }
 
-func TestMetadataThatCantBeReadHasItsDefault(t *testing.T) {
-	l, err := Parse([]byte(one(good+`,"metadata":{"group":"x","weight":"-1","start":"soon"}`)), names)
+func TestInvalidMetadataHasItsDefault(t *testing.T) {
+	l, err := Parse([]byte(answerWith(validFields+`,"metadata":{"group":"x","weight":"-1","start":"soon"}`)), defaultKeys)
 	if err != nil || len(l.Faults) != 3 {
 		t.Fatal(err, l.Faults)
 	}
-	if i := l.Instances[0]; i.Group != 0 || i.Weight != 1 || i.Start != 0 || i.Unread {
+	if i := l.Instances[0]; i.Group != 0 || i.Weight != 1 || i.StartedAt != 0 || i.Unusable {
 		t.Errorf("%+v", i)
 	}
 }
 
-func TestStartAndZoneComeFromWhereOptionsSay(t *testing.T) {
-	body := []byte(one(good + `,"leaseInfo":{"serviceUpTimestamp":1750000000000},"metadata":{"up":"1750000000001","zone":""},` +
+func TestMetadataKeysSelectStartAndZone(t *testing.T) {
+	body := []byte(answerWith(validFields + `,"leaseInfo":{"serviceUpTimestamp":1750000000000},"metadata":{"up":"1750000000001","zone":""},` +
 		`"dataCenterInfo":{"name":"Amazon","metadata":{"availability-zone":"eu-1a"}}`))
 	for _, c := range []struct {
-		names Names
+		names MetadataKeys
 		zone  string
 		start Time
 	}{
-		{names, "", 0},
-		{Names{Zone: "zone", Start: "up"}, "", 1_750_000_000_001 * millisecond},
-		{Names{Zone: "zone", Start: "start", ServiceUp: true, AvailabilityZone: true}, "eu-1a", 1_750_000_000 * second},
-		{Names{}, "", 0},
+		{defaultKeys, "", 0},
+		{MetadataKeys{Zone: "zone", Start: "up"}, "", 1_750_000_000_001 * millisecond},
+		{MetadataKeys{Zone: "zone", Start: "start", ServiceUp: true, AvailabilityZone: true}, "eu-1a", 1_750_000_000 * second},
+		{MetadataKeys{}, "", 0},
 	} {
 		l, err := Parse(body, c.names)
-		if err != nil || l.Instances[0].Zone != c.zone || l.Instances[0].Start != c.start {
+		if err != nil || l.Instances[0].Zone != c.zone || l.Instances[0].StartedAt != c.start {
 			t.Errorf("%+v gives %+v, %v", c.names, l.Instances, err)
 		}
 	}
 }
 
-func TestStatusThatCounts(t *testing.T) {
+func TestEffectiveStatus(t *testing.T) {
 	for _, c := range []struct{ fields, want string }{
 		{`"status":"UP","overriddenStatus":"UNKNOWN"`, "UP"},
 		{`"status":"UP","overriddenStatus":"OUT_OF_SERVICE"`, "OUT_OF_SERVICE"},
 		{`"status":"UP","overriddenstatus":"OUT_OF_SERVICE"`, "OUT_OF_SERVICE"},
 		{`"status":"UP","overriddenstatus":"OUT_OF_SERVICE","overriddenStatus":"UNKNOWN"`, "OUT_OF_SERVICE"},
 		{`"status":"UP","overriddenStatus":"UP","overriddenstatus":"DOWN"`, "DOWN"},
-		{`"status":"UP","overriddenStatus":["?"]`, unheard},
+		{`"status":"UP","overriddenStatus":["?"]`, statusUnreadable},
 		{`"status":"OUT_OF_SERVICE","overriddenStatus":"UP"`, "UP"},
 		{`"status":"DOWN","overriddenStatus":"UP"`, "DOWN"},
 		{`"status":"STARTING","overriddenStatus":"UP"`, "STARTING"},
 		{`"status":"DOWN","Status":"UP"`, "DOWN"},
 		{`"status":"UP","Status":"DOWN"`, "DOWN"},
 		{`"status":" up "`, "UP"},
-		{`"status":{}`, unheard},
+		{`"status":{}`, statusUnreadable},
 		{`"status":null`, "UNKNOWN"},
 		{`"x":1`, "UNKNOWN"},
 	} {
-		l, err := Parse([]byte(one(`"instanceId":"a","ipAddr":"::1","port":1,`+c.fields)), names)
-		if err != nil || l.Instances[0].Word != c.want {
+		l, err := Parse([]byte(answerWith(`"instanceId":"a","ipAddr":"::1","port":1,`+c.fields)), defaultKeys)
+		if err != nil || l.Instances[0].EffectiveStatus != c.want {
 			t.Errorf("%s counts as %+v, %v; want %s", c.fields, l.Instances, err, c.want)
 		}
 	}
 }
 
-func TestHashCodeIsThatOfServers(t *testing.T) {
+func TestHashCode(t *testing.T) {
 	counts := map[string]int{"UP": 10, "DOWN": 2, "STARTING": 0, "OUT_OF_SERVICE": 1}
 	if got := hashCode(counts); got != "DOWN_2_OUT_OF_SERVICE_1_UP_10_" {
 		t.Error(got)
 	}
 }
 
-func TestInstancesPastTheBoundAreLeftOutButNotTheirBadNews(t *testing.T) {
+func TestParseBoundsInstancesThatAreUp(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(`{"applications":{"application":{"instance":[`)
-	for i := range mostInstances + 10 {
+	for i := range maxInstances + 10 {
 		fmt.Fprintf(&b, `{"instanceId":"%d","ipAddr":"10.0.0.1","port":1,"status":"UP"},`, i)
 	}
 	b.WriteString(`{"instanceId":"x","status":"DOWN"}]}}}`)
-	l, err := Parse([]byte(b.String()), names)
-	if err != nil || len(l.Instances) != mostInstances+1 || l.Instances[mostInstances].Word != "DOWN" || !l.cut {
-		t.Errorf("%d instances, cut %v, %v", len(l.Instances), l.cut, err)
+	l, err := Parse([]byte(b.String()), defaultKeys)
+	if err != nil || len(l.Instances) != maxInstances+1 || l.Instances[maxInstances].EffectiveStatus != "DOWN" || !l.truncated {
+		t.Errorf("%d instances, cut %v, %v", len(l.Instances), l.truncated, err)
 	}
 }
 
-// TestHostileBodiesCostBoundedMemory beyond a few times their size.
-func TestHostileBodiesCostBoundedMemory(t *testing.T) {
+// TestParseMemoryIsBounded by a few times the size of a hostile body.
+func TestParseMemoryIsBounded(t *testing.T) {
 	const size = 4 << 20
 	fill := func(start, piece string) []byte {
 		return append([]byte(start), bytes.Repeat([]byte(piece), size/len(piece))...)
@@ -199,13 +200,13 @@
 		"instances of null":       fill(`{"applications":{"application":{"instance":[0`, `,0`),
 		"empty applications":      fill(`{"applications":{"application":[{}`, `,{}`),
 		"one long text":           fill(`{"x":"`, `y`),
-		"metadata of many keys":   fill(one(good)[:len(one(good))-4]+`,"metadata":{"b":1`, `,"a":""`),
+		"metadata of many keys":   fill(answerWith(validFields)[:len(answerWith(validFields))-4]+`,"metadata":{"b":1`, `,"a":""`),
 		"instances that are down": fill(`{"applications":{"application":{"instance":[{"instanceId":"d"}`, `,{"instanceId":"d"}`),
 	} {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		if _, err := Parse(body, names); err == nil {
+		if _, err := Parse(body, defaultKeys); err == nil {
 			t.Errorf("%s: no error", what)
 		}
 		runtime.ReadMemStats(&after)
@@ -216,30 +217,30 @@
 	}
 }
 
-// FuzzParse: it never panics, and what it takes is in its bounds.
+// FuzzParse: no body makes it panic, and what it returns is within its bounds.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(list(3, nil, newFleet("a", "bb").nodes)))
-	f.Add([]byte(one(good + `,"metadata":{"zone":"z","group":7},"overriddenstatus":"DOWN","actionType":"DELETED"`)))
+	f.Add([]byte(list(3, nil, newScriptedFleet("a", "bb").nodes)))
+	f.Add([]byte(answerWith(validFields + `,"metadata":{"zone":"z","group":7},"overriddenstatus":"DOWN","actionType":"DELETED"`)))
 	f.Add([]byte(`{"application":{"name":"X","instance":[{"hostName":"h"},5,null,[]]}}`))
 	f.Add([]byte(`{"applications":null,"application":null}`))
 	f.Add([]byte("\xef\xbb\xbf{\"applications\":{\"application\":{\"instance\":{\"instanceId\":\"\xff\\ud800\"}}}}"))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		l, err := Parse(body, names)
+		l, err := Parse(body, defaultKeys)
 		if err != nil {
 			return
 		}
 		for _, i := range l.Instances {
-			if i.ID == "" || len(i.ID) > mostName || len(i.App) > mostName || len(i.Zone) > mostName || !(i.Weight >= 0) ||
-				i.Start < 0 || i.Updated < 0 || i.Renewed < 0 || i.Addr == "" && !i.Unread && i.Change != Deleted {
+			if i.ID == "" || len(i.ID) > maxNameLength || len(i.App) > maxNameLength || len(i.Zone) > maxNameLength || !(i.Weight >= 0) ||
+				i.StartedAt < 0 || i.UpdatedAt < 0 || i.RenewedAt < 0 || i.Address == "" && !i.Unusable && i.Change != Deleted {
 				t.Errorf("%+v", i)
 			}
 		}
-		if len(l.Faults) > mostFaults+1 {
+		if len(l.Faults) > maxFaults+1 {
 			t.Errorf("%d faults", len(l.Faults))
 		}
-		s := newState(filter{}, 0)
-		s.replace(&l, second, false)
-		if claims, _, _ := s.apply(&l, second); len(claims) > len(l.Instances) {
+		s := newInstanceTable(filter{}, 0)
+		s.applyFull(&l, second, false)
+		if claims, _, _ := s.applyDelta(&l, second); len(claims) > len(l.Instances) {
 			t.Errorf("%d claims of %d instances", len(claims), len(l.Instances))
 		}
 	})
@@ -251,12 +252,12 @@
 		for i := range n {
 			ids = append(ids, fmt.Sprintf("cache-%d:6379", i))
 		}
-		body := []byte(list(1, nil, newFleet(ids...).nodes))
+		body := []byte(list(1, nil, newScriptedFleet(ids...).nodes))
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.SetBytes(int64(len(body)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Parse(body, names); err != nil {
+				if _, err := Parse(body, defaultKeys); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/eureka/real_test.go
+++ b/internal/eureka/real_test.go
@@ -10,9 +10,9 @@
 	"starlingwinch/internal/machine"
 )
 
-// TestRealMachineFollowsARegistry and gives all back: the reading of answers runs beside its loop.
-func TestRealMachineFollowsARegistry(t *testing.T) {
-	body := list(1, newFleet("a", "bb").nodes, newFleet("a", "bb").nodes)
+// TestFollowOnRealMachine, where responses are parsed beside the loop, and Stop ends the run.
+func TestFollowOnRealMachine(t *testing.T) {
+	body := list(1, newScriptedFleet("a", "bb").nodes, newScriptedFleet("a", "bb").nodes)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/eureka/apps" {
 			http.NotFound(w, r)
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Servers, o.Cadence, o.Timeout = []URL{u}, 50*millisecond, 20*second
+	o.Servers, o.PollInterval, o.Timeout = []URL{u}, 50*millisecond, 20*second
 	var got string
 	var status Status
 	m.Post(func() {
@@ -38,7 +38,7 @@
 		calls := 0
 		c = Follow(m, o, func(e endpoints.Event) {
 			if h, ok := e.(*endpoints.SourceUpdate); ok && h.Full && got == "" {
-				got = words(h.Claims)
+				got = claimTexts(h.Claims)
 			}
 			if calls++; calls == 3 {
 				status = c.Status()
@@ -49,6 +49,6 @@
 	})
 	m.Run()
 	if got != "a up, bb up" || status.Failures != 0 || status.Calls < 3 {
-		t.Errorf("told %q, status %+v", got, status)
+		t.Errorf("reported %q, status %+v", got, status)
 	}
 }
--- a/internal/eureka/register_test.go
+++ b/internal/eureka/registration_test.go
@@ -8,35 +8,35 @@
 	"testing"
 )
 
-// book is a registry that keeps registrations.
-type book struct {
+// registrar is a registry with the registration of one router.
+type registrar struct {
 	status string // "" while the router is unknown
 	down   bool
 	silent bool
 }
 
-func (b *book) script(a asked) answer {
+func (b *registrar) script(a request) response {
 	const own = "/apps/ROUTER/r%201"
 	path, query, _ := strings.Cut(a.path, "?")
 	switch {
 	case b.silent:
-		return answer{silent: true}
+		return response{silent: true}
 	case b.down:
-		return answer{status: 503}
+		return response{status: 503}
 	case a.method == "POST" && path == "/apps/ROUTER":
 		b.status = "UP"
-		return answer{status: 204}
+		return response{status: 204}
 	case b.status == "":
-		return answer{status: 404}
+		return response{status: 404}
 	case a.method == "PUT" && path == own+"/status" && strings.HasPrefix(query, "value=OUT_OF_SERVICE&lastDirtyTimestamp="):
 		b.status = "OUT_OF_SERVICE"
 	case a.method == "PUT" && path == own && strings.HasPrefix(query, "status="+b.status+"&lastDirtyTimestamp="):
 	case a.method == "DELETE" && path == own:
 		b.status = ""
 	default:
-		return answer{status: 400}
+		return response{status: 400}
 	}
-	return answer{status: 200}
+	return response{status: 200}
 }
 
 func registration(servers ...*registry) RegisterOptions {
@@ -47,7 +47,7 @@
 	return o
 }
 
-// methods are the calls from some one on, as "POST PUT".
+// methods are those of the calls from this one on, as "POST PUT".
 func (r *registry) methods(from int) string {
 	var all []string
 	for _, a := range r.calls[from:] {
@@ -56,8 +56,8 @@
 	return strings.Join(all, " ")
 }
 
-func TestRegistrationIsKeptUpAndTakenBack(t *testing.T) {
-	f, b := newField(t), &book{}
+func TestRegistrationLifecycle(t *testing.T) {
+	f, b := newRig(t), &registrar{}
 	r := f.registry("r", "10.0.0.1", b.script)
 	reg := Register(f.client.Machine(), registration(r))
 	f.after(second)
@@ -80,8 +80,8 @@
 		t.Errorf("registered as %+v", i)
 	}
 	bare := strings.TrimSuffix(strings.TrimPrefix(r.calls[0].body, `{"instance":`), "}")
-	l, err := Parse([]byte(`{"application":{"name":"ROUTER","instance":`+bare+`}}`), names)
-	if err != nil || len(l.Faults) > 0 || l.Instances[0].Addr != "10.0.0.9:7000" {
+	l, err := Parse([]byte(`{"application":{"name":"ROUTER","instance":`+bare+`}}`), defaultKeys)
+	if err != nil || len(l.Faults) > 0 || l.Instances[0].Address != "10.0.0.9:7000" {
 		t.Errorf("it reads as %+v, %v", l, err)
 	}
 	f.after(5 * minute)
@@ -119,8 +119,8 @@
 	}
 }
 
-func TestDrainingRouterIsNotRegisteredAnew(t *testing.T) {
-	f, b := newField(t), &book{}
+func TestDrainingRouterIsNotRegisteredAgain(t *testing.T) {
+	f, b := newRig(t), &registrar{}
 	r := f.registry("r", "10.0.0.1", b.script)
 	reg := Register(f.client.Machine(), registration(r))
 	f.after(second)
@@ -140,9 +140,9 @@
 	}
 }
 
-func TestDrainDuringARegistrationIsTold(t *testing.T) {
-	f, b := newField(t), &book{}
-	r := f.registry("r", "10.0.0.1", func(a asked) answer {
+func TestDrainDuringRegisterCallIsReported(t *testing.T) {
+	f, b := newRig(t), &registrar{}
+	r := f.registry("r", "10.0.0.1", func(a request) response {
 		got := b.script(a)
 		if a.method == "POST" {
 			got.delay = 500 * millisecond
@@ -158,18 +158,18 @@
 	}
 }
 
-func TestEndOfARegistrationWaitsForNobody(t *testing.T) {
-	for what, trouble := range map[string]func(r *registry, b *book){
-		"is silent":   func(_ *registry, b *book) { b.silent = true },
-		"answers 503": func(_ *registry, b *book) { b.down = true },
-		"vanishes":    func(r *registry, _ *book) { r.host.Vanish() },
-		"refuses":     func(r *registry, _ *book) { r.host.RefuseAll(true); r.host.DropIdleConns(false) },
+func TestCancelIsBoundedByTimeout(t *testing.T) {
+	for what, breakRegistry := range map[string]func(r *registry, b *registrar){
+		"is silent":   func(_ *registry, b *registrar) { b.silent = true },
+		"answers 503": func(_ *registry, b *registrar) { b.down = true },
+		"vanishes":    func(r *registry, _ *registrar) { r.host.Vanish() },
+		"refuses":     func(r *registry, _ *registrar) { r.host.RefuseAll(true); r.host.DropIdleConns(false) },
 	} {
-		f, b := newField(t), &book{}
+		f, b := newRig(t), &registrar{}
 		r := f.registry("r", "10.0.0.1", b.script)
 		reg := Register(f.client.Machine(), registration(r))
 		f.after(second)
-		trouble(r, b)
+		breakRegistry(r, b)
 		reg.Drain()
 		f.after(minute)
 		at := f.Now()
@@ -186,9 +186,9 @@
 	}
 }
 
-func TestRegistrationTurnsToTheNextServer(t *testing.T) {
-	f, b := newField(t), &book{}
-	other := &book{down: true}
+func TestRegistrationFailsOver(t *testing.T) {
+	f, b := newRig(t), &registrar{}
+	other := &registrar{down: true}
 	r1, r2 := f.registry("r1", "10.0.0.1", other.script), f.registry("r2", "10.0.0.2", b.script)
 	Register(f.client.Machine(), registration(r1, r2))
 	f.after(second)
@@ -196,14 +196,14 @@
 		t.Errorf("status %q, calls to the first %v", b.status, r1.calls)
 	}
 	f.after(10 * minute)
-	if slices.ContainsFunc(r2.calls[1:], func(a asked) bool { return a.method != "PUT" }) {
+	if slices.ContainsFunc(r2.calls[1:], func(a request) bool { return a.method != "PUT" }) {
 		t.Errorf("calls %v", r2.calls)
 	}
 }
 
-func TestStopOfARegistrationLeavesNothing(t *testing.T) {
+func TestRegistrationStopReleasesEverything(t *testing.T) {
 	for step := range 100 {
-		f, b := newField(t), &book{}
+		f, b := newRig(t), &registrar{}
 		r := f.registry("r", "10.0.0.1", b.script)
 		reg := Register(f.client.Machine(), registration(r))
 		for range step {
@@ -222,18 +222,18 @@
 	}
 }
 
-func TestInstanceHasAnIDOfItsOwn(t *testing.T) {
+func TestDefaultInstanceIDHoldsAddress(t *testing.T) {
 	c := Default()
 	c.Register.IP, c.Register.Port = "::1", 80
-	if o := c.Registration(); o.Instance != "starlingwinch:[::1]:80" || o.Addr != netip.MustParseAddrPort("[::1]:80") {
+	if o := c.Registration(); o.Instance != "starlingwinch:[::1]:80" || o.Address != netip.MustParseAddrPort("[::1]:80") {
 		t.Errorf("%+v", o)
 	}
 }
 
-// TestPredecessorThatCancelsLateCostsASecond: the process before, under the same id, takes itself off the registry after this one
-// has registered. Its next heartbeat would notice within the renewal time, half a minute.
-func TestPredecessorThatCancelsLateCostsASecond(t *testing.T) {
-	f, b := newField(t), &book{}
+// TestLateDeregistrationOfPredecessorIsNoticedWithinASecond: the previous process, with the same id, deregisters after this one
+// has registered. At the usual interval, a heartbeat would notice half a minute later.
+func TestLateDeregistrationOfPredecessorIsNoticedWithinASecond(t *testing.T) {
+	f, b := newRig(t), &registrar{}
 	reg := f.registry("eureka", "10.0.0.2", b.script)
 	o := registration(reg)
 	o.Predecessor = 5 * second
--- a/internal/eureka/status.go
+++ b/internal/eureka/status.go
@@ -8,53 +8,56 @@
 	"starlingwinch/decide"
 )
 
-// Words for the state of an instance.
+// The registry's words for the status of an instance that this package handles by name.
 const (
-	statusUp      = "UP"
-	statusUnknown = "UNKNOWN"
-	statusOut     = "OUT_OF_SERVICE"
-	unheard       = "UNREADABLE" // stands for a word that is none
+	statusUp           = "UP"
+	statusDown         = "DOWN"
+	statusStarting     = "STARTING"
+	statusOutOfService = "OUT_OF_SERVICE"
+	statusUnknown      = "UNKNOWN"
+	statusUnreadable   = "UNREADABLE" // stands for a value that is no status; registries don't send it
 )
 
-const mostWord = 64 // bytes of a status
+// maxStatusLength bounds a status; bytes.
+const maxStatusLength = 64
 
-// condition is what a status says. Only one word says that an instance takes work. The danger: any other
-// one may be a drain.
-func condition(status string) decide.Status {
+// endpointStatus is the status of an endpoint. Only UP means that it serves; any other word, known or not, is taken for a drain.
+func endpointStatus(status string) decide.Status {
 	if status == statusUp {
 		return decide.Serving
 	}
 	return decide.Draining
 }
 
-// effective is the status that counts: the overridden one, where there is one. An override to UP does not lift what an
-// instance says of itself by DOWN or STARTING, as in the registry's own rules.
-func effective(status, overridden string) string {
+// effectiveStatus is the overridden status, where there is one, else the status of the instance itself. An override to UP does
+// not lift DOWN or STARTING, as in the registry's own rules.
+func effectiveStatus(status, overridden string) string {
+	hasOverride := overridden != "" && overridden != statusUnknown
+	if hasOverride && overridden == statusUp && (status == statusDown || status == statusStarting) {
+		hasOverride = false
+	}
 	switch {
-	case overridden == "" || overridden == statusUnknown:
-	case overridden == statusUp && (status == "DOWN" || status == "STARTING"):
-	default:
+	case hasOverride:
 		return overridden
-	}
-	if status == "" {
+	case status == "":
 		return statusUnknown
 	}
 	return status
 }
 
-// hashCode is how registries sum a list up: how many instances there are of each status, in the order of
-// the words, as in DOWN_2_UP_10_. It takes the status as it is listed, overridden or not.
+// hashCode is how registries summarize a list: the number of instances of each status, in the order of the words, as in
+// DOWN_2_UP_10_. It counts the status as listed, overridden or not.
 func hashCode(counts map[string]int) string {
-	var words []string
-	for word, n := range counts { // any order: sorted below
+	var statuses []string
+	for status, n := range counts { // any order: sorted below
 		if n != 0 {
-			words = append(words, word)
+			statuses = append(statuses, status)
 		}
 	}
-	slices.Sort(words)
-	var b strings.Builder
-	for _, word := range words {
-		b.WriteString(word + "_" + strconv.Itoa(counts[word]) + "_")
+	slices.Sort(statuses)
+	var hash strings.Builder
+	for _, status := range statuses {
+		hash.WriteString(status + "_" + strconv.Itoa(counts[status]) + "_")
 	}
-	return b.String()
+	return hash.String()
 }
