--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -38,15 +38,15 @@
 	Grace  Time // drain grace; used where Pushed
 }
 
-// spans draws the time limits of a watch.
-func (o Options) spans(chance uint64) retry.Spans {
+// drawTimeouts draws the time limits of a watch.
+func (o Options) drawTimeouts(chance uint64) retry.Timeouts {
 	call := retry.CallOptions{
 		WatchTime:  o.WatchTime.Microseconds(),
 		AnswerTime: o.AnswerTime.Microseconds(),
 		Pushed:     o.Pushed,
 		Grace:      o.Grace,
 	}
-	return call.Spans(chance)
+	return call.Draw(chance)
 }
 
 // Watch calls discovery by long polls, one call at a time and over one connection at most, and passes on each answer, until a
@@ -58,7 +58,7 @@
 type Watch struct {
 	m         machine.Machine
 	addr      string
-	spans     retry.Spans
+	timeouts  retry.Timeouts
 	onList    func(List)
 	onFailure func(error)
 	client    *httpclient.Client
@@ -81,14 +81,14 @@
 	w := &Watch{
 		m:         m,
 		addr:      addr,
-		spans:     o.spans(m.Entropy()),
+		timeouts:  o.drawTimeouts(m.Entropy()),
 		onList:    onList,
 		onFailure: onFailure,
 		pace:      newCallPace(m.Now()),
 		version:   after,
 	}
 	w.client = httpclient.New(m, addr, httpclient.Options{
-		DialTime:     w.spans.AnswerTimeout,
+		DialTime:     w.timeouts.AnswerTimeout,
 		MaxBodyBytes: int(o.MaxListSize),
 	})
 	w.call()
@@ -117,10 +117,10 @@
 		w.nextCall = w.m.At(now+delay, w.call)
 		return
 	}
-	path, timeout := hostsPath, w.spans.AnswerTimeout
+	path, timeout := hostsPath, w.timeouts.AnswerTimeout
 	if w.version != NoIndex {
-		path = fmt.Sprintf("%s?after=%d&wait_ms=%d", hostsPath, w.version, w.spans.WatchWait/microsecondsPerMillisecond)
-		timeout = w.spans.SilentAfter
+		path = fmt.Sprintf("%s?after=%d&wait_ms=%d", hostsPath, w.version, w.timeouts.WatchWait/microsecondsPerMillisecond)
+		timeout = w.timeouts.SilentAfter
 	}
 	w.timeoutTimer = w.m.At(now+timeout, func() { w.onTimeout(timeout) })
 	w.callPending = true
@@ -137,7 +137,7 @@
 func (w *Watch) IsFirstOut() bool { return !w.stopped && !w.hasAnswered && !w.timedOut }
 
 // RetryDelay is the delay from a failure to the next call; 0 where the owner of the watch decides that.
-func (w *Watch) RetryDelay() Time { return w.spans.RetryDelay }
+func (w *Watch) RetryDelay() Time { return w.timeouts.RetryDelay }
 
 // TimedOut reports whether the call that is out should have been answered by now.
 func (w *Watch) TimedOut() bool { return w.timedOut && !w.stopped }
--- a/internal/retry/pacer.go
+++ b/internal/retry/pacer.go
@@ -1,101 +1,115 @@
 // Package retry paces the calls of many clients to one service that they share, such as discovery: how long a call may take
-// (Spans), and how long a client waits before it calls again (Pacer).
+// (Timeouts), and how long a client waits before it calls again (Pacer).
 //
-// It holds no clock, timer or connection: the time and the chance come in with each call. Clients exchange no word, so that
-// each has to do what is best if all the others do it too.
+// It holds no clock, timer or connection: the time and the random number come in with each call. Clients don't communicate, so
+// that each one does what is best if all the others do it too.
 package retry
 
 // Time is an instant or a span in microseconds.
 type Time = int64
 
-// The operators' pages bound how long a client may be without the service: a change counts as told toldAfterReachable after
-// the service had it and could be reached, whatever else is allowed.
-const toldAfterReachable = 6_000_000
+// notifiedAfterReachable bounds how long a client may be without the service: it counts as notified of a change so long after the
+// service had the change and could be reached.
+const notifiedAfterReachable Time = 6_000_000
 
-// Figures of the pace. docs/design/retry.md has what was measured, and what would change them.
+// Parameters of the pace. docs/design/retry.md has the measurements behind them.
 const (
-	meanPart    = 6   // of the bound: the mean pause
-	jitter      = 3   // a pause differs from its mean by up to this part of it
-	steadyFor   = 3   // bounds without an answer until pauses grow
-	longestPart = 4.5 // times the usual mean that they grow to, so that the longest pause is the bound
-	askFailed   = 4   // times PollInterval for which a failed call counts
+	meanDivisor         = 6   // the mean delay is this part of the bound
+	jitterDivisor       = 3   // a delay differs from its mean by up to this part of it
+	steadyBounds        = 3   // bounds without an answer, after which delays grow
+	maxGrowth           = 4.5 // of the mean delay, so that the longest delay is the bound
+	failedPollIntervals = 4   // a failed call counts for so many poll intervals
 )
 
-// Options say who calls.
+// Options are the parameters of a Pacer.
 type Options struct {
 	Clients      int  // that share the service, this one among them
-	Grace        Time // within which news of the service has to be acted on
-	PollInterval Time // a client that has not called for so long counts as told; 0 for never
+	Grace        Time // within which a change that the service reports has to be acted on
+	PollInterval Time // a client that has not called for so long counts as notified; 0 for never
 }
 
-// Pacer says when one client calls again. Use NewPacer.
+// Pacer decides when one client calls again. Use NewPacer.
 //
-// Pauses neither grow with each failure nor shrink: the mean stays at a sixth of the bound. A service that takes one call
-// of each client within the bound then always has calls waiting, while those that it turns away cost it little. Exponential
-// backoff leaves it idle in the end, as the last clients call seldom. Pauses that are much shorter have it spend its time
-// on turning calls away. Only after several bounds without an answer, when the service can't take all clients within the bound
-// or is down for long, do they grow, up to the bound.
+// Delays neither grow with each failure nor shrink: their mean stays at a sixth of the bound. A service that can answer one call
+// of each client within the bound then always has calls waiting, while those that it rejects cost it little. Exponential backoff
+// would leave it idle in the end, as the last clients call seldom; much shorter delays would have it spend its time on
+// rejections. Delays grow, up to the bound, only after several bounds without an answer, when the service is down for long or
+// can't answer all clients within the bound.
 type Pacer struct {
-	bound   Time
-	first   Time // longest pause after the loss of a watch that worked
-	alone   bool
-	lostAt  Time // since when no call was answered
-	lost    bool
-	heard   bool // a call was answered once
-	refused int  // calls that failed since lostAt
-	said    bool
+	bound         Time // within which each client should be answered
+	maxFirstDelay Time // after the loss of a watch that worked
+	isOnlyClient  bool
+	wasAnswered   bool // a call was ever answered
+	failing       bool // no call was answered since failingSince
+	failingSince  Time
+	failedCalls   int  // since failingSince
+	wasOverdue    bool // Failure.Overdue was set since failingSince
 }
 
 // NewPacer returns the pacer of one client.
 func NewPacer(o Options) *Pacer {
-	p := &Pacer{bound: toldAfterReachable, first: max(o.Grace/2, CallPause), alone: o.Clients <= 1}
+	p := &Pacer{
+		bound:         notifiedAfterReachable,
+		maxFirstDelay: max(o.Grace/2, CallPause),
+		isOnlyClient:  o.Clients <= 1,
+	}
 	if o.PollInterval > 0 {
-		p.bound = max(min(p.bound, askFailed*o.PollInterval), meanPart*CallPause)
+		p.bound = max(min(p.bound, failedPollIntervals*o.PollInterval), meanDivisor*CallPause)
 	}
 	return p
 }
 
-// Start is the pause before a client's first call. Clients that start in step spread their calls over it; chance is in [0, 1).
+// Start returns the delay of a client's first call. Clients that start in step spread their calls over it. chance is a random
+// number in [0, 1).
 func (p *Pacer) Start(chance float64) Time {
-	if p.alone {
+	if p.isOnlyClient {
 		return 0
 	}
-	return Time(chance * float64(p.first))
+	return Time(chance * float64(p.maxFirstDelay))
 }
 
-// Failure is what to do about a call that failed.
+// Failure says what to do after a failed call.
 type Failure struct {
 	Pause   Time // until the next call
-	Lost    bool // it is the first one since an answer
-	Overdue bool // it is the first one that fails after the bound
-	For     Time // since the last call that was answered
-	Calls   int  // that failed in this time
+	Lost    bool // it is the first failure since an answer
+	Overdue bool // it is the first failure later than the bound
+	For     Time // since the first failure
+	Calls   int  // that have failed in this time
 }
 
-// Failed takes in that a call failed or a watch was lost; chance is in [0, 1).
+// Failed records that a call failed or a watch was lost. chance is a random number in [0, 1).
 func (p *Pacer) Failed(now Time, chance float64) Failure {
-	f := Failure{Lost: !p.lost}
-	if f.Lost {
-		p.lost, p.lostAt, p.refused, p.said = true, now, 0, false
-	}
-	p.refused++
-	f.For, f.Calls = now-p.lostAt, p.refused
-	if f.Overdue = !p.said && f.For >= p.bound; f.Overdue {
-		p.said = true
+	failure := Failure{Lost: !p.failing}
+	if failure.Lost {
+		p.failing, p.failingSince, p.failedCalls, p.wasOverdue = true, now, 0, false
 	}
-	if f.Lost && p.heard {
-		// A watch that worked was lost, and what changes meanwhile is missed: this client asks within half of the grace.
-		// Without a least pause, a service that answers and breaks off again and again would be called without end.
-		f.Pause = minSpan + Time(chance*float64(p.first-minSpan))
-		return f
+	p.failedCalls++
+	failure.For, failure.Calls = now-p.failingSince, p.failedCalls
+	failure.Overdue = !p.wasOverdue && failure.For >= p.bound
+	p.wasOverdue = p.wasOverdue || failure.Overdue
+	if failure.Lost && p.wasAnswered {
+		failure.Pause = p.firstDelay(chance)
+	} else {
+		failure.Pause = p.delay(failure.For, chance)
 	}
-	mean := float64(p.bound) / meanPart
-	if grown := float64(f.For) / float64(steadyFor*p.bound); grown > 1 {
-		mean *= min(grown, longestPart)
+	return failure
+}
+
+// firstDelay is the delay after the loss of a watch that worked. As changes are missed meanwhile, it is within half of the
+// grace. It has a minimum, as a service that answers and breaks off again and again would be called without end.
+func (p *Pacer) firstDelay(chance float64) Time {
+	return minDelay + Time(chance*float64(p.maxFirstDelay-minDelay))
+}
+
+// delay is the delay after a failed call, without an answer for so long.
+func (p *Pacer) delay(failingFor Time, chance float64) Time {
+	mean := float64(p.bound) / meanDivisor
+	growth := float64(failingFor) / float64(steadyBounds*p.bound)
+	if growth > 1 {
+		mean *= min(growth, maxGrowth)
 	}
-	f.Pause = Time(mean * (1 + (2*chance-1)/jitter))
-	return f
+	return Time(mean * (1 + (2*chance-1)/jitterDivisor))
 }
 
-// Answered takes in that a call was answered.
-func (p *Pacer) Answered() { p.lost, p.heard = false, true }
+// Answered records that a call was answered.
+func (p *Pacer) Answered() { p.failing, p.wasAnswered = false, true }
--- a/internal/retry/pacer_test.go
+++ b/internal/retry/pacer_test.go
@@ -7,28 +7,33 @@
 
 const second Time = 1_000_000
 
-func TestPauseAfterALostWatchIsWithinHalfOfTheGrace(t *testing.T) {
-	for _, every := range []Time{0, 500_000, 10 * second, 600 * second} {
+func TestFirstDelayIsWithinHalfOfTheGrace(t *testing.T) {
+	for _, interval := range []Time{0, 500_000, 10 * second, 600 * second} {
 		for _, chance := range []float64{0, 0.5, 0.999999} {
-			p := NewPacer(Options{Clients: 300, Grace: second / 2, PollInterval: every})
+			p := NewPacer(Options{Clients: 300, Grace: second / 2, PollInterval: interval})
 			p.Answered()
 			if f := p.Failed(7*second, chance); !f.Lost || f.Pause > second/4 {
-				t.Errorf("every %d, chance %g: %+v", every, chance, f)
+				t.Errorf("interval %d, chance %g: %+v", interval, chance, f)
 			}
 			if f := p.Failed(8*second, chance); f.Lost || f.Pause == 0 {
-				t.Errorf("every %d, chance %g, second failure: %+v", every, chance, f)
+				t.Errorf("interval %d, chance %g, second failure: %+v", interval, chance, f)
 			}
 		}
 	}
 }
 
-// TestCallsAreNeverMadeWithoutAPause, whatever the settings say and however often the service answers and breaks off.
-func TestCallsAreNeverMadeWithoutAPause(t *testing.T) {
-	for _, o := range []Options{{Clients: 1}, {Clients: 300, PollInterval: 1}, {Clients: 2, Grace: 1, PollInterval: 1000}, {Clients: 2, Grace: second}} {
+// TestDelaysHaveAMinimum, whatever the options, and however often the service answers and breaks off.
+func TestDelaysHaveAMinimum(t *testing.T) {
+	for _, o := range []Options{
+		{Clients: 1},
+		{Clients: 300, PollInterval: 1},
+		{Clients: 2, Grace: 1, PollInterval: 1000},
+		{Clients: 2, Grace: second},
+	} {
 		p := NewPacer(o)
 		for now := Time(0); now < 10; now++ {
 			p.Answered()
-			if f := p.Failed(now, 0); f.Pause < minSpan {
+			if f := p.Failed(now, 0); f.Pause < minDelay {
 				t.Errorf("%+v: %d after the loss of a watch", o, f.Pause)
 			}
 			if f := p.Failed(now, 0); f.Pause < CallPause/2 {
@@ -38,7 +43,7 @@
 	}
 }
 
-func TestPausesStayWithinTheBoundAndGrowOnlyAfterSeveral(t *testing.T) {
+func TestDelaysStayWithinTheBoundAndGrowOnlyAfterSeveral(t *testing.T) {
 	p := NewPacer(Options{Clients: 300, Grace: second, PollInterval: 10 * second})
 	rng := rand.New(rand.NewPCG(1, 1))
 	now, overdue := 5*second, 0
@@ -50,20 +55,20 @@
 				t.Errorf("overdue %+v", f)
 			}
 		}
-		least, most := second*2/3, second*4/3
+		shortest, longest := second*2/3, second*4/3
 		if f.For > 18*second {
-			most = 6 * second
+			longest = 6 * second
 		}
 		if f.For > 81*second {
-			least = 3 * second
+			shortest = 3 * second
 		}
-		if f.Pause < least || f.Pause > most {
-			t.Fatalf("lost for %d us: a pause of %d", f.For, f.Pause)
+		if f.Pause < shortest || f.Pause > longest {
+			t.Fatalf("failing for %d us: a delay of %d", f.For, f.Pause)
 		}
 		now += f.Pause
 	}
 	if overdue != 1 {
-		t.Errorf("said %d times that it is overdue, want once a loss", overdue)
+		t.Errorf("overdue %d times, want once a loss", overdue)
 	}
 	p.Answered()
 	if f := p.Failed(now, 0.5); !f.Lost || f.Calls != 1 || f.For != 0 {
@@ -71,15 +76,15 @@
 	}
 }
 
-func TestFailedCallsCountForFourTimesAskEvery(t *testing.T) {
+func TestFailedCallCountsForFourPollIntervals(t *testing.T) {
 	p := NewPacer(Options{Clients: 3, Grace: second, PollInterval: second / 2})
 	p.Failed(0, 0)
 	if f := p.Failed(second, 0.999999); f.Pause > 2*second*4/18 {
-		t.Errorf("a pause of %d, though the client counts as told after 2 s", f.Pause)
+		t.Errorf("a delay of %d, though the client counts as notified after 2 s", f.Pause)
 	}
 }
 
-func TestFirstCallsOfClientsInStepAreSpread(t *testing.T) {
+func TestStartSpreadsClientsInStep(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	first, last := 10*second, Time(0)
 	for range 32 {
@@ -90,6 +95,6 @@
 		t.Errorf("32 calls from %d to %d us", first, last)
 	}
 	if at := NewPacer(Options{Clients: 1, Grace: second}).Start(0.9); at != 0 {
-		t.Errorf("a lone client waits for %d us", at)
+		t.Errorf("the only client waits for %d us", at)
 	}
 }
