--- a/internal/testbench/lab/registry_test.go
+++ b/internal/testbench/lab/registry_test.go
@@ -82,7 +82,7 @@
 	if n := count(lines[:end], "has gone"); n > 0 {
 		t.Errorf("a registry that says nothing has taken caches away %d times", n)
 	}
-	if n := count(lines[:end], "serves nothing"); n != 3 {
+	if n := count(lines[:end], "cache unavailable"); n != 3 {
 		t.Errorf("%d routers of 3 have found the dead cache by themselves", n)
 	}
 	if n := count(lines[end:], "has gone"); n != 3 {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -1,8 +1,6 @@
 package upstream
 
 import (
-	"slices"
-
 	"github.com/tidwall/redcon"
 
 	"starlingwinch/decide"
@@ -10,108 +8,110 @@
 	"starlingwinch/internal/timerqueue"
 )
 
+// attemptState is how far an attempt has come: waiting -> writing -> written -> over. Each state may be left out, and over is
+// final.
 type attemptState uint8
 
 const (
-	waiting attemptState = iota // for a connection; not a byte has been written
-	writing                     // some of it has been written
-	written                     // all of it: it may run from now on
-	over
+	stateWaiting attemptState = iota // for a connection; no byte is written
+	stateWriting                     // some of its bytes are written
+	stateWritten                     // all of its bytes are written: it may run from now on
+	stateOver                        // it has its result, or gets none
 )
 
-// Attempt is one sending of a request, or a probe if it has no Work. It has exactly one outcome.
+// Attempt is one sending of a request, or a health check if it has no Request. It has exactly one result.
 type Attempt struct {
 	Request       Request
-	Number        int  // of its request's, from 0
-	SentAt        Time // when it was asked for
-	Deadline      Time // it is given up then
-	WriteDeadline Time // its last byte has to be written before then; 0 for no such bound
-
-	cache     *cache
-	state     attemptState
-	conn      *conn
-	connectBy Time             // it has to have a connection by then
-	alarm     timerqueue.Entry // for the next of its times
+	Number        int  // among those of its request, from 0
+	SentAt        Time // when it was started
+	Deadline      Time // when it is given up
+	WriteDeadline Time // its last byte must be written before then; 0 for no such bound
+
+	cache           *cache
+	state           attemptState
+	connection      *connection      // that it is written to; nil while it waits and when it is over
+	connectDeadline Time             // when it is given up if it still waits for a connection
+	timer           timerqueue.Entry // for the first of its deadlines
 }
 
-// Cache is the name of the cache that it was sent to.
+// Cache returns the name of the cache that it was sent to.
 func (a *Attempt) Cache() string { return a.cache.name }
 
-// Ended reports whether it has had its outcome.
-func (a *Attempt) Ended() bool { return a.state == over }
+// Ended reports whether it has had its result.
+func (a *Attempt) Ended() bool { return a.state == stateOver }
 
-// Unwritten reports whether its last byte has not been written, so that it can't run.
-func (a *Attempt) Unwritten() bool { return a.state == waiting || a.state == writing }
+// Unwritten reports whether its last byte is not written, so that it can't run.
+func (a *Attempt) Unwritten() bool { return a.state == stateWaiting || a.state == stateWriting }
 
-// Discard makes an attempt that was never started one that is over.
-func (a *Attempt) Discard() { a.state = over }
+// Discard ends an attempt that was never started.
+func (a *Attempt) Discard() { a.state = stateOver }
 
-// Abort ends the wait on an attempt: it was cancelled or its time is up.
-func (a *Attempt) Abort(why decide.Result) {
+// Abort ends an attempt that was cancelled or has reached its deadline. The result is the given one if the attempt may have run.
+func (a *Attempt) Abort(result decide.Result) {
 	switch a.state {
-	case waiting:
-		a.end(decide.NotSent, nil)
-	case writing:
-		a.conn.close()
-		a.end(decide.NotSent, nil) // the machine never got its last byte
-	case written:
-		a.conn.close()
-		a.end(why, nil)
+	case stateWaiting:
+		a.finish(decide.NotSent, nil)
+	case stateWriting:
+		a.connection.close()
+		a.finish(decide.NotSent, nil) // the cache never got its last byte
+	case stateWritten:
+		a.connection.close()
+		a.finish(result, nil)
 	}
 }
 
-// arm sets the timer for what is due next.
-func (a *Attempt) arm() {
+// armTimer sets the timer for the first of the attempt's deadlines.
+func (a *Attempt) armTimer() {
 	at := a.Deadline
-	if a.state == waiting {
-		at = min(at, a.connectBy)
+	if a.state == stateWaiting {
+		at = min(at, a.connectDeadline)
 	}
 	if a.Unwritten() && a.WriteDeadline > 0 {
 		at = min(at, a.WriteDeadline)
 	}
-	a.cache.pool.clock.Add(&a.alarm, at, a)
+	a.cache.pool.timers.Add(&a.timer, at, a)
 }
 
-// Expired is called at one of its times. What is written by then has only its end to wait for.
+// Expired is called by the timer. Once the attempt is written, only its Deadline is left.
 func (a *Attempt) Expired() {
 	p := a.cache.pool
-	switch now := p.m.Now(); {
-	case now >= a.Deadline, a.Unwritten() && a.WriteDeadline > 0 && now >= a.WriteDeadline:
+	now := p.machine.Now()
+	mustBeWritten := a.Unwritten() && a.WriteDeadline > 0 && now >= a.WriteDeadline
+	switch {
+	case now >= a.Deadline, mustBeWritten:
 		a.Abort(decide.TimedOut)
-	case a.state == waiting && now >= a.connectBy:
-		a.end(unconnected(a.cache.blocked()), nil)
+	case a.state == stateWaiting && now >= a.connectDeadline:
+		a.finish(unconnectedResult(a.cache.dialsBlockedLocally()), nil)
 	default:
-		a.arm()
+		a.armTimer()
 	}
 	p.owner.ProcessEvents()
 }
 
-// end gives the attempt its outcome.
-func (a *Attempt) end(result decide.Result, rep *resp.Reply) {
-	if a.state == over {
+// finish gives the attempt its result.
+func (a *Attempt) finish(result decide.Result, reply *resp.Reply) {
+	if a.state == stateOver {
 		return
 	}
-	u := a.cache
-	a.lose()
+	c := a.cache
+	a.detach()
 	if a.Request != nil {
-		u.out--
+		c.inFlight--
 	}
-	u.seen(result, u.pool.m.Now()-a.SentAt)
-	u.pool.owner.AttemptEnded(a, result, rep)
-	u.drop()
+	c.recordResult(result, c.pool.machine.Now()-a.SentAt)
+	c.pool.owner.AttemptEnded(a, result, reply)
+	c.forgetIfUnused()
 }
 
-// lose takes the attempt off its cache, so that nothing comes of it any more.
-func (a *Attempt) lose() {
-	if a.state == waiting {
-		if i := slices.Index(a.cache.waiting, a); i >= 0 {
-			a.cache.waiting = slices.Delete(a.cache.waiting, i, i+1)
-		}
+// detach takes the attempt off its cache and connection, so that it gets no further result.
+func (a *Attempt) detach() {
+	if a.state == stateWaiting {
+		a.cache.removeWaiting(a)
 	}
-	a.state = over
-	a.cache.pool.clock.Remove(&a.alarm)
-	if a.conn != nil {
-		a.conn.attempt, a.conn = nil, nil
+	a.state = stateOver
+	a.cache.pool.timers.Remove(&a.timer)
+	if a.connection != nil {
+		a.connection.attempt, a.connection = nil, nil
 	}
 }
 
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -2,276 +2,163 @@
 
 import (
 	"slices"
-	"sort"
 
 	"starlingwinch/decide"
 	"starlingwinch/internal/guard"
 )
 
-// holdTime is how long an attempt waits for a connection that is out before another cache's is closed for it: a
-// little more than most answers take.
-const holdTime = 2_000
+const (
+	// maxTurnTime is how long a turn may have taken for its checks before a write to count, in microseconds. A router may
+	// stand still for up to 0.15 s between reading its clock and writing: deadlines and windows allow for that, and for no
+	// more.
+	maxTurnTime Time = 100_000
+	// writeRetryDelay is until an attempt of which the socket took no byte is tried again.
+	writeRetryDelay Time = 10_000
+)
 
-// soonTime is within how long a connection's rest must end so that none is opened in its place: about as long as that takes.
-const soonTime = 1_000
+// An attempt waits for a connection for at most connectNumerator/connectDenominator of its time, so that time is left for
+// another attempt.
+const connectNumerator, connectDenominator = 2, 5
 
 // cache is one cache server: its connections and the attempts that wait for one.
 type cache struct {
 	pool    *Pool
 	name    string
 	addr    string
-	up      bool // the list says that it may be sent new work
-	gone    bool // the list does not name it any more
-	resting bool // a timer is set for the end of a connection's rest
-	waking  bool // ... for a look at what waits
-	held    bool // ... for the end of a wait before a dial
-	conns   []*conn
-	idle    []*conn // the one used last stands last
-	dialing int
-	opened  int // connections that came up since one did not
-	most    int
-	waiting []*Attempt // in the order of their sending
-	out     int        // attempts without an outcome, probes left out
-	trouble trouble
-	equals  equals
+	serving bool // the endpoint list says that it takes new requests; unset when the pool closes
+	removed bool // it is not in the endpoint list any more
 
-	rest     Time // of a connection, between an answer and the next request at least
-	fullRest Time // ... where there is a choice: a cache may close right after an answer, and that takes its way
-}
+	connections    []*connection
+	idle           []*connection // of connections, the one used last at the end
+	dialing        int           // of connections, those coming up
+	openedInRow    int           // connections that came up since one did not
+	maxConnections int
 
-func newCache(p *Pool, name string) *cache {
-	b := &p.o.Limits
-	return &cache{pool: p, name: name, most: max(b.MinConnections, b.FleetConnections/max(1, p.o.Routers)),
-		rest: b.MinRestTime.Microseconds(), fullRest: b.FullRestTime.Microseconds()}
-}
+	waiting  []*Attempt // for a connection, in the order of their start
+	inFlight int        // attempts without a result, health checks not among them
 
-// update takes over what the list says.
-func (u *cache) update(addr string, up, gone bool) {
-	if addr != u.addr {
-		u.addr = addr
-		u.closeIdle(u.pool.m.Now())
-		u.undial()
-	}
-	if gone {
-		u.recovered()
-	}
-	u.up, u.gone = up, gone
-	if !up {
-		// The danger: an attempt that waits for a connection is sent after the drain is known.
-		for len(u.waiting) > 0 {
-			u.waiting[0].end(decide.NotSent, nil)
-		}
-		u.closeIdle(u.pool.m.Now())
-		u.undial()
-	}
-	u.drop()
-}
+	minRest  Time // between a reply and the next request on a connection, at least
+	fullRest Time // preferred where there is a choice: a cache may close a connection right behind a reply
 
-// drop lets go of a cache that is gone once nothing is open on it.
-func (u *cache) drop() {
-	p := u.pool
-	if u.gone && len(u.conns) == 0 && len(u.waiting) == 0 && p.caches[u.name] == u {
-		delete(p.caches, u.name)
-		if at, found := slices.BinarySearchFunc(p.order, u.name, byName); found {
-			p.order = slices.Delete(p.order, at, at+1)
-		}
-	}
+	restTimerSet      bool // for the end of an idle connection's minRest
+	dispatchScheduled bool // in a turn of its own
+	holdTimerSet      bool // for the end of waitsForOwnConnection
+
+	failures failureRun
+	repeats  repeatDetector
 }
 
-// closeIdle closes the connections that have stood idle since the given time or longer.
-func (u *cache) closeIdle(since Time) {
-	for _, c := range slices.Clone(u.idle) {
-		if c.idleSince <= since || !c.nc.Quiet() {
-			c.close()
+// newCache returns a cache without connections.
+func newCache(p *Pool, name string) *cache {
+	limits := &p.options.Limits
+	return &cache{
+		pool:           p,
+		name:           name,
+		maxConnections: max(limits.MinConnections, limits.FleetConnections/max(1, p.options.Routers)),
+		minRest:        limits.MinRestTime.Microseconds(),
+		fullRest:       limits.FullRestTime.Microseconds(),
+	}
+}
+
+// update takes over what the endpoint list says.
+func (c *cache) update(addr string, serving, removed bool) {
+	if addr != c.addr {
+		c.addr = addr
+		c.closeIdle(c.pool.machine.Now())
+		c.cancelDials()
+	}
+	if removed {
+		c.forgetFailures()
+	}
+	c.serving, c.removed = serving, removed
+	if !serving {
+		// An attempt that waits for a connection must not be written once the drain is known.
+		for len(c.waiting) > 0 {
+			c.waiting[0].finish(decide.NotSent, nil)
 		}
+		c.closeIdle(c.pool.machine.Now())
+		c.cancelDials()
 	}
+	c.forgetIfUnused()
 }
 
-// undial gives up the connections that are coming up.
-func (u *cache) undial() {
-	for _, c := range slices.Clone(u.conns) {
-		if c.nc == nil {
-			c.close()
-		}
+// forgetIfUnused drops a removed cache once nothing is open on it.
+func (c *cache) forgetIfUnused() {
+	if c.removed && len(c.connections) == 0 && len(c.waiting) == 0 && c.pool.caches[c.name] == c {
+		c.pool.forget(c)
 	}
 }
 
-// start sends an attempt on an idle connection, or has it wait for one.
-func (u *cache) start(a *Attempt) {
-	p := u.pool
+// start writes an attempt to an idle connection, or has it wait for one.
+func (c *cache) start(a *Attempt) {
 	if a.Request != nil {
-		u.out++
+		c.inFlight++
 	}
-	u.waiting = append(u.waiting, a)
-	u.pump()
-	if a.state != over {
-		// The danger: one that waits to the end has neither time for another attempt nor was it sent.
-		a.connectBy = a.SentAt + min(p.o.DialTimeout, (a.Deadline-a.SentAt)*2/5)
-		a.arm()
+	c.waiting = append(c.waiting, a)
+	c.dispatch()
+	if a.state == stateOver {
+		return
 	}
+	maxWait := (a.Deadline - a.SentAt) * connectNumerator / connectDenominator
+	a.connectDeadline = a.SentAt + min(c.pool.options.DialTimeout, maxWait)
+	a.armTimer()
 }
 
-// sendable is the last look before an attempt's first byte: all may have changed while it waited.
-func (u *cache) sendable(a *Attempt) bool {
-	look := guard.WriteCheck{Now: u.pool.m.Now(), Deadline: a.Deadline, WriteDeadline: a.WriteDeadline, CacheServing: u.up}
-	return look.MayWrite() == guard.Allowed && (a.Request == nil || a.Request.MaySend(look.Now))
+// maySend is the last check before an attempt's first byte: all may have changed while it waited.
+func (c *cache) maySend(a *Attempt) bool {
+	check := guard.WriteCheck{
+		Now:           c.pool.machine.Now(),
+		Deadline:      a.Deadline,
+		WriteDeadline: a.WriteDeadline,
+		CacheServing:  c.serving,
+	}
+	if check.MayWrite() != guard.Allowed {
+		return false
+	}
+	return a.Request == nil || a.Request.MaySend(check.Now)
 }
 
-// pump gives idle connections to waiting attempts, first come first served, and
-// opens more where there are too few.
-func (u *cache) pump() {
-	for len(u.waiting) > 0 && !u.pool.held {
-		a := u.waiting[0]
-		if u.pool.m.Late() > maxLate {
-			u.wake() // all is looked at again in a turn that knows the time
+// dispatch writes waiting attempts to idle connections, first come first served, and opens more connections where there are too
+// few.
+func (c *cache) dispatch() {
+	for len(c.waiting) > 0 && !c.pool.paused {
+		if c.pool.machine.Late() > maxTurnTime {
+			c.scheduleDispatch() // a later turn knows the time again
 			return
 		}
-		if !u.sendable(a) {
-			a.end(decide.NotSent, nil)
+		a := c.waiting[0]
+		if !c.maySend(a) {
+			a.finish(decide.NotSent, nil)
 			continue
 		}
-		c := u.rested()
-		if c == nil {
-			u.dial()
+		conn := c.takeIdle()
+		if conn == nil {
+			c.dial()
 			return
 		}
-		if !c.write(a) {
-			u.pool.later(u.pool.m.Now()+writeAgain, u.pump)
+		if !conn.write(a) {
+			c.pool.runAt(c.pool.machine.Now()+writeRetryDelay, c.dispatch)
 			return
 		}
 	}
 }
 
-// maxLate is how long a turn may have taken for its looks to count, in microseconds. A router may stand still for up to 0.15 s
-// between reading its clock and writing: deadlines, windows and graces allow for that, and for no more.
-const maxLate = 100_000
-
-// writeAgain is until what the machine took no byte of is looked at again.
-const writeAgain = 10_000
-
-// putBack has a connection that was taken for an attempt stand idle again, as it was.
-func (u *cache) putBack(c *conn) {
-	i := sort.Search(len(u.idle), func(i int) bool { return u.idle[i].idleSince > c.idleSince })
-	u.idle = slices.Insert(u.idle, i, c)
-	u.pool.idle++
-}
-
-// rested takes an idle connection on which nothing has come since its answer. The danger: a second
-// copy of the answer, a moment behind the first, would be taken for the answer to the next request.
-func (u *cache) rested() *conn {
-	now := u.pool.m.Now()
-	if len(u.idle) > 0 && u.pool.busy() {
-		u.pool.starved = true
-		return nil
-	}
-	for len(u.idle) > 0 {
-		// The one used last of those that are fully rested, so that others can idle out; else the first.
-		i := sort.Search(len(u.idle), func(i int) bool { return u.idle[i].idleSince > now-u.fullRest })
-		i = max(i-1, 0)
-		c := u.idle[i]
-		if c.idleSince > now-u.rest {
-			break
-		}
-		if c.idleSince > now-u.pool.idleMost() && c.nc.Quiet() {
-			u.idle = slices.Delete(u.idle, i, i+1)
-			u.pool.idle--
-			return c
-		}
-		c.close()
-	}
-	if len(u.idle) > 0 && !u.resting {
-		u.resting = true
-		u.pool.later(u.idle[0].idleSince+u.rest, func() {
-			u.resting = false
-			u.pump()
-		})
-	}
-	return nil
-}
-
-// wake has attempts that wait for a connection looked at, in a turn of its own. The danger: a
-// connection ends that they were counting on, and they stall until their dial time-out.
-func (u *cache) wake() {
-	if len(u.waiting) > 0 && !u.waking {
-		u.waking = true
-		u.pool.later(u.pool.m.Now(), func() {
-			u.waking = false
-			u.pump()
-		})
-	}
-}
-
-// free takes back a connection that is ready for the next attempt.
-func (u *cache) free(c *conn, since Time) {
-	if !u.up || c.addr != u.addr {
-		c.close()
-		return
-	}
-	c.idleSince = since
-	u.putBack(c)
-	u.pool.feed()
-	u.pump()
-}
-
-// dial opens as many connections as there is need and room for. The danger: a
-// burst that dials one for each request fills the cache's table and takes its time.
-func (u *cache) dial() {
-	p := u.pool
-	if u.hold() {
+// scheduleDispatch dispatches in a turn of its own. It is called whenever a connection ends: attempts that wait for it would
+// stall until their connect deadline.
+func (c *cache) scheduleDispatch() {
+	if len(c.waiting) == 0 || c.dispatchScheduled {
 		return
 	}
-	atATime := p.o.Limits.ConcurrentDials
-	if p.gentle {
-		atATime = min(atATime, 1+u.opened)
-	}
-	// The danger: connections that rest for long count as free, and what waits for them is late.
-	ready := len(u.idle)
-	if !p.full() { // else another one costs another cache its own
-		soon := p.m.Now() - u.rest + soonTime
-		ready = sort.Search(len(u.idle), func(i int) bool { return u.idle[i].idleSince > soon })
-	}
-	for u.dialing < min(len(u.waiting)-ready, atATime) && len(u.conns) < u.most && p.descriptor() {
-		c := &conn{cache: u, addr: u.addr}
-		u.conns = append(u.conns, c)
-		u.dialing++
-		c.dialing = p.m.Dial(u.addr, p.o.DialTimeout, c.dialed)
-	}
-}
-
-// blocked reports whether connections are to come up, and none has begun for a lack on this machine.
-func (u *cache) blocked() bool {
-	blocked := false
-	for _, c := range u.conns {
-		if c.dialing == nil {
-			continue
-		}
-		if !c.dialing.Blocked() {
-			return false
-		}
-		blocked = true
-	}
-	return blocked
+	c.dispatchScheduled = true
+	c.pool.runAt(c.pool.machine.Now(), func() {
+		c.dispatchScheduled = false
+		c.dispatch()
+	})
 }
 
-// hold reports whether what waits is to wait a moment more for one of the cache's connections that is out. The
-// danger: where descriptors are all in use each dial closes a connection that another cache's next request wants, and a
-// fleet larger than the descriptors opens connections for one another.
-func (u *cache) hold() bool {
-	p := u.pool
-	out := len(u.conns) - len(u.idle) - u.dialing
-	if out == 0 || !p.full() {
-		return false
-	}
-	until := u.waiting[0].SentAt + holdTime
-	if p.m.Now() >= until {
-		return false
-	}
-	if !u.held {
-		u.held = true
-		p.later(until, func() {
-			u.held = false
-			u.pump()
-		})
+// removeWaiting takes an attempt off those that wait for a connection.
+func (c *cache) removeWaiting(a *Attempt) {
+	if i := slices.Index(c.waiting, a); i >= 0 {
+		c.waiting = slices.Delete(c.waiting, i, i+1)
 	}
-	return true
 }
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -21,24 +21,24 @@
 	served = routertest.Served
 )
 
-// work is a command as a test has it sent.
-type work struct {
-	id    string
-	value []byte // of a write
-	over  bool
-
-	key    uint64 // of all alike unless a test says so
-	unsafe bool
+// testRequest is a request as a test sends it.
+type testRequest struct {
+	id       string
+	value    []byte // of a write
+	answered bool
+
+	key           uint64 // the same for all unless a test sets it
+	nonIdempotent bool
 }
 
-func (w *work) KeyHash() uint64     { return w.key }
-func (w *work) NonIdempotent() bool { return w.unsafe }
+func (w *testRequest) KeyHash() uint64     { return w.key }
+func (w *testRequest) NonIdempotent() bool { return w.nonIdempotent }
 
-func (w *work) MaySend(Time) bool              { return !w.over }
-func (w *work) WriteStarted(_, _ Time, _ bool) {}
-func (w *work) WriteCompleted()                {}
+func (w *testRequest) MaySend(Time) bool              { return !w.answered }
+func (w *testRequest) WriteStarted(_, _ Time, _ bool) {}
+func (w *testRequest) WriteCompleted()                {}
 
-func (w *work) Encode(b []byte, wait Time) []byte {
+func (w *testRequest) Encode(b []byte, wait Time) []byte {
 	meta := fmt.Sprint("c=read,d=", wait/1000)
 	if w.value == nil {
 		return append(b, routertest.Words("C.GET", "k1", w.id, meta)...)
@@ -50,57 +50,57 @@
 	return redcon.AppendBulk(b, w.value)
 }
 
-// outcome is what the owner was told of an attempt.
-type outcome struct {
-	of     *Attempt
-	result decide.Result
-	rep    *resp.Reply
+// attemptResult is what the owner received about an attempt.
+type attemptResult struct {
+	attempt *Attempt
+	result  decide.Result
+	reply   *resp.Reply
 }
 
-// rig is a pool on a running machine, with one cache "c1". It is the pool's owner: as the router, it
-// wants no more answers to what was served.
-type rig struct {
+// testPool is a pool on a running machine with one cache "c1", and its owner. Like the router, it wants no second reply to a
+// request that was served.
+type testPool struct {
 	*routertest.Loop
 	t        *testing.T
 	pool     *Pool
-	outcomes chan outcome
+	results  chan attemptResult
 	lines    routertest.Lines
-	asked    int // works so far
+	requests int // made so far
 }
 
-func (r *rig) AttemptEnded(a *Attempt, result decide.Result, rep *resp.Reply) {
-	if w, ok := a.Request.(*work); ok && result == decide.Served {
-		w.over = true
+func (r *testPool) AttemptEnded(a *Attempt, result decide.Result, rep *resp.Reply) {
+	if w, ok := a.Request.(*testRequest); ok && result == decide.Served {
+		w.answered = true
 	}
 	if rep != nil {
-		kept := *rep // it is this call's alone
-		kept.Value = bytes.Clone(rep.Value)
-		rep = &kept
+		copied := *rep // it is this call's alone
+		copied.Value = bytes.Clone(rep.Value)
+		rep = &copied
 	}
-	r.outcomes <- outcome{a, result, rep}
+	r.results <- attemptResult{a, result, rep}
 }
 
-func (r *rig) ProcessEvents() {}
+func (r *testPool) ProcessEvents() {}
 
-func newRig(t *testing.T, addr string, edit func(*Options)) *rig {
+func newTestPool(t *testing.T, addr string, edit func(*Options)) *testPool {
 	t.Helper()
-	return newRigOn(t, machine.Options{}, addr, edit)
+	return newTestPoolOn(t, machine.Options{}, addr, edit)
 }
 
-// newRigOn is a rig on a machine with other options.
-func newRigOn(t *testing.T, on machine.Options, addr string, edit func(*Options)) *rig {
+// newTestPoolOn returns a pool on a machine with other options.
+func newTestPoolOn(t *testing.T, on machine.Options, addr string, edit func(*Options)) *testPool {
 	t.Helper()
 	o := Options{Limits: limits.Default().Caches, Routers: 1, Descriptors: 400, DialTimeout: 20_000_000,
 		Keepalive: 600_000_000, StalledAfter: 2_500_000}
-	o.Limits.MinRestTime = 0 // so that which connection comes next is no matter of time
+	o.Limits.MinRestTime = 0 // so that the next connection does not depend on time
 	if edit != nil {
 		edit(&o)
 	}
-	r := &rig{Loop: routertest.NewLoopOf(t, on), t: t, outcomes: make(chan outcome, 1000),
+	r := &testPool{Loop: routertest.NewLoopOf(t, on), t: t, results: make(chan attemptResult, 1000),
 		lines: make(routertest.Lines, 1000)}
 	o.Logger = structuredlog.New(structuredlog.SinkFunc(func(line string) { r.lines.Write([]byte(line)) }))
 	r.pool = New(r.Loop, o, r)
-	r.list("c1", addr, true, false)
+	r.updateCache("c1", addr, true, false)
 	t.Cleanup(func() {
 		r.Do(func() {
 			r.pool.Close()
@@ -112,23 +112,23 @@
 	return r
 }
 
-// list says what the list says of a cache.
-func (r *rig) list(name, addr string, up, gone bool) {
+// updateCache updates what the endpoint list says of a cache.
+func (r *testPool) updateCache(name, addr string, serving, removed bool) {
 	r.t.Helper()
-	r.Do(func() { r.pool.Update(name, addr, up, gone) })
+	r.Do(func() { r.pool.Update(name, addr, serving, removed) })
 }
 
-// request makes a work: a read, or a write where there is a value.
-func (r *rig) request(value []byte) *work {
-	r.asked++
-	return &work{id: fmt.Sprint("r", r.asked), value: value}
+// request returns a new request: a read, or a write where there is a value.
+func (r *testPool) request(value []byte) *testRequest {
+	r.requests++
+	return &testRequest{id: fmt.Sprint("r", r.requests), value: value}
 }
 
-// huge makes a work that no socket takes at once.
-func (r *rig) huge() *work { return r.request(make([]byte, 64<<20)) }
+// hugeRequest returns a request that no socket takes at once.
+func (r *testPool) hugeRequest() *testRequest { return r.request(make([]byte, 64<<20)) }
 
-// sendTo starts an attempt at a cache that is given up after the given time.
-func (r *rig) sendTo(cache string, w *work, wait time.Duration) *Attempt {
+// sendTo starts an attempt at a cache, with a deadline after the given time.
+func (r *testPool) sendTo(cache string, w *testRequest, wait time.Duration) *Attempt {
 	r.t.Helper()
 	a := &Attempt{Request: w}
 	r.Do(func() {
@@ -140,29 +140,29 @@
 	return a
 }
 
-func (r *rig) send(w *work, wait time.Duration) *Attempt {
+func (r *testPool) send(w *testRequest, wait time.Duration) *Attempt {
 	r.t.Helper()
 	return r.sendTo("c1", w, wait)
 }
 
-// want takes the next outcome.
-func (r *rig) want(result decide.Result) outcome {
+// wantResult takes the next result.
+func (r *testPool) wantResult(result decide.Result) attemptResult {
 	r.t.Helper()
-	o := routertest.Receive(r.t, r.outcomes, "outcome")
+	o := routertest.Receive(r.t, r.results, "outcome")
 	if o.result != result {
 		r.t.Fatalf("outcome %d, want %d", o.result, result)
 	}
 	return o
 }
 
-// command takes the next command that a cache has got.
-func (r *rig) command(c *routertest.Cache) routertest.Command {
+// command takes the next command that a cache has received.
+func (r *testPool) command(c *routertest.Cache) routertest.Command {
 	r.t.Helper()
 	return routertest.Receive(r.t, c.Commands, "command")
 }
 
-// end waits for the end of a connection, as a cache sees it.
-func (r *rig) end(c *routertest.Cache) {
+// waitForEnd waits for the end of a connection, as a cache sees it.
+func (r *testPool) waitForEnd(c *routertest.Cache) {
 	r.t.Helper()
 	routertest.Receive(r.t, c.Ended, "end of a connection")
 }
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_connection_test.go
@@ -11,32 +11,32 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestConnectionThatComesUpLateIsNobodys: what it was opened for is over by then, or its cache takes no work, is gone, elsewhere,
-// or a new process. The danger: it takes the old request to the cache all the same, or holds a place for good.
-func TestConnectionThatComesUpLateIsNobodys(t *testing.T) {
+// TestLateConnectionCarriesNoOldRequest checks a connection that comes up when what it was opened for is over, or its cache
+// drains, is removed, has moved or has a new process.
+func TestLateConnectionCarriesNoOldRequest(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		meanwhile func(r *rig)
+		meanwhile func(r *testPool)
 		result    decide.Result
-		kept      bool // it is there for the next request
+		usable    bool // by the next request
 	}{
-		{"its request is over", func(*rig) {}, decide.ConnectFailed, true},
-		{"its cache drains", func(r *rig) { r.list("c1", "", false, false) }, decide.NotSent, false},
-		{"its cache is gone", func(r *rig) { r.list("c1", "", false, true) }, decide.NotSent, false},
-		{"its cache is elsewhere", func(r *rig) { r.list("c1", routertest.NewCache(r.t).Addr(), true, false) }, decide.TimedOut, false},
-		{"its cache began anew", func(r *rig) { r.Do(func() { r.pool.CacheRestarted("c1") }) }, decide.ConnectFailed, true},
+		{"its request is over", func(*testPool) {}, decide.ConnectFailed, true},
+		{"its cache drains", func(r *testPool) { r.updateCache("c1", "", false, false) }, decide.NotSent, false},
+		{"its cache is removed", func(r *testPool) { r.updateCache("c1", "", false, true) }, decide.NotSent, false},
+		{"its cache has moved", func(r *testPool) { r.updateCache("c1", routertest.NewCache(r.t).Addr(), true, false) }, decide.TimedOut, false},
+		{"its cache restarted", func(r *testPool) { r.Do(func() { r.pool.CacheRestarted("c1") }) }, decide.ConnectFailed, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr, release := routertest.Late(t)
-			r := newRig(t, addr, nil)
+			r := newTestPool(t, addr, nil)
 			w := r.request(nil)
 			r.send(w, 400*time.Millisecond)
 			c.meanwhile(r)
-			r.want(c.result)
-			w.over = true
+			r.wantResult(c.result)
+			w.answered = true
 			conns := release()
-			if c.kept {
+			if c.usable {
 				r.Until("a connection that has come up late", func() bool { return len(r.pool.caches["c1"].idle) == 1 })
 				r.send(r.request(nil), long)
 				wantFirst(t, conns, "r2")
@@ -44,15 +44,15 @@
 				wantNothing(t, addr, conns)
 			}
 			r.Do(func() {
-				if n := r.pool.starved || r.pool.Attempts() > 1; n {
-					t.Errorf("%d attempts are left, starved %v", r.pool.Attempts(), r.pool.starved)
+				if n := r.pool.descriptorWanted || r.pool.Attempts() > 1; n {
+					t.Errorf("%d attempts are left, starved %v", r.pool.Attempts(), r.pool.descriptorWanted)
 				}
 			})
 		})
 	}
 }
 
-// wantFirst reads connections until a command has come, which must be the request of that id.
+// wantFirst reads connections until a command arrives, which must be the request with that id.
 func wantFirst(t *testing.T, conns <-chan net.Conn, id string) {
 	t.Helper()
 	came := make(chan string, 100)
@@ -71,7 +71,7 @@
 	}
 }
 
-// wantNothing reads connections until one of the test's own, before which nothing may have come on any.
+// wantNothing reads connections up to one of the test's own, before which nothing may have arrived on any.
 func wantNothing(t *testing.T, addr string, conns <-chan net.Conn) {
 	t.Helper()
 	own, err := net.DialTimeout("tcp", addr, routertest.Patience)
@@ -84,7 +84,7 @@
 			nc.Close()
 			return
 		}
-		nc.SetReadDeadline(time.Now().Add(10 * time.Millisecond)) // what fills the queue says nothing
+		nc.SetReadDeadline(time.Now().Add(10 * time.Millisecond)) // connections that only fill the backlog send nothing
 		if b, _ := io.ReadAll(nc); len(b) > 0 {
 			t.Errorf("%q came", b)
 		}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -11,10 +11,10 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// busyPool makes a rig whose connections to the cache are all in use.
-func busyPool(t *testing.T) (*rig, *routertest.Cache, []routertest.Command) {
+// newBusyPool returns a pool whose connections to the cache are all in use.
+func newBusyPool(t *testing.T) (*testPool, *routertest.Cache, []routertest.Command) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Routers = 1000 })
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Routers = 1000 })
 	var busy []routertest.Command
 	for range limits.Default().Caches.MinConnections {
 		r.send(r.request(nil), long)
@@ -23,59 +23,60 @@
 	return r, cache, busy
 }
 
-// freed ends what holds the connections and has one more work served: had anything else
-// been sent on before it, the cache would have it by then.
-func freed(t *testing.T, r *rig, cache *routertest.Cache, busy []routertest.Command) {
+// wantOnlyLastServed ends what is out on the connections and has one more request served: had anything else been sent before
+// it, the cache would have received that.
+func wantOnlyLastServed(t *testing.T, r *testPool, cache *routertest.Cache, busy []routertest.Command) {
 	t.Helper()
 	for _, cmd := range busy {
 		cmd.Reply(t, served)
-		r.want(decide.Served)
+		r.wantResult(decide.Served)
 	}
-	r.send(&work{id: "last"}, long)
+	r.send(&testRequest{id: "last"}, long)
 	if got := r.command(cache); got.Args[2] != "last" {
 		t.Errorf("the cache was sent %q", got.Args)
 	}
 }
 
-// TestWaitingAttemptIsNotSentWhenItsWorkIsOver holds the last look before the first byte.
-func TestWaitingAttemptIsNotSentWhenItsWorkIsOver(t *testing.T) {
+// TestWaitingAttemptIsNotSentWhenRequestIsOver checks the last check before the first byte.
+func TestWaitingAttemptIsNotSentWhenRequestIsOver(t *testing.T) {
 	for name, end := range map[string]func(*Attempt){
-		"given up":        func(a *Attempt) { a.Abort(decide.Cancelled) },
-		"no longer asked": func(a *Attempt) { a.Request.(*work).over = true }, // its owner does not give it up
+		"given up": func(a *Attempt) { a.Abort(decide.Cancelled) },
+		"answered": func(a *Attempt) { a.Request.(*testRequest).answered = true }, // its owner does not abort it
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, cache, busy := busyPool(t)
+			r, cache, busy := newBusyPool(t)
 			a := r.send(r.request(nil), long)
 			r.Do(func() {
 				end(a)
-				r.pool.caches["c1"].pump()
+				r.pool.caches["c1"].dispatch()
 			})
-			r.want(decide.NotSent)
-			freed(t, r, cache, busy)
+			r.wantResult(decide.NotSent)
+			wantOnlyLastServed(t, r, cache, busy)
 		})
 	}
 }
 
-func TestWaitingAttemptIsNotSentAfterItsTime(t *testing.T) {
-	r, cache, busy := busyPool(t)
+func TestWaitingAttemptIsNotSentAfterDeadline(t *testing.T) {
+	r, cache, busy := newBusyPool(t)
 	r.send(r.request(nil), time.Millisecond)
-	if o := routertest.Receive(t, r.outcomes, "outcome"); !o.result.NeverRan() {
+	if o := routertest.Receive(t, r.results, "outcome"); !o.result.NeverRan() {
 		t.Errorf("outcome %d", o.result)
 	}
-	freed(t, r, cache, busy)
+	wantOnlyLastServed(t, r, cache, busy)
 }
 
-func TestFullPoolCountsAsNoConnection(t *testing.T) {
-	r, _, _ := busyPool(t)
-	r.Do(func() { r.pool.o.DialTimeout = 1000 })
+func TestFullPoolIsConnectFailed(t *testing.T) {
+	r, _, _ := newBusyPool(t)
+	r.Do(func() { r.pool.options.DialTimeout = 1000 })
 	r.send(r.request(nil), long)
-	r.want(decide.ConnectFailed)
+	r.wantResult(decide.ConnectFailed)
 }
 
-// TestBurstDoesNotDialForEach: connections stay under the bound, and all is served in turn.
-func TestBurstDoesNotDialForEach(t *testing.T) {
+// TestBurstSharesConnections checks that a burst of requests stays within the limit of connections, and that all are served in
+// turn.
+func TestBurstSharesConnections(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Routers = 12 })
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Routers = 12 })
 	const burst = 100
 	for range burst {
 		r.send(r.request(nil), long)
@@ -85,171 +86,173 @@
 		cmd := r.command(cache)
 		conns[cmd.Conn] = true
 		cmd.Reply(t, served)
-		r.want(decide.Served)
+		r.wantResult(decide.Served)
 	}
-	if most := limits.Default().Caches.FleetConnections / 12; len(conns) > most {
-		t.Errorf("%d connections for %d requests, want %d at most", len(conns), burst, most)
+	if limit := limits.Default().Caches.FleetConnections / 12; len(conns) > limit {
+		t.Errorf("%d connections for %d requests, want %d at most", len(conns), burst, limit)
 	}
 }
 
-// TestConnectionRests before it is used again, so that a copy right behind an answer has come by then.
-// TestConnectionThatRestsForLongIsNotWaitedFor: another one is opened beside it.
-func TestConnectionThatRestsForLongIsNotWaitedFor(t *testing.T) {
+// TestLongRestOpensAnotherConnection checks that an attempt does not wait for a connection that rests for longer than a dial
+// takes.
+func TestLongRestOpensAnotherConnection(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = time.Hour })
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = time.Hour })
 	r.send(r.request(nil), long)
 	first := r.command(cache)
 	first.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.send(r.request(nil), long)
 	second := r.command(cache)
 	if second.Conn == first.Conn {
-		t.Error("a connection was used that rests")
+		t.Error("a connection was used before it had rested")
 	}
 	second.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 }
 
-// TestConnectionThatIsAboutToIdleOutIsNotUsed, also between two sweeps. The danger: its cache closes it as the request is written,
-// and nobody knows whether that has run.
-func TestConnectionThatIsAboutToIdleOutIsNotUsed(t *testing.T) {
+// TestConnectionNearKeepaliveIsNotUsed checks, between two sweeps, that a request is not written to a connection that its cache
+// may be closing: it would be unknown whether it has run.
+func TestConnectionNearKeepaliveIsNotUsed(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), nil)
+	r := newTestPool(t, cache.Addr(), nil)
 	r.send(r.request(nil), long)
 	first := r.command(cache)
 	first.Reply(t, served)
-	r.want(decide.Served)
-	r.Do(func() { r.pool.caches["c1"].idle[0].idleSince -= r.pool.o.Keepalive * 3 / 4 })
+	r.wantResult(decide.Served)
+	r.Do(func() { r.pool.caches["c1"].idle[0].idleSince -= r.pool.options.Keepalive * 3 / 4 })
 	r.send(r.request(nil), long)
 	if second := r.command(cache); second.Conn == first.Conn {
 		t.Error("it was used")
 	} else {
 		second.Reply(t, served)
 	}
-	r.want(decide.Served)
-	r.end(cache)
+	r.wantResult(decide.Served)
+	r.waitForEnd(cache)
 }
 
-func TestConnectionRests(t *testing.T) {
+// TestConnectionRestsBetweenRequests checks that a connection rests before it is used again, so that a repeat right behind a
+// reply has arrived by then.
+func TestConnectionRestsBetweenRequests(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = 4 * time.Millisecond })
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = 4 * time.Millisecond })
 	r.send(r.request(nil), long)
 	r.command(cache).Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.Do(func() {
 		u := r.pool.caches["c1"]
 		c := u.idle[0]
-		if c.idleSince = r.Now() - u.rest + 1; u.rested() != nil {
-			t.Error("it was given out while it rests")
+		if c.idleSince = r.Now() - u.minRest + 1; u.takeIdle() != nil {
+			t.Error("it was taken before it had rested")
 		}
-		if c.idleSince = r.Now() - u.rest; u.rested() != c {
-			t.Error("it was not given out after its rest")
+		if c.idleSince = r.Now() - u.minRest; u.takeIdle() != c {
+			t.Error("it was not taken after its rest")
 		}
 		c.close()
 	})
 }
 
-// TestUpstreamDescriptors: where the caches' descriptors are used up, an attempt waits for one,
-// and an idle connection to another cache makes room.
-func TestUpstreamDescriptors(t *testing.T) {
+// TestDescriptorsAreBounded checks that an attempt waits where all descriptors are used by attempts, and that an idle
+// connection to another cache is closed for it.
+func TestDescriptorsAreBounded(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
-	r.list("c2", other.Addr(), true, false)
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
+	r.updateCache("c2", other.Addr(), true, false)
 	r.send(r.request(nil), long)
 	cmd := r.command(cache)
 	r.sendTo("c2", r.request(nil), long)
 	r.Do(func() {
-		if r.pool.conns != 1 || !r.pool.starved {
-			t.Errorf("%d connections, starved %v", r.pool.conns, r.pool.starved)
+		if r.pool.connections != 1 || !r.pool.descriptorWanted {
+			t.Errorf("%d connections, starved %v", r.pool.connections, r.pool.descriptorWanted)
 		}
 	})
 	cmd.Conn.Close()
-	r.want(decide.ConnectionLost)
+	r.wantResult(decide.ConnectionLost)
 	r.command(other).Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.send(r.request(nil), long) // the other cache's connection is idle now
 	r.command(cache).Reply(t, served)
-	r.want(decide.Served)
-	r.end(other)
+	r.wantResult(decide.Served)
+	r.waitForEnd(other)
 }
 
-// TestLentDescriptorsHoldIdleConnections: what clients do not use keeps a connection to each cache, no request uses it
-// beside the pool's own, and it is given back at once.
+// TestLentDescriptorsHoldIdleConnections checks that lent descriptors keep connections to more caches, that attempts use no
+// more than the pool's own, and that they are given back at once.
 func TestLentDescriptorsHoldIdleConnections(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
 	r.Do(func() { r.pool.LendDescriptors(1) })
-	r.list("c2", other.Addr(), true, false)
+	r.updateCache("c2", other.Addr(), true, false)
 	r.send(r.request(nil), long)
 	first := r.command(cache)
 	first.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.sendTo("c2", r.request(nil), long)
 	second := r.command(other)
 	r.send(r.request(nil), long)
 	r.Do(func() {
-		if r.pool.conns != 2 || r.pool.idle != 1 || !r.pool.starved {
-			t.Errorf("%d connections, %d idle, starved %v: wanted a request to wait for the pool's own", r.pool.conns,
-				r.pool.idle, r.pool.starved)
+		if r.pool.connections != 2 || r.pool.idleConnections != 1 || !r.pool.descriptorWanted {
+			t.Errorf("%d connections, %d idle, starved %v: wanted a request to wait for the pool's own", r.pool.connections,
+				r.pool.idleConnections, r.pool.descriptorWanted)
 		}
 	})
 	second.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	again := r.command(cache)
 	if again.Conn != first.Conn {
 		t.Error("the connection that was idle was not used again")
 	}
 	again.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.Do(func() {
-		if r.pool.LendDescriptors(0); r.pool.conns != 1 {
-			t.Errorf("%d connections where one is the pool's own", r.pool.conns)
+		if r.pool.LendDescriptors(0); r.pool.connections != 1 {
+			t.Errorf("%d connections where one is the pool's own", r.pool.connections)
 		}
 	})
-	r.end(other) // idle for longer
+	r.waitForEnd(other) // idle for longer
 }
 
-// TestConnectionThatIsOutIsWaitedForBeforeAnotherIsClosed: an attempt waits a moment for its own cache's connection
-// before it takes the descriptor of another cache's.
-func TestConnectionThatIsOutIsWaitedForBeforeAnotherIsClosed(t *testing.T) {
+// TestOwnConnectionIsAwaitedBeforeAnotherIsClosed checks that an attempt waits a moment for its own cache's connection before
+// it takes the descriptor of another cache's.
+func TestOwnConnectionIsAwaitedBeforeAnotherIsClosed(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Descriptors = 2 })
-	r.list("c2", other.Addr(), true, false)
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Descriptors = 2 })
+	r.updateCache("c2", other.Addr(), true, false)
 	r.sendTo("c2", r.request(nil), long)
 	r.command(other).Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.send(r.request(nil), long)
 	first := r.command(cache)
 	w := r.request(nil)
 	r.Do(func() {
 		r.pool.Start("c1", &Attempt{Request: w, SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()})
-		if r.pool.conns != 2 || r.pool.idle != 1 {
-			t.Errorf("%d connections, %d idle: another cache's was closed at once", r.pool.conns, r.pool.idle)
+		if r.pool.connections != 2 || r.pool.idleConnections != 1 {
+			t.Errorf("%d connections, %d idle: another cache's was closed at once", r.pool.connections, r.pool.idleConnections)
 		}
 	})
-	r.end(other) // the first one is out for longer than is waited for
+	r.waitForEnd(other) // the first one is out for longer than ownConnectionWait
 	r.command(cache).Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	first.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 }
 
-func TestIdleConnectionsAreClosedOnRequest(t *testing.T) {
+func TestCloseIdleClosesIdleConnections(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), nil)
+	r := newTestPool(t, cache.Addr(), nil)
 	r.send(r.request(nil), long)
 	r.command(cache).Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.Do(func() { r.pool.CloseIdle("c1") })
-	r.end(cache)
+	r.waitForEnd(cache)
 }
 
-func TestIdleConnectionsAreClosedBeforeTheCacheDoes(t *testing.T) {
+func TestSweepClosesConnectionsBeforeKeepalive(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) { o.Keepalive = 400_000 })
+	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Keepalive = 400_000 })
 	r.send(r.request(nil), long)
 	r.command(cache).Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.Do(func() {
 		u := r.pool.caches["c1"]
 		u.idle[0].idleSince = r.Now() - 299_999
@@ -259,26 +262,26 @@
 	})
 	r.After(time.Millisecond)
 	r.Do(r.pool.Sweep)
-	r.end(cache)
+	r.waitForEnd(cache)
 }
 
-// TestCacheThatMoves: connections to its old address are not used for new work.
-func TestCacheThatMoves(t *testing.T) {
+// TestAddressChangeReplacesConnections checks that connections to an old address carry no new request.
+func TestAddressChangeReplacesConnections(t *testing.T) {
 	old, moved := routertest.NewCache(t), routertest.NewCache(t)
-	r := newRig(t, old.Addr(), nil)
+	r := newTestPool(t, old.Addr(), nil)
 	r.send(r.request(nil), long)
 	cmd := r.command(old)
-	r.list("c1", moved.Addr(), true, false)
+	r.updateCache("c1", moved.Addr(), true, false)
 	cmd.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.send(r.request(nil), long)
 	r.command(moved).Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 }
 
-func TestOperatorsLimitsOfConnectionsAreKept(t *testing.T) {
+func TestConnectionLimitsAreKept(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), func(o *Options) {
+	r := newTestPool(t, cache.Addr(), func(o *Options) {
 		o.Routers = 1
 		o.Limits.FleetConnections = 1
 		o.Limits.MinConnections = 1
@@ -288,70 +291,70 @@
 	first := r.command(cache)
 	r.send(r.request(nil), long)
 	first.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	second := r.command(cache)
 	second.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	if first.Conn != second.Conn {
 		t.Error("a second connection was opened beside the one that is allowed")
 	}
 }
 
-// holding is a rig whose one connection to c1 carries the first of two works; the second waits
+// newSingleConnectionPool returns a pool whose one connection to c1 carries the first of two attempts, while the second waits
 // for it.
-func holding(t *testing.T, cache *routertest.Cache) (r *rig, first, second *Attempt) {
+func newSingleConnectionPool(t *testing.T, cache *routertest.Cache) (r *testPool, first, second *Attempt) {
 	t.Helper()
-	r = newRig(t, cache.Addr(), nil)
-	r.Do(func() { r.pool.caches["c1"].most = 1 })
+	r = newTestPool(t, cache.Addr(), nil)
+	r.Do(func() { r.pool.caches["c1"].maxConnections = 1 })
 	first = r.send(r.request(nil), long)
 	second = r.send(r.request(nil), long)
 	return r, first, second
 }
 
-// TestEndOfAConnectionWakesWhatWaitsForIt. The danger: attempts wait for a connection that has been
-// closed, and stall until their dial time-out.
-func TestEndOfAConnectionWakesWhatWaitsForIt(t *testing.T) {
-	wantSecond := func(cache *routertest.Cache, r *rig) {
+// TestConnectionEndDispatchesWaitingAttempts checks that attempts that wait for a connection that ends do not stall until their
+// connect deadline.
+func TestConnectionEndDispatchesWaitingAttempts(t *testing.T) {
+	wantSecond := func(cache *routertest.Cache, r *testPool) {
 		t.Helper()
 		cmd := routertest.Receive(t, cache.Commands, "command on a new connection")
 		if cmd.Args[2] != "r2" {
 			t.Errorf("got %q", cmd.Args)
 		}
 		cmd.Reply(t, served)
-		r.want(decide.Served)
+		r.wantResult(decide.Served)
 	}
 	t.Run("after an unclean answer", func(t *testing.T) {
 		cache := routertest.NewCache(t)
-		r, _, _ := holding(t, cache)
+		r, _, _ := newSingleConnectionPool(t, cache)
 		r.command(cache).Reply(t, served+"noise")
-		r.want(decide.Served)
+		r.wantResult(decide.Served)
 		wantSecond(cache, r)
 	})
 	t.Run("after an attempt was given up", func(t *testing.T) {
 		cache := routertest.NewCache(t)
-		r, first, _ := holding(t, cache)
+		r, first, _ := newSingleConnectionPool(t, cache)
 		r.command(cache)
 		r.Do(func() { first.Abort(decide.Cancelled) })
-		r.want(decide.Cancelled)
+		r.wantResult(decide.Cancelled)
 		wantSecond(cache, r)
 	})
 	t.Run("after the address has changed", func(t *testing.T) {
 		cache, next := routertest.NewCache(t), routertest.NewCache(t)
-		r, _, _ := holding(t, cache)
+		r, _, _ := newSingleConnectionPool(t, cache)
 		cmd := r.command(cache)
-		r.list("c1", next.Addr(), true, false)
+		r.updateCache("c1", next.Addr(), true, false)
 		cmd.Reply(t, served)
-		r.want(decide.Served)
+		r.wantResult(decide.Served)
 		wantSecond(next, r)
 	})
 }
 
-// TestKeyedRequestIsNotWrittenAfterItsWindow. The danger: it waits for a connection, and is written
-// when the caches have forgotten the attempt before it, which may have run.
-func TestKeyedRequestIsNotWrittenAfterItsWindow(t *testing.T) {
+// TestAttemptIsNotWrittenAfterWriteDeadline checks that a repeat that waits for a connection is not written when caches have
+// forgotten the attempt before it, which may have run.
+func TestAttemptIsNotWrittenAfterWriteDeadline(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), nil)
-	r.Do(func() { r.pool.caches["c1"].most = 1 })
+	r := newTestPool(t, cache.Addr(), nil)
+	r.Do(func() { r.pool.caches["c1"].maxConnections = 1 })
 	r.send(r.request(nil), long)
 	cmd := r.command(cache)
 	r.Do(func() {
@@ -359,70 +362,69 @@
 		r.pool.Start("c1", &Attempt{Request: r.request([]byte("value")), SentAt: now, Deadline: now + long.Microseconds(),
 			WriteDeadline: now + 50_000})
 	})
-	r.want(decide.NotSent) // by its timer: the connection is not free yet
+	r.wantResult(decide.NotSent) // by its timer, as the connection is not free yet
 	cmd.Reply(t, served)
-	r.want(decide.Served)
+	r.wantResult(decide.Served)
 	r.Do(func() {
-		// The last look sees the window too, where the timer is late.
+		// The last check sees the deadline too, where the timer is late.
 		u := r.pool.caches["c1"]
-		if a := (&Attempt{cache: u, Deadline: r.Now() + 2, WriteDeadline: r.Now()}); u.sendable(a) {
-			t.Error("sendable at the end of its window")
+		if a := (&Attempt{cache: u, Deadline: r.Now() + 2, WriteDeadline: r.Now()}); u.maySend(a) {
+			t.Error("it may be sent at its write deadline")
 		}
 	})
 }
 
-// TestDeadFleetIsLoggedWithItsCause, and its return.
-func TestDeadFleetIsLoggedWithItsCause(t *testing.T) {
-	r := newRig(t, routertest.NewCache(t).Addr(), nil)
+// TestOutageIsLoggedWithCauses checks the log lines about an unavailable cache, an outage of all caches, and its end.
+func TestOutageIsLoggedWithCauses(t *testing.T) {
+	r := newTestPool(t, routertest.NewCache(t).Addr(), nil)
 	end := func(result decide.Result, times int) {
 		r.Do(func() {
 			for range times {
-				r.pool.caches["c1"].seen(result, 0)
+				r.pool.caches["c1"].recordResult(result, 0)
 			}
 			r.pool.Sweep()
 		})
 	}
-	end(decide.ConnectFailed, troubleRow)
-	r.lines.Want(t, "c1 serves nothing: refused")
-	r.lines.Want(t, "none of 1 caches serves: 1 refused")
-	end(decide.NotSent, troubleRow) // tells nothing
-	end(decide.TimedOut, troubleRow)
-	r.lines.Want(t, "c1 serves nothing: hung")
+	end(decide.ConnectFailed, failuresBeforeLog)
+	r.lines.Want(t, `msg="cache unavailable" cache=c1 cause=refused`)
+	r.lines.Want(t, `msg="no cache available" caches=1 refused=1`)
+	end(decide.NotSent, failuresBeforeLog) // is no failure of the cache
+	end(decide.TimedOut, failuresBeforeLog)
+	r.lines.Want(t, `msg="cache unavailable" cache=c1 cause=hung`)
 	end(decide.Served, 1)
-	r.lines.Want(t, "c1 serves again")
+	r.lines.Want(t, `msg="cache available" cache=c1`)
 	r.Do(func() {
-		if r.pool.inTrouble != 0 {
-			t.Errorf("%d caches in trouble", r.pool.inTrouble)
+		if r.pool.unavailableCaches != 0 {
+			t.Errorf("%d caches count as unavailable", r.pool.unavailableCaches)
 		}
 	})
 }
 
-// TestGoneCachesAreForgotten, with the connections to them, whatever name and address comes next.
-func TestGoneCachesAreForgotten(t *testing.T) {
+// TestRemovedCachesAreForgotten checks that nothing is kept of removed caches, however many names come and go.
+func TestRemovedCachesAreForgotten(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r := newRig(t, cache.Addr(), nil)
+	r := newTestPool(t, cache.Addr(), nil)
 	for i := range 20 {
 		name := fmt.Sprint("s", i)
-		r.list(name, cache.Addr(), true, false)
+		r.updateCache(name, cache.Addr(), true, false)
 		r.sendTo(name, r.request(nil), long)
 		cmd := r.command(cache)
-		r.list(name, cache.Addr(), false, true) // one is still out as its cache goes
+		r.updateCache(name, cache.Addr(), false, true) // one attempt is still out as its cache is removed
 		cmd.Reply(t, served)
-		r.want(decide.Served)
+		r.wantResult(decide.Served)
 	}
 	r.Do(func() {
-		if len(r.pool.caches) != 1 || len(r.pool.order) != 1 || r.pool.Connections() != 0 || r.pool.Attempts() != 0 {
-			t.Errorf("%d caches, %d in order, %d connections, %d attempts are kept", len(r.pool.caches),
-				len(r.pool.order), r.pool.Connections(), r.pool.Attempts())
+		if len(r.pool.caches) != 1 || len(r.pool.sorted) != 1 || r.pool.Connections() != 0 || r.pool.Attempts() != 0 {
+			t.Errorf("%d caches, %d in order, %d connections, %d attempts are left", len(r.pool.caches),
+				len(r.pool.sorted), r.pool.Connections(), r.pool.Attempts())
 		}
 	})
 }
 
-// TestClosedPoolOpensNothing. The danger: an attempt that waits is woken by the end of the connections, and
-// dials anew after all were closed.
-func TestClosedPoolOpensNothing(t *testing.T) {
+// TestClosedPoolDialsNothing checks that attempts that wait as the pool closes do not dial when their connections end.
+func TestClosedPoolDialsNothing(t *testing.T) {
 	cache := routertest.NewCache(t)
-	r, _, _ := holding(t, cache)
+	r, _, _ := newSingleConnectionPool(t, cache)
 	r.command(cache)
 	r.Do(r.pool.Close)
 	r.After(time.Millisecond)
