--- a/internal/guard/actions.go
+++ b/internal/guard/actions.go
@@ -6,143 +6,137 @@
 	"starlingwinch/decide"
 )
 
-// allowed books what the module asks for and returns what the loop is to carry out.
-func (b *Contract) allowed(actions []decide.Action) []decide.Action {
-	for i, a := range actions {
-		if b.allow(a) {
+// acceptActions records what the module asks for and returns what the loop is to carry out.
+func (c *Contract) acceptActions(actions []decide.Action) []decide.Action {
+	for i, action := range actions {
+		if c.acceptAction(action) {
 			continue
 		}
-		kept := append([]decide.Action(nil), actions[:i]...)
-		for _, a := range actions[i+1:] {
-			if b.allow(a) {
-				kept = append(kept, a)
+		accepted := append([]decide.Action(nil), actions[:i]...)
+		for _, action := range actions[i+1:] {
+			if c.acceptAction(action) {
+				accepted = append(accepted, action)
 			}
 		}
-		return kept
+		return accepted
 	}
 	return actions
 }
 
-// allow books one action. It reports whether the loop is to carry it out.
-func (b *Contract) allow(a decide.Action) bool {
-	switch a := a.(type) {
+// acceptAction records one action, and reports whether the loop is to carry it out.
+func (c *Contract) acceptAction(action decide.Action) bool {
+	switch action := action.(type) {
 	case decide.Send:
-		return b.send(a)
+		return c.acceptSend(action)
 	case decide.Cancel:
-		return b.cancel(a)
+		return c.acceptCancel(action)
 	case decide.Reject:
-		return b.answer(a.ID, noteRefuse)
+		return c.acceptAnswer(action.ID, eventReject)
 	case decide.Fail:
-		return b.answer(a.ID, noteFail)
+		return c.acceptAnswer(action.ID, eventFail)
 	case decide.SetTimer:
-		if !b.timers.set(a.Token) {
-			b.breach(TimerReused, 0, "", fmt.Sprintf("timer %d is set already", a.Token))
+		if !c.timers.add(action.Token) {
+			c.breach(TimerReused, 0, "", fmt.Sprintf("timer %d is set already", action.Token))
 			return false
 		}
 	case decide.CancelTimer:
-		if !b.timers.take(a.Token) {
-			b.breach(DropUnset, 0, "", fmt.Sprintf("timer %d, which is taken back, is not set", a.Token))
+		if !c.timers.remove(action.Token) {
+			c.breach(CancelTimerNotSet, 0, "", fmt.Sprintf("timer %d, which is taken back, is not set", action.Token))
 			return false
 		}
 	case decide.HealthCheck:
-		return b.probe(a)
+		return c.acceptHealthCheck(action)
 	case decide.CloseIdle:
-		b.ring.add(note{at: b.now, what: noteClose, cache: a.Cache})
-		if c := b.caches[a.Cache]; c == nil || !c.listed {
-			b.breach(CloseUnlisted, 0, a.Cache, "the cache is not listed")
-			return false
-		}
+		return c.acceptCloseIdle(action)
 	}
 	return true
 }
 
-func (b *Contract) send(a decide.Send) bool {
-	q := b.requests[a.ID]
-	if q == nil {
-		b.ring.add(note{at: b.now, what: noteSend, id: a.ID, cache: a.Cache})
-		b.breach(SendOver, a.ID, a.Cache, "a send for a request that is over or was never asked")
-		b.owed = append(b.owed, owed{a.ID, b.nextOfClosed(a.ID)})
+// acceptSend tracks a new attempt. Its Send is withheld if the request is over: the loop sends nothing more for it, so its
+// numbers of attempts need not follow.
+func (c *Contract) acceptSend(action decide.Send) bool {
+	request := c.requests[action.ID]
+	if request == nil {
+		c.events.add(eventRecord{at: c.now, kind: eventSend, request: action.ID, cache: action.Cache})
+		c.breach(SendAfterEnd, action.ID, action.Cache, "a send for a request that is over or was never asked")
+		c.pendingResults = append(c.pendingResults, pendingResult{action.ID, c.nextAttemptOfClosed(action.ID)})
 		return false
 	}
-	b.ring.add(note{at: b.now, what: noteSend, id: a.ID, n: len(q.attempts), cache: a.Cache})
-	c := b.name(a.Cache)
-	if !c.listed {
-		// It goes out all the same: the loop knows that the cache is gone and says NotSent. The danger: kept
-		// from the loop, it would leave the loop one behind in numbering this request's attempts.
-		b.breach(SendUnlisted, a.ID, a.Cache, "a send to a cache that is not listed")
+	number := len(request.attempts)
+	c.events.add(eventRecord{at: c.now, kind: eventSend, request: action.ID, attempt: number, cache: action.Cache})
+	cache := c.cacheNamed(action.Cache)
+	if !cache.listed {
+		// It is carried out all the same: the loop answers with NotSent, and the numbers of attempts stay the same on both
+		// sides.
+		c.breach(SendUnlisted, action.ID, action.Cache, "a send to a cache that is not listed")
 	}
-	stop := q.deadline
-	if a.AttemptDeadline > 0 {
-		stop = min(stop, a.AttemptDeadline)
+	deadline := request.deadline
+	if action.AttemptDeadline > 0 {
+		deadline = min(deadline, action.AttemptDeadline)
 	}
-	q.attempts = append(q.attempts, attempt{to: c, listing: c.listing, sent: b.now, stopAt: stop, out: true,
-		unsent: q.over})
-	q.out++
-	c.ours++
-	if q.over { // the loop sends nothing more for it, so that its numbering does not matter
-		b.breach(SendOver, a.ID, a.Cache, "a send for a request that is over")
-		b.owed = append(b.owed, owed{a.ID, len(q.attempts) - 1})
+	request.attempts = append(request.attempts, trackedAttempt{
+		cache:    cache,
+		listing:  cache.listing,
+		sentAt:   c.now,
+		deadline: deadline,
+		inFlight: true,
+		withheld: request.over,
+	})
+	request.inFlight++
+	cache.inFlightOfListing++
+	if request.over {
+		c.breach(SendAfterEnd, action.ID, action.Cache, "a send for a request that is over")
+		c.pendingResults = append(c.pendingResults, pendingResult{action.ID, number})
 		return false
 	}
-	c.out++
+	cache.inFlight++
 	return true
 }
 
-// nextOfClosed is the number that the module gives its next attempt for a request that the books
-// have let go of.
-func (b *Contract) nextOfClosed(id int64) int {
-	for i := range b.closed {
-		if c := &b.closed[i]; c.id == id && c.attempts > 0 {
-			c.attempts++
-			return c.attempts - 1
-		}
-	}
-	b.lastOver = (b.lastOver + 1) % closedKept
-	b.closed[b.lastOver] = closedRequest{id, 1}
-	return 0
-}
-
-// settle books the outcome of an attempt that was not let out and returns it.
-func (b *Contract) settle(o owed) decide.Event {
-	last := true
-	if q := b.requests[o.id]; q != nil && o.attempt < len(q.attempts) && q.attempts[o.attempt].unsent {
-		b.end(q, o.attempt, decide.NotSent)
-		last = q.over
-		b.balance(q)
+// acceptCancel checks that the attempt is in flight.
+func (c *Contract) acceptCancel(action decide.Cancel) bool {
+	c.events.add(eventRecord{at: c.now, kind: eventCancel, request: action.ID, attempt: action.Attempt})
+	request := c.requests[action.ID]
+	known := request != nil && action.Attempt >= 0 && action.Attempt < len(request.attempts)
+	if !known || !request.attempts[action.Attempt].inFlight {
+		c.breach(CancelUnknown, action.ID, "", fmt.Sprintf("a cancel of attempt %d, which is not out", action.Attempt))
+		return false
 	}
-	return &decide.AttemptResult{ID: o.id, Attempt: o.attempt, Result: decide.NotSent, Last: last,
-		Load: decide.LoadReport{Utilization: -1}}
+	return !request.attempts[action.Attempt].withheld
 }
 
-func (b *Contract) cancel(a decide.Cancel) bool {
-	b.ring.add(note{at: b.now, what: noteCancel, id: a.ID, n: a.Attempt})
-	q := b.requests[a.ID]
-	if q == nil || a.Attempt < 0 || a.Attempt >= len(q.attempts) || !q.attempts[a.Attempt].out {
-		b.breach(CancelUnknown, a.ID, "", fmt.Sprintf("a cancel of attempt %d, which is not out", a.Attempt))
+// acceptAnswer records a final answer, Reject or Fail.
+func (c *Contract) acceptAnswer(id int64, kind eventKind) bool {
+	c.events.add(eventRecord{at: c.now, kind: kind, request: id})
+	request := c.requests[id]
+	if request == nil || request.over {
+		c.breach(AnswerAfterEnd, id, "", "a final answer to a request that is over or was never asked")
 		return false
 	}
-	return !q.attempts[a.Attempt].unsent
+	request.over = true
+	c.closeIfComplete(request)
+	return true
 }
 
-func (b *Contract) answer(id int64, what noteKind) bool {
-	b.ring.add(note{at: b.now, what: what, id: id})
-	q := b.requests[id]
-	if q == nil || q.over {
-		b.breach(AnswerOver, id, "", "a final answer to a request that is over or was never asked")
+// acceptHealthCheck tracks a health check.
+func (c *Contract) acceptHealthCheck(action decide.HealthCheck) bool {
+	c.events.add(eventRecord{at: c.now, kind: eventHealthCheck, cache: action.Cache})
+	cache := c.caches[action.Cache]
+	if cache == nil || !cache.listed {
+		c.breach(HealthCheckUnlisted, 0, action.Cache, "a probe of a cache that is not listed")
 		return false
 	}
-	q.over = true
-	b.balance(q)
+	cache.healthChecks = append(cache.healthChecks, c.now)
 	return true
 }
 
-func (b *Contract) probe(a decide.HealthCheck) bool {
-	b.ring.add(note{at: b.now, what: noteProbe, cache: a.Cache})
-	c := b.caches[a.Cache]
-	if c == nil || !c.listed {
-		b.breach(ProbeUnlisted, 0, a.Cache, "a probe of a cache that is not listed")
+// acceptCloseIdle checks that the cache is listed.
+func (c *Contract) acceptCloseIdle(action decide.CloseIdle) bool {
+	c.events.add(eventRecord{at: c.now, kind: eventCloseIdle, cache: action.Cache})
+	cache := c.caches[action.Cache]
+	if cache == nil || !cache.listed {
+		c.breach(CloseIdleUnlisted, 0, action.Cache, "the cache is not listed")
 		return false
 	}
-	c.probes = append(c.probes, b.now)
 	return true
 }
--- a/internal/guard/events.go
+++ b/internal/guard/events.go
@@ -6,149 +6,165 @@
 	"starlingwinch/decide"
 )
 
-// enter checks an event of the loop against the books and books it. It reports whether the module
-// is to be told.
-func (b *Contract) enter(ev decide.Event) bool {
-	repair := len(b.repairs) > 0 && b.repairs[ev]
-	if repair {
-		delete(b.repairs, ev)
+// acceptEvent checks and records an event of the loop, and reports whether the module gets it.
+func (c *Contract) acceptEvent(ev decide.Event) bool {
+	isRepair := len(c.repairs) > 0 && c.repairs[ev]
+	if isRepair {
+		delete(c.repairs, ev)
 	}
 	switch ev := ev.(type) {
 	case *decide.EndpointList:
-		b.list(ev)
+		c.acceptEndpointList(ev)
 	case *decide.Request:
-		b.ring.add(note{at: b.now, what: noteRequest, id: ev.ID})
-		if b.requests[ev.ID] != nil {
-			b.breach(RequestTwice, ev.ID, "", "the request is open already")
-			return false
-		}
-		b.open(ev)
+		return c.acceptRequest(ev)
 	case *decide.ResponseStarted:
-		return b.started(ev)
+		return c.acceptResponseStarted(ev)
 	case *decide.AttemptResult:
-		return b.outcome(ev, repair)
+		return c.acceptResult(ev, isRepair)
 	case *decide.ClientGone:
-		return b.departed(ev, repair)
+		return c.acceptClientGone(ev, isRepair)
 	case *decide.HealthCheckResult:
-		return b.probed(ev, repair)
+		return c.acceptHealthCheckResult(ev, isRepair)
 	case *decide.Timer:
-		if !b.timers.take(ev.Token) {
-			b.breach(TimerUnset, 0, "", fmt.Sprintf("timer %d is not set, or has fired", ev.Token))
+		if !c.timers.remove(ev.Token) {
+			c.breach(TimerNotSet, 0, "", fmt.Sprintf("timer %d is not set, or has fired", ev.Token))
 			return false
 		}
 	}
 	return true
 }
 
-// list books which caches are listed, just as the module takes it.
-func (b *Contract) list(ev *decide.EndpointList) {
+// acceptRequest begins to track a request.
+func (c *Contract) acceptRequest(ev *decide.Request) bool {
+	c.events.add(eventRecord{at: c.now, kind: eventRequest, request: ev.ID})
+	if c.requests[ev.ID] != nil {
+		c.breach(RequestRepeated, ev.ID, "", "the request is open already")
+		return false
+	}
+	c.openRequest(ev)
+	return true
+}
+
+// acceptEndpointList records which caches are listed, just as the module takes it.
+func (c *Contract) acceptEndpointList(ev *decide.EndpointList) {
 	if ev.Kind == decide.FailedUpdate {
 		return
 	}
 	named := make(map[string]bool, len(ev.Endpoints))
 	for i := range ev.Endpoints {
-		e := &ev.Endpoints[i]
-		if e.Status == decide.Removed {
-			if c := b.caches[e.ID]; c != nil {
-				b.unlist(c)
+		endpoint := &ev.Endpoints[i]
+		if endpoint.Status == decide.Removed {
+			if cache := c.caches[endpoint.ID]; cache != nil {
+				c.unlist(cache)
 			}
 			continue
 		}
-		named[e.ID] = true
-		if c := b.name(e.ID); !c.listed {
-			c.listed = true
-			b.ring.add(note{at: b.now, what: noteListed, cache: c.name})
-		}
+		named[endpoint.ID] = true
+		c.list(c.cacheNamed(endpoint.ID))
 	}
 	if ev.Kind == decide.DeltaUpdate {
 		return
 	}
-	for _, name := range b.names() {
-		if c := b.caches[name]; !named[name] {
-			b.unlist(c)
+	for _, name := range c.sortedNames() {
+		if !named[name] {
+			c.unlist(c.caches[name])
 		}
 	}
 }
 
-func (b *Contract) unlist(c *cache) {
-	if c.listed {
-		c.listed, c.ours = false, 0
-		c.listing++
-		b.ring.add(note{at: b.now, what: noteRemoved, cache: c.name})
+// list records that a cache is listed.
+func (c *Contract) list(cache *trackedCache) {
+	if !cache.listed {
+		cache.listed = true
+		c.events.add(eventRecord{at: c.now, kind: eventListed, cache: cache.name})
 	}
-	b.drop(c)
 }
 
-func (b *Contract) started(ev *decide.ResponseStarted) bool {
-	b.ring.add(note{at: b.now, what: noteStarted, id: ev.ID, n: ev.Attempt})
-	q := b.requests[ev.ID]
-	if q == nil || !q.isOut(ev.Attempt) {
-		b.breach(StartedUnknown, ev.ID, "", fmt.Sprintf("attempt %d is not out", ev.Attempt))
-		return false
+// unlist records that a cache is not listed any more.
+func (c *Contract) unlist(cache *trackedCache) {
+	if cache.listed {
+		cache.listed, cache.inFlightOfListing = false, 0
+		cache.listing++
+		c.events.add(eventRecord{at: c.now, kind: eventUnlisted, cache: cache.name})
 	}
-	q.attempts[ev.Attempt].streams = true
-	return true
+	c.forgetIfUnused(cache)
 }
 
-// isOut reports whether the loop owes an outcome for an attempt.
-func (q *request) isOut(n int) bool {
-	return n >= 0 && n < len(q.attempts) && q.attempts[n].out && !q.attempts[n].unsent
+// acceptResponseStarted records that an attempt's response has started.
+func (c *Contract) acceptResponseStarted(ev *decide.ResponseStarted) bool {
+	c.events.add(eventRecord{at: c.now, kind: eventResponseStarted, request: ev.ID, attempt: ev.Attempt})
+	request := c.requests[ev.ID]
+	if request == nil || !request.isInFlight(ev.Attempt) {
+		c.breach(ResponseStartUnknown, ev.ID, "", fmt.Sprintf("attempt %d is not out", ev.Attempt))
+		return false
+	}
+	request.attempts[ev.Attempt].responding = true
+	return true
 }
 
-func (b *Contract) outcome(ev *decide.AttemptResult, repair bool) bool {
-	q := b.requests[ev.ID]
-	if q == nil || !q.isOut(ev.Attempt) {
-		b.ring.add(note{at: b.now, what: noteOutcome, id: ev.ID, n: ev.Attempt, result: ev.Result})
-		if repair {
-			return false // the missing one has come after all
+// acceptResult records the result of an attempt.
+func (c *Contract) acceptResult(ev *decide.AttemptResult, isRepair bool) bool {
+	record := eventRecord{at: c.now, kind: eventResult, request: ev.ID, attempt: ev.Attempt, result: ev.Result}
+	request := c.requests[ev.ID]
+	if request == nil || !request.isInFlight(ev.Attempt) {
+		c.events.add(record)
+		if !isRepair { // else the missing result has come after all
+			c.breachOfResult(ev, request)
 		}
-		kind, text := OutcomeTwice, "attempt %d has had its outcome"
-		if ev.ID > b.newest || ev.Attempt < 0 || q != nil && ev.Attempt >= len(q.attempts) {
-			kind, text = OutcomeUnknown, "attempt %d was never sent"
-		}
-		b.breach(kind, ev.ID, "", fmt.Sprintf(text, ev.Attempt))
 		return false
 	}
-	b.ring.add(note{at: b.now, what: noteOutcome, id: ev.ID, n: ev.Attempt, result: ev.Result,
-		cache: q.attempts[ev.Attempt].to.name})
-	b.end(q, ev.Attempt, ev.Result)
-	// Last may come before its Departed does: the loop knew that the client had gone.
-	q.over = q.over || ev.Last
-	b.balance(q)
+	record.cache = request.attempts[ev.Attempt].cache.name
+	c.events.add(record)
+	c.endAttempt(request, ev.Attempt, ev.Result)
+	// Last may come before the ClientGone that explains it: the loop knew that the client had gone.
+	request.over = request.over || ev.Last
+	c.closeIfComplete(request)
 	return true
 }
 
-func (b *Contract) departed(ev *decide.ClientGone, repair bool) bool {
-	b.ring.add(note{at: b.now, what: noteDeparted, id: ev.ID})
-	q := b.requests[ev.ID]
+// breachOfResult reports a result of an attempt that is not in flight. The request is nil where it is not open.
+func (c *Contract) breachOfResult(ev *decide.AttemptResult, request *trackedRequest) {
+	neverSent := ev.ID > c.newestRequest || ev.Attempt < 0 || request != nil && ev.Attempt >= len(request.attempts)
+	if neverSent {
+		c.breach(ResultUnknown, ev.ID, "", fmt.Sprintf("attempt %d was never sent", ev.Attempt))
+	} else {
+		c.breach(ResultRepeated, ev.ID, "", fmt.Sprintf("attempt %d has had its outcome", ev.Attempt))
+	}
+}
+
+// acceptClientGone records that nothing more is owed for a request.
+func (c *Contract) acceptClientGone(ev *decide.ClientGone, isRepair bool) bool {
+	c.events.add(eventRecord{at: c.now, kind: eventClientGone, request: ev.ID})
+	request := c.requests[ev.ID]
 	switch {
-	case q == nil && ev.ID > b.newest:
-		b.breach(DepartedWrong, ev.ID, "", "the request was never asked")
+	case request == nil && ev.ID > c.newestRequest:
+		c.breach(ClientGoneUnknown, ev.ID, "", "the request was never asked")
 		return false
-	case q == nil:
-		return true // it crossed the final answer
-	case q.departed:
-		if !repair {
-			b.breach(DepartedWrong, ev.ID, "", "the client has left already")
+	case request == nil:
+		return true // the client left while the final answer was on its way from the module
+	case request.clientGone:
+		if !isRepair {
+			c.breach(ClientGoneUnknown, ev.ID, "", "the client has left already")
 		}
 		return false
 	}
-	q.over, q.departed = true, true
-	b.balance(q)
+	request.over, request.clientGone = true, true
+	c.closeIfComplete(request)
 	return true
 }
 
-func (b *Contract) probed(ev *decide.HealthCheckResult, repair bool) bool {
-	b.ring.add(note{at: b.now, what: noteProbed, cache: ev.Cache, result: ev.Result})
-	c := b.caches[ev.Cache]
-	if c == nil || len(c.probes) == 0 {
-		if !repair {
-			b.breach(ProbedUnknown, 0, ev.Cache, "no probe is out")
+// acceptHealthCheckResult records the result of a health check.
+func (c *Contract) acceptHealthCheckResult(ev *decide.HealthCheckResult, isRepair bool) bool {
+	c.events.add(eventRecord{at: c.now, kind: eventHealthCheckResult, cache: ev.Cache, result: ev.Result})
+	cache := c.caches[ev.Cache]
+	if cache == nil || len(cache.healthChecks) == 0 {
+		if !isRepair {
+			c.breach(HealthCheckUnknown, 0, ev.Cache, "no probe is out")
 		}
 		return false
 	}
-	c.probes = append(c.probes[:0], c.probes[1:]...)
-	c.told = max(0, c.told-1)
-	b.drop(c)
+	cache.healthChecks = append(cache.healthChecks[:0], cache.healthChecks[1:]...)
+	cache.missingReported = max(0, cache.missingReported-1)
+	c.forgetIfUnused(cache)
 	return true
 }
--- a/internal/guard/overdue.go
+++ b/internal/guard/overdue.go
@@ -2,119 +2,145 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 
 	"starlingwinch/decide"
 )
 
-// Overdue looks for what should long have come and returns it, for the loop to hand to Handle like
-// its own events. Each is reported, and returned, once.
+// Overdue returns events in place of those that are missing, for the loop to hand to Handle like its own. Each is reported and
+// returned once.
 //
-// An attempt without an outcome may have run, so it is TimedOut; so is a probe. A request without an
-// answer is Departed: the module is told that nothing more is owed, and the loop has to answer the
-// client itself, with a failure.
-func (b *Contract) Overdue(now decide.Time) []decide.Event {
-	b.now = now
-	clear(b.repairs)
-	var late []int64
-	for id, q := range b.requests { // any order: sorted below
-		if q.late(now) {
-			late = append(late, id)
+// An attempt without a result may have run, so its result is TimedOut; a health check's is too. For a request without an answer
+// a ClientGone is returned: the module owes nothing more for it, and the loop has to answer the client itself, with a failure.
+func (c *Contract) Overdue(now decide.Time) []decide.Event {
+	c.now = now
+	clear(c.repairs)
+	var overdue []int64
+	for id, request := range c.requests { // any order: sorted below
+		if request.isOverdue(now) {
+			overdue = append(overdue, id)
 		}
 	}
-	slices.Sort(late)
+	slices.Sort(overdue)
 	var events []decide.Event
-	for _, id := range late {
-		events = b.overdueRequest(events, b.requests[id])
+	for _, id := range overdue {
+		events = c.appendMissingOfRequest(events, c.requests[id])
 	}
-	for _, name := range b.names() {
-		events = b.overdueProbes(events, b.caches[name])
+	for _, name := range c.sortedNames() {
+		events = c.appendMissingHealthChecks(events, c.caches[name])
 	}
 	for _, ev := range events {
-		b.repairs[ev] = true
+		c.repairs[ev] = true
 	}
 	return events
 }
 
-func (q *request) late(now decide.Time) bool {
-	if q.unanswered(now) {
+// isOverdue reports whether the answer or a result is missing.
+func (request *trackedRequest) isOverdue(now decide.Time) bool {
+	if request.missesAnswer(now) {
 		return true
 	}
-	for i := range q.attempts {
-		if q.attempts[i].late(now) {
+	for i := range request.attempts {
+		if request.attempts[i].missesResult(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// unanswered reports whether a request misses its final answer. One that has begun takes its time.
-func (q *request) unanswered(now decide.Time) bool {
-	if q.over || q.told || now-slack <= q.deadline {
+// missesAnswer reports whether the final answer is missing. A response that has started may take as long as it takes.
+func (request *trackedRequest) missesAnswer(now decide.Time) bool {
+	if request.over || request.missingReported || now-lateTolerance <= request.deadline {
 		return false
 	}
-	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.out && a.streams })
+	return !slices.ContainsFunc(request.attempts, func(attempt trackedAttempt) bool {
+		return attempt.inFlight && attempt.responding
+	})
 }
 
-func (a *attempt) late(now decide.Time) bool {
-	return a.out && !a.unsent && !a.streams && !a.told && now-slack > a.stopAt
+// missesResult reports whether the result of the attempt is missing.
+func (attempt *trackedAttempt) missesResult(now decide.Time) bool {
+	if !attempt.inFlight || attempt.withheld || attempt.responding || attempt.missingReported {
+		return false
+	}
+	return now-lateTolerance > attempt.deadline
 }
 
-func (b *Contract) overdueRequest(events []decide.Event, q *request) []decide.Event {
-	for i := range q.attempts {
-		a := &q.attempts[i]
-		if !a.late(b.now) {
+// appendMissingOfRequest reports the missing results and the missing answer of a request, and appends the events that stand in
+// for them.
+func (c *Contract) appendMissingOfRequest(events []decide.Event, request *trackedRequest) []decide.Event {
+	for number := range request.attempts {
+		attempt := &request.attempts[number]
+		if !attempt.missesResult(c.now) {
 			continue
 		}
-		a.told = true
-		b.breach(OutcomeMissing, q.id, a.to.name,
-			fmt.Sprintf("attempt %d should have ended by %d", i, a.stopAt))
-		events = append(events, &decide.AttemptResult{ID: q.id, Attempt: i, Result: decide.TimedOut, Elapsed: b.now - a.sent,
-			Last: q.over, Load: decide.LoadReport{Utilization: -1}})
+		attempt.missingReported = true
+		text := fmt.Sprintf("attempt %d should have ended by %d", number, attempt.deadline)
+		c.breach(ResultMissing, request.id, attempt.cache.name, text)
+		events = append(events, &decide.AttemptResult{
+			ID:      request.id,
+			Attempt: number,
+			Result:  decide.TimedOut,
+			Elapsed: c.now - attempt.sentAt,
+			Last:    request.over,
+			Load:    unknownLoad,
+		})
 	}
-	if q.unanswered(b.now) {
-		q.told = true
-		b.breach(AnswerMissing, q.id, "", fmt.Sprintf("the request wanted its answer by %d", q.deadline))
-		events = append(events, &decide.ClientGone{ID: q.id})
+	if request.missesAnswer(c.now) {
+		request.missingReported = true
+		c.breach(AnswerMissing, request.id, "", fmt.Sprintf("the request wanted its answer by %d", request.deadline))
+		events = append(events, &decide.ClientGone{ID: request.id})
 	}
 	return events
 }
 
-func (b *Contract) overdueProbes(events []decide.Event, c *cache) []decide.Event {
-	for c.told < len(c.probes) && b.now > c.probes[c.told]+slack {
-		sent := c.probes[c.told]
-		c.told++
-		b.breach(ProbedMissing, 0, c.name, fmt.Sprintf("the probe of %d has not ended", sent))
-		events = append(events, &decide.HealthCheckResult{Cache: c.name, Result: decide.TimedOut, Elapsed: b.now - sent,
-			Load: decide.LoadReport{Utilization: -1}})
+// appendMissingHealthChecks reports the missing results of health checks of a cache, and appends the events that stand in for
+// them.
+func (c *Contract) appendMissingHealthChecks(events []decide.Event, cache *trackedCache) []decide.Event {
+	for _, sentAt := range cache.healthChecks[cache.missingReported:] {
+		if c.now <= sentAt+lateTolerance {
+			break
+		}
+		cache.missingReported++
+		c.breach(HealthCheckMissing, 0, cache.name, fmt.Sprintf("the probe of %d has not ended", sentAt))
+		events = append(events, &decide.HealthCheckResult{
+			Cache:   cache.name,
+			Result:  decide.TimedOut,
+			Elapsed: c.now - sentAt,
+			Load:    unknownLoad,
+		})
 	}
 	return events
 }
 
-// Check compares the books' counts with the module's and with what is on the sockets: the attempts,
-// probes not among them, that the loop has out at a cache. It wants everything told that has
-// happened: the loop's queue of events is empty.
-func (b *Contract) Check(now decide.Time, onSockets func(cache string) int) {
-	b.now = now
-	if b.counter != nil {
-		if n := b.counter.Open(); n != len(b.requests) {
-			b.breach(OpenCount, 0, "", fmt.Sprintf("the module holds %d requests, %d are open", n, len(b.requests)))
+// Check compares the Contract's counts with the module's, and with onSockets: the number of attempts, health checks not among
+// them, that the loop has in flight at a cache. It must be called when the loop has handed over all its events.
+func (c *Contract) Check(now decide.Time, onSockets func(cache string) int) {
+	c.now = now
+	if c.counter != nil {
+		if n := c.counter.Open(); n != len(c.requests) {
+			text := fmt.Sprintf("the module holds %d requests, %d are open", n, len(c.requests))
+			c.breach(OpenCountDiffers, 0, "", text)
 		}
 	}
-	for _, name := range b.names() {
-		c := b.caches[name]
-		if onSockets != nil {
-			if n := onSockets(name); n != c.out {
-				b.breach(SocketCount, 0, name, fmt.Sprintf("%d attempts are on sockets, %d are out", n, c.out))
-			}
-		}
-		if b.counter != nil && c.listed {
-			if n := b.counter.InFlight(name); n != c.ours {
-				b.breach(ModuleCount, 0, name, fmt.Sprintf("the module counts %d attempts, %d are out", n, c.ours))
-			}
-		}
+	for _, name := range c.sortedNames() {
+		c.checkCache(c.caches[name], onSockets)
 	}
 }
 
-func (b *Contract) names() []string { return slices.Sorted(maps.Keys(b.caches)) }
+// checkCache compares the counts of one cache.
+func (c *Contract) checkCache(cache *trackedCache, onSockets func(cache string) int) {
+	if onSockets != nil {
+		if n := onSockets(cache.name); n != cache.inFlight {
+			text := fmt.Sprintf("%d attempts are on sockets, %d are out", n, cache.inFlight)
+			c.breach(SocketCountDiffers, 0, cache.name, text)
+		}
+	}
+	if c.counter == nil || !cache.listed {
+		return
+	}
+	if n := c.counter.InFlight(cache.name); n != cache.inFlightOfListing {
+		text := fmt.Sprintf("the module counts %d attempts, %d are out", n, cache.inFlightOfListing)
+		c.breach(ModuleCountDiffers, 0, cache.name, text)
+	}
+}
--- a/internal/guard/world_test.go
+++ b/internal/guard/test_loop_test.go
@@ -13,31 +13,31 @@
 
 const ms = 1000
 
-// defects are the ways in which a world's loop can be at fault.
-type defects struct {
-	dropsSends  bool // a Send for a request that is forgotten by now has no outcome
-	dropsProbes bool // nor has a Probe of a cache that is gone by now
+// loopFaults are the ways in which a testLoop can break the contract.
+type loopFaults struct {
+	dropsSends        bool // a Send for a request that is closed gets no result
+	dropsHealthChecks bool // a HealthCheck of a removed cache gets no result
 }
 
-// world is a small loop around the real module, on a clock of its own. As the loop of the service does, it
-// acts on what happens at once and tells it from a queue, so that news and requests cross.
-type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	set      decide.Settings
-	module   *decide.Router
-	books    *Contract
-	now      decide.Time
-	defects  defects
-	backlog  []decide.Event
-	timers   timerHeap
-	clients  []*client // by the number of the request, less 1
-	attempts []*sent   // out, in the order of their sending
-	probes   []probe
-	listed   [fleetSize]bool
-	breaches []Breach
-	// what came about, so that a test can tell that it tested something
-	sends, served, probed, closed, crossed int
+// testLoop is a small loop around the real module, on a clock of its own. Like the loop of the router, it acts at once and
+// hands over events from a queue, so that events and actions cross.
+type testLoop struct {
+	t            *testing.T
+	rng          *rand.Rand
+	set          decide.Settings
+	module       *decide.Router
+	contract     *Contract
+	now          decide.Time
+	faults       loopFaults
+	backlog      []decide.Event
+	timers       timerHeap
+	clients      []*client // by the number of the request, less 1
+	attempts     []*sent   // in flight, in the order of their sending
+	healthChecks []pendingHealthCheck
+	listed       [fleetSize]bool
+	breaches     []Breach
+	// what has happened, so that a test can check that it tested something
+	sends, served, probed, closed, sentAfterEnd int
 }
 
 type client struct {
@@ -54,10 +54,10 @@
 	n      int
 	cache  string
 	stopAt decide.Time
-	begun  bool // its answer has started
+	begun  bool // its response has started
 }
 
-type probe struct {
+type pendingHealthCheck struct {
 	cache string
 	at    decide.Time
 }
@@ -75,7 +75,8 @@
 		HealthCheckCost: .001, DialCost: .5,
 		Classes: []decide.Class{
 			{Name: "read", Semantics: decide.Idempotent, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 2},
-			{Name: "zone", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedInZone, IdempotencyWindow: 500 * ms, LatencyObjective: 200 * ms,
+			{Name: "zone", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedInZone,
+				IdempotencyWindow: 500 * ms, LatencyObjective: 200 * ms,
 				ClientTimeout: 800 * ms, PriorityWeight: 3},
 			{Name: "once", Semantics: decide.NonIdempotent, LatencyObjective: 200 * ms, ClientTimeout: 800 * ms, PriorityWeight: 3},
 		},
@@ -86,34 +87,34 @@
 	return s
 }
 
-func newWorld(t *testing.T, seed int64, d defects) *world {
+func newTestLoop(t *testing.T, seed int64, d loopFaults) *testLoop {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
-	w := &world{t: t, rng: rng, set: randomSettings(rng), now: 1_000_000 * ms, defects: d}
+	w := &testLoop{t: t, rng: rng, set: randomSettings(rng), now: 1_000_000 * ms, faults: d}
 	m, err := decide.New(w.set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.module = m
-	w.books = NewContract(m, func(b Breach) { w.breaches = append(w.breaches, b) })
-	w.books.ReportAll = true
+	w.contract = NewContract(m, func(b Breach) { w.breaches = append(w.breaches, b) })
+	w.contract.ReportAll = true
 	return w
 }
 
-func (w *world) queue(ev decide.Event) { w.backlog = append(w.backlog, ev) }
+func (w *testLoop) queue(ev decide.Event) { w.backlog = append(w.backlog, ev) }
 
-// tell hands over what is queued and does what is asked for.
-func (w *world) tell() {
+// deliver hands over the queued events and carries out the actions.
+func (w *testLoop) deliver() {
 	for len(w.backlog) > 0 {
 		ev := w.backlog[0]
 		w.backlog = w.backlog[1:]
-		for _, a := range w.books.Handle(w.now, ev) {
+		for _, a := range w.contract.Handle(w.now, ev) {
 			w.perform(a)
 		}
 	}
 }
 
-func (w *world) perform(a decide.Action) {
+func (w *testLoop) perform(a decide.Action) {
 	switch a := a.(type) {
 	case decide.Send:
 		w.send(a)
@@ -138,20 +139,20 @@
 			return fired && t.Token == a.Token
 		})
 	case decide.HealthCheck:
-		w.probe(a)
+		w.healthCheck(a)
 	case decide.CloseIdle:
 		w.closed++
 	}
 }
 
-func (w *world) send(a decide.Send) {
+func (w *testLoop) send(a decide.Send) {
 	w.sends++
 	c := w.clients[a.ID-1]
 	s := &sent{client: c, n: c.attempts, cache: a.Cache, stopAt: min(a.AttemptDeadline, c.deadline)}
 	c.attempts++
 	if c.over {
-		w.crossed++
-		if !w.defects.dropsSends || c.out > 0 {
+		w.sentAfterEnd++
+		if !w.faults.dropsSends || c.out > 0 {
 			w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: decide.NotSent, Last: true})
 		}
 		return
@@ -164,23 +165,23 @@
 	w.attempts = append(w.attempts, s)
 }
 
-func (w *world) probe(a decide.HealthCheck) {
+func (w *testLoop) healthCheck(a decide.HealthCheck) {
 	w.probed++
 	if w.lists(a.Cache) {
-		w.probes = append(w.probes, probe{a.Cache, w.now})
-	} else if !w.defects.dropsProbes {
+		w.healthChecks = append(w.healthChecks, pendingHealthCheck{a.Cache, w.now})
+	} else if !w.faults.dropsHealthChecks {
 		w.queue(&decide.HealthCheckResult{Cache: a.Cache, Result: decide.NotSent})
 	}
 }
 
-func (w *world) lists(cache string) bool {
+func (w *testLoop) lists(cache string) bool {
 	var i int
 	fmt.Sscanf(cache, "c%d", &i)
 	return w.listed[i]
 }
 
-// end gives an attempt its outcome.
-func (w *world) end(s *sent, result decide.Result) {
+// end gives an attempt its result.
+func (w *testLoop) end(s *sent, result decide.Result) {
 	c := s.client
 	w.attempts = slices.DeleteFunc(w.attempts, func(o *sent) bool { return o == s })
 	c.out--
@@ -194,8 +195,8 @@
 	w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: result, Last: c.over, Miss: w.rng.Intn(3) == 0})
 }
 
-// finish is the final answer, or the client's leaving. Some attempts were not written yet and end now.
-func (w *world) finish(c *client) {
+// finish is called with the final answer, or when the client leaves. Some attempts were not written yet and end now.
+func (w *testLoop) finish(c *client) {
 	if c.over {
 		return
 	}
@@ -207,22 +208,22 @@
 	}
 }
 
-func (w *world) leave(c *client) {
+func (w *testLoop) leave(c *client) {
 	if !c.over {
 		w.finish(c)
 		w.queue(&decide.ClientGone{ID: c.id})
 	}
 }
 
-func (w *world) ask() {
-	names := []string{"read", "read", "read", "zone", "once", "unheard-of"}
+func (w *testLoop) request() {
+	names := []string{"read", "read", "read", "zone", "once", "unknown"}
 	c := &client{id: int64(len(w.clients) + 1), deadline: w.now + decide.Time(w.rng.Intn(900*ms)) - 20*ms}
 	w.clients = append(w.clients, c)
 	w.queue(&decide.Request{ID: c.id, Class: names[w.rng.Intn(len(names))], Key: uint64(w.rng.Intn(40)),
 		HasKey: w.rng.Intn(9) > 0, Deadline: c.deadline, Write: w.rng.Intn(9) == 0})
 }
 
-func (w *world) list() {
+func (w *testLoop) list() {
 	kind := pickOne(w.rng, decide.DeltaUpdate, decide.DeltaUpdate, decide.FullUpdate, decide.StaleUpdate, decide.FailedUpdate)
 	ev := &decide.EndpointList{Kind: kind}
 	if kind == decide.FailedUpdate {
@@ -248,8 +249,8 @@
 	w.queue(ev)
 }
 
-// reply ends an attempt that is out, or has its answer begin.
-func (w *world) reply() {
+// reply ends an attempt in flight, or starts its response.
+func (w *testLoop) reply() {
 	if len(w.attempts) == 0 {
 		return
 	}
@@ -265,88 +266,89 @@
 	}
 }
 
-// expire ends what has had its time.
-func (w *world) expire() {
+// expire ends attempts and health checks at their deadlines.
+func (w *testLoop) expire() {
 	for _, s := range slices.Clone(w.attempts) {
 		if w.now >= s.stopAt && !s.begun && slices.Contains(w.attempts, s) {
 			w.end(s, decide.TimedOut)
 		}
 	}
-	for len(w.probes) > 0 && w.now >= w.probes[0].at+500*ms {
-		w.queue(&decide.HealthCheckResult{Cache: w.probes[0].cache, Result: decide.TimedOut})
-		w.probes = w.probes[1:]
+	for len(w.healthChecks) > 0 && w.now >= w.healthChecks[0].at+500*ms {
+		w.queue(&decide.HealthCheckResult{Cache: w.healthChecks[0].cache, Result: decide.TimedOut})
+		w.healthChecks = w.healthChecks[1:]
 	}
 }
 
-// advance moves the clock on, firing what is due.
-func (w *world) advance(d decide.Time) {
+// advance moves the clock, and fires the timers that are due.
+func (w *testLoop) advance(d decide.Time) {
 	end := w.now + d
 	for len(w.timers) > 0 && w.timers[0].At <= end {
 		tm := heap.Pop(&w.timers).(decide.SetTimer)
 		w.now = max(w.now, tm.At)
 		w.expire()
 		w.queue(&decide.Timer{Token: tm.Token})
-		if w.rng.Intn(3) > 0 { // else more comes in before the module hears of it
-			w.tell()
+		if w.rng.Intn(3) > 0 { // else more events are queued before the module gets this one
+			w.deliver()
 		}
 	}
 	w.now = end
 	w.expire()
 }
 
-// step has something happen.
-func (w *world) step() {
+// step makes one random event.
+func (w *testLoop) step() {
 	switch x := w.rng.Intn(100); {
 	case x < 40:
-		w.ask()
+		w.request()
 	case x < 46 && len(w.clients) > 0:
 		w.leave(w.clients[max(0, len(w.clients)-1-w.rng.Intn(30))])
 	case x < 50:
 		w.list()
-	case x < 55 && len(w.probes) > 0:
-		w.queue(&decide.HealthCheckResult{Cache: w.probes[0].cache, Result: pickOne(w.rng, decide.Served, decide.TimedOut)})
-		w.probes = w.probes[1:]
+	case x < 55 && len(w.healthChecks) > 0:
+		w.queue(&decide.HealthCheckResult{Cache: w.healthChecks[0].cache, Result: pickOne(w.rng, decide.Served, decide.TimedOut)})
+		w.healthChecks = w.healthChecks[1:]
 	default:
 		w.reply()
 	}
 }
 
-// play has so many things happen, and then lets all that is open come to its end.
-func (w *world) play(steps int) {
+// play makes random events, and then ends all that is open.
+func (w *testLoop) play(steps int) {
 	for range steps {
 		for range 1 + w.rng.Intn(4) {
 			w.step()
 		}
-		w.tell()
+		w.deliver()
 		w.advance(decide.Time(w.rng.Intn(20 * ms)))
 		if w.rng.Intn(3) > 0 {
-			w.tell()
+			w.deliver()
 			w.check()
 		}
 	}
-	w.tell()
+	w.deliver()
 	for _, s := range slices.Clone(w.attempts) {
 		if s.begun {
 			w.end(s, decide.ConnectionLost)
 		}
 	}
-	for range 40 { // longer than any deadline and the slack
+	for range 40 { // longer than any deadline and lateTolerance
 		w.advance(100 * ms)
-		w.tell()
+		w.deliver()
 		w.repair()
 		w.check()
 	}
 }
 
-func (w *world) repair() {
-	for _, ev := range w.books.Overdue(w.now) {
+// repair takes the events in place of missing ones, long after, and hands them over.
+func (w *testLoop) repair() {
+	for _, ev := range w.contract.Overdue(w.now) {
 		w.queue(ev)
 	}
-	w.tell()
+	w.deliver()
 }
 
-func (w *world) check() {
-	w.books.Check(w.now, func(cache string) int {
+func (w *testLoop) check() {
+	w.contract.Check(w.now, func(cache string) int {
 		n := 0
 		for _, s := range w.attempts {
 			if s.cache == cache {
@@ -359,7 +361,7 @@
 
 func pickOne[T any](rng *rand.Rand, of ...T) T { return of[rng.Intn(len(of))] }
 
-// timerHeap fires in the order of time, and of setting at one time.
+// timerHeap orders timers by time, and by token at one time.
 type timerHeap []decide.SetTimer
 
 func (h timerHeap) Len() int { return len(h) }
