--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -1,11 +1,11 @@
-// Package aperture chooses, for each router of a tier, the part of a large fleet that it keeps connections
-// to: deterministic aperture subsetting, after Finagle's. Where a fleet has more caches than a router has
-// descriptors, a router that uses all of them opens a connection for most of its requests.
+// Package aperture chooses, for each router, the part of a large fleet of caches that it keeps connections to: deterministic
+// aperture subsetting, after Twitter's Finagle. A router that uses all caches of a fleet that is larger than its number of
+// descriptors opens a connection for most of its requests.
 //
-// Caches and routers stand on one ring: a cache in the segment that the hash of its name gives, of as many
-// segments as there are routers; a router takes so many segments from its own on. So each cache is used by equally
-// many routers, whatever the fleet, and one that comes or goes changes nothing for the others. It does no I/O
-// and decides nothing about single requests.
+// Caches and routers stand on one ring of as many segments as there are routers. A cache stands in the segment that the hash of
+// its name gives; a router uses a number of segments from its own on. So each cache is used by equally many routers, whatever
+// the fleet, and one that comes or goes changes nothing for the others. The package does no I/O, and decides nothing about
+// single requests.
 package aperture
 
 import (
@@ -13,59 +13,80 @@
 	"hash/fnv"
 )
 
-// Aperture is a router's place among the others. Use New.
+// Errors of New.
+var (
+	errRouterNumber = errors.New("aperture: a router's number is below that of routers, and there is one at least")
+	errMaxCaches    = errors.New("aperture: a router keeps connections to one cache at least")
+)
+
+// growMargin is the fraction of maxCaches that stays free when the aperture grows: the hash does not spread names evenly, and a
+// fleet that grows and shrinks by one cache must not change the aperture each time.
+const growMargin = 0.1
+
+// Aperture is the part of the ring that one router uses. Use New.
 type Aperture struct {
-	self, peers int
-	most        int // caches that it can keep connections to
-	segments    int // that it takes, from its own on
+	router    int // its number, from 0
+	routers   int // their number, and that of segments
+	maxCaches int // that the router can keep connections to
+	segments  int // that the router uses, from its own on; changed by Resize
 }
 
-// margin is the part of a ring's bound that is left free when it takes more segments: names fall on segments by
-// chance, and a fleet that grows and shrinks by one cache must not move the aperture each time.
-const margin = 0.1
-
-// New returns the ring of the router of a number, from 0, among so many. Until Resize it takes all.
-func New(self, peers, most int) (*Aperture, error) {
-	if peers < 1 || self < 0 || self >= peers {
-		return nil, errors.New("aperture: a router's number is below that of routers, and there is one at least")
+// New returns the aperture of the router with a number, from 0, among so many, which can keep connections to maxCaches. It
+// covers all caches until Resize is called.
+func New(router, routers, maxCaches int) (*Aperture, error) {
+	if routers < 1 || router < 0 || router >= routers {
+		return nil, errRouterNumber
 	}
-	if most < 1 {
-		return nil, errors.New("aperture: a router keeps connections to one cache at least")
+	if maxCaches < 1 {
+		return nil, errMaxCaches
 	}
-	return &Aperture{self: self, peers: peers, most: most, segments: peers}, nil
+	return &Aperture{router: router, routers: routers, maxCaches: maxCaches, segments: routers}, nil
 }
 
-// Resize fits the aperture to a fleet of so many caches. It reports whether the aperture has changed.
-func (r *Aperture) Resize(caches int) bool {
-	before := r.segments
-	fits := func(most float64) int { // segments that hold at most so many caches; one has to be taken
-		if caches == 0 {
-			return r.peers
-		}
-		return min(r.peers, max(1, int(most*float64(r.peers)/float64(caches))))
+// Resize fits the aperture to a fleet of so many caches, and reports whether it has changed.
+func (a *Aperture) Resize(caches int) bool {
+	before := a.segments
+	shrunk := a.segmentsFor(float64(a.maxCaches), caches)
+	grown := a.segmentsFor(float64(a.maxCaches)*(1-growMargin), caches)
+	switch {
+	case shrunk < a.segments:
+		a.segments = shrunk
+	case grown > a.segments:
+		a.segments = grown
 	}
-	if n := fits(float64(r.most)); n < r.segments {
-		r.segments = n
-	} else if n := fits(float64(r.most) * (1 - margin)); n > r.segments {
-		r.segments = n
+	return a.segments != before
+}
+
+// segmentsFor returns the number of segments that hold at most maxCaches of a fleet, and at least one.
+func (a *Aperture) segmentsFor(maxCaches float64, caches int) int {
+	if caches == 0 {
+		return a.routers
 	}
-	return r.segments != before
+	return min(a.routers, max(1, int(maxCaches*float64(a.routers)/float64(caches))))
 }
 
-// CoversAll reports whether all caches are taken.
-func (r *Aperture) CoversAll() bool { return r.segments == r.peers }
+// CoversAll reports whether the router uses all caches.
+func (a *Aperture) CoversAll() bool { return a.segments == a.routers }
 
 // Covers reports whether the router uses a cache.
-func (r *Aperture) Covers(name string) bool {
-	if r.CoversAll() {
+func (a *Aperture) Covers(name string) bool {
+	if a.CoversAll() {
 		return true
 	}
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	x := h.Sum64()
-	x ^= x >> 33 // short names that differ in their last letter only are far apart after that
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	segment := int(x % uint64(r.peers))
-	return (segment-r.self+r.peers)%r.peers < r.segments
+	segment := int(hash(name) % uint64(a.routers))
+	distance := (segment - a.router + a.routers) % a.routers
+	return distance < a.segments
+}
+
+// hash returns a hash of a name: FNV-1a, mixed by a part of MurmurHash3's finalizer so that short names that differ in their
+// last letter alone are spread too.
+func hash(name string) uint64 {
+	const mixer = 0xff51afd7ed558ccd
+	fnv1a := fnv.New64a()
+	fnv1a.Write([]byte(name))
+	sum := fnv1a.Sum64()
+	sum ^= sum >> 33
+	sum *= mixer
+	sum ^= sum >> 33
+	return sum
 }
--- a/internal/rankcache/rankcache.go
+++ b/internal/rankcache/rankcache.go
@@ -1,75 +1,86 @@
-// Package rankcache remembers the first ranks of keys lately placed, so that a key that is asked for again costs a look and
-// not a comparison with each cache of a large fleet.
+// Package rankcache remembers the first ranks of keys that were placed lately, so that a key that is requested again costs a
+// look-up and not a comparison with each cache of a large fleet.
 //
-// It is a table of fixed size with two places for each part of the keys (a two-way set-associative cache, in which
-// the place used last stays), without pointers, so that the collector has nothing to look for. What it does not hold is
-// worked out anew: it changes what a placement costs and never what it is. Keys are numbers that are well mixed.
+// It is a two-way set-associative cache of fixed size, in which the slot of a set that was used last stays. It has no pointers,
+// so that the garbage collector has nothing to scan. What it does not hold is computed again: it changes what a placement costs
+// and never what it is. Keys must be well mixed numbers.
 package rankcache
 
 import "math"
 
-// MaxRanks is how many ranks of a key are remembered.
+// MaxRanks is the number of ranks of a key that are remembered.
 const MaxRanks = 8
 
-const sets = 1 << 14 // of two places each: 32,768 keys in 1 MiB
+const (
+	// setBits is the binary logarithm of the number of sets.
+	setBits = 14
+	// setCount is the number of sets, of two slots each: 32,768 keys in 1 MiB.
+	setCount = 1 << setBits
+	// keyMultiplier spreads keys that differ in their low bits alone: 2^64 divided by the golden ratio (Knuth, The Art of
+	// Computer Programming, section 6.4).
+	keyMultiplier = 0x9e3779b97f4a7c15
+)
 
 // List is the first ranks of a key, as numbers of caches.
 type List [MaxRanks]uint16
 
-type place struct {
-	key   uint64
-	epoch uint32 // 0 for none
-	n     uint16
-	newer bool // than the other one of its set
-	list  List
+// slot holds the ranks of one key.
+type slot struct {
+	key      uint64
+	epoch    uint32 // of the Put, from 1; 0 for an empty slot
+	count    uint16 // of ranks in list
+	usedLast bool   // later than the other slot of its set
+	list     List
 }
 
-// Cache is the table. The zero value is empty and takes its memory with the first Put.
+// Cache is the table. The zero value is empty, and allocates its memory at the first Put.
 type Cache struct {
-	places []place
-	epoch  uint32
+	slots []slot
+	epoch uint32 // number of calls of Forget; slots of an earlier epoch do not count
 }
 
-// Forget empties it, in constant time.
-func (m *Cache) Forget() {
-	if m.epoch++; m.epoch == math.MaxUint32 {
-		// The danger: after four billion changes ranks of the first fleet pass for those of today's.
-		m.epoch, m.places = 0, nil
+// Forget empties the cache, in constant time.
+func (c *Cache) Forget() {
+	c.epoch++
+	if c.epoch == math.MaxUint32 {
+		// The epochs begin anew, so that slots of the first ones must not be left.
+		c.epoch, c.slots = 0, nil
 	}
 }
 
-// Get is what was put for the key since the last Forget; nil where it is not known.
-func (m *Cache) Get(key uint64) []uint16 {
-	if m.places == nil {
+// Get returns what was put for the key since the last Forget, or nil. The ranks are valid until the next call.
+func (c *Cache) Get(key uint64) []uint16 {
+	if c.slots == nil {
 		return nil
 	}
-	set := m.set(key)
+	set := c.set(key)
 	for i := range set {
-		if p := &set[i]; p.key == key && p.epoch == m.epoch+1 {
-			p.newer, set[1-i].newer = true, false
-			return p.list[:p.n]
+		s := &set[i]
+		if s.key == key && s.epoch == c.epoch+1 {
+			s.usedLast, set[1-i].usedLast = true, false
+			return s.list[:s.count]
 		}
 	}
 	return nil
 }
 
-// Put remembers the first ranks of a key, Most at most, in place of the one of its set that was used longer ago.
-func (m *Cache) Put(key uint64, ranks []uint16) {
-	if m.places == nil {
-		m.places = make([]place, 2*sets)
+// Put remembers the first ranks of a key, at most MaxRanks, in place of the key of its set that was used longer ago.
+func (c *Cache) Put(key uint64, first []uint16) {
+	if c.slots == nil {
+		c.slots = make([]slot, 2*setCount)
 	}
-	set := m.set(key)
+	set := c.set(key)
 	i := 0
-	if set[0].newer && set[0].epoch == m.epoch+1 {
+	if set[0].usedLast && set[0].epoch == c.epoch+1 {
 		i = 1
 	}
-	set[i] = place{key: key, epoch: m.epoch + 1, newer: true}
-	set[i].n = uint16(copy(set[i].list[:], ranks))
-	set[1-i].newer = false
+	set[i] = slot{key: key, epoch: c.epoch + 1, usedLast: true}
+	set[i].count = uint16(copy(set[i].list[:], first))
+	set[1-i].usedLast = false
 }
 
-// set is the two places of a key. Multiplying spreads keys of which only the low bits differ (Knuth, 6.4).
-func (m *Cache) set(key uint64) *[2]place {
-	i := key * 0x9e3779b97f4a7c15 >> 50 * 2
-	return (*[2]place)(m.places[i : i+2])
+// set returns the two slots in which a key may be.
+func (c *Cache) set(key uint64) *[2]slot {
+	first := key * keyMultiplier >> (64 - setBits) * 2
+	return (*[2]slot)(c.slots[first : first+2])
 }
--- a/internal/rankcache/rankcache_test.go
+++ b/internal/rankcache/rankcache_test.go
@@ -7,7 +7,7 @@
 	"unsafe"
 )
 
-func TestWhatIsGivenIsWhatWasPutLast(t *testing.T) {
+func TestGetReturnsLastPut(t *testing.T) {
 	var m Cache
 	draw := rand.New(rand.NewPCG(1, 2))
 	known := map[uint64][]uint16{}
@@ -29,11 +29,11 @@
 		}
 	}
 	if hits < 150_000 {
-		t.Errorf("%d of 200,000 looks at 20,000 keys were known", hits)
+		t.Errorf("%d of 200,000 look-ups of 20,000 keys were hits", hits)
 	}
 }
 
-func TestNothingIsKnownAfterAForget(t *testing.T) {
+func TestForgetEmptiesCache(t *testing.T) {
 	var m Cache
 	for range 3 {
 		for key := range uint64(1000) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestEpochsThatBeginAnewBringNothingBack: the count of Forgets is bounded by its size.
-func TestEpochsThatBeginAnewBringNothingBack(t *testing.T) {
+// TestEpochOverflowForgetsAll checks that nothing comes back when the number of calls of Forget exceeds its type.
+func TestEpochOverflowForgetsAll(t *testing.T) {
 	var m Cache
 	m.Put(1, []uint16{7})
 	m.epoch = ^uint32(0) - 1
@@ -57,13 +57,13 @@
 	for range 3 {
 		m.Forget()
 		if m.Get(1) != nil || m.Get(2) != nil || m.Get(0) != nil {
-			t.Fatalf("epoch %d: an old fleet's ranks are back", m.epoch)
+			t.Fatalf("epoch %d: old ranks are back", m.epoch)
 		}
 	}
 }
 
-// TestOfTwoKeysInOneSetTheOneUsedLastStays.
-func TestOfTwoKeysInOneSetTheOneUsedLastStays(t *testing.T) {
+// TestPutReplacesLeastRecentlyUsed checks two keys of one set.
+func TestPutReplacesLeastRecentlyUsed(t *testing.T) {
 	var m Cache
 	m.Put(1, []uint16{1})
 	var same []uint64
@@ -76,25 +76,25 @@
 	m.Get(1)
 	m.Put(same[1], []uint16{3})
 	if m.Get(1) == nil || m.Get(same[0]) != nil || m.Get(same[1]) == nil {
-		t.Error("the place used last was given away")
+		t.Error("the key used last was replaced")
 	}
 }
 
-func TestNumbersAreUsedAgainAndNeverTwiceAtATime(t *testing.T) {
+func TestNumbersAreUniqueAndReused(t *testing.T) {
 	var s Numbering[string]
 	a, b := s.Assign("a"), s.Assign("b")
 	s.Release(a)
 	if s.Of(a) != "" {
-		t.Error("what gave its number back is held")
+		t.Error("a released item is still referred to")
 	}
 	c, d := s.Assign("c"), s.Assign("d")
 	if c != a || d == b || d == c || s.Of(b) != "b" || s.Of(c) != "c" || s.Of(d) != "d" || s.Max() != 3 {
-		t.Errorf("numbers %d %d %d %d, %d at most", a, b, c, d, s.Max())
+		t.Errorf("numbers %d %d %d %d, maximum %d", a, b, c, d, s.Max())
 	}
 }
 
-func TestMemoryIsBounded(t *testing.T) {
-	if size := 2 * sets * unsafe.Sizeof(place{}); size > 2<<20 {
+func TestCacheSizeIsBounded(t *testing.T) {
+	if size := 2 * setCount * unsafe.Sizeof(slot{}); size > 2<<20 {
 		t.Errorf("%d bytes", size)
 	}
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,11 +1,11 @@
-// Package rendezvous orders things for a key by size-weighted rendezvous hashing (Thaler and Ravishankar, "A name-based
-// mapping scheme for rendezvous", 1996; the weights after Schindelhauer and Schomaker, "Weighted distributed hash tables",
-// 2005). A thing that leaves gives up its own keys only, each key has its fallbacks, and all who hold the same things find the
-// same order.
+// Package rendezvous orders items for a key by weighted rendezvous hashing (Thaler and Ravishankar, "A name-based mapping scheme
+// for rendezvous", 1996; the weights after Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005). An item that
+// is removed gives up its own keys only, each key has its fallbacks, and all who hold the same items find the same order.
 //
-// The score of a thing is -ln(u)/size, with u from a hash of key and id. Among things of one size the order of scores is that
-// of the hashes, so that an order costs a comparison for each thing and a logarithm for each size. In a large set the first
-// ranks of keys lately ordered are remembered. It is arithmetic: what an order is used for is decided elsewhere.
+// The score of an item is -ln(u)/size, with u from a hash of key and id, and the lowest score comes first. Among items of one
+// size the order of scores is that of the hashes, so that an order costs a comparison for each item and a logarithm for each
+// size. In a large set the first ranks of keys ordered lately are remembered. The package does arithmetic alone: what an order
+// is used for is decided elsewhere.
 package rendezvous
 
 import (
@@ -17,93 +17,103 @@
 )
 
 const (
-	firstRanks  = rankcache.MaxRanks // of an order that are found in one pass; few are asked for
-	mostOrders  = 64                 // whole orders that are kept
-	rememberFor = 64                 // things from which on first ranks are remembered: below that they cost less than a look
+	// firstRanks is the number of ranks that are found in one pass. Few callers need more.
+	firstRanks = rankcache.MaxRanks
+	// maxFullOrders is the number of full orders that are kept.
+	maxFullOrders = 64
+	// minSizeForCache is the number of items from which on first ranks are remembered. Fewer cost less than a look-up.
+	minSizeForCache = 64
 )
 
-// Set holds things, each with an id of its own and a size above 0. Its zero value is empty.
+// Set holds items, each with a unique id and a size above 0. Its zero value is empty.
 type Set[T any] struct {
-	groups  []group[T] // the things by size
-	n       int
-	order   order[T]                       // of the key that was ranked last
-	orders  map[uint64][]T                 // whole orders, while the set stays as it is
-	memo    rankcache.Cache                // first ranks of keys, likewise
-	numbers rankcache.Numbering[*thing[T]] // by which the memo names them
+	groups     []group[T]                    // the items by size
+	size       int                           // number of items
+	current    order[T]                      // of the key that was ranked last
+	fullOrders map[uint64][]T                // by key; cleared when the set changes
+	rankCache  rankcache.Cache               // first ranks of keys; cleared when the set changes
+	numbers    rankcache.Numbering[*item[T]] // by which rankCache refers to items
 }
 
-type thing[T any] struct {
+// item is an item with what is computed once.
+type item[T any] struct {
 	id     string
-	hash   uint64
-	number int
+	hash   uint64 // of the id
+	number int    // in Set.numbers
 	value  T
 }
 
-// group holds the things of one size, by id.
+// group holds the items of one size, by id.
 type group[T any] struct {
 	size   float64
-	hashes []uint64
-	things []*thing[T]
+	hashes []uint64 // of the items' ids: the loop over a large group reads nothing else
+	items  []*item[T]
 }
 
-// order is that of all things for one key.
+// order is the order of all items for one key.
 type order[T any] struct {
 	key   uint64
 	first []ranked[T] // the first ranks
-	all   []T         // nil until it is asked for
+	full  []T         // nil until a later rank is needed
 }
 
-// ranked is a thing with its score for a key.
+// ranked is an item with its score for a key.
 type ranked[T any] struct {
-	t     *thing[T]
+	item  *item[T]
 	score float64
 }
 
-// Len is how many things there are.
-func (s *Set[T]) Len() int { return s.n }
+// Len returns the number of items.
+func (s *Set[T]) Len() int { return s.size }
 
-// Add takes a thing in.
+// Add adds an item.
 func (s *Set[T]) Add(id string, size float64, value T) {
-	t := &thing[T]{id: id, hash: Hash(id), value: value}
-	t.number = s.numbers.Assign(t)
+	added := &item[T]{id: id, hash: Hash(id), value: value}
+	added.number = s.numbers.Assign(added)
 	g := s.group(size)
-	at, _ := slices.BinarySearchFunc(g.things, id, byID[T])
-	g.things, g.hashes = slices.Insert(g.things, at, t), slices.Insert(g.hashes, at, t.hash)
-	s.n++
-	s.forget()
+	at, _ := slices.BinarySearchFunc(g.items, id, compareID[T])
+	g.items = slices.Insert(g.items, at, added)
+	g.hashes = slices.Insert(g.hashes, at, added.hash)
+	s.size++
+	s.forgetOrders()
 }
 
-// Remove takes a thing out that was added with that size.
+// Remove removes the item that was added with this id and size, if there is one.
 func (s *Set[T]) Remove(id string, size float64) {
 	g := s.group(size)
-	if at, found := slices.BinarySearchFunc(g.things, id, byID[T]); found {
-		s.numbers.Release(g.things[at].number)
-		g.things, g.hashes = slices.Delete(g.things, at, at+1), slices.Delete(g.hashes, at, at+1)
-		s.n--
-		s.forget()
+	at, found := slices.BinarySearchFunc(g.items, id, compareID[T])
+	if !found {
+		return
 	}
+	s.numbers.Release(g.items[at].number)
+	g.items = slices.Delete(g.items, at, at+1)
+	g.hashes = slices.Delete(g.hashes, at, at+1)
+	s.size--
+	s.forgetOrders()
 }
 
-func (s *Set[T]) forget() {
-	clear(s.orders)
-	s.memo.Forget()
+// forgetOrders drops what was remembered of the set before a change.
+func (s *Set[T]) forgetOrders() {
+	clear(s.fullOrders)
+	s.rankCache.Forget()
 }
 
-func byID[T any](t *thing[T], id string) int { return strings.Compare(t.id, id) }
+// compareID orders items by id.
+func compareID[T any](i *item[T], id string) int { return strings.Compare(i.id, id) }
 
-// group is that of a size, made where there is none. One that is empty stays: sizes are few.
+// group returns the group of a size, and makes it where there is none. Empty groups are removed only then, as sizes are few.
 func (s *Set[T]) group(size float64) *group[T] {
 	for i := range s.groups {
 		if s.groups[i].size == size {
 			return &s.groups[i]
 		}
 	}
-	s.groups = slices.DeleteFunc(s.groups, func(g group[T]) bool { return len(g.things) == 0 })
+	s.groups = slices.DeleteFunc(s.groups, func(g group[T]) bool { return len(g.items) == 0 })
 	s.groups = append(s.groups, group[T]{size: size})
 	return &s.groups[len(s.groups)-1]
 }
 
-// Mix is the finaliser of SplitMix64.
+// Mix is the finalizer of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators", 2014).
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -112,127 +122,140 @@
 	return x ^ x>>31
 }
 
-// Hash maps an id to a number, by FNV-1a and Mix.
+// Hash returns a hash of an id: 64-bit FNV-1a, followed by Mix.
 func Hash(id string) uint64 {
-	h := uint64(14695981039346656037)
+	const offsetBasis, prime = 14695981039346656037, 1099511628211
+	hash := uint64(offsetBasis)
 	for i := 0; i < len(id); i++ {
-		h = (h ^ uint64(id[i])) * 1099511628211
+		hash = (hash ^ uint64(id[i])) * prime
 	}
-	return Mix(h)
+	return Mix(hash)
 }
 
-// draw is the part of a hash that scores go by.
-func draw(key, hash uint64) uint64 { return Mix(key^hash) >> 11 }
+// drawBits is the number of bits of a draw: as many as a float64 represents exactly.
+const drawBits = 53
 
+// draw returns the number that an item with a hash draws for a key. Among items of one size, the highest draw comes first.
+func draw(key, hash uint64) uint64 { return Mix(key^hash) >> (64 - drawBits) }
+
+// score returns the score that a draw gives an item of a size.
 func score(draw uint64, size float64) float64 {
-	return -math.Log(float64(draw)/(1<<53)+1e-18) / size
+	const minimum = 1e-18 // the logarithm of 0 is not finite
+	return -math.Log(float64(draw)/(1<<drawBits)+minimum) / size
 }
 
-func compare[T any](a, b ranked[T]) int {
+// compareRanked orders items by score, and items of one score by id.
+func compareRanked[T any](a, b ranked[T]) int {
 	switch {
 	case a.score < b.score:
 		return -1
 	case a.score > b.score:
 		return 1
 	}
-	return strings.Compare(a.t.id, b.t.id)
+	return strings.Compare(a.item.id, b.item.id)
 }
 
-// first puts the first ranks for a key into a list that holds those of other sizes, in order.
-func (g *group[T]) first(key uint64, list []ranked[T]) []ranked[T] {
-	var draws [firstRanks]uint64
-	var at [firstRanks]int
-	n := 0
-	for i, h := range g.hashes {
-		d := draw(key, h)
-		if n == firstRanks && d <= draws[n-1] {
-			continue
-		}
-		k := min(n, firstRanks-1)
-		n = k + 1
-		for ; k > 0 && draws[k-1] < d; k-- { // equal ones stay in the order of ids
-			draws[k], at[k] = draws[k-1], at[k-1]
-		}
-		draws[k], at[k] = d, i
-	}
-	for i := range n {
-		c := ranked[T]{g.things[at[i]], score(draws[i], g.size)}
-		if len(list) == firstRanks && compare(c, list[firstRanks-1]) > 0 {
-			break // so are the group's others
-		}
-		k := min(len(list), firstRanks-1)
-		if len(list) < firstRanks {
-			list = append(list, c)
-		}
-		for ; k > 0 && compare(c, list[k-1]) < 0; k-- {
-			list[k] = list[k-1]
-		}
-		list[k] = c
-	}
-	return list
-}
-
-// Rank orders the things for a key; At tells which has a rank.
+// Rank orders the items for a key; Ranked then returns them.
 func (s *Set[T]) Rank(key uint64) {
-	o := &s.order
-	o.key, o.first, o.all = key, o.first[:0], nil
-	large := s.n > rememberFor && s.numbers.Max() <= math.MaxUint16
-	if large {
-		for _, n := range s.memo.Get(key) {
-			o.first = append(o.first, ranked[T]{t: s.numbers.Of(int(n))})
+	o := &s.current
+	o.key, o.first, o.full = key, o.first[:0], nil
+	cached := s.size > minSizeForCache && s.numbers.Max() <= math.MaxUint16
+	if cached {
+		for _, number := range s.rankCache.Get(key) {
+			o.first = append(o.first, ranked[T]{item: s.numbers.Of(int(number))})
 		}
 		if len(o.first) > 0 {
 			return
 		}
 	}
 	for i := range s.groups {
-		o.first = s.groups[i].first(key, o.first)
+		o.first = s.groups[i].mergeFirst(key, o.first)
 	}
-	if large {
+	if cached {
 		var list rankcache.List
 		for i := range o.first {
-			list[i] = uint16(o.first[i].t.number)
+			list[i] = uint16(o.first[i].item.number)
+		}
+		s.rankCache.Put(key, list[:len(o.first)])
+	}
+}
+
+// mergeFirst merges the group's first ranks for a key into those of other groups, which are in order.
+func (g *group[T]) mergeFirst(key uint64, merged []ranked[T]) []ranked[T] {
+	var draws [firstRanks]uint64
+	var places [firstRanks]int
+	count := g.highestDraws(key, &draws, &places)
+	for i := range count {
+		candidate := ranked[T]{g.items[places[i]], score(draws[i], g.size)}
+		if len(merged) == firstRanks && compareRanked(candidate, merged[firstRanks-1]) > 0 {
+			break // the group's others come later still
+		}
+		at := min(len(merged), firstRanks-1)
+		if len(merged) < firstRanks {
+			merged = append(merged, candidate)
+		}
+		for ; at > 0 && compareRanked(candidate, merged[at-1]) < 0; at-- {
+			merged[at] = merged[at-1]
+		}
+		merged[at] = candidate
+	}
+	return merged
+}
+
+// highestDraws finds the highest draws of the group for a key, in order, with the places of their items. Items of one draw stay
+// in the order of their ids. It returns their number.
+func (g *group[T]) highestDraws(key uint64, draws *[firstRanks]uint64, places *[firstRanks]int) (count int) {
+	for i, hash := range g.hashes {
+		drawn := draw(key, hash)
+		if count == firstRanks && drawn <= draws[count-1] {
+			continue
+		}
+		at := min(count, firstRanks-1)
+		count = at + 1
+		for ; at > 0 && draws[at-1] < drawn; at-- {
+			draws[at], places[at] = draws[at-1], places[at-1]
 		}
-		s.memo.Put(key, list[:len(o.first)])
+		draws[at], places[at] = drawn, i
 	}
+	return count
 }
 
-// Ranked is the thing of rank i, from 0, for the key that was ranked last.
+// Ranked returns the item of rank i, from 0, for the key of the last call of Rank. There must be more than i items.
 func (s *Set[T]) Ranked(i int) T {
-	o := &s.order
-	if o.all == nil && i >= len(o.first) {
-		o.all = s.whole(o.key)
+	o := &s.current
+	if o.full == nil && i >= len(o.first) {
+		o.full = s.fullOrder(o.key)
 	}
-	if o.all != nil {
-		return o.all[i]
+	if o.full != nil {
+		return o.full[i]
 	}
-	return o.first[i].t.value
+	return o.first[i].item.value
 }
 
-// whole is the order of all things for a key. The danger: to find the ranks of a hot key over and over costs more than all
-// else; the orders of the latest such keys are kept until the set changes.
-func (s *Set[T]) whole(key uint64) []T {
-	if all, kept := s.orders[key]; kept {
-		return all
+// fullOrder returns the order of all items for a key. The orders of a few keys are kept until the set changes: sorting a large
+// set at each request for a hot key would cost more than everything else.
+func (s *Set[T]) fullOrder(key uint64) []T {
+	if full, found := s.fullOrders[key]; found {
+		return full
 	}
-	scored := make([]ranked[T], 0, s.n)
+	scored := make([]ranked[T], 0, s.size)
 	for i := range s.groups {
 		g := &s.groups[i]
-		for j, t := range g.things {
-			scored = append(scored, ranked[T]{t, score(draw(key, g.hashes[j]), g.size)})
+		for j, scoredItem := range g.items {
+			scored = append(scored, ranked[T]{scoredItem, score(draw(key, g.hashes[j]), g.size)})
 		}
 	}
-	slices.SortFunc(scored, compare[T])
-	all := make([]T, len(scored))
-	for i, r := range scored {
-		all[i] = r.t.value
+	slices.SortFunc(scored, compareRanked[T])
+	full := make([]T, len(scored))
+	for i := range scored {
+		full[i] = scored[i].item.value
 	}
-	if len(s.orders) >= mostOrders {
-		clear(s.orders)
+	if len(s.fullOrders) >= maxFullOrders {
+		clear(s.fullOrders)
 	}
-	if s.orders == nil {
-		s.orders = map[uint64][]T{}
+	if s.fullOrders == nil {
+		s.fullOrders = map[uint64][]T{}
 	}
-	s.orders[key] = all
-	return all
+	s.fullOrders[key] = full
+	return full
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// plain ranks things as rendezvous hashing is written down: a score for each, sorted.
-func plain(sizes map[string]float64, key uint64) (ids []string) {
+// referenceOrder orders ids as rendezvous hashing is defined: a score for each, sorted.
+func referenceOrder(sizes map[string]float64, key uint64) (ids []string) {
 	score := map[string]float64{}
 	for id, size := range sizes {
 		score[id] = -math.Log(float64(Mix(key^Hash(id))>>11)/(1<<53)+1e-18) / size
@@ -28,9 +28,9 @@
 	return ids
 }
 
-// TestOrderIsThatOfPlainRendezvousHashing at any size and number of sizes, after things have come and gone, worked out and
-// remembered, and whichever rank is asked for first.
-func TestOrderIsThatOfPlainRendezvousHashing(t *testing.T) {
+// TestOrderMatchesReference checks sets with any number of items and sizes, after changes, computed and remembered, and with
+// ranks requested in any order.
+func TestOrderMatchesReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct{ n, sizes int }{{1, 1}, {9, 1}, {14, 2}, {40, 40}, {300, 1}, {300, 7}} {
 		var s Set[string]
@@ -46,7 +46,7 @@
 		}
 		for change := 0; len(sizes) > 0 && change < 4; change++ {
 			for _, key := range keys {
-				want := plain(sizes, key)
+				want := referenceOrder(sizes, key)
 				for range 2 {
 					s.Rank(key)
 					for _, i := range rng.Perm(len(want)) {
@@ -56,18 +56,18 @@
 					}
 				}
 			}
-			gone := plain(sizes, keys[0])[0]
+			gone := referenceOrder(sizes, keys[0])[0]
 			s.Remove(gone, sizes[gone])
 			delete(sizes, gone)
 			if s.Len() != len(sizes) {
-				t.Fatalf("%d things, want %d", s.Len(), len(sizes))
+				t.Fatalf("%d items, want %d", s.Len(), len(sizes))
 			}
 		}
 	}
 }
 
-// TestKeptOrdersAreFewAndEndWithAChange: what is kept for whole orders is bounded, and none outlives the set that it is of.
-func TestKeptOrdersAreFewAndEndWithAChange(t *testing.T) {
+// TestFullOrdersAreBoundedAndForgotten checks that few full orders are kept, and that none outlives a change of the set.
+func TestFullOrdersAreBoundedAndForgotten(t *testing.T) {
 	var s Set[int]
 	for i := range 100 {
 		s.Add(fmt.Sprint(i), 1, i)
@@ -75,12 +75,12 @@
 	for key := range uint64(1000) {
 		s.Rank(key)
 		s.Ranked(99)
-		if len(s.orders) > mostOrders {
-			t.Fatalf("%d whole orders are kept", len(s.orders))
+		if len(s.fullOrders) > maxFullOrders {
+			t.Fatalf("%d whole orders are kept", len(s.fullOrders))
 		}
 	}
 	s.Remove("7", 1)
-	if len(s.orders) != 0 {
-		t.Errorf("%d whole orders outlive a change", len(s.orders))
+	if len(s.fullOrders) != 0 {
+		t.Errorf("%d whole orders outlive a change", len(s.fullOrders))
 	}
 }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -9,175 +9,177 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// owner notes when it is told that its time has come.
-type owner struct {
-	alarm Entry
-	name  int
-	due   func(*owner)
+// testOwner owns one entry, and calls a function when it expires.
+type testOwner struct {
+	entry     Entry
+	name      int
+	onExpired func(*testOwner)
 }
 
-func (o *owner) Expired() { o.due(o) }
+func (o *testOwner) Expired() { o.onExpired(o) }
 
-// rig is a clock on a virtual machine.
-type rig struct {
-	w     *sim.World
-	h     *sim.Host
-	c     *Queue
+// testQueue is a queue on a virtual machine.
+type testQueue struct {
+	world *sim.World
+	host  *sim.Host
+	queue *Queue
 	fired []int
 }
 
-func newRig(seed uint64) *rig {
+func newTestQueue(seed uint64) *testQueue {
 	w := sim.New(seed)
 	h := w.Host("h", "10.0.0.1", sim.HostOptions{})
-	return &rig{w: w, h: h, c: New(h.Machine())}
+	return &testQueue{world: w, host: h, queue: New(h.Machine())}
 }
 
-// in runs f in the machine's loop, now.
-func (r *rig) in(f func()) {
-	r.h.Machine().Post(f)
-	r.w.Run(r.w.Now())
+// inLoop runs f in the machine's loop, now.
+func (r *testQueue) inLoop(f func()) {
+	r.host.Machine().Post(f)
+	r.world.Run(r.world.Now())
 }
 
-func (r *rig) owner(name int) *owner {
-	return &owner{name: name, due: func(o *owner) { r.fired = append(r.fired, o.name) }}
+// newOwner returns an owner that records when it expires.
+func (r *testQueue) newOwner(name int) *testOwner {
+	return &testOwner{name: name, onExpired: func(o *testOwner) { r.fired = append(r.fired, o.name) }}
 }
 
-func TestAlarmsFireInTheOrderOfTheirTimesAndThenOfTheirSetting(t *testing.T) {
-	r := newRig(1)
-	r.in(func() {
+func TestEntriesExpireInOrder(t *testing.T) {
+	r := newTestQueue(1)
+	r.inLoop(func() {
 		for i, at := range []Time{300, 100, 300, 200, 100} {
-			o := r.owner(i)
-			r.c.Add(&o.alarm, r.w.Now()+at, o)
+			o := r.newOwner(i)
+			r.queue.Add(&o.entry, r.world.Now()+at, o)
 		}
 	})
-	r.w.Run(r.w.Now() + 10_000)
+	r.world.Run(r.world.Now() + 10_000)
 	if want := []int{1, 4, 3, 0, 2}; !slices.Equal(r.fired, want) {
-		t.Errorf("fired %v, want %v", r.fired, want)
+		t.Errorf("expired %v, want %v", r.fired, want)
 	}
 }
 
-// TestClockAgreesWithAPlainList over random settings and takings back.
-func TestClockAgreesWithAPlainList(t *testing.T) {
+// TestQueueMatchesMap compares the queue with a map over random additions and removals.
+func TestQueueMatchesMap(t *testing.T) {
 	for seed := range uint64(50) {
-		r, draw := newRig(seed), rand.New(rand.NewPCG(seed, 1))
-		var all []*owner
+		r, draw := newTestQueue(seed), rand.New(rand.NewPCG(seed, 1))
+		var all []*testOwner
 		want := map[int]Time{}
 		got := map[int]Time{}
 		for step := range 400 {
-			r.in(func() {
-				if o := r.owner(step); draw.IntN(3) > 0 || len(all) == 0 {
-					o.due = func(o *owner) { got[o.name] = r.w.Now() }
-					at := r.w.Now() + draw.Int64N(5000)
-					r.c.Add(&o.alarm, at, o)
+			r.inLoop(func() {
+				if o := r.newOwner(step); draw.IntN(3) > 0 || len(all) == 0 {
+					o.onExpired = func(o *testOwner) { got[o.name] = r.world.Now() }
+					at := r.world.Now() + draw.Int64N(5000)
+					r.queue.Add(&o.entry, at, o)
 					all, want[step] = append(all, o), at
-				} else if o := all[draw.IntN(len(all))]; o.alarm.IsSet() {
-					r.c.Remove(&o.alarm)
-					r.c.Remove(&o.alarm) // does nothing
+				} else if o := all[draw.IntN(len(all))]; o.entry.IsSet() {
+					r.queue.Remove(&o.entry)
+					r.queue.Remove(&o.entry) // does nothing
 					delete(want, o.name)
 				}
 			})
-			r.w.Run(r.w.Now() + draw.Int64N(100))
+			r.world.Run(r.world.Now() + draw.Int64N(100))
 		}
-		r.w.Run(r.w.Now() + 10_000)
+		r.world.Run(r.world.Now() + 10_000)
 		for name, at := range want {
 			if late := got[name] - at; got[name] == 0 || late < 0 || late > 1000 {
-				t.Errorf("seed %d: alarm %d, wanted at %d, fired at %d", seed, name, at, got[name])
+				t.Errorf("seed %d: entry %d, added for %d, expired at %d", seed, name, at, got[name])
 			}
 		}
-		if len(got) != len(want) || r.c.Len() != 0 {
-			t.Errorf("seed %d: %d fired of %d, %d are left", seed, len(got), len(want), r.c.Len())
+		if len(got) != len(want) || r.queue.Len() != 0 {
+			t.Errorf("seed %d: %d expired of %d, %d are left", seed, len(got), len(want), r.queue.Len())
 		}
 		for _, o := range all {
-			if o.alarm.IsSet() || o.alarm.owner != nil {
-				t.Fatalf("seed %d: an alarm that is out holds its owner", seed)
+			if o.entry.IsSet() || o.entry.owner != nil {
+				t.Fatalf("seed %d: an entry that is not set refers to its owner", seed)
 			}
 		}
-		if n := r.h.Pending(); n != 0 {
-			t.Errorf("seed %d: the machine has %d timers for no alarm", seed, n)
+		if n := r.host.Pending(); n != 0 {
+			t.Errorf("seed %d: the machine has %d timers for no entry", seed, n)
 		}
 	}
 }
 
-// TestAlarmThatSetsItselfAnewDoesNotHoldUpTheLoop: others are told in between.
-func TestAlarmThatSetsItselfAnewDoesNotHoldUpTheLoop(t *testing.T) {
-	r := newRig(1)
-	r.in(func() {
-		again := r.owner(1)
-		again.due = func(o *owner) {
+// TestEntryAddedAgainWaitsForAnotherTurn checks that an entry that adds itself again for now lets the loop do other work in
+// between.
+func TestEntryAddedAgainWaitsForAnotherTurn(t *testing.T) {
+	r := newTestQueue(1)
+	r.inLoop(func() {
+		again := r.newOwner(1)
+		again.onExpired = func(o *testOwner) {
 			if r.fired = append(r.fired, o.name); len(r.fired) < 6 {
-				r.c.Add(&o.alarm, r.w.Now(), o)
-				r.h.Machine().Post(func() { r.fired = append(r.fired, 0) })
+				r.queue.Add(&o.entry, r.world.Now(), o)
+				r.host.Machine().Post(func() { r.fired = append(r.fired, 0) })
 			}
 		}
-		r.c.Add(&again.alarm, r.w.Now(), again)
-		late := r.owner(2)
-		r.c.Add(&late.alarm, r.w.Now(), late)
+		r.queue.Add(&again.entry, r.world.Now(), again)
+		late := r.newOwner(2)
+		r.queue.Add(&late.entry, r.world.Now(), late)
 	})
-	r.w.Run(r.w.Now() + 10_000)
+	r.world.Run(r.world.Now() + 10_000)
 	if len(r.fired) < 4 || r.fired[0] != 1 || r.fired[1] != 2 || !slices.Contains(r.fired[2:4], 0) {
-		t.Errorf("fired %v: others had no turn in between", r.fired)
+		t.Errorf("expired %v: nothing else ran in between", r.fired)
 	}
 }
 
-// TestTenThousandAlarmsOfOneInstant, some of which the first ones take back.
-func TestTenThousandAlarmsOfOneInstant(t *testing.T) {
-	r := newRig(1)
-	var all []*owner
-	r.in(func() {
+// TestManyEntriesOfOneTime checks entries that expire together, of which the first ones remove others.
+func TestManyEntriesOfOneTime(t *testing.T) {
+	r := newTestQueue(1)
+	var all []*testOwner
+	r.inLoop(func() {
 		for i := range 10_000 {
-			o := r.owner(i)
-			o.due = func(o *owner) {
+			o := r.newOwner(i)
+			o.onExpired = func(o *testOwner) {
 				r.fired = append(r.fired, o.name)
 				if next := o.name + 1; next < len(all) && next%2 == 1 {
-					r.c.Remove(&all[next].alarm)
+					r.queue.Remove(&all[next].entry)
 				}
 			}
 			all = append(all, o)
-			r.c.Add(&o.alarm, r.w.Now()+500, o)
+			r.queue.Add(&o.entry, r.world.Now()+500, o)
 		}
 	})
-	r.w.Run(r.w.Now() + 10_000)
-	if len(r.fired) != 5000 || !slices.IsSorted(r.fired) || r.c.Len() != 0 {
-		t.Errorf("%d fired, in order %v, %d left", len(r.fired), slices.IsSorted(r.fired), r.c.Len())
+	r.world.Run(r.world.Now() + 10_000)
+	if len(r.fired) != 5000 || !slices.IsSorted(r.fired) || r.queue.Len() != 0 {
+		t.Errorf("%d expired, in order %v, %d left", len(r.fired), slices.IsSorted(r.fired), r.queue.Len())
 	}
 }
 
-func TestClosedClockTellsNobodyAndLeavesNoTimer(t *testing.T) {
-	r := newRig(1)
-	r.in(func() {
+func TestClosedQueueExpiresNothing(t *testing.T) {
+	r := newTestQueue(1)
+	r.inLoop(func() {
 		for i := range 5 {
-			o := r.owner(i)
-			r.c.Add(&o.alarm, r.w.Now()+Time(i)*100, o)
+			o := r.newOwner(i)
+			r.queue.Add(&o.entry, r.world.Now()+Time(i)*100, o)
 		}
-		r.c.Close()
+		r.queue.Close()
 	})
-	if n := r.h.Pending(); n != 0 || r.c.Len() != 0 {
-		t.Errorf("%d timers and %d alarms are left", n, r.c.Len())
+	if n := r.host.Pending(); n != 0 || r.queue.Len() != 0 {
+		t.Errorf("%d timers and %d entries are left", n, r.queue.Len())
 	}
-	r.w.Run(r.w.Now() + 10_000)
+	r.world.Run(r.world.Now() + 10_000)
 	if len(r.fired) > 0 {
-		t.Errorf("fired %v", r.fired)
+		t.Errorf("expired %v", r.fired)
 	}
 }
 
-// BenchmarkTakenBack is the life of most alarms, among others that are set.
-func BenchmarkTakenBack(b *testing.B) {
+// BenchmarkRemoveAndAdd is the life of most entries, among others that are set.
+func BenchmarkRemoveAndAdd(b *testing.B) {
 	for _, others := range []int{64, 1024, 16384} {
 		b.Run(fmt.Sprint(others), func(b *testing.B) {
-			r := newRig(1)
-			held := make([]*owner, others)
-			r.in(func() {
-				for i := range held {
-					held[i] = r.owner(i)
-					r.c.Add(&held[i].alarm, r.w.Now()+1_000_000+Time(i), held[i])
+			r := newTestQueue(1)
+			owners := make([]*testOwner, others)
+			r.inLoop(func() {
+				for i := range owners {
+					owners[i] = r.newOwner(i)
+					r.queue.Add(&owners[i].entry, r.world.Now()+1_000_000+Time(i), owners[i])
 				}
 			})
 			b.ReportAllocs()
-			r.in(func() {
+			r.inLoop(func() {
 				for i := range b.N {
-					o := held[i%others]
-					r.c.Remove(&o.alarm)
-					r.c.Add(&o.alarm, r.w.Now()+1_100_000+Time(i), o)
+					o := owners[i%others]
+					r.queue.Remove(&o.entry)
+					r.queue.Add(&o.entry, r.world.Now()+1_100_000+Time(i), o)
 				}
 			})
 		})
