--- a/internal/router/address_test.go
+++ b/internal/router/address_test.go
@@ -9,9 +9,9 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestStartByErrorOfTheKernel: each error on the way to the listener passes, and the router serves once it has, or lasts, and ends
-// the start with the address named.
-func TestStartByErrorOfTheKernel(t *testing.T) {
+// TestStartWaitsForPassingListenErrors makes each system call on the way to the listener fail. The router serves once
+// an error that passes has passed; one that lasts ends the start and names the address.
+func TestStartWaitsForPassingListenErrors(t *testing.T) {
 	for _, c := range []struct {
 		errno  syscall.Errno
 		passes bool
@@ -74,9 +74,9 @@
 	return next()
 }
 
-// TestWaitingRouterLeavesCachesAlone: a router that waits for its address knows the caches and opens no connection to them, and
-// goes by the list of the moment once it has the address.
-func TestWaitingRouterLeavesCachesAlone(t *testing.T) {
+// TestWaitingForAddressOpensNoCacheConnections has another listener on the address: the router knows the caches and
+// opens no connection to them, and uses the latest list once it has the address.
+func TestWaitingForAddressOpensNoCacheConnections(t *testing.T) {
 	leaving, staying := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
 	before := routertest.NewLoop(t, nil)
--- a/internal/router/aperture_test.go
+++ b/internal/router/aperture_test.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// fleetOf is a list of so many caches that take work.
+// fleetOf returns a list of n serving caches.
 func fleetOf(n int) endpoints.Publish {
 	p := endpoints.Publish{Kind: decide.StaleUpdate}
 	for i := range n {
@@ -19,7 +19,7 @@
 	return p
 }
 
-// used plays lists and keeps what the router uses of them.
+// used applies lists to a subset and records which caches the router uses.
 type used struct {
 	n     *endpointSubset
 	known map[string]bool
@@ -45,8 +45,9 @@
 	}
 }
 
-// TestLargeFleetIsUsedInPart: no more caches than there are descriptors, and all again once the fleet is smaller.
-func TestLargeFleetIsUsedInPart(t *testing.T) {
+// TestSubsetFollowsFleetSize uses no more caches than there are descriptors, and all of them again once the fleet is
+// smaller.
+func TestSubsetFollowsFleetSize(t *testing.T) {
 	cfg := &Config{RouterNumber: 1, RouterCount: 3}
 	u := &used{newEndpointSubset(cfg, 390), map[string]bool{}}
 	u.play(t, fleetOf(300))
@@ -63,7 +64,7 @@
 			t.Errorf("%s is used, the aperture does not cover it", id)
 		}
 	}
-	// Drains inside the aperture are heard, those outside it are nobody's affair.
+	// Drains inside the aperture are passed on, those outside it are not.
 	for _, e := range whole.Endpoints[:20] {
 		was := u.known[e.ID]
 		e.Status = decide.Draining
@@ -82,13 +83,13 @@
 	}
 }
 
-func TestRouterThatDoesNotKnowItsPlaceUsesAll(t *testing.T) {
+func TestSubsetNeedsRouterNumber(t *testing.T) {
 	if n := newEndpointSubset(&Config{RouterNumber: -1}, 10); n != nil {
 		t.Error("it has an aperture")
 	}
 }
 
-func TestPlaceAmongPeersIsRead(t *testing.T) {
+func TestConfigReadsRouterNumberFromPeers(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) {
 		in["peers"], in["peer_listen"] = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, "10.0.0.2:1"
 	})
--- a/internal/router/burst_test.go
+++ b/internal/router/attempt_test.go
@@ -9,10 +9,10 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestClientsThatPipelineAndCloseLeaveNothingBehind. The danger: the requests of a client that has
-// gone are forgotten one by one, while the module sends a held one on that is forgotten already. It
-// gets no outcome, its cache's place is taken for good, and in the end nothing is served.
-func TestClientsThatPipelineAndCloseLeaveNothingBehind(t *testing.T) {
+// TestClosedPipeliningClientsReleaseRequests has clients pipeline requests and leave. A request that was released
+// before the module knew of its end would be sent once more without ever getting a result, and its place at the cache
+// would be lost for good.
+func TestClosedPipeliningClientsReleaseRequests(t *testing.T) {
 	var lines []string
 	out := make(chan string, 60*40)
 	for i := range 3 {
@@ -32,7 +32,7 @@
 			id = receive(t, out, "request at a cache")
 		}
 		c.Close()
-		// A read for each burst, on a key that has been asked for.
+		// A read for each burst, on a key that was requested before.
 		one := dial(t, r.addr)
 		one.Send(words("C.GET", fmt.Sprint("key", burst%40), fmt.Sprint("one", burst), "c=read,d=5000"))
 		if got := one.Line(); got != "value" {
@@ -43,7 +43,7 @@
 	r.idle()
 }
 
-// sender is a module that sends a request when it hears of another one's end.
+// sender is a module that sends a request when it receives the end of another one.
 type sender struct {
 	told []decide.Event
 	then func(decide.Event) []decide.Action
@@ -57,7 +57,7 @@
 	return s.then(ev)
 }
 
-// outcomes are those that a request has got.
+// outcomes returns the results that a request has got.
 func (s *sender) outcomes(id int64) (results []decide.Result) {
 	for _, ev := range s.told {
 		if o, ok := ev.(*decide.AttemptResult); ok && o.ID == id {
@@ -67,11 +67,11 @@
 	return results
 }
 
-// TestSendOfARequestThatIsOverHasAnOutcome: whatever the module sends, it is told how it ended.
-func TestSendOfARequestThatIsOverHasAnOutcome(t *testing.T) {
+// TestSendForFinishedRequestHasResult sends a request that is finished already: the module gets a result all the same.
+func TestSendForFinishedRequestHasResult(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
-	// One client asks for both, and goes.
+	// One client sends both requests and leaves.
 	c := dial(t, r.addr)
 	c.Send(get("r1") + get("r2"))
 	first, second := receive(t, r.requests, "request").ID, receive(t, r.requests, "request").ID
@@ -100,9 +100,9 @@
 	})
 }
 
-// TestDrainIsToldBeforeWhatItEnds. The danger: of an attempt that was not sent as its cache drains,
-// the module hears first, and sends it there once more.
-func TestDrainIsToldBeforeWhatItEnds(t *testing.T) {
+// TestEndpointDrainPrecedesResultsOfItsAttempts has the module receive a drain before the results of the attempts that
+// end with it; otherwise it would send them to the draining cache again.
+func TestEndpointDrainPrecedesResultsOfItsAttempts(t *testing.T) {
 	addr := routertest.Unreachable(t)
 	r := newRig(t, addr, nil)
 	q := r.request()
@@ -124,8 +124,8 @@
 	})
 }
 
-// TestProbeOfACacheThatIsGoneHasAnOutcome, as every probe has.
-func TestProbeOfACacheThatIsGoneHasAnOutcome(t *testing.T) {
+// TestHealthCheckOfRemovedCacheHasResult checks a cache that is not listed any more: the module gets a result.
+func TestHealthCheckOfRemovedCacheHasResult(t *testing.T) {
 	r := newRig(t, newFakeCache(t).Addr(), nil)
 	r.Do(func() {
 		s := &sender{}
@@ -142,12 +142,12 @@
 	})
 }
 
-// TestChurnLeavesNothing: caches come under new ids, at the address of one that has gone, and nothing of
-// the old ones or of their requests stays.
-func TestChurnLeavesNothing(t *testing.T) {
+// TestEndpointChurnReleasesRecords lists caches under new names at the address of a removed one: nothing of the old
+// ones or of their requests remains.
+func TestEndpointChurnReleasesRecords(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
-	var last asked
+	var last sentRequest
 	var open routertest.Command
 	for i := range 50 {
 		name := fmt.Sprint("s", i)
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -9,9 +9,9 @@
 	"starlingwinch/internal/machine"
 )
 
-// bareMachine is a machine whose calls cost next to nothing, for benchmarks of what a router does between them: what a
+// benchMachine is a machine whose calls cost next to nothing, for benchmarks of what a router does between them: what a
 // connection is to read is put there by hand, what it writes is dropped, and time goes on as the benchmark says.
-type bareMachine struct {
+type benchMachine struct {
 	machine.Machine // no other call comes
 	now             machine.Time
 	timers          []*bareTimer
@@ -27,26 +27,26 @@
 
 func (t *bareTimer) Stop() { t.off = true }
 
-func (m *bareMachine) Now() machine.Time    { return m.now }
-func (m *bareMachine) Wall() machine.Time   { return m.now }
-func (m *bareMachine) Entropy() uint64      { return 7 }
-func (m *bareMachine) Late() Time           { return 0 }
-func (m *bareMachine) Resumed(Time, func()) {}
-func (m *bareMachine) Log(string)           {}
-func (m *bareMachine) Post(f func())        { m.At(m.now, f) }
+func (m *benchMachine) Now() machine.Time    { return m.now }
+func (m *benchMachine) Wall() machine.Time   { return m.now }
+func (m *benchMachine) Entropy() uint64      { return 7 }
+func (m *benchMachine) Late() Time           { return 0 }
+func (m *benchMachine) Resumed(Time, func()) {}
+func (m *benchMachine) Log(string)           {}
+func (m *benchMachine) Post(f func())        { m.At(m.now, f) }
 
-func (m *bareMachine) At(at machine.Time, f func()) machine.Timer {
+func (m *benchMachine) At(at machine.Time, f func()) machine.Timer {
 	t := &bareTimer{at: at, f: f}
 	m.timers = append(m.timers, t)
 	return t
 }
 
-func (m *bareMachine) Listen(_ string, accept func(machine.Conn) machine.Handler) (machine.Listener, error) {
+func (m *benchMachine) Listen(_ string, accept func(machine.Conn) machine.Handler) (machine.Listener, error) {
 	m.accept = accept
 	return bareListener{}, nil
 }
 
-func (m *bareMachine) Dial(_ string, _ machine.Time, done func(machine.Conn, error) machine.Handler) machine.Dialing {
+func (m *benchMachine) Dial(_ string, _ machine.Time, done func(machine.Conn, error) machine.Handler) machine.Dialing {
 	m.dialed = append(m.dialed, func() {
 		c := &bareConn{}
 		c.h = done(c, nil)
@@ -55,7 +55,7 @@
 }
 
 // turn lets time pass and calls what is due.
-func (m *bareMachine) turn(by machine.Time) {
+func (m *benchMachine) turn(by machine.Time) {
 	m.now += by
 	due := m.timers[:0:0]
 	m.timers = slices.DeleteFunc(m.timers, func(t *bareTimer) bool {
@@ -146,13 +146,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	m := &bareMachine{now: 1e15}
+	m := &benchMachine{now: 1e15}
 	r, err := Start(m, cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Close()
-	hearKnown(r)
+	applyKnownList(r)
 	carrying = nil
 	var clients []*bareConn
 	for range 64 {
--- a/internal/router/config_check_test.go
+++ b/internal/router/config_check_test.go
@@ -18,9 +18,9 @@
 	return string(raw)
 }
 
-// FuzzWhatTheRouterRefusesTheCheckNames: a file that passes the check starts a router, so that nobody learns of
-// a fault at the start.
-func FuzzWhatTheRouterRefusesTheCheckNames(f *testing.F) {
+// FuzzConfigCheckCoversRouter holds that a file which passes the check starts a router, so that no fault is first seen
+// at a start.
+func FuzzConfigCheckCoversRouter(f *testing.F) {
 	good := soundFile(f)
 	f.Add(good)
 	for _, c := range [][2]string{{`"10.0.0.4:6379"`, `"10.0.0.4"`}, {`"cores":1`, `"cores":-1`}, {`"index":41`, `"index":-1`},
@@ -39,8 +39,9 @@
 	})
 }
 
-// TestKeyedClassWithoutTermsIsServedAndNotRepeated: the check complains of it, the router must get by.
-func TestKeyedClassWithoutTermsIsServedAndNotRepeated(t *testing.T) {
+// TestKeyedClassWithoutWindowServedAndNotRetried serves a keyed class without an idempotency window, which the check
+// complains of, and never retries it.
+func TestKeyedClassWithoutWindowServedAndNotRetried(t *testing.T) {
 	raw := strings.NewReplacer(`"dedupScope":"zone",`, ``, `"keyTtl":1200000,`, ``).Replace(soundFile(t))
 	faults := settings.Check([]byte(raw))
 	if len(faults.All()) != 2 {
@@ -77,8 +78,9 @@
 	}
 }
 
-// TestFiguresThatWouldOverflowAreRefused: they turn negative, and every dial fails or every connection closes.
-func TestFiguresThatWouldOverflowAreRefused(t *testing.T) {
+// TestConfigRefusesOverflowingTimes refuses times that would overflow: every dial would fail, or every connection be
+// closed.
+func TestConfigRefusesOverflowingTimes(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"dialTimeout":200000`, `"dialTimeout":9223372036854775807`, "dialTimeout"},
 		{`"keepalive":60000000`, `"keepalive":9223372036854775807`, "keepalive"},
--- a/internal/router/config_test.go
+++ b/internal/router/config_test.go
@@ -7,7 +7,7 @@
 	"starlingwinch/internal/discovery"
 )
 
-func TestConfigNamesTheBadField(t *testing.T) {
+func TestConfigErrorNamesField(t *testing.T) {
 	const good = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","settings":` + testSettings + `}`
 	cfg, err := ParseConfig([]byte(good))
 	if err != nil {
--- a/internal/router/contract_test.go
+++ b/internal/router/contract_test.go
@@ -9,13 +9,13 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// forgetful is a module whose sends the loop loses: they never reach it.
-type forgetful struct {
+// lossyModule is a module whose sends the loop loses: they never reach it.
+type lossyModule struct {
 	guard.Module
 	lost chan decide.Send
 }
 
-func (f forgetful) Handle(now decide.Time, ev decide.Event) []decide.Action {
+func (f lossyModule) Handle(now decide.Time, ev decide.Event) []decide.Action {
 	var kept []decide.Action
 	for _, a := range f.Module.Handle(now, ev) {
 		if s, ok := a.(decide.Send); ok {
@@ -27,9 +27,9 @@
 	return kept
 }
 
-// TestBooksMakeUpForALostOutcome: whatever the loop loses, the request is answered and its cache's
-// place is given back.
-func TestBooksMakeUpForALostOutcome(t *testing.T) {
+// TestContractRepairsLostAttemptResult loses what the module sends: the request is answered, its place at the cache is
+// given back, and the breach is logged and counted.
+func TestContractRepairsLostAttemptResult(t *testing.T) {
 	lines := make(routertest.Lines, 1000)
 	cache := newFakeCache(t)
 	lost := make(chan decide.Send, 100)
@@ -41,9 +41,9 @@
 			t.Error(err)
 			return
 		}
-		hearKnown(s.r)
+		applyKnownList(s.r)
 		// The loop loses what the contract has let pass.
-		s.r.module = forgetful{s.r.module, lost}
+		s.r.module = lossyModule{s.r.module, lost}
 		s.addr = s.r.Addr()
 	})
 	if t.Failed() {
--- a/internal/router/recovery_test.go
+++ b/internal/router/discovery_recovery_test.go
@@ -15,9 +15,10 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestCallsTurnedAwayAreMadeAgainAtASteadyPace: a lost watch at once, then neither so often that a discovery is busy turning
-// calls away, nor so seldom that a change is heard after it counts as told. The log says when that time has passed.
-func TestCallsTurnedAwayAreMadeAgainAtASteadyPace(t *testing.T) {
+// TestRejectedDiscoveryCallsRetriedAtSteadyPace loses a watch and has discovery reject the calls that follow. They
+// come at once, then neither so often that discovery is busy rejecting them nor so seldom that a change is read after
+// the router counts as notified. The log says when that time has passed.
+func TestRejectedDiscoveryCallsRetriedAtSteadyPace(t *testing.T) {
 	const (
 		every    = 250 * time.Millisecond
 		bound    = 4 * every // a failed call counts for four times askEvery
@@ -40,7 +41,7 @@
 		receive(t, previous.Written, "end of the answer")
 		refused := time.Now()
 		previous = receive(t, calls, "next call")
-		// Timers never fire early; how late they do is the machine's to say.
+		// Timers never fire early; how late they fire depends on the machine.
 		if took := time.Since(refused); took < shortest-time.Millisecond {
 			t.Errorf("call %d came %s after the one before was turned away, want %s at least", i, took, shortest)
 		}
@@ -50,14 +51,14 @@
 	r.Until("the drain", r.drains("c1"))
 }
 
-// drains tells whether the list has a cache drain.
+// drains reports whether the list has a cache draining.
 func (s *running) drains(cache string) func() bool {
 	return func() bool { return s.r.endpoints[cache].entry.Status == decide.Draining }
 }
 
-// TestNoFurtherAttemptForAClientThatHasLeft: the first attempt fails in the very turn in which the client leaves, and another cache
-// is there.
-func TestNoFurtherAttemptForAClientThatHasLeft(t *testing.T) {
+// TestNoRetryForGoneClient has the first attempt fail in the turn in which the client leaves, while another cache
+// could take the request.
+func TestNoRetryForGoneClient(t *testing.T) {
 	for name, leave := range map[string]func(c *routertest.Client){
 		"by its end": func(c *routertest.Client) { c.Close() },
 		"by a reset": func(c *routertest.Client) { c.SetLinger(0); c.Close() },
@@ -113,9 +114,9 @@
 	}
 }
 
-// TestDiscoveryIsHeardThoughIdleClientsFillTheDescriptors: clients come while discovery is down, as many as the process can hold
-// and more, and rest. As discovery returns, a descriptor is left to ask it.
-func TestDiscoveryIsHeardThoughIdleClientsFillTheDescriptors(t *testing.T) {
+// TestDiscoveryReconnectsWithDescriptorsFull has more idle clients than descriptors come while discovery is down: a
+// descriptor is left to call it once it is back.
+func TestDiscoveryReconnectsWithDescriptorsFull(t *testing.T) {
 	const (
 		sockets        = minSockets
 		ownDescriptors = 8 // of the process: its standard streams, the poller, the inbox
@@ -154,8 +155,9 @@
 	r.Until("the drain that discovery tells of at its return", r.drains("c1"))
 }
 
-// TestRestartedRouterIsReady whatever discovery does: nine in ten have to be within 10 s.
-func TestRestartedRouterIsReady(t *testing.T) {
+// TestRestartedRouterReadyInTime restarts routers while discovery fails in several ways: nine in ten are ready within
+// 10 s.
+func TestRestartedRouterReadyInTime(t *testing.T) {
 	for name, discovery := range map[string]func(testing.TB) string{
 		"discovery refuses": routertest.Refusing, "discovery is silent": routertest.SilentDiscovery, "discovery is cut off": routertest.Unreachable,
 	} {
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -8,19 +8,18 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// askEvery is the pace of the module's own calls, in a configuration.
+// askEvery edits the poll interval of a configuration.
 func askEvery(every decide.Time) func(map[string]any) {
 	return func(in map[string]any) {
 		in["settings"].(map[string]any)["rules"].(map[string]any)["askEvery"] = every
 	}
 }
 
-// TestWatchGoesOn: each answer is followed by a call for what comes after it, and
-// what it tells takes effect.
-func TestWatchGoesOn(t *testing.T) {
+// TestWatchContinuesAfterEachAnswer follows each answer with a call for the versions after it, and applies the answer.
+func TestWatchContinuesAfterEachAnswer(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
-	r := startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil), nil)
+	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil), nil)
 	first := receive(t, calls, "call")
 	if want := "/discovery/hosts"; first.Query != want {
 		t.Errorf("call %s, want %s", first.Query, want)
@@ -43,31 +42,31 @@
 	}
 }
 
-// TestWatchWithoutAKnownList asks for the whole list first.
-func TestWatchWithoutAKnownList(t *testing.T) {
+// TestWatchWithoutKnownListStartsWithFullList asks for the full list first.
+func TestWatchWithoutKnownListStartsWithFullList(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
-	startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) { delete(in, "known") }), nil)
+	startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) { delete(in, "known") }), nil)
 	if c := receive(t, calls, "call"); c.Query != "/discovery/hosts" {
 		t.Errorf("call %s", c.Query)
 	}
 }
 
-// TestFailedWatchIsAskedForAgain at the module's own pace.
-func TestFailedWatchIsAskedForAgain(t *testing.T) {
+// TestFailedWatchRetried retries when the module asks for a watch again.
+func TestFailedWatchRetried(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
-	startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, askEvery(1_000_000)), nil)
+	startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, askEvery(1_000_000)), nil)
 	receive(t, calls, "call").Reply <- ""
 	if c := receive(t, calls, "second call"); c.Query != "/discovery/hosts" {
 		t.Errorf("call %s", c.Query)
 	}
 }
 
-// TestDiscoveryThatStartsAnewIsAskedForTheWholeList. The danger: its versions begin again at a low
-// one, and the changes after the old one never come.
-func TestDiscoveryThatStartsAnewIsAskedForTheWholeList(t *testing.T) {
+// TestRestartedDiscoveryAskedForFullList restarts discovery with versions that begin again at a low number: the router
+// would otherwise wait for changes after a version that never comes.
+func TestRestartedDiscoveryAskedForFullList(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
-	r := startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, askEvery(1_000_000)), nil)
+	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, askEvery(1_000_000)), nil)
 	receive(t, calls, "call").Reply <- hosts(41, true, host("c1", cache.Addr(), "in_service"))
 	receive(t, calls, "watch").Reply <- hosts(3, false)
 	again := receive(t, calls, "call after the answer that does not follow")
@@ -86,23 +85,24 @@
 	}
 }
 
-// TestPushedListsAreAskedForToo: the agent that has them says nothing by itself. A mode that nobody knows is no
-// reason never to ask.
-func TestPushedListsAreAskedForToo(t *testing.T) {
+// TestPushedListsPolledToo polls the agent that has the pushed lists, as it sends nothing by itself; also in a
+// discovery mode that is not known.
+func TestPushedListsPolledToo(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscrbe", ""} {
 		addr, calls := routertest.Discovery(t)
-		startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
+		startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
 			in["settings"].(map[string]any)["discovery"] = mode
 		}), nil)
 		receive(t, calls, "call in mode "+mode)
 	}
 }
 
-// TestNothingIsSentByAnOldListWhereListsArePushed: what the agent has counts as told from the first moment of a process on.
-func TestNothingIsSentByAnOldListWhereListsArePushed(t *testing.T) {
+// TestOldListNotUsedWhereListsArePushed sends nothing by the list as last known: a router counts as notified of the
+// list that the agent has from the start of its process on.
+func TestOldListNotUsedWhereListsArePushed(t *testing.T) {
 	drained, fresh := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
-	r := startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
+	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
 		settings := in["settings"].(map[string]any)
 		settings["discovery"] = "automatic"
 		settings["rules"].(map[string]any)["drainGrace"] = 60_000_000 // so that the call is not given up
@@ -136,8 +136,9 @@
 	return &next
 }
 
-// TestReloadAsksTheNewDiscoveryForAll, more than once, and lets go of the old one.
-func TestReloadAsksTheNewDiscoveryForAll(t *testing.T) {
+// TestReloadAsksNewDiscoveryForFullList changes the address of discovery twice: the router asks the new one for the
+// full list and closes its connection to the old one.
+func TestReloadAsksNewDiscoveryForFullList(t *testing.T) {
 	first, second := newFakeCache(t), newFakeCache(t)
 	oldAddr, oldCalls := routertest.Discovery(t)
 	newAddr, newCalls := routertest.Discovery(t)
@@ -164,8 +165,9 @@
 	}
 }
 
-// TestLateAnswerOfTheOldDiscovery is not heard: here it is on its way to the loop as discovery moves.
-func TestLateAnswerOfTheOldDiscovery(t *testing.T) {
+// TestLateAnswerOfOldDiscoveryIgnored changes the address of discovery while an answer of the old one is on its way to
+// the loop.
+func TestLateAnswerOfOldDiscoveryIgnored(t *testing.T) {
 	cache := newFakeCache(t)
 	oldAddr, oldCalls := routertest.Discovery(t)
 	newAddr, newCalls := routertest.Discovery(t)
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -9,9 +9,9 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestDrainWithWorkInHand: after SIGTERM, connections and requests are still taken, all that was
-// taken is answered, and then the router ends.
-func TestDrainWithWorkInHand(t *testing.T) {
+// TestDrainAnswersRequestsAndNewConnections takes connections and requests for a moment after SIGTERM, answers all of
+// them, and ends.
+func TestDrainAnswersRequestsAndNewConnections(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
 		func(r *Router) { r.acceptGrace = 2_000_000 }) // a slow machine must not miss it, nor the drain's end come first
@@ -34,9 +34,9 @@
 	receive(t, r.ended, "end of the router")
 }
 
-// TestDrainEndsInTime: what can't be answered holds the router up no longer than the longest
-// deadline allows, and so does a command that never becomes whole.
-func TestDrainEndsInTime(t *testing.T) {
+// TestDrainEndsByDeadline ends with the longest client timeout at the latest, whether a request gets no answer or a
+// command never becomes complete.
+func TestDrainEndsByDeadline(t *testing.T) {
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil), nil, func(r *Router) {
 		r.module = newScript() // answers nothing
 		r.sweepTimer.Stop()
@@ -51,8 +51,8 @@
 	receive(t, r.ended, "end of the router")
 }
 
-// TestDrainEndsThoughNobodyReadsTheLog.
-func TestDrainEndsThoughNobodyReadsTheLog(t *testing.T) {
+// TestDrainEndsWithBlockedLog drains while nobody reads the log.
+func TestDrainEndsWithBlockedLog(t *testing.T) {
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil), routertest.NewStuck(t),
 		func(r *Router) { r.acceptGrace = 0 })
 	dial(t, r.addr).Close()
@@ -60,8 +60,8 @@
 	receive(t, r.ended, "end of the router")
 }
 
-// TestLogThatNobodyReads does not hold the loop up.
-func TestLogThatNobodyReads(t *testing.T) {
+// TestBlockedLogDoesNotStopLoop serves while nobody reads the log.
+func TestBlockedLogDoesNotStopLoop(t *testing.T) {
 	r := newLoggedRig(t, "127.0.0.1:1", nil, routertest.NewStuck(t))
 	r.Do(func() {
 		for range 4096 { // more than any log keeps
@@ -70,9 +70,9 @@
 	})
 }
 
-// TestSlowReaderHasItsAnswersBeforeADrainEnds. The danger: the answers are given, half of them is with a client that does not read
-// yet, and the connection is closed as if nothing were owed.
-func TestSlowReaderHasItsAnswersBeforeADrainEnds(t *testing.T) {
+// TestDrainWaitsForSlowReader keeps a connection open until its client has read all answers: those that the socket did
+// not take yet are still owed.
+func TestDrainWaitsForSlowReader(t *testing.T) {
 	const asked = 200
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
--- a/internal/router/endpoint_list_test.go
+++ b/internal/router/endpoint_list_test.go
@@ -11,8 +11,9 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestEntryThatCannotBeReadStaysAsItIs: a whole list names it, so it has not gone.
-func TestEntryThatCannotBeReadStaysAsItIs(t *testing.T) {
+// TestUnreadableEntryKeepsEndpoint lists an entry that is not valid in a full list: its cache is not removed, as the
+// list names it.
+func TestUnreadableEntryKeepsEndpoint(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
 	r.list(2, true, host("c1", "cache.example.org:1", "in_service"), host("c2", cache.Addr(), "terminating"))
@@ -32,18 +33,18 @@
 	})
 }
 
-// stepping is a machine whose system clock the test sets.
-type stepping struct {
+// steppingMachine is a machine whose system clock the test sets.
+type steppingMachine struct {
 	machine.Machine
 	wall atomic.Int64
 }
 
-func (m *stepping) Wall() Time { return m.wall.Load() }
+func (m *steppingMachine) Wall() Time { return m.wall.Load() }
 
-// stepped is a rig whose system clock the test sets.
-func stepped(t *testing.T, addr string) (r *rig, wall *atomic.Int64) {
+// steppedRig is a rig whose system clock the test sets.
+func steppedRig(t *testing.T, addr string) (r *rig, wall *atomic.Int64) {
 	r = newRig(t, addr, nil)
-	m := &stepping{Machine: r.Loop}
+	m := &steppingMachine{Machine: r.Loop}
 	r.Do(func() {
 		m.wall.Store(r.Now())
 		r.r.m = m
@@ -55,11 +56,11 @@
 	return strings.Replace(line, `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, at/1000), 1)
 }
 
-// TestClockThatStepsLeavesWarmthAlone: a cache that is known stays as old as it is, and one that
-// is new is as old as the list and the clock together say.
-func TestClockThatStepsLeavesWarmthAlone(t *testing.T) {
+// TestClockStepKeepsEndpointAge steps the system clock: a known cache keeps its age, and a new one has the age that
+// the list and the new clock give together.
+func TestClockStepKeepsEndpointAge(t *testing.T) {
 	cache := newFakeCache(t)
-	r, wall := stepped(t, cache.Addr())
+	r, wall := steppedRig(t, cache.Addr())
 	const hour = 3600 * 1_000_000
 	started := wall.Load() - 5_000_000
 	start := func(name string) (at decide.Time) {
@@ -84,13 +85,13 @@
 	}
 }
 
-// TestClockThatStepsAwayLeavesColdCachesCold: the clock of this machine steps, that of the caches does not, and a cache
-// starts after that.
-func TestClockThatStepsAwayLeavesColdCachesCold(t *testing.T) {
+// TestClockStepKeepsStartedCacheInSlowStart steps the clock of this machine alone; a cache that starts after that is
+// in slow start.
+func TestClockStepKeepsStartedCacheInSlowStart(t *testing.T) {
 	const hour = 3600 * 1_000_000
 	for _, by := range []decide.Time{hour, -hour, 5_000_000, -5_000_000} {
 		cache := newFakeCache(t)
-		r, wall := stepped(t, cache.Addr())
+		r, wall := steppedRig(t, cache.Addr())
 		started := wall.Load() - 2_000_000
 		wall.Add(by)
 		r.list(2, false, since(host("c2", cache.Addr(), "in_service"), started))
@@ -102,10 +103,10 @@
 	}
 }
 
-// TestStartInTheFutureIsNow, until the list corrects it.
-func TestStartInTheFutureIsNow(t *testing.T) {
+// TestFutureStartCountsAsNow lists a start in the future, which counts as now until the list corrects it.
+func TestFutureStartCountsAsNow(t *testing.T) {
 	cache := newFakeCache(t)
-	r, wall := stepped(t, cache.Addr())
+	r, wall := steppedRig(t, cache.Addr())
 	r.list(2, false, since(host("c2", cache.Addr(), "in_service"), wall.Load()+3600*1_000_000))
 	r.Do(func() {
 		if at := r.r.endpoints["c2"].entry.StartedAt; at > r.Now() {
@@ -120,8 +121,9 @@
 	})
 }
 
-// TestLargeListIsTakenInPieces, with other work between them and bad news first.
-func TestLargeListIsTakenInPieces(t *testing.T) {
+// TestLargeListAppliedInPieces applies a large list over several turns, with other work between them, removals and
+// drains first.
+func TestLargeListAppliedInPieces(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
 	const caches = 4 * maxEndpointsPerTurn
@@ -155,8 +157,8 @@
 	r.Until("the end of all others", func() bool { return len(r.r.endpoints) == 1 })
 }
 
-// TestChangesOfTheListAreLogged, each with its cause.
-func TestChangesOfTheListAreLogged(t *testing.T) {
+// TestEndpointChangesLogged logs each change of an endpoint with its cause.
+func TestEndpointChangesLogged(t *testing.T) {
 	cache := newFakeCache(t)
 	lines := make(routertest.Lines, 1000)
 	r := newLoggedRig(t, cache.Addr(), nil, lines)
@@ -189,8 +191,9 @@
 	want("c1 takes work (discovery: in_service)")
 }
 
-// TestDrainInTheLastOfManyEntriesIsKeptInTheTurnOfItsList, also where a send to that cache comes in the same turn.
-func TestDrainInTheLastOfManyEntriesIsKeptInTheTurnOfItsList(t *testing.T) {
+// TestDrainAtEndOfLargeListAppliedInSameTurn lists a drain as the last of many entries: a send to that cache in the
+// same turn is not sent.
+func TestDrainAtEndOfLargeListAppliedInSameTurn(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
 	q := r.request()
--- a/internal/router/gossip_test.go
+++ b/internal/router/gossip_test.go
@@ -11,8 +11,8 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// fleetConfig is that of one of some routers that keep a view.
-func fleetConfig(t *testing.T, name, listen string, peers []string, edit func(map[string]any)) *Config {
+// gossipConfig returns the configuration of one of several routers with gossip.
+func gossipConfig(t *testing.T, name, listen string, peers []string, edit func(map[string]any)) *Config {
 	cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) {
 		in["name"], in["peer_listen"], in["peers"] = name, listen, peers
 		in["settings"].(map[string]any)["limits"].(map[string]any)["peerMessages"] = true
@@ -24,7 +24,7 @@
 	return cfg
 }
 
-// packetPorts are addresses for datagrams that nobody had a moment ago.
+// packetPorts returns addresses for datagrams that were free a moment ago.
 func packetPorts(t *testing.T, n int) (addrs []string) {
 	l := routertest.NewLoop(t, nil)
 	l.Do(func() {
@@ -44,7 +44,7 @@
 	return addrs
 }
 
-func TestAViewThatThePlatformDoesNotAllowKeepsARouterFromStarting(t *testing.T) {
+func TestGossipNotAllowedFailsStart(t *testing.T) {
 	for want, edit := range map[string]func(map[string]any){
 		"settings.limits.peerMessages": func(in map[string]any) {
 			in["settings"].(map[string]any)["limits"].(map[string]any)["peerMessages"] = false
@@ -55,7 +55,7 @@
 		addr := packetPorts(t, 1)
 		l := routertest.NewLoop(t, nil)
 		l.Do(func() {
-			r, err := Start(l, fleetConfig(t, "n0", addr[0], addr, edit))
+			r, err := Start(l, gossipConfig(t, "n0", addr[0], addr, edit))
 			if err == nil {
 				r.Close()
 			}
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestViewWaitsForItsAddress: the process before holds the address for datagrams up to its end. The next one serves meanwhile,
-// and has its view once the address is free.
-func TestViewWaitsForItsAddress(t *testing.T) {
+// TestGossipWaitsForItsAddress has the process before hold the gossip address. The router serves meanwhile, and joins
+// once the address is free.
+func TestGossipWaitsForItsAddress(t *testing.T) {
 	addr := packetPorts(t, 1)
 	l := routertest.NewLoop(t, nil)
 	var before machine.PacketConn
@@ -78,8 +78,8 @@
 			t.Error(err)
 		}
 	})
-	r := startOn(t, l, fleetConfig(t, "n0", addr[0], addr, nil), nil)
-	if answer := pinged(t, r.addr); answer != "+PONG" {
+	r := startOn(t, l, gossipConfig(t, "n0", addr[0], addr, nil), nil)
+	if answer := ping(t, r.addr); answer != "+PONG" {
 		t.Errorf("PING: %q while the address for datagrams is held", answer)
 	}
 	l.Do(func() {
@@ -91,35 +91,35 @@
 	l.Until("a view", func() bool { return r.r.Gossip() != nil })
 }
 
-// pinged asks a router PING on a connection of its own.
-func pinged(t *testing.T, addr string) string {
+// ping sends a router PING on a connection of its own, and returns the answer.
+func ping(t *testing.T, addr string) string {
 	t.Helper()
 	c := dial(t, addr)
 	c.Send("PING\r\n")
 	return c.Line()
 }
 
-// heardBy is a module that notes by how many routers it is told to divide.
-type heardBy struct {
+// routerCountRecorder is a module that records the router counts that it receives.
+type routerCountRecorder struct {
 	guard.Module
 	routers []int
 }
 
-func (m *heardBy) Handle(now decide.Time, ev decide.Event) []decide.Action {
+func (m *routerCountRecorder) Handle(now decide.Time, ev decide.Event) []decide.Action {
 	if f, is := ev.(*decide.RouterCount); is {
 		m.routers = append(m.routers, f.Routers)
 	}
 	return m.Module.Handle(now, ev)
 }
 
-func TestRoutersMeetTellTheModuleAndSayThatTheyDrain(t *testing.T) {
+func TestGossipUpdatesRouterCountAndAnnouncesDrain(t *testing.T) {
 	addrs := packetPorts(t, 3)
-	var modules [3]*heardBy
+	var modules [3]*routerCountRecorder
 	var routers [3]*running
 	for i := range routers {
-		cfg := fleetConfig(t, []string{"n0", "n1", "n2"}[i], addrs[i], addrs, nil)
+		cfg := gossipConfig(t, []string{"n0", "n1", "n2"}[i], addrs[i], addrs, nil)
 		cfg.Wrap = func(m guard.Module) guard.Module {
-			modules[i] = &heardBy{Module: m}
+			modules[i] = &routerCountRecorder{Module: m}
 			return modules[i]
 		}
 		routers[i] = start(t, cfg, nil, nil)
@@ -147,7 +147,7 @@
 		n := modules[0].routers
 		return n[len(n)-1] == 2
 	})
-	next := fleetConfig(t, "n1", addrs[1], addrs[1:], nil)
+	next := gossipConfig(t, "n1", addrs[1], addrs[1:], nil)
 	next.Listen = routers[1].r.cfg.Listen
 	routers[1].Do(func() { routers[1].r.Reload(next) })
 	routers[1].Do(func() {
@@ -159,8 +159,8 @@
 	})
 }
 
-func TestWithoutAViewNothingIsOpened(t *testing.T) {
-	cfg := fleetConfig(t, "n0", "127.0.0.1:1", []string{"127.0.0.1:1"}, nil)
+func TestGossipOffOpensNoSocket(t *testing.T) {
+	cfg := gossipConfig(t, "n0", "127.0.0.1:1", []string{"127.0.0.1:1"}, nil)
 	cfg.Gossip.Enabled = false
 	s := start(t, cfg, nil, nil)
 	s.Do(func() {
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -72,22 +72,22 @@
 	return startOn(t, routertest.NewLoop(t, log), cfg, edit)
 }
 
-// startOn starts a router on a machine. It has heard the list of its configuration from discovery.
+// startOn starts a router on a machine. Discovery has answered with the list of its configuration.
 func startOn(t *testing.T, loop *routertest.Loop, cfg *Config, edit func(*Router)) *running {
 	t.Helper()
-	return startUnheard(t, loop, cfg, func(r *Router) {
-		hearKnown(r)
+	return startWithoutList(t, loop, cfg, func(r *Router) {
+		applyKnownList(r)
 		if edit != nil {
 			edit(r)
 		}
 	})
 }
 
-// hearKnown has discovery tell a router the list of its configuration.
-func hearKnown(r *Router) { r.sources.ApplyDiscovery(r.cfg.LastKnown) }
+// applyKnownList applies the list of the configuration as if discovery had answered with it.
+func applyKnownList(r *Router) { r.sources.ApplyDiscovery(r.cfg.LastKnown) }
 
-// startUnheard starts a router on a machine. It has heard nothing from discovery.
-func startUnheard(t *testing.T, loop *routertest.Loop, cfg *Config, edit func(*Router)) *running {
+// startWithoutList starts a router on a machine. Discovery has not answered.
+func startWithoutList(t *testing.T, loop *routertest.Loop, cfg *Config, edit func(*Router)) *running {
 	t.Helper()
 	s := &running{Loop: loop, ended: make(chan struct{})}
 	s.Do(func() {
@@ -122,7 +122,7 @@
 // drain begins what SIGTERM begins.
 func (s *running) drain() { s.Do(func() { s.r.Drain(func() { close(s.ended) }) }) }
 
-// idle waits until nothing is asked, and checks that nothing is held.
+// idle waits until no request is open and the router holds no record of any.
 func (s *running) idle() {
 	s.Until("an idle router", func() bool {
 		left := s.r.Holdings()
@@ -130,8 +130,8 @@
 	})
 }
 
-// script stands in for the module: it records what it is told, and tests give
-// the actions themselves.
+// script stands in for the module: it records results and requests, and tests
+// give the actions themselves.
 type script struct {
 	outcomes chan *decide.AttemptResult
 	requests chan *decide.Request
@@ -157,8 +157,8 @@
 type rig struct {
 	*running
 	*script
-	t     *testing.T
-	asked int // requests so far
+	t            *testing.T
+	requestCount int // requests so far
 }
 
 func newRig(t *testing.T, addr string, edit func(*Config)) *rig {
@@ -180,24 +180,24 @@
 	return r
 }
 
-// asked is a request as its client and the module see it.
-type asked struct {
+// sentRequest is a request that a client has sent and the module has received.
+type sentRequest struct {
 	id     int64
 	client *routertest.Client
 }
 
-// request puts a request in, on a connection of its own.
-func (r *rig) request() asked {
+// request sends a read on a connection of its own.
+func (r *rig) request() sentRequest {
 	r.t.Helper()
-	r.asked++
-	return r.ask(get(fmt.Sprint("r", r.asked)))
+	r.requestCount++
+	return r.sendCommand(get(fmt.Sprint("r", r.requestCount)))
 }
 
-func (r *rig) ask(wire string) asked {
+func (r *rig) sendCommand(wire string) sentRequest {
 	r.t.Helper()
 	c := dial(r.t, r.addr)
 	c.Send(wire)
-	return asked{receive(r.t, r.requests, "request at the module").ID, c}
+	return sentRequest{receive(r.t, r.requests, "request at the module").ID, c}
 }
 
 // perform has the router carry actions out, in one turn.
@@ -212,7 +212,7 @@
 }
 
 // send starts an attempt that is given up at the request's deadline.
-func (r *rig) send(q asked) {
+func (r *rig) send(q sentRequest) {
 	r.t.Helper()
 	r.perform(decide.Send{ID: q.id, Cache: "c1"})
 }
@@ -236,14 +236,14 @@
 	return h
 }
 
-// list has the router learn a list.
+// list has discovery answer with a list.
 func (r *rig) list(index int, full bool, lines ...string) {
 	r.t.Helper()
 	h := parse(r.t, hosts(index, full, lines...))
 	r.Do(func() { r.r.sources.ApplyDiscovery(h) })
 }
 
-// up reports whether a cache is known and takes work, by the list.
+// up reports whether a cache is listed as serving.
 func (r *rig) up(name string) bool {
 	h := r.r.endpoints[name]
 	return h != nil && h.entry.Status == decide.Serving
--- a/internal/router/hooks_test.go
+++ b/internal/router/hooks_test.go
@@ -14,8 +14,8 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// hooked is a router with hooks on a virtual host, before one cache that serves, with one client.
-type hooked struct {
+// hookedRouter is a router with hooks on a virtual host, before one cache that serves, with one client.
+type hookedRouter struct {
 	t     *testing.T
 	w     *sim.World
 	r     *Router
@@ -36,10 +36,10 @@
 		Budget: b}
 }
 
-// judging starts a router whose hook does with each call what act says; nil stands for a machine that starts no worker.
-func judging(t *testing.T, act func(c plugin.Call) hookstest.Act, edit func(*hooks.Hook)) *hooked {
+// startHooked starts a router whose hook answers each call by act; nil stands for a machine that starts no worker.
+func startHooked(t *testing.T, act func(c plugin.Call) hookstest.Act, edit func(*hooks.Hook)) *hookedRouter {
 	t.Helper()
-	h := &hooked{t: t, w: sim.New(1)}
+	h := &hookedRouter{t: t, w: sim.New(1)}
 	caches := h.w.Host("cache", "10.0.0.2", sim.HostOptions{}).Machine()
 	var err error
 	if h.cache, err = load.NewCache(caches, "10.0.0.2:7000", 3); err != nil {
@@ -67,7 +67,7 @@
 	if h.r, err = Start(m, h.cfg); err != nil {
 		t.Fatal(err)
 	}
-	hearKnown(h.r)
+	applyKnownList(h.r)
 	h.pass(sim.Second)
 	caches.Dial("10.0.0.1:6379", sim.Second, func(nc machine.Conn, err error) machine.Handler {
 		if err != nil {
@@ -81,7 +81,7 @@
 	return h
 }
 
-func (h *hooked) Readable() {
+func (h *hookedRouter) Readable() {
 	var b [4096]byte
 	for {
 		n, err := h.nc.Read(b[:])
@@ -92,12 +92,12 @@
 		}
 	}
 }
-func (h *hooked) Writable() {}
+func (h *hookedRouter) Writable() {}
 
-func (h *hooked) pass(d Time) { h.w.Run(h.w.Now() + d) }
+func (h *hookedRouter) pass(d Time) { h.w.Run(h.w.Now() + d) }
 
-// ask sends a read, and returns what has come after a span.
-func (h *hooked) ask(id string, span Time) string {
+// ask sends a read, and returns the answers that have come after a span.
+func (h *hookedRouter) ask(id string, span Time) string {
 	h.t.Helper()
 	h.got = ""
 	h.nc.Write([]byte(get(id)))
@@ -105,8 +105,8 @@
 	return h.got
 }
 
-// left checks that nothing is held for requests that are over.
-func (h *hooked) left() {
+// left checks that no record of a finished request remains.
+func (h *hookedRouter) left() {
 	h.t.Helper()
 	left := h.r.Holdings()
 	for _, what := range []string{"requests", "ids", "open", "attempts", "bytes", "verdicts", "breaches"} {
@@ -116,14 +116,14 @@
 	}
 }
 
-func (h *hooked) served() int64 {
+func (h *hookedRouter) served() int64 {
 	_, served := h.cache.Counts()
 	return served
 }
 
-func TestHookPassesRefusesAndFails(t *testing.T) {
+func TestHookVerdictsDecideRequests(t *testing.T) {
 	say := plugin.Verdict{}
-	h := judging(t, func(c plugin.Call) hookstest.Act {
+	h := startHooked(t, func(c plugin.Call) hookstest.Act {
 		if c.Point == plugin.OnRequest {
 			return hookstest.Act{After: 100, Verdict: say}
 		}
@@ -158,10 +158,10 @@
 	h.left()
 }
 
-// TestMachineThatStartsNoWorkersServesWithoutHooks: where the platform refuses other programs (ENOSYS), a hook whose operator
+// TestServesWithoutHooksWhereWorkersCannotStart runs where the platform forbids other programs (ENOSYS): a hook that
 // lets requests pass on its failure costs them next to nothing, and the log says so.
-func TestMachineThatStartsNoWorkersServesWithoutHooks(t *testing.T) {
-	h := judging(t, nil, nil)
+func TestServesWithoutHooksWhereWorkersCannotStart(t *testing.T) {
+	h := startHooked(t, nil, nil)
 	for i := range 20 {
 		if got := h.ask(fmt.Sprint("r", i), 50_000); got != "$3\r\n\x00\x00\x00\r\n" {
 			t.Fatalf("request %d was answered %q within 50 ms", i, got)
@@ -173,17 +173,17 @@
 	h.left()
 }
 
-// TestHookThatNeverAnswersCostsABoundedTime: each request goes on by on_failure within its share of the wait, also
-// once the hook is out.
-func TestHookThatNeverAnswersCostsABoundedTime(t *testing.T) {
+// TestStuckHookCostsBoundedTime has a hook never answer: each request goes on by on_failure within its part of the
+// wait, also once the hook is switched off.
+func TestStuckHookCostsBoundedTime(t *testing.T) {
 	hang := func(c plugin.Call) hookstest.Act { return hookstest.Act{Hang: c.Point == plugin.OnRequest} }
-	h := judging(t, hang, nil)
+	h := startHooked(t, hang, nil)
 	for i := range 20 {
 		if got := h.ask(fmt.Sprint("r", i), 60_000); !strings.HasPrefix(got, "$3") {
 			t.Fatalf("request %d has %q after 60 ms", i, got)
 		}
 	}
-	h = judging(t, hang, func(h *hooks.Hook) { h.OnFailure, h.RefuseWait = policy.RefuseOn, 70_000 })
+	h = startHooked(t, hang, func(h *hooks.Hook) { h.OnFailure, h.RefuseWait = policy.RefuseOn, 70_000 })
 	for i := range 20 {
 		if got := h.ask(fmt.Sprint("r", i), 60_000); got != "-BUSY 70\r\n" {
 			t.Fatalf("request %d has %q after 60 ms", i, got)
@@ -195,8 +195,8 @@
 	h.left()
 }
 
-func TestClientLeavesWhileTheHookRuns(t *testing.T) {
-	h := judging(t, func(c plugin.Call) hookstest.Act { return hookstest.Act{After: 3_000} }, nil)
+func TestClientGoneWhileHookRuns(t *testing.T) {
+	h := startHooked(t, func(c plugin.Call) hookstest.Act { return hookstest.Act{After: 3_000} }, nil)
 	h.nc.Write([]byte(get("a")))
 	h.pass(1_000)
 	h.nc.Close()
@@ -207,8 +207,8 @@
 	h.left()
 }
 
-func TestHookNamesTheTenant(t *testing.T) {
-	h := judging(t, func(c plugin.Call) hookstest.Act {
+func TestHookSetsTenant(t *testing.T) {
+	h := startHooked(t, func(c plugin.Call) hookstest.Act {
 		if c.Point == plugin.OnRequest {
 			return hookstest.Act{Verdict: plugin.Verdict{Tenant: "club"}}
 		}
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestDrainEndsInTimeWithAllWorkersStuck: SIGTERM, and reloads before it, while no hook answers.
-func TestDrainEndsInTimeWithAllWorkersStuck(t *testing.T) {
-	h := judging(t, func(plugin.Call) hookstest.Act { return hookstest.Act{Hang: true} }, nil)
+// TestDrainEndsByDeadlineWithStuckHooks drains, after reloads, while no hook answers.
+func TestDrainEndsByDeadlineWithStuckHooks(t *testing.T) {
+	h := startHooked(t, func(plugin.Call) hookstest.Act { return hookstest.Act{Hang: true} }, nil)
 	h.nc.Write([]byte(get("a")))
 	h.pass(1_000)
 	h.r.Reload(h.cfg)
@@ -238,7 +238,7 @@
 	h.left()
 }
 
-func TestHooksNeedRoom(t *testing.T) {
+func TestHooksMustLeaveMemoryAndDescriptors(t *testing.T) {
 	c := hooks.Config{Hooks: []hooks.Hook{hook("a")}}
 	l, err := Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}.Without(c)
 	if err != nil || l.MemoryMB != 192-56 || l.Sockets != 1020 {
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -7,12 +7,12 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestStartHearsWhatTheKnownListLacks: the list of the configuration has the version that discovery has, and another content.
-// A start that only asks for what comes after that version would send to the cache that leaves for as long as it lives.
-func TestStartHearsWhatTheKnownListLacks(t *testing.T) {
+// TestStartAppliesNewerListThanKnown has discovery's list differ from the known one at the same version. A start that
+// asked only for later versions would send to a removed cache for as long as it lives.
+func TestStartAppliesNewerListThanKnown(t *testing.T) {
 	leaving, staying := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
-	r := startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil, host("c1", leaving.Addr(), "in_service")), nil)
+	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil, host("c1", leaving.Addr(), "in_service")), nil)
 	first := receive(t, calls, "call")
 	if first.Query != "/discovery/hosts" {
 		t.Errorf("call %s, want the whole list", first.Query)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestStartGoesByTheKnownListWhereDiscoveryFails: a start does not wait for a discovery that turns its call away, or says nothing.
-func TestStartGoesByTheKnownListWhereDiscoveryFails(t *testing.T) {
+// TestStartUsesKnownListWhenDiscoveryFails starts while discovery rejects the call or does not answer.
+func TestStartUsesKnownListWhenDiscoveryFails(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fails bool
@@ -44,7 +44,7 @@
 			t.Parallel()
 			cache := newFakeCache(t)
 			addr, calls := routertest.Discovery(t)
-			r := startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil, host("c1", cache.Addr(), "in_service")), nil)
+			r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil, host("c1", cache.Addr(), "in_service")), nil)
 			call := receive(t, calls, "call")
 			if c.fails {
 				call.Reply <- ""
--- a/internal/router/endings_test.go
+++ b/internal/router/request_end_test.go
@@ -10,9 +10,10 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestNothingGoesOutForAClientThatHasLeft while its request waited: for a connection, for a cache to be met again, behind QUIT,
-// with as many answers due as one connection may have. Nothing is left of it either.
-func TestNothingGoesOutForAClientThatHasLeft(t *testing.T) {
+// TestNothingSentForGoneClient has the client leave while its request waits: for a connection, for a cache to be
+// reconnected, behind QUIT, or behind as many answers as a connection may be owed. Nothing of the request remains
+// either.
+func TestNothingSentForGoneClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		pipelined int
 		wire      string
@@ -50,9 +51,9 @@
 	}
 }
 
-// TestNothingGoesOutForAClientThatLeavesInTheTurnOfItsSend: the answer that frees the connection comes first in the turn, the
-// client's end behind it.
-func TestNothingGoesOutForAClientThatLeavesInTheTurnOfItsSend(t *testing.T) {
+// TestNothingSentForClientGoneInSameTurn has one turn bring the answer that frees a connection and, behind it, the
+// client's end.
+func TestNothingSentForClientGoneInSameTurn(t *testing.T) {
 	for name, leave := range map[string]func(c *routertest.Client){
 		"by its end":      func(c *routertest.Client) { c.Close() },
 		"by a reset":      func(c *routertest.Client) { c.SetLinger(0); c.Close() },
@@ -87,8 +88,9 @@
 	}
 }
 
-// TestIdOfARequestWhoseAttemptIsOutIsNotTakenAgain. The danger: what may be running runs twice.
-func TestIdOfARequestWhoseAttemptIsOutIsNotTakenAgain(t *testing.T) {
+// TestDuplicateIDRefusedWhileAttemptOut refuses the name of a finished request while its attempt is out: the request
+// might run twice.
+func TestDuplicateIDRefusedWhileAttemptOut(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
 		in["settings"].(map[string]any)["limits"].(map[string]any)["cancel"] = false
@@ -110,9 +112,9 @@
 	r.idle()
 }
 
-// TestWhatOutlivesADrainIsAnsweredBeforeItsEnd: a class allows more time than a planned restart gives. What was sent on has
-// failed, what never was is refused, and the process ends when the longest deadline that counts is over.
-func TestWhatOutlivesADrainIsAnsweredBeforeItsEnd(t *testing.T) {
+// TestDrainAnswersRequestsThatOutliveIt has a class allow more time than a drain takes. Requests that were sent fail,
+// others are rejected, and the process ends at the deadline.
+func TestDrainAnswersRequestsThatOutliveIt(t *testing.T) {
 	hangs, silent := newFakeCache(t), routertest.Unreachable(t)
 	for name, addr := range map[string]string{"at a cache that hangs": hangs.Addr(), "for a connection": silent} {
 		t.Run(name, func(t *testing.T) {
@@ -142,8 +144,9 @@
 	}
 }
 
-// TestWhatIsTakenLateInADrainIsAnsweredBeforeItsEnd, also at a cache that hangs, on a connection that never pauses.
-func TestWhatIsTakenLateInADrainIsAnsweredBeforeItsEnd(t *testing.T) {
+// TestDrainAnswersLateRequests takes requests up to the end of a drain, on a connection that never pauses, also for a
+// cache that hangs: each is answered.
+func TestDrainAnswersLateRequests(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
 		func(r *Router) { r.maxClientTimeout = 300_000 })
@@ -191,8 +194,8 @@
 	}
 }
 
-// TestReloadInADrainOpensNothingAnew. The danger: a watch, or a folder, that was closed for the end is held again.
-func TestReloadInADrainOpensNothingAnew(t *testing.T) {
+// TestReloadDuringDrainIgnored reloads during a drain: no watch and no folder that was closed is opened again.
+func TestReloadDuringDrainIgnored(t *testing.T) {
 	moved, calls := routertest.Discovery(t)
 	lines := make(routertest.Lines, 1000)
 	cfg := testConfig(t, routertest.SilentDiscovery(t), nil)
@@ -220,9 +223,9 @@
 	}
 }
 
-// TestDrainToldInTheTurnOfASend: what waits for a connection, for room or for another try is not sent once it is known that the
-// cache drains, whatever else the same turn brings.
-func TestDrainToldInTheTurnOfASend(t *testing.T) {
+// TestNothingSentToCacheDrainedInSameTurn has requests wait for a connection, for capacity or for a retry: none is
+// sent to a cache once the router knows that it drains, whatever else the same turn brings.
+func TestNothingSentToCacheDrainedInSameTurn(t *testing.T) {
 	cache := newFakeCache(t)
 	cfg := testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service"))
 	cfg.OperatorLimits.Caches.MinConnections, cfg.OperatorLimits.Caches.FleetConnections = 1, 1
--- a/internal/router/client_test.go
+++ b/internal/router/request_test.go
@@ -16,7 +16,7 @@
 	"starlingwinch/internal/upstream"
 )
 
-func TestServed(t *testing.T) {
+func TestRequestServed(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil, nil)
 	c := dial(t, r.addr)
@@ -32,9 +32,9 @@
 	r.idle()
 }
 
-// TestAnswersInCommandOrder: a quick answer waits for those before it on its connection, and
-// only there.
-func TestAnswersInCommandOrder(t *testing.T) {
+// TestAnswersFollowCommandOrder has a quick answer wait for those before it on its connection, and not for those of
+// other connections.
+func TestAnswersFollowCommandOrder(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil, nil)
 	c := dial(t, r.addr)
@@ -55,9 +55,9 @@
 	r.idle()
 }
 
-// TestManyPipelinedCommandsAreTakenAtOnce. The danger: a command left unread behind others that
-// are slow is taken long after its client began to wait, and is answered too late.
-func TestManyPipelinedCommandsAreTakenAtOnce(t *testing.T) {
+// TestPipelinedCommandsReadAtOnce reads all pipelined commands at once. One that was left unread behind slow ones
+// would be taken too late for its deadline.
+func TestPipelinedCommandsReadAtOnce(t *testing.T) {
 	r := newRig(t, "127.0.0.1:1", nil) // answers nothing
 	c := dial(t, r.addr)
 	most := limits.Default().Clients.MaxPipelined / 2
@@ -67,8 +67,8 @@
 	r.Until("all commands taken", func() bool { return r.r.openRequests == most })
 }
 
-// TestClientGone: nobody waits for the answer any more, so the attempt is stopped.
-func TestClientGone(t *testing.T) {
+// TestClientGoneStopsAttempt stops the attempt of a request whose client has gone.
+func TestClientGoneStopsAttempt(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil, nil)
 	c := dial(t, r.addr)
@@ -79,8 +79,8 @@
 	r.idle()
 }
 
-// TestSlowReaderHoldsUpNobody: one client reads nothing of many large answers.
-func TestSlowReaderHoldsUpNobody(t *testing.T) {
+// TestSlowReaderDoesNotDelayOthers has one client read nothing of many large answers.
+func TestSlowReaderDoesNotDelayOthers(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
 		in["limits"].(map[string]any)["memory_mb"] = 4
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestPingBeforeAnyCacheIsKnown(t *testing.T) {
+func TestPingWithoutCachesIsLoading(t *testing.T) {
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil), nil, nil)
 	c := dial(t, r.addr)
 	c.Send(words("PING"))
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestMostOpen: what is over the settings' bound is refused before it reaches the module.
-func TestMostOpen(t *testing.T) {
+// TestOpenRequestsBounded rejects requests over the settings' bound before they reach the module.
+func TestOpenRequestsBounded(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
 		in["settings"].(map[string]any)["limits"].(map[string]any)["maxOpen"] = 1
@@ -140,11 +140,12 @@
 	c.Want("value")
 }
 
-// TestIdOfAnOpenRequest is turned away, until every attempt of that request is over.
-func TestIdOfAnOpenRequest(t *testing.T) {
+// TestDuplicateIDRefusedWhileRequestOpen refuses the name of an open request until all attempts of that request have
+// ended.
+func TestDuplicateIDRefusedWhileRequestOpen(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
-	q := r.ask(get("one"))
+	q := r.sendCommand(get("one"))
 	r.send(q)
 	cmd := receive(t, cache.Commands, "command")
 	turnedAway := func(when string) {
@@ -161,11 +162,11 @@
 	turnedAway("while an attempt is out")
 	cmd.Reply(t, served)
 	r.want(decide.Served)
-	r.ask(get("one")) // after its end
+	r.sendCommand(get("one")) // after its end
 }
 
-// TestFirstServingAnswerIsTheFinalOne, and no other one is.
-func TestFirstServingAnswerIsTheFinalOne(t *testing.T) {
+// TestFirstServedAttemptIsFinalAnswer answers with the first value alone.
+func TestFirstServedAttemptIsFinalAnswer(t *testing.T) {
 	for wire, want := range map[string]decide.Result{served: decide.Served, "-ERR failed\r\n": decide.Errored,
 		"-BUSY\r\n": decide.Rejected} {
 		cache := newFakeCache(t)
@@ -183,11 +184,11 @@
 	}
 }
 
-// TestWhatGoesOn: everything but d goes on as it came.
-func TestWhatGoesOn(t *testing.T) {
+// TestCommandForwardedUnchangedButDeadline forwards all options of a command but d as they came.
+func TestCommandForwardedUnchangedButDeadline(t *testing.T) {
 	cache := newFakeCache(t)
 	r := newRig(t, cache.Addr(), nil)
-	q := r.ask(words("C.SET", "key", "id", "c=put,t=acme,d=20000,k=5c0f,size=12", "\x00\r\nVALUE"))
+	q := r.sendCommand(words("C.SET", "key", "id", "c=put,t=acme,d=20000,k=5c0f,size=12", "\x00\r\nVALUE"))
 	r.Do(func() {
 		r.r.perform(decide.Send{ID: q.id, Cache: "c1", AttemptDeadline: r.Now() + 10_000_000})
 	})
@@ -203,8 +204,9 @@
 	}
 }
 
-// TestFinalAnswerStopsAHalfWrittenAttempt: no more of it goes out, and it never ran.
-func TestFinalAnswerStopsAHalfWrittenAttempt(t *testing.T) {
+// TestFinalAnswerStopsHalfWrittenAttempt sends no more of an attempt once its request has its final answer; the
+// attempt never ran.
+func TestFinalAnswerStopsHalfWrittenAttempt(t *testing.T) {
 	addr, conns := routertest.DeafCache(t)
 	r := newRig(t, addr, nil)
 	q := r.request()
@@ -238,13 +240,13 @@
 
 func (w hugeWork) Encode(b []byte, _ Time) []byte { return append(b, make([]byte, 64<<20)...) }
 
-// TestWaitingAttemptIsNotSentWhenItsRequestIsOver holds the last look before the first byte.
-func TestWaitingAttemptIsNotSentWhenItsRequestIsOver(t *testing.T) {
-	for name, end := range map[string]func(*rig, asked){
-		"refused":   func(r *rig, q asked) { r.perform(decide.Reject{ID: q.id}) },
-		"failed":    func(r *rig, q asked) { r.perform(decide.Fail{ID: q.id}) },
-		"cancelled": func(r *rig, q asked) { r.perform(decide.Cancel{ID: q.id, Attempt: 0}) },
-		"departed":  func(r *rig, q asked) { q.client.Close() },
+// TestQueuedAttemptOfFinishedRequestNotSent checks a queued attempt once more before its first byte.
+func TestQueuedAttemptOfFinishedRequestNotSent(t *testing.T) {
+	for name, end := range map[string]func(*rig, sentRequest){
+		"refused":   func(r *rig, q sentRequest) { r.perform(decide.Reject{ID: q.id}) },
+		"failed":    func(r *rig, q sentRequest) { r.perform(decide.Fail{ID: q.id}) },
+		"cancelled": func(r *rig, q sentRequest) { r.perform(decide.Cancel{ID: q.id, Attempt: 0}) },
+		"departed":  func(r *rig, q sentRequest) { q.client.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cache := newFakeCache(t)
@@ -262,7 +264,7 @@
 				cmd.Reply(t, served)
 				r.want(decide.Served)
 			}
-			r.send(r.ask(get("last")))
+			r.send(r.sendCommand(get("last")))
 			if got := receive(t, cache.Commands, "command"); got.Args[2] != "last" {
 				t.Errorf("the cache was sent %q", got.Args)
 			}
@@ -270,10 +272,11 @@
 	}
 }
 
-// TestClaimedPatienceIsBounded by what the settings say of any client.
-func TestClaimedPatienceIsBounded(t *testing.T) {
+// TestClientTimeoutBoundedBySettings bounds the timeout that a command claims by the longest client timeout of the
+// settings.
+func TestClientTimeoutBoundedBySettings(t *testing.T) {
 	r := newRig(t, "127.0.0.1:1", nil)
-	q := r.ask(words("C.GET", "k", "id", "c=read,d=2000000000"))
+	q := r.sendCommand(words("C.GET", "k", "id", "c=read,d=2000000000"))
 	r.Do(func() {
 		if d := r.r.requests[q.id].deadline; d > r.Now()+20_000_000 {
 			t.Errorf("deadline %d at %d", d, r.Now())
@@ -281,8 +284,8 @@
 	})
 }
 
-// TestIdleClientsMakeRoom: clients that hold connections without using them don't shut out others.
-func TestIdleClientsMakeRoom(t *testing.T) {
+// TestIdleClientsClosedForNewOnes closes idle clients where new ones need their descriptors.
+func TestIdleClientsClosedForNewOnes(t *testing.T) {
 	cache := newFakeCache(t)
 	cfg := testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
 		in["limits"].(map[string]any)["sockets"] = minSockets
@@ -304,8 +307,8 @@
 	busy.Want("value")
 }
 
-// TestOperatorsLimitsAreKept on both sides: what the file says holds, not what is compiled in.
-func TestOperatorsLimitsAreKept(t *testing.T) {
+// TestOperatorLimitsApply applies the limits of the operators' file on both sides.
+func TestOperatorLimitsApply(t *testing.T) {
 	cfg := testConfig(t, routertest.SilentDiscovery(t), nil)
 	cfg.OperatorLimits.Clients.MaxConsecutiveErrors = 2
 	cfg.OperatorLimits.Clients.CommandTime = 100 * time.Millisecond
--- a/internal/router/retry_storm_test.go
+++ b/internal/router/retry_storm_test.go
@@ -8,10 +8,10 @@
 	"starlingwinch/internal/retrystorm"
 )
 
-// second is a client's second try of what get asks for.
+// second returns a client's retry of the request of get.
 func second(id string) string { return words("C.GET", "k1", id, "c=read,d=20000") }
 
-func TestModuleIsToldSinceWhenARefusedClientAsks(t *testing.T) {
+func TestRetryKeepsFirstRequestTime(t *testing.T) {
 	r := newRig(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm = retrystorm.DefaultEnabled() })
 	one := dial(t, r.addr)
 	one.Send(second("try1"))
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestClientWhoseConnectionBrokeAsksForTheFirstTimeAgain: a reset says nothing of load. One that left has given up waiting,
-// and asks again.
-func TestClientWhoseConnectionBrokeAsksForTheFirstTimeAgain(t *testing.T) {
+// TestReconnectAfterResetIsNoRetry counts a request after a reset connection as a first one, as a reset says nothing
+// about load, and the request of a client that left and comes again as a retry.
+func TestReconnectAfterResetIsNoRetry(t *testing.T) {
 	for _, breaks := range []bool{true, false} {
 		r := newRig(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm = retrystorm.DefaultEnabled() })
 		one := dial(t, r.addr)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestStormsAreNotWatchedWhereOperatorsSaySo(t *testing.T) {
+func TestRetryStormMonitorOff(t *testing.T) {
 	r := newRig(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm.Enabled = false })
 	c := dial(t, r.addr)
 	c.Send(second("try1"))
--- a/internal/router/hard_test.go
+++ b/internal/router/slow_reader_test.go
@@ -9,10 +9,9 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestSlowReadersOfLargeValuesBesideFastOnesWithTheScoredMemory: of 32 MB of memory, 8 are for answers that wait. Slow
-// readers ask for 47 MB, more than the kernel's buffers and those take. Each request of theirs still has one answer, in its
-// place, once they read; and fast clients have theirs meanwhile.
-func TestSlowReadersOfLargeValuesBesideFastOnesWithTheScoredMemory(t *testing.T) {
+// TestSlowReadersOfLargeValuesWithLittleMemory has slow readers ask for 47 MB of values where 8 MB are for answers
+// that wait. Each of their requests has one answer, in its place, once they read; fast clients get theirs meanwhile.
+func TestSlowReadersOfLargeValuesWithLittleMemory(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
 		in["limits"].(map[string]any)["memory_mb"] = 32
@@ -77,8 +76,9 @@
 	r.idle()
 }
 
-// TestDeadlineOfAMillisecondIsAnsweredAndNotHeld.
-func TestDeadlineOfAMillisecondIsAnsweredAndNotHeld(t *testing.T) {
+// TestMillisecondDeadlineAnsweredAndReleased answers requests with a deadline of one millisecond and keeps nothing of
+// them.
+func TestMillisecondDeadlineAnsweredAndReleased(t *testing.T) {
 	cache := newFakeCache(t) // which answers nothing
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil, nil)
 	c := dial(t, r.addr)
@@ -93,9 +93,9 @@
 	r.idle()
 }
 
-// TestFiveHundredPipelinedCommandsBesideOneAtATime: the one that asks one at a time is served while the others are, and all
-// answers come in their places.
-func TestFiveHundredPipelinedCommandsBesideOneAtATime(t *testing.T) {
+// TestPipeliningClientDoesNotStarveOthers serves a client that sends one request at a time beside one that pipelines
+// five hundred, and answers all in order.
+func TestPipeliningClientDoesNotStarveOthers(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil, nil)
 	cache.Saying(t, func(id string) string {
--- a/internal/router/snapshot_test.go
+++ b/internal/router/snapshot_test.go
@@ -16,8 +16,8 @@
 
 const stateFolder = "/state"
 
-// cell is a virtual machine with a folder for the state, and the router that runs on it.
-type cell struct {
+// snapshotHost is a virtual machine with a snapshot folder, and the router that runs on it.
+type snapshotHost struct {
 	*testing.T
 	w     *sim.World
 	h     *sim.Host
@@ -27,9 +27,9 @@
 	lived bool
 }
 
-// newCell has a router that knows so many caches, c0 and so on, whose starts are told in milliseconds.
-func newCell(t *testing.T, starts ...int) *cell {
-	c := &cell{T: t, w: sim.New(1)}
+// newSnapshotHost returns a host whose router has one cache for each start in milliseconds, c0 and so on.
+func newSnapshotHost(t *testing.T, starts ...int) *snapshotHost {
+	c := &snapshotHost{T: t, w: sim.New(1)}
 	c.h = c.w.Host("r", "10.0.0.1", sim.HostOptions{})
 	c.h.MakeFolder(stateFolder)
 	c.h.Logged = func(line string) { c.lines = append(c.lines, line) }
@@ -52,7 +52,7 @@
 }
 
 // start starts the router, on a process of its own.
-func (c *cell) start() {
+func (c *snapshotHost) start() {
 	c.Helper()
 	m := c.h.Machine()
 	if c.lived {
@@ -64,13 +64,13 @@
 	if c.r, err = Start(m, &cfg); err != nil {
 		c.Fatal(err)
 	}
-	hearKnown(c.r)
+	applyKnownList(c.r)
 }
 
-func (c *cell) run(d time.Duration) { c.w.Run(c.w.Now() + d.Microseconds()) }
+func (c *snapshotHost) run(d time.Duration) { c.w.Run(c.w.Now() + d.Microseconds()) }
 
-// teach has the module learn that a cache is bad.
-func (c *cell) teach(id string) {
+// train has the module learn that a cache fails.
+func (c *snapshotHost) train(id string) {
 	c.Helper()
 	was, ok := c.r.decider.EndpointSnapshot(id)
 	if !ok {
@@ -84,14 +84,14 @@
 	c.r.decider.Restore(l)
 }
 
-// bad reports whether a cache is known to be.
-func (c *cell) bad(id string) bool {
+// isKnownBad reports whether the module knows that a cache fails.
+func (c *snapshotHost) isKnownBad(id string) bool {
 	was, ok := c.r.decider.EndpointSnapshot(id)
 	return ok && was.ConcurrencyLimit < .5 && !was.Healthy && !was.Responsive && was.LateRatio > .4 && len(decide.SortKeys(c.r.decider.AppendCachedKeys(nil, id, 9), 9)) == 3
 }
 
-// logged counts the lines that hold a text.
-func (c *cell) logged(text string) (n int) {
+// logged counts the log lines that contain a text.
+func (c *snapshotHost) logged(text string) (n int) {
 	for _, line := range c.lines {
 		if strings.Contains(line, text) {
 			n++
@@ -100,19 +100,19 @@
 	return n
 }
 
-func (c *cell) want(text string, n int) {
+func (c *snapshotHost) want(text string, n int) {
 	c.Helper()
 	if got := c.logged(text); got != n {
 		c.Errorf("%q is logged %d times, want %d; log:\n%s", text, got, n, strings.Join(c.lines, "\n"))
 	}
 }
 
-// taughtCell is a router that was taught of c1, has written that and was killed.
-func taughtCell(t *testing.T, starts ...int) *cell {
-	c := newCell(t, starts...)
+// newTrainedHost returns a host whose router was trained that c1 fails, has written a snapshot and was killed.
+func newTrainedHost(t *testing.T, starts ...int) *snapshotHost {
+	c := newSnapshotHost(t, starts...)
 	c.start()
 	c.run(100 * time.Millisecond)
-	c.teach("c1")
+	c.train("c1")
 	c.run(2100 * time.Millisecond)
 	c.h.Kill()
 	return c
@@ -120,15 +120,15 @@
 
 const long0 = 1_000_000_000 // ms; long before the world begins
 
-func TestWhatWasLearnedSurvivesAKill(t *testing.T) {
-	c := taughtCell(t, 0, long0, 0)
+func TestSnapshotRestoredAfterKill(t *testing.T) {
+	c := newTrainedHost(t, 0, long0, 0)
 	c.start()
 	if c.r.Serving() {
 		t.Error("it says that it serves before it has read its state")
 	}
 	c.run(10 * time.Millisecond)
-	if !c.r.Serving() || !c.bad("c1") || c.bad("c0") {
-		t.Errorf("serving %v, c1 %v, c0 %v\n%s", c.r.Serving(), c.bad("c1"), c.bad("c0"), strings.Join(c.lines, "\n"))
+	if !c.r.Serving() || !c.isKnownBad("c1") || c.isKnownBad("c0") {
+		t.Errorf("serving %v, c1 %v, c0 %v\n%s", c.r.Serving(), c.isKnownBad("c1"), c.isKnownBad("c0"), strings.Join(c.lines, "\n"))
 	}
 	if lost := c.r.decider.SharedSnapshot().LostRatio; lost < .2 {
 		t.Errorf("share of lost attempts %v", lost)
@@ -136,9 +136,9 @@
 	c.want(`msg="snapshot restored" caches=3 age=`, 1)
 }
 
-// TestCacheThatWasRestartedMeanwhileBeginsAfresh: its id is the same, its start is another.
-func TestCacheThatWasRestartedMeanwhileBeginsAfresh(t *testing.T) {
-	c := taughtCell(t, 0, long0, 0)
+// TestSnapshotNotRestoredForRestartedCache lists a cache under the same name with another start.
+func TestSnapshotNotRestoredForRestartedCache(t *testing.T) {
+	c := newTrainedHost(t, 0, long0, 0)
 	c.cfg.LastKnown = parse(t, hosts(1, true, cellHosts(0, int((sim.Start)/1000)+1000, 0)...))
 	c.start()
 	c.run(10 * time.Millisecond)
@@ -147,14 +147,15 @@
 	}
 }
 
-// TestCachesThatAListNamesLaterAreTakenOverThen, also where an older list has named them with an older start.
-func TestCachesThatAListNamesLaterAreTakenOverThen(t *testing.T) {
+// TestSnapshotRestoredForCachesListedLater restores a cache when a list names it, also where an older list named it
+// with an earlier start.
+func TestSnapshotRestoredForCachesListedLater(t *testing.T) {
 	for _, known := range [][]string{cellHosts(0), cellHosts(0, long0-5)} {
-		c := taughtCell(t, 0, long0, 0)
+		c := newTrainedHost(t, 0, long0, 0)
 		c.cfg.LastKnown = parse(t, hosts(1, true, known...))
 		c.start()
 		c.run(10 * time.Millisecond)
-		if c.bad("c1") {
+		if c.isKnownBad("c1") {
 			t.Error("c1 is known before its list")
 		}
 		c.w.At(c.w.Now(), func() {
@@ -162,15 +163,15 @@
 			c.r.ProcessEvents()
 		})
 		c.run(10 * time.Millisecond)
-		if !c.bad("c1") {
+		if !c.isKnownBad("c1") {
 			t.Errorf("c1 is not taken over with its list, known before: %v", known)
 		}
 	}
 }
 
-// TestKnowledgeFadesWhileTheRouterIsDown.
-func TestKnowledgeFadesWhileTheRouterIsDown(t *testing.T) {
-	c := taughtCell(t, 0, long0, 0)
+// TestSnapshotDecaysWhileDown restores less the longer the router was down.
+func TestSnapshotDecaysWhileDown(t *testing.T) {
+	c := newTrainedHost(t, 0, long0, 0)
 	c.run(time.Minute)
 	c.start()
 	c.run(10 * time.Millisecond)
@@ -184,9 +185,9 @@
 	c.want("too old: ", 1)
 }
 
-// TestMarksOfProbesAreNotTakenOverWhereNothingProbes: nothing would ever take them away.
-func TestMarksOfProbesAreNotTakenOverWhereNothingProbes(t *testing.T) {
-	c := taughtCell(t, 0, long0, 0)
+// TestHealthNotRestoredWithoutHealthChecks restores no failed health check where none would ever clear it.
+func TestHealthNotRestoredWithoutHealthChecks(t *testing.T) {
+	c := newTrainedHost(t, 0, long0, 0)
 	c.cfg.Settings.AllowHealthChecks = false
 	c.start()
 	c.run(10 * time.Millisecond)
@@ -195,9 +196,10 @@
 	}
 }
 
-// TestSlowDiskHoldsTheStartUpNoLongerThanItsBound, and what comes late serves for caches that nothing was sent to.
-func TestSlowDiskHoldsTheStartUpNoLongerThanItsBound(t *testing.T) {
-	c := taughtCell(t, 0, long0, 0)
+// TestSlowDiskDelaysServingUpToTimeout serves at the timeout; what is read later is restored for caches that nothing
+// was sent to.
+func TestSlowDiskDelaysServingUpToTimeout(t *testing.T) {
+	c := newTrainedHost(t, 0, long0, 0)
 	c.h.SlowDisk(5 * sim.Second)
 	c.start()
 	c.run(snapshotReadTimeout*time.Microsecond - time.Millisecond)
@@ -217,14 +219,14 @@
 	c.want("snapshot disk is slow", 1)
 }
 
-// TestDiskThatFailsCostsOneLine, and its recovery another.
-func TestDiskThatFailsCostsOneLine(t *testing.T) {
+// TestFailingDiskLoggedOnce logs one line when the disk fails and one when it works again.
+func TestFailingDiskLoggedOnce(t *testing.T) {
 	for what, trouble := range map[string]struct{ on, off func(h *sim.Host) }{
 		"full":      {func(h *sim.Host) { h.FailDisk(sim.ErrFull) }, func(h *sim.Host) { h.FailDisk(nil) }},
 		"read-only": {func(h *sim.Host) { h.FailDisk(fs.ErrPermission) }, func(h *sim.Host) { h.FailDisk(nil) }},
 		"vanished":  {func(h *sim.Host) { h.RemoveFolder(stateFolder) }, func(h *sim.Host) { h.MakeFolder(stateFolder) }},
 	} {
-		c := newCell(t, 0, 0)
+		c := newSnapshotHost(t, 0, 0)
 		c.start()
 		c.run(5 * time.Second)
 		before := c.logged(`msg="snapshot`)
@@ -243,9 +245,9 @@
 	}
 }
 
-// TestNothingIsWrittenMoreOftenThanTheOperatorAllows.
-func TestNothingIsWrittenMoreOftenThanTheOperatorAllows(t *testing.T) {
-	c := newCell(t, 0, 0)
+// TestSnapshotWriteInterval writes no more often than the operators allow.
+func TestSnapshotWriteInterval(t *testing.T) {
+	c := newSnapshotHost(t, 0, 0)
 	c.cfg.SnapshotStore.WriteInterval = 7 * time.Second
 	c.start()
 	c.run(69 * time.Second)
@@ -254,15 +256,15 @@
 	}
 }
 
-// TestDrainEndsWithAWrite, and waits for it no longer than its bound.
-func TestDrainEndsWithAWrite(t *testing.T) {
+// TestDrainWritesFinalSnapshot writes at the end of a drain, and waits for that no longer than the timeout.
+func TestDrainWritesFinalSnapshot(t *testing.T) {
 	for _, slow := range []sim.Time{0, 10 * sim.Second} {
-		c := newCell(t, 0, long0)
+		c := newSnapshotHost(t, 0, long0)
 		c.cfg.SnapshotStore.WriteInterval = time.Hour
 		c.cfg.SnapshotStore.MaxAge = time.Hour
 		c.start()
 		c.run(time.Second)
-		c.teach("c1")
+		c.train("c1")
 		c.h.SlowDisk(slow)
 		ended := sim.Time(0)
 		began := c.w.Now()
@@ -274,18 +276,18 @@
 		c.h.Kill()
 		c.start()
 		c.run(10 * time.Millisecond)
-		if slow == 0 && !c.bad("c1") {
+		if slow == 0 && !c.isKnownBad("c1") {
 			t.Error("what was known at its end is not kept")
 		}
 	}
 }
 
-// TestHangUpMovesTheState to another folder, and ends it.
-func TestHangUpMovesTheState(t *testing.T) {
-	c := newCell(t, 0, long0)
+// TestReloadMovesSnapshotFolder moves the snapshots to another folder, and switches them off.
+func TestReloadMovesSnapshotFolder(t *testing.T) {
+	c := newSnapshotHost(t, 0, long0)
 	c.start()
 	c.run(100 * time.Millisecond)
-	c.teach("c1")
+	c.train("c1")
 	c.h.MakeFolder("/other")
 	moved := *c.cfg
 	moved.SnapshotStore.Folder = "/other"
@@ -313,9 +315,9 @@
 	}
 }
 
-// TestWithoutAFolderTheDiskIsLeftAlone.
-func TestWithoutAFolderTheDiskIsLeftAlone(t *testing.T) {
-	c := newCell(t, 0, 0)
+// TestNoSnapshotFolderNoDiskWork leaves the disk alone where no folder is configured.
+func TestNoSnapshotFolderNoDiskWork(t *testing.T) {
+	c := newSnapshotHost(t, 0, 0)
 	c.cfg.SnapshotStore = snapshotstore.Default()
 	c.start()
 	if !c.r.Serving() {
@@ -327,8 +329,9 @@
 	}
 }
 
-// TestOneOfTwoRoutersHasTheFolder; the other says so, serves, and gets it once the first has ended.
-func TestOneOfTwoRoutersHasTheFolder(t *testing.T) {
+// TestSnapshotFolderLockedByOneRouter starts two routers on one folder: the second one logs that it is locked, serves,
+// and gets the folder once the first has ended.
+func TestSnapshotFolderLockedByOneRouter(t *testing.T) {
 	dir := t.TempDir()
 	startOne := func(log routertest.Lines) *running {
 		cfg := testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", "127.0.0.1:1", "in_service"))
@@ -346,10 +349,10 @@
 	second.Until("a write of the second", func() bool { return second.r.snapshots.completedWrites > 0 })
 }
 
-// TestExportOfALargeFleetIsTheSameInPieces: what is gathered over several turns is all there is, by id.
-func TestExportOfALargeFleetIsTheSameInPieces(t *testing.T) {
+// TestSnapshotOfLargeFleetGatheredInPieces gathers every cache over several turns, in the order of their names.
+func TestSnapshotOfLargeFleetGatheredInPieces(t *testing.T) {
 	starts := make([]int, 3*maxCachesPerTurn+7)
-	c := newCell(t, starts...)
+	c := newSnapshotHost(t, starts...)
 	c.start()
 	c.run(time.Second)
 	k := c.r.snapshots
@@ -371,9 +374,10 @@
 	}
 }
 
-// TestKeysOfAllCachesComeInTurn where there are more than there is time for.
-func TestKeysOfAllCachesComeInTurn(t *testing.T) {
-	c := newCell(t, make([]int, 10)...)
+// TestKeysOfAllCachesGatheredOverWrites gathers the keys of all caches over several writes where one write has no time
+// for them.
+func TestKeysOfAllCachesGatheredOverWrites(t *testing.T) {
+	c := newSnapshotHost(t, make([]int, 10)...)
 	c.cfg.SnapshotStore.WriteInterval = time.Second
 	c.start()
 	c.run(100 * time.Millisecond)
@@ -396,11 +400,11 @@
 	}
 }
 
-// BenchmarkGather is the loop's time for one write, in all its turns, and the longest of them.
-func BenchmarkGather(b *testing.B) {
+// BenchmarkSnapshotGather measures the loop's time for one write, in all its turns, and the longest of them.
+func BenchmarkSnapshotGather(b *testing.B) {
 	for _, n := range []int{14, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			k := benchKeeper(b, n)
+			k := newBenchKeeper(b, n)
 			longest := time.Duration(0)
 			for b.Loop() {
 				begin := time.Now()
@@ -417,8 +421,8 @@
 	}
 }
 
-// benchKeeper is that of a router with so many caches that keep 100 keys each.
-func benchKeeper(b *testing.B, caches int) *snapshotKeeper {
+// newBenchKeeper returns the keeper of a router with so many caches, which have 100 keys each.
+func newBenchKeeper(b *testing.B, caches int) *snapshotKeeper {
 	module, err := decide.New(decide.Settings{Routers: 3, MaxAttempts: 3, Classes: []decide.Class{{Name: "read", LatencyObjective: 1e6}}}, 1)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/router/standstill_test.go
+++ b/internal/router/standstill_test.go
@@ -8,14 +8,14 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestTakeOutToldWhileRouterStandsStill: discovery writes that a cache leaves while the loop stands still for longer than the
-// grace, behind requests that have come meanwhile. As the loop goes on, the cache gets none of them.
-func TestTakeOutToldWhileRouterStandsStill(t *testing.T) {
+// TestRemovalDuringPauseAppliedFirst has discovery write a removal, behind requests, while the loop stands still for
+// longer than the drain grace. The removed cache gets none of the requests once the loop goes on.
+func TestRemovalDuringPauseAppliedFirst(t *testing.T) {
 	const grace = 40 * time.Millisecond
 	leaving, staying := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
 	listed := []string{host("c1", leaving.Addr(), "in_service"), host("c2", staying.Addr(), "in_service")}
-	r := startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
+	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
 		in["settings"].(map[string]any)["rules"].(map[string]any)["drainGrace"] = grace.Microseconds()
 	}), nil)
 	receive(t, calls, "call").Reply <- hosts(1, true, listed...)
@@ -52,13 +52,13 @@
 	}
 }
 
-// TestTakeOutSentToAgentWhileRouterStandsStill: the call that was out is answered with nothing, and then the agent is sent a list
-// in which a cache leaves. It counts as told, so the agent is asked before anything goes to a cache.
-func TestTakeOutSentToAgentWhileRouterStandsStill(t *testing.T) {
+// TestRemovalPushedDuringPauseAppliedFirst has the pending call answered with nothing and then a removal pushed to the
+// agent while the loop stands still. The router counts as notified, so it polls the agent before it sends anything.
+func TestRemovalPushedDuringPauseAppliedFirst(t *testing.T) {
 	const grace = 400 * time.Millisecond
 	leaving, staying := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
-	r := startUnheard(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
+	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
 		settings := in["settings"].(map[string]any)
 		settings["discovery"] = "automatic"
 		settings["rules"].(map[string]any)["drainGrace"] = grace.Microseconds()
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestContractIsNotHeldOverAStandstill: the look for what the contract misses is due before an attempt ends, and both are late as
-// the loop goes on. The attempt ends by its own timer, and nothing is said to be missing.
-func TestContractIsNotHeldOverAStandstill(t *testing.T) {
+// TestContractNotCheckedAfterPause has the contract check due before an attempt ends, and both late after a pause. The
+// attempt ends by its own timer, and nothing is reported missing.
+func TestContractNotCheckedAfterPause(t *testing.T) {
 	addr, _ := routertest.DeafCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", addr, "in_service")), nil, nil)
 	c := dial(t, r.addr)
