--- a/cmd/starlingwinch/check.go
+++ b/cmd/starlingwinch/check.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -14,6 +13,7 @@
 	"starlingwinch/internal/settings"
 )
 
+// checkCommand returns the command "check", which checks files.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
@@ -27,13 +27,13 @@
 			return nil
 		},
 		RunE: func(_ *cobra.Command, args []string) error {
-			stdout := newOutlet(os.Stdout)
-			defer stdout.flush(2 * time.Second)
+			stdout := newNonBlockingWriter(os.Stdout)
+			defer stdout.flush(commandFlushTimeout)
 			var faults configerror.List
 			for _, path := range args {
 				what, err := check(path)
 				if err != nil {
-					collect(&faults, err)
+					addFault(&faults, err)
 					continue
 				}
 				fmt.Fprintf(stdout, "%s: good (%s)\n", configerror.Plain(path), what)
@@ -43,7 +43,7 @@
 	}
 }
 
-// check checks one file, and tells what it is.
+// check checks one file, and returns what kind of file it is.
 func check(path string) (string, error) {
 	raw, err := operatorconfig.Read(path, maxConfigBytes)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return "platform's file", faults.Err()
 }
 
-// isPlatform tells the platform's files from the operators', by their names or else by how they begin.
+// isPlatform reports whether a file is the platform's, by its name or else by how it begins. Others are operators' files.
 func isPlatform(path string, raw []byte) bool {
 	switch filepath.Ext(path) {
 	case ".json":
--- a/cmd/starlingwinch/commands_test.go
+++ b/cmd/starlingwinch/commands_test.go
@@ -84,7 +84,7 @@
 	return path
 }
 
-func TestUnknownWordsAndFlagsNeverStart(t *testing.T) {
+func TestUnknownCommandsAndFlagsStartNothing(t *testing.T) {
 	for _, c := range []struct{ args, want string }{
 		{"chek", `starlingwinch: unknown command "chek" (did you mean "check"?); see starlingwinch help`},
 		{"rn --config x", `starlingwinch: unknown flag "--config" (did you mean "run --config"?); see starlingwinch --help`},
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestHelpAndVersionAreToldOnStandardOutput(t *testing.T) {
+func TestHelpAndVersionPrintedToStdout(t *testing.T) {
 	for args, want := range map[string]string{"help": "check", "--help": "version", "help run": "--operator FILE",
 		"check --help": "FILE...", "version": "starlingwinch "} {
 		code, stdout, stderr := outcome(t, strings.Fields(args)...)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestVersionTellsTheRevision(t *testing.T) {
+func TestVersionNamesRevision(t *testing.T) {
 	info := &debug.BuildInfo{GoVersion: "go1.26", Main: debug.Module{Version: "v1.2.3"}, Settings: []debug.BuildSetting{
 		{Key: "vcs.revision", Value: "abc"}, {Key: "vcs.modified", Value: "true"}, {Key: "vcs.time", Value: "2026-01-02"}}}
 	if got := version(info); got != "starlingwinch v1.2.3, revision abc with changes of 2026-01-02, go1.26" {
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestCheckTellsFilesApartAndNamesAllFaults(t *testing.T) {
+func TestCheckDetectsFileKindsAndNamesAllFaults(t *testing.T) {
 	sound := fmt.Sprintf(config, "127.0.0.1:6379")
 	good, bare := file(t, "config.json", sound), file(t, "config", sound)
 	code, stdout, stderr := outcome(t, "check", good, bare, "../../deploy/limits.toml")
@@ -144,12 +144,12 @@
 		slip + ":3:1: clients.idle_tim: unknown key (did you mean \"idle_time\"?)\n" +
 		"starlingwinch: stat none.toml: no such file or directory\n" +
 		"starlingwinch: stat -: no such file or directory\n"
-	if code != exitFault || stdout != good+": good (platform's file)\n" || stderr != want {
+	if code != exitFailure || stdout != good+": good (platform's file)\n" || stderr != want {
 		t.Errorf("exit code %d\n%s%s\nwant\n%s", code, stdout, stderr, want)
 	}
 }
 
-func TestRunStartsWithOperatorsFiles(t *testing.T) {
+func TestRunAppliesOperatorFiles(t *testing.T) {
 	path := file(t, "config.json", fmt.Sprintf(config, "127.0.0.1:0"))
 	mine := file(t, "mine.toml", "kind = \"limits\"\n[clients]\ncommand_time = \"100ms\"\n")
 	s := start(t, command(t, "run", "--config", path, "--operator", mine))
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestAllFaultsOfAStartComeInOneBlock(t *testing.T) {
+func TestStartLogsAllFaultsTogether(t *testing.T) {
 	path := file(t, "config.json", fmt.Sprintf(config, "nowhere"))
 	slip := file(t, "slip.toml", "kind = \"limits\"\n[clients]\npipelined = 0\n")
 	twice := file(t, "twice.toml", "kind = \"limits\"\n")
@@ -183,7 +183,7 @@
 	want := path + `: listen: not an address ("nowhere", wanted IP:PORT)` + "\n" +
 		slip + ":3:1: clients.pipelined: out of range (0, wanted 1 to 4096)\n" +
 		twice + ": kind: limits is also the kind of " + twice + "; one file of a kind is wanted\n"
-	if got := unstamped(t, stderr); code != exitFault || got != want {
+	if got := unstamped(t, stderr); code != exitFailure || got != want {
 		t.Errorf("exit code %d\n%s\nwant\n%s", code, got, want)
 	}
 }
@@ -204,7 +204,7 @@
 	return text.String()
 }
 
-func TestWhatThePlatformSendsTooMuchIsAWarning(t *testing.T) {
+func TestUnknownPlatformFieldIsWarning(t *testing.T) {
 	sound := fmt.Sprintf(config, "127.0.0.1:0")
 	path := file(t, "config.json", strings.Replace(sound, `"instances"`, `"newKey":1,"instances"`, 1))
 	cmd := command(t, "run", "--config", path)
@@ -222,8 +222,8 @@
 	s.end(t)
 }
 
-// TestUnreadStandardErrorDoesNotHoldTheProgram: the pipe is full, and nobody empties it.
-func TestUnreadStandardErrorDoesNotHoldTheProgram(t *testing.T) {
+// TestUnreadStderrDoesNotBlockExit runs the program with a full pipe as its standard error.
+func TestUnreadStderrDoesNotBlockExit(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -234,7 +234,7 @@
 	cmd := command(t, "run", "--config", "none.json")
 	cmd.Stderr = w
 	var exit *exec.ExitError
-	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != exitFault {
+	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != exitFailure {
 		t.Errorf("ended with %v, want exit code 1", err)
 	}
 }
@@ -258,11 +258,12 @@
 	}
 }
 
-// TestOutletDropsWhatNobodyReads and keeps the order of the rest.
-func TestOutletDropsWhatNobodyReads(t *testing.T) {
+// TestNonBlockingWriterDropsOverflow writes more than the queue holds while nobody reads: the first writes arrive in
+// order, the others are dropped.
+func TestNonBlockingWriterDropsOverflow(t *testing.T) {
 	r, w := io.Pipe()
-	o := newOutlet(w)
-	for i := range 3 * outletBacklog {
+	o := newNonBlockingWriter(w)
+	for i := range 3 * maxQueuedWrites {
 		fmt.Fprintln(o, i)
 	}
 	go func() {
@@ -274,12 +275,12 @@
 		t.Fatal(err)
 	}
 	lines := strings.Fields(string(text))
-	if len(lines) < outletBacklog || len(lines) > outletBacklog+1 || lines[0] != "0" || lines[5] != "5" {
+	if len(lines) < maxQueuedWrites || len(lines) > maxQueuedWrites+1 || lines[0] != "0" || lines[5] != "5" {
 		t.Errorf("%d lines were kept, the first %q", len(lines), lines[:min(6, len(lines))])
 	}
 }
 
-func TestStormExplainTellsWhatALogShows(t *testing.T) {
+func TestStormExplainPrintsStorms(t *testing.T) {
 	log := file(t, "log", "serving on 127.0.0.1:7000\n2026/05/01 10:00:00 storm: calm -> rising: asked 800/s, retries 45%, "+
 		"unserved 41%, caches away 0%, connections 120/s, fresh 10%; bounds: retries 0.55, waits up to 250ms\n")
 	code, stdout, stderr := outcome(t, "storm", "explain", log)
@@ -303,7 +304,7 @@
 	}
 }
 
-func TestFleetViewTellsWhatIsWrong(t *testing.T) {
+func TestFleetViewNamesFault(t *testing.T) {
 	nobody := file(t, "config.json", `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"categories":`+
 		`[{"name":"read","effect":"read_like","aim":500000,"hardLimit":1000000,"worth":1}]}}`)
 	for _, c := range []struct {
--- a/cmd/starlingwinch/daemon.go
+++ b/cmd/starlingwinch/daemon.go
@@ -23,19 +23,19 @@
 // errLogged stands for an error that is in the log already: nothing more is printed.
 var errLogged = errors.New("")
 
-// errUnfinished wraps an error about files that may exist, or be complete, in a moment.
-type errUnfinished struct{ error }
+// unfinishedError wraps an error about files that may exist, or be complete, in a moment.
+type unfinishedError struct{ error }
 
 // Unwrap returns the wrapped error.
-func (e errUnfinished) Unwrap() error { return e.error }
+func (e unfinishedError) Unwrap() error { return e.error }
 
 // isUnfinished reports whether a file is missing or ends too early, as it does for a moment while it is being replaced.
 func isUnfinished(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// wholeJSON is io.ErrUnexpectedEOF where a JSON text ends too early.
-func wholeJSON(raw []byte) error {
+// checkJSONComplete returns io.ErrUnexpectedEOF where a JSON text ends too early.
+func checkJSONComplete(raw []byte) error {
 	d := json.NewDecoder(strings.NewReader(string(raw)))
 	var value json.RawMessage
 	err := d.Decode(&value)
@@ -88,7 +88,7 @@
 		switch {
 		case err == nil:
 			d.start()
-		case errors.As(err, new(errUnfinished)) && d.m.Now() < d.filesDeadline:
+		case errors.As(err, new(unfinishedError)) && d.m.Now() < d.filesDeadline:
 			d.waitForFiles(err)
 		default:
 			d.fail(err)
--- a/cmd/starlingwinch/documents_test.go
+++ b/cmd/starlingwinch/documents_test.go
@@ -12,8 +12,9 @@
 
 var row = regexp.MustCompile("(?m)^\\| `([a-z_.\\[\\]]+)` \\| ([^|]*) \\| `([^|]*)` \\| ([^|]*) \\| ([^|]*) \\|$")
 
-// TestEachKeyIsDocumentedAndEachDocumentedKeyIsRead, with the unit, the default and the range that hold.
-func TestEachKeyIsDocumentedAndEachDocumentedKeyIsRead(t *testing.T) {
+// TestOperatorKeysMatchDocuments compares the documents of the kinds with their keys, units, defaults and ranges, in
+// both directions.
+func TestOperatorKeysMatchDocuments(t *testing.T) {
 	for _, kind := range kinds {
 		page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operators", kind.Name+".md"))
 		if err != nil {
@@ -40,8 +41,9 @@
 	}
 }
 
-// TestShippedFilesHoldEachKeyAtItsDefault with a comment each, and check finds nothing wrong with them.
-func TestShippedFilesHoldEachKeyAtItsDefault(t *testing.T) {
+// TestShippedFilesHoldDefaults holds each key of the shipped files at its default, with a comment, and finds no fault
+// in them.
+func TestShippedFilesHoldDefaults(t *testing.T) {
 	for _, kind := range kinds {
 		path := filepath.Join("..", "..", "deploy", kind.Name+".toml")
 		raw, err := operatorconfig.Read(path, operatorconfig.MaxFileBytes)
@@ -82,8 +84,8 @@
 	}
 }
 
-// TestEachKindIsListed on the page of all kinds.
-func TestEachKindIsListed(t *testing.T) {
+// TestOperatorKindsListed finds each kind on the page of all kinds.
+func TestOperatorKindsListed(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operators", "configuration.md"))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/starlingwinch/files_test.go
+++ b/cmd/starlingwinch/files_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestStartOutlastsFilesThatAreBeingReplaced: the platform's file, or an operators' one, is not there or not whole as the process
-// starts, and is a moment later.
-func TestStartOutlastsFilesThatAreBeingReplaced(t *testing.T) {
+// TestStartWaitsForReplacedFiles starts while the platform's file, or an operators' one, is missing or incomplete, and
+// completes it a moment later.
+func TestStartWaitsForReplacedFiles(t *testing.T) {
 	whole := fmt.Sprintf(config, "127.0.0.1:0")
 	for name, first := range map[string]string{"Missing": "", "Empty": "x", "Half": whole[:len(whole)/2]} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/starlingwinch/fleet.go
+++ b/cmd/starlingwinch/fleet.go
@@ -17,17 +17,19 @@
 	"starlingwinch/internal/gossip"
 )
 
+// Bounds of a query for a view.
 const (
-	viewWait  = 300 * time.Millisecond // for a page
-	viewTries = 5                      // of each
-	viewEvery = time.Second
+	viewPageTimeout = 300 * time.Millisecond // for one page of the view
+	maxViewTries    = 5                      // of each page
+	viewInterval    = time.Second
 )
 
+// fleetCommand returns the command "fleet", which prints a router's view of the cluster.
 func fleetCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "fleet",
 		Short: "Tell of the routers of a tier",
-		Args:  knownWords,
+		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	var s inputs
@@ -38,13 +40,14 @@
 		Long: "Asks by datagrams, as an observer that never becomes a member, and prints each router that it knows. Exits 1 where\n" +
 			"no whole answer came: the router is not there, or keeps no view.",
 		Args: func(cmd *cobra.Command, args []string) error {
-			if len(args)+b2i(s.config != "") != 1 {
+			hasAddress, hasConfig := len(args) == 1, s.config != ""
+			if len(args) > 1 || hasAddress == hasConfig {
 				return usageError{cmd.CommandPath() + ": one ADDR or --config FILE is wanted; see " + cmd.CommandPath() + " --help"}
 			}
 			return nil
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			addr, err := s.viewed(args)
+			addr, err := s.viewAddress(args)
 			if err != nil {
 				return err
 			}
@@ -53,7 +56,7 @@
 				show = printViewJSON
 			}
 			if !watch {
-				v, err := askView(addr)
+				v, err := queryView(addr)
 				if err != nil {
 					return err
 				}
@@ -69,15 +72,8 @@
 	return cmd
 }
 
-func b2i(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
-}
-
-// viewed is the address to ask.
-func (s inputs) viewed(args []string) (string, error) {
+// viewAddress returns the gossip address to query: the argument, or that of the configuration.
+func (s inputs) viewAddress(args []string) (string, error) {
 	if len(args) == 1 {
 		if _, err := netip.ParseAddrPort(args[0]); err != nil {
 			return "", usageError{fmt.Sprintf("starlingwinch fleet view: %q is no address (wanted IP:PORT)", args[0])}
@@ -94,18 +90,18 @@
 	return cfg.PeerListen, nil
 }
 
-// view is a router's view as a whole.
+// view is a router's whole view of the cluster.
 type view struct {
 	Router  string
-	Settled bool
-	For     gossip.Time
-	Digest  uint64
+	Settled bool            // all routers have the same view
+	For     gossip.Time     // for how long it has been settled, or not settled
+	Digest  uint64          // of the view
 	Members []gossip.Member // Since is an age
 }
 
-// askView asks a router for all pages of its view. Each page is asked for again where no answer comes: datagrams get
-// lost. A view that changes meanwhile is read from its beginning again.
-func askView(addr string) (*view, error) {
+// queryView queries a router for all pages of its view. A page is queried again where no answer comes, as datagrams get
+// lost. A view that changes meanwhile is read again from its beginning.
+func queryView(addr string) (*view, error) {
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("fleet view: %w", err)
@@ -113,12 +109,13 @@
 	defer conn.Close()
 	v := &view{}
 	nonce := uint32(time.Now().UnixNano())
-	for tries := 0; tries < viewTries; {
+	for tries := 0; tries < maxViewTries; {
 		nonce++
-		page, err := askPage(conn, len(v.Members), nonce)
+		page, err := queryPage(conn, len(v.Members), nonce)
 		if err != nil {
-			if tries++; tries == viewTries {
-				return nil, fmt.Errorf("fleet view: no answer from %s within %s: %w", addr, viewTries*viewWait, err)
+			tries++
+			if tries == maxViewTries {
+				return nil, fmt.Errorf("fleet view: no answer from %s within %s: %w", addr, maxViewTries*viewPageTimeout, err)
 			}
 			continue
 		}
@@ -138,12 +135,12 @@
 	return nil, fmt.Errorf("fleet view: the view of %s changes faster than it can be read", addr)
 }
 
-// askPage asks for one page and waits for it.
-func askPage(conn net.Conn, first int, nonce uint32) (*gossip.Page, error) {
+// queryPage queries one page and waits for it.
+func queryPage(conn net.Conn, first int, nonce uint32) (*gossip.Page, error) {
 	if _, err := conn.Write(gossip.EncodeQuery(first, nonce)); err != nil {
 		return nil, err
 	}
-	if err := conn.SetReadDeadline(time.Now().Add(viewWait)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(viewPageTimeout)); err != nil {
 		return nil, err
 	}
 	var b [gossip.MaxDatagramBytes + 1]byte
@@ -158,28 +155,28 @@
 	}
 }
 
-// watchView shows views until it is interrupted.
+// watchView prints a view each viewInterval until it is interrupted. The error is that of the last query.
 func watchView(out, errs io.Writer, addr string, show func(io.Writer, *view) error) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt)
 	defer signal.Stop(stop)
-	var last error
 	for {
-		v, err := askView(addr)
-		if last = err; err != nil {
+		v, err := queryView(addr)
+		if err != nil {
 			fmt.Fprintln(errs, err)
 		} else if err := show(out, v); err != nil {
 			return err
 		}
 		select {
 		case <-stop:
-			return last
-		case <-time.After(viewEvery):
+			return err
+		case <-time.After(viewInterval):
 		}
 	}
 }
 
-func (v *view) words() string {
+// summary returns the view in one line.
+func (v *view) summary() string {
 	state := "not settled"
 	if v.Settled {
 		state = "settled"
@@ -187,9 +184,10 @@
 	return fmt.Sprintf("%s: %s for %.1fs, digest %016x, %d routers", v.Router, state, float64(v.For)/1e6, v.Digest, len(v.Members))
 }
 
+// printView prints a view as a table.
 func printView(out io.Writer, v *view) error {
 	var text strings.Builder
-	fmt.Fprintln(&text, v.words())
+	fmt.Fprintln(&text, v.summary())
 	w := tabwriter.NewWriter(&text, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTER\tSTATE\tSINCE\tINCARNATION\tLIST\tCONTENT\tCONFIG\tBUILD")
 	for _, m := range v.Members {
@@ -203,8 +201,8 @@
 	return err
 }
 
-// jsonMember is a router as --json tells it.
-type jsonMember struct {
+// memberDocument is a router in the output of --json.
+type memberDocument struct {
 	Router      string  `json:"router"`
 	State       string  `json:"state"`
 	SinceS      float64 `json:"since_s"`
@@ -215,16 +213,17 @@
 	Build       string  `json:"build"`
 }
 
+// printViewJSON prints a view as one line of JSON.
 func printViewJSON(out io.Writer, v *view) error {
 	doc := struct {
-		Router  string       `json:"router"`
-		Settled bool         `json:"settled"`
-		ForS    float64      `json:"for_s"`
-		Digest  string       `json:"digest"`
-		Routers []jsonMember `json:"routers"`
-	}{v.Router, v.Settled, float64(v.For) / 1e6, fmt.Sprintf("%016x", v.Digest), make([]jsonMember, 0, len(v.Members))}
+		Router  string           `json:"router"`
+		Settled bool             `json:"settled"`
+		ForS    float64          `json:"for_s"`
+		Digest  string           `json:"digest"`
+		Routers []memberDocument `json:"routers"`
+	}{v.Router, v.Settled, float64(v.For) / 1e6, fmt.Sprintf("%016x", v.Digest), make([]memberDocument, 0, len(v.Members))}
 	for _, m := range v.Members {
-		doc.Routers = append(doc.Routers, jsonMember{m.Name, m.State.String(), float64(m.Since) / 1e6, m.Incarnation, m.Info.List,
+		doc.Routers = append(doc.Routers, memberDocument{m.Name, m.State.String(), float64(m.Since) / 1e6, m.Incarnation, m.Info.List,
 			fmt.Sprintf("%08x", m.Info.Digest), fmt.Sprintf("%08x", m.Info.Config), fmt.Sprintf("%08x", m.Info.Build)})
 	}
 	return json.NewEncoder(out).Encode(doc)
--- a/cmd/starlingwinch/handover_test.go
+++ b/cmd/starlingwinch/handover_test.go
@@ -109,9 +109,10 @@
 // shortWait has a start wait no longer than a predecessor may take to end.
 const shortWait = "kind = \"limits\"\n[clients]\naddress_time = \"0s\"\n"
 
-// TestStartMeetsItsPredecessor: whatever the process before does meanwhile, the next one never ends for what that one still
-// holds (the address, the one for datagrams, the folder's lock), and serves once it has the address.
-func TestStartMeetsItsPredecessor(t *testing.T) {
+// TestStartWaitsForPredecessor starts a process beside its predecessor. Whatever that one does meanwhile, the new one
+// never ends for what it still holds (the address, the gossip address, the lock of the snapshot folder), and serves
+// once it has the address.
+func TestStartWaitsForPredecessor(t *testing.T) {
 	for _, files := range []struct {
 		name  string
 		files []string
@@ -156,8 +157,8 @@
 	}
 }
 
-// TestLogWithoutReaderEndsNothing: the process that read the log has gone, and the router serves on and ends in order.
-func TestLogWithoutReaderEndsNothing(t *testing.T) {
+// TestLogWithoutReaderDoesNotEndRouter ends the process that reads the log: the router goes on serving and drains.
+func TestLogWithoutReaderDoesNotEndRouter(t *testing.T) {
 	h := newHandOver(t)
 	h.old.out.Close()
 	h.signal(h.old, syscall.SIGHUP, syscall.SIGHUP) // each has lines logged
@@ -172,8 +173,8 @@
 	}
 }
 
-// TestLogLinesNameTheirProcess: two processes that write into one log can be told apart.
-func TestLogLinesNameTheirProcess(t *testing.T) {
+// TestLogLinesNameProcess has two processes write into one log.
+func TestLogLinesNameProcess(t *testing.T) {
 	h := newHandOver(t)
 	h.signal(h.old, syscall.SIGTERM)
 	log := h.ended(h.old, 0)
@@ -202,9 +203,9 @@
 	return strings.TrimSpace(string(b[:n]))
 }
 
-// TestWaitingStartTakesSignals: a process that waits for its address ends with 0 at once after SIGTERM, and reads its files
-// anew at SIGHUP.
-func TestWaitingStartTakesSignals(t *testing.T) {
+// TestSignalsWhileWaitingForAddress sends signals to a process that waits for its address: SIGTERM ends it at once
+// with 0, SIGHUP has it read its files.
+func TestSignalsWhileWaitingForAddress(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{{syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM},
 		{syscall.SIGTERM, syscall.SIGHUP}} {
 		t.Run(fmt.Sprint(signals), func(t *testing.T) {
@@ -233,9 +234,9 @@
 	})
 }
 
-// TestAddressHeldForGoodEndsStart: a process that is no predecessor holds the address, and the start ends with one line that
-// names the address, behind all other lines.
-func TestAddressHeldForGoodEndsStart(t *testing.T) {
+// TestAddressInUseFailsStart has a process that is no predecessor hold the address: the start ends with one line that
+// names it, after all other lines.
+func TestAddressInUseFailsStart(t *testing.T) {
 	addr := ownAddress()
 	holder, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/cmd/starlingwinch/hook.go
+++ b/cmd/starlingwinch/hook.go
@@ -20,21 +20,20 @@
 	"starlingwinch/internal/plugin/worker"
 )
 
-// runWorker runs as a worker of a router where the command line says so. It comes before all else that a command
-// does: a worker has nothing to log, and is to start fast.
+// runWorker runs a worker for hooks where the command line says so, and reports whether it did. main calls it before
+// anything else, as a worker logs nothing and has to start fast.
 func runWorker(args []string) bool {
 	if len(args) != 2 || args[1] != hooks.CommandName {
 		return false
 	}
 	if worker.Main() != nil {
-		os.Exit(exitFault)
+		os.Exit(exitFailure)
 	}
 	return true
 }
 
-// hooksOf is the configuration of hooks in the files of a start, with the hooks' files read, for a router with so many
-// processors.
-func hooksOf(files []operatorconfig.File, processors int) (hooks.Config, error) {
+// loadHooks returns the configuration of hooks, with the hooks' own files read, for a router with so many processors.
+func loadHooks(files []operatorconfig.File, processors int) (hooks.Config, error) {
 	cfg, err := operatorconfig.Get[hooks.File](files, hooks.Kind).Read()
 	if processors > 1 {
 		cfg.Inside = func(c io.ReadWriteCloser) {
@@ -45,6 +44,7 @@
 	return cfg, err
 }
 
+// hookCommand returns the command "hook", which helps to write hooks.
 func hookCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "hook new|check|run|bench",
@@ -56,7 +56,7 @@
 			if len(args) == 0 {
 				return usageError{cmd.CommandPath() + ": a command is wanted; see " + cmd.CommandPath() + " --help"}
 			}
-			return knownWords(cmd, args)
+			return noArgs(cmd, args)
 		},
 		RunE: func(*cobra.Command, []string) error { return nil },
 	}
@@ -64,32 +64,25 @@
 	return cmd
 }
 
-// oneWord wants one argument.
-func oneWord(what string) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, args []string) error {
-		if len(args) != 1 {
-			return usageError{fmt.Sprintf("%s: one %s is wanted; see %s --help", cmd.CommandPath(), what, cmd.CommandPath())}
-		}
-		return nil
-	}
-}
-
-// trial is a hook that is tried, and its budget.
-type trial struct {
+// hookTrial is a hook that a command loads into a worker and calls.
+type hookTrial struct {
+	// The flags.
 	time   time.Duration
 	load   time.Duration
 	memory string
 	steps  int64
 
+	// Set by start.
 	name   string
 	code   []byte
 	budget plugin.Budget
 	client *worker.Client
-	points plugin.Points
-	loaded time.Duration
+	points plugin.Points // at which the hook wants to be called
+	loaded time.Duration // how long loading took
 }
 
-func (t *trial) flags(cmd *cobra.Command) {
+// flags adds the flags for the hook's budget to a command.
+func (t *hookTrial) flags(cmd *cobra.Command) {
 	u := hooks.DefaultFile().Each
 	cmd.Flags().DurationVar(&t.time, "time", u.Time, "budget of a call, as `SPAN`")
 	cmd.Flags().DurationVar(&t.load, "load-time", u.LoadTime, "budget of load, as `SPAN`")
@@ -98,27 +91,12 @@
 }
 
 // start reads a hook and loads it in a worker.
-func (t *trial) start(cmd *cobra.Command, path string) error {
-	usage := func(flag, text string) error {
-		return usageError{fmt.Sprintf("%s: --%s: %s", cmd.CommandPath(), flag, text)}
-	}
-	memory, err := operatorconfig.ParseSize(t.memory)
-	switch {
-	case err != nil || memory < 1<<20 || memory > 1<<30:
-		return usage("memory", fmt.Sprintf("out of range (%s, wanted 1MiB to 1GiB)", configerror.Quote(t.memory)))
-	case t.time < 100*time.Microsecond || t.time > time.Second:
-		return usage("time", fmt.Sprintf("out of range (%s, wanted 100us to 1s)", t.time))
-	case t.load < 10*time.Millisecond || t.load > 30*time.Second:
-		return usage("load-time", fmt.Sprintf("out of range (%s, wanted 10ms to 30s)", t.load))
-	case t.steps < 0:
-		return usage("steps", "below 0")
-	}
-	var engine plugin.Engine
-	for _, e := range worker.Engines {
-		if filepath.Ext(path) == e.Ending() {
-			engine = e
-		}
+func (t *hookTrial) start(cmd *cobra.Command, path string) error {
+	err := t.parseBudget(cmd)
+	if err != nil {
+		return err
 	}
+	engine := engineOf(path)
 	if engine == nil {
 		return fmt.Errorf("%s: unknown ending (wanted .wasm or .star)", configerror.Plain(path))
 	}
@@ -126,9 +104,6 @@
 		return err
 	}
 	t.name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	t.budget = plugin.Usual
-	t.budget.Time, t.budget.LoadTime = t.time.Microseconds(), t.load.Microseconds()
-	t.budget.Memory, t.budget.Steps = int64(memory), t.steps
 	if t.client, err = worker.NewClient(hooks.CommandName); err != nil {
 		return err
 	}
@@ -142,8 +117,40 @@
 	return nil
 }
 
-// pointsOf words a set of points.
-func pointsOf(s plugin.Points) string {
+// parseBudget sets the budget from the flags.
+func (t *hookTrial) parseBudget(cmd *cobra.Command) error {
+	usage := func(flag, text string) error {
+		return usageError{fmt.Sprintf("%s: --%s: %s", cmd.CommandPath(), flag, text)}
+	}
+	memory, err := operatorconfig.ParseSize(t.memory)
+	switch {
+	case err != nil || memory < 1<<20 || memory > 1<<30:
+		return usage("memory", fmt.Sprintf("out of range (%s, wanted 1MiB to 1GiB)", configerror.Quote(t.memory)))
+	case t.time < 100*time.Microsecond || t.time > time.Second:
+		return usage("time", fmt.Sprintf("out of range (%s, wanted 100us to 1s)", t.time))
+	case t.load < 10*time.Millisecond || t.load > 30*time.Second:
+		return usage("load-time", fmt.Sprintf("out of range (%s, wanted 10ms to 30s)", t.load))
+	case t.steps < 0:
+		return usage("steps", "below 0")
+	}
+	t.budget = plugin.Usual
+	t.budget.Time, t.budget.LoadTime = t.time.Microseconds(), t.load.Microseconds()
+	t.budget.Memory, t.budget.Steps = int64(memory), t.steps
+	return nil
+}
+
+// engineOf returns the engine that runs a hook's file, by its ending; nil for none.
+func engineOf(path string) (engine plugin.Engine) {
+	for _, e := range worker.Engines {
+		if filepath.Ext(path) == e.Ending() {
+			engine = e
+		}
+	}
+	return engine
+}
+
+// pointNames returns the names of a set of points.
+func pointNames(s plugin.Points) string {
 	var all []string
 	for _, p := range []plugin.Point{plugin.Load, plugin.OnRequest, plugin.Answered, plugin.ListChanged, plugin.Unload} {
 		if s.Has(p) {
@@ -153,12 +160,13 @@
 	return strings.Join(all, ", ")
 }
 
+// hookCheckCommand returns the command "hook check".
 func hookCheckCommand() *cobra.Command {
-	var t trial
+	var t hookTrial
 	cmd := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Load a hook as a router does, and name what is wrong with it",
-		Args:  oneWord("FILE"),
+		Args:  oneArg("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := t.start(cmd, args[0]); err != nil {
 				return err
@@ -168,7 +176,7 @@
 				return fmt.Errorf("%s: %w", configerror.Plain(args[0]), err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good (contract %d; points: %s; %d bytes; loaded in %.1f ms)\n",
-				configerror.Plain(args[0]), plugin.Version, pointsOf(t.points), len(t.code), float64(t.loaded.Microseconds())/1000)
+				configerror.Plain(args[0]), plugin.Version, pointNames(t.points), len(t.code), float64(t.loaded.Microseconds())/1000)
 			return nil
 		},
 	}
@@ -176,8 +184,8 @@
 	return cmd
 }
 
-// tryPoints asks the hook once at each of its points, with a call that has all texts empty.
-func (t *trial) tryPoints() error {
+// tryPoints calls the hook once at each of its points, with all texts empty.
+func (t *hookTrial) tryPoints() error {
 	for _, p := range []plugin.Point{plugin.OnRequest, plugin.Answered, plugin.ListChanged, plugin.Unload} {
 		if !t.points.Has(p) {
 			continue
@@ -193,8 +201,9 @@
 	return nil
 }
 
+// hookRunCommand returns the command "hook run".
 func hookRunCommand() *cobra.Command {
-	var t trial
+	var t hookTrial
 	var path string
 	var value bool
 	cmd := &cobra.Command{
@@ -203,7 +212,7 @@
 		Long: "Asks a hook about each line of a file of recorded requests (JSON, one object a line: point, verb, class,\n" +
 			"tenant, key, time_left_ms, size, value, outcome, took_ms, caches, take_work, now_ms; what is left out is empty) and\n" +
 			"tells its verdicts. Nothing is sent anywhere. Exits 1 where a call gave no verdict.",
-		Args: oneWord("FILE"),
+		Args: oneArg("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if path == "" {
 				return usageError{cmd.CommandPath() + ": --requests: a FILE is wanted; see " + cmd.CommandPath() + " --help"}
@@ -225,39 +234,39 @@
 	return cmd
 }
 
-// dryRun asks and prints.
-func (t *trial) dryRun(out io.Writer, calls []plugin.Call) error {
+// dryRun calls the hook with each recorded request and prints its verdicts.
+func (t *hookTrial) dryRun(out io.Writer, calls []plugin.Call) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "LINE\tPOINT\tKEY\tVERDICT\tTOOK\tWORDS")
-	said := map[string]int{}
+	counts := map[string]int{} // by verdict
 	for i := range calls {
 		c := &calls[i]
 		if !t.points.Has(c.Point) {
-			said["not asked"]++
+			counts["not asked"]++
 			continue
 		}
 		r, err := t.client.Ask(c, t.budget.Time)
-		say, words := r.Verdict.Say.String(), wordsOf(&r.Verdict)
+		verdict, text := r.Verdict.Say.String(), describeVerdict(&r.Verdict)
 		if err != nil {
-			say, words = "none", err.Error()
+			verdict, text = "none", err.Error()
 		}
-		said[say]++
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d us\t%s\n", i+1, c.Point, configerror.Plain(c.Key), say, r.Spent, words)
-		if err != nil && r.Seq == 0 { // the worker is lost
+		counts[verdict]++
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d us\t%s\n", i+1, c.Point, configerror.Plain(c.Key), verdict, r.Spent, text)
+		if err != nil && r.Seq == 0 { // the worker has ended
 			break
 		}
 	}
 	table.Flush()
-	fmt.Fprintf(out, "%s: calls %d pass %d refuse %d fail %d none %d not_asked %d\n", t.name, len(calls), said["pass"],
-		said["refuse"], said["fail"], said["none"], said["not asked"])
-	if said["none"] > 0 {
+	fmt.Fprintf(out, "%s: calls %d pass %d refuse %d fail %d none %d not_asked %d\n", t.name, len(calls), counts["pass"],
+		counts["refuse"], counts["fail"], counts["none"], counts["not asked"])
+	if counts["none"] > 0 {
 		return errors.New(t.name + ": a call gave no verdict")
 	}
 	return nil
 }
 
-// wordsOf words what a verdict says beside its kind.
-func wordsOf(v *plugin.Verdict) string {
+// describeVerdict returns what a verdict holds beside its kind.
+func describeVerdict(v *plugin.Verdict) string {
 	var words []string
 	add := func(format string, args ...any) { words = append(words, fmt.Sprintf(format, args...)) }
 	if v.Wait > 0 {
--- a/cmd/starlingwinch/hook_bench.go
+++ b/cmd/starlingwinch/hook_bench.go
@@ -14,14 +14,14 @@
 	"starlingwinch/internal/plugin"
 )
 
-// benchFor is how long a measurement lasts, unless the command line says otherwise.
-const benchFor = 2 * time.Second
+// defaultBenchTime is how long a measurement lasts where no flag says otherwise.
+const defaultBenchTime = 2 * time.Second
 
-// mostSamples bounds the calls of a measurement.
-const mostSamples = 1 << 20
+// maxBenchCalls bounds the calls of a measurement.
+const maxBenchCalls = 1 << 20
 
-// lookup is what a hook is asked about where nothing was recorded.
-var lookup = plugin.Call{
+// defaultCall is the request that a hook is called with where none was recorded.
+var defaultCall = plugin.Call{
 	Point:    plugin.OnRequest,
 	Verb:     "C.GET",
 	Class:    "call-lookup",
@@ -30,20 +30,21 @@
 	TimeLeft: 480_000,
 }
 
+// hookBenchCommand returns the command "hook bench".
 func hookBenchCommand() *cobra.Command {
-	var t trial
+	var t hookTrial
 	var path string
 	var value bool
-	span := benchFor
+	span := defaultBenchTime
 	cmd := &cobra.Command{
 		Use:   "bench FILE [--requests FILE] [--for SPAN]",
 		Short: "Measure what a hook costs: its load, its calls, its memory",
-		Args:  oneWord("FILE"),
+		Args:  oneArg("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if span < 10*time.Millisecond || span > 10*time.Minute {
 				return usageError{fmt.Sprintf("%s: --for: out of range (%s, wanted 10ms to 10m)", cmd.CommandPath(), span)}
 			}
-			calls := []plugin.Call{lookup}
+			calls := []plugin.Call{defaultCall}
 			if path != "" {
 				var err error
 				if calls, err = readRequests(path, value); err != nil {
@@ -60,19 +61,19 @@
 	t.flags(cmd)
 	cmd.Flags().StringVar(&path, "requests", "", "the `FILE` of recorded requests; without it, one lookup")
 	cmd.Flags().BoolVar(&value, "wants-value", false, "hand the values over")
-	cmd.Flags().DurationVar(&span, "for", benchFor, "how long, as `SPAN`")
+	cmd.Flags().DurationVar(&span, "for", defaultBenchTime, "how long, as `SPAN`")
 	return cmd
 }
 
-// measure asks for a span and prints what it cost.
-func (t *trial) measure(out io.Writer, calls []plugin.Call, span time.Duration) error {
+// measure calls the hook for a span of time and prints what the calls cost.
+func (t *hookTrial) measure(out io.Writer, calls []plugin.Call, span time.Duration) error {
 	calls = slices.DeleteFunc(calls, func(c plugin.Call) bool { return !t.points.Has(c.Point) })
 	if len(calls) == 0 {
 		return fmt.Errorf("%s: it has none of the points that the requests are for", t.name)
 	}
 	var spent, trip []time.Duration
 	none := 0
-	for began := time.Now(); time.Since(began) < span && len(trip) < mostSamples; {
+	for began := time.Now(); time.Since(began) < span && len(trip) < maxBenchCalls; {
 		sent := time.Now()
 		r, err := t.client.Ask(&calls[len(trip)%len(calls)], t.budget.Time)
 		if err != nil {
@@ -91,12 +92,12 @@
 	fmt.Fprintf(out, "%s: calls %d none %d load_ms %.1f ", t.name, len(trip), none,
 		float64(t.loaded.Microseconds())/1000)
 	fmt.Fprintf(out, "call_p50_us %.0f call_p99_us %.0f trip_p50_us %.0f trip_p99_us %.0f worker_MiB %.1f\n", us(spent, 0.5),
-		us(spent, 0.99), us(trip, 0.5), us(trip, 0.99), float64(ownMemory(t.client.Pid()))/(1<<20))
+		us(spent, 0.99), us(trip, 0.5), us(trip, 0.99), float64(processMemory(t.client.Pid()))/(1<<20))
 	return nil
 }
 
-// ownMemory is what a process has for itself, in bytes (proc(5), RssAnon); 0 where that is not known.
-func ownMemory(pid int) int64 {
+// processMemory returns the private memory of a process in bytes (proc(5), RssAnon); 0 where that is not known.
+func processMemory(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/cmd/starlingwinch/hook_new.go
+++ b/cmd/starlingwinch/hook_new.go
@@ -16,12 +16,13 @@
 //go:embed scaffold
 var scaffolds embed.FS
 
-// scaffold is the file that a hook begins as.
+// scaffold is the file that a hook begins as, by engine, with the command that comes next.
 var scaffold = map[string]struct{ file, ending, next string }{
 	"script": {"scaffold/hook.star", ".star", "bin/starlingwinch hook check NAME.star"},
 	"wasm":   {"scaffold/hook.c", ".c", "clang --target=wasm32 -O2 -nostdlib -Wl,--no-entry -o NAME.wasm NAME.c"},
 }
 
+// hookNewCommand returns the command "hook new".
 func hookNewCommand() *cobra.Command {
 	engine := "script"
 	cmd := &cobra.Command{
@@ -29,7 +30,7 @@
 		Short: "Write the file that a hook begins as",
 		Long: "Writes NAME.star, or NAME.c for WebAssembly, into the present folder; a file that is there already stays as\n" +
 			"it is. docs/operators/hooks.md names other languages.",
-		Args: oneWord("NAME"),
+		Args: oneArg("NAME"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, known := scaffold[engine]
 			if !known {
@@ -57,7 +58,7 @@
 	return cmd
 }
 
-// writeNew writes a file that is not there yet.
+// writeNew writes a new file; a file that exists stays as it is.
 func writeNew(path, text string) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if errors.Is(err, fs.ErrExist) {
@@ -70,6 +71,7 @@
 	return errors.Join(err, f.Close())
 }
 
+// isHookName reports whether a name may be that of a hook.
 func isHookName(name string) bool {
 	if len(name) == 0 || len(name) > 64 {
 		return false
--- a/cmd/starlingwinch/hook_requests.go
+++ b/cmd/starlingwinch/hook_requests.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	mostRecorded = 64 << 20 // bytes of a file of recorded requests
-	mostRequests = 1 << 20  // lines of it
+	maxRecordedBytes    = 64 << 20 // bytes of a file of recorded requests
+	maxRecordedRequests = 1 << 20  // lines of it
 )
 
-// recorded is one line of such a file.
-type recorded struct {
+// recordedRequest is one line of a file of recorded requests.
+type recordedRequest struct {
 	Point    string  `json:"point"`
 	Verb     string  `json:"verb"`
 	Class    string  `json:"class"`
@@ -33,14 +33,15 @@
 	Now      float64 `json:"now_ms"`
 }
 
+// The values of point and outcome in a line, at the indexes of plugin.Point and plugin.Outcome.
 var (
-	pointWords   = []string{"", "request", "answered", "list"}
-	outcomeWords = []string{"served", "refused", "failed"}
+	recordedPoints   = []string{"", "request", "answered", "list"}
+	recordedOutcomes = []string{"served", "refused", "failed"}
 )
 
-// readRequests reads a file of recorded requests. A faulty line is named.
+// readRequests reads a file of recorded requests, with their values where the hook wants them. The error names the line.
 func readRequests(path string, value bool) ([]plugin.Call, error) {
-	raw, err := operatorconfig.Read(path, mostRecorded)
+	raw, err := operatorconfig.Read(path, maxRecordedBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -49,8 +50,8 @@
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		if len(calls) == mostRequests {
-			return nil, fmt.Errorf("%s: more than %d requests", configerror.Plain(path), mostRequests)
+		if len(calls) == maxRecordedRequests {
+			return nil, fmt.Errorf("%s: more than %d requests", configerror.Plain(path), maxRecordedRequests)
 		}
 		c, err := parseRequest(line, value)
 		if err != nil {
@@ -61,15 +62,16 @@
 	return calls, nil
 }
 
+// parseRequest reads one line.
 func parseRequest(line []byte, value bool) (plugin.Call, error) {
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
-	r := recorded{TimeLeft: 1000, Outcome: outcomeWords[0]}
+	r := recordedRequest{TimeLeft: 1000, Outcome: recordedOutcomes[0]}
 	if err := d.Decode(&r); err != nil {
 		return plugin.Call{}, err
 	}
-	point := slices.Index(pointWords, r.Point)
-	outcome := slices.Index(outcomeWords, r.Outcome)
+	point := slices.Index(recordedPoints, r.Point)
+	outcome := slices.Index(recordedOutcomes, r.Outcome)
 	switch {
 	case point < 0:
 		return plugin.Call{}, fmt.Errorf("point: unknown word %.40q (wanted request, answered or list)", r.Point)
--- a/cmd/starlingwinch/hook_test.go
+++ b/cmd/starlingwinch/hook_test.go
@@ -19,7 +19,7 @@
 	return outcome(t, append([]string{"hook"}, args...)...)
 }
 
-func TestScaffoldsAreHooks(t *testing.T) {
+func TestScaffoldsLoad(t *testing.T) {
 	dir := t.TempDir()
 	if code, out, errs := hookIn(t, dir, "new", "club"); code != 0 || !strings.HasPrefix(out, "club.star: written; next:\n") {
 		t.Fatalf("code %d, %s%s", code, out, errs)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestHookCommandLinesThatAreWrongAreNamed(t *testing.T) {
+func TestHookCommandUsageErrors(t *testing.T) {
 	for line, want := range map[string]string{ // any order
 		"":                            "starlingwinch hook: a command is wanted; see starlingwinch hook --help",
 		"chekc":                       `starlingwinch hook: unknown command "chekc" (did you mean "check"?)`,
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestCheckNamesWhatIsWrongWithAHook(t *testing.T) {
+func TestHookCheckNamesFault(t *testing.T) {
 	for want, text := range map[string]string{ // any order
 		"does not load: a.star:":                                            "version = 1\ndef",
 		"other contract: it was built for version 9":                        "version = 9\ndef on_request(r):\n    pass\n",
@@ -76,7 +76,7 @@
 			code, _, errs = outcome(t, "hook", "check", path) // on a machine that others keep busy
 		}
 		want = strings.Replace(want, "a.star:", "a:", 1)
-		if code != exitFault || !strings.Contains(errs, want) {
+		if code != exitFailure || !strings.Contains(errs, want) {
 			t.Errorf("code %d, %s\nwant %s", code, errs, want)
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestRunTellsWhatAHookSays(t *testing.T) {
+func TestHookRunPrintsVerdicts(t *testing.T) {
 	hook := file(t, "a.star", `version = 1
 def on_request(r):
     if r.key == "R":
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestBenchTellsWhatAHookCosts(t *testing.T) {
+func TestHookBenchPrintsCosts(t *testing.T) {
 	hook := file(t, "a.star", "version = 1\ndef on_request(r):\n    pass\n")
 	code, out, errs := outcome(t, "hook", "bench", hook, "--for", "50ms", "--time", "1s")
 	if code != 0 || !strings.HasPrefix(out, "a: calls ") || !strings.Contains(out, " none 0 load_ms ") || !strings.Contains(out, " worker_MiB ") {
@@ -133,14 +133,14 @@
 	}
 }
 
-func TestHooksOfAStartAreReadWithTheirCode(t *testing.T) {
+func TestLoadHooksReadsCode(t *testing.T) {
 	dir := filepath.Dir(file(t, "club.star", "version = 1\n"))
 	set, err := kinds.Parse("hooks.toml", []byte("kind = \"hooks\"\nfolder = \""+dir+"\"\n[[hook]]\nfile = \"club.star\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, processors := range []int{1, 2} {
-		cfg, err := hooksOf([]operatorconfig.File{set}, processors)
+		cfg, err := loadHooks([]operatorconfig.File{set}, processors)
 		if err != nil || len(cfg.Hooks) != 1 || string(cfg.Hooks[0].Code) != "version = 1\n" || (cfg.Inside != nil) != (processors > 1) {
 			t.Errorf("%d processors: %+v, %v", processors, cfg, err)
 		}
--- a/cmd/starlingwinch/kernel_test.go
+++ b/cmd/starlingwinch/kernel_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestProductBuildHasNoFaultKernel: only a build with the tag has calls that fail on demand.
+// TestProductBuildHasNoFaultKernel checks that only a build with the tag contains system calls that fail on demand.
 func TestProductBuildHasNoFaultKernel(t *testing.T) {
 	const name = "starlingwinch/internal/machine/faultkernel"
 	for tags, want := range map[string]bool{"": false, "faultkernel": true} {
--- a/cmd/starlingwinch/main.go
+++ b/cmd/starlingwinch/main.go
@@ -9,7 +9,6 @@
 	"os"
 	"os/signal"
 	"syscall"
-	"time"
 
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
@@ -19,59 +18,74 @@
 
 // Exit codes.
 const (
-	exitFault = 1 // a file is wrong, or the router could not go on
-	exitUsage = 2 // the command line is wrong; nothing was done
+	exitFailure = 1 // a file is not valid, or the router could not go on
+	exitUsage   = 2 // the command line is not valid; nothing was done
 )
 
-// usageError is what is wrong with the command line.
+// usageError says what is wrong with the command line. The program exits with exitUsage.
 type usageError struct{ text string }
 
+// Error implements error.
 func (e usageError) Error() string { return e.text }
 
 func main() {
 	if runWorker(os.Args) {
 		return
 	}
-	// From the first moment on: a SIGHUP that nobody takes would end the program.
+	// A SIGHUP that comes before anything handles it would end the program.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
-	stderr := newOutlet(os.Stderr)
+	stderr := newNonBlockingWriter(os.Stderr)
 	log.SetOutput(stderr)
-	err := root().Execute()
-	code, patience := 0, briefly
-	if err != nil {
-		code, patience = exitFault, 2*time.Second
-		if errors.As(err, new(usageError)) {
-			code = exitUsage
-		}
-		if text := err.Error(); text != "" {
-			fmt.Fprintln(stderr, text)
-		}
+	err := rootCommand().Execute()
+	if err == nil {
+		stderr.flush(exitFlushTimeout)
+		os.Exit(0)
+	}
+	if text := err.Error(); text != "" {
+		fmt.Fprintln(stderr, text)
+	}
+	stderr.flush(commandFlushTimeout)
+	os.Exit(exitCode(err))
+}
+
+// exitCode returns the code that the program exits with after an error.
+func exitCode(err error) int {
+	if errors.As(err, new(usageError)) {
+		return exitUsage
 	}
-	stderr.flush(patience)
-	os.Exit(code)
+	return exitFailure
 }
 
-// root is the command line: a command for each thing that the program does, in a file of its own.
-func root() *cobra.Command {
+// rootCommand returns the command line. Each command has a file of its own.
+func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "starlingwinch",
 		Short: "Routes clients' requests to a fleet of cache servers",
 		Long: "Routes clients' requests to a fleet of cache servers. Without a command it serves, as the file\n" +
 			"says that BALANCER_CONFIG names.",
-		Args:              knownWords,
+		Args:              noArgs,
 		SilenceErrors:     true,
 		SilenceUsage:      true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 		RunE:              func(*cobra.Command, []string) error { return inputs{}.run() },
 	}
 	cmd.SetFlagErrorFunc(flagError)
-	cmd.AddCommand(runCommand(), checkCommand(), membersCommand(), hookCommand(), stateCommand(), stormCommand(), fleetCommand(), versionCommand())
+	cmd.AddCommand(
+		runCommand(),
+		checkCommand(),
+		membersCommand(),
+		hookCommand(),
+		stateCommand(),
+		stormCommand(),
+		fleetCommand(),
+		versionCommand(),
+	)
 	cmd.SetHelpCommand(helpCommand())
 	return cmd
 }
 
-// knownWords refuses a word that is no command. The danger: a slip in a command starts a router.
-func knownWords(cmd *cobra.Command, args []string) error {
+// noArgs refuses arguments, which are mistyped commands: a mistyped command must not start a router.
+func noArgs(cmd *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
 	}
@@ -86,7 +100,7 @@
 		configerror.DidYouMean(args[0], known), cmd.Root().Name())}
 }
 
-// flagError words what is wrong with a flag.
+// flagError returns the usage error for an error of the flag parser.
 func flagError(cmd *cobra.Command, err error) error {
 	text := configerror.Plain(err.Error())
 	var unknown *pflag.NotExistError
@@ -95,25 +109,27 @@
 		if unknown.GetSpecifiedShortnames() != "" {
 			name = "-" + unknown.GetSpecifiedName()
 		}
-		text = "unknown flag " + configerror.Quote(name) + meantFlag(cmd, name)
+		text = "unknown flag " + configerror.Quote(name) + flagSuggestion(cmd, name)
 	}
 	return usageError{fmt.Sprintf("%s: %s; see %s --help", cmd.CommandPath(), text, cmd.CommandPath())}
 }
 
-// meantFlag words the near flag of a command, or of one of its commands.
-func meantFlag(cmd *cobra.Command, name string) string {
+// flagSuggestion returns the text that suggests the flag most like an unknown one, of the command or of one of its
+// subcommands; empty where none is alike.
+func flagSuggestion(cmd *cobra.Command, name string) string {
 	var known []string
-	whole := map[string]string{} // the flag with the command that takes it
+	commandLine := map[string]string{} // the flag with the subcommand that takes it, by flag
 	for _, c := range append([]*cobra.Command{cmd}, cmd.Commands()...) {
 		c.Flags().VisitAll(func(f *pflag.Flag) {
 			flag := "--" + f.Name
-			if whole[flag] == "" {
+			if commandLine[flag] == "" {
 				known = append(known, flag)
-			} else if c.Name() != "run" { // which comes first: it is what most mean
+			} else if c.Name() != "run" { // of several subcommands with that flag, run is the one most often meant
 				return
 			}
-			if whole[flag] = flag; c != cmd {
-				whole[flag] = c.Name() + " " + flag
+			commandLine[flag] = flag
+			if c != cmd {
+				commandLine[flag] = c.Name() + " " + flag
 			}
 		})
 	}
@@ -121,9 +137,10 @@
 	if near == "" {
 		return ""
 	}
-	return " (did you mean " + configerror.Quote(whole[near]) + "?)"
+	return " (did you mean " + configerror.Quote(commandLine[near]) + "?)"
 }
 
+// helpCommand returns the command "help".
 func helpCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "help [COMMAND]",
@@ -131,7 +148,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			about, rest, err := cmd.Root().Find(args)
 			if err != nil || len(rest) > 0 {
-				return knownWords(cmd.Root(), args)
+				return noArgs(cmd.Root(), args)
 			}
 			about.InitDefaultHelpFlag()
 			return about.Help()
--- a/cmd/starlingwinch/main_test.go
+++ b/cmd/starlingwinch/main_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestStartServeAndEnd(t *testing.T) {
+func TestStartServeAndStop(t *testing.T) {
 	s := start(t, program(t, fmt.Sprintf(config, "127.0.0.1:0")))
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -130,9 +130,9 @@
 	s.end(t)
 }
 
-// TestHangUpUnderLoad: SIGHUP takes over a new configuration and leaves the old one where the new
-// is wrong; clients notice neither, and a drain goes on.
-func TestHangUpUnderLoad(t *testing.T) {
+// TestReloadUnderLoad reloads valid and invalid files at SIGHUP: the invalid ones change nothing, clients notice
+// neither, and a drain goes on.
+func TestReloadUnderLoad(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0"))
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
 	s := start(t, cmd)
@@ -183,9 +183,9 @@
 	s.end(t)
 }
 
-// TestSignalsBeforeTheConfigurationIsReadAreKept: the program starts, and does what they say, in their order. The danger: a
-// signal that nobody takes ends it.
-func TestSignalsBeforeTheConfigurationIsReadAreKept(t *testing.T) {
+// TestSignalsBeforeConfigurationReadHandled sends signals before the files are read. The program starts and handles
+// them in their order; an unhandled signal would end it.
+func TestSignalsBeforeConfigurationReadHandled(t *testing.T) {
 	cmd := program(t, "")
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
 	if err := errors.Join(os.Remove(path), syscall.Mkfifo(path, 0o600)); err != nil {
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestBadConfigurationEndsWithOneLine(t *testing.T) {
+func TestInvalidConfigurationLogsOneLine(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "nowhere"))
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
--- a/cmd/starlingwinch/members.go
+++ b/cmd/starlingwinch/members.go
@@ -16,19 +16,20 @@
 	"starlingwinch/internal/router"
 )
 
-// membersFor is how long the sources have to answer, unless the command line says otherwise.
-const membersFor = 3 * time.Second
+// defaultMembersWait is how long the sources have to answer where no flag says otherwise.
+const defaultMembersWait = 3 * time.Second
 
+// membersCommand returns the command "members", which prints what the sources of the endpoint list say.
 func membersCommand() *cobra.Command {
 	var s inputs
-	wait := membersFor
+	wait := defaultMembersWait
 	cmd := &cobra.Command{
 		Use:   "members [--config FILE] [--operator FILE]... [--wait SPAN]",
 		Short: "Tell what the sources of the list of caches say, and what a router would make of it",
 		Long: "Asks the platform's discovery, a registry and a file, as the files say, until each has answered or the wait is over,\n" +
 			"and prints one table of the sources and one of the caches. It serves nothing and changes nothing. Exits 1 where\n" +
 			"a source did not answer.",
-		Args: knownWords,
+		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if wait < 10*time.Millisecond || wait > 10*time.Minute {
 				return usageError{fmt.Sprintf("%s: --wait: out of range (%s, wanted 10ms to 10m)", cmd.CommandPath(), wait)}
@@ -37,11 +38,11 @@
 		},
 	}
 	s.flags(cmd)
-	cmd.Flags().DurationVar(&wait, "wait", membersFor, "`SPAN` in which the sources have to answer")
+	cmd.Flags().DurationVar(&wait, "wait", defaultMembersWait, "`SPAN` in which the sources have to answer")
 	return cmd
 }
 
-// members asks and prints.
+// members queries the sources and prints what they say. The error names a source that did not answer.
 func (s inputs) members(out, errs io.Writer, wait time.Duration) error {
 	cfg, warnings, err := s.load()
 	if err != nil {
@@ -54,7 +55,7 @@
 	if err != nil {
 		return fmt.Errorf("starlingwinch: %w", err)
 	}
-	l := &listener{m: m}
+	l := &sourceWaiter{m: m}
 	if l.sources, err = endpointsource.New(m, router.EndpointSources(cfg), l); err != nil {
 		m.Stop()
 		return fmt.Errorf("starlingwinch: %w", err)
@@ -73,30 +74,33 @@
 	printCaches(out, rows, m.Now())
 	for _, w := range words {
 		if w.Age < 0 || w.UnavailableFor >= 0 {
-			return fmt.Errorf("%s did not answer: %s", w.Name, firstOf(w.Reason, "no answer within "+wait.String()))
+			return fmt.Errorf("%s did not answer: %s", w.Name, firstNonEmpty(w.Reason, "no answer within "+wait.String()))
 		}
 	}
 	return nil
 }
 
-// listener hears the sources until each has answered.
-type listener struct {
+// sourceWaiter implements endpointsource.Owner: it stops the machine once each source has answered.
+type sourceWaiter struct {
 	m       *machine.Real
 	sources *endpointsource.Sources
 }
 
-// Publish implements sources.Owner. What it brings stands in the table too.
-func (l *listener) Publish(endpoints.Publish) {}
+// Publish implements endpointsource.Owner. The table has what it brings.
+func (l *sourceWaiter) Publish(endpoints.Publish) {}
 
-// DiscoveryAnswered and Failed implement sources.Owner.
-func (l *listener) DiscoveryAnswered() {}
-func (l *listener) DiscoveryFailed()   {}
+// DiscoveryAnswered implements endpointsource.Owner.
+func (l *sourceWaiter) DiscoveryAnswered() {}
 
-// DiscoveryCallEnded implements sources.Owner.
-func (l *listener) DiscoveryCallEnded(string, int64, int) {}
+// DiscoveryFailed implements endpointsource.Owner.
+func (l *sourceWaiter) DiscoveryFailed() {}
 
-// ProcessEvents ends the wait once all sources have spoken, and none waits for a second word.
-func (l *listener) ProcessEvents() {
+// DiscoveryCallEnded implements endpointsource.Owner.
+func (l *sourceWaiter) DiscoveryCallEnded(string, int64, int) {}
+
+// ProcessEvents implements endpointsource.Owner: it ends the wait once all sources have answered or failed, and no removal
+// waits to be confirmed.
+func (l *sourceWaiter) ProcessEvents() {
 	_, words := l.sources.Table()
 	for _, w := range words {
 		if w.Age < 0 && w.UnavailableFor < 0 || w.Unconfirmed > 0 {
@@ -106,6 +110,7 @@
 	l.m.Stop()
 }
 
+// printSources prints the table of sources.
 func printSources(out io.Writer, words []endpoints.SourceRow) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SOURCE\tANSWERED\tCACHES\tTAKE WORK\tHELD BACK\tSTATE")
@@ -116,24 +121,25 @@
 		} else if w.Age < 0 {
 			state = "has not answered"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\n", w.Name, ago(w.Age), w.Caches, w.Up, w.Unconfirmed, state)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\n", w.Name, formatAgo(w.Age), w.Caches, w.Up, w.Unconfirmed, state)
 	}
 	t.Flush()
 }
 
+// printCaches prints the table of caches.
 func printCaches(out io.Writer, rows []endpoints.Row, now endpoints.Time) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "CACHE\tADDRESS\tZONE\tROUTER SEES\tWHY\tSOURCES SAY")
 	for _, r := range rows {
 		why := r.Reason
 		if r.SuppressedUntil > now {
-			why = fmt.Sprintf("%s; held down for %s", why, span(r.SuppressedUntil-now))
+			why = fmt.Sprintf("%s; held down for %s", why, formatSpan(r.SuppressedUntil-now))
 		}
 		var says []string
 		for _, w := range r.Claims {
-			word := fmt.Sprintf("%s: %s", w.Source, firstOf(w.Reason, conditionWords[w.Status]))
+			word := fmt.Sprintf("%s: %s", w.Source, firstNonEmpty(w.Reason, statusTexts[w.Status]))
 			if w.LastSeenAge >= 0 {
-				word += ", last heard of " + ago(w.LastSeenAge)
+				word += ", last heard of " + formatAgo(w.LastSeenAge)
 			}
 			if w.Stale {
 				word += " (old list)"
@@ -143,15 +149,17 @@
 			}
 			says = append(says, word)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Address, r.Zone, conditionWords[r.Status], why,
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Address, r.Zone, statusTexts[r.Status], why,
 			strings.Join(says, "; "))
 	}
 	t.Flush()
 }
 
-var conditionWords = map[decide.Status]string{decide.Serving: "takes work", decide.Draining: "drains", decide.Removed: "has gone"}
+// statusTexts are the statuses as the tables show them.
+var statusTexts = map[decide.Status]string{decide.Serving: "takes work", decide.Draining: "drains", decide.Removed: "has gone"}
 
-func firstOf(texts ...string) string {
+// firstNonEmpty returns the first text that is not empty.
+func firstNonEmpty(texts ...string) string {
 	for _, text := range texts {
 		if text != "" {
 			return text
@@ -160,13 +168,15 @@
 	return ""
 }
 
-func span(t endpoints.Time) string {
+// formatSpan returns a span, rounded to a tenth of a second.
+func formatSpan(t endpoints.Time) string {
 	return (time.Duration(t) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
-func ago(t endpoints.Time) string {
+// formatAgo returns an age; below 0 it is unknown.
+func formatAgo(t endpoints.Time) string {
 	if t < 0 {
 		return "never"
 	}
-	return span(t) + " ago"
+	return formatSpan(t) + " ago"
 }
--- a/cmd/starlingwinch/members_test.go
+++ b/cmd/starlingwinch/members_test.go
@@ -46,8 +46,8 @@
 	return "http://" + addr + r.Base()
 }
 
-// TestMembersTellsWhatARegistrySays, and that a drained cache gets no work.
-func TestMembersTellsWhatARegistrySays(t *testing.T) {
+// TestMembersPrintsRegistry prints what a registry says, where a cache that drains takes no requests.
+func TestMembersPrintsRegistry(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0"))
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/starlingwinch/reload_test.go
+++ b/cmd/starlingwinch/reload_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestReloadsTakeEffectInTheOrderOfTheirSignals: the first reload is held up as it reads (its file is a pipe), and a second
-// signal comes for a newer file meanwhile. The newer file is the one that counts in the end.
-func TestReloadsTakeEffectInTheOrderOfTheirSignals(t *testing.T) {
+// TestReloadsApplyInOrderOfSignals holds up the first reload while it reads (its file is a pipe) and sends a second
+// signal for a newer file: the newer file is the one in effect at the end.
+func TestReloadsApplyInOrderOfSignals(t *testing.T) {
 	first := fmt.Sprintf(config, "127.0.0.1:0")
 	at := func(port int) string {
 		return strings.Replace(first, `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":"127.0.0.1:%d"`, port), 1)
--- a/cmd/starlingwinch/run.go
+++ b/cmd/starlingwinch/run.go
@@ -30,8 +30,17 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// kinds are the operators' files that the program knows. A subsystem adds its own here.
-var kinds = operatorconfig.Registry{limits.Kind, endpoints.Kind, eureka.Kind, hooks.Kind, snapshotstore.Kind, retrystorm.Kind, gossip.Kind, eventlog.Kind}
+// kinds are the kinds of operators' files. Each subsystem that has one is listed here.
+var kinds = operatorconfig.Registry{
+	limits.Kind,
+	endpoints.Kind,
+	eureka.Kind,
+	hooks.Kind,
+	snapshotstore.Kind,
+	retrystorm.Kind,
+	gossip.Kind,
+	eventlog.Kind,
+}
 
 const (
 	configVariable = "BALANCER_CONFIG"
@@ -39,12 +48,13 @@
 	maxWarnings    = 20       // of one reading of the files that are logged
 )
 
-// inputs are the files that a router is started with.
+// inputs names the files that a router is started with.
 type inputs struct {
 	config   string   // the platform's file; "" for the one that BALANCER_CONFIG names
 	operator []string // the operators' files
 }
 
+// runCommand returns the command "run", which serves.
 func runCommand() *cobra.Command {
 	var s inputs
 	cmd := &cobra.Command{
@@ -52,7 +62,7 @@
 		Short: "Serve",
 		Long: "Serves until SIGTERM, which drains. SIGHUP reads the files again: a new address of discovery and a new\n" +
 			"folder of the state take effect at once, all else waits for a restart.",
-		Args: knownWords,
+		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if cmd.Flags().Changed("config") && s.config == "" {
 				return usageError{cmd.CommandPath() + ": --config: a FILE is wanted; see " + cmd.CommandPath() + " --help"}
@@ -64,7 +74,7 @@
 	return cmd
 }
 
-// flags has a command take them.
+// flags adds the flags for the files to a command.
 func (s *inputs) flags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&s.config, "config", "", "the platform's `FILE` (JSON); without it, the one that "+
 		configVariable+" names")
@@ -74,7 +84,7 @@
 
 // run serves until a signal ends it.
 func (s inputs) run() error {
-	// A signal that comes while the files are being read would end the process: the machine keeps it.
+	// The machine is made before the files are read: a signal that came meanwhile would otherwise end the process.
 	k, err := kernel()
 	if err != nil {
 		return fmt.Errorf("starlingwinch: %w", err)
@@ -83,7 +93,7 @@
 	if err != nil {
 		return fmt.Errorf("starlingwinch: %w", err)
 	}
-	// A log whose reader has gone must not end the router: the program would end by the signal.
+	// Without a handler, the first write to a log whose reader has gone would end the program.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGPIPE)
 	d := daemon{m: m, logger: structuredlog.New(m)}
 	m.Post(func() { d.begin(s) })
@@ -151,51 +161,63 @@
 // load reads all files. The error names all that is wrong with any of them, a line each.
 func (s inputs) load() (*router.Config, []string, error) {
 	var faults configerror.List
-	cfg, warnings, unfinished := s.platform(&faults)
-	var files []operatorconfig.File
-	of := map[string]string{}
+	cfg, warnings, isPlatformUnfinished := s.loadPlatformFile(&faults)
+	files, isOperatorUnfinished := s.loadOperatorFiles(&faults)
+	if err := faults.Err(); err != nil {
+		if isPlatformUnfinished || isOperatorUnfinished {
+			err = unfinishedError{err}
+		}
+		return nil, nil, err
+	}
+	if err := applyOperatorFiles(cfg, files); err != nil {
+		addFault(&faults, err)
+		return nil, nil, faults.Err()
+	}
+	cfg.Build = buildDigest()
+	return cfg, warnings, nil
+}
+
+// loadOperatorFiles reads the operators' files, of which there may be one of each kind. isUnfinishedFile says that one may
+// exist, or be complete, in a moment.
+func (s inputs) loadOperatorFiles(faults *configerror.List) (files []operatorconfig.File, isUnfinishedFile bool) {
+	pathOfKind := map[string]string{}
 	for _, path := range s.operator {
 		file, err := kinds.Load(path)
 		if err != nil {
-			unfinished = unfinished || isUnfinished(err)
-			collect(&faults, err)
+			isUnfinishedFile = isUnfinishedFile || isUnfinished(err)
+			addFault(faults, err)
 			continue
 		}
-		if first, taken := of[file.Kind]; taken {
+		if first, isTaken := pathOfKind[file.Kind]; isTaken {
 			faults.Add(configerror.Error{File: path, Field: "kind", Text: fmt.Sprintf("%s is also the kind of %s; "+
 				"one file of a kind is wanted", file.Kind, configerror.Plain(first))})
 		}
-		of[file.Kind] = path
+		pathOfKind[file.Kind] = path
 		files = append(files, file)
 	}
-	if err := faults.Err(); err != nil {
-		if unfinished {
-			err = errUnfinished{err}
-		}
-		return nil, nil, err
-	}
+	return files, isUnfinishedFile
+}
+
+// applyOperatorFiles puts the operators' files, or their defaults, into the configuration.
+func applyOperatorFiles(cfg *router.Config, files []operatorconfig.File) (err error) {
 	cfg.OperatorLimits = operatorconfig.Get[limits.Limits](files, limits.Kind)
 	cfg.Endpoints = operatorconfig.Get[endpoints.Config](files, endpoints.Kind)
 	cfg.Gossip = operatorconfig.Get[gossip.OperatorConfig](files, gossip.Kind)
-	cfg.Build = buildDigest()
 	cfg.Events = operatorconfig.Get[eventlog.Config](files, eventlog.Kind)
 	cfg.RetryStorm = operatorconfig.Get[retrystorm.Config](files, retrystorm.Kind)
 	cfg.Eureka = operatorconfig.Get[eureka.Config](files, eureka.Kind)
 	cfg.SnapshotStore = operatorconfig.Get[snapshotstore.Config](files, snapshotstore.Kind)
-	var err error
-	if cfg.Hooks, err = hooksOf(files, int(math.Ceil(cfg.Limits.Cores))); err == nil {
-		cfg.Limits, err = cfg.Limits.Without(cfg.Hooks)
-	}
+	cfg.Hooks, err = loadHooks(files, int(math.Ceil(cfg.Limits.Cores)))
 	if err != nil {
-		collect(&faults, err)
-		return nil, nil, faults.Err()
+		return err
 	}
-	return cfg, warnings, nil
+	cfg.Limits, err = cfg.Limits.Without(cfg.Hooks)
+	return err
 }
 
-// platform reads the platform's file. What the router can serve with is a warning, all else a fault. unfinished says that the
-// file may be there, or be whole, in a moment.
-func (s inputs) platform(faults *configerror.List) (cfg *router.Config, warnings []string, unfinished bool) {
+// loadPlatformFile reads the platform's file. What the router can serve with is a warning, all else a fault. isUnfinishedFile
+// says that the file may exist, or be complete, in a moment.
+func (s inputs) loadPlatformFile(faults *configerror.List) (cfg *router.Config, warnings []string, isUnfinishedFile bool) {
 	path := s.config
 	if path == "" {
 		path = os.Getenv(configVariable)
@@ -215,11 +237,11 @@
 	if cfg, err = router.ParseConfig(raw); err == nil {
 		return cfg, found.Lines(), false
 	}
-	if found.Empty() { // the check is to know all that the router refuses; better twice than never
+	if found.Empty() { // the check lacks what the router refuses
 		found.Add(configerror.Error{File: path, Text: err.Error()})
 	}
 	faults.Join(found)
-	return nil, nil, isUnfinished(wholeJSON(raw))
+	return nil, nil, isUnfinished(checkJSONComplete(raw))
 }
 
 // readConfig reads the platform's file, which may be a pipe.
@@ -243,8 +265,8 @@
 	return raw, nil
 }
 
-// collect takes the faults of one file in, or the error that kept it from being read.
-func collect(faults *configerror.List, err error) {
+// addFault adds the faults of one file, or the error that kept it from being read.
+func addFault(faults *configerror.List, err error) {
 	var found *configerror.List
 	if errors.As(err, &found) {
 		faults.Join(*found)
--- a/cmd/starlingwinch/size_test.go
+++ b/cmd/starlingwinch/size_test.go
@@ -11,8 +11,8 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestThousandRoutersAndCaches: the program starts, hears its list and serves beside 1,024 other routers, all of which it is to keep a
-// view of, and before 1,024 caches.
+// TestThousandRoutersAndCaches starts the program among 1,024 routers, all of them in its gossip view, before 1,024
+// caches.
 func TestThousandRoutersAndCaches(t *testing.T) {
 	const size = 1024
 	cache := routertest.NewCache(t)
--- a/cmd/starlingwinch/state.go
+++ b/cmd/starlingwinch/state.go
@@ -15,11 +15,12 @@
 	"starlingwinch/internal/snapshotstore"
 )
 
+// stateCommand returns the command "state", which prints and checks stored snapshots.
 func stateCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "state",
 		Short: "Tell what a router has kept of what it knew",
-		Args:  knownWords,
+		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	cmd.AddCommand(&cobra.Command{
@@ -43,7 +44,7 @@
 	return cmd
 }
 
-// oneArg wants one word.
+// oneArg accepts exactly one argument; what names it in the usage error.
 func oneArg(what string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != 1 {
@@ -53,6 +54,7 @@
 	}
 }
 
+// showState prints one file as tables.
 func showState(out io.Writer, path string, now time.Time) error {
 	f, state, err := snapshotstore.Read(machine.Files(), path)
 	if err != nil {
@@ -60,7 +62,7 @@
 	}
 	at := now.UnixMicro()
 	fmt.Fprintf(out, "written by %s at %s, %s\n\n", configerror.Quote(f.Router),
-		time.UnixMicro(f.Written).UTC().Format("2006-01-02 15:04:05.000 UTC"), agoOf(at, f.Written))
+		time.UnixMicro(f.Written).UTC().Format("2006-01-02 15:04:05.000 UTC"), formatAge(at, f.Written))
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "FIGURE\tVALUE\tAGE")
 	for _, row := range []struct {
@@ -69,10 +71,10 @@
 	}{{"likely misses out at most", state.Router.OriginLimit}, {"share of likely misses that were true", state.Router.OriginMissRatio},
 		{"budget of retries", state.Router.RetryBudget}, {"share of errors", state.Router.ErrorRatio},
 		{"share of lost attempts", state.Router.LostRatio}} {
-		fmt.Fprintf(t, "%s\t%.3g\t%s\n", row.name, row.v, agoOf(at, state.At))
+		fmt.Fprintf(t, "%s\t%.3g\t%s\n", row.name, row.v, formatAge(at, state.At))
 	}
 	for _, z := range state.Router.Zones {
-		fmt.Fprintf(t, "zone %s: failed connections in a row\t%d\t%s\n", configerror.Plain(z.Name), z.FailedConnections, agoOf(at, state.At))
+		fmt.Fprintf(t, "zone %s: failed connections in a row\t%d\t%s\n", configerror.Plain(z.Name), z.FailedConnections, formatAge(at, state.At))
 	}
 	t.Flush()
 	fmt.Fprintln(out)
@@ -80,6 +82,7 @@
 	return nil
 }
 
+// showCaches prints the table of caches.
 func showCaches(out io.Writer, caches []snapshot.Endpoint, now snapshot.Time) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "CACHE\tSTARTED\tAGE\tLIMIT\tLATE\tERRORS\tPROBES\tKEYS\tAGE OF KEYS")
@@ -95,14 +98,15 @@
 			probes += fmt.Sprintf(", %d failed", c.FailedHealthChecks)
 		}
 		if len(c.CachedKeys) > 0 {
-			keys = agoOf(now, c.KeysAt)
+			keys = formatAge(now, c.KeysAt)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%.3g\t%.0f %%\t%.0f %%\t%s\t%d\t%s\n", configerror.Plain(c.ID), started, agoOf(now, c.At),
+		fmt.Fprintf(t, "%s\t%s\t%s\t%.3g\t%.0f %%\t%.0f %%\t%s\t%d\t%s\n", configerror.Plain(c.ID), started, formatAge(now, c.At),
 			c.ConcurrencyLimit, 100*c.LateRatio, 100*c.ErrorRatio, probes, len(c.CachedKeys), keys)
 	}
 	t.Flush()
 }
 
+// verifyState prints whether each file of a folder is sound. The error says that one in use is not.
 func verifyState(out io.Writer, folder string, now time.Time) error {
 	info, err := os.Stat(folder)
 	if err != nil {
@@ -125,7 +129,7 @@
 		if row.InUse {
 			good++
 		}
-		fmt.Fprintf(t, "%s\tsound\t%s\t%s\t%d\n", row.Name, configerror.Plain(row.File.Router), agoOf(at, row.File.Written),
+		fmt.Fprintf(t, "%s\tsound\t%s\t%s\t%d\n", row.Name, configerror.Plain(row.File.Router), formatAge(at, row.File.Written),
 			len(row.Snapshot.Caches))
 	}
 	t.Flush()
@@ -138,8 +142,8 @@
 	return nil
 }
 
-// agoOf words an age.
-func agoOf(now, then snapshot.Time) string {
+// formatAge returns how long before or after now an instant is.
+func formatAge(now, then snapshot.Time) string {
 	if then > now {
 		return "in " + snapshotstore.FormatSpan(then-now)
 	}
--- a/cmd/starlingwinch/state_test.go
+++ b/cmd/starlingwinch/state_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestStateIsShownWithAges(t *testing.T) {
+func TestStateShowPrintsAges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state.1")
 	stateFile(t, path, "n0", time.Hour)
 	code, out, errs := outcome(t, "state", "show", path)
@@ -43,12 +43,12 @@
 		}
 	}
 	os.Truncate(path, 100)
-	if code, _, errs := outcome(t, "state", "show", path); code != exitFault || !strings.Contains(errs, "torn: 100 bytes of") {
+	if code, _, errs := outcome(t, "state", "show", path); code != exitFailure || !strings.Contains(errs, "torn: 100 bytes of") {
 		t.Errorf("a torn file: %d, %q", code, errs)
 	}
 }
 
-func TestStatesFolderIsVerified(t *testing.T) {
+func TestStateVerify(t *testing.T) {
 	dir := t.TempDir()
 	if code, out, _ := outcome(t, "state", "verify", dir); code != 0 || !strings.Contains(out, "no state is kept here") {
 		t.Errorf("an empty folder: %d, %q", code, out)
@@ -60,10 +60,10 @@
 	}
 	os.Symlink("/etc/passwd", filepath.Join(dir, "state.2"))
 	code, out, errs := outcome(t, "state", "verify", dir)
-	if code != exitFault || !strings.Contains(out, "not a regular file") || !strings.Contains(errs, "1 of 2 files") {
+	if code != exitFailure || !strings.Contains(out, "not a regular file") || !strings.Contains(errs, "1 of 2 files") {
 		t.Errorf("a link: %d, %q, %q", code, out, errs)
 	}
-	if code, _, errs := outcome(t, "state", "verify", dir+"/none"); code != exitFault || errs == "" {
+	if code, _, errs := outcome(t, "state", "verify", dir+"/none"); code != exitFailure || errs == "" {
 		t.Errorf("no folder: %d, %q", code, errs)
 	}
 	if code, _, errs := outcome(t, "state", "verify"); code != exitUsage || !strings.Contains(errs, "one FOLDER is wanted") {
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestProgramKeepsItsState over a kill, and moves it at SIGHUP; a file of 1 GB, a link and a hundred thousand
-// other files in the folder do it no harm.
-func TestProgramKeepsItsState(t *testing.T) {
+// TestSnapshotsSurviveKillAndReload kills the program and starts it again, and moves the folder at SIGHUP; a file of 1
+// GB, a link and a hundred thousand other files in the folder do no harm.
+func TestSnapshotsSurviveKillAndReload(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
 	config := file(t, "config.json", fmt.Sprintf(config, "127.0.0.1:0"))
 	toml := filepath.Join(t.TempDir(), "state.toml")
--- a/cmd/starlingwinch/storm.go
+++ b/cmd/starlingwinch/storm.go
@@ -2,37 +2,32 @@
 
 import (
 	"os"
-	"time"
 
 	"github.com/spf13/cobra"
 
 	"starlingwinch/internal/retrystorm"
 )
 
+// stormCommand returns the command "storm", which explains what a log says of retry storms.
 func stormCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "storm",
 		Short: "Tell of storms of retries and reconnects",
-		Args:  knownWords,
+		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "explain LOGFILE",
 		Short: "Tell in plain words which storms a router's log shows, and what caused each change",
-		Args: func(cmd *cobra.Command, args []string) error {
-			if len(args) != 1 {
-				return usageError{cmd.CommandPath() + ": one LOGFILE is wanted; see " + cmd.CommandPath() + " --help"}
-			}
-			return nil
-		},
+		Args:  oneArg("LOGFILE"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			log, err := os.Open(args[0])
 			if err != nil {
 				return err
 			}
 			defer log.Close()
-			stdout := newOutlet(os.Stdout)
-			defer stdout.flush(2 * time.Second)
+			stdout := newNonBlockingWriter(os.Stdout)
+			defer stdout.flush(commandFlushTimeout)
 			return retrystorm.Explain(log, stdout)
 		},
 	})
--- a/cmd/starlingwinch/version.go
+++ b/cmd/starlingwinch/version.go
@@ -10,11 +10,12 @@
 	"github.com/spf13/cobra"
 )
 
+// versionCommand returns the command "version".
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Tell which build this is",
-		Args:  knownWords,
+		Args:  noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			info, _ := debug.ReadBuildInfo()
 			_, err := fmt.Fprintln(os.Stdout, version(info))
@@ -23,25 +24,25 @@
 	}
 }
 
-// version words what the build knows of itself.
+// version returns the version, revision and compiler of a build in one line.
 func version(info *debug.BuildInfo) string {
 	if info == nil {
 		return "starlingwinch, unknown build"
 	}
-	told := map[string]string{}
+	settings := map[string]string{}
 	for _, s := range info.Settings {
-		told[s.Key] = s.Value
+		settings[s.Key] = s.Value
 	}
 	text := "starlingwinch " + info.Main.Version
 	if info.Main.Version == "" {
 		text = "starlingwinch (devel)"
 	}
-	if rev := told["vcs.revision"]; rev != "" {
+	if rev := settings["vcs.revision"]; rev != "" {
 		text += ", revision " + rev
-		if told["vcs.modified"] == "true" {
+		if settings["vcs.modified"] == "true" {
 			text += " with changes"
 		}
-		if at := told["vcs.time"]; at != "" {
+		if at := settings["vcs.time"]; at != "" {
 			text += " of " + at
 		}
 	} else {
@@ -50,7 +51,7 @@
 	return text + ", " + info.GoVersion
 }
 
-// buildDigest is a digest of it, by which routers tell whether others run the same program.
+// buildDigest returns a digest of the version, by which routers see whether others run the same program.
 func buildDigest() uint32 {
 	f := fnv.New32a()
 	if info, known := debug.ReadBuildInfo(); known {
--- a/cmd/starlingwinch/writer.go
+++ b/cmd/starlingwinch/writer.go
@@ -7,48 +7,51 @@
 )
 
 const (
-	outletBacklog = 256                   // writes that wait for whoever reads; more are dropped
-	briefly       = 40 * time.Millisecond // at a regular end: SIGKILL may follow 50 ms later
+	maxQueuedWrites = 256 // writes that wait for a reader; further ones are dropped
+
+	commandFlushTimeout = 2 * time.Second       // after a command, and after an error
+	exitFlushTimeout    = 40 * time.Millisecond // at a regular end of the daemon: SIGKILL may follow 50 ms later
 )
 
-// outlet passes text on to a stream that perhaps nobody reads, in order, and never waits. The danger: a full pipe
-// stops the program, at the last line before its end too.
-type outlet struct {
-	lines chan []byte
-	todo  sync.WaitGroup
+// nonBlockingWriter writes to a stream that may have no reader, in order, and never waits: a full pipe would otherwise stop
+// the program, even at its last line.
+type nonBlockingWriter struct {
+	queue     chan []byte
+	unwritten sync.WaitGroup // writes in the queue, and the one under way
 }
 
-func newOutlet(w io.Writer) *outlet {
-	o := &outlet{lines: make(chan []byte, outletBacklog)}
+// newNonBlockingWriter returns a writer to a stream. Its goroutine ends with the program.
+func newNonBlockingWriter(w io.Writer) *nonBlockingWriter {
+	o := &nonBlockingWriter{queue: make(chan []byte, maxQueuedWrites)}
 	go func() {
-		for b := range o.lines {
+		for b := range o.queue {
 			w.Write(b)
-			o.todo.Done()
+			o.unwritten.Done()
 		}
 	}()
 	return o
 }
 
-// Write takes a text, to be written in one piece.
-func (o *outlet) Write(b []byte) (int, error) {
-	o.todo.Add(1)
+// Write queues a text, which is written in one piece, or drops it where the queue is full. It never fails.
+func (o *nonBlockingWriter) Write(b []byte) (int, error) {
+	o.unwritten.Add(1)
 	select {
-	case o.lines <- append([]byte(nil), b...):
+	case o.queue <- append([]byte(nil), b...):
 	default:
-		o.todo.Done()
+		o.unwritten.Done()
 	}
 	return len(b), nil
 }
 
-// flush waits until all is written, but no longer than so long.
-func (o *outlet) flush(limit time.Duration) {
+// flush waits until the queue is written, up to a timeout.
+func (o *nonBlockingWriter) flush(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
-		o.todo.Wait()
+		o.unwritten.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -162,7 +162,7 @@
 
 var fleets = []int{10, 100, 500, 2000}
 
-// BenchmarkRequest has requests of many keys asked and served.
+// BenchmarkRouted has requests of many keys asked and served.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range fleets {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchRequests(b, largeBench(b, n), func(i int) uint64 { return mix(uint64(i)) }) })
