--- a/decide/api.go
+++ b/decide/api.go
@@ -278,8 +278,8 @@
 	DeadlineExceeded            // its deadline came, with an attempt out or without
 )
 
-var reasonTexts = [...]string{"", "retry past its use", "more than caches serve", "its cache is left alone", "no room at caches",
-	"spares the store", "no budget to try again", "no cache for it", "out of time"}
+var reasonTexts = [...]string{"", "retry too late", "overloaded", "endpoint ejected", "no capacity", "origin protected",
+	"retry budget exhausted", "no endpoint", "deadline exceeded"}
 
 func (w Reason) String() string { return reasonTexts[w] }
 
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,8 +1,8 @@
-// Package eventlog writes what happens to requests, attempts and connections, one line each with fields, and counts all of
-// it by event and reason. Lines are bounded a second and what was left out is counted, so that a flood of events costs
-// no more than its counting; the counts are written each minute and at the end.
+// Package eventlog logs what happens to requests, attempts and connections, one line each with fields, and counts all of it
+// by event and reason. The lines of a second are bounded, so that a flood of events costs no more than counting it; the
+// counters are logged regularly and at the end.
 //
-// It does no I/O of its own and belongs to the loop's goroutine: a finished line is handed to the machine's log.
+// It does no I/O of its own and belongs to the loop's goroutine.
 package eventlog
 
 import (
@@ -25,31 +25,44 @@
 	Counters time.Duration `toml:"counters" min:"1s" max:"1h" doc:"between two lines with the counts of all events by reason"`
 }
 
-// Default is what holds where no file says otherwise.
+// Default returns the configuration where no file sets it.
 func Default() Config { return Config{Lines: 50, Counters: time.Minute} }
 
-// Kind is the kind of file that sets it.
+// Kind is the kind of operators' file that sets the configuration.
 var Kind = operatorconfig.Define("log", "what is logged of requests, attempts and connections", Default(), nil)
 
-// Event is what happened.
+// Event is what happened, as the message of a line and the first part of a counter's name.
 type Event string
 
 const (
-	AttemptRetried     Event = "attempt-retried" // a further attempt of a request begins
-	AttemptEnded       Event = "attempt-ended"   // without being served
-	RequestRejected    Event = "request-refused"
-	RequestFailed      Event = "request-failed"
-	ConnectionClosed   Event = "client-closed"
-	DiscoveryCallEnded Event = "list"      // discovery has answered, or a call of it has failed
-	Resumed            Event = "resumed"   // the loop goes on after a pause
-	StartProgress      Event = "start"     // how far a start has come; written whatever is left out else
-	Violation          Event = "violation" // of a rule; likewise
+	AttemptRetried     Event = "attempt-retried"   // a further attempt of a request begins; the reason is the result of the one before
+	AttemptEnded       Event = "attempt-ended"     // an attempt brought no value; the reason is its result
+	RequestRejected    Event = "request-rejected"  // the module rejected a request
+	RequestFailed      Event = "request-failed"    // the module failed a request
+	ConnectionClosed   Event = "connection-closed" // a client's connection has ended
+	DiscoveryCallEnded Event = "discovery-call"    // discovery has answered, or a call of it has failed
+	Resumed            Event = "resumed"           // the loop goes on after a pause
+	StartProgress      Event = "start"             // how far a start has come; always logged
+	Violation          Event = "violation"         // a rule was broken; logged whatever the configuration, within the bound
 )
 
-// isAlwaysWritten reports whether an event has its line also where the lines of events are off.
-func (e Event) isAlwaysWritten() bool { return e == StartProgress || e == Violation }
+const (
+	countersMessage = "counters"
+	droppedLines    = "lines-dropped" // the last field of the counters
+)
+
+// isAlwaysLogged reports whether an event has its line also where the lines of events are switched off.
+func (e Event) isAlwaysLogged() bool { return e == StartProgress || e == Violation }
+
+// level returns the level of an event's lines.
+func (e Event) level() slog.Level {
+	if e == Violation {
+		return slog.LevelError
+	}
+	return slog.LevelInfo
+}
 
-// key is what is counted apart.
+// key identifies a counter.
 type key struct {
 	event  Event
 	reason string
@@ -59,56 +72,55 @@
 type Log struct {
 	config  Config
 	now     func() Time
-	out     *slog.Logger
-	counts  map[key]int
-	leftOut int
-	second  Time // in which lines were written
-	lines   int  // ... so many
+	logger  *slog.Logger
+	counts  map[key]int // since the start
+	dropped int         // lines over the bound, since the start
+
+	second    Time // when the second began that lineCount is about
+	lineCount int  // lines logged in that second
 }
 
-const microsecondsASecond = 1_000_000
+const microsecondsPerSecond = 1_000_000
 
 // New returns an event log that writes its lines to the logger.
 func New(config Config, now func() Time, logger *slog.Logger) *Log {
-	return &Log{config: config, now: now, out: logger, counts: map[key]int{}}
+	return &Log{config: config, now: now, logger: logger, counts: map[key]int{}}
 }
 
-// Enabled reports whether events get lines: who would have to gather fields for them need not where they do not.
+// Enabled reports whether events have lines. Where they do not, callers can save the gathering of fields and use Count.
 func (l *Log) Enabled() bool { return l.config.Events }
 
 // Count counts an event without a line.
 func (l *Log) Count(event Event, reason string) { l.counts[key{event, reason}]++ }
 
-// Add counts an event and writes its line, if there is room for it.
+// Add counts an event and logs its line, unless lines are switched off or the bound of this second is reached.
 func (l *Log) Add(event Event, reason string, fields ...slog.Attr) {
 	l.Count(event, reason)
-	level := slog.LevelInfo
-	if event == Violation {
-		level = slog.LevelError
-	}
-	if !l.config.Events && !event.isAlwaysWritten() {
+	if !l.config.Events && !event.isAlwaysLogged() {
 		return
 	}
-	if event != StartProgress && !l.hasRoom() {
-		l.leftOut++
+	if event != StartProgress && !l.takeLine() {
+		l.dropped++
 		return
 	}
-	l.out.LogAttrs(context.Background(), level, string(event), append([]slog.Attr{slog.String("reason", reason)}, fields...)...)
+	fields = append([]slog.Attr{slog.String("reason", reason)}, fields...)
+	l.logger.LogAttrs(context.Background(), event.level(), string(event), fields...)
 }
 
-// hasRoom takes a line of this second's.
-func (l *Log) hasRoom() bool {
-	if now := l.now(); now-l.second >= microsecondsASecond {
-		l.second, l.lines = now, 0
+// takeLine takes one of this second's lines, and reports whether there was one left.
+func (l *Log) takeLine() bool {
+	now := l.now()
+	if now-l.second >= microsecondsPerSecond {
+		l.second, l.lineCount = now, 0
 	}
-	if l.lines >= l.config.Lines {
+	if l.lineCount >= l.config.Lines {
 		return false
 	}
-	l.lines++
+	l.lineCount++
 	return true
 }
 
-// WriteCounters writes all counts since the start, in order, where anything was counted.
+// WriteCounters logs all counters in one line, sorted by name, where anything was counted.
 func (l *Log) WriteCounters() {
 	if len(l.counts) == 0 {
 		return
@@ -118,9 +130,9 @@
 		fields = append(fields, slog.Int(string(k.event)+"."+k.reason, n))
 	}
 	slices.SortFunc(fields, func(a, b slog.Attr) int { return strings.Compare(a.Key, b.Key) })
-	fields = append(fields, slog.Int("lines-left-out", l.leftOut))
-	l.out.LogAttrs(context.Background(), slog.LevelInfo, "counters", fields...)
+	fields = append(fields, slog.Int(droppedLines, l.dropped))
+	l.logger.LogAttrs(context.Background(), slog.LevelInfo, countersMessage, fields...)
 }
 
-// Counted is how often an event was counted, for a reason.
+// Counted returns how often an event was counted with a reason.
 func (l *Log) Counted(event Event, reason string) int { return l.counts[key{event, reason}] }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -8,28 +8,28 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-func TestLinesAreBoundedAndAllEventsCounted(t *testing.T) {
+func TestLinesBoundedAndAllEventsCounted(t *testing.T) {
 	var lines []string
 	now := Time(0)
 	l := New(Config{Events: true, Lines: 2}, func() Time { return now }, structuredlog.New(structuredlog.SinkFunc(func(line string) { lines = append(lines, line) })))
 	for range 5 {
-		l.Add(RequestRejected, "no-room", slog.Int64("request", 7), slog.String("cache", "c 1"))
+		l.Add(RequestRejected, "no-capacity", slog.Int64("request", 7), slog.String("cache", "c 1"))
 	}
-	if len(lines) != 2 || lines[0] != `level=INFO msg=request-refused reason=no-room request=7 cache="c 1"` {
+	if len(lines) != 2 || lines[0] != `level=INFO msg=request-rejected reason=no-capacity request=7 cache="c 1"` {
 		t.Errorf("lines %q", lines)
 	}
-	now = microsecondsASecond
+	now = microsecondsPerSecond
 	l.Add(RequestFailed, "late")
 	l.WriteCounters()
-	if got := lines[len(lines)-1]; got != "level=INFO msg=counters request-failed.late=1 request-refused.no-room=5 lines-left-out=3" {
+	if got := lines[len(lines)-1]; got != "level=INFO msg=counters request-failed.late=1 request-rejected.no-capacity=5 lines-dropped=3" {
 		t.Errorf("counters %q", got)
 	}
-	if len(lines) != 4 || l.Counted(RequestRejected, "no-room") != 5 {
-		t.Errorf("%d lines, %d counted", len(lines), l.Counted(RequestRejected, "no-room"))
+	if len(lines) != 4 || l.Counted(RequestRejected, "no-capacity") != 5 {
+		t.Errorf("%d lines, %d counted", len(lines), l.Counted(RequestRejected, "no-capacity"))
 	}
 }
 
-func TestWithoutEventsOnlyViolationsAndCountersAreWritten(t *testing.T) {
+func TestEventsOffLogsViolationsAndCountersOnly(t *testing.T) {
 	var lines []string
 	l := New(Default(), func() Time { return 0 }, structuredlog.New(structuredlog.SinkFunc(func(line string) { lines = append(lines, line) })))
 	l.Add(AttemptRetried, "reset")
--- a/internal/testbench/recordedlog/recordedlog.go
+++ b/internal/testbench/recordedlog/recordedlog.go
@@ -34,6 +34,9 @@
 // Wording returns the line as it was worded at the recording. A line that has no other wording is returned as it is, and
 // one without fields, or of a program that writes sentences, as its message alone.
 func Wording(line string) string {
+	if recorded, ok := eventLine(line); ok {
+		return recorded
+	}
 	message, fields, ok := parse(line)
 	if !ok {
 		return line
