--- a/cmd/starlingwinch/commands_test.go
+++ b/cmd/starlingwinch/commands_test.go
@@ -43,7 +43,7 @@
 	os.Exit(code)
 }
 
-// command prepares a run of the program without the platform's variable.
+// command prepares a run of the program without the variable that names the platform's file.
 func command(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
 	bin, err := binary()
@@ -61,7 +61,7 @@
 	return cmd
 }
 
-// outcome runs the program to its end.
+// outcome runs the program to its end, and returns its exit code and output.
 func outcome(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	cmd := command(t, args...)
@@ -190,7 +190,7 @@
 
 var stamp = regexp.MustCompile(`^\d{4}/\d\d/\d\d \d\d:\d\d:\d\d \[\d+\] `)
 
-// unstamped takes the time and the process off the lines of a log, each of which has to have them.
+// unstamped removes the time and the process from the lines of a log; each line must have them.
 func unstamped(t *testing.T, log string) string {
 	t.Helper()
 	var text strings.Builder
--- a/cmd/starlingwinch/handover_test.go
+++ b/cmd/starlingwinch/handover_test.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// addresses counts the addresses that the tests of hand-overs have taken.
+// addresses counts the addresses that the tests of hand-overs use.
 var addresses atomic.Uint32
 
-// ownAddress is an address that no other test and no outgoing connection takes: a loopback address of this process's own, and a
-// port below those that the system deals out.
+// ownAddress returns an address that no other test and no outgoing connection uses: a loopback address of this process's own,
+// and a port below those that the system assigns.
 func ownAddress() string {
 	id := uint32(os.Getpid())
 	return net.JoinHostPort(fmt.Sprintf("127.%d.%d.%d", 1+id>>8%200, id%256, 1+addresses.Add(1)%250), "6379")
 }
 
-// handOver is a router process and the one that is to follow it, under the same name, address and files.
+// handOver is a router process whose successors use the same name, address and files.
 type handOver struct {
 	t    *testing.T
 	addr string
@@ -53,7 +53,7 @@
 	return h
 }
 
-// start starts a process and waits for nothing.
+// start starts a successor.
 func (h *handOver) start() *started {
 	h.t.Helper()
 	return startLogged(h.t, command(h.t, h.args...))
@@ -68,13 +68,13 @@
 	}
 }
 
-// waits waits until a process has said that it waits for its address.
+// waits waits until a process logs that it waits for its address.
 func (h *handOver) waits(s *started) {
 	h.t.Helper()
 	s.wait(h.t, "reason=waiting-for-address")
 }
 
-// serves waits until a process serves, and asks it.
+// serves waits until a process serves, and sends it a PING.
 func (h *handOver) serves(s *started) {
 	h.t.Helper()
 	if s.waitServing(h.t) != h.addr {
@@ -106,7 +106,7 @@
 const fleetSettings = "kind = \"fleet\"\nenabled = true\n"
 const stateSettings = "kind = \"state\"\nfolder = \"%s\"\n"
 
-// shortWait has a start wait no longer than a predecessor may take to end.
+// shortWait is an operators' file by which a start waits no longer than a predecessor may take to end.
 const shortWait = "kind = \"limits\"\n[clients]\naddress_time = \"0s\"\n"
 
 // TestStartWaitsForPredecessor starts a process beside its predecessor. Whatever that one does meanwhile, the new one
@@ -185,7 +185,7 @@
 	}
 }
 
-// ask sends one command on a connection of its own.
+// ask sends one command on a connection of its own, and returns the answer.
 func ask(t *testing.T, addr, command string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
--- a/cmd/starlingwinch/hook_test.go
+++ b/cmd/starlingwinch/hook_test.go
@@ -24,7 +24,7 @@
 	if code, out, errs := hookIn(t, dir, "new", "club"); code != 0 || !strings.HasPrefix(out, "club.star: written; next:\n") {
 		t.Fatalf("code %d, %s%s", code, out, errs)
 	}
-	// Whether it is a hook is asked here, not how fast: a busy machine takes longer than the usual budget of 5 ms.
+	// A busy machine takes longer than the usual budget of 5 ms, which is not what is checked here.
 	code, out, errs := hookIn(t, dir, "check", "club.star", "--time", "1s")
 	if want := "club.star: good (contract 1; points: request; "; code != 0 || !strings.HasPrefix(out, want) {
 		t.Errorf("code %d, %s%s", code, out, errs)
--- a/cmd/starlingwinch/main_test.go
+++ b/cmd/starlingwinch/main_test.go
@@ -24,7 +24,7 @@
  "settings":{"instances":1,"discovery":"automatic","categories":[{"name":"read","effect":"read_like","dedupScope":"all",
   "aim":500000,"hardLimit":1000000,"worth":1}],"limits":{"maxAttempts":1},"rules":{"drainGrace":1000000}}}`
 
-// program prepares a start with the given configuration.
+// program prepares a run that serves with the given configuration.
 func program(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	cmd := command(t)
@@ -38,7 +38,7 @@
 	discoveryMoved = `msg="discovery address changed" address=`
 )
 
-// started is the program at work.
+// started is the running program.
 type started struct {
 	cmd  *exec.Cmd
 	addr string
@@ -93,7 +93,7 @@
 	return address
 }
 
-// note takes in what a line of the log tells.
+// note records what a line of the log says of discovery.
 func (s *started) note(line string) {
 	if _, addr, ok := strings.Cut(strings.TrimSpace(line), discoveryMoved); ok {
 		s.moves, s.lastMove = s.moves+1, addr
@@ -209,7 +209,7 @@
 	}
 	fmt.Fprintf(file, config, "127.0.0.1:0")
 	file.Close()
-	// What SIGHUP has read anew finds a pipe that nobody writes to: the drain does not wait for it.
+	// The reload reads a pipe that nobody writes to; the drain does not wait for it.
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
--- a/cmd/starlingwinch/members_test.go
+++ b/cmd/starlingwinch/members_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	// Nobody answers at the platform's address, which is asked by default.
+	// Nothing listens at the platform's address, which is queried by default.
 	out, err = run(file)
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(out, "discovery did not answer") {
--- a/cmd/starlingwinch/run.go
+++ b/cmd/starlingwinch/run.go
@@ -95,7 +95,7 @@
 	}
 	// Without a handler, the first write to a log whose reader has gone would end the program.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGPIPE)
-	d := daemon{m: m, logger: structuredlog.New(m)}
+	d := daemon{m: m, logger: structuredlog.New(m), state: daemonReadingFiles}
 	m.Post(func() { d.begin(s) })
 	m.Run()
 	return d.err
--- a/cmd/starlingwinch/size_test.go
+++ b/cmd/starlingwinch/size_test.go
@@ -58,7 +58,7 @@
 	s.end(t)
 }
 
-// freePacketPort is a port for datagrams that nobody had a moment ago.
+// freePacketPort returns a port for datagrams that was free a moment ago.
 func freePacketPort(t *testing.T) int {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.2.0.1:0")
--- a/cmd/starlingwinch/state_test.go
+++ b/cmd/starlingwinch/state_test.go
@@ -14,7 +14,7 @@
 	"starlingwinch/internal/snapshotstore"
 )
 
-// stateFile writes a file of a state that is so old.
+// stateFile writes a snapshot of this age.
 func stateFile(t *testing.T, path, router string, age time.Duration) {
 	t.Helper()
 	at := time.Now().Add(-age).UnixMicro()
--- a/internal/router/hooks_test.go
+++ b/internal/router/hooks_test.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -87,7 +88,7 @@
 		n, err := h.nc.Read(b[:])
 		h.got += string(b[:n])
 		if err != nil {
-			h.over = err != machine.ErrWait
+			h.over = !errors.Is(err, machine.ErrWait)
 			return
 		}
 	}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -20,15 +20,18 @@
 	addressLogInterval   = 1_000_000 // between two lines about it
 	predecessorKillDelay = 700_000   // SIGKILL follows the end of a drain's longest deadline after so long, at the earliest
 
-	drainAcceptGrace      = 500_000   // new connections may still come for so long after SIGTERM
-	drainAnswerMargin     = 50_000    // before the drain's deadline, by which every request is answered
-	maxDrainTimeout       = 3_000_000 // of the longest client timeout, the part that a drain waits for
-	drainSlack            = 650_000   // beyond that, until the drain's deadline: SIGKILL may follow 50 ms later
-	maxOverflowRetryAfter = 500_000   // told to a client for which there is no descriptor, at most
+	drainAcceptGrace  = 500_000   // new connections may still come for so long after SIGTERM
+	drainAnswerMargin = 50_000    // before the drain's deadline, by which every request is answered
+	maxDrainTimeout   = 3_000_000 // of the longest client timeout, the part that a drain waits for
+	drainSlack        = 650_000   // beyond that, until the drain's deadline: SIGKILL may follow 50 ms later
 )
 
-// lifecycleState is a phase in the life of a router. The states follow one another in this order; any but the last may
-// be skipped.
+// maxOverflowRetryAfter bounds the retry-after time of a client that is rejected as there is no descriptor for it, in
+// microseconds.
+const maxOverflowRetryAfter = 500_000
+
+// lifecycleState is a phase in the life of a router. The states follow one another in this order; those between the first
+// and the last may be skipped.
 type lifecycleState uint8
 
 const (
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"testing"
 
+	"starlingwinch/internal/machine"
 	"starlingwinch/internal/testbench/routertest"
 )
 
@@ -57,3 +58,64 @@
 		})
 	}
 }
+
+// wantState checks the state of a router. It is called on the loop.
+func wantState(t *testing.T, r *Router, want lifecycleState) {
+	t.Helper()
+	if r.state != want {
+		t.Errorf("state %d, want %d", r.state, want)
+	}
+}
+
+// startAtHeldAddress starts a router whose address another listener has, and returns both.
+func startAtHeldAddress(t *testing.T) (loop *routertest.Loop, r *Router, holder machine.Listener) {
+	t.Helper()
+	loop = routertest.NewLoop(t, nil)
+	loop.Do(func() {
+		var err error
+		if holder, err = loop.Listen("127.0.0.1:0", func(machine.Conn) machine.Handler { return nil }); err != nil {
+			t.Error(err)
+			return
+		}
+		cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) { in["listen"] = holder.Addr() })
+		if r, err = Start(loop, cfg); err != nil {
+			t.Error(err)
+			return
+		}
+		wantState(t, r, stateWaitingForAddress)
+	})
+	if t.Failed() {
+		t.FailNow()
+	}
+	t.Cleanup(func() { loop.Do(r.Close) })
+	return loop, r, holder
+}
+
+// TestLifecycleFromWaitingToStopped takes a router through all its states.
+func TestLifecycleFromWaitingToStopped(t *testing.T) {
+	loop, r, holder := startAtHeldAddress(t)
+	loop.Do(holder.Close)
+	loop.Until("a router that serves", func() bool { return r.state == stateServing })
+	stopped := make(chan struct{})
+	loop.Do(func() {
+		r.Drain(func() { close(stopped) })
+		wantState(t, r, stateDraining)
+		r.Drain(func() { t.Error("a second drain calls back") })
+	})
+	receive(t, stopped, "end of the drain")
+	loop.Do(func() { wantState(t, r, stateStopped) })
+}
+
+// TestLifecycleDrainWhileWaiting drains a router that has no address: it stops in the same turn.
+func TestLifecycleDrainWhileWaiting(t *testing.T) {
+	loop, r, holder := startAtHeldAddress(t)
+	defer loop.Do(holder.Close)
+	loop.Do(func() {
+		isCalled := false
+		r.Drain(func() { isCalled = true })
+		wantState(t, r, stateStopped)
+		if !isCalled {
+			t.Error("the drain has not called back")
+		}
+	})
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	r := &Router{
-		lifecycle:  lifecycle{startedAt: m.Now(), acceptGrace: drainAcceptGrace},
+		lifecycle:  lifecycle{state: stateStarting, startedAt: m.Now(), acceptGrace: drainAcceptGrace},
 		m:          m,
 		cfg:        cfg,
 		logger:     structuredlog.New(m),
