--- a/cmd/starlingwinch/main_test.go
+++ b/cmd/starlingwinch/main_test.go
@@ -24,7 +24,7 @@
  "settings":{"instances":1,"discovery":"automatic","categories":[{"name":"read","effect":"read_like","dedupScope":"all",
   "aim":500000,"hardLimit":1000000,"worth":1}],"limits":{"maxAttempts":1},"rules":{"drainGrace":1000000}}}`
 
-// program prepares a start with the given configuration.
+// program prepares a run that serves with the given configuration.
 func program(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	cmd := command(t)
@@ -38,7 +38,7 @@
 	discoveryMoved = `msg="discovery address changed" address=`
 )
 
-// started is the program at work.
+// started is the running program.
 type started struct {
 	cmd  *exec.Cmd
 	addr string
@@ -93,7 +93,7 @@
 	return address
 }
 
-// note takes in what a line of the log tells.
+// note records what a line of the log says of discovery.
 func (s *started) note(line string) {
 	if _, addr, ok := strings.Cut(strings.TrimSpace(line), discoveryMoved); ok {
 		s.moves, s.lastMove = s.moves+1, addr
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestStartServeAndEnd(t *testing.T) {
+func TestStartServeAndStop(t *testing.T) {
 	s := start(t, program(t, fmt.Sprintf(config, "127.0.0.1:0")))
 	nc, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -130,9 +130,9 @@
 	s.end(t)
 }
 
-// TestHangUpUnderLoad: SIGHUP takes over a new configuration and leaves the old one where the new
-// is wrong; clients notice neither, and a drain goes on.
-func TestHangUpUnderLoad(t *testing.T) {
+// TestReloadUnderLoad reloads valid and invalid files at SIGHUP: the invalid ones change nothing, clients notice
+// neither, and a drain goes on.
+func TestReloadUnderLoad(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0"))
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
 	s := start(t, cmd)
@@ -183,9 +183,9 @@
 	s.end(t)
 }
 
-// TestSignalsBeforeTheConfigurationIsReadAreKept: the program starts, and does what they say, in their order. The danger: a
-// signal that nobody takes ends it.
-func TestSignalsBeforeTheConfigurationIsReadAreKept(t *testing.T) {
+// TestSignalsBeforeConfigurationReadHandled sends signals before the files are read. The program starts and handles
+// them in their order; an unhandled signal would end it.
+func TestSignalsBeforeConfigurationReadHandled(t *testing.T) {
 	cmd := program(t, "")
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
 	if err := errors.Join(os.Remove(path), syscall.Mkfifo(path, 0o600)); err != nil {
@@ -209,7 +209,7 @@
 	}
 	fmt.Fprintf(file, config, "127.0.0.1:0")
 	file.Close()
-	// What SIGHUP has read anew finds a pipe that nobody writes to: the drain does not wait for it.
+	// The reload reads a pipe that nobody writes to; the drain does not wait for it.
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestBadConfigurationEndsWithOneLine(t *testing.T) {
+func TestInvalidConfigurationLogsOneLine(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "nowhere"))
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
--- a/cmd/starlingwinch/members_test.go
+++ b/cmd/starlingwinch/members_test.go
@@ -46,8 +46,8 @@
 	return "http://" + addr + r.Base()
 }
 
-// TestMembersTellsWhatARegistrySays, and that a drained cache gets no work.
-func TestMembersTellsWhatARegistrySays(t *testing.T) {
+// TestMembersPrintsRegistry prints what a registry says, where a cache that drains takes no requests.
+func TestMembersPrintsRegistry(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0"))
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -81,7 +81,7 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	// Nobody answers at the platform's address, which is asked by default.
+	// Nothing listens at the platform's address, which is queried by default.
 	out, err = run(file)
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(out, "discovery did not answer") {
--- a/cmd/starlingwinch/size_test.go
+++ b/cmd/starlingwinch/size_test.go
@@ -11,8 +11,8 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestThousandRoutersAndCaches: the program starts, hears its list and serves beside 1,024 other routers, all of which it is to keep a
-// view of, and before 1,024 caches.
+// TestThousandRoutersAndCaches starts the program among 1,024 routers, all of them in its gossip view, before 1,024
+// caches.
 func TestThousandRoutersAndCaches(t *testing.T) {
 	const size = 1024
 	cache := routertest.NewCache(t)
@@ -58,7 +58,7 @@
 	s.end(t)
 }
 
-// freePacketPort is a port for datagrams that nobody had a moment ago.
+// freePacketPort returns a port for datagrams that was free a moment ago.
 func freePacketPort(t *testing.T) int {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.2.0.1:0")
