--- a/internal/gossip/api.go
+++ b/internal/gossip/api.go
@@ -33,7 +33,7 @@
 )
 
 // maxIncarnationLead is how far, in milliseconds, an incarnation may be ahead of this router's clock. One near the largest
-// number could never be refuted, and a restarted member never be told from its earlier process.
+// number could never be refuted, and a restarted member never be distinguished from its earlier process.
 const maxIncarnationLead = 24 * 60 * 60 * 1000
 
 // State is what a member is believed to be.
@@ -80,7 +80,7 @@
 type Config struct {
 	Name  string   // of this router; 1 to MaxNameBytes bytes
 	Start uint64   // Unix time in milliseconds: the first incarnation
-	Boot  uint32   // random; tells this process from earlier ones of the same name
+	Boot  uint32   // random; distinguishes this process from earlier ones of the same name
 	Seed  uint64   // of the view's random choices
 	Peers []string // addresses of other routers
 	Seeds []string // addresses that are polled as peers are; members that come through them are accepted from any address
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -29,7 +29,7 @@
 	contacts map[string]*contact
 
 	nextRoundAt Time
-	wakeAt      Time   // the Wake that was asked for
+	wakeAt      Time   // of the Wake that was returned last
 	rounds      int    // rounds that have begun
 	sequence    uint64 // of datagrams sent and updates queued
 
--- a/internal/retrystorm/detector.go
+++ b/internal/retrystorm/detector.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// epochLead is how far before the first time that it is asked for the epoch is. Earlier times are as the epoch.
+// epochLead is how far the epoch lies before the first time that is converted. Times before the epoch count as the epoch.
 const epochLead Time = 60_000_000
 
 // milliseconds returns a time as refusals hold it.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,10 +98,12 @@
 	Keepalive       decide.Time // a cache closes a connection that was idle for so long
 }
 
+var errNoSettings = errors.New("no settings")
+
 // Parse reads the settings of one router. Those that are left out have the values that allow the router least.
 func Parse(raw json.RawMessage) (decide.Settings, Transport, error) {
 	if len(raw) == 0 {
-		return decide.Settings{}, Transport{}, errors.New("no settings")
+		return decide.Settings{}, Transport{}, errNoSettings
 	}
 	var p platformSettings
 	if err := json.Unmarshal(raw, &p); err != nil {
--- a/internal/snapshotstore/format.go
+++ b/internal/snapshotstore/format.go
@@ -78,7 +78,7 @@
 
 // Decode reads a file. The error is a *RejectedError.
 //
-// The checksum is verified before the version is looked at, so that a newer program's file is told from a broken one.
+// The checksum is verified before the version is looked at, so that a newer program's file is not taken for a broken one.
 func Decode(b []byte) (File, error) {
 	if rejected := checkMagic(b); rejected != nil {
 		return File{}, rejected
--- a/internal/snapshotstore/rejected.go
+++ b/internal/snapshotstore/rejected.go
@@ -56,7 +56,7 @@
 // maxClockStep is how far in the future a file may have been written: a clock may be set back by so much.
 const maxClockStep Time = 2_000_000
 
-// Fits reports why a sound file is not the state of that router at that time; nil where it is.
+// Fits reports why a valid file is not the state of that router at that time; nil where it is.
 func (f File) Fits(router string, now, maxAge Time) *RejectedError {
 	switch age := now - f.Written; {
 	case f.Router != router:
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// FormatSpan words a span of time: days, or a duration to the second, or below a minute to the millisecond.
+// FormatSpan returns a span of time as text: in days, as a duration to the second, or below a minute to the millisecond.
 func FormatSpan(t Time) string {
 	d := time.Duration(t) * time.Microsecond
 	switch {
--- a/internal/snapshotstore/verify.go
+++ b/internal/snapshotstore/verify.go
@@ -15,7 +15,7 @@
 	InUse    bool // a router reads it when it starts
 	File     File
 	Snapshot snapshot.Snapshot
-	Rejected *RejectedError // nil for a sound one
+	Rejected *RejectedError // nil for a valid one
 }
 
 // Verify reads the files of a folder that belong to a store, and changes nothing. A file that was written later than now is
