--- a/internal/endpoints/api.go
+++ b/internal/endpoints/api.go
@@ -9,8 +9,8 @@
 //   - An endpoint that flaps is suppressed for a time that grows with each flap and decays while it is stable (route flap
 //     damping, RFC 2439), so that it does not move keys to and fro.
 //   - A source that is unavailable removes nothing; its claims stay, and their age can be seen.
-//   - A source whose full list omits most of its endpoints at once is asked to confirm that, by another of its servers where
-//     it has several. The omissions are published when it confirms them, or when it neither confirms nor denies them in time.
+//   - A source whose full list omits most of its endpoints at once must confirm that, by another of its servers where it
+//     has several. The omissions are published when it confirms them, or when it neither confirms nor denies them in time.
 //     Only omissions wait so, never a claim of a drain or removal; a source that becomes unavailable confirms nothing.
 //   - Where sources disagree, the first in the operators' order says where an endpoint is and what it is like; a drain or
 //     removal reported by any other source drains it.
@@ -67,11 +67,11 @@
 	Addresses []string          // of Endpoints, in the same order
 }
 
-// Confirm asks for a source's full list once more, by another of its servers where it has several. The caller answers with
+// Confirm requests a source's full list once more, by another of its servers where it has several. The caller answers with
 // a SourceUpdate with Repeat set, or a SourceUnavailable.
 type Confirm struct{ Source string }
 
-// Wake asks for a Tick at or after At. It replaces the Wake before.
+// Wake requests a Tick at or after At. It replaces the Wake before.
 type Wake struct{ At Time }
 
 // Log is a line for the log, for the engineer on call.
--- a/internal/endpoints/mass_removal.go
+++ b/internal/endpoints/mass_removal.go
@@ -51,7 +51,7 @@
 }
 
 // requestConfirm schedules a Confirm, unless one is out or scheduled. Confirms are at least half of the time limit apart,
-// as a source whose servers differ would be asked again without a pause.
+// as a source whose servers differ would be called again without a pause.
 func (c *massRemovalCheck) requestConfirm(now, confirmWithin Time) {
 	if c.awaitingAnswer || c.confirmScheduled {
 		return
--- a/internal/endpointsource/discovery.go
+++ b/internal/endpointsource/discovery.go
@@ -141,10 +141,10 @@
 	s.owner.ProcessEvents()
 }
 
-// canResumeVersion reports whether the call after a failure may ask for the changes since the latest version.
+// canResumeVersion reports whether the call after a failure may fetch the changes since the latest version only.
 //
 // A discovery that has restarted numbers its versions anew, and would not answer for long to a version of the old ones. One
-// that only rejected the call or fell silent is asked for the changes, which is one short call in place of two; where it is
+// that only rejected the call or fell silent is polled for the changes, which is one short call in place of two; where it is
 // silent to that too, its full list is fetched. An agent's calls cost nothing, so that the full list is always fetched.
 func canResumeVersion(err error, retryDelay machine.Time) bool {
 	if retryDelay > 0 {
--- a/internal/endpointsource/endpointsource.go
+++ b/internal/endpointsource/endpointsource.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// confirm has a source's list fetched once more. Only the registry has several servers that may differ; discovery and the
-// file are never asked to confirm.
+// confirm has a source's list fetched once more. Only the registry has several servers that may differ; the lists of discovery
+// and of the file are never confirmed.
 func (s *Sources) confirm(source string) {
 	if source == endpoints.Eureka && s.registry != nil {
 		s.registry.Confirm()
--- a/internal/eureka/answer.go
+++ b/internal/eureka/answer.go
@@ -64,8 +64,8 @@
 		c.pollAfter(k, size)
 		return
 	}
-	// A server forgets an application without instances, and answers as to a wrong path: only the list that it gave before tells
-	// them apart.
+	// A server forgets an application without instances, and responds as to a wrong path. Only a list that it gave before shows
+	// that the path is right.
 	if response.Status == http.StatusNotFound && k.filtered && k.server.listed {
 		c.apply(k, &List{}, 0)
 		return
--- a/internal/eureka/instance.go
+++ b/internal/eureka/instance.go
@@ -127,8 +127,8 @@
 	return netip.AddrPortFrom(ip.Unmap(), uint16(port)).String(), "", ""
 }
 
-// checkInstance checks the instance at this place of the list, and notes its faults. It reports whether the instance can be
-// told from others.
+// checkInstance checks the instance at this place of the list, and notes its faults. It reports whether the instance has a
+// usable id.
 func (p *parser) checkInstance(place int, in *instanceJSON) (instance Instance, ok bool) {
 	lastRenewal := max(in.LeaseInfo.LastRenewalTimestamp.timestamp(), in.LeaseInfo.RenewalTimestamp.timestamp())
 	i := Instance{
--- a/internal/eureka/parse.go
+++ b/internal/eureka/parse.go
@@ -51,7 +51,7 @@
 	if err := p.response(); err != nil {
 		return List{}, fmt.Errorf("list of instances: %w", err)
 	}
-	if len(p.list.Instances) == 0 && p.unidentified > 0 { // these can't be told from instances that have departed
+	if len(p.list.Instances) == 0 && p.unidentified > 0 { // without ids, it is not known which instances are present
 		return List{}, fmt.Errorf("list of instances: none can be used: %s", p.list.Faults[0])
 	}
 	if p.list.unlistedFaults > 0 {
--- a/internal/eureka/poll.go
+++ b/internal/eureka/poll.go
@@ -20,7 +20,7 @@
 	generation int
 	server     *server
 	kind       listKind
-	filtered   bool // it asks for one application or virtual address
+	filtered   bool // it fetches the list of one application or virtual address
 	retry      bool // of a preferred server that failed, while another one is in use
 	confirming bool // it answers Confirm
 	startedAt  Time
@@ -48,7 +48,7 @@
 	})
 }
 
-// newCall decides what to ask a server for.
+// newCall decides what to fetch from a server.
 func (c *Client) newCall(s *server, now Time) *call {
 	k := &call{generation: c.generation, server: s, confirming: c.confirming, startedAt: now}
 	k.retry = c.current != nil && s != c.current && c.current.failures == 0 && !c.confirming
@@ -99,7 +99,7 @@
 	return min(c.options.Timeout, max(minTimeout, timeoutMultiplier*recent))
 }
 
-// path is what a call asks for.
+// path is the path of the list that a call fetches.
 func (c *Client) path(k *call) string {
 	switch {
 	case k.kind == deltaList:
--- a/internal/eureka/server.go
+++ b/internal/eureka/server.go
@@ -2,7 +2,7 @@
 
 import "starlingwinch/internal/httpclient"
 
-// listKind is what a call asks for.
+// listKind is the kind of list that a call fetches.
 type listKind uint8
 
 const (
