--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -43,18 +43,20 @@
 		{strings.Replace(host("c2", "127.0.0.1:2", "in_service"), `"since_ms":0`, `"since_ms":-1`, 1), "endpoints[0].since_ms"},
 		{`17`, "endpoints[0]"},
 	} {
-		list, err := Parse([]byte(hosts(9, true, c.bad, drains)))
-		if err != nil {
-			t.Errorf("%s: %v", c.bad, err)
-			continue
-		}
-		drained := false
-		for _, e := range list.Endpoints {
-			drained = drained || e.ID == "c1" && e.Status == decide.Draining
-		}
-		if !drained || len(list.Faults) != 1 || !strings.HasPrefix(list.Faults[0], c.fault) {
-			t.Errorf("%s: drained %v, faults %q", c.bad, drained, list.Faults)
-		}
+		t.Run(c.fault, func(t *testing.T) {
+			list, err := Parse([]byte(hosts(9, true, c.bad, drains)))
+			if err != nil {
+				t.Errorf("%s: %v", c.bad, err)
+				return
+			}
+			drained := false
+			for _, e := range list.Endpoints {
+				drained = drained || e.ID == "c1" && e.Status == decide.Draining
+			}
+			if !drained || len(list.Faults) != 1 || !strings.HasPrefix(list.Faults[0], c.fault) {
+				t.Errorf("%s: drained %v, faults %q", c.bad, drained, list.Faults)
+			}
+		})
 	}
 	list, err := Parse([]byte(hosts(9, true, host("c1", "nowhere", "terminating"))))
 	if err != nil || len(list.Endpoints) != 1 || list.Endpoints[0].Status != decide.Draining {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -157,17 +157,24 @@
 }
 
 func TestInvalidAnswerFailsWatch(t *testing.T) {
-	for _, body := range []string{"", "not JSON", "{}", `{"index":5}`, `{"index":-5,"snapshot":true,"endpoints":[]}`,
-		hosts(3, false), // older than what is known
-		hosts(9, true, host("", "127.0.0.1:1", "in_service")), // nothing in it can be used
+	for name, body := range map[string]string{
+		"status 503":          "",
+		"not JSON":            "not JSON",
+		"empty object":        "{}",
+		"no endpoints":        `{"index":5}`,
+		"negative version":    `{"index":-5,"snapshot":true,"endpoints":[]}`,
+		"changes of the past": hosts(3, false),
+		"nothing can be used": hosts(9, true, host("", "127.0.0.1:1", "in_service")),
 	} {
-		addr, calls := routertest.Discovery(t)
-		f := follow(t, addr, 5, nil)
-		routertest.Receive(t, calls, "call").Reply <- body
-		err := f.wantFailed("")
-		if errors.Is(err, ErrOverloaded) != (body == "") {
-			t.Errorf("%q: %v", body, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			addr, calls := routertest.Discovery(t)
+			f := follow(t, addr, 5, nil)
+			routertest.Receive(t, calls, "call").Reply <- body
+			err := f.wantFailed("")
+			if errors.Is(err, ErrOverloaded) != (body == "") {
+				t.Errorf("%q: %v", body, err)
+			}
+		})
 	}
 }
 
--- a/internal/endpoints/merger_test.go
+++ b/internal/endpoints/merger_test.go
@@ -1,6 +1,7 @@
 package endpoints
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -21,24 +22,26 @@
 		{"c1x", "c1", "removed"}, {"c1x", "c1-", "removed"}, {"c1x", "c1x", "removed"}, {"c1x", "", "removed"},
 		{"", "c1", "serving"}, {"", "c1-", "draining"}, {"", "c1x", "removed"},
 	} {
-		for _, secondComesFirst := range []bool{false, true} {
-			r := newRig(t, platform, eureka)
-			claim := func(source, endpoint string) {
-				if endpoint != "" {
-					r.changes(source, endpoint)
+		t.Run(fmt.Sprintf("%s+%s", c.first, c.second), func(t *testing.T) {
+			for _, secondComesFirst := range []bool{false, true} {
+				r := newRig(t, platform, eureka)
+				claim := func(source, endpoint string) {
+					if endpoint != "" {
+						r.changes(source, endpoint)
+					}
+				}
+				if secondComesFirst {
+					claim("eureka", c.second)
+					claim("platform", c.first)
+				} else {
+					claim("platform", c.first)
+					claim("eureka", c.second)
+				}
+				if got := r.state("c1"); got != c.want {
+					t.Errorf("first %q, second %q, second comes first %v: %s, want %s", c.first, c.second, secondComesFirst, got, c.want)
 				}
 			}
-			if secondComesFirst {
-				claim("eureka", c.second)
-				claim("platform", c.first)
-			} else {
-				claim("platform", c.first)
-				claim("eureka", c.second)
-			}
-			if got := r.state("c1"); got != c.want {
-				t.Errorf("first %q, second %q, second comes first %v: %s, want %s", c.first, c.second, secondComesFirst, got, c.want)
-			}
-		}
+		})
 	}
 }
 
@@ -205,11 +208,13 @@
 		"Gone is -1":        func(o *Options) { o.MaxRemoved = -1 },
 		"Damping.Reuse is ": func(o *Options) { o.Damping.Reuse = 0 },
 	} {
-		o := good()
-		spoil(&o)
-		if _, err := New(o); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("want an error that names %s, got %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			o := good()
+			spoil(&o)
+			if _, err := New(o); err == nil || !strings.Contains(err.Error(), name) {
+				t.Errorf("want an error that names %s, got %v", name, err)
+			}
+		})
 	}
 	if _, err := New(Options{Sources: []SourceOptions{platform}}); err != nil {
 		t.Errorf("a source without damping or confirmation needs no other options: %v", err)
--- a/internal/eureka/config_test.go
+++ b/internal/eureka/config_test.go
@@ -37,11 +37,13 @@
 		"register.enabled = true\nregister.ip = \"10.0.0.1\"":      `register.port: out of range (0, wanted 1 to 65535)`,
 		"register.enabled = true\nregister.ip = \"0.0.0.0\"\nregister.port = 1": `register.ip: not an IP address that clients can use ("0.0.0.0")`,
 	} {
-		_, err := load(text)
-		if err == nil || !strings.HasSuffix(err.Error(), want) || strings.Contains(err.Error(), "hush") ||
-			strings.Contains(err.Error(), "4711") {
-			t.Errorf("%s: %v, want %s", text, err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			_, err := load(text)
+			if err == nil || !strings.HasSuffix(err.Error(), want) || strings.Contains(err.Error(), "hush") ||
+				strings.Contains(err.Error(), "4711") {
+				t.Errorf("%s: %v, want %s", text, err, want)
+			}
+		})
 	}
 }
 
--- a/internal/eureka/parse_test.go
+++ b/internal/eureka/parse_test.go
@@ -158,10 +158,12 @@
 		{`"status":null`, "UNKNOWN"},
 		{`"x":1`, "UNKNOWN"},
 	} {
-		l, err := Parse([]byte(answerWith(`"instanceId":"a","ipAddr":"::1","port":1,`+c.fields)), defaultKeys)
-		if err != nil || l.Instances[0].EffectiveStatus != c.want {
-			t.Errorf("%s counts as %+v, %v; want %s", c.fields, l.Instances, err, c.want)
-		}
+		t.Run(c.fields, func(t *testing.T) {
+			l, err := Parse([]byte(answerWith(`"instanceId":"a","ipAddr":"::1","port":1,`+c.fields)), defaultKeys)
+			if err != nil || l.Instances[0].EffectiveStatus != c.want {
+				t.Errorf("%s counts as %+v, %v; want %s", c.fields, l.Instances, err, c.want)
+			}
+		})
 	}
 }
 
--- a/internal/eureka/registration_test.go
+++ b/internal/eureka/registration_test.go
@@ -165,24 +165,26 @@
 		"vanishes":    func(r *registry, _ *registrar) { r.host.Vanish() },
 		"refuses":     func(r *registry, _ *registrar) { r.host.RefuseAll(true); r.host.DropIdleConns(false) },
 	} {
-		f, b := newRig(t), &registrar{}
-		r := f.registry("r", "10.0.0.1", b.script)
-		reg := Register(f.client.Machine(), registration(r))
-		f.after(second)
-		breakRegistry(r, b)
-		reg.Drain()
-		f.after(minute)
-		at := f.Now()
-		ended := 0
-		reg.Cancel(func() { ended++ })
-		reg.Cancel(func() { ended += 10 })
-		f.wait(second+millisecond, "the end, where the registry "+what, func() bool { return ended == 11 })
-		if f.client.Pending() != 0 || f.client.Descriptors() != 0 || f.Now()-at > second {
-			t.Errorf("%s: after %d ms, %d timers and %d descriptors", what, (f.Now()-at)/1000, f.client.Pending(), f.client.Descriptors())
-		}
-		if len(r.calls) > 60 || len(f.log) == 0 || len(f.log) > 3 {
-			t.Errorf("%s: %d calls, log %q", what, len(r.calls), f.log)
-		}
+		t.Run(what, func(t *testing.T) {
+			f, b := newRig(t), &registrar{}
+			r := f.registry("r", "10.0.0.1", b.script)
+			reg := Register(f.client.Machine(), registration(r))
+			f.after(second)
+			breakRegistry(r, b)
+			reg.Drain()
+			f.after(minute)
+			at := f.Now()
+			ended := 0
+			reg.Cancel(func() { ended++ })
+			reg.Cancel(func() { ended += 10 })
+			f.wait(second+millisecond, "the end, where the registry "+what, func() bool { return ended == 11 })
+			if f.client.Pending() != 0 || f.client.Descriptors() != 0 || f.Now()-at > second {
+				t.Errorf("%s: after %d ms, %d timers and %d descriptors", what, (f.Now()-at)/1000, f.client.Pending(), f.client.Descriptors())
+			}
+			if len(r.calls) > 60 || len(f.log) == 0 || len(f.log) > 3 {
+				t.Errorf("%s: %d calls, log %q", what, len(r.calls), f.log)
+			}
+		})
 	}
 }
 
--- a/internal/eureka/server_test.go
+++ b/internal/eureka/server_test.go
@@ -230,32 +230,34 @@
 		"no such thing":    {status: 404},
 		"an error":         {status: 500, body: whole},
 	} {
-		f, fl := newRig(t), newScriptedFleet("a", "bb")
-		var now *response
-		r := f.registry("r", "10.0.0.1", func(a request) response {
-			if now != nil {
-				return *now
+		t.Run(what, func(t *testing.T) {
+			f, fl := newRig(t), newScriptedFleet("a", "bb")
+			var now *response
+			r := f.registry("r", "10.0.0.1", func(a request) response {
+				if now != nil {
+					return *now
+				}
+				return fl.script(a)
+			})
+			o := options(r)
+			o.Delta, o.MaxBodyBytes = DeltaNever, 64<<10
+			f.follow(o)
+			f.waitUpdate(second, "the list", isFull)
+			from := len(f.events)
+			now = &bad
+			f.wait(3*second, "the unavailability by "+what, func() bool { return f.unavailableEvents() == 1 })
+			f.after(5 * second)
+			for _, e := range f.events[from:] {
+				if h, ok := e.(*endpoints.SourceUpdate); ok && (h.Full || len(h.Claims) > 0) {
+					t.Errorf("%s: reported %+v", what, h)
+				}
 			}
-			return fl.script(a)
-		})
-		o := options(r)
-		o.Delta, o.MaxBodyBytes = DeltaNever, 64<<10
-		f.follow(o)
-		f.waitUpdate(second, "the list", isFull)
-		from := len(f.events)
-		now = &bad
-		f.wait(3*second, "the unavailability by "+what, func() bool { return f.unavailableEvents() == 1 })
-		f.after(5 * second)
-		for _, e := range f.events[from:] {
-			if h, ok := e.(*endpoints.SourceUpdate); ok && (h.Full || len(h.Claims) > 0) {
-				t.Errorf("%s: reported %+v", what, h)
+			if slices.ContainsFunc(r.paths(), func(p string) bool { return strings.Contains(p, "elsewhere") }) {
+				t.Errorf("%s: the redirect was followed", what)
 			}
-		}
-		if slices.ContainsFunc(r.paths(), func(p string) bool { return strings.Contains(p, "elsewhere") }) {
-			t.Errorf("%s: the redirect was followed", what)
-		}
-		now = nil
-		f.waitUpdate(6*second, "the list after "+what, isFull)
+			now = nil
+			f.waitUpdate(6*second, "the list after "+what, isFull)
+		})
 	}
 }
 
