--- a/internal/eureka/instance.go
+++ b/internal/eureka/instance.go
@@ -149,9 +149,9 @@
 		p.addFault("instance %d: instanceId: empty or too long (%.40q)", place, i.ID)
 		return i, false
 	}
-	report := func(field, problem string) { p.addFault("instance %d, %.80q: %s: %s", place, i.ID, field, problem) }
+	faults := instanceFaults{parser: p, place: place, id: i.ID}
 	if len(i.VIP) > maxMetadataSize {
-		report("vipAddress", "too long: taken for none")
+		faults.add("vipAddress", "too long: taken for none")
 		i.VIP = ""
 	}
 	if strings.EqualFold(in.ActionType.value, "DELETED") {
@@ -162,14 +162,14 @@
 	i.Address = address
 	if address == "" {
 		i.Unusable = true
-		report(field, problem)
+		faults.add(field, problem)
 	}
 	texts, problem := in.Metadata.decode()
 	if problem != "" {
 		i.Unusable = true
-		report("metadata", problem)
+		faults.add("metadata", problem)
 	}
-	description := descriptionReader{keys: p.keys, wire: in, texts: texts, report: report}
+	description := descriptionReader{keys: p.keys, wire: in, texts: texts, faults: faults}
 	i.Zone = description.zone()
 	i.Group = description.group()
 	i.Weight = description.weight()
@@ -177,13 +177,25 @@
 	return i, true
 }
 
+// instanceFaults notes the faults of one instance.
+type instanceFaults struct {
+	parser *parser
+	place  int // of the instance in the list
+	id     string
+}
+
+// add notes a fault of a field.
+func (f instanceFaults) add(field, problem string) {
+	f.parser.addFault("instance %d, %.80q: %s: %s", f.place, f.id, field, problem)
+}
+
 // descriptionReader reads what an instance's metadata says of it. A value that can't be read is reported, and its default is
 // used.
 type descriptionReader struct {
 	keys   MetadataKeys
 	wire   *instanceJSON
 	texts  map[string]lenientText // the metadata, by key
-	report func(field, problem string)
+	faults instanceFaults
 }
 
 // text is the value of a key; "" where there is none.
@@ -200,7 +212,7 @@
 		zone = r.wire.DataCenter.Metadata.Zone.value
 	}
 	if len(zone) > maxNameLength {
-		r.report("metadata."+r.keys.Zone, "too long: taken for none")
+		r.faults.add("metadata."+r.keys.Zone, "too long: taken for none")
 		return ""
 	}
 	return zone
@@ -213,7 +225,7 @@
 	}
 	group, err := strconv.ParseInt(text, 10, 32)
 	if err != nil {
-		r.report("metadata."+r.keys.Group, fmt.Sprintf("%.40q is no number of a group: taken for 0", text))
+		r.faults.add("metadata."+r.keys.Group, fmt.Sprintf("%.40q is no number of a group: taken for 0", text))
 		return 0
 	}
 	return int(group)
@@ -226,7 +238,7 @@
 	}
 	weight, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(weight >= 0) || math.IsInf(weight, 0) {
-		r.report("metadata."+r.keys.Weight, fmt.Sprintf("%.40q is no weight: taken for 1", text))
+		r.faults.add("metadata."+r.keys.Weight, fmt.Sprintf("%.40q is no weight: taken for 1", text))
 		return 1
 	}
 	return weight
@@ -242,7 +254,7 @@
 	}
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || milliseconds < 0 {
-		r.report("metadata."+r.keys.Start, fmt.Sprintf("%.40q is no time in ms: taken for long ago", text))
+		r.faults.add("metadata."+r.keys.Start, fmt.Sprintf("%.40q is no time in ms: taken for long ago", text))
 	}
 	start := lenientNumber{value: milliseconds} // of a number out of range, ParseInt returns the bound
 	return start.timestamp()
