--- a/decide/api.go
+++ b/decide/api.go
@@ -1,10 +1,13 @@
-// Package decide makes the decisions of one router in front of a fleet of
-// cache servers: which cache gets a request, when an attempt is given up or
-// repeated, and when a request is refused.
+// Package decide makes the decisions of one router in front of a fleet of cache
+// servers: which cache gets a request, when an attempt is given up or repeated, and
+// when a request is rejected.
 //
-// A Router is fed events and returns actions. It performs no I/O, reads no
-// clock and starts no goroutines: the time comes in with each event, and equal
-// events give equal actions.
+// A Router is fed events and returns actions. It performs no I/O, reads no clock and
+// starts no goroutines: the time comes in with each event, and equal events give equal
+// actions.
+//
+// Each rule has a file of its own with its constants, its state and its methods;
+// router.go composes them.
 package decide
 
 import (
@@ -18,64 +21,102 @@
 // Time is an instant or a span in microseconds. The zero of the clock is arbitrary.
 type Time = int64
 
-// MaxSchedulingDelay is for how long a router may stand still between a look at its clock and the write that follows it: the operators'
-// terms name the figure.
+// MaxSchedulingDelay is for how long a router may stand still between reading its clock
+// and the write that follows; µs.
 const MaxSchedulingDelay Time = 150_000
 
 // Semantics says what may happen when a request is carried out twice.
 type Semantics uint8
 
 const (
-	NonIdempotent   Semantics = iota // must never run twice; also any class not in the settings
-	Idempotent                       // may be repeated freely
-	IdempotentByKey                  // repeats are dropped inside Scope for IdempotencyWindow
+	// NonIdempotent requests must never run twice. Requests of a class that is not in the
+	// settings are taken for such.
+	NonIdempotent Semantics = iota
+	// Idempotent requests may be repeated freely.
+	Idempotent
+	// IdempotentByKey requests are dropped by the caches of the DeduplicationScope when
+	// they are repeated within the IdempotencyWindow.
+	IdempotentByKey
 )
 
-// DeduplicationScope names the caches that drop repeats of a keyed request.
+// DeduplicationScope names the caches that drop repeats of a request with an
+// idempotency key.
 type DeduplicationScope uint8
 
 const (
-	DeduplicatedInCell     DeduplicationScope = iota // those of the first cache's cell
-	DeduplicatedInZone                               // those of its zone
-	DeduplicatedEverywhere                           // every cache
+	// DeduplicatedInCell means the caches in the cell of the first attempt.
+	DeduplicatedInCell DeduplicationScope = iota
+	// DeduplicatedInZone means the caches in the zone of the first attempt.
+	DeduplicatedInZone
+	// DeduplicatedEverywhere means all caches.
+	DeduplicatedEverywhere
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name               string
-	Semantics          Semantics
-	DeduplicationScope DeduplicationScope // Keyed only
-	IdempotencyWindow  Time               // Keyed only, from the first send that may have run
-	LatencyObjective   Time               // full worth is earned up to here
-	ClientTimeout      Time               // the client's whole patience, over all its tries
-	PriorityWeight     float64            // of an answer within the aim
-	LateWeightFraction float64            // share of Worth earned after the aim
+	Name      string
+	Semantics Semantics
+	// DeduplicationScope is for IdempotentByKey only.
+	DeduplicationScope DeduplicationScope
+	// IdempotencyWindow is for IdempotentByKey only: for how long caches drop repeats, from
+	// the first attempt that may have run; µs.
+	IdempotencyWindow Time
+	// LatencyObjective is the latency up to which an answer earns the full weight; µs.
+	LatencyObjective Time
+	// ClientTimeout is how long the client waits, over all its tries; µs.
+	ClientTimeout Time
+	// PriorityWeight is what an answer within the latency objective earns; points.
+	PriorityWeight float64
+	// LateWeightFraction is the fraction of PriorityWeight that a later answer earns.
+	LateWeightFraction float64
 }
 
-// Settings is what a router is told once, at its start.
+// Settings are given to a router once, at its start.
 type Settings struct {
-	Routers           int    // how many routers share the load
-	Zone              string // where this one is; "" where that is not told
-	Classes           []Class
-	WatchRequired     bool // the list is told only to those that ask
-	WeightsFollowLoad bool // Entry.Size is lowered by the load of the moment
-
-	MaxAttempts          int
-	AllowHedging         bool    // two attempts of a request may be pending at once
-	AllowCancel          bool    // Cancel is allowed
-	AllowHealthChecks    bool    // Probe is allowed
-	MaxRetryAfter        Time    // longest stay-away a client honours; 0 where it is not passed on
-	DrainGrace           Time    // sends to a draining or gone cache must have ceased by then
-	SlowStartWindow      Time    // a started cache is warm no later than this
-	SlowStartMinCapacity float64 // a started cache can do this share of its work at least; sent a multiple ...
-	OverloadWindow       Time    // ... for this long falls over
-	PollInterval         Time    // without a watch for this long, the router is deemed told
-	HealthCheckCost      float64 // points lost at one probe a request
-	ConnectionCost       float64 // points lost at 100 open connections a cache
-	DialCost             float64 // points lost at one new connection a request
+	// Routers is the number of routers that share the load.
+	Routers int
+	// Zone is where this router is; "" if it is not known.
+	Zone string
+	// Classes are all kinds of requests; at least one.
+	Classes []Class
+	// WatchRequired is set if the endpoint list is sent only after a Watch.
+	WatchRequired bool
+	// WeightsFollowLoad is set if Endpoint.Weight falls with the load of the moment.
+	WeightsFollowLoad bool
+
+	// MaxAttempts is the number of attempts of a request, at least 1.
+	MaxAttempts int
+	// AllowHedging allows two attempts of a request to be out at once.
+	AllowHedging bool
+	// AllowCancel allows Cancel.
+	AllowCancel bool
+	// AllowHealthChecks allows HealthCheck.
+	AllowHealthChecks bool
+	// MaxRetryAfter is the longest Reject.RetryAfter that clients honour; µs, 0 if it does
+	// not reach them.
+	MaxRetryAfter Time
+	// DrainGrace is the time after which attempts to a draining or removed cache must have
+	// ceased; µs, 0 for a second.
+	DrainGrace Time
+	// SlowStartWindow is the time in which a started cache warms up; µs.
+	SlowStartWindow Time
+	// SlowStartMinCapacity is the fraction of its capacity that a cache starts with.
+	SlowStartMinCapacity float64
+	// OverloadWindow is the time after which a cache falls over that is sent a multiple of
+	// its capacity; µs.
+	OverloadWindow Time
+	// PollInterval is the time after which a router without a watch counts as notified of
+	// changes to the list; µs.
+	PollInterval Time
+	// HealthCheckCost is the cost of one health check a request; points.
+	HealthCheckCost float64
+	// ConnectionCost is the cost of 100 open connections a cache; points.
+	ConnectionCost float64
+	// DialCost is the cost of one new connection a request; points.
+	DialCost float64
 }
 
-// check names the first field that is out of range.
+// check returns an error that names the first field that is out of range.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
 		return errors.New("decide: Classes is empty")
@@ -108,38 +149,51 @@
 	return nil
 }
 
-// Status is what the list says of a cache.
+// Status is what the endpoint list says of a cache.
 type Status uint8
 
 const (
+	// Serving caches take requests.
 	Serving Status = iota
+	// Draining caches finish what they have and take nothing new.
 	Draining
+	// Removed caches are gone.
 	Removed
 )
 
-// Endpoint is one line of the list of caches.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	ID        string
-	Zone      string
-	Cell      int
+	ID   string // unique in the list
+	Zone string // data centre
+	Cell int    // caches of one cell drop repeats together
+	// Weight is the capacity relative to other caches; 0 or less counts as 1.
 	Weight    float64
-	StartedAt Time // last start; 0 is long ago
+	StartedAt Time // start of its process; 0 if that is long ago
 	Status    Status
 }
 
-// Result tells how an attempt or a probe ended.
+// Result is how an attempt or a health check ended.
 type Result uint8
 
 const (
-	Served         Result = iota
-	Errored               // may have run
-	Rejected              // proves it never ran
-	TimedOut              // may have run, or may still
-	ConnectFailed         // proves it never ran
-	ConnectionLost        // may have run
-	Cancelled             // may have run
-	NotSent               // proves it never ran
-	NotStored             // proves it never ran
+	// Served attempts were answered as requested.
+	Served Result = iota
+	// Errored attempts were answered with an error; they may have run.
+	Errored
+	// Rejected attempts were turned down by the cache; they have not run.
+	Rejected
+	// TimedOut attempts had no answer in time; they may have run, or may still run.
+	TimedOut
+	// ConnectFailed attempts found no connection; they have not run.
+	ConnectFailed
+	// ConnectionLost attempts lost their connection before the answer; they may have run.
+	ConnectionLost
+	// Cancelled attempts were ended by Cancel; they may have run.
+	Cancelled
+	// NotSent attempts were never written, for reasons of this machine; they have not run.
+	NotSent
+	// NotStored attempts were answered so by the cache; they have not run.
+	NotStored
 )
 
 // NeverRan reports whether the result proves that the request was not carried out.
@@ -147,90 +201,109 @@
 	return s == Rejected || s == ConnectFailed || s == NotSent || s == NotStored
 }
 
-// LoadReport is a cache's report on itself. Busy is below 0 where it was not reported.
-type LoadReport struct{ Utilization, ErrorRate float64 }
+// LoadReport is what a cache says of its own load.
+type LoadReport struct {
+	Utilization float64 // fraction of its capacity in use; below 0 if it was not reported
+	ErrorRate   float64 // fraction of errors among its answers
+}
 
-// Event is anything a Router is told: *List, *Request, *Started, *Outcome,
-// *Departed, *Timer, *Probed, *PeerMessage, *Fleet or *Pressure.
+// Event is what a Router is fed: *EndpointList, *Request, *ResponseStarted,
+// *AttemptResult, *ClientGone, *Timer, *HealthCheckResult, *PeerMessage, *RouterCount or
+// *RetryStorm.
 type Event interface{ event() }
 
-// UpdateKind says what a List holds.
+// UpdateKind says what an EndpointList holds.
 type UpdateKind uint8
 
 const (
-	DeltaUpdate  UpdateKind = iota // the changed entries only
-	FullUpdate                     // every cache there is
-	StaleUpdate                    // every cache, as last known; may be old
-	FailedUpdate                   // a call failed or the watch broke; no entries
+	// DeltaUpdate holds only the endpoints that changed.
+	DeltaUpdate UpdateKind = iota
+	// FullUpdate holds every endpoint there is.
+	FullUpdate
+	// StaleUpdate holds every endpoint as last known, which may be out of date.
+	StaleUpdate
+	// FailedUpdate holds no endpoints: a call for the list failed, or the watch broke.
+	FailedUpdate
 )
 
-// EndpointList tells of the caches.
+// EndpointList is an update of the list of caches.
 type EndpointList struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
 }
 
-// Request asks for one final answer before Deadline.
+// Request is a client's request. It gets one final answer (a result with Last set, Reject
+// or Fail) by its deadline.
 type Request struct {
-	ID                    int64
-	Class                 string
-	Tenant                string
-	Key                   uint64
-	HasKey                bool
-	Deadline              Time
-	FirstRequestedAt      Time // when its client first asked, where this is known to be a retry; 0 where it is not
-	Cost                  Time // expected work; 0 where unknown
-	Write                 bool // goes on to the origin
-	IdempotencyKeyMissing bool // of a keyed class, without a key: no cache drops a repeat
+	ID       int64  // unique among the requests of this router
+	Class    string // name of a Class
+	Tenant   string // for whom it is; no rule depends on it
+	Key      uint64 // hash of the key
+	HasKey   bool   // otherwise it may go to any cache
+	Deadline Time   // when it wants its final answer, at the latest
+	// FirstRequestedAt is when its client first made the request, if this is known to be a
+	// retry; 0 if it is not.
+	FirstRequestedAt Time
+	Cost             Time // expected work; µs, 0 if it is not known
+	Write            bool // it goes on to the origin
+	// IdempotencyKeyMissing is set for a request of an IdempotentByKey class without a key:
+	// no cache drops a repeat.
+	IdempotencyKeyMissing bool
 }
 
-// ResponseStarted says that a streamed answer has begun: it belongs to the client now.
+// ResponseStarted says that the answer has begun to reach the client. The request can't
+// be sent again or answered otherwise from then on.
 type ResponseStarted struct {
-	ID      int64
-	Attempt int
+	ID      int64 // of the request
+	Attempt int   // number of the attempt, from 0
 }
 
-// AttemptResult tells how an attempt ended. Last means nothing more is owed.
+// AttemptResult is the end of an attempt. Each Send gets one, cancelled ones too.
 type AttemptResult struct {
-	ID      int64
-	Attempt int
+	ID      int64 // of the request
+	Attempt int   // number of the attempt, from 0
 	Result  Result
-	Elapsed Time
-	Last    bool
-	Miss    bool // the cache had to fetch
+	Elapsed Time // since the attempt was sent; µs
+	Last    bool // the client has its final answer
+	Miss    bool // the cache had to fetch from the origin
 	Load    LoadReport
 }
 
-// ClientGone says that the client has gone: nothing is owed any more.
+// ClientGone says that the client of a request has gone: no answer is due any more.
 type ClientGone struct{ ID int64 }
 
-// Timer is the echo of a SetTimer.
+// Timer says that a timer has fired.
 type Timer struct{ Token int64 }
 
-// HealthCheckResult tells how a probe ended.
+// HealthCheckResult is the end of a health check.
 type HealthCheckResult struct {
-	Cache   string
+	Cache   string // id
 	Result  Result
-	Elapsed Time
+	Elapsed Time // since the health check was sent; µs
 	Load    LoadReport
 }
 
-// PeerMessage comes from another router. The policy shares nothing and ignores it.
+// PeerMessage comes from another router. It is ignored: the rules share nothing.
 type PeerMessage struct {
 	From int
 	Data string
 }
 
-// RouterCount says by how many routers what all of them may take together is divided from now on.
+// RouterCount changes Settings.Routers.
 type RouterCount struct{ Routers int }
 
-// RetryStorm says that clients retry more than they ask, and what that calls for, until the next one says otherwise.
-// Before the first one, and after one with On unset, decisions are as if there were none.
+// RetryStorm says whether the load is made of clients' retries, and bounds them while it
+// is. It holds until the next one. Before the first one, and after one that is not
+// Active, the rules for retry storms change nothing.
 type RetryStorm struct {
-	Active              bool
-	Outage              bool    // it comes of an outage: caches are away, or have just come back
-	RetryBudgetFraction float64 // of the budget of retries and of what it earns, the share that is left
-	RetryAfterJitter    Time    // refusals name times that differ by up to so much
+	Active bool
+	// Outage is set if the cause is an outage: caches are away, or have just come back.
+	Outage bool
+	// RetryBudgetFraction is the fraction of the retry budget, and of what it earns, that
+	// is left.
+	RetryBudgetFraction float64
+	// RetryAfterJitter is by how much Reject.RetryAfter differs between requests; µs.
+	RetryAfterJitter Time
 }
 
 func (*EndpointList) event()      {}
@@ -244,81 +317,105 @@
 func (*RouterCount) event()       {}
 func (*RetryStorm) event()        {}
 
-// Action is anything a Router asks for: Send, Cancel, Refuse, Fail, SetTimer, CancelTimer,
-// Probe, CloseIdle, Watch or Log. The caller carries them out in order.
+// Action is what a Router wants done: Send, Cancel, Reject, Fail, SetTimer, CancelTimer,
+// HealthCheck, CloseIdle, Watch or Log. The caller carries actions out in order.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request, given up at AttemptDeadline. Where WriteDeadline is not 0, the last byte
-// must be on its way before then: later the caches may not remember an attempt that may have run.
+// Send starts the next attempt of a request. Attempts are numbered from 0 in this order.
 type Send struct {
-	ID              int64
-	Cache           string
+	ID    int64  // of the request
+	Cache string // id
+	// AttemptDeadline is when the attempt is given up.
 	AttemptDeadline Time
-	WriteDeadline   Time
+	// WriteDeadline is when the last byte must have been written, 0 for no limit: later the
+	// caches may not remember an earlier attempt that may have run.
+	WriteDeadline Time
 }
 
-// Cancel ends the wait on an attempt.
+// Cancel ends the wait on an attempt. Its AttemptResult is still due.
 type Cancel struct {
-	ID      int64
-	Attempt int
+	ID      int64 // of the request
+	Attempt int   // number of the attempt, from 0
 }
 
-// Reason is what kept a request from being served, for whoever sums up losses. It changes nothing.
+// Reason is what kept a request from being served, for reports on lost requests.
 type Reason uint8
 
 const (
-	NoReason             Reason = iota
-	RetryTooLate                // a client's retry, in a storm, of what can't be served in time any more
-	Overloaded                  // caches do not serve in time what they are sent as it is
-	EndpointEjected             // its cache is left alone, and no more requests may move
-	NoCapacity                  // no cache that it may go to had room in time
-	OriginProtected             // a likely miss, and the store had no room for it in time
-	RetryBudgetExhausted        // its attempt failed, and the budget of retries is spent
-	NoEndpoint                  // there is no cache that it may go to
-	DeadlineExceeded            // its deadline came, with an attempt out or without
+	// NoReason is that of requests that nothing has kept from being served.
+	NoReason Reason = iota
+	// RetryTooLate is a client's retry, during a retry storm, that can't be served within
+	// its latency objective any more.
+	RetryTooLate
+	// Overloaded means that the caches don't serve in time what they are sent.
+	Overloaded
+	// EndpointEjected means that the cache of its key is ejected, and the failover budget
+	// is exhausted.
+	EndpointEjected
+	// NoCapacity means that no cache that it may be sent to had capacity in time.
+	NoCapacity
+	// OriginProtected means that it is a likely miss and the origin limit was reached.
+	OriginProtected
+	// RetryBudgetExhausted means that its attempt failed and there is no token for a retry.
+	RetryBudgetExhausted
+	// NoEndpoint means that there is no cache that it may be sent to.
+	NoEndpoint
+	// DeadlineExceeded means that its deadline has come.
+	DeadlineExceeded
 )
 
-var reasonTexts = [...]string{"", "retry past its use", "more than caches serve", "its cache is left alone", "no room at caches",
-	"spares the store", "no budget to try again", "no cache for it", "out of time"}
+var reasonTexts = [...]string{
+	NoReason:             "",
+	RetryTooLate:         "retry past its use",
+	Overloaded:           "more than caches serve",
+	EndpointEjected:      "its cache is left alone",
+	NoCapacity:           "no room at caches",
+	OriginProtected:      "spares the store",
+	RetryBudgetExhausted: "no budget to try again",
+	NoEndpoint:           "no cache for it",
+	DeadlineExceeded:     "out of time",
+}
 
+// String returns the text of the reason in the log.
 func (w Reason) String() string { return reasonTexts[w] }
 
-// Reject is a final answer: trying again is harmless.
+// Reject is a final answer which promises that another try does no harm.
 type Reject struct {
-	ID         int64
-	RetryAfter Time // advice to stay away; 0 for none
+	ID         int64 // of the request
+	RetryAfter Time  // how long the client is asked to stay away; µs, 0 for no advice
 	Reason     Reason
 }
 
 // Fail is a final answer that promises nothing.
 type Fail struct {
-	ID     int64
+	ID     int64 // of the request
 	Reason Reason
 }
 
-// SetTimer asks for a Timer event at or after At.
+// SetTimer wants a Timer event with the token at or after an instant.
 type SetTimer struct {
-	Token int64
+	Token int64 // used once
 	At    Time
 }
 
-// CancelTimer takes a SetTimer back: its Timer event is not to come any more. Where it comes all the same, it does nothing.
+// CancelTimer takes a SetTimer back. If its Timer event comes all the same, it is ignored.
 type CancelTimer struct{ Token int64 }
 
-// HealthCheck asks for a health probe of a cache.
+// HealthCheck wants a cache probed. Its HealthCheckResult is ignored after half of the
+// drain grace.
 type HealthCheck struct{ Cache string }
 
 // CloseIdle closes the router's idle connections to a cache.
 type CloseIdle struct{ Cache string }
 
-// Watch subscribes to changes of the list.
+// Watch subscribes to changes of the endpoint list.
 type Watch struct{}
 
-// Log adds a line to the log, for the engineer on call.
+// Log adds a line to the log.
 type Log struct {
 	Level   slog.Level
-	Message string
-	Attrs   []slog.Attr
+	Message string      // a constant text
+	Attrs   []slog.Attr // the values
 }
 
 // String returns the message, followed by the attributes as key=value.
