--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -155,7 +155,7 @@
 			}
 		}
 		played++
-		b.advance(b.r.probeTimeout() + ms)
+		b.advance(b.r.healthCheckTimeout() + ms)
 	}
 }
 
@@ -165,16 +165,16 @@
 	for _, res := range []*Result{nil, result(ConnectFailed), result(Errored), result(Rejected), result(TimedOut)} {
 		b := newBench(t, settings())
 		b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
-		b.rounds(threshold-1, "c01", res)
-		if !b.r.caches["c01"].healthy {
-			t.Fatalf("%v: marked after %d failures", res, threshold-1)
+		b.rounds(maxFailedHealthChecks-1, "c01", res)
+		if !b.r.caches["c01"].health.healthy {
+			t.Fatalf("%v: marked after %d failures", res, maxFailedHealthChecks-1)
 		}
 		b.rounds(1, "c01", res)
-		if b.r.caches["c01"].healthy {
-			t.Fatalf("%v: not marked after %d failures", res, threshold)
+		if b.r.caches["c01"].health.healthy {
+			t.Fatalf("%v: not marked after %d failures", res, maxFailedHealthChecks)
 		}
 		b.rounds(1, "", nil)
-		if c := b.r.caches["c01"]; !c.healthy || c.fails != 0 {
+		if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
 			t.Fatalf("%v: not healthy after a success", res)
 		}
 	}
@@ -184,25 +184,25 @@
 func TestProbeThatWasNotSentIsNoFailure(t *testing.T) {
 	b := newBench(t, settings())
 	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
-	b.rounds(threshold+1, "c01", result(NotSent))
-	if c := b.r.caches["c01"]; !c.healthy || c.fails != 0 {
-		t.Errorf("healthy %v after %d failures", c.healthy, c.fails)
+	b.rounds(maxFailedHealthChecks+1, "c01", result(NotSent))
+	if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
+		t.Errorf("healthy %v after %d failures", c.health.healthy, c.health.failures)
 	}
 }
 
-// A count that reaches the threshold within a round is judged when it completes.
+// A count that reaches the maxFailedHealthChecks within a round is judged when it completes.
 func TestJudgedWhenRoundCompletes(t *testing.T) {
 	b := newBench(t, settings())
 	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(3)})
-	b.rounds(threshold-1, "c01", result(Errored))
+	b.rounds(maxFailedHealthChecks-1, "c01", result(Errored))
 	for len(probes(b.advance(1*ms))) == 0 {
 	}
 	b.feed(&HealthCheckResult{Cache: "c01", Result: Errored})
-	if !b.r.caches["c01"].healthy {
+	if !b.r.caches["c01"].health.healthy {
 		t.Fatal("marked before the round completed")
 	}
-	b.advance(b.r.probeTimeout() + ms)
-	if b.r.caches["c01"].healthy {
+	b.advance(b.r.healthCheckTimeout() + ms)
+	if b.r.caches["c01"].health.healthy {
 		t.Fatal("not marked when the round completed")
 	}
 }
@@ -215,7 +215,7 @@
 		for id := range int64(requests) {
 			b.ask(id+1, "read", uint64(id))
 			b.settle(id+1, 0)
-			rounds += float64(len(probes(b.advance(128*b.r.set.DrainGrace/Time(requests))))) / float64(caches)
+			rounds += float64(len(probes(b.advance(128*b.r.settings.DrainGrace/Time(requests))))) / float64(caches)
 		}
 		return rounds
 	}
@@ -227,7 +227,7 @@
 		t.Errorf("%v rounds of 50 probes with 1280 requests, want about one for 50 requests", thin)
 	}
 	if idle < 1 || idle > 3 {
-		t.Errorf("%v rounds of an idle router, want one in %d graces", idle, longestInterval)
+		t.Errorf("%v rounds of an idle router, want one in %d graces", idle, maxGracesBetweenRounds)
 	}
 }
 
@@ -253,16 +253,16 @@
 func TestUnhealthySkippedThenUsedAnyway(t *testing.T) {
 	b := newBench(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(6)})
-	b.r.asked[1] = 1000 // so that the key is not a hot one
+	b.r.hotKeys.total[1] = 1000 // so that the key is not a hot one
 	home := b.ask(1, "read", 42).Cache
 	b.settle(1, 0)
-	b.r.caches[home].healthy = false
+	b.r.caches[home].health.healthy = false
 	if s := b.ask(2, "read", 42); s == nil || s.Cache == home {
 		t.Fatalf("unhealthy cache not skipped: %v", s)
 	}
 	b.settle(2, 0)
 	for _, c := range b.r.caches {
-		c.healthy = false
+		c.health.healthy = false
 	}
 	if s := b.ask(3, "read", 42); s == nil || s.Cache != home {
 		t.Fatalf("with all unhealthy the first pick is used anyway: %v", s)
@@ -276,13 +276,13 @@
 			b := newBench(t, settings())
 			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
 			first := b.ask(1, class, 5)
-			q := b.r.reqs[1]
+			q := b.r.requests[1]
 			if first == nil {
 				t.Fatal("not sent")
 			}
-			q.attempts[0].pending, q.attempts[0].neverRan = false, res.NeverRan()
+			q.attempts[0].end(res)
 			from := b.r.caches[first.Cache]
-			for _, c := range b.r.ready {
+			for _, c := range b.r.serving {
 				var want bool
 				switch {
 				case res.NeverRan() || class == "read" || class == "all":
@@ -297,7 +297,7 @@
 				}
 			}
 			wantRefuse := res.NeverRan() || class == "read" || class == "all"
-			if got := b.r.mayRefuse(q); got != wantRefuse {
+			if got := b.r.mayReject(q); got != wantRefuse {
 				t.Errorf("%s after %d: mayRefuse = %v, want %v", class, res, got, wantRefuse)
 			}
 			b.now += 501 * ms
@@ -496,7 +496,7 @@
 	for id := range int64(8) {
 		b.settle(id+1, 0)
 	}
-	if got := len(b.timers); got != before || len(b.r.timers) != before {
-		t.Errorf("%d timers are set (%d in the module), %d before", got, len(b.r.timers), before)
+	if got := len(b.timers); got != before || len(b.r.timers.pending) != before {
+		t.Errorf("%d timers are set (%d in the module), %d before", got, len(b.r.timers.pending), before)
 	}
 }
--- a/decide/heldup_test.go
+++ b/decide/heldup_test.go
@@ -8,7 +8,7 @@
 	for _, window := range []Time{100 * ms, 500 * ms, 1200 * ms, 4000 * ms} {
 		c := Class{Semantics: IdempotentByKey, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: window}
 		const sent = 7000 * ms
-		latest := c.remembers(sent) // nothing is written from then on
+		latest := c.repeatDeadline(sent) // nothing is written from then on
 		if written := latest + MaxSchedulingDelay; latest > sent && written > sent+window {
 			t.Errorf("window of %d ms: a repeat may be written %d ms too late", window/ms, (written-sent-window)/ms)
 		}
--- a/decide/learned_test.go
+++ b/decide/learned_test.go
@@ -13,12 +13,12 @@
 	b := newBench(t, s)
 	es := fleet(3)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-	b.r.fetches, b.r.missing, b.r.budget, b.r.erring, b.r.lost = 7, .25, 3, .125, .0625
+	b.r.origin.limit.value, b.r.origin.missRatio.value, b.r.retryBudget.tokens, b.r.errorRatio.value, b.r.lossRatio.value = 7, .25, 3, .125, .0625
 	c := b.r.caches["c01"]
-	c.limit, c.late, c.healthy, c.fails, c.prompt = .5, .75, false, 2, false
-	c.erring, c.erredAt = .5, b.now
-	c.keeps[0][9], c.keeps[1][5] = true, true
-	b.r.zones["b"].fails = zoneThreshold
+	c.limit.value, c.lateRatio.value, c.health.healthy, c.health.failures, c.responsive = .5, .75, false, 2, false
+	c.errors.ratio, c.errors.updatedAt = .5, b.now
+	c.cachedKeys[0][9], c.cachedKeys[1][5] = true, true
+	b.r.zones["b"].failedConnections = maxFailedConnections
 	return b, es
 }
 
@@ -26,13 +26,13 @@
 func TestWhatWasLearnedIsTakenOver(t *testing.T) {
 	old, es := taught(t)
 	l := old.r.Snapshot(100)
-	b := newBench(t, old.r.set)
+	b := newBench(t, old.r.settings)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	b.r.Restore(l)
 	if got := b.r.Snapshot(100); !reflect.DeepEqual(got, l) {
 		t.Errorf("got  %+v\nwant %+v", got, l)
 	}
-	if !b.r.caches["c01"].knows(5) || !b.r.caches["c01"].knows(9) {
+	if !b.r.caches["c01"].cachedKeys.likelyCached(5) || !b.r.caches["c01"].cachedKeys.likelyCached(9) {
 		t.Error("the keys that it keeps are not known")
 	}
 	if n := len(old.r.Snapshot(1).Caches[1].CachedKeys); n != 1 {
@@ -43,7 +43,7 @@
 // TestNothingOfAnOldProcessIsTakenOver: its id is the same, its start is another.
 func TestNothingOfAnOldProcessIsTakenOver(t *testing.T) {
 	old, es := taught(t)
-	b := newBench(t, old.r.set)
+	b := newBench(t, old.r.settings)
 	es[1].StartedAt = b.now - 1000
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es[:2]})
 	fresh := b.r.Snapshot(100).Caches
@@ -52,7 +52,7 @@
 	if !reflect.DeepEqual(got[1], fresh[1]) || len(got) != 2 {
 		t.Errorf("got %+v", got)
 	}
-	if b.r.caches["c01"].knows(5) {
+	if b.r.caches["c01"].cachedKeys.likelyCached(5) {
 		t.Error("a new process is taken to keep what the old one kept")
 	}
 }
@@ -98,7 +98,7 @@
 	old, _ := taught(t)
 	c := old.r.caches["c01"]
 	for i := range uint64(3000) {
-		c.keeps[i%2][mix(i+1)] = true
+		c.cachedKeys[i%2][mix(i+1)] = true
 	}
 	first := SortKeys(old.r.AppendCachedKeys(nil, "c01", 50), 50)
 	if len(first) != 50 || !slices.IsSorted(first) {
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -37,14 +37,14 @@
 // The danger: a crowded cache serves everything late.
 func TestLimitHoldsThenSheds(t *testing.T) {
 	b := quietBench(t, 1, nil)
-	b.r.caches["c00"].keeps[0][7] = true // hits: the origin has no part in it
+	b.r.caches["c00"].cachedKeys[0][7] = true // hits: the origin has no part in it
 	sent := 0
 	for id := range int64(40) {
 		if b.ask(id+1, "read", 7) != nil {
 			sent++
 		}
 	}
-	limit := b.r.caches["c00"].limit
+	limit := b.r.caches["c00"].limit.value
 	if sent == 0 || float64(sent) > limit+1 {
 		t.Fatalf("%d sent under a limit of %v", sent, limit)
 	}
@@ -53,7 +53,7 @@
 		t.Fatalf("%d of %d held requests shed within the hold", got, 40-sent)
 	}
 	b.advance(20 * ms)
-	if got := b.r.caches["c00"].limit; got >= limit {
+	if got := b.r.caches["c00"].limit.value; got >= limit {
 		t.Fatalf("overdue attempts left the limit at %v", got)
 	}
 }
@@ -75,17 +75,17 @@
 func TestLimitUnderOneLeavesGaps(t *testing.T) {
 	b := quietBench(t, 1, nil)
 	c := b.r.caches["c00"]
-	c.limit = 0.2
-	c.keeps[0][7] = true
+	c.limit.value = 0.2
+	c.cachedKeys[0][7] = true
 	if b.ask(1, "read", 7) == nil {
 		t.Fatal("an idle cache gets nothing")
 	}
 	b.answer(1, 0, Served, true)
-	c.limit = 0.2
+	c.limit.value = 0.2
 	if b.ask(2, "read", 7) != nil {
 		t.Fatal("no gap after an attempt")
 	}
-	b.advance(5 * b.r.patience)
+	b.advance(5 * b.r.shortestTimeout)
 	if b.ask(3, "read", 7) == nil {
 		t.Fatal("nothing sent after the gap")
 	}
@@ -95,14 +95,14 @@
 func TestAloneAnAttemptMayTakeItsAim(t *testing.T) {
 	b := quietBench(t, 1, nil)
 	c := b.r.caches["c00"]
-	c.limit, c.prompt = b.r.alone(), false
+	c.limit.value, c.responsive = b.r.soleAttemptLimit(), false
 	b.ask(1, "read", 7)
 	b.advance(150 * ms)
-	if c.limit != b.r.alone() {
-		t.Fatalf("limit cut to %v within the aim", c.limit)
+	if c.limit.value != b.r.soleAttemptLimit() {
+		t.Fatalf("limit cut to %v within the aim", c.limit.value)
 	}
 	b.advance(60 * ms)
-	if c.limit >= b.r.alone() {
+	if c.limit.value >= b.r.soleAttemptLimit() {
 		t.Fatal("limit not cut after the aim")
 	}
 }
@@ -124,8 +124,8 @@
 	if len(used) < 4 {
 		t.Fatalf("a third of the traffic went to %v", used)
 	}
-	b.advance(5 * b.r.window())
-	if n := b.r.spread(5); n != 1 {
+	b.advance(5 * b.r.keyWindow())
+	if n := b.r.replicaCount(5); n != 1 {
 		t.Fatalf("still spread over %d when no longer hot", n)
 	}
 }
@@ -141,7 +141,7 @@
 			}
 		}
 	}
-	if n < retryBurst || n > retryBurst+200*retryShare {
+	if n < maxRetryTokens || n > maxRetryTokens+200*retryTokensPerRequest {
 		t.Fatalf("%d retries of 200 failures", n)
 	}
 }
@@ -151,20 +151,20 @@
 	b := quietBench(t, 4, nil)
 	home := b.ask(1, "read", 42).Cache
 	b.settle(1, 0)
-	b.r.caches[home].limit = 0.2
-	b.r.budget = 5
+	b.r.caches[home].limit.value = 0.2
+	b.r.retryBudget.tokens = 5
 	if s := b.ask(2, "read", 42); s == nil || s.Cache == home {
 		t.Fatalf("no overflow with budget: %v", s)
 	}
-	b.r.budget = 0
+	b.r.retryBudget.tokens = 0
 	for _, c := range b.r.caches {
-		c.keeps = [2]map[uint64]bool{{}, {}}
+		c.cachedKeys = [2]map[uint64]bool{{}, {}}
 	}
-	b.r.fetches, b.r.fetching = 9, 5 // over half used: the origin has none to spare
+	b.r.origin.limit.value, b.r.origin.inFlight = 9, 5 // over half used: the origin has none to spare
 	if s := b.ask(3, "read", 42); s != nil {
 		t.Fatalf("overflow without budget: %v", s)
 	}
-	b.r.fetching = 0
+	b.r.origin.inFlight = 0
 	if s := b.ask(4, "read", 42); s == nil {
 		t.Fatal("no overflow though the origin idles")
 	}
@@ -178,15 +178,15 @@
 			b.answer(id+1, 0, Errored, true)
 		}
 	}
-	if b.r.fetches != 1 {
-		t.Fatalf("errors left the limit on misses at %v", b.r.fetches)
+	if b.r.origin.limit.value != 1 {
+		t.Fatalf("errors left the limit on misses at %v", b.r.origin.limit.value)
 	}
 	b.ask(100, "read", 1000)
 	if s := b.ask(101, "read", 1001); s != nil {
 		t.Fatal("a second likely miss went out")
 	}
 	for _, c := range b.r.caches {
-		c.keeps[0][7] = true
+		c.cachedKeys[0][7] = true
 	}
 	if s := b.ask(102, "read", 7); s == nil {
 		t.Fatal("a likely hit was held for the origin's sake")
@@ -202,12 +202,12 @@
 	for _, prompt := range []bool{true, false} {
 		b := quietBench(t, 1, nil)
 		c := b.r.caches["c00"]
-		c.prompt = prompt
-		limit, fetches := c.limit, b.r.fetches
+		c.responsive = prompt
+		limit, fetches := c.limit.value, b.r.origin.limit.value
 		b.ask(1, "read", 7)
 		b.advance(190 * ms)
-		if (c.limit < limit) == prompt || (b.r.fetches < fetches) != prompt {
-			t.Errorf("prompt %v: limits %v to %v, %v to %v", prompt, limit, c.limit, fetches, b.r.fetches)
+		if (c.limit.value < limit) == prompt || (b.r.origin.limit.value < fetches) != prompt {
+			t.Errorf("prompt %v: limits %v to %v, %v to %v", prompt, limit, c.limit.value, fetches, b.r.origin.limit.value)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 	n, key := 0, uint64(0)
 	for id := range int64(600) {
 		// Every third request is for a key that the second hash admits to the cold cache.
-		for key++; id%3 == 0 && (b.r.home(key) != "c03" || unit(mix(mix(key)+1)) >= b.r.set.SlowStartMinCapacity); key++ {
+		for key++; id%3 == 0 && (b.r.home(key) != "c03" || unitInterval(mix(mix(key)+1)) >= b.r.settings.SlowStartMinCapacity); key++ {
 		}
 		if s := b.ask(id+1, "read", key); s != nil && s.Cache == "c03" {
 			n++
@@ -241,20 +241,20 @@
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	c := b.r.caches["c03"]
 	key := uint64(1)
-	for unit(mix(mix(key)+1)) >= b.r.set.SlowStartMinCapacity {
+	for unitInterval(mix(mix(key)+1)) >= b.r.settings.SlowStartMinCapacity {
 		key++
 	}
 	q := &request{Request: &Request{Key: key, Deadline: b.now + 1e6}, class: &Class{}}
-	if !b.r.warmEnough(q, c) {
+	if !b.r.admitsDuringSlowStart(q, c) {
 		t.Fatal("a first attempt is kept off")
 	}
-	q.attempts = []attempt{{to: b.r.caches["c01"], neverRan: true}}
-	if b.r.warmEnough(q, c) {
+	q.attempts = []attempt{{cache: b.r.caches["c01"], state: attemptNotRun}}
+	if b.r.admitsDuringSlowStart(q, c) {
 		t.Error("a retry is let in")
 	}
 	q.attempts = nil
-	b.r.keys[0][key], b.r.asked[0] = 30, 100
-	if b.r.warmEnough(q, c) {
+	b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 30, 100
+	if b.r.admitsDuringSlowStart(q, c) {
 		t.Error("a hot key is let in")
 	}
 }
@@ -266,7 +266,7 @@
 		b.ask(id+1, "read", 7)
 		all += logs(b.advance(10*ms)) + "\n"
 	}
-	if n := strings.Count(all, "load shedding true"); n != 1 {
+	if n := strings.Count(all, "load shedding active=true"); n != 1 {
 		t.Fatalf("logged %d times: %s", n, fmt.Sprint(all))
 	}
 }
@@ -275,11 +275,11 @@
 func TestMaySendGate(t *testing.T) {
 	b := quietBench(t, 3, func(s *Settings) { s.AllowHedging = false })
 	b.ask(1, "read", 9)
-	q, c := b.r.reqs[1], b.r.ready[0]
+	q, c := b.r.requests[1], b.r.serving[0]
 	if b.r.maySend(q, c) {
 		t.Error("a second copy where copies are banned")
 	}
-	q.attempts[0].pending = false
+	q.attempts[0].state = attemptMayHaveRun
 	if !b.r.maySend(q, c) {
 		t.Error("a retry is not allowed")
 	}
@@ -289,14 +289,14 @@
 		}
 	}
 	c.Status = Serving
-	q.streams = true
+	q.streaming = true
 	if b.r.maySend(q, c) {
 		t.Error("sent though the answer streams")
 	}
 	// An unsafe class keeps off even where its settings speak of keys.
 	q = &request{Request: &Request{Deadline: b.now + 1e6}, class: &Class{Semantics: NonIdempotent, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: 1e9},
-		attempts: []attempt{{to: c, sent: b.now}}}
-	if b.r.maySend(q, c) || b.r.mayRefuse(q) {
+		attempts: []attempt{{cache: c, sentAt: b.now, state: attemptMayHaveRun}}}
+	if b.r.maySend(q, c) || b.r.mayReject(q) {
 		t.Error("an unsafe request that may have run was sent again or refused")
 	}
 }
@@ -308,7 +308,7 @@
 		s := b.ask(1, "read", 9)
 		b.advance(10 * ms)
 		if !silent {
-			b.r.caches[s.Cache].answered = b.r.now
+			b.r.caches[s.Cache].lastAnswerAt = b.r.now
 		}
 		got := sends(b.advance(100 * ms))
 		if silent != (len(got) == 1) {
@@ -335,8 +335,8 @@
 	home := b.ask(1, "read", 42).Cache
 	b.settle(1, 0)
 	c := b.r.caches[home]
-	c.healthy, c.limit, c.lastSend = false, leastLimit, b.now
-	b.r.budget, b.r.fetches, b.r.fetching = 0, 9, 5
+	c.health.healthy, c.limit.value, c.sent.updatedAt = false, minConcurrency, b.now
+	b.r.retryBudget.tokens, b.r.origin.limit.value, b.r.origin.inFlight = 0, 9, 5
 	if s := b.ask(2, "read", 42); s == nil || s.Cache == home {
 		t.Fatalf("got %v, want another cache", s)
 	}
@@ -349,13 +349,13 @@
 		b.ask(id+1, "read", uint64(id))
 	}
 	for _, c := range b.r.caches {
-		c.limit = leastLimit // no room anywhere
+		c.limit.value = minConcurrency // no room anywhere
 	}
-	if len(b.r.waiting) < 1000 {
-		t.Fatalf("only %d held", len(b.r.waiting))
+	if len(b.r.queue.waiting) < 1000 {
+		t.Fatalf("only %d held", len(b.r.queue.waiting))
 	}
-	allocs := testing.AllocsPerRun(5, b.r.admit)
-	if allocs > 8*admitTries {
+	allocs := testing.AllocsPerRun(5, b.r.dispatchQueued)
+	if allocs > 8*maxDispatchFailures {
 		t.Fatalf("one answer looks at too many: %v allocations", allocs)
 	}
 }
@@ -364,32 +364,32 @@
 func TestBlameOfColdAndLateCaches(t *testing.T) {
 	b := quietBench(t, 1, nil)
 	c := b.r.caches["c00"]
-	c.coldFrom, c.warmAt, c.lastSend = b.now-9000*ms, b.now+1000*ms, b.now
+	c.slowStart.from, c.slowStart.until, c.sent.updatedAt = b.now-9000*ms, b.now+1000*ms, b.now
 	key := uint64(1)
-	for !b.r.warmEnough(&request{Request: &Request{Key: key}}, c) {
+	for !b.r.admitsDuringSlowStart(&request{Request: &Request{Key: key}}, c) {
 		key++
 	}
-	fetches := b.r.fetches
+	fetches := b.r.origin.limit.value
 	if b.ask(1, "read", key) == nil {
 		t.Fatal("not sent")
 	}
 	b.advance(190 * ms)
-	if b.r.fetches < fetches {
+	if b.r.origin.limit.value < fetches {
 		t.Error("the origin is blamed for a cold cache")
 	}
 
 	b = quietBench(t, 1, nil)
 	c = b.r.caches["c00"]
-	c.keeps[0][7] = true
+	c.cachedKeys[0][7] = true
 	b.ask(1, "read", 7)
 	b.advance(150 * ms)
-	if c.prompt {
+	if c.responsive {
 		t.Error("a cache late with a likely hit still counts as prompt")
 	}
 	b.settle(1, 0)
 	b.ask(2, "read", 7)
 	b.settle(2, 0)
-	if !c.prompt {
+	if !c.responsive {
 		t.Error("a hit in time does not make it prompt again")
 	}
 }
@@ -397,7 +397,7 @@
 // The danger: a router of a large fleet learns of a surge from each cache apart.
 func TestVerdictsCountInPartForAll(t *testing.T) {
 	b := quietBench(t, 12, nil)
-	before := b.r.caches["c00"].limit
+	before := b.r.caches["c00"].limit.value
 	var to string
 	var last int64
 	for key := uint64(1); to == "" || to == "c00"; key++ {
@@ -406,16 +406,16 @@
 		}
 		last = int64(key)
 	}
-	b.r.caches[to].prompt = false // so that the origin is not blamed
-	b.r.overdue(b.r.reqs[last], 0)
-	other, own := b.r.caches["c00"].limit, b.r.caches[to].limit
+	b.r.caches[to].responsive = false // so that the origin is not blamed
+	b.r.blameOverdue(b.r.requests[last], 0)
+	other, own := b.r.caches["c00"].limit.value, b.r.caches[to].limit.value
 	if before-other <= 0 || other <= own {
 		t.Errorf("an overdue write lowers the limit of its cache from %v to %v, of another to %v", before, own, other)
 	}
 	for range 100 {
-		b.r.pool(false)
+		b.r.spreadResult(false)
 	}
-	if got := b.r.caches["c00"].limit; got < b.r.alone() {
+	if got := b.r.caches["c00"].limit.value; got < b.r.soleAttemptLimit() {
 		t.Errorf("the others' verdicts lower a limit to %v, under one attempt of all routers", got)
 	}
 }
@@ -429,7 +429,7 @@
 				b.feed(&AttemptResult{ID: id + 1, Result: Served, Last: true, Miss: miss, Load: LoadReport{Utilization: -1}})
 			}
 		}
-		b.r.fetches = 2
+		b.r.origin.limit.value = 2
 		for id := range int64(20) {
 			if b.ask(id+1000, "read", uint64(id+1000)) != nil {
 				n++
@@ -444,12 +444,12 @@
 
 // The danger: caches that choke do so while a quarter of their attempts is overdue.
 func TestLimitFallsWhereAQuarterIsOverdue(t *testing.T) {
-	limit := 8.0
+	limit := concurrencyLimit{8}
 	for i := range 40 {
-		adjust(&limit, i%4 != 0, tolerated)
+		limit.adjust(i%4 != 0, toleratedLateRatio)
 	}
-	if limit >= 8 {
-		t.Errorf("with a quarter overdue a limit of 8 went to %v", limit)
+	if limit.value >= 8 {
+		t.Errorf("with a quarter overdue a limit of 8 went to %v", limit.value)
 	}
 }
 
@@ -508,9 +508,9 @@
 // The danger: a router learns from each cache apart that the links to their zone are cut.
 func TestZoneOutOfReach(t *testing.T) {
 	b := quietBench(t, 12, func(s *Settings) { s.MaxAttempts = 6 })
-	b.r.budget = 0 // an attempt that met no cache costs none of it
+	b.r.retryBudget.tokens = 0 // an attempt that met no cache costs none of it
 	tries, key := 0, uint64(0)
-	for tries < zoneThreshold { // caches of zone a can't be reached
+	for tries < maxFailedConnections { // caches of zone a can't be reached
 		key++
 		s := b.ask(int64(key), "read", key)
 		for n := 0; s != nil && b.r.caches[s.Cache].Zone == "a"; n++ {
@@ -521,10 +521,10 @@
 				s = &got[0]
 			}
 		}
-		if tries < zoneThreshold {
-			b.r.zones["a"].fails = tries // hits in zone b do not speak for zone a
+		if tries < maxFailedConnections {
+			b.r.zones["a"].failedConnections = tries // hits in zone b do not speak for zone a
 		}
-		b.settle(int64(key), len(b.r.reqs[int64(key)].attempts)-1)
+		b.settle(int64(key), len(b.r.requests[int64(key)].attempts)-1)
 	}
 	sentTo := func() (n int) {
 		for range 40 {
@@ -539,16 +539,16 @@
 		t.Errorf("%d of 40 sent to the lost zone", n)
 	}
 	for _, c := range b.r.caches {
-		c.limit = 100
+		c.limit.value = 100
 	}
-	b.r.fetches = 1e6
-	b.advance(b.r.set.SlowStartWindow/4 + ms)
+	b.r.origin.limit.value = 1e6
+	b.advance(b.r.settings.SlowStartWindow/4 + ms)
 	if n := sentTo(); n != 1 {
 		t.Errorf("%d trials, want one", n)
 	}
-	for id, q := range b.r.reqs {
+	for id, q := range b.r.requests {
 		for i, a := range q.attempts {
-			if a.pending && a.to.Zone == "a" {
+			if a.isOut() && a.cache.Zone == "a" {
 				b.settle(id, i)
 			}
 		}
@@ -586,8 +586,8 @@
 
 // home is the id of a key's first rank.
 func (r *Router) home(key uint64) string {
-	r.rank(key)
-	return r.nth(0).ID
+	r.rankCaches(key)
+	return r.placement.ranked(0).ID
 }
 
 // The danger: caches lose a share of what they are sent and serve the rest as quickly as ever. Held for
@@ -596,10 +596,10 @@
 	b := quietBench(t, 4, nil)
 	for _, c := range b.r.caches {
 		for key := range uint64(16) {
-			c.keeps[0][key], c.keeps[1][key] = true, true
+			c.cachedKeys[0][key], c.cachedKeys[1][key] = true, true
 		}
 	}
-	before := b.r.ready[0].limit
+	before := b.r.serving[0].limit.value
 	lost, again, refused := 0, 0, 0
 	var after func(acts []Action)
 	after = func(acts []Action) {
@@ -610,7 +610,7 @@
 				if a.ID > 200 {
 					again++
 				}
-				after(b.answer(a.ID, len(b.r.reqs[a.ID].attempts)-1, Served, true))
+				after(b.answer(a.ID, len(b.r.requests[a.ID].attempts)-1, Served, true))
 			case Cancel:
 				after(b.answer(a.ID, a.Attempt, Cancelled, true))
 			}
@@ -637,9 +637,9 @@
 	if again < lost*9/10 || refused > lost/10 {
 		t.Errorf("of %d lost attempts %d were sent again; %d refused", lost, again, refused)
 	}
-	for _, c := range b.r.ready {
-		if c.limit < before || c.pending > 1 || c.hung != 0 { // the last one may still be out
-			t.Errorf("%s: limit %v -> %v, %d hung of %d out", c.ID, before, c.limit, c.hung, c.pending)
+	for _, c := range b.r.serving {
+		if c.limit.value < before || c.inFlight > 1 || c.overtaken != 0 { // the last one may still be out
+			t.Errorf("%s: limit %v -> %v, %d overtaken of %d out", c.ID, before, c.limit.value, c.overtaken, c.inFlight)
 		}
 	}
 }
@@ -658,8 +658,8 @@
 	}
 	b.feed(&HealthCheckResult{Cache: s.Cache, Result: Served})
 	b.answer(1, 0, Served, true)
-	if len(b.r.reqs) != 0 {
-		t.Errorf("%d requests are kept", len(b.r.reqs))
+	if len(b.r.requests) != 0 {
+		t.Errorf("%d requests are kept", len(b.r.requests))
 	}
 }
 
@@ -668,7 +668,7 @@
 func TestCacheThatAnswersErrorsIsPassedOver(t *testing.T) {
 	b := quietBench(t, 4, nil)
 	bad := b.r.home(9)
-	fetches := b.r.fetches
+	fetches := b.r.origin.limit.value
 	for id := range int64(200) {
 		id++
 		s := b.ask(id, "read", uint64(id))
@@ -682,18 +682,18 @@
 			t.Fatalf("request %d was given up", id)
 		}
 		if s != nil {
-			b.answer(id, len(b.r.reqs[id].attempts)-1, Served, true)
+			b.answer(id, len(b.r.requests[id].attempts)-1, Served, true)
 		}
 		b.advance(5 * ms)
 	}
-	if got := b.r.caches[bad].uses; got > 60 {
+	if got := b.r.caches[bad].attemptsSent; got > 60 {
 		t.Errorf("%d of 200 requests went to the failing cache", got)
 	}
-	if b.r.fetches < fetches/2 {
-		t.Errorf("the origin was blamed: %v -> %v", fetches, b.r.fetches)
+	if b.r.origin.limit.value < fetches/2 {
+		t.Errorf("the origin was blamed: %v -> %v", fetches, b.r.origin.limit.value)
 	}
-	b.advance(10 * b.r.set.DrainGrace)
-	if b.r.fails(b.r.caches[bad]) {
+	b.advance(10 * b.r.settings.DrainGrace)
+	if b.r.answersErrors(b.r.caches[bad]) {
 		t.Error("it is never tried again")
 	}
 }
@@ -702,7 +702,7 @@
 // uncharged. The danger: elsewhere it misses, and where connections break often the budget runs dry.
 func TestBrokenAtOnceTriesItsCacheAgain(t *testing.T) {
 	b := quietBench(t, 4, nil)
-	b.r.budget = 0
+	b.r.retryBudget.tokens = 0
 	first := b.ask(1, "read", 9)
 	again := sends(b.answer(1, 0, ConnectionLost, false))
 	if len(again) != 1 || again[0].Cache != first.Cache {
@@ -726,7 +726,7 @@
 	b := newBench(t, s)
 	b.feed(&EndpointList{Kind: StaleUpdate})
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
-	if want := float64(firstLimit*8) / float64(s.Routers); b.r.fetches != want {
-		t.Errorf("%v likely misses may be out, want %v", b.r.fetches, want)
+	if want := float64(initialConcurrency*8) / float64(s.Routers); b.r.origin.limit.value != want {
+		t.Errorf("%v likely misses may be out, want %v", b.r.origin.limit.value, want)
 	}
 }
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -7,74 +7,85 @@
 	"starlingwinch/internal/rendezvous"
 )
 
-// The order of the caches for a key is that of size-weighted rendezvous hashing, by package rendezvous.
-// Routers agree, as the list's contents alone decide.
+// keyPlacement orders the serving caches for a key by weighted rendezvous hashing. Routers agree on the
+// order, as only the endpoint list decides it.
+type keyPlacement struct {
+	order rendezvous.Set[*cache]
+	first int // rank that is tried first; it changes places with rank 0
+}
+
+// ranked returns the cache of rank i for the key that was ranked last.
+func (p *keyPlacement) ranked(i int) *cache {
+	switch i {
+	case 0:
+		i = p.first
+	case p.first:
+		i = 0
+	}
+	return p.order.Ranked(i)
+}
 
-// place takes over whether a cache may be sent work, and its size.
-func (r *Router) place(c *cache) {
-	size := 0.0
+// updatePlacement takes over the status and the weight of a cache after the list has named it, or left it
+// out.
+func (r *Router) updatePlacement(c *cache) {
+	weight := 0.0
 	if c.Status == Serving {
-		size = c.Weight
+		weight = c.Weight
 	} else if c.Status == Removed {
-		delete(r.caches, c.ID) // attempts that are out keep hold of it
+		delete(r.caches, c.ID) // attempts that are out still refer to the cache
 	}
-	if size == c.listed {
+	if weight == c.placedWeight {
 		return
 	}
-	if c.listed > 0 {
-		r.ready = slices.DeleteFunc(r.ready, func(x *cache) bool { return x == c })
-		r.order.Remove(c.ID, c.listed)
+	if c.placedWeight > 0 {
+		r.serving = slices.DeleteFunc(r.serving, func(x *cache) bool { return x == c })
+		r.placement.order.Remove(c.ID, c.placedWeight)
 	}
-	if c.listed = size; size > 0 {
-		at, _ := slices.BinarySearchFunc(r.ready, c.ID, byID)
-		r.ready = slices.Insert(r.ready, at, c)
-		r.order.Add(c.ID, size, c)
+	if c.placedWeight = weight; weight > 0 {
+		at, _ := slices.BinarySearchFunc(r.serving, c.ID, compareID)
+		r.serving = slices.Insert(r.serving, at, c)
+		r.placement.order.Add(c.ID, weight, c)
 	}
-	r.warm.whole = 0
+	r.warmTraffic.invalidate()
 }
 
-func byID(c *cache, id string) int { return strings.Compare(c.ID, id) }
+func compareID(c *cache, id string) int { return strings.Compare(c.ID, id) }
 
-// rank orders the ready caches for a key; nth tells which has a rank.
-func (r *Router) rank(key uint64) {
-	r.swap = 0
-	k, own := min(r.spread(key), len(r.ready)), 0.0
-	if k > 1 {
-		// The danger: a hot key drowns its cache, and the cache's other keys go elsewhere and
-		// miss. It is shared by its first ranks, where it soon is a hit.
-		r.swap = int(r.random() * float64(k))
+// rankCaches orders the serving caches for a key; placement.ranked then returns them. A hot key is spread
+// over its first ranks, where it soon is a hit.
+//
+// Low traffic per router: of the first ranks, one in the router's own zone is preferred. Connections can't be
+// kept open there, and one to another zone takes longer to come up than an answer may.
+func (r *Router) rankCaches(key uint64) {
+	r.placement.first = 0
+	replicas := min(r.replicaCount(key), len(r.serving))
+	if replicas > 1 {
+		r.placement.first = int(r.random.next() * float64(replicas))
 	}
-	r.order.Rank(key)
-	for i := 0; i < k && r.sparse(); i++ {
-		// One of the router's own zone, where there is one. The danger: where routers are many, connections
-		// can't be kept, and one to another zone takes longer to come up than an answer may.
-		if r.order.Ranked(i).Zone == r.set.Zone {
-			if own++; r.random()*own < 1 {
-				r.swap = i
-			}
-		}
+	r.placement.order.Rank(key)
+	if !r.lowTraffic() {
+		return
 	}
-}
-
-// nth is the cache of rank i for the key that was ranked last.
-func (r *Router) nth(i int) *cache {
-	switch i {
-	case 0:
-		i = r.swap
-	case r.swap:
-		i = 0
+	inOwnZone := 0.0
+	for i := range replicas {
+		if r.placement.order.Ranked(i).Zone != r.settings.Zone {
+			continue
+		}
+		inOwnZone++
+		if r.random.next()*inOwnZone < 1 {
+			r.placement.first = i
+		}
 	}
-	return r.order.Ranked(i)
 }
 
-// NewPlacement returns the cache that a key goes to first, by the key's hash, among caches of which all take
-// work and none is hot, full or in trouble. There has to be one. It is for stand-ins that hold what the
-// caches of a running fleet hold, and for plans for one that changes.
+// NewPlacement returns a function that names the cache that a key goes to first, by the key's hash, while
+// every cache serves and none is hot, at its limit or unhealthy. There has to be at least one cache.
+// Stand-ins for a running fleet and plans for changes to one call it.
 func NewPlacement(caches []Endpoint) func(key uint64) string {
 	var order rendezvous.Set[string]
 	for _, e := range caches {
 		if e.Weight <= 0 {
-			e.Weight = 1
+			e.Weight = defaultWeight
 		}
 		order.Add(e.ID, e.Weight, e.ID)
 	}
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -15,7 +15,7 @@
 func TestHomesAreWhereARouterSends(t *testing.T) {
 	b := quietBench(t, 9, nil)
 	var entries []Endpoint
-	for _, c := range b.r.ready {
+	for _, c := range b.r.serving {
 		entries = append(entries, c.Endpoint)
 	}
 	home := NewPlacement(entries)
@@ -45,7 +45,7 @@
 	}
 	var all []scored
 	for _, e := range caches {
-		all = append(all, scored{e.ID, -math.Log(unit(mix(key^rendezvous.Hash(e.ID)))+1e-18) / e.Weight})
+		all = append(all, scored{e.ID, -math.Log(unitInterval(mix(key^rendezvous.Hash(e.ID)))+1e-18) / e.Weight})
 	}
 	slices.SortFunc(all, func(a, b scored) int {
 		if a.score != b.score {
@@ -91,9 +91,9 @@
 			for _, key := range keys {
 				want := plainOrder(up, key)
 				for range 2 { // worked out, and remembered
-					b.r.rank(key)
+					b.r.rankCaches(key)
 					for _, i := range rng.Perm(len(up)) {
-						if got := b.r.nth(i).ID; got != want[i] {
+						if got := b.r.placement.ranked(i).ID; got != want[i] {
 							t.Fatalf("%+v, change %d: rank %d is %s, want %s", c, change, i, got, want[i])
 						}
 					}
@@ -124,16 +124,16 @@
 	es := sizedFleet(200, 1)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	const key, share = 42, 0.25
-	b.r.keys[0][key], b.r.asked[0] = 250, 1000
-	k := b.r.spread(key)
-	if want := 1 + int(share*200/hotPart); k != want {
+	b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 250, 1000
+	k := b.r.replicaCount(key)
+	if want := 1 + int(share*200/hotKeyCapacityFraction); k != want {
 		t.Fatalf("it goes to %d caches, want %d", k, want)
 	}
 	order, used := plainOrder(es, key), map[string]int{}
 	for range 100 * k {
-		b.r.rank(key)
-		used[b.r.nth(0).ID]++
-		if b.r.nth(b.r.swap).ID != order[0] && b.r.swap > 0 {
+		b.r.rankCaches(key)
+		used[b.r.placement.ranked(0).ID]++
+		if b.r.placement.ranked(b.r.placement.first).ID != order[0] && b.r.placement.first > 0 {
 			t.Fatal("the first rank has not taken the place of the one that stands first")
 		}
 	}
@@ -154,9 +154,9 @@
 	}
 	r.Handle(1e9, &EndpointList{Kind: FullUpdate, Endpoints: sizedFleet(n, 1)})
 	for _, c := range r.caches {
-		c.limit = 1e9
+		c.limit.value = 1e9
 	}
-	r.fetches = 1e9
+	r.origin.limit.value = 1e9
 	return r
 }
 
--- a/decide/pressure_test.go
+++ b/decide/pressure_test.go
@@ -10,7 +10,7 @@
 	b := newBench(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 	b.feed(&p)
-	b.r.turnedAway, b.r.sentAt = b.now, b.now // a first try was refused just now, and another one was sent
+	b.r.storm.lastFirstTryRejectedAt, b.r.lastSendAt = b.now, b.now // a first try was refused just now, and another one was sent
 	return b
 }
 
@@ -94,8 +94,8 @@
 	for id := range int64(50) {
 		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
 			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
-			if r.RetryAfter > b.r.set.MaxRetryAfter {
-				t.Errorf("a wait of %d µs, clients honour %d", r.RetryAfter, b.r.set.MaxRetryAfter)
+			if r.RetryAfter > b.r.settings.MaxRetryAfter {
+				t.Errorf("a wait of %d µs, clients honour %d", r.RetryAfter, b.r.settings.MaxRetryAfter)
 			}
 		}
 	}
@@ -104,13 +104,13 @@
 func TestBudgetOfRetriesShrinksUnderPressure(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, RetryBudgetFraction: 0.1})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.budget > 0.1*retryBurst {
-		t.Errorf("a budget of %.1f is left", b.r.budget)
+	if b.r.retryBudget.tokens > 0.1*maxRetryTokens {
+		t.Errorf("a budget of %.1f is left", b.r.retryBudget.tokens)
 	}
 	b.feed(&RetryStorm{})
 	b.feed(&Request{ID: 2, Class: "read", Key: 2, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.budget > 0.1*retryBurst+1 {
-		t.Errorf("the budget is full again at once: %.1f", b.r.budget)
+	if b.r.retryBudget.tokens > 0.1*maxRetryTokens+1 {
+		t.Errorf("the budget is full again at once: %.1f", b.r.retryBudget.tokens)
 	}
 }
 
@@ -123,14 +123,14 @@
 	if len(sends(b.feed(late(1)))) != 0 {
 		t.Fatalf("%v: caches were full just now", b.acts)
 	}
-	b.now += b.r.set.DrainGrace / 10
+	b.now += b.r.settings.DrainGrace / 10
 	if len(sends(b.feed(late(2)))) != 1 {
 		t.Errorf("%v: nothing has been sent for a while", b.acts)
 	}
 	for _, c := range b.r.caches {
-		c.limit, c.lastSend = leastLimit, b.now
+		c.limit.value, c.sent.updatedAt = minConcurrency, b.now
 	}
-	b.now += b.r.set.DrainGrace / 4
+	b.now += b.r.settings.DrainGrace / 4
 	if len(sends(b.feed(&Request{ID: 3, Class: "read", Key: 3, HasKey: true, Deadline: b.now + 500*ms}))) != 1 {
 		t.Errorf("%v: with all limits low, one is sent to find out", b.acts)
 	}
@@ -141,7 +141,7 @@
 	b := newBench(t, settings())
 	b.feed(&RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.turnedAway != 0 {
+	if b.r.storm.lastFirstTryRejectedAt != 0 {
 		t.Error("the refusal counts as one for want of room")
 	}
 }
@@ -174,7 +174,7 @@
 		entries[i].StartedAt = b.now - 100*ms
 	}
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
-	if limit := b.r.ready[0].limit; limit != leastAway {
+	if limit := b.r.serving[0].limit.value; limit != minConcurrencyInOutage {
 		t.Errorf("the limit of a new cache is %.1f, by what was seen of the old one", limit)
 	}
 	sent := 0
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -113,7 +113,7 @@
 		return s
 	}
 	// Another customer's: what is legal, whatever it is.
-	s.Routers = []int{0, 1, 3, sparseFrom, sparseFrom + 1, 100, 300}[rng.Intn(7)]
+	s.Routers = []int{0, 1, 3, maxRoutersWithUsualTraffic, maxRoutersWithUsualTraffic + 1, 100, 300}[rng.Intn(7)]
 	s.DrainGrace = Time(100+rng.Intn(2000)) * ms
 	s.HealthCheckCost, s.ConnectionCost, s.DialCost = rng.Float64()/10, rng.Float64()/10, rng.Float64()/10
 	s.MaxRetryAfter, s.WeightsFollowLoad = Time(rng.Intn(2000))*ms, rng.Intn(3) == 0
--- a/decide/request.go
+++ b/decide/request.go
@@ -1,284 +1,184 @@
-// A request from its arrival to its answer.
-
 package decide
 
-import (
-	"slices"
-)
+import "slices"
 
+// unknownClass is the class of requests whose class is not in the settings.
 var unknownClass = Class{Semantics: NonIdempotent}
 
-func (r *Router) request(ev *Request) {
-	q := &request{Request: ev, class: r.classes[ev.Class], arrived: r.now}
-	if q.class == nil {
-		q.class = &unknownClass
-	} else if ev.IdempotencyKeyMissing {
-		unkeyed := *q.class
-		unkeyed.Semantics, q.class = NonIdempotent, &unkeyed
+// request is what this router knows of one request.
+type request struct {
+	*Request
+	class       *Class
+	arrivedAt   Time // during a retry storm, when its client first requested it
+	attempts    []attempt
+	firstRecord [1]attempt // backing array for the one attempt that most requests need
+
+	// The next three are independent of one another, but for a finished request, which is not queued.
+
+	finished  bool // set with the final answer, or when the client has gone
+	queued    bool // set while it waits for capacity
+	streaming bool // set when the answer has begun to reach the client; it is not unset
+
+	originLimited bool   // set when the origin limit has kept it from a cache; it is not unset
+	overflowed    bool   // as of the last selection: a cache ahead of the selected one lacked capacity
+	reason        Reason // what last kept it from being served
+
+	deadlineTimer int64 // token of the timer of its deadline; 0 for none
+	queueTimer    int64 // token of the timer of its queue deadline; 0 for none
+}
+
+// responseTimeout is how long an attempt may take before it counts as overdue; µs.
+func (c *Class) responseTimeout() Time { return max(c.LatencyObjective/2, 1) }
+
+// classOf returns the class whose rules hold for a request.
+func (r *Router) classOf(ev *Request) *Class {
+	class := r.classes[ev.Class]
+	if class == nil {
+		return &unknownClass
 	}
-	if r.pressure.Active && ev.FirstRequestedAt > 0 {
-		// The danger: a request that is refused comes back until its client gives up, and what caches can
-		// do goes to those that were asked long ago: they are served, and too late. Where all that ask for
-		// the first time are served, there is room for them.
-		q.arrived = ev.FirstRequestedAt
-		sending := r.pressure.Outage || r.now < r.sentAt+r.set.DrainGrace/10 // else there is room by now
-		if r.now >= q.holdUntil() && r.now < r.turnedAway+r.set.DrainGrace/2 && sending && r.mayRefuse(q) {
-			q.why = RetryTooLate
-			r.refuse(q)
+	if ev.IdempotencyKeyMissing {
+		withoutKey := *class
+		withoutKey.Semantics = NonIdempotent
+		return &withoutKey
+	}
+	return class
+}
+
+// handleRequest takes in a new request and sends it on, queues it, or answers it.
+func (r *Router) handleRequest(ev *Request) {
+	q := &request{Request: ev, class: r.classOf(ev), arrivedAt: r.now}
+	if r.storm.Active && ev.FirstRequestedAt > 0 {
+		q.arrivedAt = ev.FirstRequestedAt
+		if r.rejectsLateRetry(q) {
+			q.reason = RetryTooLate
+			r.reject(q)
 			return
 		}
 	}
-	q.attempts = q.first[:0]
+	q.attempts = q.firstRecord[:0]
 	if !q.HasKey {
-		own := *ev
-		own.Key, q.Request = mix(uint64(ev.ID)^r.rng), &own
+		q.Request = r.withRandomKey(ev)
 	}
-	r.reqs[q.ID] = q
+	r.requests[q.ID] = q
 	if r.now < q.Deadline {
-		// No request is lost: whatever else happens, this timer gives the final answer.
-		q.timers[0] = r.schedule(q.Deadline, timer{due: deadlinePast, q: q})
-	}
-	r.budget = min(r.budget+retryShare*r.retries(), retryBurst*r.retries())
-	price := r.set.HealthCheckCost
-	if r.sparse() {
-		// Each probe opens a connection, and each cache hears from all of them.
-		price = (price + r.set.DialCost) / sparseProbes
+		// Whatever else happens, this timer gives the final answer.
+		q.deadlineTimer = r.schedule(q.Deadline, timer{kind: requestDeadlineReached, request: q})
 	}
-	r.spare += probeShare / max(price, 1e-9)
-	r.keys[0][q.Key]++
-	r.asked[0]++
-	r.earnMove()
+	r.countRequest(q)
 	if !r.admits() {
-		q.why = Overloaded
+		q.reason = Overloaded
 		r.answer(q)
 		return
 	}
 	r.forward(q)
 }
 
-// retries is the share of the budget that is left for retries and hedges.
-func (r *Router) retries() float64 {
-	if r.pressure.Active {
-		return r.pressure.RetryBudgetFraction
-	}
-	return 1
+// withRandomKey returns a copy of a request without a key that has one, so that such requests spread over the
+// caches.
+func (r *Router) withRandomKey(ev *Request) *Request {
+	keyed := *ev
+	keyed.Key = mix(uint64(ev.ID) ^ uint64(r.random))
+	return &keyed
+}
+
+// countRequest takes a new request into the budgets that requests pay for, and into the counts of its key.
+func (r *Router) countRequest(q *request) {
+	r.retryBudget.earn(r.storm.budgetFraction())
+	r.earnHealthChecks()
+	r.hotKeys.count(q.Key)
+	r.failover.earn(r.timeliness.ratio())
 }
 
-// forward sends a request on, holds it for room, or answers it when neither can be.
+// forward sends a request on, queues it, or answers it if neither is possible.
 func (r *Router) forward(q *request) {
-	if r.isRetry(q) && r.budget < 1 {
-		q.why = RetryBudgetExhausted
-		r.giveUp(q) // the danger: retries feed the overload that caused them
+	if q.isRetry() && !r.retryBudget.allows() {
+		q.reason = RetryBudgetExhausted
+		r.giveUp(q)
 		return
 	}
-	q.why = NoEndpoint
-	c, crowded := r.pick(q)
+	q.reason = NoEndpoint
+	c, overloaded := r.selectCache(q)
 	switch {
 	case c != nil:
 		r.send(q, c)
-	case crowded && r.now < q.holdUntil():
-		r.hold(q)
+	case overloaded && r.now < q.queueDeadline():
+		r.enqueue(q)
 	default:
-		if crowded {
-			q.why = [...]Reason{NoCapacity, OriginProtected}[b2i(q.spares)]
+		if overloaded {
+			q.reason = q.capacityReason()
 		}
 		r.giveUp(q)
 	}
 }
 
-// isRetry reports whether a further attempt adds to what caches are asked for: one that did not
-// meet its cache has cost none of them anything.
-func (r *Router) isRetry(q *request) bool {
-	return len(q.attempts) > 0 && !q.attempts[len(q.attempts)-1].unmet
+// isRetry reports whether a further attempt takes a token of the retry budget. An attempt whose connection
+// broke at once has cost the caches nothing.
+func (q *request) isRetry() bool {
+	return len(q.attempts) > 0 && !q.attempts[len(q.attempts)-1].connectionBroke
 }
 
 // giveUp answers a request unless an attempt is still out that may do so.
 func (r *Router) giveUp(q *request) {
-	if !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.pending }) {
+	if !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.isOut() }) {
 		r.answer(q)
 	}
 }
 
-// holdUntil is when a held request can no longer be served within its aim.
-func (q *request) holdUntil() Time {
-	return q.arrived + Time(holdShare*float64(min(q.class.LatencyObjective, q.Deadline-q.arrived)))
-}
-
-// hold keeps a request until a cache has room. The danger it answers: a crowded
-// cache serves everything late, and late failures cost most.
-func (r *Router) hold(q *request) {
-	if !q.held {
-		q.held = true
-		r.waiting = append(r.waiting, q)
-		q.timers[1] = r.schedule(q.holdUntil(), timer{due: holdOver, q: q})
-	}
-}
-
-func (r *Router) unhold(q *request) {
-	q.held = false
-	r.drop(q.timers[1])
-	if i := slices.Index(r.waiting, q); i >= 0 {
-		r.waiting = slices.Delete(r.waiting, i, i+1)
-	}
-}
-
-// admit sends held requests on when there is room again, the latest first: the danger of
-// the fair order is that in overload each one waits until it is too late.
-func (r *Router) admit() {
-	failed := 0
-	for i := len(r.waiting) - 1; i >= 0 && failed < admitTries; i-- {
-		q := r.waiting[i]
-		if c, _ := r.pick(q); c == nil {
-			failed++ // the danger: with thousands held, trying all at each answer takes seconds
-		} else {
-			r.unhold(q)
-			r.send(q, c)
-		}
-	}
-}
-
-func (r *Router) send(q *request, c *cache) {
-	if r.isRetry(q) || len(q.attempts) == 0 && q.astray && !r.originIdles() && !c.knows(q.Key) {
-		r.budget--
-	}
-	q.attempts = append(q.attempts, attempt{to: c, sent: r.now, pending: true, fetch: r.fetch(q, c)})
-	n := len(q.attempts) - 1
-	c.pending++
-	c.uses++
-	r.uses++
-	c.sends = r.recent(c) + 1
-	c.lastSend, r.sentAt = r.now, r.now
-	r.fetching += b2i(q.attempts[n].fetch)
-	if c.zone.fails >= zoneThreshold {
-		c.zone.trialAt = r.now + r.set.SlowStartWindow/4 // the trial is one request
-	}
-	r.do(Send{ID: q.ID, Cache: c.ID, AttemptDeadline: q.Deadline, WriteDeadline: q.remembered(n)})
-	q.attempts[n].timers[0] = r.schedule(r.now+q.class.patience(), timer{due: attemptSlow, n: n, q: q})
-}
-
-// slow looks after an attempt that is out for longer than the patience.
-func (r *Router) slow(q *request, n int, first bool) {
-	a := &q.attempts[n]
-	if !a.pending || q.done {
+// answer gives the final answer, once.
+func (r *Router) answer(q *request) {
+	if q.finished || q.streaming {
 		return
 	}
-	if r.lost > lossy && r.overtaken(q, a) {
-		a.lost = true
-		a.to.hung++
-		r.lost += (1 - r.lost) / recently / 2 // it might have come late
-		if !first {
-			adjust(&a.to.limit, true, .5) // it was held against the cache
+	if r.mayReject(q) {
+		if q.FirstRequestedAt == 0 && len(r.serving) > 0 { // without caches it says nothing of their capacity
+			r.storm.lastFirstTryRejectedAt = r.now
 		}
-	} else if first {
-		r.verdict(a, false)
-		r.overdue(q, n)
-	}
-	if first || a.lost {
-		r.hedge(q, n)
-	}
-	if r.lost > lossy && !a.lost {
-		q.attempts[n].timers[0] = r.schedule(r.now+q.class.patience()/4, timer{due: attemptSlower, n: n, q: q})
+		r.reject(q)
+	} else {
+		r.emit(Fail{ID: q.ID, Reason: q.reason})
 	}
+	r.finish(q)
 }
 
-// overtaken reports whether later attempts were answered in time though this one was not. The
-// danger: a cache, or the way to it, loses part of what it is sent. Taken for crowding, that lowers
-// its limit until hardly anything is sent at all.
-func (r *Router) overtaken(q *request, a *attempt) bool {
-	return a.to.passed > a.sent && a.to.late < unhurried && (!a.fetch && !q.Write || r.passed > a.sent)
+// handleRequestDeadline answers a request whose deadline has come.
+func (r *Router) handleRequestDeadline(q *request) {
+	q.reason = DeadlineExceeded
+	r.answer(q)
 }
 
-// hedge sends a second copy of a request whose attempt is overdue at a cache that has answered
-// nothing since. The danger: a cache that hangs takes requests and answers none until two
-// rounds of probes have failed. Late answers are no reason: in overload they all are.
-func (r *Router) hedge(q *request, n int) {
-	if q.done || !r.set.AllowHedging || r.pressure.Active {
-		return
-	}
-	a := &q.attempts[n]
-	if a.lost {
-		r.budget = max(r.budget, 1) // it takes nothing from the cache, which is not crowded either
-	} else if a.to.answered > a.sent || r.budget < 1 {
-		return
-	}
-	if c, _ := r.pick(q); c != nil {
-		r.send(q, c)
+// handleResponseStarted notes that the answer has begun to reach the client.
+func (r *Router) handleResponseStarted(ev *ResponseStarted) {
+	if q := r.requests[ev.ID]; q != nil {
+		q.streaming = true
 	}
 }
 
-// patience is how long an attempt may take before it counts as overdue.
-func (c *Class) patience() Time { return max(c.LatencyObjective/2, 1) }
-
-// fetch reports whether the origin likely has to serve a read that is sent to the cache.
-func (r *Router) fetch(q *request, c *cache) bool { return !q.Write && !c.knows(q.Key) }
-
-// overdue blames a late attempt on the origin if it is a likely miss and the cache answered the
-// last likely hit in time, else on the cache. The danger: an origin that is asked for too much serves all of
-// it late, writes too, and goes on with work that nobody waits for; a cache likewise.
-func (r *Router) overdue(q *request, n int) {
-	a := &q.attempts[n]
-	c := a.to
-	if a.fetch && c.prompt && (r.now >= c.warmAt || r.pressure.Outage) {
-		// A cold one is slow itself and has few hits.
-		lateAt := a.sent + Time(originShare*float64(q.class.LatencyObjective))
-		a.timers[2] = r.schedule(lateAt, timer{due: originLate, n: n, q: q})
-		return
-	}
-	c.prompt = false
-	if c.limit > r.alone() {
-		r.pool(false)
-		adjust(&c.limit, false, tolerated)
-		return
+// handleClientGone ends a request that nobody waits for.
+func (r *Router) handleClientGone(ev *ClientGone) {
+	if q := r.requests[ev.ID]; q != nil {
+		r.finish(q)
 	}
-	// The danger: where all caches are slow by themselves, less load makes none of them faster,
-	// and a share of nothing is served. Alone, an attempt may take its whole aim.
-	a.timers[2] = r.schedule(a.sent+q.class.LatencyObjective, timer{due: cacheLate, n: n, q: q})
 }
 
-// answer gives the final answer, once.
-func (r *Router) answer(q *request) {
-	if q.done || q.streams {
-		return
-	}
-	if r.mayRefuse(q) {
-		if q.FirstRequestedAt == 0 && len(r.ready) > 0 { // without a cache it says nothing of their room
-			r.turnedAway = r.now
-		}
-		r.refuse(q)
-	} else {
-		r.do(Fail{ID: q.ID, Reason: q.why})
-	}
-	r.finish(q)
-}
-
-// refuse names a time to come back. The danger: those that are refused together come back together.
-func (r *Router) refuse(q *request) {
-	wait := min(r.set.MaxRetryAfter, q.class.LatencyObjective)
-	if r.pressure.Active {
-		span := min(r.pressure.RetryAfterJitter, r.set.MaxRetryAfter-wait/2)
-		wait = wait/2 + Time(unit(mix(q.Key^mix(uint64(q.ID))))*float64(span))
-	}
-	r.do(Reject{ID: q.ID, RetryAfter: wait, Reason: q.why})
-}
-
-// finish stops what is still out for a request that is over.
+// finish stops what goes on for a request that has its final answer or needs none.
 func (r *Router) finish(q *request) {
-	q.done = true
-	if q.held {
-		r.unhold(q)
-	}
-	r.drop(q.timers[0])
-	out := false
-	for i := range q.attempts {
-		if a := &q.attempts[i]; a.pending {
-			out = true
-			if r.set.AllowCancel && !q.streams && !a.stopped {
-				a.stopped = true
-				r.do(Cancel{q.ID, i})
-			}
+	q.finished = true
+	if q.queued {
+		r.dequeue(q)
+	}
+	r.cancelTimers(q.deadlineTimer)
+	anyOut := false
+	for n := range q.attempts {
+		a := &q.attempts[n]
+		if !a.isOut() {
+			continue
+		}
+		anyOut = true
+		if r.settings.AllowCancel && !q.streaming && a.state == attemptPending {
+			r.cancel(q, n)
 		}
 	}
-	if !out {
-		delete(r.reqs, q.ID)
+	if !anyOut {
+		delete(r.requests, q.ID)
 	}
 }
--- a/decide/sparse_test.go
+++ b/decide/sparse_test.go
@@ -18,7 +18,7 @@
 // keyOf is a key, from a number on, whose home is the cache.
 func (b *bench) keyOf(cache string, from uint64) uint64 {
 	for key := from; ; key++ {
-		if b.r.order.Rank(key); b.r.order.Ranked(0).ID == cache {
+		if b.r.placement.order.Rank(key); b.r.placement.order.Ranked(0).ID == cache {
 			return key
 		}
 	}
@@ -37,7 +37,7 @@
 	home := 0
 	for seed := range 300 {
 		b := sparseBench(t, 100, nil)
-		b.r.rng = uint64(seed) * 77
+		b.r.random = randomSource(uint64(seed) * 77)
 		if s := b.ask(1, "read", 42); s == nil {
 			t.Fatal("nothing was sent")
 		} else if s.Cache == b.home(42) {
@@ -50,30 +50,30 @@
 }
 
 func (b *bench) home(key uint64) string {
-	b.r.order.Rank(key)
-	return b.r.order.Ranked(0).ID
+	b.r.placement.order.Rank(key)
+	return b.r.placement.order.Ranked(0).ID
 }
 
 // Each router knows little of a key; all of them together spread it as its share asks for.
 func TestWidthFollowsAKeysShareWhereEachRouterSeesLittleOfIt(t *testing.T) {
 	b := sparseBench(t, 100, nil)
-	b.r.asked[0] = 1000
+	b.r.hotKeys.total[0] = 1000
 	for _, c := range []struct {
 		n        int
 		min, max float64
 	}{{1, 1, 1.4}, {11, 32, 36}, {51, 160, 168}} {
-		b.r.keys[0][5] = c.n
-		if w := b.r.width(5); w < c.min || w > c.max {
+		b.r.hotKeys.requests[0][5] = c.n
+		if w := b.r.replicas(5); w < c.min || w > c.max {
 			t.Errorf("a key of %d requests in 1,000 goes to %.2f of 100 caches, want %v to %v", c.n, w, c.min, c.max)
 		}
 	}
-	b.r.keys[0][5], b.r.fetching = 11, 100 // the origin has much to do: each further cache misses first
-	if w := b.r.width(5); w > 10 {
+	b.r.hotKeys.requests[0][5], b.r.origin.inFlight = 11, 100 // the origin has much to do: each further cache misses first
+	if w := b.r.replicas(5); w > 10 {
 		t.Errorf("a key of 11 requests in 1,000 goes to %.2f of 100 caches while the origin is busy", w)
 	}
 	few := quietBench(t, 9, nil)
-	few.r.keys[0][5], few.r.asked[0] = 1, 1000
-	if w := few.r.width(5); w != 1 {
+	few.r.hotKeys.requests[0][5], few.r.hotKeys.total[0] = 1, 1000
+	if w := few.r.replicas(5); w != 1 {
 		t.Errorf("with two routers a key asked for once goes to %v caches", w)
 	}
 }
@@ -84,39 +84,39 @@
 	c := b.r.caches["c03"]
 	var spans []Time
 	for id := int64(1); id <= 5; id++ {
-		b.r.moves = 0 // what is left alone is not replaced
-		b.r.asked[0] = 1000
+		b.r.failover.tokens = 0 // what is left alone is not replaced
+		b.r.hotKeys.total[0] = 1000
 		s := b.ask(id, "read", b.keyOf("c03", uint64(id)*1000))
 		if s == nil || s.Cache != "c03" {
 			t.Fatalf("request %d went to %v", id, s)
 		}
 		sent := b.now
 		b.late(id)
-		spans = append(spans, c.aloneUntil-sent)
-		b.r.judged, b.r.met = 0, 0
-		b.advance(max(0, c.aloneUntil-b.now))
+		spans = append(spans, c.outlier.ejectedUntil-sent)
+		b.r.timeliness.attempts, b.r.timeliness.inTime = 0, 0
+		b.advance(max(0, c.outlier.ejectedUntil-b.now))
 	}
 	for i := 1; i < len(spans); i++ {
-		if spans[i] < spans[i-1]*5/4 && spans[i] < b.r.set.SlowStartWindow {
+		if spans[i] < spans[i-1]*5/4 && spans[i] < b.r.settings.SlowStartWindow {
 			t.Errorf("it was left alone for %v", spans)
 		}
 	}
-	if last := spans[len(spans)-1]; last > b.r.set.SlowStartWindow+b.r.patience+1 {
+	if last := spans[len(spans)-1]; last > b.r.settings.SlowStartWindow+b.r.shortestTimeout+1 {
 		t.Errorf("it was left alone for %d us in the end, longer than a cache takes to warm", last)
 	}
 	for range 5 {
-		c.answered = b.now
-		b.r.verdict(&attempt{to: c, sent: b.now, pending: true}, true)
+		c.lastAnswerAt = b.now
+		b.r.learnTimeliness(&attempt{cache: c, sentAt: b.now, state: attemptPending}, true)
 	}
-	if c.doubts != 0 {
-		t.Errorf("%d doubts are left after as many answers in time", c.doubts)
+	if c.outlier.ejections != 0 {
+		t.Errorf("%d doubts are left after as many answers in time", c.outlier.ejections)
 	}
 }
 
 // One answer that is late among others in time is no reason: half of a cache's requests would go elsewhere and miss.
 func TestCacheThatAnsweredSinceIsNotLeftAlone(t *testing.T) {
 	b := sparseBench(t, 20, nil)
-	b.r.asked[0], b.r.fetches, b.r.caches["c03"].limit = 1000, 50, 4
+	b.r.hotKeys.total[0], b.r.origin.limit.value, b.r.caches["c03"].limit.value = 1000, 50, 4
 	b.ask(1, "read", b.keyOf("c03", 1))
 	b.advance(50 * ms)
 	if s := b.ask(2, "read", b.keyOf("c03", 5000)); s == nil || s.Cache != "c03" {
@@ -124,7 +124,7 @@
 	}
 	b.settle(2, 0)
 	b.advance(60 * ms)
-	if c := b.r.caches["c03"]; c.aloneUntil > b.now {
+	if c := b.r.caches["c03"]; c.outlier.ejectedUntil > b.now {
 		t.Error("a cache that has answered meanwhile is left alone")
 	}
 }
@@ -135,8 +135,8 @@
 	c := b.r.caches["c03"]
 	moved, refused := 0, 0
 	for id := int64(1); id <= 200; id++ {
-		b.r.asked[0] = 1000
-		c.aloneUntil = b.now + 1e6
+		b.r.hotKeys.total[0] = 1000
+		c.outlier.ejectedUntil = b.now + 1e6
 		s := b.ask(id, "read", b.keyOf("c03", uint64(id)*1000))
 		switch {
 		case s == nil && finals(b.acts) == 1:
@@ -150,7 +150,7 @@
 			t.Fatal("it was sent to the cache that is left alone")
 		}
 	}
-	if most := int(200*movesMost) + movesBurst; moved < most/2 || moved > most || refused != 200-moved {
+	if most := int(200*maxFailoverRatio) + maxFailoverTokens; moved < most/2 || moved > most || refused != 200-moved {
 		t.Errorf("%d moved, %d were refused at once; at most %d may move", moved, refused, most)
 	}
 }
@@ -159,12 +159,12 @@
 func TestFewerRequestsMoveWhereFewerAreServedInTime(t *testing.T) {
 	moves := func(met float64) float64 {
 		b := sparseBench(t, 20, nil)
-		b.r.moves = 0
+		b.r.failover.tokens = 0
 		for range 10 {
-			b.r.judged, b.r.met = 1000, met
-			b.r.earnMove()
+			b.r.timeliness.attempts, b.r.timeliness.inTime = 1000, met
+			b.r.failover.earn(b.r.timeliness.ratio())
 		}
-		return b.r.moves
+		return b.r.failover.tokens
 	}
 	well, worse, ill := moves(950), moves(800), moves(300)
 	if well < 5 || worse > well*3/4 || worse < ill || ill > 1.5 || ill == 0 {
@@ -177,8 +177,8 @@
 	b := sparseBench(t, 9, nil)
 	sent := 0
 	for id := int64(1); id <= 50; id++ {
-		for _, c := range b.r.ready {
-			c.aloneUntil = b.now + 1e7
+		for _, c := range b.r.serving {
+			c.outlier.ejectedUntil = b.now + 1e7
 		}
 		b.feed(&Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 800*ms})
 		sent += len(sends(b.acts))
@@ -202,11 +202,11 @@
 		}
 		return n
 	}
-	b.r.judged, b.r.met, b.r.judgedAt = 60, 3, b.now
+	b.r.timeliness.attempts, b.r.timeliness.inTime, b.r.timeliness.updatedAt = 60, 3, b.now
 	if n := refusals(1); n < 40 {
 		t.Errorf("%d of 100 were refused with 3 of 60 served in time", n)
 	}
-	b.r.judged, b.r.met, b.r.judgedAt = 60, 54, b.now
+	b.r.timeliness.attempts, b.r.timeliness.inTime, b.r.timeliness.updatedAt = 60, 54, b.now
 	if n := refusals(200); n > 0 {
 		t.Errorf("%d of 100 were refused with nine of ten served in time", n)
 	}
@@ -215,17 +215,17 @@
 // The danger: caches that hang are taken for a slow origin, and likely misses are refused for that, most of which are hits.
 func TestOriginIsNotBlamedForCachesThatHangWhereManyRoutersKnowFewKeys(t *testing.T) {
 	b := sparseBench(t, 100, nil)
-	before := b.r.fetches
+	before := b.r.origin.limit.value
 	for id := int64(1); id <= 8; id++ {
 		b.ask(id, "read", mix(uint64(id)))
 		b.late(id)
 	}
-	if b.r.fetches < before {
-		t.Errorf("%v likely misses may be out after eight requests to caches that hung, %v before", b.r.fetches, before)
+	if b.r.origin.limit.value < before {
+		t.Errorf("%v likely misses may be out after eight requests to caches that hung, %v before", b.r.origin.limit.value, before)
 	}
-	b.r.judged, b.r.met = 0, 0
-	b.r.asked[0] = 1000
-	b.r.fetches = 5
+	b.r.timeliness.attempts, b.r.timeliness.inTime = 0, 0
+	b.r.hotKeys.total[0] = 1000
+	b.r.origin.limit.value = 5
 	for id := int64(100); id < 104; id++ {
 		if b.ask(id, "read", mix(uint64(id))) == nil {
 			t.Fatal("nothing was sent")
@@ -235,7 +235,7 @@
 			b.feed(&AttemptResult{ID: id, Attempt: n, Result: Served, Elapsed: 150 * ms, Miss: true, Last: true, Load: LoadReport{Utilization: -1}})
 		}
 	}
-	if b.r.fetches >= 5 {
+	if b.r.origin.limit.value >= 5 {
 		t.Error("true misses that were late leave the origin's limit as it was")
 	}
 }
@@ -244,7 +244,7 @@
 func TestProbesOfManyRoutersLeaveNoConnectionBehind(t *testing.T) {
 	b := sparseBench(t, 20, func(s *Settings) { s.AllowHealthChecks = true })
 	var asked []string
-	for b.r.spare = 100; len(asked) == 0; {
+	for b.r.healthChecks.budget = 100; len(asked) == 0; {
 		asked = probes(b.advance(10 * ms))
 	}
 	if len(asked) != 20 {
@@ -267,7 +267,7 @@
 func TestProbesArePaidForWithTheirConnectionsWhereRoutersAreMany(t *testing.T) {
 	rounds := func(routers int) (n int) {
 		b := quietBench(t, 10, func(s *Settings) { s.AllowHealthChecks, s.Routers, s.DialCost = true, routers, .03 })
-		b.r.spare = 0
+		b.r.healthChecks.budget = 0
 		for id := range int64(400) {
 			b.ask(id+1, "read", mix(uint64(id)))
 			b.settle(id+1, 0)
@@ -285,9 +285,9 @@
 	sent, asked := 0, 0
 	for seed := range 60 {
 		b := sparseBench(t, 20, nil)
-		b.r.rng = uint64(seed) * 1001
+		b.r.random = randomSource(uint64(seed) * 1001)
 		for i := range int64(12) {
-			b.r.asked[0] = 1000
+			b.r.hotKeys.total[0] = 1000
 			asked++
 			s := b.ask(i+1, "read", b.keyOf("c03", uint64(i)*999))
 			if s != nil && s.Cache == "c03" {
@@ -311,12 +311,12 @@
 func TestNewProcessIsNotLeftAloneForTheOldOne(t *testing.T) {
 	b := sparseBench(t, 20, nil)
 	c := b.r.caches["c03"]
-	c.doubts, c.aloneUntil = 4, b.now+1e7
+	c.outlier.ejections, c.outlier.ejectedUntil = 4, b.now+1e7
 	es := fleet(20)
 	i := slices.IndexFunc(es, func(e Endpoint) bool { return e.ID == "c03" })
 	es[i].StartedAt = b.now - 1
 	b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: es[i : i+1]})
-	if c.doubts != 0 || c.aloneUntil > b.now {
+	if c.outlier.ejections != 0 || c.outlier.ejectedUntil > b.now {
 		t.Error("a process that has just started is left alone")
 	}
 }
@@ -344,7 +344,7 @@
 func (b *bench) unmetBy(result Result, caches int, within Time) (asked int) {
 	for i := range caches {
 		id := int64(1000*b.r.now) + int64(i)
-		s := b.ask(id, "read", b.keyOf(b.r.ready[i].ID, uint64(id)))
+		s := b.ask(id, "read", b.keyOf(b.r.serving[i].ID, uint64(id)))
 		if s == nil {
 			continue
 		}
@@ -384,13 +384,13 @@
 		b := sparseBench(t, caches, func(s *Settings) {
 			s.SlowStartWindow, s.SlowStartMinCapacity, s.OverloadWindow = 20_000*ms, .16, 3000*ms
 		})
-		b.r.rng = uint64(n) * 7919
+		b.r.random = randomSource(uint64(n) * 7919)
 		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "c03", Zone: "b", Weight: 1, StartedAt: b.now}}})
 		for i := range perRouter {
 			id := int64(i + 1)
 			if s := b.ask(id, "read", uint64(n*perRouter+i)*0x9e3779b97f4a7c15); s != nil {
-				sent += b2i(s.Cache == "c03")
-				warm += b2i(s.Cache == "c04")
+				sent += boolToInt(s.Cache == "c03")
+				warm += boolToInt(s.Cache == "c04")
 				b.settle(id, 0)
 			}
 			b.advance(10 * ms)
@@ -403,12 +403,12 @@
 
 func TestTheModuleDividesByTheRoutersThatItIsToldOf(t *testing.T) {
 	b := quietBench(t, 5, func(s *Settings) { s.Routers = 2 })
-	if b.r.sparse() {
+	if b.r.lowTraffic() {
 		t.Fatal("two routers count as many")
 	}
 	b.feed(&RouterCount{Routers: 40})
-	if !b.r.sparse() || b.r.alone() != 1.0/40 {
-		t.Errorf("after 40 routers were told it divides by %v", 1/b.r.alone())
+	if !b.r.lowTraffic() || b.r.soleAttemptLimit() != 1.0/40 {
+		t.Errorf("after 40 routers were told it divides by %v", 1/b.r.soleAttemptLimit())
 	}
 }
 
@@ -422,7 +422,7 @@
 			b.advance(after)
 			b.settle(id+1, 0)
 		}
-		if got := b.r.inTime(); got < least || least == 0 && got > .7 {
+		if got := b.r.timeliness.ratio(); got < least || least == 0 && got > .7 {
 			t.Errorf("answers after %d ms: %.2f in time", after/ms, got)
 		}
 	}
@@ -443,17 +443,17 @@
 func TestOfAKeysFirstCachesOneOfTheOwnZoneIsTaken(t *testing.T) {
 	b := zonedBench(t, 90)
 	for key := range uint64(300) {
-		b.r.keys[0][key], b.r.asked[0] = 30, 1000 // among 90 caches it goes to many
-		b.r.rank(key)
-		if c := b.r.nth(0); c.Zone != "z1" {
+		b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 30, 1000 // among 90 caches it goes to many
+		b.r.rankCaches(key)
+		if c := b.r.placement.ranked(0); c.Zone != "z1" {
 			t.Fatalf("key %d goes to %s in zone %s first", key, c.ID, c.Zone)
 		}
 	}
 	// A key that goes to one cache goes to it, wherever it is.
-	b.r.keys, b.r.asked = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
+	b.r.hotKeys.requests, b.r.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
 	for key := range uint64(300) {
-		b.r.rank(key)
-		if c, home := b.r.nth(0).ID, b.r.order.Ranked(0).ID; c != home {
+		b.r.rankCaches(key)
+		if c, home := b.r.placement.ranked(0).ID, b.r.placement.order.Ranked(0).ID; c != home {
 			t.Fatalf("key %d goes to %s, not to its home %s", key, c, home)
 		}
 	}
@@ -465,10 +465,10 @@
 	b := zonedBench(t, 30)
 	id := int64(0)
 	goesTo := func(took Time) string {
-		b.r.keys, b.r.asked = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
-		b.r.judged, b.r.moves = 0, 0
+		b.r.hotKeys.requests, b.r.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
+		b.r.timeliness.attempts, b.r.failover.tokens = 0, 0
 		for _, c := range b.r.caches {
-			c.aloneUntil = 0
+			c.outlier.ejectedUntil = 0
 		}
 		id++
 		s := b.ask(id, "read", b.keyOf("c00", uint64(id)*1000)) // its home is in z0
@@ -479,22 +479,22 @@
 		b.settle(id, 0)
 		return b.r.caches[s.Cache].Zone
 	}
-	patience := b.r.classes["read"].patience()
+	patience := b.r.classes["read"].responseTimeout()
 	if z := goesTo(patience - ms); z != "z0" {
 		t.Fatalf("before anything is known it goes to zone %s", z)
 	}
 	if z := goesTo(patience * 2); z != "z0" {
 		t.Fatalf("after an answer in time it goes to zone %s", z)
 	}
-	b.advance(b.r.set.SlowStartWindow) // what is known is too old
-	b.r.zones["z0"].way = 0
+	b.advance(b.r.settings.SlowStartWindow) // what is known is too old
+	b.r.zones["z0"].latency.min = 0
 	if z := goesTo(patience + ms); z != "z0" {
 		t.Fatalf("zone z0 is not tried: it goes to zone %s", z)
 	}
 	if z := goesTo(ms); z != "z1" {
 		t.Fatalf("after answers that are late whatever there is to do it goes to zone %s", z)
 	}
-	b.advance(b.r.set.SlowStartWindow)
+	b.advance(b.r.settings.SlowStartWindow)
 	if z := goesTo(ms); z != "z0" {
 		t.Fatalf("it is not tried again: it goes to zone %s", z)
 	}
@@ -507,8 +507,8 @@
 func TestFarZoneIsUsedWhereTheOwnHasNoCache(t *testing.T) {
 	b := zonedBench(t, 30)
 	for name, z := range b.r.zones {
-		if z.way, z.wayTill = 1e9, b.now+1e6; name == "z1" {
-			z.fails, z.trialAt = zoneThreshold, b.now+1e6
+		if z.latency.min, z.latency.validUntil = 1e9, b.now+1e6; name == "z1" {
+			z.failedConnections, z.trialAt = maxFailedConnections, b.now+1e6
 		}
 	}
 	if s := b.ask(1, "read", 42); s == nil {
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -1,45 +1,58 @@
 package decide
 
-// What is to be done at a time: who asked for what, by token. No decision is made here.
+// timerKind is what is due when a timer fires.
+type timerKind uint8
 
-// timer is what is to be done at a time.
+const (
+	functionDue            timerKind = iota // call run
+	requestDeadlineReached                  // give the final answer
+	queueDeadlineReached                    // a queued request can't be served in time any more
+	attemptOverdue                          // the response timeout of an attempt has passed
+	attemptStillOverdue                     // check an overdue attempt again
+	objectiveReached                        // the latency objective of an attempt has passed
+	originOverdue                           // a likely miss is out for longer than the origin should take
+	soleAttemptOverdue                      // a cache that gets one attempt at a time is late with it
+)
+
+// timer is what is to be done at an instant.
 type timer struct {
-	due due
-	n   int // number of the attempt
-	q   *request
-	f   func()
+	kind    timerKind
+	attempt int      // number of the attempt, for the kinds that are about one
+	request *request // nil for functionDue
+	run     func()   // for functionDue only
 }
 
-type due uint8
+// timerTable holds the timers that are set, by token.
+type timerTable struct {
+	pending   map[int64]timer
+	lastToken int64
+}
 
-const (
-	duty          due = iota // f
-	deadlinePast             // the final answer is due
-	holdOver                 // the request can no longer be served within its aim
-	attemptSlow              // the attempt is out for longer than the patience
-	attemptSlower            // ... and was looked at before
-	aimPast                  // ... for longer than the aim
-	originLate               // a likely miss is out for longer than the origin should take
-	cacheLate                // a cache takes one attempt at a time and is late with it
-)
+// take removes a timer that fires. It reports false if the timer was cancelled.
+func (t *timerTable) take(token int64) (timer, bool) {
+	fired, pending := t.pending[token]
+	delete(t.pending, token)
+	return fired, pending
+}
 
-// schedule has something done at the given time, unless it is dropped.
+// schedule sets a timer and returns its token.
 func (r *Router) schedule(at Time, t timer) (token int64) {
-	r.token++
-	r.timers[r.token] = t
-	r.do(SetTimer{r.token, max(at, r.now+1)})
-	return r.token
+	r.timers.lastToken++
+	r.timers.pending[r.timers.lastToken] = t
+	r.emit(SetTimer{r.timers.lastToken, max(at, r.now+1)})
+	return r.timers.lastToken
 }
 
-// at runs f at the given time.
-func (r *Router) at(t Time, f func()) { r.schedule(t, timer{f: f}) }
+// runAt calls a function at an instant.
+func (r *Router) runAt(at Time, run func()) { r.schedule(at, timer{run: run}) }
 
-// drop takes timers back. The danger: thousands a second that have nothing left to do hold their requests.
-func (r *Router) drop(tokens ...int64) {
-	for _, t := range tokens {
-		if _, set := r.timers[t]; set {
-			delete(r.timers, t)
-			r.do(CancelTimer{t})
+// cancelTimers takes timers back. Token 0 and timers that have fired are ignored. Without this, the timers of
+// thousands of answered requests a second would hold their records.
+func (r *Router) cancelTimers(tokens ...int64) {
+	for _, token := range tokens {
+		if _, pending := r.timers.pending[token]; pending {
+			delete(r.timers.pending, token)
+			r.emit(CancelTimer{token})
 		}
 	}
 }
--- a/internal/router/recovery_test.go
+++ b/internal/router/recovery_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("call %d came %s after the one before was turned away, want %s at least", i, took, shortest)
 		}
 	}
-	lines.Want(t, "list unheard for")
+	lines.Want(t, `msg="endpoint list unavailable"`)
 	previous.Reply <- hosts(3, true, host("c1", cache.Addr(), "terminating"))
 	r.Until("the drain", r.drains("c1"))
 }
--- a/internal/testbench/policylimit/policylimit_test.go
+++ b/internal/testbench/policylimit/policylimit_test.go
@@ -58,9 +58,36 @@
 }
 
 // policyFilesWanted are all files that decide, and no others.
-var policyFilesWanted = []string{"decide/decide.go", "decide/membership.go", "decide/health.go", "decide/route.go",
-	"decide/slowstart.go", "decide/rules.go", "decide/limits.go", "decide/request.go", "decide/outcome.go",
-	"decide/placement.go", "decide/sparse.go"}
+var policyFilesWanted = []string{
+	"decide/router.go",
+	"decide/request.go",
+	"decide/attempt.go",
+	"decide/attempt_result.go",
+	"decide/selection.go",
+	"decide/placement.go",
+	"decide/idempotency.go",
+	"decide/overdue.go",
+	"decide/hedging.go",
+	"decide/concurrency_limit.go",
+	"decide/origin_limit.go",
+	"decide/queue.go",
+	"decide/retry_budget.go",
+	"decide/retry_storm.go",
+	"decide/admission.go",
+	"decide/outlier.go",
+	"decide/hot_keys.go",
+	"decide/cached_keys.go",
+	"decide/slow_start.go",
+	"decide/error_ratio.go",
+	"decide/low_traffic.go",
+	"decide/zone_outage.go",
+	"decide/zone_latency.go",
+	"decide/health_check.go",
+	"decide/idle_connections.go",
+	"decide/endpoint.go",
+	"decide/endpoint_list.go",
+	"decide/averages.go",
+}
 
 func TestPolicyKeepsItsLimits(t *testing.T) {
 	root := filepath.Join("..", "..", "..")
