--- /dev/null
+++ b/decide/api_test.go
@@ -0,0 +1,30 @@
+package decide
+
+import (
+	"math"
+	"strings"
+	"testing"
+)
+
+// TestSettingsCheckNamesTheField checks that the error of New names the field that is out of range.
+func TestSettingsCheckNamesTheField(t *testing.T) {
+	for field, spoil := range map[string]func(*Settings){
+		"ColdTime":    func(s *Settings) { s.SlowStartWindow = -1 },
+		"DrainGrace":  func(s *Settings) { s.DrainGrace = -1 },
+		"Classes":     func(s *Settings) { s.Classes = nil },
+		"Classes[1]":  func(s *Settings) { s.Classes[1].LatencyObjective = -5 },
+		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
+		"Routers":     func(s *Settings) { s.Routers = -1 },
+		"ColdShare":   func(s *Settings) { s.SlowStartMinCapacity = 1.5 },
+		"ProbePrice":  func(s *Settings) { s.HealthCheckCost = math.NaN() },
+		"ConnPrice":   func(s *Settings) { s.ConnectionCost = math.Inf(1) },
+		"DialPrice":   func(s *Settings) { s.DialCost = -0.1 },
+		"LateWorth":   func(s *Settings) { s.Classes[2].LateWeightFraction = 2 },
+	} {
+		s := settings()
+		spoil(&s)
+		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
+			t.Errorf("%s: %v", field, err)
+		}
+	}
+}
--- a/decide/inspect_test.go
+++ b/decide/inspect_test.go
@@ -1,8 +1,11 @@
 package decide
 
-import "testing"
+import (
+	"testing"
+)
 
-func TestInspectionFollowsARequestFromItsAskingToItsOutcome(t *testing.T) {
+// TestInspectionFollowsRequestToItsResult checks the counts of attempts and requests.
+func TestInspectionFollowsRequestToItsResult(t *testing.T) {
 	b := newBench(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	if n := b.r.InFlight("nowhere"); n != 0 {
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -1,7 +1,6 @@
 package decide
 
 import (
-	"fmt"
 	"math"
 	"math/rand"
 	"slices"
@@ -11,8 +10,29 @@
 	"starlingwinch/internal/rendezvous"
 )
 
-// TestHomesAreWhereARouterSends: a router that has nothing against any cache sends each key to its home.
-func TestHomesAreWhereARouterSends(t *testing.T) {
+// TestPlacementIsIndependentOfListOrder checks that routers agree however the list reached them.
+func TestPlacementIsIndependentOfListOrder(t *testing.T) {
+	es := fleet(9)
+	back := append([]Endpoint(nil), es...)
+	rand.New(rand.NewSource(1)).Shuffle(len(back), func(i, j int) { back[i], back[j] = back[j], back[i] })
+	a, b := newBench(t, settings()), newBench(t, settings())
+	a.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
+	for _, e := range back {
+		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
+	}
+	for k := range uint64(300) {
+		x, y := a.ask(int64(k), "read", k), b.ask(int64(k), "read", k)
+		if x == nil || y == nil || x.Cache != y.Cache {
+			t.Fatalf("key %d: %v and %v", k, x, y)
+		}
+		a.settle(int64(k), 0)
+		b.settle(int64(k), 0)
+	}
+}
+
+// TestNewPlacementAgreesWithRouter checks that a router sends each key to the cache that NewPlacement
+// names.
+func TestNewPlacementAgreesWithRouter(t *testing.T) {
 	b := quietBench(t, 9, nil)
 	var entries []Endpoint
 	for _, c := range b.r.serving {
@@ -63,17 +83,8 @@
 	return ids
 }
 
-// sizedFleet is a fleet of caches of so many sizes.
-func sizedFleet(n, sizes int) []Endpoint {
-	var es []Endpoint
-	for i := range n {
-		es = append(es, Endpoint{ID: fmt.Sprintf("s-%08x", uint32(mix(uint64(i)))), Zone: "a", Weight: 1 + float64(i%sizes)/2})
-	}
-	return es
-}
-
-// TestOrderIsThatOfPlainRendezvousHashing, at any size of fleet and number of sizes, and after caches
-// have come, gone and changed their size.
+// TestOrderIsThatOfPlainRendezvousHashing checks the order against the textbook form, at any size of fleet
+// and number of weights, and after caches have come, gone and changed their weight.
 func TestOrderIsThatOfPlainRendezvousHashing(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for _, c := range []struct{ n, sizes int }{{1, 1}, {3, 1}, {9, 1}, {14, 2}, {40, 3}, {40, 40}, {300, 1}, {300, 7}} {
@@ -116,95 +127,23 @@
 	}
 }
 
-// TestHotKeyGoesToItsFirstRanksAlike.
-func TestHotKeyGoesToItsFirstRanksAlike(t *testing.T) {
-	s := settings()
-	s.AllowHealthChecks = false
-	b := newBench(t, s)
-	es := sizedFleet(200, 1)
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-	const key, share = 42, 0.25
-	b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 250, 1000
-	k := b.r.replicaCount(key)
-	if want := 1 + int(share*200/hotKeyCapacityFraction); k != want {
-		t.Fatalf("it goes to %d caches, want %d", k, want)
-	}
-	order, used := plainOrder(es, key), map[string]int{}
-	for range 100 * k {
+// TestLowTrafficPrefersOwnZoneAmongReplicas checks that a hot key goes to a cache in the router's zone
+// first, and any other key to its first cache.
+func TestLowTrafficPrefersOwnZoneAmongReplicas(t *testing.T) {
+	b := zonedBench(t, 90)
+	for key := range uint64(300) {
+		b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 30, 1000 // among 90 caches it goes to many
 		b.r.rankCaches(key)
-		used[b.r.placement.ranked(0).ID]++
-		if b.r.placement.ranked(b.r.placement.first).ID != order[0] && b.r.placement.first > 0 {
-			t.Fatal("the first rank has not taken the place of the one that stands first")
+		if c := b.r.placement.ranked(0); c.Zone != "z1" {
+			t.Fatalf("key %d goes to %s in zone %s first", key, c.ID, c.Zone)
 		}
 	}
-	for i, id := range order {
-		if n := used[id]; i < k && (n < 50 || n > 160) || i >= k && n > 0 {
-			t.Errorf("rank %d was first %d times of %d", i, n, 100*k)
+	// A key that goes to one cache goes to it, wherever it is.
+	b.r.hotKeys.requests, b.r.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
+	for key := range uint64(300) {
+		b.r.rankCaches(key)
+		if c, home := b.r.placement.ranked(0).ID, b.r.placement.order.Ranked(0).ID; c != home {
+			t.Fatalf("key %d goes to %s, not to its home %s", key, c, home)
 		}
 	}
 }
-
-// largeBench is a router before a fleet without limits.
-func largeBench(b *testing.B, n int) *Router {
-	s := settings()
-	s.AllowHealthChecks, s.Routers = false, 3
-	r, err := New(s, 7)
-	if err != nil {
-		b.Fatal(err)
-	}
-	r.Handle(1e9, &EndpointList{Kind: FullUpdate, Endpoints: sizedFleet(n, 1)})
-	for _, c := range r.caches {
-		c.limit.value = 1e9
-	}
-	r.origin.limit.value = 1e9
-	return r
-}
-
-var fleets = []int{10, 100, 500, 2000}
-
-// BenchmarkRequest has requests of many keys asked and served.
-func BenchmarkRequest(b *testing.B) {
-	for _, n := range fleets {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { benchRequests(b, largeBench(b, n), func(i int) uint64 { return mix(uint64(i)) }) })
-	}
-}
-
-// BenchmarkHotRequest has a quarter of them ask for one key.
-func BenchmarkHotRequest(b *testing.B) {
-	for _, n := range fleets {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			benchRequests(b, largeBench(b, n), func(i int) uint64 {
-				if i%4 == 0 {
-					return 42
-				}
-				return mix(uint64(i))
-			})
-		})
-	}
-}
-
-func benchRequests(b *testing.B, r *Router, key func(int) uint64) {
-	b.ReportAllocs()
-	now := Time(1e9)
-	for i := range b.N {
-		now += 50
-		id := int64(i + 1)
-		r.Handle(now, &Request{ID: id, Class: "read", Key: key(i), HasKey: true, Deadline: now + 800*ms})
-		r.Handle(now+1, &AttemptResult{ID: id, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
-	}
-}
-
-// BenchmarkListChange has one cache of many drain and come back.
-func BenchmarkListChange(b *testing.B) {
-	for _, n := range fleets {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			b.ReportAllocs()
-			r := largeBench(b, n)
-			e := sizedFleet(n, 1)[n/2]
-			for i := range b.N {
-				e.Status = Status(i % 2)
-				r.Handle(Time(2e9+i), &EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
-			}
-		})
-	}
-}
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -252,13 +252,15 @@
 	}
 }
 
+// TestRandomEventsKeepTheRules plays random events and checks each action.
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range int64(150) {
 		play(t, seed, 1500)
 	}
 }
 
-func TestEqualEventsEqualActions(t *testing.T) {
+// TestEqualEventsGiveEqualActions plays the same events twice.
+func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range int64(10) {
 		if !reflect.DeepEqual(play(t, seed, 1000), play(t, seed, 1000)) {
 			t.Fatalf("seed %d: two runs differ", seed)
@@ -266,8 +268,9 @@
 	}
 }
 
-// TestNamesChangeNothing: what classes and tenants are called decides nothing.
-func TestNamesChangeNothing(t *testing.T) {
+// TestNamesOfClassesAndTenantsChangeNothing checks that no rule depends on what classes and tenants are
+// called.
+func TestNamesOfClassesAndTenantsChangeNothing(t *testing.T) {
 	for seed := range int64(40) {
 		if !reflect.DeepEqual(play(t, seed, 800), playNamed(t, seed, 800, "kiln-")) {
 			t.Fatalf("seed %d: other names, other actions", seed)
--- a/decide/pressure_test.go
+++ b/decide/retry_storm_test.go
@@ -24,7 +24,9 @@
 	return all
 }
 
-func TestRetryTooLateToBeServedInTimeIsRefusedAtOnce(t *testing.T) {
+// TestStormRejectsLateRetryAtOnce checks that a retry that can't be served in time is rejected while first
+// tries are, and an earlier one is sent.
+func TestStormRejectsLateRetryAtOnce(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	old := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	acts := b.feed(old)
@@ -40,7 +42,9 @@
 	}
 }
 
-func TestLateRetryIsTakenWhereFirstTriesAreServed(t *testing.T) {
+// TestStormAdmitsLateRetryWhereFirstTriesAreServed checks that a late retry is sent if no first try was
+// rejected lately.
+func TestStormAdmitsLateRetryWhereFirstTriesAreServed(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.advance(600 * ms)
 	late := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
@@ -49,7 +53,9 @@
 	}
 }
 
-func TestWithoutPressureSinceChangesNothing(t *testing.T) {
+// TestFirstRequestedAtChangesNothingWithoutStorm checks that what is known of a retry counts during a storm
+// only.
+func TestFirstRequestedAtChangesNothingWithoutStorm(t *testing.T) {
 	play := func(since Time, p *RetryStorm) []Action {
 		b := newBench(t, settings())
 		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
@@ -72,7 +78,9 @@
 	}
 }
 
-func TestThoseRefusedTogetherAreToldDifferentTimes(t *testing.T) {
+// TestStormRetryAfterHasJitter checks that clients that are rejected together are asked to stay away for
+// different times.
+func TestStormRetryAfterHasJitter(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	told := map[Time]int{}
 	for id := range int64(100) {
@@ -89,7 +97,8 @@
 	}
 }
 
-func TestWaitsStayWithinWhatClientsHonour(t *testing.T) {
+// TestStormRetryAfterStaysWithinMaximum checks that the jitter does not exceed MaxRetryAfter.
+func TestStormRetryAfterStaysWithinMaximum(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100_000 * ms})
 	for id := range int64(50) {
 		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
@@ -101,21 +110,9 @@
 	}
 }
 
-func TestBudgetOfRetriesShrinksUnderPressure(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryBudgetFraction: 0.1})
-	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.retryBudget.tokens > 0.1*maxRetryTokens {
-		t.Errorf("a budget of %.1f is left", b.r.retryBudget.tokens)
-	}
-	b.feed(&RetryStorm{})
-	b.feed(&Request{ID: 2, Class: "read", Key: 2, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.retryBudget.tokens > 0.1*maxRetryTokens+1 {
-		t.Errorf("the budget is full again at once: %.1f", b.r.retryBudget.tokens)
-	}
-}
-
-// TestRetryIsSentWhereNothingElseIs: all caches that were full have room by now, and only retries come.
-func TestRetryIsSentWhereNothingElseIs(t *testing.T) {
+// TestStormSendsRetryWhereNothingElseIsSent checks that retries are sent again after a time without
+// attempts, when caches have capacity by now.
+func TestStormSendsRetryWhereNothingElseIsSent(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	late := func(id int64) *Request {
 		return &Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
@@ -136,8 +133,9 @@
 	}
 }
 
-// TestRouterWithoutCachesDoesNotTurnRetriesAwayLater: what it refused then says nothing of caches' room.
-func TestRouterWithoutCachesDoesNotTurnRetriesAwayLater(t *testing.T) {
+// TestRejectionWithoutCachesSaysNothingOfCapacity checks that what is rejected before any cache is known
+// does not have retries rejected later.
+func TestRejectionWithoutCachesSaysNothingOfCapacity(t *testing.T) {
 	b := newBench(t, settings())
 	b.feed(&RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
@@ -146,7 +144,9 @@
 	}
 }
 
-func TestUnsafeRequestThatIsLateIsRefusedOnlyWhereNothingRan(t *testing.T) {
+// TestStormRejectsLateNonIdempotentRequestThatHasNotRun checks that a late request that must not run twice
+// may be rejected, as nothing of it has run here.
+func TestStormRejectsLateNonIdempotentRequestThatHasNotRun(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100 * ms})
 	acts := b.feed(&Request{ID: 1, Class: "once", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})
 	if len(refusals(acts)) != 1 {
@@ -154,7 +154,9 @@
 	}
 }
 
-func TestCacheThatIsAwayIsTriedAndANewOneStartsAfresh(t *testing.T) {
+// TestOutageTriesCachesAndResetsRestartedOnes checks that caches that are away get attempts, so that their
+// return is noticed, and that a restarted one begins with the minimum limit.
+func TestOutageTriesCachesAndResetsRestartedOnes(t *testing.T) {
 	b := pressed(t, RetryStorm{Active: true, Outage: true, RetryBudgetFraction: 0.1})
 	tries := func(id int64) (n int) {
 		acts := b.feed(&Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 700*ms})
--- a/decide/learned_test.go
+++ b/decide/snapshot_test.go
@@ -22,8 +22,8 @@
 	return b, es
 }
 
-// TestWhatWasLearnedIsTakenOver by another router that has the same list.
-func TestWhatWasLearnedIsTakenOver(t *testing.T) {
+// TestRestoreTakesOverSnapshot checks that a router with the same list knows what another one has learned.
+func TestRestoreTakesOverSnapshot(t *testing.T) {
 	old, es := taught(t)
 	l := old.r.Snapshot(100)
 	b := newBench(t, old.r.settings)
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestNothingOfAnOldProcessIsTakenOver: its id is the same, its start is another.
-func TestNothingOfAnOldProcessIsTakenOver(t *testing.T) {
+// TestRestoreIgnoresPreviousProcess checks that nothing is taken of a cache with the same id and another
+// start.
+func TestRestoreIgnoresPreviousProcess(t *testing.T) {
 	old, es := taught(t)
 	b := newBench(t, old.r.settings)
 	es[1].StartedAt = b.now - 1000
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestFiguresOutOfRangeAreNotTakenOver, whatever a file says.
-func TestFiguresOutOfRangeAreNotTakenOver(t *testing.T) {
+// TestRestoreIgnoresValuesOutOfRange checks that a damaged snapshot leaves the router as it is.
+func TestRestoreIgnoresValuesOutOfRange(t *testing.T) {
 	b := newBench(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(2)})
 	fresh := b.r.Snapshot(10)
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestLearnedInPiecesIsTheSame as at once, whatever the size of a piece.
-func TestLearnedInPiecesIsTheSame(t *testing.T) {
+// TestEndpointSnapshotsInStepsEqualWhole checks that steps of any size give what one call gives.
+func TestEndpointSnapshotsInStepsEqualWhole(t *testing.T) {
 	old, _ := taught(t)
 	whole := old.r.Snapshot(0).Caches
 	for most := 1; most <= 4; most++ {
@@ -93,8 +94,9 @@
 	}
 }
 
-// TestWhichKeysAreToldDoesNotDependOnTheOrderOfAMap, and it is as many as were asked for.
-func TestWhichKeysAreToldDoesNotDependOnTheOrderOfAMap(t *testing.T) {
+// TestCachedKeysDoNotDependOnMapOrder checks that the same keys are selected each time, as many as are
+// wanted.
+func TestCachedKeysDoNotDependOnMapOrder(t *testing.T) {
 	old, _ := taught(t)
 	c := old.r.caches["c01"]
 	for i := range uint64(3000) {
