--- a/decide/benchmark_test.go
+++ b/decide/benchmark_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// largeBench is a router before a fleet without limits.
-func largeBench(b *testing.B, n int) *Router {
+// newBenchmarkRouter returns a router before n caches without limits.
+func newBenchmarkRouter(b *testing.B, n int) *Router {
 	s := settings()
 	s.AllowHealthChecks, s.Routers = false, 3
 	r, err := New(s, 7)
@@ -26,7 +26,9 @@
 // BenchmarkRequest has requests of many keys sent and served.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range fleets {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { benchRequests(b, largeBench(b, n), func(i int) uint64 { return mix(uint64(i)) }) })
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			benchmarkRequests(b, newBenchmarkRouter(b, n), func(i int) uint64 { return mix(uint64(i)) })
+		})
 	}
 }
 
@@ -34,7 +36,7 @@
 func BenchmarkHotRequest(b *testing.B) {
 	for _, n := range fleets {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			benchRequests(b, largeBench(b, n), func(i int) uint64 {
+			benchmarkRequests(b, newBenchmarkRouter(b, n), func(i int) uint64 {
 				if i%4 == 0 {
 					return 42
 				}
@@ -44,7 +46,7 @@
 	}
 }
 
-func benchRequests(b *testing.B, r *Router, key func(int) uint64) {
+func benchmarkRequests(b *testing.B, r *Router, key func(int) uint64) {
 	b.ReportAllocs()
 	now := Time(1e9)
 	for i := range b.N {
@@ -60,7 +62,7 @@
 	for _, n := range fleets {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			r := largeBench(b, n)
+			r := newBenchmarkRouter(b, n)
 			e := sizedFleet(n, 1)[n/2]
 			for i := range b.N {
 				e.Status = Status(i % 2)
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -7,11 +7,11 @@
 // TestConcurrencyLimitQueuesThenRejects checks that requests above the limit of a cache wait, and are
 // rejected at their queue deadline: a cache above its limit serves everything late.
 func TestConcurrencyLimitQueuesThenRejects(t *testing.T) {
-	b := quietBench(t, 1, nil)
+	b := newHarnessWithoutHealthChecks(t, 1, nil)
 	b.r.caches["c00"].cachedKeys[0][7] = true // hits: the origin has no part in it
 	sent := 0
 	for id := range int64(40) {
-		if b.ask(id+1, "read", 7) != nil {
+		if b.request(id+1, "read", 7) != nil {
 			sent++
 		}
 	}
@@ -20,7 +20,7 @@
 		t.Fatalf("%d sent under a limit of %v", sent, limit)
 	}
 	acts := b.advance(90 * ms)
-	if got := finals(acts); got != 40-sent {
+	if got := finalAnswers(acts); got != 40-sent {
 		t.Fatalf("%d of %d held requests shed within the hold", got, 40-sent)
 	}
 	b.advance(20 * ms)
@@ -32,20 +32,20 @@
 // TestConcurrencyLimitBelowOneLeavesGaps checks that an overloaded cache gets time without attempts, which
 // it needs to recover.
 func TestConcurrencyLimitBelowOneLeavesGaps(t *testing.T) {
-	b := quietBench(t, 1, nil)
+	b := newHarnessWithoutHealthChecks(t, 1, nil)
 	c := b.r.caches["c00"]
 	c.limit.value = 0.2
 	c.cachedKeys[0][7] = true
-	if b.ask(1, "read", 7) == nil {
+	if b.request(1, "read", 7) == nil {
 		t.Fatal("an idle cache gets nothing")
 	}
-	b.answer(1, 0, Served, true)
+	b.end(1, 0, Served, true)
 	c.limit.value = 0.2
-	if b.ask(2, "read", 7) != nil {
+	if b.request(2, "read", 7) != nil {
 		t.Fatal("no gap after an attempt")
 	}
 	b.advance(5 * b.r.shortestTimeout)
-	if b.ask(3, "read", 7) == nil {
+	if b.request(3, "read", 7) == nil {
 		t.Fatal("nothing sent after the gap")
 	}
 }
@@ -53,12 +53,12 @@
 // TestResultsCountInPartForOtherCaches checks that a late attempt lowers the limits of other caches too,
 // but less, and not below a sole attempt: one router of many would notice a surge at each cache separately.
 func TestResultsCountInPartForOtherCaches(t *testing.T) {
-	b := quietBench(t, 12, nil)
+	b := newHarnessWithoutHealthChecks(t, 12, nil)
 	before := b.r.caches["c00"].limit.value
 	var to string
 	var last int64
 	for key := uint64(1); to == "" || to == "c00"; key++ {
-		if s := b.ask(int64(key), "once", key); s != nil {
+		if s := b.request(int64(key), "once", key); s != nil {
 			to = s.Cache
 		}
 		last = int64(key)
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -9,16 +9,16 @@
 // TestDrainingCacheGetsNoRequests checks that draining and removed caches get nothing, and one that serves
 // again does.
 func TestDrainingCacheGetsNoRequests(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(2)})
 	b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "c00", Status: Draining}}})
 	b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "c01", Status: Removed}}})
 	b.advance(1001 * ms)
-	if s := b.ask(1, "read", 1); s != nil {
+	if s := b.request(1, "read", 1); s != nil {
 		t.Fatalf("sent to %s after the grace", s.Cache)
 	}
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(1)})
-	if s := b.ask(2, "read", 1); s == nil || s.Cache != "c00" {
+	if s := b.request(2, "read", 1); s == nil || s.Cache != "c00" {
 		t.Fatalf("a cache listed up again is not used: %v", s)
 	}
 }
@@ -29,7 +29,7 @@
 	s.WatchRequired = true
 	watches := func(seed uint64) []Time {
 		r, _ := New(s, seed)
-		b := &bench{t: t, r: r, now: 1e9}
+		b := &harness{t: t, r: r, now: 1e9}
 		b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(2)})
 		untilWatch := func() Time {
 			start := b.now
@@ -69,7 +69,7 @@
 // as it is.
 func TestWeightsThatFollowLoadDoNotMoveKeys(t *testing.T) {
 	for _, live := range []bool{true, false} {
-		b := quietBench(t, 8, func(s *Settings) { s.WeightsFollowLoad = live })
+		b := newHarnessWithoutHealthChecks(t, 8, func(s *Settings) { s.WeightsFollowLoad = live })
 		moved := 0
 		for key := range uint64(200) {
 			es := fleet(8)
@@ -95,8 +95,8 @@
 // TestRemovedCachesLeaveNothing checks that removed caches are forgotten, and late events for them do no
 // harm.
 func TestRemovedCachesLeaveNothing(t *testing.T) {
-	b := quietBench(t, 3, nil)
-	s := b.ask(1, "read", 9)
+	b := newHarnessWithoutHealthChecks(t, 3, nil)
+	s := b.request(1, "read", 9)
 	for i := range 50 {
 		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: fmt.Sprint("x", i), Zone: "a", Weight: 1}}})
 		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: fmt.Sprint("x", i), Status: Removed}}})
@@ -106,18 +106,18 @@
 		t.Errorf("%d caches are kept", len(b.r.caches))
 	}
 	b.feed(&HealthCheckResult{Cache: s.Cache, Result: Served})
-	b.answer(1, 0, Served, true)
+	b.end(1, 0, Served, true)
 	if len(b.r.requests) != 0 {
 		t.Errorf("%d requests are kept", len(b.r.requests))
 	}
 }
 
-// unmetBy has so many caches refuse a connection or turn an attempt away, and tells whether the list was asked for anew within
-// the span.
-func (b *bench) unmetBy(result Result, caches int, within Time) (asked int) {
+// failAttempts ends an attempt at each of so many caches with a result, and returns how often the list was called for
+// within the span.
+func (b *harness) failAttempts(result Result, caches int, within Time) (asked int) {
 	for i := range caches {
 		id := int64(1000*b.r.now) + int64(i)
-		s := b.ask(id, "read", b.keyOf(b.r.serving[i].ID, uint64(id)))
+		s := b.request(id, "read", b.keyOf(b.r.serving[i].ID, uint64(id)))
 		if s == nil {
 			continue
 		}
@@ -138,10 +138,10 @@
 func TestUnreachableCachesDoNotRenewTheWatch(t *testing.T) {
 	watching := func(s *Settings) { s.WatchRequired, s.PollInterval = true, 4000*ms }
 	for _, result := range []Result{ConnectFailed, Rejected} {
-		b := sparseBench(t, 20, watching)
+		b := newLowTrafficHarness(t, 20, watching)
 		b.advance(3000 * ms)
 		for range 3 {
-			if n := b.unmetBy(result, 20, 2500*ms); n != 0 {
+			if n := b.failAttempts(result, 20, 2500*ms); n != 0 {
 				t.Errorf("result %d at all caches: the list is asked for %d times", result, n)
 			}
 		}
@@ -154,7 +154,7 @@
 	for _, every := range []Time{1000 * ms, 10_000 * ms, 60_000 * ms, 600_000 * ms} {
 		s := settings()
 		s.PollInterval, s.DrainGrace, s.WatchRequired, s.AllowHealthChecks = every, 500*ms, true, false
-		b := newBench(t, s)
+		b := newHarness(t, s)
 		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 		b.advance(s.DrainGrace) // past the first call
 		b.timers = nil
--- a/decide/error_ratio_test.go
+++ b/decide/error_ratio_test.go
@@ -7,14 +7,14 @@
 // TestFailingCacheIsPassedOver checks that a cache that fails at once neither uses up the retry budget nor
 // has the origin blamed, and is tried again later.
 func TestFailingCacheIsPassedOver(t *testing.T) {
-	b := quietBench(t, 4, nil)
+	b := newHarnessWithoutHealthChecks(t, 4, nil)
 	bad := b.r.home(9)
 	fetches := b.r.origin.limit.value
 	for id := range int64(200) {
 		id++
-		s := b.ask(id, "read", uint64(id))
+		s := b.request(id, "read", uint64(id))
 		for n := 0; s != nil && s.Cache == bad; n++ {
-			got := sends(b.answer(id, n, Errored, false))
+			got := sends(b.end(id, n, Errored, false))
 			if s = nil; len(got) > 0 {
 				s = &got[0]
 			}
@@ -23,7 +23,7 @@
 			t.Fatalf("request %d was given up", id)
 		}
 		if s != nil {
-			b.answer(id, len(b.r.requests[id].attempts)-1, Served, true)
+			b.end(id, len(b.r.requests[id].attempts)-1, Served, true)
 		}
 		b.advance(5 * ms)
 	}
@@ -44,12 +44,12 @@
 func TestLowTrafficCacheThatFailsEveryTenthKeepsItsTraffic(t *testing.T) {
 	sent, asked := 0, 0
 	for seed := range 60 {
-		b := sparseBench(t, 20, nil)
+		b := newLowTrafficHarness(t, 20, nil)
 		b.r.random = randomSource(uint64(seed) * 1001)
 		for i := range int64(12) {
 			b.r.hotKeys.total[0] = 1000
 			asked++
-			s := b.ask(i+1, "read", b.keyOf("c03", uint64(i)*999))
+			s := b.request(i+1, "read", b.keyOf("c03", uint64(i)*999))
 			if s != nil && s.Cache == "c03" {
 				sent++
 				res := Served
@@ -57,7 +57,7 @@
 					res = Errored
 				}
 				b.feed(&AttemptResult{ID: i + 1, Result: res, Elapsed: 5 * ms, Last: res == Served, Load: LoadReport{Utilization: -1}})
-				b.settle(i+1, 1) // the second attempt, where there is one
+				b.serve(i+1, 1) // the second attempt, where there is one
 			}
 			b.advance(5000 * ms)
 		}
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// bench drives one router and keeps its timers.
-type bench struct {
+// harness drives one router and keeps its timers.
+type harness struct {
 	t      *testing.T
 	r      *Router
 	now    Time
@@ -33,16 +33,16 @@
 	acts   []Action // of the last step
 }
 
-func newBench(t *testing.T, s Settings) *bench {
+func newHarness(t *testing.T, s Settings) *harness {
 	t.Helper()
 	r, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &bench{t: t, r: r, now: 1e9}
+	return &harness{t: t, r: r, now: 1e9}
 }
 
-func (b *bench) feed(ev Event) []Action {
+func (b *harness) feed(ev Event) []Action {
 	b.acts = b.r.Handle(b.now, ev)
 	for _, a := range b.acts {
 		switch a := a.(type) {
@@ -60,7 +60,7 @@
 }
 
 // advance fires the timers due until the clock has moved on by d.
-func (b *bench) advance(d Time) []Action {
+func (b *harness) advance(d Time) []Action {
 	var all []Action
 	end := b.now + d
 	for {
@@ -100,7 +100,7 @@
 	return s
 }
 
-func probes(acts []Action) []string {
+func healthChecksOf(acts []Action) []string {
 	var s []string
 	for _, a := range acts {
 		if x, ok := a.(HealthCheck); ok {
@@ -110,7 +110,7 @@
 	return s
 }
 
-func finals(acts []Action) int {
+func finalAnswers(acts []Action) int {
 	n := 0
 	for _, a := range acts {
 		switch a.(type) {
@@ -121,7 +121,7 @@
 	return n
 }
 
-func (b *bench) ask(id int64, class string, key uint64) *Send {
+func (b *harness) request(id int64, class string, key uint64) *Send {
 	s := sends(b.feed(&Request{ID: id, Class: class, Key: key, HasKey: true, Deadline: b.now + 800*ms}))
 	if len(s) == 0 {
 		return nil
@@ -129,13 +129,13 @@
 	return &s[0]
 }
 
-// settle ends an attempt well so that it leaves nothing behind.
-func (b *bench) settle(id int64, attempt int) {
+// serve ends an attempt as served, which is the final answer.
+func (b *harness) serve(id int64, attempt int) {
 	b.feed(&AttemptResult{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
 }
 
-// answer ends an attempt with a result after the given time.
-func (b *bench) answer(id int64, attempt int, res Result, last bool) []Action {
+// end ends an attempt with a result; a last one is the final answer.
+func (b *harness) end(id int64, attempt int, res Result, last bool) []Action {
 	return b.feed(&AttemptResult{ID: id, Attempt: attempt, Result: res, Last: last, Load: LoadReport{Utilization: -1}})
 }
 
@@ -149,26 +149,26 @@
 	return strings.Join(s, "\n")
 }
 
-// one returns a fleet of caches with healthy probes off, so that only the data path speaks.
-func quietBench(t *testing.T, n int, change func(*Settings)) *bench {
+// newHarnessWithoutHealthChecks returns a router before so many caches that learns from attempts alone.
+func newHarnessWithoutHealthChecks(t *testing.T, n int, change func(*Settings)) *harness {
 	t.Helper()
 	s := settings()
 	s.AllowHealthChecks = false
 	if change != nil {
 		change(&s)
 	}
-	b := newBench(t, s)
+	b := newHarness(t, s)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(n)})
 	return b
 }
 
-// home is the id of a key's first rank.
+// home returns the id of the cache that a key goes to first, hot keys included.
 func (r *Router) home(key uint64) string {
 	r.rankCaches(key)
 	return r.placement.ranked(0).ID
 }
 
-// sizedFleet is a fleet of caches of so many sizes.
+// sizedFleet returns n caches with so many different weights.
 func sizedFleet(n, sizes int) []Endpoint {
 	var es []Endpoint
 	for i := range n {
@@ -177,8 +177,8 @@
 	return es
 }
 
-// keyOf is a key, from a number on, whose home is the cache.
-func (b *bench) keyOf(cache string, from uint64) uint64 {
+// keyOf returns the first key from a number on whose first rank is the cache.
+func (b *harness) keyOf(cache string, from uint64) uint64 {
 	for key := from; ; key++ {
 		if b.r.placement.order.Rank(key); b.r.placement.order.Ranked(0).ID == cache {
 			return key
@@ -186,15 +186,15 @@
 	}
 }
 
-// late lets a request's attempts go unanswered until its deadline, past which they are called off.
-func (b *bench) late(id int64) {
+// timeOut lets the attempts of a request go unanswered until its deadline, past which they end as cancelled.
+func (b *harness) timeOut(id int64) {
 	b.advance(800 * ms)
 	for n := range 3 {
 		b.feed(&AttemptResult{ID: id, Attempt: n, Result: Cancelled, Elapsed: 800 * ms, Last: true, Load: LoadReport{Utilization: -1}})
 	}
 }
 
-func (b *bench) home(key uint64) string {
+func (b *harness) home(key uint64) string {
 	b.r.placement.order.Rank(key)
 	return b.r.placement.order.Ranked(0).ID
 }
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -4,12 +4,12 @@
 	"testing"
 )
 
-// rounds plays probe rounds in which the named cache gives res, or stays silent
+// playHealthCheckRounds plays rounds in which the named cache gives res, or stays silent
 // where res is nil; all others answer.
-func (b *bench) rounds(n int, bad string, res *Result) {
+func (b *harness) playHealthCheckRounds(n int, bad string, res *Result) {
 	for played := 0; played < n; {
 		acts := b.advance(1 * ms)
-		ps := probes(acts)
+		ps := healthChecksOf(acts)
 		if len(ps) == 0 {
 			continue
 		}
@@ -32,17 +32,17 @@
 // failures of any kind, and healthy after one success.
 func TestHealthCheckMarksAtThresholdAndRecovers(t *testing.T) {
 	for _, res := range []*Result{nil, result(ConnectFailed), result(Errored), result(Rejected), result(TimedOut)} {
-		b := newBench(t, settings())
+		b := newHarness(t, settings())
 		b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
-		b.rounds(maxFailedHealthChecks-1, "c01", res)
+		b.playHealthCheckRounds(maxFailedHealthChecks-1, "c01", res)
 		if !b.r.caches["c01"].health.healthy {
 			t.Fatalf("%v: marked after %d failures", res, maxFailedHealthChecks-1)
 		}
-		b.rounds(1, "c01", res)
+		b.playHealthCheckRounds(1, "c01", res)
 		if b.r.caches["c01"].health.healthy {
 			t.Fatalf("%v: not marked after %d failures", res, maxFailedHealthChecks)
 		}
-		b.rounds(1, "", nil)
+		b.playHealthCheckRounds(1, "", nil)
 		if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
 			t.Fatalf("%v: not healthy after a success", res)
 		}
@@ -52,9 +52,9 @@
 // TestHealthCheckNotSentIsNoFailure checks that a health check that this machine could not send says
 // nothing of the cache.
 func TestHealthCheckNotSentIsNoFailure(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
-	b.rounds(maxFailedHealthChecks+1, "c01", result(NotSent))
+	b.playHealthCheckRounds(maxFailedHealthChecks+1, "c01", result(NotSent))
 	if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
 		t.Errorf("healthy %v after %d failures", c.health.healthy, c.health.failures)
 	}
@@ -63,10 +63,10 @@
 // TestHealthCheckRoundMarksAtItsEnd checks that a count that reaches the threshold within a round is judged
 // when the round ends.
 func TestHealthCheckRoundMarksAtItsEnd(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(3)})
-	b.rounds(maxFailedHealthChecks-1, "c01", result(Errored))
-	for len(probes(b.advance(1*ms))) == 0 {
+	b.playHealthCheckRounds(maxFailedHealthChecks-1, "c01", result(Errored))
+	for len(healthChecksOf(b.advance(1*ms))) == 0 {
 	}
 	b.feed(&HealthCheckResult{Cache: "c01", Result: Errored})
 	if !b.r.caches["c01"].health.healthy {
@@ -82,12 +82,12 @@
 // checks grow with routers times caches, requests of one router do not.
 func TestHealthChecksArePaidByRequests(t *testing.T) {
 	count := func(caches, requests int) (rounds float64) {
-		b := newBench(t, settings())
+		b := newHarness(t, settings())
 		b.feed(&EndpointList{Endpoints: fleet(caches)})
 		for id := range int64(requests) {
-			b.ask(id+1, "read", uint64(id))
-			b.settle(id+1, 0)
-			rounds += float64(len(probes(b.advance(128*b.r.settings.DrainGrace/Time(requests))))) / float64(caches)
+			b.request(id+1, "read", uint64(id))
+			b.serve(id+1, 0)
+			rounds += float64(len(healthChecksOf(b.advance(128*b.r.settings.DrainGrace/Time(requests))))) / float64(caches)
 		}
 		return rounds
 	}
@@ -96,7 +96,7 @@
 		t.Errorf("%v rounds in 128 graces with requests enough, want one each", often)
 	}
 	if thin < 20 || thin > 30 {
-		t.Errorf("%v rounds of 50 probes with 1280 requests, want about one for 50 requests", thin)
+		t.Errorf("%v rounds of 50 health checks with 1280 requests, want about one for 50 requests", thin)
 	}
 	if idle < 1 || idle > 3 {
 		t.Errorf("%v rounds of an idle router, want one in %d graces", idle, maxGracesBetweenRounds)
@@ -107,12 +107,12 @@
 // connection.
 func TestLowTrafficHealthChecksPayForTheirConnections(t *testing.T) {
 	rounds := func(routers int) (n int) {
-		b := quietBench(t, 10, func(s *Settings) { s.AllowHealthChecks, s.Routers, s.DialCost = true, routers, .03 })
+		b := newHarnessWithoutHealthChecks(t, 10, func(s *Settings) { s.AllowHealthChecks, s.Routers, s.DialCost = true, routers, .03 })
 		b.r.healthChecks.budget = 0
 		for id := range int64(400) {
-			b.ask(id+1, "read", mix(uint64(id)))
-			b.settle(id+1, 0)
-			n += len(probes(b.advance(100 * ms)))
+			b.request(id+1, "read", mix(uint64(id)))
+			b.serve(id+1, 0)
+			n += len(healthChecksOf(b.advance(100 * ms)))
 		}
 		return n / 10
 	}
--- a/decide/hedging_test.go
+++ b/decide/hedging_test.go
@@ -9,8 +9,8 @@
 // have failed.
 func TestHedgeOnlyWhereCacheIsSilent(t *testing.T) {
 	for _, silent := range []bool{true, false} {
-		b := quietBench(t, 4, nil)
-		s := b.ask(1, "read", 9)
+		b := newHarnessWithoutHealthChecks(t, 4, nil)
+		s := b.request(1, "read", 9)
 		b.advance(10 * ms)
 		if !silent {
 			b.r.caches[s.Cache].lastAnswerAt = b.r.now
@@ -21,14 +21,14 @@
 		}
 	}
 	for _, change := range []func(*Settings){func(s *Settings) { s.AllowHedging = false }, func(s *Settings) { s.MaxAttempts = 1 }} {
-		b := quietBench(t, 4, change)
-		b.ask(1, "read", 9)
+		b := newHarnessWithoutHealthChecks(t, 4, change)
+		b.request(1, "read", 9)
 		if got := sends(b.advance(150 * ms)); len(got) != 0 {
 			t.Errorf("hedged where it is banned: %v", got)
 		}
 	}
-	b := quietBench(t, 4, nil)
-	b.ask(1, "once", 9)
+	b := newHarnessWithoutHealthChecks(t, 4, nil)
+	b.request(1, "once", 9)
 	if got := sends(b.advance(150 * ms)); len(got) != 0 {
 		t.Errorf("an unsafe request was hedged: %v", got)
 	}
@@ -37,7 +37,7 @@
 // TestLostAttemptsAreHedged checks that attempts that get lost, while others are served as quickly as ever,
 // are sent again and don't lower limits. Each fourth first attempt is never answered.
 func TestLostAttemptsAreHedged(t *testing.T) {
-	b := quietBench(t, 4, nil)
+	b := newHarnessWithoutHealthChecks(t, 4, nil)
 	for _, c := range b.r.caches {
 		for key := range uint64(16) {
 			c.cachedKeys[0][key], c.cachedKeys[1][key] = true, true
@@ -47,22 +47,22 @@
 	lost, again, refused := 0, 0, 0
 	var after func(acts []Action)
 	after = func(acts []Action) {
-		refused += finals(acts)
+		refused += finalAnswers(acts)
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send: // a second attempt: it is answered
 				if a.ID > 200 {
 					again++
 				}
-				after(b.answer(a.ID, len(b.r.requests[a.ID].attempts)-1, Served, true))
+				after(b.end(a.ID, len(b.r.requests[a.ID].attempts)-1, Served, true))
 			case Cancel:
-				after(b.answer(a.ID, a.Attempt, Cancelled, true))
+				after(b.end(a.ID, a.Attempt, Cancelled, true))
 			}
 		}
 	}
 	for id := range int64(400) {
 		id++
-		s := b.ask(id, "read", uint64(id%15))
+		s := b.request(id, "read", uint64(id%15))
 		if s == nil {
 			t.Fatalf("request %d is not sent", id)
 		}
@@ -72,14 +72,14 @@
 		after(b.advance(10 * ms))
 		switch {
 		case id%4 != 0:
-			after(b.answer(id, 0, Served, true))
+			after(b.end(id, 0, Served, true))
 		case id > 200:
 			lost++
 		}
 	}
 	after(b.advance(300 * ms))
 	if again < lost*9/10 || refused > lost/10 {
-		t.Errorf("of %d lost attempts %d were sent again; %d refused", lost, again, refused)
+		t.Errorf("of %d lost attempts %d were sent again; %d rejected", lost, again, refused)
 	}
 	for _, c := range b.r.serving {
 		if c.limit.value < before || c.inFlight > 1 || c.overtaken != 0 { // the last one may still be out
--- a/decide/hot_keys_test.go
+++ b/decide/hot_keys_test.go
@@ -6,17 +6,17 @@
 
 // TestHotKeyIsSpread checks that a hot key goes to several caches while it is hot.
 func TestHotKeyIsSpread(t *testing.T) {
-	b := quietBench(t, 10, nil)
+	b := newHarnessWithoutHealthChecks(t, 10, nil)
 	used := map[string]int{}
 	for id := range int64(400) {
 		key := uint64(id)
 		if id%3 == 0 {
 			key = 5
 		}
-		if s := b.ask(id+1, "read", key); s != nil && key == 5 {
+		if s := b.request(id+1, "read", key); s != nil && key == 5 {
 			used[s.Cache]++
 		}
-		b.settle(id+1, 0)
+		b.serve(id+1, 0)
 	}
 	if len(used) < 4 {
 		t.Fatalf("a third of the traffic went to %v", used)
@@ -32,7 +32,7 @@
 func TestHotKeyIsSpreadEvenlyOverItsFirstRanks(t *testing.T) {
 	s := settings()
 	s.AllowHealthChecks = false
-	b := newBench(t, s)
+	b := newHarness(t, s)
 	es := sizedFleet(200, 1)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	const key, share = 42, 0.25
@@ -61,23 +61,23 @@
 func TestLowTrafficSpreadsKeysBeforeAnythingIsKnown(t *testing.T) {
 	home := 0
 	for seed := range 300 {
-		b := sparseBench(t, 100, nil)
+		b := newLowTrafficHarness(t, 100, nil)
 		b.r.random = randomSource(uint64(seed) * 77)
-		if s := b.ask(1, "read", 42); s == nil {
+		if s := b.request(1, "read", 42); s == nil {
 			t.Fatal("nothing was sent")
 		} else if s.Cache == b.home(42) {
 			home++
 		}
 	}
 	if home < 15 || home > 55 {
-		t.Errorf("%d of 300 routers sent the first request for a key to its home", home)
+		t.Errorf("%d of 300 routers sent the first request for a key to its first cache", home)
 	}
 }
 
 // TestLowTrafficReplicasFollowKeyFrequency checks over how many caches a key goes, of which each router
 // sees little.
 func TestLowTrafficReplicasFollowKeyFrequency(t *testing.T) {
-	b := sparseBench(t, 100, nil)
+	b := newLowTrafficHarness(t, 100, nil)
 	b.r.hotKeys.total[0] = 1000
 	for _, c := range []struct {
 		n        int
@@ -92,7 +92,7 @@
 	if w := b.r.replicas(5); w > 10 {
 		t.Errorf("a key of 11 requests in 1,000 goes to %.2f of 100 caches while the origin is busy", w)
 	}
-	few := quietBench(t, 9, nil)
+	few := newHarnessWithoutHealthChecks(t, 9, nil)
 	few.r.hotKeys.requests[0][5], few.r.hotKeys.total[0] = 1, 1000
 	if w := few.r.replicas(5); w != 1 {
 		t.Errorf("with two routers a key asked for once goes to %v caches", w)
--- a/decide/idempotency_test.go
+++ b/decide/idempotency_test.go
@@ -8,9 +8,9 @@
 func TestSemanticsDecideRetryAndRejection(t *testing.T) {
 	for _, class := range []string{"read", "all", "zone", "cell", "once", "unheard-of"} {
 		for res := Errored; res <= NotStored; res++ {
-			b := newBench(t, settings())
+			b := newHarness(t, settings())
 			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
-			first := b.ask(1, class, 5)
+			first := b.request(1, class, 5)
 			q := b.r.requests[1]
 			if first == nil {
 				t.Fatal("not sent")
@@ -62,8 +62,8 @@
 
 // TestMaySendRefusesWhateverSelectionOffers checks the gate by itself.
 func TestMaySendRefusesWhateverSelectionOffers(t *testing.T) {
-	b := quietBench(t, 3, func(s *Settings) { s.AllowHedging = false })
-	b.ask(1, "read", 9)
+	b := newHarnessWithoutHealthChecks(t, 3, func(s *Settings) { s.AllowHedging = false })
+	b.request(1, "read", 9)
 	q, c := b.r.requests[1], b.r.serving[0]
 	if b.r.maySend(q, c) {
 		t.Error("a second copy where copies are banned")
@@ -86,7 +86,7 @@
 	q = &request{Request: &Request{Deadline: b.now + 1e6}, class: &Class{Semantics: NonIdempotent, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: 1e9},
 		attempts: []attempt{{cache: c, sentAt: b.now, state: attemptMayHaveRun}}}
 	if b.r.maySend(q, c) || b.r.mayReject(q) {
-		t.Error("an unsafe request that may have run was sent again or refused")
+		t.Error("an unsafe request that may have run was sent again or rejected")
 	}
 }
 
@@ -99,7 +99,7 @@
 	}{{340 * ms, true}, {350 * ms, false}, {470 * ms, false}, {500 * ms, false}} {
 		s := settings()
 		s.Classes[1].ClientTimeout = 3000 * ms
-		b := newBench(t, s)
+		b := newHarness(t, s)
 		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 		q := &Request{ID: 1, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 3000*ms, Write: true}
 		first := sends(b.feed(q))
@@ -121,7 +121,7 @@
 // TestRequestWithoutIdempotencyKeyRunsOnce checks that it is neither sent again nor rejected once it may
 // have run.
 func TestRequestWithoutIdempotencyKeyRunsOnce(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 	b.feed(&Request{ID: 1, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 800*ms, Write: true, IdempotencyKeyMissing: true})
 	b.now += 10 * ms
--- a/decide/idle_connections_test.go
+++ b/decide/idle_connections_test.go
@@ -9,15 +9,15 @@
 func TestIdleConnectionsAreClosedWhereTheyCostMore(t *testing.T) {
 	only := "" // the cache whose closings count
 	closed := func(routers int, key func(id int64) uint64, change func(*Settings)) (n int) {
-		b := quietBench(t, 20, func(s *Settings) {
+		b := newHarnessWithoutHealthChecks(t, 20, func(s *Settings) {
 			s.Routers, s.ConnectionCost, s.DialCost = routers, .05, .05
 			if change != nil {
 				change(s)
 			}
 		})
 		for id := range int64(400) {
-			b.ask(id+1, "read", key(id))
-			b.settle(id+1, 0)
+			b.request(id+1, "read", key(id))
+			b.serve(id+1, 0)
 			for _, a := range b.acts {
 				if c, ok := a.(CloseIdle); ok && (only == "" || c.Cache == only) {
 					n++
@@ -27,7 +27,7 @@
 		return n
 	}
 	spread := func(id int64) uint64 { return uint64(id) }
-	probe := quietBench(t, 20, nil)
+	probe := newHarnessWithoutHealthChecks(t, 20, nil)
 	var same []uint64 // keys of one cache: none hot by itself
 	for key := uint64(1); len(same) < 400; key++ {
 		if probe.r.home(key) == "c00" {
@@ -60,10 +60,10 @@
 // TestLowTrafficHealthChecksLeaveNoConnection checks that the connections that health checks open are
 // closed: of many routers, they would fill the tables of the caches.
 func TestLowTrafficHealthChecksLeaveNoConnection(t *testing.T) {
-	b := sparseBench(t, 20, func(s *Settings) { s.AllowHealthChecks = true })
+	b := newLowTrafficHarness(t, 20, func(s *Settings) { s.AllowHealthChecks = true })
 	var asked []string
 	for b.r.healthChecks.budget = 100; len(asked) == 0; {
-		asked = probes(b.advance(10 * ms))
+		asked = healthChecksOf(b.advance(10 * ms))
 	}
 	if len(asked) != 20 {
 		t.Fatalf("%d caches were probed", len(asked))
@@ -77,6 +77,6 @@
 		}
 	}
 	if closed != 20 {
-		t.Errorf("connections to %d of 20 caches were closed after their probes", closed)
+		t.Errorf("connections to %d of 20 caches were closed after their health checks", closed)
 	}
 }
--- a/decide/inspect_test.go
+++ b/decide/inspect_test.go
@@ -6,12 +6,12 @@
 
 // TestInspectionFollowsRequestToItsResult checks the counts of attempts and requests.
 func TestInspectionFollowsRequestToItsResult(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	if n := b.r.InFlight("nowhere"); n != 0 {
 		t.Errorf("%d attempts out at a cache never listed", n)
 	}
-	s := b.ask(1, "read", 7)
+	s := b.request(1, "read", 7)
 	if s == nil {
 		t.Fatal("the request was not sent")
 	}
--- a/decide/low_traffic_test.go
+++ b/decide/low_traffic_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// sparseBench is one router of three hundred, among so many caches.
-func sparseBench(t *testing.T, n int, change func(*Settings)) *bench {
-	return quietBench(t, n, func(s *Settings) {
+// newLowTrafficHarness returns one router of three hundred, before n caches.
+func newLowTrafficHarness(t *testing.T, n int, change func(*Settings)) *harness {
+	return newHarnessWithoutHealthChecks(t, n, func(s *Settings) {
 		s.Routers, s.DialCost, s.ConnectionCost = 300, .03, .03
 		if change != nil {
 			change(s)
@@ -16,7 +16,7 @@
 
 // TestRouterCountDecidesLowTraffic checks that a RouterCount changes the mode and the limits.
 func TestRouterCountDecidesLowTraffic(t *testing.T) {
-	b := quietBench(t, 5, func(s *Settings) { s.Routers = 2 })
+	b := newHarnessWithoutHealthChecks(t, 5, func(s *Settings) { s.Routers = 2 })
 	if b.r.lowTraffic() {
 		t.Fatal("two routers count as many")
 	}
@@ -26,9 +26,9 @@
 	}
 }
 
-// zonedBench is one router of three hundred in zone z1, among caches in three zones.
-func zonedBench(t *testing.T, n int) *bench {
-	b := sparseBench(t, n, func(s *Settings) { s.Zone = "z1" })
+// newZonedHarness returns one router of three hundred in zone z1, before n caches in three zones.
+func newZonedHarness(t *testing.T, n int) *harness {
+	b := newLowTrafficHarness(t, n, func(s *Settings) { s.Zone = "z1" })
 	entries := fleet(n)
 	for i := range entries {
 		entries[i].Zone = []string{"z0", "z1", "z2"}[i%3]
--- a/decide/origin_limit_test.go
+++ b/decide/origin_limit_test.go
@@ -7,23 +7,23 @@
 // TestOriginLimitHoldsBackLikelyMisses checks that errors lower the origin limit, and that it holds back
 // likely misses only.
 func TestOriginLimitHoldsBackLikelyMisses(t *testing.T) {
-	b := quietBench(t, 4, nil)
+	b := newHarnessWithoutHealthChecks(t, 4, nil)
 	for id := range int64(30) {
-		if b.ask(id+1, "read", uint64(id)) != nil {
-			b.answer(id+1, 0, Errored, true)
+		if b.request(id+1, "read", uint64(id)) != nil {
+			b.end(id+1, 0, Errored, true)
 		}
 	}
 	if b.r.origin.limit.value != 1 {
 		t.Fatalf("errors left the limit on misses at %v", b.r.origin.limit.value)
 	}
-	b.ask(100, "read", 1000)
-	if s := b.ask(101, "read", 1001); s != nil {
+	b.request(100, "read", 1000)
+	if s := b.request(101, "read", 1001); s != nil {
 		t.Fatal("a second likely miss went out")
 	}
 	for _, c := range b.r.caches {
 		c.cachedKeys[0][7] = true
 	}
-	if s := b.ask(102, "read", 7); s == nil {
+	if s := b.request(102, "read", 7); s == nil {
 		t.Fatal("a likely hit was held for the origin's sake")
 	}
 	b.feed(&Request{ID: 103, Class: "once", Key: 1003, HasKey: true, Deadline: b.now + 800*ms, Write: true})
@@ -36,15 +36,15 @@
 // of many would hold back mostly hits.
 func TestOriginLimitCountsExpectedMisses(t *testing.T) {
 	sent := func(miss bool) (n int) {
-		b := quietBench(t, 8, nil)
+		b := newHarnessWithoutHealthChecks(t, 8, nil)
 		for id := range int64(400) {
-			if b.ask(id+1, "read", uint64(id)) != nil {
+			if b.request(id+1, "read", uint64(id)) != nil {
 				b.feed(&AttemptResult{ID: id + 1, Result: Served, Last: true, Miss: miss, Load: LoadReport{Utilization: -1}})
 			}
 		}
 		b.r.origin.limit.value = 2
 		for id := range int64(20) {
-			if b.ask(id+1000, "read", uint64(id+1000)) != nil {
+			if b.request(id+1000, "read", uint64(id+1000)) != nil {
 				n++
 			}
 		}
@@ -60,7 +60,7 @@
 func TestOriginLimitIsInitializedByFirstCaches(t *testing.T) {
 	s := settings()
 	s.AllowHealthChecks = false
-	b := newBench(t, s)
+	b := newHarness(t, s)
 	b.feed(&EndpointList{Kind: StaleUpdate})
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
 	if want := float64(initialConcurrency*8) / float64(s.Routers); b.r.origin.limit.value != want {
@@ -71,11 +71,11 @@
 // TestLowTrafficOriginIsNotBlamedForHangingCaches checks that likely misses at caches that hang leave the
 // origin limit, and that true ones that are late lower it.
 func TestLowTrafficOriginIsNotBlamedForHangingCaches(t *testing.T) {
-	b := sparseBench(t, 100, nil)
+	b := newLowTrafficHarness(t, 100, nil)
 	before := b.r.origin.limit.value
 	for id := int64(1); id <= 8; id++ {
-		b.ask(id, "read", mix(uint64(id)))
-		b.late(id)
+		b.request(id, "read", mix(uint64(id)))
+		b.timeOut(id)
 	}
 	if b.r.origin.limit.value < before {
 		t.Errorf("%v likely misses may be out after eight requests to caches that hung, %v before", b.r.origin.limit.value, before)
@@ -84,7 +84,7 @@
 	b.r.hotKeys.total[0] = 1000
 	b.r.origin.limit.value = 5
 	for id := int64(100); id < 104; id++ {
-		if b.ask(id, "read", mix(uint64(id))) == nil {
+		if b.request(id, "read", mix(uint64(id))) == nil {
 			t.Fatal("nothing was sent")
 		}
 		b.advance(150 * ms)
--- a/decide/overdue_test.go
+++ b/decide/overdue_test.go
@@ -8,17 +8,17 @@
 // TestSoleAttemptMayTakeItsLatencyObjective checks that the limit of a sole attempt falls only past the
 // latency objective: where all caches are slow by themselves, a lower limit helps none.
 func TestSoleAttemptMayTakeItsLatencyObjective(t *testing.T) {
-	b := quietBench(t, 1, nil)
+	b := newHarnessWithoutHealthChecks(t, 1, nil)
 	c := b.r.caches["c00"]
 	c.limit.value, c.responsive = b.r.soleAttemptLimit(), false
-	b.ask(1, "read", 7)
+	b.request(1, "read", 7)
 	b.advance(150 * ms)
 	if c.limit.value != b.r.soleAttemptLimit() {
-		t.Fatalf("limit cut to %v within the aim", c.limit.value)
+		t.Fatalf("limit cut to %v within the latency objective", c.limit.value)
 	}
 	b.advance(60 * ms)
 	if c.limit.value >= b.r.soleAttemptLimit() {
-		t.Fatal("limit not cut after the aim")
+		t.Fatal("limit not cut after the latency objective")
 	}
 }
 
@@ -26,11 +26,11 @@
 // where the cache serves its hits in time.
 func TestOverdueMissIsBlamedByResponsiveness(t *testing.T) {
 	for _, prompt := range []bool{true, false} {
-		b := quietBench(t, 1, nil)
+		b := newHarnessWithoutHealthChecks(t, 1, nil)
 		c := b.r.caches["c00"]
 		c.responsive = prompt
 		limit, fetches := c.limit.value, b.r.origin.limit.value
-		b.ask(1, "read", 7)
+		b.request(1, "read", 7)
 		b.advance(190 * ms)
 		if (c.limit.value < limit) == prompt || (b.r.origin.limit.value < fetches) != prompt {
 			t.Errorf("prompt %v: limits %v to %v, %v to %v", prompt, limit, c.limit.value, fetches, b.r.origin.limit.value)
@@ -41,7 +41,7 @@
 // TestOverdueMissIsNotBlamedOnOriginWhereCacheIsSlow checks that a cache that warms up, or was late with a
 // likely hit, is blamed itself.
 func TestOverdueMissIsNotBlamedOnOriginWhereCacheIsSlow(t *testing.T) {
-	b := quietBench(t, 1, nil)
+	b := newHarnessWithoutHealthChecks(t, 1, nil)
 	c := b.r.caches["c00"]
 	c.slowStart.from, c.slowStart.until, c.sent.updatedAt = b.now-9000*ms, b.now+1000*ms, b.now
 	key := uint64(1)
@@ -49,25 +49,25 @@
 		key++
 	}
 	fetches := b.r.origin.limit.value
-	if b.ask(1, "read", key) == nil {
+	if b.request(1, "read", key) == nil {
 		t.Fatal("not sent")
 	}
 	b.advance(190 * ms)
 	if b.r.origin.limit.value < fetches {
-		t.Error("the origin is blamed for a cold cache")
+		t.Error("the origin is blamed for a cache that warms up")
 	}
 
-	b = quietBench(t, 1, nil)
+	b = newHarnessWithoutHealthChecks(t, 1, nil)
 	c = b.r.caches["c00"]
 	c.cachedKeys[0][7] = true
-	b.ask(1, "read", 7)
+	b.request(1, "read", 7)
 	b.advance(150 * ms)
 	if c.responsive {
 		t.Error("a cache late with a likely hit still counts as prompt")
 	}
-	b.settle(1, 0)
-	b.ask(2, "read", 7)
-	b.settle(2, 0)
+	b.serve(1, 0)
+	b.request(2, "read", 7)
+	b.serve(2, 0)
 	if !c.responsive {
 		t.Error("a hit in time does not make it prompt again")
 	}
@@ -77,8 +77,8 @@
 // keeps a cache overloaded, is cancelled in low traffic per router only.
 func TestLowTrafficCancelsAttemptsPastTheirObjective(t *testing.T) {
 	for routers, want := range map[int]bool{3: false, 300: true} {
-		b := sparseBench(t, 20, func(s *Settings) { s.Routers, s.AllowCancel, s.AllowHedging = routers, true, false })
-		if b.ask(1, "read", 42) == nil {
+		b := newLowTrafficHarness(t, 20, func(s *Settings) { s.Routers, s.AllowCancel, s.AllowHedging = routers, true, false })
+		if b.request(1, "read", 42) == nil {
 			t.Fatal("nothing was sent")
 		}
 		b.advance(b.r.classes["read"].LatencyObjective + 10*ms)
@@ -87,7 +87,7 @@
 			return is && c.ID == 1
 		})
 		if called != want {
-			t.Errorf("with %d routers an attempt past its aim is called off: %v, want %v", routers, called, want)
+			t.Errorf("with %d routers an attempt past its latency objective is called off: %v, want %v", routers, called, want)
 		}
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -15,25 +15,25 @@
 	es := fleet(9)
 	back := append([]Endpoint(nil), es...)
 	rand.New(rand.NewSource(1)).Shuffle(len(back), func(i, j int) { back[i], back[j] = back[j], back[i] })
-	a, b := newBench(t, settings()), newBench(t, settings())
+	a, b := newHarness(t, settings()), newHarness(t, settings())
 	a.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	for _, e := range back {
 		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
 	}
 	for k := range uint64(300) {
-		x, y := a.ask(int64(k), "read", k), b.ask(int64(k), "read", k)
+		x, y := a.request(int64(k), "read", k), b.request(int64(k), "read", k)
 		if x == nil || y == nil || x.Cache != y.Cache {
 			t.Fatalf("key %d: %v and %v", k, x, y)
 		}
-		a.settle(int64(k), 0)
-		b.settle(int64(k), 0)
+		a.serve(int64(k), 0)
+		b.serve(int64(k), 0)
 	}
 }
 
 // TestNewPlacementAgreesWithRouter checks that a router sends each key to the cache that NewPlacement
 // names.
 func TestNewPlacementAgreesWithRouter(t *testing.T) {
-	b := quietBench(t, 9, nil)
+	b := newHarnessWithoutHealthChecks(t, 9, nil)
 	var entries []Endpoint
 	for _, c := range b.r.serving {
 		entries = append(entries, c.Endpoint)
@@ -42,15 +42,15 @@
 	used := map[string]int{}
 	for id := range int64(200) {
 		key := mix(uint64(id))
-		s := b.ask(id+1, "read", key)
+		s := b.request(id+1, "read", key)
 		if s == nil {
 			t.Fatalf("request %d was not sent", id+1)
 		}
 		if want := home(key); s.Cache != want {
-			t.Errorf("key %d went to %s, its home is %s", key, s.Cache, want)
+			t.Errorf("key %d went to %s, its first cache is %s", key, s.Cache, want)
 		}
 		used[s.Cache]++
-		b.settle(id+1, 0)
+		b.serve(id+1, 0)
 	}
 	if len(used) != 9 {
 		t.Errorf("%d of 9 caches were used", len(used))
@@ -90,7 +90,7 @@
 	for _, c := range []struct{ n, sizes int }{{1, 1}, {3, 1}, {9, 1}, {14, 2}, {40, 3}, {40, 40}, {300, 1}, {300, 7}} {
 		s := settings()
 		s.AllowHealthChecks = false
-		b := newBench(t, s)
+		b := newHarness(t, s)
 		es := sizedFleet(c.n, c.sizes)
 		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 		var keys [50]uint64 // the same ones over all changes: what was remembered of them holds no more
@@ -130,7 +130,7 @@
 // TestLowTrafficPrefersOwnZoneAmongReplicas checks that a hot key goes to a cache in the router's zone
 // first, and any other key to its first cache.
 func TestLowTrafficPrefersOwnZoneAmongReplicas(t *testing.T) {
-	b := zonedBench(t, 90)
+	b := newZonedHarness(t, 90)
 	for key := range uint64(300) {
 		b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 30, 1000 // among 90 caches it goes to many
 		b.r.rankCaches(key)
@@ -143,7 +143,7 @@
 	for key := range uint64(300) {
 		b.r.rankCaches(key)
 		if c, home := b.r.placement.ranked(0).ID, b.r.placement.order.Ranked(0).ID; c != home {
-			t.Fatalf("key %d goes to %s, not to its home %s", key, c, home)
+			t.Fatalf("key %d goes to %s, not to its first cache %s", key, c, home)
 		}
 	}
 }
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -6,34 +6,35 @@
 	"testing"
 )
 
-// answerGrace is how long after the deadline an answer is still in time.
+// answerGrace is how long after the deadline an answer is still in time; µs.
 const answerGrace = 20 * ms
 
-// watcher asserts one router's part of the four rules on every action.
-type watcher struct {
-	t     *testing.T
-	set   Settings
-	now   Time
-	reqs  map[int64]*watched
-	told  map[string]Time // since when a cache is known to drain or be gone
-	known map[string]Endpoint
+// ruleChecker checks each action of one router against the contract: no second run, no second answer, no request lost,
+// none to a cache that drains.
+type ruleChecker struct {
+	t             *testing.T
+	set           Settings
+	now           Time
+	reqs          map[int64]*checkedRequest
+	drainingSince map[string]Time // by cache: since when it is known to drain or be removed
+	known         map[string]Endpoint
 }
 
-type watched struct {
+type checkedRequest struct {
 	class    Class
 	deadline Time
 	done     bool
-	tries    []watchedTry
+	attempts []checkedAttempt
 }
 
-type watchedTry struct {
+type checkedAttempt struct {
 	cache   Endpoint
 	sent    Time
 	pending bool
 	result  Result
 }
 
-func (w *watcher) check(acts []Action) {
+func (w *ruleChecker) check(acts []Action) {
 	t := w.t
 	t.Helper()
 	for _, a := range acts {
@@ -43,17 +44,17 @@
 			if q == nil || q.done {
 				t.Fatalf("send for a request that is over: %v", a)
 			}
-			if w.now >= q.deadline || len(q.tries) >= w.set.MaxAttempts || a.AttemptDeadline <= w.now {
+			if w.now >= q.deadline || len(q.attempts) >= w.set.MaxAttempts || a.AttemptDeadline <= w.now {
 				t.Fatalf("send after deadline or attempts: %v", a)
 			}
 			to, ok := w.known[a.Cache]
 			if !ok {
 				t.Fatalf("send to a cache never listed: %v", a)
 			}
-			if since, ok := w.told[a.Cache]; ok && w.now > since+w.set.DrainGrace {
+			if since, ok := w.drainingSince[a.Cache]; ok && w.now > since+w.set.DrainGrace {
 				t.Fatalf("send to a draining or gone cache: %v", a)
 			}
-			for _, p := range q.tries {
+			for _, p := range q.attempts {
 				if p.pending && !w.set.AllowHedging {
 					t.Fatalf("two pending at once: %v", a)
 				}
@@ -65,37 +66,37 @@
 					t.Fatalf("%s could run twice: %v", q.class.Name, a)
 				}
 			}
-			q.tries = append(q.tries, watchedTry{cache: to, sent: w.now, pending: true})
+			q.attempts = append(q.attempts, checkedAttempt{cache: to, sent: w.now, pending: true})
 		case Reject:
 			q := w.reqs[a.ID]
 			w.final(a.ID)
-			for _, p := range q.tries {
+			for _, p := range q.attempts {
 				free := q.class.Semantics == Idempotent || q.class.Semantics == IdempotentByKey && q.class.DeduplicationScope == DeduplicatedEverywhere
 				if !free && (p.pending || !p.result.NeverRan()) {
-					t.Fatalf("%s refused though it may have run", q.class.Name)
+					t.Fatalf("%s rejected though it may have run", q.class.Name)
 				}
 			}
 		case Fail:
 			w.final(a.ID)
 		case Cancel:
-			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.tries) || !w.set.AllowCancel {
+			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.attempts) || !w.set.AllowCancel {
 				t.Fatalf("cancel of an attempt never sent: %v", a)
 			}
 		case HealthCheck:
 			if _, ok := w.known[a.Cache]; !ok || !w.set.AllowHealthChecks {
-				t.Fatalf("probe of %v", a)
+				t.Fatalf("health check of %v", a)
 			}
 		}
 	}
 }
 
-func (w *watcher) final(id int64) {
+func (w *ruleChecker) final(id int64) {
 	w.t.Helper()
 	q := w.reqs[id]
 	if q == nil || q.done {
 		w.t.Fatalf("request %d: a second final answer", id)
 	}
-	if w.now > q.deadline+answerGrace && len(q.tries) > 0 {
+	if w.now > q.deadline+answerGrace && len(q.attempts) > 0 {
 		w.t.Fatalf("request %d answered late", id)
 	}
 	q.done = true
@@ -139,8 +140,8 @@
 	for i := range s.Classes {
 		s.Classes[i].Name = prefix + s.Classes[i].Name
 	}
-	b := newBench(t, s)
-	w := &watcher{t: t, set: s, reqs: map[int64]*watched{}, told: map[string]Time{}, known: map[string]Endpoint{}}
+	b := newHarness(t, s)
+	w := &ruleChecker{t: t, set: s, reqs: map[int64]*checkedRequest{}, drainingSince: map[string]Time{}, known: map[string]Endpoint{}}
 	classes := map[string]Class{}
 	for _, c := range s.Classes {
 		classes[c.Name] = c
@@ -156,16 +157,16 @@
 	list := func(kind UpdateKind, es []Endpoint) {
 		if kind != DeltaUpdate {
 			for id := range w.known {
-				if _, ok := w.told[id]; !ok {
-					w.told[id] = b.now
+				if _, ok := w.drainingSince[id]; !ok {
+					w.drainingSince[id] = b.now
 				}
 			}
 		}
 		for _, e := range es {
 			if e.Status == Serving {
-				delete(w.told, e.ID)
-			} else if _, ok := w.told[e.ID]; !ok {
-				w.told[e.ID] = b.now
+				delete(w.drainingSince, e.ID)
+			} else if _, ok := w.drainingSince[e.ID]; !ok {
+				w.drainingSince[e.ID] = b.now
 			}
 			w.known[e.ID] = e
 		}
@@ -193,7 +194,7 @@
 		switch x := rng.Intn(100); {
 		case x < 50:
 			name := prefix + names[rng.Intn(len(names))]
-			q := &watched{class: classes[name], deadline: b.now + Time(rng.Intn(900*ms)) - 20*ms}
+			q := &checkedRequest{class: classes[name], deadline: b.now + Time(rng.Intn(900*ms)) - 20*ms}
 			w.reqs[id] = q
 			feed(&Request{ID: id, Class: name, Tenant: prefix + []string{"x", "y", ""}[rng.Intn(3)], Key: uint64(rng.Intn(40)),
 				HasKey: rng.Intn(9) > 0, Deadline: q.deadline, Cost: Time(rng.Intn(60 * ms))})
@@ -229,23 +230,23 @@
 }
 
 // endTry ends a pending attempt of a recent request.
-func endTry(rng *rand.Rand, b *bench, w *watcher, id int64, feed func(Event)) {
+func endTry(rng *rand.Rand, b *harness, w *ruleChecker, id int64, feed func(Event)) {
 	for back := int64(1); back < 60 && back < id; back++ {
 		q := w.reqs[id-back]
 		if q == nil {
 			continue
 		}
-		for i := range q.tries {
-			if !q.tries[i].pending || rng.Intn(3) == 0 {
+		for i := range q.attempts {
+			if !q.attempts[i].pending || rng.Intn(3) == 0 {
 				continue
 			}
 			res := Result(rng.Intn(int(NotStored) + 1))
 			if rng.Intn(2) == 0 {
 				res = Served
 			}
-			q.tries[i].pending, q.tries[i].result = false, res
+			q.attempts[i].pending, q.attempts[i].result = false, res
 			q.done = q.done || res == Served
-			feed(&AttemptResult{ID: id - back, Attempt: i, Result: res, Elapsed: b.now - q.tries[i].sent, Last: q.done,
+			feed(&AttemptResult{ID: id - back, Attempt: i, Result: res, Elapsed: b.now - q.attempts[i].sent, Last: q.done,
 				Load: LoadReport{Utilization: rng.Float64()*2 - 1}})
 			return
 		}
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -8,25 +8,25 @@
 // TestRequestWithoutCachesIsAnsweredOnce checks that a request gets one final answer before any list, and
 // with an empty one.
 func TestRequestWithoutCachesIsAnsweredOnce(t *testing.T) {
-	b := newBench(t, settings())
-	if b.feed(&Request{ID: 1, Class: "once", Deadline: b.now + 100*ms}); finals(b.acts)+finals(b.advance(time1)) != 1 {
+	b := newHarness(t, settings())
+	if b.feed(&Request{ID: 1, Class: "once", Deadline: b.now + 100*ms}); finalAnswers(b.acts)+finalAnswers(b.advance(longAfterDeadline)) != 1 {
 		t.Fatal("before any list: want one final answer")
 	}
 	b.feed(&EndpointList{Kind: FullUpdate})
-	if b.feed(&Request{ID: 2, Class: "read", Deadline: b.now + 100*ms}); finals(b.acts)+finals(b.advance(time1)) != 1 {
+	if b.feed(&Request{ID: 2, Class: "read", Deadline: b.now + 100*ms}); finalAnswers(b.acts)+finalAnswers(b.advance(longAfterDeadline)) != 1 {
 		t.Fatal("empty fleet: want one final answer")
 	}
 }
 
-const time1 = 1000 * ms
+const longAfterDeadline = 1000 * ms
 
 // TestRequestPastItsDeadlineIsAnsweredAtOnce checks that a request that arrives after its deadline is
 // answered and not sent.
 func TestRequestPastItsDeadlineIsAnsweredAtOnce(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now - 1})
-	if finals(b.acts) != 1 || len(sends(b.acts)) != 0 {
+	if finalAnswers(b.acts) != 1 || len(sends(b.acts)) != 0 {
 		t.Fatalf("want one final answer and nothing sent, got %v", b.acts)
 	}
 }
@@ -34,22 +34,22 @@
 // TestAttemptResultAtDeadlineIsNoFinalAnswer checks that a result at the deadline that is not the last one
 // is followed by a final answer, once.
 func TestAttemptResultAtDeadlineIsNoFinalAnswer(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
-	b.ask(1, "once", 1)
+	b.request(1, "once", 1)
 	b.now += 800 * ms
 	b.feed(&AttemptResult{ID: 1, Result: TimedOut})
-	if finals(b.acts) != 1 || !slices.Contains(b.acts, Action(Fail{ID: 1, Reason: DeadlineExceeded})) {
+	if finalAnswers(b.acts) != 1 || !slices.Contains(b.acts, Action(Fail{ID: 1, Reason: DeadlineExceeded})) {
 		t.Fatalf("got %v", b.acts)
 	}
-	if acts := b.advance(time1); finals(acts) != 0 {
+	if acts := b.advance(longAfterDeadline); finalAnswers(acts) != 0 {
 		t.Fatalf("answered twice: %v", acts)
 	}
 }
 
 // TestRequestsWithoutKeySpreadOverCaches checks that requests without a key reach all caches.
 func TestRequestsWithoutKeySpreadOverCaches(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	used := map[string]bool{}
 	for id := range int64(60) {
@@ -58,7 +58,7 @@
 			t.Fatalf("got %v", b.acts)
 		}
 		used[s[0].Cache] = true
-		b.settle(id+1, 0)
+		b.serve(id+1, 0)
 	}
 	if len(used) != 3 {
 		t.Fatalf("keyless requests reach %v", used)
--- a/decide/retry_budget_test.go
+++ b/decide/retry_budget_test.go
@@ -7,11 +7,11 @@
 // TestRetryBudgetLimitsRetries checks that retries stay a fraction of requests, so that they can't multiply
 // the overload that caused them.
 func TestRetryBudgetLimitsRetries(t *testing.T) {
-	b := quietBench(t, 8, nil)
+	b := newHarnessWithoutHealthChecks(t, 8, nil)
 	n := 0
 	for id := range int64(200) {
-		if b.ask(id+1, "read", uint64(id)) != nil {
-			if len(sends(b.answer(id+1, 0, Errored, false))) > 0 {
+		if b.request(id+1, "read", uint64(id)) != nil {
+			if len(sends(b.end(id+1, 0, Errored, false))) > 0 {
 				n++
 			}
 		}
@@ -24,7 +24,7 @@
 // TestRetryBudgetShrinksDuringStorm checks that a storm lowers the budget at once, and that it is earned
 // again afterwards.
 func TestRetryBudgetShrinksDuringStorm(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryBudgetFraction: 0.1})
+	b := newStormHarness(t, RetryStorm{Active: true, RetryBudgetFraction: 0.1})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
 	if b.r.retryBudget.tokens > 0.1*maxRetryTokens {
 		t.Errorf("a budget of %.1f is left", b.r.retryBudget.tokens)
--- a/decide/retry_storm_test.go
+++ b/decide/retry_storm_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// pressed is a router with a fleet, under pressure.
-func pressed(t *testing.T, p RetryStorm) *bench {
-	b := newBench(t, settings())
+// newStormHarness returns a router before four caches, during a retry storm.
+func newStormHarness(t *testing.T, p RetryStorm) *harness {
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 	b.feed(&p)
-	b.r.storm.lastFirstTryRejectedAt, b.r.lastSendAt = b.now, b.now // a first try was refused just now, and another one was sent
+	b.r.storm.lastFirstTryRejectedAt, b.r.lastSendAt = b.now, b.now // a first try was rejected just now, and another one sent
 	return b
 }
 
-func refusals(acts []Action) []Reject {
+func rejections(acts []Action) []Reject {
 	var all []Reject
 	for _, a := range acts {
 		if r, ok := a.(Reject); ok {
@@ -27,10 +27,10 @@
 // TestStormRejectsLateRetryAtOnce checks that a retry that can't be served in time is rejected while first
 // tries are, and an earlier one is sent.
 func TestStormRejectsLateRetryAtOnce(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	old := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	acts := b.feed(old)
-	if len(acts) != 1 || len(refusals(acts)) != 1 {
+	if len(acts) != 1 || len(rejections(acts)) != 1 {
 		t.Fatalf("%v: a refusal and nothing else is wanted", acts)
 	}
 	if b.r.Open() != 0 {
@@ -45,11 +45,11 @@
 // TestStormAdmitsLateRetryWhereFirstTriesAreServed checks that a late retry is sent if no first try was
 // rejected lately.
 func TestStormAdmitsLateRetryWhereFirstTriesAreServed(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.advance(600 * ms)
 	late := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	if len(sends(b.feed(late))) != 1 {
-		t.Fatalf("%v: nobody has a better claim, and refused it comes back for ever", b.acts)
+		t.Fatalf("%v: nobody has a better claim, and rejected it comes back for ever", b.acts)
 	}
 }
 
@@ -57,7 +57,7 @@
 // only.
 func TestFirstRequestedAtChangesNothingWithoutStorm(t *testing.T) {
 	play := func(since Time, p *RetryStorm) []Action {
-		b := newBench(t, settings())
+		b := newHarness(t, settings())
 		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 		if p != nil {
 			b.feed(p)
@@ -81,10 +81,10 @@
 // TestStormRetryAfterHasJitter checks that clients that are rejected together are asked to stay away for
 // different times.
 func TestStormRetryAfterHasJitter(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	told := map[Time]int{}
 	for id := range int64(100) {
-		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: 7, HasKey: true,
+		for _, r := range rejections(b.feed(&Request{ID: id + 1, Class: "read", Key: 7, HasKey: true,
 			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
 			if r.RetryAfter < 100*ms || r.RetryAfter > 600*ms {
 				t.Errorf("a wait of %d µs", r.RetryAfter)
@@ -99,9 +99,9 @@
 
 // TestStormRetryAfterStaysWithinMaximum checks that the jitter does not exceed MaxRetryAfter.
 func TestStormRetryAfterStaysWithinMaximum(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100_000 * ms})
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 100_000 * ms})
 	for id := range int64(50) {
-		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
+		for _, r := range rejections(b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
 			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
 			if r.RetryAfter > b.r.settings.MaxRetryAfter {
 				t.Errorf("a wait of %d µs, clients honour %d", r.RetryAfter, b.r.settings.MaxRetryAfter)
@@ -113,7 +113,7 @@
 // TestStormSendsRetryWhereNothingElseIsSent checks that retries are sent again after a time without
 // attempts, when caches have capacity by now.
 func TestStormSendsRetryWhereNothingElseIsSent(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	late := func(id int64) *Request {
 		return &Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	}
@@ -136,7 +136,7 @@
 // TestRejectionWithoutCachesSaysNothingOfCapacity checks that what is rejected before any cache is known
 // does not have retries rejected later.
 func TestRejectionWithoutCachesSaysNothingOfCapacity(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
 	if b.r.storm.lastFirstTryRejectedAt != 0 {
@@ -147,9 +147,9 @@
 // TestStormRejectsLateNonIdempotentRequestThatHasNotRun checks that a late request that must not run twice
 // may be rejected, as nothing of it has run here.
 func TestStormRejectsLateNonIdempotentRequestThatHasNotRun(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100 * ms})
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 100 * ms})
 	acts := b.feed(&Request{ID: 1, Class: "once", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})
-	if len(refusals(acts)) != 1 {
+	if len(rejections(acts)) != 1 {
 		t.Errorf("%v: nothing of it has run here, so a refusal does no harm", acts)
 	}
 }
@@ -157,7 +157,7 @@
 // TestOutageTriesCachesAndResetsRestartedOnes checks that caches that are away get attempts, so that their
 // return is noticed, and that a restarted one begins with the minimum limit.
 func TestOutageTriesCachesAndResetsRestartedOnes(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, Outage: true, RetryBudgetFraction: 0.1})
+	b := newStormHarness(t, RetryStorm{Active: true, Outage: true, RetryBudgetFraction: 0.1})
 	tries := func(id int64) (n int) {
 		acts := b.feed(&Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 700*ms})
 		for len(sends(acts)) > 0 {
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -6,7 +6,7 @@
 
 // TestRouterIgnoresUnknownEvents checks that events about what a router does not know do nothing.
 func TestRouterIgnoresUnknownEvents(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	for _, ev := range []Event{&AttemptResult{ID: 9}, &AttemptResult{ID: 9, Attempt: -1}, &ClientGone{ID: 9}, &Timer{Token: 99999},
 		&HealthCheckResult{Cache: "nobody"}, &ResponseStarted{ID: 9}, &PeerMessage{From: 3, Data: "x"}} {
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// coldFleet plays routers before caches that have all just started, each a processor that is shared
-// by what it has in hand. It returns the share of requests served within their aim over the first 10 s and the most that a
-// cache was sent, as a multiple of what it could do, over any span of OverloadWindow.
-func coldFleet(t *testing.T, routers, caches int, load float64) (inTime, worst float64) {
+// playSlowStart plays routers before caches that have all just started, each a processor shared by its requests. It
+// returns the ratio of requests served within their latency objective over the first 10 s, and the maximum that a cache
+// was sent over any span of OverloadWindow, as a multiple of its capacity.
+func playSlowStart(t *testing.T, routers, caches int, load float64) (inTime, worst float64) {
 	const (
 		tick = 5 * ms
 		work = 100 * ms // of one core, for each request
@@ -18,14 +18,14 @@
 	s := settings()
 	s.Routers, s.SlowStartWindow, s.SlowStartMinCapacity, s.OverloadWindow = routers, 23_000*ms, 0.16, 3000*ms
 	s.Classes = []Class{{Name: "read", Semantics: Idempotent, LatencyObjective: aim, ClientTimeout: 1200 * ms, PriorityWeight: 2}}
-	benches := make([]*bench, routers)
+	harnesses := make([]*harness, routers)
 	entries := fleet(caches)
-	for i := range benches {
-		benches[i] = newBench(t, s)
+	for i := range harnesses {
+		harnesses[i] = newHarness(t, s)
 		for e := range entries {
-			entries[e].StartedAt = benches[i].now
+			entries[e].StartedAt = harnesses[i].now
 		}
-		benches[i].feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
+		harnesses[i].feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
 	}
 	type job struct {
 		router, attempt int
@@ -41,7 +41,7 @@
 	asked := map[int64]Time{}
 	tries := map[int64]int{}
 	over := map[int64]bool{}
-	begin := benches[0].now
+	begin := harnesses[0].now
 	capacity := func(now Time) float64 { // cores
 		return 6 * min(1, 0.16+0.84*float64(now-begin)/float64(s.SlowStartWindow))
 	}
@@ -49,7 +49,7 @@
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send:
-				now := benches[router].now
+				now := harnesses[router].now
 				held[a.Cache] = append(held[a.Cache], &job{router, tries[a.ID], a.ID, work})
 				sent[a.Cache] = append(sent[a.Cache], arrival{now, work})
 				tries[a.ID]++
@@ -62,7 +62,7 @@
 	}
 	served, total, id, due := 0, 0, int64(0), 0.0
 	for now := begin; now < begin+span; now += tick {
-		for i, b := range benches {
+		for i, b := range harnesses {
 			perform(i, b.advance(now-b.now))
 		}
 		for _, e := range entries {
@@ -72,7 +72,7 @@
 			for _, j := range jobs {
 				switch j.left -= each; {
 				case over[j.id]:
-					benches[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Cancelled, Last: true})
+					harnesses[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Cancelled, Last: true})
 				case j.left > 0:
 					held[e.ID] = append(held[e.ID], j)
 				default:
@@ -80,7 +80,7 @@
 						served++
 					}
 					over[j.id] = true
-					perform(j.router, benches[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Served, Last: true}))
+					perform(j.router, harnesses[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Served, Last: true}))
 				}
 			}
 			from := now - s.OverloadWindow
@@ -97,7 +97,7 @@
 			total++
 			asked[id] = now
 			router := int(id) % routers
-			perform(router, benches[router].feed(&Request{ID: id, Class: "read", Key: mix(uint64(id)) % 5000, HasKey: true,
+			perform(router, harnesses[router].feed(&Request{ID: id, Class: "read", Key: mix(uint64(id)) % 5000, HasKey: true,
 				Deadline: now + 1200*ms}))
 		}
 	}
@@ -109,7 +109,7 @@
 func TestSlowStartServesFleetWithoutWarmCaches(t *testing.T) {
 	for _, load := range []float64{0.3, 0.55, 2, 10} {
 		t.Run(fmt.Sprint("at ", load, " of what they can do"), func(t *testing.T) {
-			inTime, worst := coldFleet(t, 3, 9, load)
+			inTime, worst := playSlowStart(t, 3, 9, load)
 			t.Logf("%.2f served in time, at most %.2f of its capacity sent to a cache", inTime, worst)
 			if load < 1 && inTime < 0.6 {
 				t.Errorf("%.2f of requests served in time", inTime)
@@ -123,7 +123,7 @@
 
 // TestSlowStartTrafficGrows checks that a cache that warms up gets a growing part of its traffic.
 func TestSlowStartTrafficGrows(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	es := fleet(4)
 	es[2].StartedAt = b.now
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
@@ -131,10 +131,10 @@
 		n := 0
 		for k := range uint64(4000) {
 			id := int64(b.now) + int64(k)
-			if s := b.ask(id, "read", k); s != nil && s.Cache == "c02" {
+			if s := b.request(id, "read", k); s != nil && s.Cache == "c02" {
 				n++
 			}
-			b.settle(id, 0)
+			b.serve(id, 0)
 		}
 		return n
 	}
@@ -151,29 +151,29 @@
 // TestSlowStartBoundsAdmittedKeys checks that keys that a cache may get while it warms up don't add up to
 // more than its part.
 func TestSlowStartBoundsAdmittedKeys(t *testing.T) {
-	b := quietBench(t, 5, nil)
+	b := newHarnessWithoutHealthChecks(t, 5, nil)
 	es := fleet(5)
 	es[3].StartedAt = b.now
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	n, key := 0, uint64(0)
 	for id := range int64(600) {
-		// Every third request is for a key that the second hash admits to the cold cache.
+		// Every third request is for a key that the second hash admits to the cache that warms up.
 		for key++; id%3 == 0 && (b.r.home(key) != "c03" || unitInterval(mix(mix(key)+1)) >= b.r.settings.SlowStartMinCapacity); key++ {
 		}
-		if s := b.ask(id+1, "read", key); s != nil && s.Cache == "c03" {
+		if s := b.request(id+1, "read", key); s != nil && s.Cache == "c03" {
 			n++
 		}
-		b.settle(id+1, 0)
+		b.serve(id+1, 0)
 	}
 	if n == 0 || n > 600/5/2 {
-		t.Fatalf("a cold cache got %d of 600, its full part is 120", n)
+		t.Fatalf("a cache that warms up got %d of 600, its full part is 120", n)
 	}
 }
 
 // TestSlowStartAdmitsNoRetriesAndNoHotKeys checks that retries and hot keys, most of the traffic in an
 // outage, can't push over a cache that warms up.
 func TestSlowStartAdmitsNoRetriesAndNoHotKeys(t *testing.T) {
-	b := quietBench(t, 5, nil)
+	b := newHarnessWithoutHealthChecks(t, 5, nil)
 	es := fleet(5)
 	es[3].StartedAt = b.now
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
@@ -203,22 +203,22 @@
 	sent, warm := 0, 0
 	const routers, caches, perRouter = 300, 20, 30
 	for n := range routers {
-		b := sparseBench(t, caches, func(s *Settings) {
+		b := newLowTrafficHarness(t, caches, func(s *Settings) {
 			s.SlowStartWindow, s.SlowStartMinCapacity, s.OverloadWindow = 20_000*ms, .16, 3000*ms
 		})
 		b.r.random = randomSource(uint64(n) * 7919)
 		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{{ID: "c03", Zone: "b", Weight: 1, StartedAt: b.now}}})
 		for i := range perRouter {
 			id := int64(i + 1)
-			if s := b.ask(id, "read", uint64(n*perRouter+i)*0x9e3779b97f4a7c15); s != nil {
+			if s := b.request(id, "read", uint64(n*perRouter+i)*0x9e3779b97f4a7c15); s != nil {
 				sent += boolToInt(s.Cache == "c03")
 				warm += boolToInt(s.Cache == "c04")
-				b.settle(id, 0)
+				b.serve(id, 0)
 			}
 			b.advance(10 * ms)
 		}
 	}
 	if share := float64(sent) / float64(warm); share < .08 || share > .3 {
-		t.Errorf("a cold cache that can do 0.16 of its work got %.2f of what a warm one did (%d and %d)", share, sent, warm)
+		t.Errorf("a cache that warms up that can do 0.16 of its work got %.2f of what a warm one did (%d and %d)", share, sent, warm)
 	}
 }
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// taught is a router that has learned this and that of a fleet.
-func taught(t *testing.T) (*bench, []Endpoint) {
+// newTrainedHarness returns a router that has learned something of its three caches, and their list.
+func newTrainedHarness(t *testing.T) (*harness, []Endpoint) {
 	s := settings()
 	s.AllowHealthChecks = false
-	b := newBench(t, s)
+	b := newHarness(t, s)
 	es := fleet(3)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	b.r.origin.limit.value, b.r.origin.missRatio.value, b.r.retryBudget.tokens, b.r.errorRatio.value, b.r.lossRatio.value = 7, .25, 3, .125, .0625
@@ -24,9 +24,9 @@
 
 // TestRestoreTakesOverSnapshot checks that a router with the same list knows what another one has learned.
 func TestRestoreTakesOverSnapshot(t *testing.T) {
-	old, es := taught(t)
+	old, es := newTrainedHarness(t)
 	l := old.r.Snapshot(100)
-	b := newBench(t, old.r.settings)
+	b := newHarness(t, old.r.settings)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	b.r.Restore(l)
 	if got := b.r.Snapshot(100); !reflect.DeepEqual(got, l) {
@@ -43,8 +43,8 @@
 // TestRestoreIgnoresPreviousProcess checks that nothing is taken of a cache with the same id and another
 // start.
 func TestRestoreIgnoresPreviousProcess(t *testing.T) {
-	old, es := taught(t)
-	b := newBench(t, old.r.settings)
+	old, es := newTrainedHarness(t)
+	b := newHarness(t, old.r.settings)
 	es[1].StartedAt = b.now - 1000
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es[:2]})
 	fresh := b.r.Snapshot(100).Caches
@@ -60,7 +60,7 @@
 
 // TestRestoreIgnoresValuesOutOfRange checks that a damaged snapshot leaves the router as it is.
 func TestRestoreIgnoresValuesOutOfRange(t *testing.T) {
-	b := newBench(t, settings())
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(2)})
 	fresh := b.r.Snapshot(10)
 	nan := 0.0
@@ -74,7 +74,7 @@
 
 // TestEndpointSnapshotsInStepsEqualWhole checks that steps of any size give what one call gives.
 func TestEndpointSnapshotsInStepsEqualWhole(t *testing.T) {
-	old, _ := taught(t)
+	old, _ := newTrainedHarness(t)
 	whole := old.r.Snapshot(0).Caches
 	for most := 1; most <= 4; most++ {
 		var pieces []EndpointSnapshot
@@ -97,7 +97,7 @@
 // TestCachedKeysDoNotDependOnMapOrder checks that the same keys are selected each time, as many as are
 // wanted.
 func TestCachedKeysDoNotDependOnMapOrder(t *testing.T) {
-	old, _ := taught(t)
+	old, _ := newTrainedHarness(t)
 	c := old.r.caches["c01"]
 	for i := range uint64(3000) {
 		c.cachedKeys[i%2][mix(i+1)] = true
--- a/decide/zone_latency_test.go
+++ b/decide/zone_latency_test.go
@@ -7,7 +7,7 @@
 // TestDistantZoneIsLeftOutForAWhile checks that a zone whose answers always come too late gets no requests
 // until the estimate expires.
 func TestDistantZoneIsLeftOutForAWhile(t *testing.T) {
-	b := zonedBench(t, 30)
+	b := newZonedHarness(t, 30)
 	id := int64(0)
 	goesTo := func(took Time) string {
 		b.r.hotKeys.requests, b.r.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
@@ -16,12 +16,12 @@
 			c.outlier.ejectedUntil = 0
 		}
 		id++
-		s := b.ask(id, "read", b.keyOf("c00", uint64(id)*1000)) // its home is in z0
+		s := b.request(id, "read", b.keyOf("c00", uint64(id)*1000)) // its home is in z0
 		if s == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
 		b.advance(took)
-		b.settle(id, 0)
+		b.serve(id, 0)
 		return b.r.caches[s.Cache].Zone
 	}
 	patience := b.r.classes["read"].responseTimeout()
@@ -50,13 +50,13 @@
 
 // TestDistantZoneIsUsedAsFallback checks that a distant zone is used where the own one is unreachable.
 func TestDistantZoneIsUsedAsFallback(t *testing.T) {
-	b := zonedBench(t, 30)
+	b := newZonedHarness(t, 30)
 	for name, z := range b.r.zones {
 		if z.latency.min, z.latency.validUntil = 1e9, b.now+1e6; name == "z1" {
 			z.failedConnections, z.trialAt = maxFailedConnections, b.now+1e6
 		}
 	}
-	if s := b.ask(1, "read", 42); s == nil {
+	if s := b.request(1, "read", 42); s == nil {
 		t.Error("with its own zone cut off, and the others far, a request is not sent")
 	}
 }
--- a/decide/zone_outage_test.go
+++ b/decide/zone_outage_test.go
@@ -7,15 +7,15 @@
 // TestZoneOutageAndTrial checks that failed connections to several caches of a zone keep requests from all
 // of it, that one request is the trial, and that its success ends the outage.
 func TestZoneOutageAndTrial(t *testing.T) {
-	b := quietBench(t, 12, func(s *Settings) { s.MaxAttempts = 6 })
+	b := newHarnessWithoutHealthChecks(t, 12, func(s *Settings) { s.MaxAttempts = 6 })
 	b.r.retryBudget.tokens = 0 // an attempt that met no cache costs none of it
 	tries, key := 0, uint64(0)
 	for tries < maxFailedConnections { // caches of zone a can't be reached
 		key++
-		s := b.ask(int64(key), "read", key)
+		s := b.request(int64(key), "read", key)
 		for n := 0; s != nil && b.r.caches[s.Cache].Zone == "a"; n++ {
 			tries++
-			if got := sends(b.answer(int64(key), n, ConnectFailed, false)); len(got) == 0 {
+			if got := sends(b.end(int64(key), n, ConnectFailed, false)); len(got) == 0 {
 				t.Fatal("not sent on after a failed connection")
 			} else {
 				s = &got[0]
@@ -24,12 +24,12 @@
 		if tries < maxFailedConnections {
 			b.r.zones["a"].failedConnections = tries // hits in zone b do not speak for zone a
 		}
-		b.settle(int64(key), len(b.r.requests[int64(key)].attempts)-1)
+		b.serve(int64(key), len(b.r.requests[int64(key)].attempts)-1)
 	}
 	sentTo := func() (n int) {
 		for range 40 {
 			key++
-			if s := b.ask(int64(key), "read", key); s != nil && b.r.caches[s.Cache].Zone == "a" {
+			if s := b.request(int64(key), "read", key); s != nil && b.r.caches[s.Cache].Zone == "a" {
 				n++
 			}
 		}
@@ -49,7 +49,7 @@
 	for id, q := range b.r.requests {
 		for i, a := range q.attempts {
 			if a.isOut() && a.cache.Zone == "a" {
-				b.settle(id, i)
+				b.serve(id, i)
 			}
 		}
 	}
