--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -14,11 +14,17 @@
 	minLossRatio = .08
 )
 
-// A cache, or the path to it, may lose part of what it is sent and serve the rest as quickly as ever. Taken
-// for overload, that would lower its limit until hardly anything is sent.
+// lossDetector estimates the ratio of attempts that get lost, at all caches. A cache, or the path to it, may
+// lose part of what it is sent and serve the rest as quickly as ever. Taken for overload, that would lower
+// its limit until hardly anything is sent.
+type lossDetector struct {
+	ratio movingAverage
+}
+
+func newLossDetector() lossDetector { return lossDetector{movingAverage{window: lossWindow}} }
 
-// losesAttempts reports whether so many attempts get lost that overtaken ones are taken for lost.
-func (r *Router) losesAttempts() bool { return r.lossRatio.value > minLossRatio }
+// detected reports whether so many attempts get lost that an overtaken one is taken for lost.
+func (l *lossDetector) detected() bool { return l.ratio.value > minLossRatio }
 
 // wasOvertaken reports whether later attempts were served in time, though this one was not and its cache is
 // not overloaded. For what the origin has to serve, it must have served a later one in time too.
@@ -35,7 +41,7 @@
 func (r *Router) markOvertaken(a *attempt) {
 	a.overtaken = true
 	a.cache.overtaken++
-	r.lossRatio.observeWeighted(1, overtakenWeight)
+	r.losses.ratio.observeWeighted(1, overtakenWeight)
 }
 
 // learnLoss takes in when attempts were served, for the comparison with those that are out.
@@ -51,7 +57,7 @@
 	if result.miss || result.request.Write {
 		r.origin.lastTimelySentAt = max(r.origin.lastTimelySentAt, result.sentAt)
 	}
-	r.lossRatio.observe(0)
+	r.losses.ratio.observe(0)
 }
 
 // hedge sends a request a second time whose attempt is overdue, if the attempt was overtaken, or its cache
--- a/decide/router.go
+++ b/decide/router.go
@@ -35,7 +35,7 @@
 	healthChecks healthChecks
 	warmTraffic  warmTraffic
 	errorRatio   movingAverage // ratio of errors among the answers of all caches
-	lossRatio    movingAverage // ratio of lost attempts at all caches
+	losses       lossDetector
 
 	attemptsSent int  // attempts ever sent
 	lastSendAt   Time // when the latest attempt was sent
@@ -62,7 +62,7 @@
 		origin:      originLimit{missRatio: movingAverage{window: originMissWindow}},
 		retryBudget: retryBudget{tokens: maxRetryTokens},
 		errorRatio:  movingAverage{window: fleetErrorWindow},
-		lossRatio:   movingAverage{window: lossWindow},
+		losses:      newLossDetector(),
 	}
 	r.list.random = randomSource(mix(seed))
 	r.list.pacer = retry.NewPacer(retry.Options{
