--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 )
 
@@ -32,15 +33,17 @@
 // TestAnswersWithinObjectiveCountAsTimely checks that answers past the response timeout and within the
 // latency objective count as in time: where work takes so long, nearly all requests would be rejected.
 func TestAnswersWithinObjectiveCountAsTimely(t *testing.T) {
-	for after, least := range map[Time]float64{150 * ms: .9, 250 * ms: 0} { // the latency objective is 200 ms
-		b := newHarnessWithoutHealthChecks(t, 20, func(s *Settings) { s.Routers = 300 })
-		for id := range int64(100) {
-			b.request(id+1, "read", uint64(id))
-			b.advance(after)
-			b.serve(id+1, 0)
-		}
-		if got := b.r.timeliness.ratio(); got < least || least == 0 && got > .7 {
-			t.Errorf("answers after %d ms: %.2f in time", after/ms, got)
-		}
+	for after, lowest := range map[Time]float64{150 * ms: .9, 250 * ms: 0} { // the latency objective is 200 ms
+		t.Run(fmt.Sprint(after/ms, " ms"), func(t *testing.T) {
+			b := newHarnessWithoutHealthChecks(t, 20, func(s *Settings) { s.Routers = 300 })
+			for id := range int64(100) {
+				b.request(id+1, "read", uint64(id))
+				b.advance(after)
+				b.serve(id+1, 0)
+			}
+			if got := b.r.timeliness.ratio(); got < lowest || lowest == 0 && got > .7 {
+				t.Errorf("answers after %d ms: %.2f in time", after/ms, got)
+			}
+		})
 	}
 }
--- a/decide/api_test.go
+++ b/decide/api_test.go
@@ -21,10 +21,12 @@
 		"DialPrice":   func(s *Settings) { s.DialCost = -0.1 },
 		"LateWorth":   func(s *Settings) { s.Classes[2].LateWeightFraction = 2 },
 	} {
-		s := settings()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			s := settings()
+			spoil(&s)
+			if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
+				t.Errorf("%s: %v", field, err)
+			}
+		})
 	}
 }
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -69,26 +69,28 @@
 // as it is.
 func TestWeightsThatFollowLoadDoNotMoveKeys(t *testing.T) {
 	for _, live := range []bool{true, false} {
-		b := newHarnessWithoutHealthChecks(t, 8, func(s *Settings) { s.WeightsFollowLoad = live })
-		moved := 0
-		for key := range uint64(200) {
-			es := fleet(8)
-			for i := range es {
-				es[i].Weight = 2
-			}
-			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-			home := b.r.home(key)
-			for i := range es {
-				es[i].Weight /= float64(1 + (int(key)+i)%3) // as requests come and go
+		t.Run(fmt.Sprint("weights follow load ", live), func(t *testing.T) {
+			b := newHarnessWithoutHealthChecks(t, 8, func(s *Settings) { s.WeightsFollowLoad = live })
+			moved := 0
+			for key := range uint64(200) {
+				es := fleet(8)
+				for i := range es {
+					es[i].Weight = 2
+				}
+				b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
+				home := b.r.home(key)
+				for i := range es {
+					es[i].Weight /= float64(1 + (int(key)+i)%3) // as requests come and go
+				}
+				b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
+				if b.r.home(key) != home {
+					moved++
+				}
 			}
-			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-			if b.r.home(key) != home {
-				moved++
+			if live && moved > 0 || !live && moved == 0 {
+				t.Errorf("live %v: %d of 200 keys moved", live, moved)
 			}
-		}
-		if live && moved > 0 || !live && moved == 0 {
-			t.Errorf("live %v: %d of 200 keys moved", live, moved)
-		}
+		})
 	}
 }
 
@@ -138,13 +140,15 @@
 func TestUnreachableCachesDoNotRenewTheWatch(t *testing.T) {
 	watching := func(s *Settings) { s.WatchRequired, s.PollInterval = true, 4000*ms }
 	for _, result := range []Result{ConnectFailed, Rejected} {
-		b := newLowTrafficHarness(t, 20, watching)
-		b.advance(3000 * ms)
-		for range 3 {
-			if n := b.failAttempts(result, 20, 2500*ms); n != 0 {
-				t.Errorf("result %d at all caches: the list is asked for %d times", result, n)
+		t.Run(fmt.Sprint("result ", result), func(t *testing.T) {
+			b := newLowTrafficHarness(t, 20, watching)
+			b.advance(3000 * ms)
+			for range 3 {
+				if n := b.failAttempts(result, 20, 2500*ms); n != 0 {
+					t.Errorf("result %d at all caches: the list is asked for %d times", result, n)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -152,15 +156,17 @@
 // whatever the poll interval: a drain would be missed meanwhile.
 func TestFirstCallAfterLostWatchComesWithinGrace(t *testing.T) {
 	for _, every := range []Time{1000 * ms, 10_000 * ms, 60_000 * ms, 600_000 * ms} {
-		s := settings()
-		s.PollInterval, s.DrainGrace, s.WatchRequired, s.AllowHealthChecks = every, 500*ms, true, false
-		b := newHarness(t, s)
-		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
-		b.advance(s.DrainGrace) // past the first call
-		b.timers = nil
-		b.feed(&EndpointList{Kind: FailedUpdate})
-		if len(b.timers) != 1 || b.timers[0].At > b.now+s.DrainGrace/2 {
-			t.Errorf("every %d ms: asked again at %v, now %d", every/ms, b.timers, b.now)
-		}
+		t.Run(fmt.Sprint(every/ms, " ms"), func(t *testing.T) {
+			s := settings()
+			s.PollInterval, s.DrainGrace, s.WatchRequired, s.AllowHealthChecks = every, 500*ms, true, false
+			b := newHarness(t, s)
+			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
+			b.advance(s.DrainGrace) // past the first call
+			b.timers = nil
+			b.feed(&EndpointList{Kind: FailedUpdate})
+			if len(b.timers) != 1 || b.timers[0].At > b.now+s.DrainGrace/2 {
+				t.Errorf("every %d ms: asked again at %v, now %d", every/ms, b.timers, b.now)
+			}
+		})
 	}
 }
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 )
 
@@ -28,24 +29,33 @@
 
 func result(r Result) *Result { return &r }
 
+func resultName(r *Result) string {
+	if r == nil {
+		return "no result"
+	}
+	return fmt.Sprint("result ", *r)
+}
+
 // TestHealthCheckMarksAtThresholdAndRecovers checks that a cache is unhealthy after maxFailedHealthChecks
 // failures of any kind, and healthy after one success.
 func TestHealthCheckMarksAtThresholdAndRecovers(t *testing.T) {
 	for _, res := range []*Result{nil, result(ConnectFailed), result(Errored), result(Rejected), result(TimedOut)} {
-		b := newHarness(t, settings())
-		b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
-		b.playHealthCheckRounds(maxFailedHealthChecks-1, "c01", res)
-		if !b.r.caches["c01"].health.healthy {
-			t.Fatalf("%v: marked after %d failures", res, maxFailedHealthChecks-1)
-		}
-		b.playHealthCheckRounds(1, "c01", res)
-		if b.r.caches["c01"].health.healthy {
-			t.Fatalf("%v: not marked after %d failures", res, maxFailedHealthChecks)
-		}
-		b.playHealthCheckRounds(1, "", nil)
-		if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
-			t.Fatalf("%v: not healthy after a success", res)
-		}
+		t.Run(resultName(res), func(t *testing.T) {
+			b := newHarness(t, settings())
+			b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
+			b.playHealthCheckRounds(maxFailedHealthChecks-1, "c01", res)
+			if !b.r.caches["c01"].health.healthy {
+				t.Fatalf("%v: marked after %d failures", res, maxFailedHealthChecks-1)
+			}
+			b.playHealthCheckRounds(1, "c01", res)
+			if b.r.caches["c01"].health.healthy {
+				t.Fatalf("%v: not marked after %d failures", res, maxFailedHealthChecks)
+			}
+			b.playHealthCheckRounds(1, "", nil)
+			if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
+				t.Fatalf("%v: not healthy after a success", res)
+			}
+		})
 	}
 }
 
--- a/decide/hedging_test.go
+++ b/decide/hedging_test.go
@@ -8,29 +8,33 @@
 // answered nothing since and the class allows it: a cache that hangs answers none until its health checks
 // have failed.
 func TestHedgeOnlyWhereCacheIsSilent(t *testing.T) {
-	for _, silent := range []bool{true, false} {
-		b := newHarnessWithoutHealthChecks(t, 4, nil)
-		s := b.request(1, "read", 9)
-		b.advance(10 * ms)
-		if !silent {
-			b.r.caches[s.Cache].lastAnswerAt = b.r.now
-		}
-		got := sends(b.advance(100 * ms))
-		if silent != (len(got) == 1) {
-			t.Errorf("silent %v: hedged with %v", silent, got)
-		}
-	}
-	for _, change := range []func(*Settings){func(s *Settings) { s.AllowHedging = false }, func(s *Settings) { s.MaxAttempts = 1 }} {
-		b := newHarnessWithoutHealthChecks(t, 4, change)
-		b.request(1, "read", 9)
-		if got := sends(b.advance(150 * ms)); len(got) != 0 {
-			t.Errorf("hedged where it is banned: %v", got)
-		}
-	}
-	b := newHarnessWithoutHealthChecks(t, 4, nil)
-	b.request(1, "once", 9)
-	if got := sends(b.advance(150 * ms)); len(got) != 0 {
-		t.Errorf("an unsafe request was hedged: %v", got)
+	for _, c := range []struct {
+		name     string
+		class    string
+		change   func(*Settings)
+		answered bool // the cache has answered something since
+		want     int  // hedged requests
+	}{
+		{"silent cache", "read", nil, false, 1},
+		{"cache that answered", "read", nil, true, 0},
+		{"hedging not allowed", "read", func(s *Settings) { s.AllowHedging = false }, false, 0},
+		{"one attempt allowed", "read", func(s *Settings) { s.MaxAttempts = 1 }, false, 0},
+		{"non-idempotent", "once", nil, false, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarnessWithoutHealthChecks(t, 4, c.change)
+			s := b.request(1, c.class, 9)
+			b.advance(10 * ms)
+			if c.answered {
+				b.r.caches[s.Cache].lastAnswerAt = b.r.now
+			}
+			if got := sends(b.advance(100 * ms)); len(got) != c.want {
+				t.Errorf("hedged with %v, want %d", got, c.want)
+			}
+			if got := sends(b.advance(40 * ms)); len(got) != 0 {
+				t.Errorf("hedged later with %v", got)
+			}
+		})
 	}
 }
 
--- a/decide/idempotency_test.go
+++ b/decide/idempotency_test.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"fmt"
 	"testing"
 )
 
@@ -8,38 +9,40 @@
 func TestSemanticsDecideRetryAndRejection(t *testing.T) {
 	for _, class := range []string{"read", "all", "zone", "cell", "once", "unheard-of"} {
 		for res := Errored; res <= NotStored; res++ {
-			b := newHarness(t, settings())
-			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
-			first := b.request(1, class, 5)
-			q := b.r.requests[1]
-			if first == nil {
-				t.Fatal("not sent")
-			}
-			q.attempts[0].end(res)
-			from := b.r.caches[first.Cache]
-			for _, c := range b.r.serving {
-				var want bool
-				switch {
-				case res.NeverRan() || class == "read" || class == "all":
-					want = true
-				case class == "zone":
-					want = c.Zone == from.Zone
-				case class == "cell":
-					want = c.Cell == from.Cell
+			t.Run(fmt.Sprint(class, " after result ", res), func(t *testing.T) {
+				b := newHarness(t, settings())
+				b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
+				first := b.request(1, class, 5)
+				q := b.r.requests[1]
+				if first == nil {
+					t.Fatal("not sent")
 				}
-				if got := b.r.maySend(q, c); got != want {
-					t.Errorf("%s after %d: maySend to another = %v, want %v", class, res, got, want)
+				q.attempts[0].end(res)
+				from := b.r.caches[first.Cache]
+				for _, c := range b.r.serving {
+					var want bool
+					switch {
+					case res.NeverRan() || class == "read" || class == "all":
+						want = true
+					case class == "zone":
+						want = c.Zone == from.Zone
+					case class == "cell":
+						want = c.Cell == from.Cell
+					}
+					if got := b.r.maySend(q, c); got != want {
+						t.Errorf("%s after %d: maySend to another = %v, want %v", class, res, got, want)
+					}
 				}
-			}
-			wantRefuse := res.NeverRan() || class == "read" || class == "all"
-			if got := b.r.mayReject(q); got != wantRefuse {
-				t.Errorf("%s after %d: mayRefuse = %v, want %v", class, res, got, wantRefuse)
-			}
-			b.now += 501 * ms
-			b.r.now = b.now
-			if class == "all" && !res.NeverRan() && b.r.maySend(q, from) {
-				t.Errorf("keyed request sent again after its repeats are forgotten")
-			}
+				wantReject := res.NeverRan() || class == "read" || class == "all"
+				if got := b.r.mayReject(q); got != wantReject {
+					t.Errorf("%s after %d: mayReject = %v, want %v", class, res, got, wantReject)
+				}
+				b.now += 501 * ms
+				b.r.now = b.now
+				if class == "all" && !res.NeverRan() && b.r.maySend(q, from) {
+					t.Errorf("keyed request sent again after its repeats are forgotten")
+				}
+			})
 		}
 	}
 }
@@ -48,15 +51,17 @@
 // still dropped by the caches if the router stands still for MaxSchedulingDelay before the write.
 func TestRepeatDeadlineAllowsForSchedulingDelay(t *testing.T) {
 	for _, window := range []Time{100 * ms, 500 * ms, 1200 * ms, 4000 * ms} {
-		c := Class{Semantics: IdempotentByKey, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: window}
-		const sent = 7000 * ms
-		latest := c.repeatDeadline(sent) // nothing is written from then on
-		if written := latest + MaxSchedulingDelay; latest > sent && written > sent+window {
-			t.Errorf("window of %d ms: a repeat may be written %d ms too late", window/ms, (written-sent-window)/ms)
-		}
-		if latest < sent || window > 2*MaxSchedulingDelay && latest < sent+window/2 {
-			t.Errorf("window of %d ms: no repeat is written from %d ms on", window/ms, (latest-sent)/ms)
-		}
+		t.Run(fmt.Sprint(window/ms, " ms"), func(t *testing.T) {
+			c := Class{Semantics: IdempotentByKey, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: window}
+			const sent = 7000 * ms
+			latest := c.repeatDeadline(sent) // nothing is written from then on
+			if written := latest + MaxSchedulingDelay; latest > sent && written > sent+window {
+				t.Errorf("window of %d ms: a repeat may be written %d ms too late", window/ms, (written-sent-window)/ms)
+			}
+			if latest < sent || window > 2*MaxSchedulingDelay && latest < sent+window/2 {
+				t.Errorf("window of %d ms: no repeat is written from %d ms on", window/ms, (latest-sent)/ms)
+			}
+		})
 	}
 }
 
@@ -82,11 +87,11 @@
 	if b.r.maySend(q, c) {
 		t.Error("sent though the answer streams")
 	}
-	// An unsafe class keeps off even where its settings speak of keys.
+	// A class that is not idempotent is not sent again even if its settings have an idempotency window.
 	q = &request{Request: &Request{Deadline: b.now + 1e6}, class: &Class{Semantics: NonIdempotent, DeduplicationScope: DeduplicatedEverywhere, IdempotencyWindow: 1e9},
 		attempts: []attempt{{cache: c, sentAt: b.now, state: attemptMayHaveRun}}}
 	if b.r.maySend(q, c) || b.r.mayReject(q) {
-		t.Error("an unsafe request that may have run was sent again or rejected")
+		t.Error("a non-idempotent request that may have run was sent again or rejected")
 	}
 }
 
@@ -97,24 +102,26 @@
 		after Time // from the first attempt to its outcome
 		again bool
 	}{{340 * ms, true}, {350 * ms, false}, {470 * ms, false}, {500 * ms, false}} {
-		s := settings()
-		s.Classes[1].ClientTimeout = 3000 * ms
-		b := newHarness(t, s)
-		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
-		q := &Request{ID: 1, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 3000*ms, Write: true}
-		first := sends(b.feed(q))
-		if len(first) != 1 || first[0].WriteDeadline != 0 {
-			t.Fatalf("first attempts %v", first)
-		}
-		sent := b.now
-		b.now += c.after
-		again := sends(b.feed(&AttemptResult{ID: 1, Result: Errored, Elapsed: c.after}))
-		if len(again) > 0 != c.again {
-			t.Errorf("after %d of 500 ms: sent again %v, want %v", c.after/ms, len(again) > 0, c.again)
-		}
-		if c.again && len(again) > 0 && again[0].WriteDeadline != sent+500*ms-MaxSchedulingDelay {
-			t.Errorf("may be written for %d ms", (again[0].WriteDeadline-sent)/ms)
-		}
+		t.Run(fmt.Sprint(c.after/ms, " ms"), func(t *testing.T) {
+			s := settings()
+			s.Classes[1].ClientTimeout = 3000 * ms
+			b := newHarness(t, s)
+			b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
+			q := &Request{ID: 1, Class: "all", Key: 5, HasKey: true, Deadline: b.now + 3000*ms, Write: true}
+			first := sends(b.feed(q))
+			if len(first) != 1 || first[0].WriteDeadline != 0 {
+				t.Fatalf("first attempts %v", first)
+			}
+			sent := b.now
+			b.now += c.after
+			again := sends(b.feed(&AttemptResult{ID: 1, Result: Errored, Elapsed: c.after}))
+			if len(again) > 0 != c.again {
+				t.Errorf("after %d of 500 ms: sent again %v, want %v", c.after/ms, len(again) > 0, c.again)
+			}
+			if c.again && len(again) > 0 && again[0].WriteDeadline != sent+500*ms-MaxSchedulingDelay {
+				t.Errorf("may be written for %d ms", (again[0].WriteDeadline-sent)/ms)
+			}
+		})
 	}
 }
 
