--- a/decide/hedging_test.go
+++ b/decide/hedging_test.go
@@ -48,10 +48,10 @@
 		}
 	}
 	before := b.r.serving[0].limit.value
-	lost, again, refused := 0, 0, 0
+	lost, again, rejected := 0, 0, 0
 	var after func(acts []Action)
 	after = func(acts []Action) {
-		refused += finalAnswers(acts)
+		rejected += finalAnswers(acts)
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send: // a second attempt: it is answered
@@ -71,7 +71,7 @@
 			t.Fatalf("request %d is not sent", id)
 		}
 		if id == 200 {
-			refused = 0
+			rejected = 0
 		}
 		after(b.advance(10 * ms))
 		switch {
@@ -82,8 +82,8 @@
 		}
 	}
 	after(b.advance(300 * ms))
-	if again < lost*9/10 || refused > lost/10 {
-		t.Errorf("of %d lost attempts %d were sent again; %d rejected", lost, again, refused)
+	if again < lost*9/10 || rejected > lost/10 {
+		t.Errorf("of %d lost attempts %d were sent again; %d rejected", lost, again, rejected)
 	}
 	for _, c := range b.r.serving {
 		if c.limit.value < before || c.inFlight > 1 || c.overtaken != 0 { // the last one may still be out
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -63,14 +63,14 @@
 func TestFailoverBudgetLimitsRequestsThatMove(t *testing.T) {
 	b := newLowTrafficHarness(t, 20, nil)
 	c := b.r.caches["c03"]
-	moved, refused := 0, 0
+	moved, rejected := 0, 0
 	for id := int64(1); id <= 200; id++ {
 		b.r.hotKeys.total[0] = 1000
 		c.outlier.ejectedUntil = b.now + 1e6
 		s := b.request(id, "read", b.keyOf("c03", uint64(id)*1000))
 		switch {
 		case s == nil && finalAnswers(b.acts) == 1:
-			refused++
+			rejected++
 		case s == nil:
 			t.Fatal("a request is held back")
 		case s.Cache != "c03":
@@ -80,8 +80,8 @@
 			t.Fatal("it was sent to the cache that is ejected")
 		}
 	}
-	if most := int(200*maxFailoverRatio) + maxFailoverTokens; moved < most/2 || moved > most || refused != 200-moved {
-		t.Errorf("%d moved, %d were rejected at once; at most %d may move", moved, refused, most)
+	if maximum := int(200*maxFailoverRatio) + maxFailoverTokens; moved < maximum/2 || moved > maximum || rejected != 200-moved {
+		t.Errorf("%d moved, %d were rejected at once; at most %d may move", moved, rejected, maximum)
 	}
 }
 
--- a/decide/retry_storm_test.go
+++ b/decide/retry_storm_test.go
@@ -31,7 +31,7 @@
 	old := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	acts := b.feed(old)
 	if len(acts) != 1 || len(rejections(acts)) != 1 {
-		t.Fatalf("%v: a refusal and nothing else is wanted", acts)
+		t.Fatalf("%v: a rejection and nothing else is wanted", acts)
 	}
 	if b.r.Open() != 0 {
 		t.Fatalf("%d requests are kept", b.r.Open())
@@ -82,18 +82,18 @@
 // different times.
 func TestStormRetryAfterHasJitter(t *testing.T) {
 	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
-	told := map[Time]int{}
+	times := map[Time]int{}
 	for id := range int64(100) {
 		for _, r := range rejections(b.feed(&Request{ID: id + 1, Class: "read", Key: 7, HasKey: true,
 			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
 			if r.RetryAfter < 100*ms || r.RetryAfter > 600*ms {
 				t.Errorf("a wait of %d µs", r.RetryAfter)
 			}
-			told[r.RetryAfter/(10*ms)]++
+			times[r.RetryAfter/(10*ms)]++
 		}
 	}
-	if len(told) < 25 {
-		t.Errorf("100 refusals name %d times: %v", len(told), told)
+	if len(times) < 25 {
+		t.Errorf("100 rejections name %d times: %v", len(times), times)
 	}
 }
 
@@ -140,7 +140,7 @@
 	b.feed(&RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
 	if b.r.storm.lastFirstTryRejectedAt != 0 {
-		t.Error("the refusal counts as one for want of room")
+		t.Error("the rejection counts as one for lack of capacity")
 	}
 }
 
@@ -150,7 +150,7 @@
 	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 100 * ms})
 	acts := b.feed(&Request{ID: 1, Class: "once", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})
 	if len(rejections(acts)) != 1 {
-		t.Errorf("%v: nothing of it has run here, so a refusal does no harm", acts)
+		t.Errorf("%v: nothing of it has run here, so a rejection does no harm", acts)
 	}
 }
 
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -10,14 +10,14 @@
 // was sent over any span of OverloadWindow, as a multiple of its capacity.
 func playSlowStart(t *testing.T, routers, caches int, load float64) (inTime, worst float64) {
 	const (
-		tick = 5 * ms
-		work = 100 * ms // of one core, for each request
-		aim  = 500 * ms
-		span = 10_000 * ms
+		tick      = 5 * ms
+		work      = 100 * ms // of one core, for each request
+		objective = 500 * ms
+		span      = 10_000 * ms
 	)
 	s := settings()
 	s.Routers, s.SlowStartWindow, s.SlowStartMinCapacity, s.OverloadWindow = routers, 23_000*ms, 0.16, 3000*ms
-	s.Classes = []Class{{Name: "read", Semantics: Idempotent, LatencyObjective: aim, ClientTimeout: 1200 * ms, PriorityWeight: 2}}
+	s.Classes = []Class{{Name: "read", Semantics: Idempotent, LatencyObjective: objective, ClientTimeout: 1200 * ms, PriorityWeight: 2}}
 	harnesses := make([]*harness, routers)
 	entries := fleet(caches)
 	for i := range harnesses {
@@ -76,7 +76,7 @@
 				case j.left > 0:
 					held[e.ID] = append(held[e.ID], j)
 				default:
-					if now-asked[j.id] <= aim {
+					if now-asked[j.id] <= objective {
 						served++
 					}
 					over[j.id] = true
