--- /dev/null
+++ b/decide/low_traffic_test.go
@@ -0,0 +1,38 @@
+package decide
+
+import (
+	"testing"
+)
+
+// newLowTrafficHarness returns one router of three hundred, before n caches.
+func newLowTrafficHarness(t *testing.T, n int, change func(*Settings)) *harness {
+	return newHarnessWithoutHealthChecks(t, n, func(s *Settings) {
+		s.Routers, s.DialCost, s.ConnectionCost = 300, .03, .03
+		if change != nil {
+			change(s)
+		}
+	})
+}
+
+// TestRouterCountDecidesLowTraffic checks that a RouterCount changes the mode and the limits.
+func TestRouterCountDecidesLowTraffic(t *testing.T) {
+	b := newHarnessWithoutHealthChecks(t, 5, func(s *Settings) { s.Routers = 2 })
+	if b.r.lowTraffic() {
+		t.Fatal("two routers count as many")
+	}
+	b.feed(&RouterCount{Routers: 40})
+	if !b.r.lowTraffic() || b.r.soleAttemptLimit() != 1.0/40 {
+		t.Errorf("after 40 routers were told it divides by %v", 1/b.r.soleAttemptLimit())
+	}
+}
+
+// newZonedHarness returns one router of three hundred in zone z1, before n caches in three zones.
+func newZonedHarness(t *testing.T, n int) *harness {
+	b := newLowTrafficHarness(t, n, func(s *Settings) { s.Zone = "z1" })
+	entries := fleet(n)
+	for i := range entries {
+		entries[i].Zone = []string{"z0", "z1", "z2"}[i%3]
+	}
+	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
+	return b
+}
--- a/decide/pressure_test.go
+++ b/decide/retry_storm_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// pressed is a router with a fleet, under pressure.
-func pressed(t *testing.T, p RetryStorm) *bench {
-	b := newBench(t, settings())
+// newStormHarness returns a router before four caches, during a retry storm.
+func newStormHarness(t *testing.T, p RetryStorm) *harness {
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 	b.feed(&p)
-	b.r.turnedAway, b.r.sentAt = b.now, b.now // a first try was refused just now, and another one was sent
+	b.r.storm.lastFirstTryRejectedAt, b.r.lastSendAt = b.now, b.now // a first try was rejected just now, and another one sent
 	return b
 }
 
-func refusals(acts []Action) []Reject {
+func rejections(acts []Action) []Reject {
 	var all []Reject
 	for _, a := range acts {
 		if r, ok := a.(Reject); ok {
@@ -24,12 +24,14 @@
 	return all
 }
 
-func TestRetryTooLateToBeServedInTimeIsRefusedAtOnce(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+// TestStormRejectsLateRetryAtOnce checks that a retry that can't be served in time is rejected while first
+// tries are, and an earlier one is sent.
+func TestStormRejectsLateRetryAtOnce(t *testing.T) {
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	old := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	acts := b.feed(old)
-	if len(acts) != 1 || len(refusals(acts)) != 1 {
-		t.Fatalf("%v: a refusal and nothing else is wanted", acts)
+	if len(acts) != 1 || len(rejections(acts)) != 1 {
+		t.Fatalf("%v: a rejection and nothing else is wanted", acts)
 	}
 	if b.r.Open() != 0 {
 		t.Fatalf("%d requests are kept", b.r.Open())
@@ -40,18 +42,22 @@
 	}
 }
 
-func TestLateRetryIsTakenWhereFirstTriesAreServed(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+// TestStormAdmitsLateRetryWhereFirstTriesAreServed checks that a late retry is sent if no first try was
+// rejected lately.
+func TestStormAdmitsLateRetryWhereFirstTriesAreServed(t *testing.T) {
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.advance(600 * ms)
 	late := &Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	if len(sends(b.feed(late))) != 1 {
-		t.Fatalf("%v: nobody has a better claim, and refused it comes back for ever", b.acts)
+		t.Fatalf("%v: nobody has a better claim, and rejected it comes back for ever", b.acts)
 	}
 }
 
-func TestWithoutPressureSinceChangesNothing(t *testing.T) {
+// TestFirstRequestedAtChangesNothingWithoutStorm checks that what is known of a retry counts during a storm
+// only.
+func TestFirstRequestedAtChangesNothingWithoutStorm(t *testing.T) {
 	play := func(since Time, p *RetryStorm) []Action {
-		b := newBench(t, settings())
+		b := newHarness(t, settings())
 		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(4)})
 		if p != nil {
 			b.feed(p)
@@ -72,90 +78,86 @@
 	}
 }
 
-func TestThoseRefusedTogetherAreToldDifferentTimes(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
-	told := map[Time]int{}
+// TestStormRetryAfterHasJitter checks that clients that are rejected together are asked to stay away for
+// different times.
+func TestStormRetryAfterHasJitter(t *testing.T) {
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+	times := map[Time]int{}
 	for id := range int64(100) {
-		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: 7, HasKey: true,
+		for _, r := range rejections(b.feed(&Request{ID: id + 1, Class: "read", Key: 7, HasKey: true,
 			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
 			if r.RetryAfter < 100*ms || r.RetryAfter > 600*ms {
 				t.Errorf("a wait of %d µs", r.RetryAfter)
 			}
-			told[r.RetryAfter/(10*ms)]++
+			times[r.RetryAfter/(10*ms)]++
 		}
 	}
-	if len(told) < 25 {
-		t.Errorf("100 refusals name %d times: %v", len(told), told)
+	if len(times) < 25 {
+		t.Errorf("100 rejections name %d times: %v", len(times), times)
 	}
 }
 
-func TestWaitsStayWithinWhatClientsHonour(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100_000 * ms})
+// TestStormRetryAfterStaysWithinMaximum checks that the jitter does not exceed MaxRetryAfter.
+func TestStormRetryAfterStaysWithinMaximum(t *testing.T) {
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 100_000 * ms})
 	for id := range int64(50) {
-		for _, r := range refusals(b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
+		for _, r := range rejections(b.feed(&Request{ID: id + 1, Class: "read", Key: uint64(id), HasKey: true,
 			Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})) {
-			if r.RetryAfter > b.r.set.MaxRetryAfter {
-				t.Errorf("a wait of %d µs, clients honour %d", r.RetryAfter, b.r.set.MaxRetryAfter)
+			if r.RetryAfter > b.r.settings.MaxRetryAfter {
+				t.Errorf("a wait of %d µs, clients honour %d", r.RetryAfter, b.r.settings.MaxRetryAfter)
 			}
 		}
 	}
 }
 
-func TestBudgetOfRetriesShrinksUnderPressure(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryBudgetFraction: 0.1})
-	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.budget > 0.1*retryBurst {
-		t.Errorf("a budget of %.1f is left", b.r.budget)
-	}
-	b.feed(&RetryStorm{})
-	b.feed(&Request{ID: 2, Class: "read", Key: 2, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.budget > 0.1*retryBurst+1 {
-		t.Errorf("the budget is full again at once: %.1f", b.r.budget)
-	}
-}
-
-// TestRetryIsSentWhereNothingElseIs: all caches that were full have room by now, and only retries come.
-func TestRetryIsSentWhereNothingElseIs(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
+// TestStormSendsRetryWhereNothingElseIsSent checks that retries are sent again after a time without
+// attempts, when caches have capacity by now.
+func TestStormSendsRetryWhereNothingElseIsSent(t *testing.T) {
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	late := func(id int64) *Request {
 		return &Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 200*ms}
 	}
 	if len(sends(b.feed(late(1)))) != 0 {
 		t.Fatalf("%v: caches were full just now", b.acts)
 	}
-	b.now += b.r.set.DrainGrace / 10
+	b.now += b.r.settings.DrainGrace / 10
 	if len(sends(b.feed(late(2)))) != 1 {
 		t.Errorf("%v: nothing has been sent for a while", b.acts)
 	}
 	for _, c := range b.r.caches {
-		c.limit, c.lastSend = leastLimit, b.now
+		c.limit.value, c.sent.updatedAt = minConcurrency, b.now
 	}
-	b.now += b.r.set.DrainGrace / 4
+	b.now += b.r.settings.DrainGrace / 4
 	if len(sends(b.feed(&Request{ID: 3, Class: "read", Key: 3, HasKey: true, Deadline: b.now + 500*ms}))) != 1 {
 		t.Errorf("%v: with all limits low, one is sent to find out", b.acts)
 	}
 }
 
-// TestRouterWithoutCachesDoesNotTurnRetriesAwayLater: what it refused then says nothing of caches' room.
-func TestRouterWithoutCachesDoesNotTurnRetriesAwayLater(t *testing.T) {
-	b := newBench(t, settings())
+// TestRejectionWithoutCachesSaysNothingOfCapacity checks that what is rejected before any cache is known
+// does not have retries rejected later.
+func TestRejectionWithoutCachesSaysNothingOfCapacity(t *testing.T) {
+	b := newHarness(t, settings())
 	b.feed(&RetryStorm{Active: true, RetryAfterJitter: 500 * ms})
 	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now + 500*ms})
-	if b.r.turnedAway != 0 {
-		t.Error("the refusal counts as one for want of room")
+	if b.r.storm.lastFirstTryRejectedAt != 0 {
+		t.Error("the rejection counts as one for lack of capacity")
 	}
 }
 
-func TestUnsafeRequestThatIsLateIsRefusedOnlyWhereNothingRan(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, RetryAfterJitter: 100 * ms})
+// TestStormRejectsLateNonIdempotentRequestThatHasNotRun checks that a late request that must not run twice
+// may be rejected, as nothing of it has run here.
+func TestStormRejectsLateNonIdempotentRequestThatHasNotRun(t *testing.T) {
+	b := newStormHarness(t, RetryStorm{Active: true, RetryAfterJitter: 100 * ms})
 	acts := b.feed(&Request{ID: 1, Class: "once", Key: 1, HasKey: true, Deadline: b.now + 500*ms, FirstRequestedAt: b.now - 300*ms})
-	if len(refusals(acts)) != 1 {
-		t.Errorf("%v: nothing of it has run here, so a refusal does no harm", acts)
+	if len(rejections(acts)) != 1 {
+		t.Errorf("%v: nothing of it has run here, so a rejection does no harm", acts)
 	}
 }
 
-func TestCacheThatIsAwayIsTriedAndANewOneStartsAfresh(t *testing.T) {
-	b := pressed(t, RetryStorm{Active: true, Outage: true, RetryBudgetFraction: 0.1})
+// TestOutageTriesCachesAndResetsRestartedOnes checks that caches that are away get attempts, so that their
+// return is noticed, and that a restarted one begins with the minimum limit.
+func TestOutageTriesCachesAndResetsRestartedOnes(t *testing.T) {
+	b := newStormHarness(t, RetryStorm{Active: true, Outage: true, RetryBudgetFraction: 0.1})
 	tries := func(id int64) (n int) {
 		acts := b.feed(&Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Deadline: b.now + 700*ms})
 		for len(sends(acts)) > 0 {
@@ -174,7 +176,7 @@
 		entries[i].StartedAt = b.now - 100*ms
 	}
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
-	if limit := b.r.ready[0].limit; limit != leastAway {
+	if limit := b.r.serving[0].limit.value; limit != minConcurrencyInOutage {
 		t.Errorf("the limit of a new cache is %.1f, by what was seen of the old one", limit)
 	}
 	sent := 0
--- a/decide/learned_test.go
+++ b/decide/snapshot_test.go
@@ -6,33 +6,33 @@
 	"testing"
 )
 
-// taught is a router that has learned this and that of a fleet.
-func taught(t *testing.T) (*bench, []Endpoint) {
+// newTrainedHarness returns a router that has learned something of its three caches, and their list.
+func newTrainedHarness(t *testing.T) (*harness, []Endpoint) {
 	s := settings()
 	s.AllowHealthChecks = false
-	b := newBench(t, s)
+	b := newHarness(t, s)
 	es := fleet(3)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-	b.r.fetches, b.r.missing, b.r.budget, b.r.erring, b.r.lost = 7, .25, 3, .125, .0625
+	b.r.origin.limit.value, b.r.origin.missRatio.value, b.r.retryBudget.tokens, b.r.errorRatio.value, b.r.losses.ratio.value = 7, .25, 3, .125, .0625
 	c := b.r.caches["c01"]
-	c.limit, c.late, c.healthy, c.fails, c.prompt = .5, .75, false, 2, false
-	c.erring, c.erredAt = .5, b.now
-	c.keeps[0][9], c.keeps[1][5] = true, true
-	b.r.zones["b"].fails = zoneThreshold
+	c.limit.value, c.lateRatio.value, c.health.healthy, c.health.failures, c.responsive = .5, .75, false, 2, false
+	c.errors.ratio, c.errors.updatedAt = .5, b.now
+	c.cachedKeys[0][9], c.cachedKeys[1][5] = true, true
+	b.r.zones["b"].failedConnections = maxFailedConnections
 	return b, es
 }
 
-// TestWhatWasLearnedIsTakenOver by another router that has the same list.
-func TestWhatWasLearnedIsTakenOver(t *testing.T) {
-	old, es := taught(t)
+// TestRestoreTakesOverSnapshot checks that a router with the same list knows what another one has learned.
+func TestRestoreTakesOverSnapshot(t *testing.T) {
+	old, es := newTrainedHarness(t)
 	l := old.r.Snapshot(100)
-	b := newBench(t, old.r.set)
+	b := newHarness(t, old.r.settings)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
 	b.r.Restore(l)
 	if got := b.r.Snapshot(100); !reflect.DeepEqual(got, l) {
 		t.Errorf("got  %+v\nwant %+v", got, l)
 	}
-	if !b.r.caches["c01"].knows(5) || !b.r.caches["c01"].knows(9) {
+	if !b.r.caches["c01"].cachedKeys.likelyCached(5) || !b.r.caches["c01"].cachedKeys.likelyCached(9) {
 		t.Error("the keys that it keeps are not known")
 	}
 	if n := len(old.r.Snapshot(1).Caches[1].CachedKeys); n != 1 {
@@ -40,10 +40,11 @@
 	}
 }
 
-// TestNothingOfAnOldProcessIsTakenOver: its id is the same, its start is another.
-func TestNothingOfAnOldProcessIsTakenOver(t *testing.T) {
-	old, es := taught(t)
-	b := newBench(t, old.r.set)
+// TestRestoreIgnoresPreviousProcess checks that nothing is taken of a cache with the same id and another
+// start.
+func TestRestoreIgnoresPreviousProcess(t *testing.T) {
+	old, es := newTrainedHarness(t)
+	b := newHarness(t, old.r.settings)
 	es[1].StartedAt = b.now - 1000
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es[:2]})
 	fresh := b.r.Snapshot(100).Caches
@@ -52,14 +53,14 @@
 	if !reflect.DeepEqual(got[1], fresh[1]) || len(got) != 2 {
 		t.Errorf("got %+v", got)
 	}
-	if b.r.caches["c01"].knows(5) {
+	if b.r.caches["c01"].cachedKeys.likelyCached(5) {
 		t.Error("a new process is taken to keep what the old one kept")
 	}
 }
 
-// TestFiguresOutOfRangeAreNotTakenOver, whatever a file says.
-func TestFiguresOutOfRangeAreNotTakenOver(t *testing.T) {
-	b := newBench(t, settings())
+// TestRestoreIgnoresValuesOutOfRange checks that a damaged snapshot leaves the router as it is.
+func TestRestoreIgnoresValuesOutOfRange(t *testing.T) {
+	b := newHarness(t, settings())
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(2)})
 	fresh := b.r.Snapshot(10)
 	nan := 0.0
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestLearnedInPiecesIsTheSame as at once, whatever the size of a piece.
-func TestLearnedInPiecesIsTheSame(t *testing.T) {
-	old, _ := taught(t)
+// TestEndpointSnapshotsInStepsEqualWhole checks that steps of any size give what one call gives.
+func TestEndpointSnapshotsInStepsEqualWhole(t *testing.T) {
+	old, _ := newTrainedHarness(t)
 	whole := old.r.Snapshot(0).Caches
 	for most := 1; most <= 4; most++ {
 		var pieces []EndpointSnapshot
@@ -93,12 +94,13 @@
 	}
 }
 
-// TestWhichKeysAreToldDoesNotDependOnTheOrderOfAMap, and it is as many as were asked for.
-func TestWhichKeysAreToldDoesNotDependOnTheOrderOfAMap(t *testing.T) {
-	old, _ := taught(t)
+// TestCachedKeysDoNotDependOnMapOrder checks that the same keys are selected each time, as many as are
+// wanted.
+func TestCachedKeysDoNotDependOnMapOrder(t *testing.T) {
+	old, _ := newTrainedHarness(t)
 	c := old.r.caches["c01"]
 	for i := range uint64(3000) {
-		c.keeps[i%2][mix(i+1)] = true
+		c.cachedKeys[i%2][mix(i+1)] = true
 	}
 	first := SortKeys(old.r.AppendCachedKeys(nil, "c01", 50), 50)
 	if len(first) != 50 || !slices.IsSorted(first) {
