--- a/internal/frontend/command_test.go
+++ b/internal/frontend/command_test.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"fmt"
 	"strings"
 	"testing"
 
@@ -49,18 +50,20 @@
 		{"*2\r\n$5\r\nC.GETXX", true},
 		{"*5\r\n$5\r\nC.SET\r\n$70000\r\n" + strings.Repeat("x", 2*resp.MaxCommandBytes), true},
 	} {
-		cl := r.dial()
-		cl.Send(c.wire)
-		if got := cl.Line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%.60q: answer %q", c.wire, got)
-		}
-		if c.ends {
-			cl.WantClosed()
-		} else {
-			cl.Send(words("PING"))
-			cl.Want("+PONG")
-		}
-		cl.Close()
+		t.Run(fmt.Sprintf("%.60q", c.wire), func(t *testing.T) {
+			cl := r.dial()
+			cl.Send(c.wire)
+			if got := cl.Line(); !strings.HasPrefix(got, "-ERR ") {
+				t.Errorf("reply %q", got)
+			}
+			if c.ends {
+				cl.WantClosed()
+			} else {
+				cl.Send(words("PING"))
+				cl.Want("+PONG")
+			}
+			cl.Close()
+		})
 	}
 	r.wantNoRequest()
 	r.waitUntilEmpty()
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -398,20 +398,22 @@
 // that waits for a reply is not idle.
 func TestIdleConnectionsExpire(t *testing.T) {
 	for _, overHalfFull := range []bool{false, true} {
-		r := newTestServer(t, func(o *Options) {
-			if o.Limits.IdleTime = shortTimeout; overHalfFull {
-				o.Limits.IdleTime, o.Limits.CrowdedIdleTime, o.MaxConnections = time.Hour, shortTimeout, 3
-			}
+		t.Run(fmt.Sprintf("over half full %t", overHalfFull), func(t *testing.T) {
+			r := newTestServer(t, func(o *Options) {
+				if o.Limits.IdleTime = shortTimeout; overHalfFull {
+					o.Limits.IdleTime, o.Limits.CrowdedIdleTime, o.MaxConnections = time.Hour, shortTimeout, 3
+				}
+			})
+			idle, waits := r.dial(), r.dial()
+			idle.Send(words("PING"))
+			idle.Want("+PONG")
+			waits.Send(get("r1"))
+			a := r.nextRequest()
+			idle.WantClosed()
+			r.After(2 * shortTimeout)
+			r.answer(a, value)
+			waits.Want("value")
 		})
-		idle, waits := r.dial(), r.dial()
-		idle.Send(words("PING"))
-		idle.Want("+PONG")
-		waits.Send(get("r1"))
-		a := r.nextRequest()
-		idle.WantClosed()
-		r.After(2 * shortTimeout)
-		r.answer(a, value)
-		waits.Want("value")
 	}
 }
 
--- a/internal/guard/rules_test.go
+++ b/internal/guard/rules_test.go
@@ -107,27 +107,31 @@
 		},
 		ClosedUnanswered: func(g *Guard, q *Request) { g.Closed(1, q) },
 	} {
-		g, reported := newGuard(true)
-		q := g.Open(7, "id", "read", false, window)
-		do(g, &q)
-		if len(*reported) != 1 || (*reported)[0].Reason != want {
-			t.Errorf("%v: reported %v", want, *reported)
-		}
+		t.Run(want.String(), func(t *testing.T) {
+			g, reported := newGuard(true)
+			q := g.Open(7, "id", "read", false, window)
+			do(g, &q)
+			if len(*reported) != 1 || (*reported)[0].Reason != want {
+				t.Errorf("reported %v", *reported)
+			}
+		})
 	}
 }
 
 func TestMayRejectAfterRun(t *testing.T) {
 	for class, want := range map[string]Reason{"read": Allowed, "keyed-all": Allowed, "keyed": RejectedAfterRun,
 		"not-idempotent": RejectedAfterRun} {
-		g, _ := newGuard(true)
-		q := g.Open(7, "id", class, false, window)
-		if got := g.MayReject(&q); got != Allowed {
-			t.Errorf("%s: %v before any attempt", class, got)
-		}
-		g.WriteStarted(1, &q, 0, here, 1, true)
-		if got := g.MayReject(&q); got != want {
-			t.Errorf("%s: %v, want %v", class, got, want)
-		}
+		t.Run(class, func(t *testing.T) {
+			g, _ := newGuard(true)
+			q := g.Open(7, "id", class, false, window)
+			if got := g.MayReject(&q); got != Allowed {
+				t.Errorf("%v before any attempt", got)
+			}
+			g.WriteStarted(1, &q, 0, here, 1, true)
+			if got := g.MayReject(&q); got != want {
+				t.Errorf("%v after an attempt that may have run, want %v", got, want)
+			}
+		})
 	}
 }
 
--- a/internal/upstream/result_test.go
+++ b/internal/upstream/result_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"fmt"
 	"net"
 	"strings"
 	"testing"
@@ -26,21 +27,23 @@
 		{"-BUSY\r\n", decide.Rejected, false},
 		{"*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\n\x00=\xff,util=\r\n", decide.Served, false}, // an invalid load report is ignored
 	} {
-		cache := routertest.NewCache(t)
-		r := newTestPool(t, cache.Addr(), nil)
-		a := r.send(r.request(nil), long)
-		r.command(cache).Reply(t, c.wire)
-		o := r.wantResult(c.result)
-		if o.attempt != a || o.reply.Miss != c.miss {
-			t.Errorf("%q: miss %v", c.wire, o.reply.Miss)
-		}
-		value := ""
-		if c.result == decide.Served {
-			value = "$5\r\nvalue\r\n"
-		}
-		if got := string(o.reply.Value); got != value {
-			t.Errorf("%q: the value is %q", c.wire, got)
-		}
+		t.Run(fmt.Sprintf("%q", c.wire), func(t *testing.T) {
+			cache := routertest.NewCache(t)
+			r := newTestPool(t, cache.Addr(), nil)
+			a := r.send(r.request(nil), long)
+			r.command(cache).Reply(t, c.wire)
+			o := r.wantResult(c.result)
+			if o.attempt != a || o.reply.Miss != c.miss {
+				t.Errorf("miss %v, same attempt %v", o.reply.Miss, o.attempt == a)
+			}
+			value := ""
+			if c.result == decide.Served {
+				value = "$5\r\nvalue\r\n"
+			}
+			if got := string(o.reply.Value); got != value {
+				t.Errorf("the value is %q", got)
+			}
+		})
 	}
 }
 
@@ -169,16 +172,18 @@
 		"*3\r\n$5\r\nvalue\r\n:1\r\n$-1\r\n", "garbage\r\n", "$-5\r\n", "$9223372036854775807\r\n",
 		"*9223372036854775807\r\n", "*3\r\n$5\r\nvalueXX$3\r\nhit\r\n", "*1\r\n$x\r\n", "*-7\r\n", "$3\r\nabcdef\r\n",
 		"+" + strings.Repeat("x", 4*512), "*2\r\n$1\r\na\r\n!\r\n", served + "trailing"} {
-		cache := routertest.NewCache(t)
-		r := newTestPool(t, cache.Addr(), nil)
-		r.send(r.request(nil), long)
-		r.command(cache).Reply(t, wire)
-		if strings.HasPrefix(wire, served) {
-			r.wantResult(decide.Served)
-		} else {
-			r.wantResult(decide.ConnectionLost) // it has run
-		}
-		r.waitForEnd(cache) // what follows can not be matched to requests
+		t.Run(fmt.Sprintf("%.60q", wire), func(t *testing.T) {
+			cache := routertest.NewCache(t)
+			r := newTestPool(t, cache.Addr(), nil)
+			r.send(r.request(nil), long)
+			r.command(cache).Reply(t, wire)
+			if strings.HasPrefix(wire, served) {
+				r.wantResult(decide.Served)
+			} else {
+				r.wantResult(decide.ConnectionLost) // it has run
+			}
+			r.waitForEnd(cache) // what follows can not be matched to requests
+		})
 	}
 }
 
@@ -187,19 +192,21 @@
 func TestHealthCheckTakesOnlyItsReply(t *testing.T) {
 	for wire, want := range map[string]decide.Result{"+PONG\r\n": decide.Served, served: decide.ConnectionLost,
 		"-ERR failed\r\n": decide.Errored, "-BUSY\r\n": decide.Rejected} {
-		cache := routertest.NewCache(t)
-		r := newTestPool(t, cache.Addr(), nil)
-		r.Do(func() { r.pool.Start("c1", &Attempt{SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()}) })
-		cmd := r.command(cache)
-		if len(cmd.Args) != 1 || cmd.Args[0] != "PING" {
-			t.Errorf("the cache was sent %q", cmd.Args)
-		}
-		cmd.Reply(t, wire)
-		r.wantResult(want)
-		r.Do(func() {
-			if n := r.pool.InFlight("c1"); n != 0 {
-				t.Errorf("%d attempts: a health check was counted", n)
+		t.Run(fmt.Sprintf("%q", wire), func(t *testing.T) {
+			cache := routertest.NewCache(t)
+			r := newTestPool(t, cache.Addr(), nil)
+			r.Do(func() { r.pool.Start("c1", &Attempt{SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()}) })
+			cmd := r.command(cache)
+			if len(cmd.Args) != 1 || cmd.Args[0] != "PING" {
+				t.Errorf("the cache was sent %q", cmd.Args)
 			}
+			cmd.Reply(t, wire)
+			r.wantResult(want)
+			r.Do(func() {
+				if n := r.pool.InFlight("c1"); n != 0 {
+					t.Errorf("%d attempts: a health check was counted", n)
+				}
+			})
 		})
 	}
 }
