--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -9,7 +9,7 @@
 // connection is one connection of a client. It is the machine's handler of its socket.
 type connection struct {
 	server     *Server
-	conn       machine.Conn
+	socket     machine.Conn
 	clientHash uint64 // of the client's address without its port
 
 	state      connectionState
@@ -86,7 +86,7 @@
 // closeIfQuiet closes a connection between requests. One that has sent more meanwhile is read first: closed, it would lose
 // that request.
 func (c *connection) closeIfQuiet() {
-	if c.conn.Quiet() {
+	if c.socket.Quiet() {
 		c.close()
 	} else {
 		c.scheduleRead()
@@ -96,7 +96,7 @@
 // closeGracefully closes the connection after its last reply. Where the client is still sending, a close would reset the
 // connection and with it drop the reply, so its bytes are read and dropped for a while.
 func (c *connection) closeGracefully() {
-	if c.conn.Quiet() || c.conn.CloseWrite() != nil {
+	if c.socket.Quiet() || c.socket.CloseWrite() != nil {
 		c.close()
 		return
 	}
@@ -111,7 +111,7 @@
 			c.scheduleRead()
 			return
 		}
-		n, err := c.conn.Read(c.server.readBuffer)
+		n, err := c.socket.Read(c.server.readBuffer)
 		if errors.Is(err, machine.ErrWait) {
 			return
 		}
@@ -150,7 +150,7 @@
 	// A client that does not read can't be given its replies: losing them is not the router's doing.
 	byRouter := c.clientEnd == clientPresent && c.state != stateWriteBlocked
 	c.leaveState()
-	c.conn.Close()
+	c.socket.Close()
 	s.connections--
 	s.buffered.release(c.unparsedCharge + int64(len(c.unsent)))
 	unanswered := c.dropReplies()
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -131,7 +131,7 @@
 	drained := r.startDrain()
 	r.Do(func() {
 		c.Send(get("second"))
-		if first.connection.conn.Quiet() {
+		if first.connection.socket.Quiet() {
 			t.Error("the second request has not come")
 		}
 		first.Answer([]byte(value))
--- a/internal/frontend/reading.go
+++ b/internal/frontend/reading.go
@@ -15,12 +15,12 @@
 func (c *connection) read() {
 	// Nothing may be read for now, and only a read would show that the client has gone: without this check its requests would
 	// still be sent to caches.
-	if err := c.conn.End(); err != nil && !c.closed {
+	if err := c.socket.End(); err != nil && !c.closed {
 		c.endedBy(err)
 		return
 	}
 	quota := maxCommandsPerTurn
-	for reads := 0; c.mayRead(quota, reads); reads++ {
+	for reads := 0; c.continueReading(quota, reads); reads++ {
 		if len(c.unparsed) > 0 {
 			c.executeUnparsed(&quota)
 			if c.closed || c.finishing {
@@ -30,7 +30,7 @@
 				continue
 			}
 		}
-		n, err := c.conn.Read(c.server.readBuffer)
+		n, err := c.socket.Read(c.server.readBuffer)
 		switch {
 		case errors.Is(err, machine.ErrWait):
 			c.updateState()
@@ -45,9 +45,9 @@
 	}
 }
 
-// mayRead reports whether read goes on in this turn, after so many reads and with so many commands left to execute. Where it
-// does not, mayRead sees to it that the connection is read later, if at all.
-func (c *connection) mayRead(quota, reads int) bool {
+// continueReading reports whether read goes on in this turn, after so many reads and with so many commands left to execute.
+// Where it does not, continueReading does what follows: it drops what arrives, pauses reading or schedules another turn.
+func (c *connection) continueReading(quota, reads int) bool {
 	switch {
 	case c.closed:
 	case c.state == stateLingering:
@@ -178,7 +178,7 @@
 // readIfPending reads what has arrived, including what the machine has not reported yet: it reports a bounded number of
 // connections in a turn.
 func (c *connection) readIfPending() {
-	if !c.conn.Quiet() {
+	if !c.socket.Quiet() {
 		c.read()
 	}
 }
--- a/internal/frontend/reply_slot.go
+++ b/internal/frontend/reply_slot.go
@@ -55,7 +55,7 @@
 
 // ClientGone reports whether the client has gone, even where the Handler has not been called with that yet.
 func (slot *ReplySlot) ClientGone() bool {
-	return slot.connection.closed || slot.connection.conn.End() != nil
+	return slot.connection.closed || slot.connection.socket.End() != nil
 }
 
 // Client returns a hash of the address that the request came from, without its port.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -74,8 +74,8 @@
 }
 
 // accept takes a new connection from the listener.
-func (s *Server) accept(conn machine.Conn) machine.Handler {
-	c := &connection{server: s, conn: conn, clientHash: addressHash(conn.Remote())}
+func (s *Server) accept(socket machine.Conn) machine.Handler {
+	c := &connection{server: s, socket: socket, clientHash: addressHash(socket.Remote())}
 	s.connections++
 	s.accepted++
 	c.enterState(stateNew)
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -98,7 +98,7 @@
 		next = statePartialCommand
 	case len(c.pendingReplies) > 0:
 		next = stateAwaitingReplies
-	case c.retired && c.commandSeen && c.conn.Quiet():
+	case c.retired && c.commandSeen && c.socket.Quiet():
 		c.close()
 		return
 	case c.commandSeen:
--- a/internal/frontend/writing.go
+++ b/internal/frontend/writing.go
@@ -13,7 +13,7 @@
 		if len(batch) == 0 {
 			break
 		}
-		n, err := c.conn.Write(batch)
+		n, err := c.socket.Write(batch)
 		if err != nil {
 			c.unsent = batch // close releases its memory
 			c.clientEnd = max(c.clientEnd, clientEnded)
--- a/internal/guard/contract_test.go
+++ b/internal/guard/contract_test.go
@@ -49,7 +49,7 @@
 	return b
 }
 
-// handle hands over an event at which the module asks for the actions, and returns those let out.
+// handle hands over an event to which the module responds with the actions, and returns those that are accepted.
 func (b *contractTest) handle(ev decide.Event, actions ...decide.Action) []decide.Action {
 	b.now++
 	b.module.nextActions = actions
