--- a/cmd/lab/brokenhooks_test.go
+++ b/cmd/lab/brokenhooks_test.go
@@ -11,10 +11,10 @@
 )
 
 // strikes are the failures of those that may be played inside of this process, with no bound on its memory.
-var strikes = map[string]plugin.Kind{
-	"loop.star": plugin.Overran, "crash.star": plugin.Crashed, "no-verdict.star": plugin.Wordless,
-	"loop.wasm": plugin.Overran, "recursion.wasm": plugin.Overran, "crash.wasm": plugin.Crashed,
-	"memory.wasm": plugin.Overran /* refused more, it asks on */, "no-verdict.wasm": plugin.Wordless,
+var strikes = map[string]plugin.FailureKind{
+	"loop.star": plugin.BudgetExceeded, "crash.star": plugin.Crashed, "no-verdict.star": plugin.InvalidVerdict,
+	"loop.wasm": plugin.BudgetExceeded, "recursion.wasm": plugin.BudgetExceeded, "crash.wasm": plugin.Crashed,
+	"memory.wasm": plugin.BudgetExceeded /* refused more, it asks on */, "no-verdict.wasm": plugin.InvalidVerdict,
 }
 
 func TestBrokenHooksLoadPassMostKeysAndStrikeAtTheOthers(t *testing.T) {
@@ -32,7 +32,7 @@
 					return v, err
 				}
 				if !always {
-					if v, err := ask("key1001"); err != nil || v.Say != plugin.Pass || len(v.Log) > 0 {
+					if v, err := ask("key1001"); err != nil || v.Decision != plugin.Pass || len(v.Log) > 0 {
 						t.Errorf("a key that it is to pass: %+v, %v", v, err)
 					}
 				}
@@ -46,7 +46,7 @@
 				if failed != fails || failed && failure.Kind != kind {
 					t.Errorf("always %v: %v, wanted %v", always, err, kind)
 				}
-				if b.name == "line" && (len(v.Log) != 1 || len(v.Log[0]) < 100 || len(v.Log[0]) > plugin.Usual.LineSize) {
+				if b.name == "line" && (len(v.Log) != 1 || len(v.Log[0]) < 100 || len(v.Log[0]) > plugin.DefaultBudget.LogLineSize) {
 					t.Errorf("it logged %q", v.Log)
 				}
 			}
@@ -57,10 +57,10 @@
 func loaded(t *testing.T, b brokenHook, always bool) plugin.Hook {
 	t.Helper()
 	for _, e := range worker.Engines {
-		if e.Ending() != b.ending {
+		if e.FileExtension() != b.ending {
 			continue
 		}
-		h, err := e.Load(b.name, b.code(always), plugin.Usual)
+		h, err := e.Load(b.name, b.code(always), plugin.DefaultBudget)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/starlingwinch/hook.go
+++ b/cmd/starlingwinch/hook.go
@@ -83,7 +83,7 @@
 
 // flags adds the flags for the hook's budget to a command.
 func (t *hookTrial) flags(cmd *cobra.Command) {
-	u := hooks.DefaultFile().Each
+	u := hooks.DefaultFile().Defaults
 	cmd.Flags().DurationVar(&t.time, "time", u.Time, "budget of a call, as `SPAN`")
 	cmd.Flags().DurationVar(&t.load, "load-time", u.LoadTime, "budget of load, as `SPAN`")
 	cmd.Flags().StringVar(&t.memory, "memory", u.Memory.String(), "bound of its memory, as `SIZE`")
@@ -100,7 +100,7 @@
 	if engine == nil {
 		return fmt.Errorf("%s: unknown ending (wanted .wasm or .star)", configerror.Plain(path))
 	}
-	if t.code, err = operatorconfig.Read(path, plugin.MostCode); err != nil {
+	if t.code, err = operatorconfig.Read(path, plugin.MaxCode); err != nil {
 		return err
 	}
 	t.name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
@@ -133,7 +133,7 @@
 	case t.steps < 0:
 		return usage("steps", "below 0")
 	}
-	t.budget = plugin.Usual
+	t.budget = plugin.DefaultBudget
 	t.budget.Time, t.budget.LoadTime = t.time.Microseconds(), t.load.Microseconds()
 	t.budget.Memory, t.budget.Steps = int64(memory), t.steps
 	return nil
@@ -142,7 +142,7 @@
 // engineOf returns the engine that runs a hook's file, by its ending; nil for none.
 func engineOf(path string) (engine plugin.Engine) {
 	for _, e := range worker.Engines {
-		if filepath.Ext(path) == e.Ending() {
+		if filepath.Ext(path) == e.FileExtension() {
 			engine = e
 		}
 	}
@@ -194,7 +194,7 @@
 		if p == plugin.Unload {
 			budget = t.budget.LoadTime
 		}
-		if _, err := t.client.Ask(&plugin.Call{Point: p, TimeLeft: 1_000_000}, budget); err != nil {
+		if _, err := t.client.Call(&plugin.Call{Point: p, TimeLeft: 1_000_000}, budget); err != nil {
 			return fmt.Errorf("at the point %s, with nothing but empty texts: %w", p, err)
 		}
 	}
@@ -245,14 +245,14 @@
 			counts["not asked"]++
 			continue
 		}
-		r, err := t.client.Ask(c, t.budget.Time)
-		verdict, text := r.Verdict.Say.String(), describeVerdict(&r.Verdict)
+		r, err := t.client.Call(c, t.budget.Time)
+		verdict, text := r.Verdict.Decision.String(), describeVerdict(&r.Verdict)
 		if err != nil {
 			verdict, text = "none", err.Error()
 		}
 		counts[verdict]++
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d us\t%s\n", i+1, c.Point, configerror.Plain(c.Key), verdict, r.Spent, text)
-		if err != nil && r.Seq == 0 { // the worker has ended
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d us\t%s\n", i+1, c.Point, configerror.Plain(c.Key), verdict, r.RunTime, text)
+		if err != nil && r.Sequence == 0 { // the worker has ended
 			break
 		}
 	}
@@ -269,8 +269,8 @@
 func describeVerdict(v *plugin.Verdict) string {
 	var words []string
 	add := func(format string, args ...any) { words = append(words, fmt.Sprintf(format, args...)) }
-	if v.Wait > 0 {
-		add("wait %d ms", v.Wait/1000)
+	if v.RetryAfter > 0 {
+		add("wait %d ms", v.RetryAfter/1000)
 	}
 	if v.Text != "" {
 		add("text %q", v.Text)
--- a/cmd/starlingwinch/hook_bench.go
+++ b/cmd/starlingwinch/hook_bench.go
@@ -75,15 +75,15 @@
 	none := 0
 	for began := time.Now(); time.Since(began) < span && len(trip) < maxBenchCalls; {
 		sent := time.Now()
-		r, err := t.client.Ask(&calls[len(trip)%len(calls)], t.budget.Time)
+		r, err := t.client.Call(&calls[len(trip)%len(calls)], t.budget.Time)
 		if err != nil {
-			if r.Seq == 0 {
+			if r.Sequence == 0 {
 				return fmt.Errorf("%s: call %d: %w", t.name, len(trip)+1, err)
 			}
 			none++
 		}
 		trip = append(trip, time.Since(sent))
-		spent = append(spent, time.Duration(r.Spent)*time.Microsecond)
+		spent = append(spent, time.Duration(r.RunTime)*time.Microsecond)
 	}
 	us := func(all []time.Duration, part float64) float64 {
 		slices.Sort(all)
--- a/cmd/starlingwinch/hook_requests.go
+++ b/cmd/starlingwinch/hook_requests.go
@@ -86,18 +86,18 @@
 		}
 	}
 	c := plugin.Call{
-		Point:    plugin.Point(max(1, point)),
-		Now:      plugin.Time(r.Now * 1000),
-		Verb:     r.Verb,
-		Class:    r.Class,
-		Tenant:   r.Tenant,
-		Key:      r.Key,
-		Size:     r.Size,
-		TimeLeft: plugin.Time(r.TimeLeft * 1000),
-		Outcome:  plugin.Outcome(outcome),
-		Took:     plugin.Time(r.Took * 1000),
-		Caches:   r.Caches,
-		TakeWork: r.TakeWork,
+		Point:         plugin.Point(max(1, point)),
+		Now:           plugin.Time(r.Now * 1000),
+		Verb:          r.Verb,
+		Class:         r.Class,
+		Tenant:        r.Tenant,
+		Key:           r.Key,
+		Size:          r.Size,
+		TimeLeft:      plugin.Time(r.TimeLeft * 1000),
+		Outcome:       plugin.Outcome(outcome),
+		Took:          plugin.Time(r.Took * 1000),
+		Caches:        r.Caches,
+		ServingCaches: r.TakeWork,
 	}
 	if r.Value != "" {
 		c.Size = len(r.Value)
--- a/examples/hooks/hooks_test.go
+++ b/examples/hooks/hooks_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := plugin.Usual
+	b := plugin.DefaultBudget
 	b.Memory, b.LoadTime = 64<<20, 30_000_000
 	h, err := e.Load(filepath.Base(path), code, b)
 	if err != nil {
@@ -48,7 +48,7 @@
 			"A1BCDEFGHIJKLMN": false, strings.Repeat("A1B/", 10): false, "OE1XYZ-7": false, "Ö1XYZ": false,
 		} {
 			v := ask(t, h, plugin.Call{Point: plugin.OnRequest, Key: key})
-			if (v.Say == plugin.Pass) != good || !good && v.Text != "not a callsign" {
+			if (v.Decision == plugin.Pass) != good || !good && v.Text != "not a callsign" {
 				t.Errorf("%s: %q: %+v", name, key, v)
 			}
 		}
@@ -60,7 +60,7 @@
 		{"shack-1", "confirm-contact", "club-rajkot"}, {"shack-1", "call-lookup", ""}, {"acme", "confirm-contact", ""},
 	} {
 		v := ask(t, h, plugin.Call{Point: plugin.OnRequest, Class: c.class, Tenant: c.tenant})
-		if v.Say != plugin.Pass || v.Tenant != c.club || (len(v.Tags) == 1 && v.Tags[0] == "club") != (c.club != "") {
+		if v.Decision != plugin.Pass || v.Tenant != c.club || (len(v.Tags) == 1 && v.Tags[0] == "club") != (c.club != "") {
 			t.Errorf("%+v: %+v", c, v)
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 	long := strings.Repeat("x", 1024)
 	ask(t, h, plugin.Call{Point: plugin.OnRequest, Key: long, Verb: long, Class: long, Tenant: long, Value: make([]byte, 64<<10)})
-	ask(t, h, plugin.Call{Point: plugin.Answered, Key: long, Outcome: plugin.WasFailed})
+	ask(t, h, plugin.Call{Point: plugin.Answered, Key: long, Outcome: plugin.OutcomeFailed})
 	ask(t, h, plugin.Call{Point: plugin.ListChanged, Caches: 9})
 	ask(t, h, plugin.Call{Point: plugin.Unload})
 }
--- a/internal/hooks/config.go
+++ b/internal/hooks/config.go
@@ -15,28 +15,28 @@
 
 // File is an operators' file of the kind "hooks".
 type File struct {
-	Folder     string              `toml:"folder" min:"1" max:"4096" doc:"where the hooks' files are"`
-	WaitShare  float64             `toml:"wait_share" min:"0.001" max:"0.9" doc:"of the time that a client waits, a request waits for all hooks together at most"`
-	WaitMost   time.Duration       `toml:"wait_most" min:"1ms" max:"10s" doc:"and no longer than that"`
-	MemoryMost operatorconfig.Size `toml:"memory_most" min:"1MiB" max:"64GiB" doc:"of all hooks and their workers together; twice that while a new set loads"`
-	Each       Each                `toml:"each"`
-	Hooks      []Entry             `toml:"hook"`
+	Folder          string              `toml:"folder" min:"1" max:"4096" doc:"where the hooks' files are"`
+	MaxWaitFraction float64             `toml:"wait_share" min:"0.001" max:"0.9" doc:"of the time that a client waits, a request waits for all hooks together at most"`
+	MaxWait         time.Duration       `toml:"wait_most" min:"1ms" max:"10s" doc:"and no longer than that"`
+	MaxMemory       operatorconfig.Size `toml:"memory_most" min:"1MiB" max:"64GiB" doc:"of all hooks and their workers together; twice that while a new set loads"`
+	Defaults        Defaults            `toml:"each"`
+	Hooks           []Entry             `toml:"hook"`
 }
 
-// Each holds for hooks whose own entry says nothing else.
-type Each struct {
-	OnFailure  string              `toml:"on_failure" words:"pass,refuse" doc:"what becomes of a request that a hook could not judge"`
-	RefuseWait time.Duration       `toml:"refuse_wait" min:"0s" max:"1m" doc:"for which a client stays away that is refused so"`
-	Isolation  string              `toml:"isolation" words:"process,inside" doc:"a process of its own, which can be killed; or a goroutine of the router, for WebAssembly that is trusted"`
-	Time       time.Duration       `toml:"time" min:"100us" max:"1s" doc:"of a call"`
-	LoadTime   time.Duration       `toml:"load_time" min:"10ms" max:"30s" doc:"of load, and of unload"`
-	Steps      int                 `toml:"steps" min:"0" max:"1000000000" doc:"of a script in a call, or calls of functions in a module; 0 for no bound"`
-	Depth      int                 `toml:"depth" min:"0" max:"10000" doc:"calls within calls of a module; 0 for no bound"`
-	Memory     operatorconfig.Size `toml:"memory" min:"1MiB" max:"1GiB" doc:"of the hook's own data; its worker takes 12MiB more at most"`
-	Queue      int                 `toml:"queue" min:"1" max:"4096" doc:"calls that wait for the hook or run"`
-	Share      float64             `toml:"share" min:"0.001" max:"1" doc:"of one core, over time"`
-	Lines      int                 `toml:"log_lines" min:"0" max:"16" doc:"of the log, in a call"`
-	LineSize   int                 `toml:"log_line" min:"16" max:"512" doc:"bytes of a line"`
+// Defaults holds for hooks whose own entry says nothing else.
+type Defaults struct {
+	OnFailure   string              `toml:"on_failure" words:"pass,refuse" doc:"what becomes of a request that a hook could not judge"`
+	RetryAfter  time.Duration       `toml:"refuse_wait" min:"0s" max:"1m" doc:"for which a client stays away that is refused so"`
+	Isolation   string              `toml:"isolation" words:"process,inside" doc:"a process of its own, which can be killed; or a goroutine of the router, for WebAssembly that is trusted"`
+	Time        time.Duration       `toml:"time" min:"100us" max:"1s" doc:"of a call"`
+	LoadTime    time.Duration       `toml:"load_time" min:"10ms" max:"30s" doc:"of load, and of unload"`
+	Steps       int                 `toml:"steps" min:"0" max:"1000000000" doc:"of a script in a call, or calls of functions in a module; 0 for no bound"`
+	Depth       int                 `toml:"depth" min:"0" max:"10000" doc:"calls within calls of a module; 0 for no bound"`
+	Memory      operatorconfig.Size `toml:"memory" min:"1MiB" max:"1GiB" doc:"of the hook's own data; its worker takes 12MiB more at most"`
+	Queue       int                 `toml:"queue" min:"1" max:"4096" doc:"calls that wait for the hook or run"`
+	CPUFraction float64             `toml:"share" min:"0.001" max:"1" doc:"of one core, over time"`
+	LogLines    int                 `toml:"log_lines" min:"0" max:"16" doc:"of the log, in a call"`
+	LogLineSize int                 `toml:"log_line" min:"16" max:"512" doc:"bytes of a line"`
 }
 
 // Entry is one hook, in the order in which they are asked.
@@ -46,41 +46,41 @@
 	Classes    []string `toml:"classes" max:"64" doc:"it is asked for requests of these classes alone; empty for all"`
 	WantsValue bool     `toml:"wants_value" doc:"it is handed the value of a request"`
 
-	OnFailure  string              `toml:"on_failure" words:"pass,refuse" doc:"as in each; so are the others that follow"`
-	RefuseWait time.Duration       `toml:"refuse_wait" min:"0s" max:"1m" doc:"0s for that of each"`
-	Isolation  string              `toml:"isolation" words:"process,inside" doc:"empty for that of each"`
-	Time       time.Duration       `toml:"time" min:"0s" max:"1s" doc:"0s for that of each"`
-	LoadTime   time.Duration       `toml:"load_time" min:"0s" max:"30s" doc:"0s for that of each"`
-	Steps      int                 `toml:"steps" min:"0" max:"1000000000" doc:"0 for that of each"`
-	Memory     operatorconfig.Size `toml:"memory" min:"0B" max:"1GiB" doc:"0B for that of each"`
-	Queue      int                 `toml:"queue" min:"0" max:"4096" doc:"0 for that of each"`
-	Share      float64             `toml:"share" min:"0" max:"1" doc:"0 for that of each"`
+	OnFailure   string              `toml:"on_failure" words:"pass,refuse" doc:"as in each; so are the others that follow"`
+	RetryAfter  time.Duration       `toml:"refuse_wait" min:"0s" max:"1m" doc:"0s for that of each"`
+	Isolation   string              `toml:"isolation" words:"process,inside" doc:"empty for that of each"`
+	Time        time.Duration       `toml:"time" min:"0s" max:"1s" doc:"0s for that of each"`
+	LoadTime    time.Duration       `toml:"load_time" min:"0s" max:"30s" doc:"0s for that of each"`
+	Steps       int                 `toml:"steps" min:"0" max:"1000000000" doc:"0 for that of each"`
+	Memory      operatorconfig.Size `toml:"memory" min:"0B" max:"1GiB" doc:"0B for that of each"`
+	Queue       int                 `toml:"queue" min:"0" max:"4096" doc:"0 for that of each"`
+	CPUFraction float64             `toml:"share" min:"0" max:"1" doc:"0 for that of each"`
 }
 
-// mostHooks of a set. Each has a process.
-const mostHooks = 16
+// maxHooks of a set. Each has a process.
+const maxHooks = 16
 
 // DefaultFile is what holds where no file says otherwise: no hooks.
 func DefaultFile() File {
-	u := plugin.Usual
+	u := plugin.DefaultBudget
 	return File{
-		Folder:     "hooks",
-		WaitShare:  0.1,
-		WaitMost:   50 * time.Millisecond,
-		MemoryMost: 128 << 20,
-		Each: Each{
-			OnFailure:  "pass",
-			RefuseWait: time.Second,
-			Isolation:  "process",
-			Time:       time.Duration(u.Time) * time.Microsecond,
-			LoadTime:   time.Duration(u.LoadTime) * time.Microsecond,
-			Steps:      int(u.Steps),
-			Depth:      u.Depth,
-			Memory:     operatorconfig.Size(u.Memory),
-			Queue:      64,
-			Share:      0.25,
-			Lines:      u.Lines,
-			LineSize:   u.LineSize,
+		Folder:          "hooks",
+		MaxWaitFraction: 0.1,
+		MaxWait:         50 * time.Millisecond,
+		MaxMemory:       128 << 20,
+		Defaults: Defaults{
+			OnFailure:   "pass",
+			RetryAfter:  time.Second,
+			Isolation:   "process",
+			Time:        time.Duration(u.Time) * time.Microsecond,
+			LoadTime:    time.Duration(u.LoadTime) * time.Microsecond,
+			Steps:       int(u.Steps),
+			Depth:       u.Depth,
+			Memory:      operatorconfig.Size(u.Memory),
+			Queue:       64,
+			CPUFraction: 0.25,
+			LogLines:    u.LogLines,
+			LogLineSize: u.LogLineSize,
 		},
 	}
 }
@@ -96,8 +96,8 @@
 
 // checkFile looks at what no single range tells.
 func checkFile(f File, bad operatorconfig.ReportFunc) {
-	if len(f.Hooks) > mostHooks {
-		bad("hook", "%d hooks (wanted at most %d)", len(f.Hooks), mostHooks)
+	if len(f.Hooks) > maxHooks {
+		bad("hook", "%d hooks (wanted at most %d)", len(f.Hooks), maxHooks)
 	}
 	total := operatorconfig.Size(0)
 	names := map[string]bool{}
@@ -110,11 +110,11 @@
 		case e.File != filepath.Base(e.File) || strings.HasPrefix(e.File, "."):
 			bad(key("file"), "not a file's name alone (%.64q)", e.File)
 		case engineOf(e.File) == nil:
-			bad(key("file"), "unknown ending (%.64q, wanted %s)", e.File, endings())
-		case names[nameOf(e.File)]:
-			bad(key("file"), "a hook of this name stands twice (%.64q)", nameOf(e.File))
+			bad(key("file"), "unknown ending (%.64q, wanted %s)", e.File, fileExtensions())
+		case names[hookName(e.File)]:
+			bad(key("file"), "a hook of this name stands twice (%.64q)", hookName(e.File))
 		}
-		names[nameOf(e.File)] = true
+		names[hookName(e.File)] = true
 		for _, p := range e.Points {
 			if _, known := pointNames[p]; !known {
 				bad(key("points"), "unknown point %.40q (wanted request, answered or list)", p)
@@ -127,60 +127,60 @@
 		if h.Inside && (h.Budget.Depth == 0 || h.Budget.Steps == 0) {
 			bad(key("isolation"), "inside the router, each.depth and steps must bound a module (0)")
 		}
-		total += operatorconfig.Size(h.Budget.Memory) + worker.Own
+		total += operatorconfig.Size(h.Budget.Memory) + worker.MemoryOverhead
 	}
-	if total > f.MemoryMost {
-		bad("memory_most", "below what the hooks may take together (%s, wanted at least %s)", f.MemoryMost, total)
+	if total > f.MaxMemory {
+		bad("memory_most", "below what the hooks may take together (%s, wanted at least %s)", f.MaxMemory, total)
 	}
 }
 
 func engineOf(file string) plugin.Engine {
 	for _, e := range worker.Engines {
-		if e.Ending() == filepath.Ext(file) {
+		if e.FileExtension() == filepath.Ext(file) {
 			return e
 		}
 	}
 	return nil
 }
 
-func endings() string {
+func fileExtensions() string {
 	var all []string
 	for _, e := range worker.Engines {
-		all = append(all, e.Ending())
+		all = append(all, e.FileExtension())
 	}
 	return configerror.OneOf(all)
 }
 
-// nameOf is the name of a hook: its file's, without the ending.
-func nameOf(file string) string { return strings.TrimSuffix(file, filepath.Ext(file)) }
+// hookName is the name of a hook: its file's, without the ending.
+func hookName(file string) string { return strings.TrimSuffix(file, filepath.Ext(file)) }
 
 // hook is an entry with what each says, and without the code.
 func (f File) hook(e Entry) Hook {
-	each := f.Each
+	each := f.Defaults
 	us := func(d time.Duration) plugin.Time { return d.Microseconds() }
 	h := Hook{
 		Hook: policy.Hook{
-			Name:       nameOf(e.File),
-			Classes:    e.Classes,
-			RefuseWait: us(or(e.RefuseWait, each.RefuseWait)),
-			Time:       us(or(e.Time, each.Time)),
-			LoadTime:   us(or(e.LoadTime, each.LoadTime)),
-			Queue:      or(e.Queue, each.Queue),
-			Share:      or(e.Share, each.Share),
+			Name:        hookName(e.File),
+			Classes:     e.Classes,
+			RetryAfter:  us(firstSet(e.RetryAfter, each.RetryAfter)),
+			Time:        us(firstSet(e.Time, each.Time)),
+			LoadTime:    us(firstSet(e.LoadTime, each.LoadTime)),
+			Queue:       firstSet(e.Queue, each.Queue),
+			CPUFraction: firstSet(e.CPUFraction, each.CPUFraction),
 		},
 		WantsValue: e.WantsValue,
-		Inside:     or(e.Isolation, each.Isolation) == "inside",
+		Inside:     firstSet(e.Isolation, each.Isolation) == "inside",
 		Budget: plugin.Budget{
-			Steps:    int64(or(e.Steps, each.Steps)),
-			Depth:    each.Depth,
-			Memory:   int64(or(e.Memory, each.Memory)),
-			Lines:    each.Lines,
-			LineSize: each.LineSize,
+			Steps:       int64(firstSet(e.Steps, each.Steps)),
+			Depth:       each.Depth,
+			Memory:      int64(firstSet(e.Memory, each.Memory)),
+			LogLines:    each.LogLines,
+			LogLineSize: each.LogLineSize,
 		},
 	}
 	h.Budget.Time, h.Budget.LoadTime = h.Time, h.LoadTime
-	if or(e.OnFailure, each.OnFailure) == "refuse" {
-		h.OnFailure = policy.RefuseOn
+	if firstSet(e.OnFailure, each.OnFailure) == "refuse" {
+		h.OnFailure = policy.RejectOnFailure
 	}
 	for _, name := range e.Points {
 		h.Points = h.Points.With(pointNames[name])
@@ -191,8 +191,8 @@
 	return h
 }
 
-// or is the first of two that is set.
-func or[T comparable](own, each T) T {
+// firstSet is the first of two that is set.
+func firstSet[T comparable](own, each T) T {
 	var none T
 	if own == none {
 		return each
@@ -203,13 +203,13 @@
 // Read reads the hooks' files. It takes as long as the disk does, and starts nothing. The error names each file that can't
 // be read.
 func (f File) Read() (Config, error) {
-	c := Config{WaitShare: f.WaitShare, WaitMost: f.WaitMost.Microseconds()}
+	c := Config{MaxWaitFraction: f.MaxWaitFraction, MaxWait: f.MaxWait.Microseconds()}
 	var faults configerror.List
 	for _, e := range f.Hooks {
 		h := f.hook(e)
 		path := filepath.Join(f.Folder, e.File)
 		var err error
-		if h.Code, err = operatorconfig.Read(path, plugin.MostCode); err != nil {
+		if h.Code, err = operatorconfig.Read(path, plugin.MaxCode); err != nil {
 			faults.Add(configerror.Error{File: path, Text: configerror.Plain(err.Error())})
 			continue
 		}
--- a/internal/hooks/config_test.go
+++ b/internal/hooks/config_test.go
@@ -58,11 +58,11 @@
 		t.Fatal(err)
 	}
 	a, b := c.Hooks[0], c.Hooks[1]
-	if c.WaitMost != 20_000 || a.Name != "a" || a.Engine != "script" || string(a.Code) != "code a" || a.OnFailure != policy.RefuseOn ||
+	if c.MaxWait != 20_000 || a.Name != "a" || a.Engine != "script" || string(a.Code) != "code a" || a.OnFailure != policy.RejectOnFailure ||
 		a.Time != 2000 || a.Budget.Time != 2000 || a.Budget.Memory != 16<<20 || a.Points != 0 || a.WantsValue || a.Inside {
 		t.Errorf("%+v", a)
 	}
-	if b.Name != "b" || b.Engine != "wasm" || string(b.Code) != "code b" || b.OnFailure != policy.PassOn || b.Time != 7000 ||
+	if b.Name != "b" || b.Engine != "wasm" || string(b.Code) != "code b" || b.OnFailure != policy.PassOnFailure || b.Time != 7000 ||
 		b.Budget.Memory != 32<<20 || !b.Points.Has(plugin.ListChanged) || b.Points.Has(plugin.Answered) || !b.WantsValue || !b.Inside ||
 		b.Classes[0] != "put" {
 		t.Errorf("%+v", b)
--- a/internal/hooks/hooks.go
+++ b/internal/hooks/hooks.go
@@ -22,9 +22,9 @@
 
 // Config is a set of hooks, in the order in which they are asked.
 type Config struct {
-	Hooks     []Hook
-	WaitShare float64 // of a request's time that it waits for all hooks together, at most ...
-	WaitMost  Time    // ... and no longer than that
+	Hooks           []Hook
+	MaxWaitFraction float64 // of a request's time that it waits for all hooks together, at most ...
+	MaxWait         Time    // ... and no longer than that
 
 	// Command is the command line of this program that runs a worker: its standard input is worker.Main's. Empty
 	// stands for CommandName.
@@ -70,34 +70,34 @@
 
 // Hooks are the hooks of one router.
 type Hooks struct {
-	m    machine.Machine
-	log  func(string)
-	p    *policy.Policy
-	done map[int64]func(Verdict)
-	sets map[int]Config
+	machine   machine.Machine
+	log       func(string)
+	policy    *policy.Policy
+	onVerdict map[int64]func(Verdict)
+	configs   map[int]Config
 
-	workers map[int]*link
-	unsent  []*link // that have something to send at the end of this turn
-	timer   machine.Timer
-	posted  bool // a turn is to come
-	turned  func()
-	ticked  func()
-	reply   wire.Reply
-	closed  func()
+	workers       map[int]*workerConnection
+	pendingWrites []*workerConnection // that have something to send at the end of this turn
+	timer         machine.Timer
+	turnPosted    bool // a turn is to come
+	turnFunc      func()
+	timerFunc     func()
+	reply         wire.Reply
+	onClosed      func()
 }
 
 // New begins with a set of hooks. Their workers come up meanwhile; until then, requests wait for them as they do for
 // hooks that are slow.
 func New(m machine.Machine, cfg Config, log func(string)) (*Hooks, error) {
 	h := &Hooks{
-		m:       m,
-		log:     log,
-		p:       policy.New(),
-		done:    map[int64]func(Verdict){},
-		sets:    map[int]Config{},
-		workers: map[int]*link{},
+		machine:   m,
+		log:       log,
+		policy:    policy.New(),
+		onVerdict: map[int64]func(Verdict){},
+		configs:   map[int]Config{},
+		workers:   map[int]*workerConnection{},
 	}
-	h.turned, h.ticked = h.turn, h.tick
+	h.turnFunc, h.timerFunc = h.runTurn, h.onTimer
 	if len(cfg.Hooks) == 0 {
 		return h, nil
 	}
@@ -107,33 +107,33 @@
 // Reload has a set of hooks take over in one step, once all of it has loaded. Where one does not load, the log names it
 // and the set before stays. The error says why cfg is no set at all.
 func (h *Hooks) Reload(cfg Config) error {
-	if len(cfg.Hooks) > mostHooks {
-		return fmt.Errorf("hooks: %d of them (wanted at most %d)", len(cfg.Hooks), mostHooks)
+	if len(cfg.Hooks) > maxHooks {
+		return fmt.Errorf("hooks: %d of them (wanted at most %d)", len(cfg.Hooks), maxHooks)
 	}
-	s := policy.Settings{WaitShare: cfg.WaitShare, WaitMost: cfg.WaitMost}
+	s := policy.Settings{MaxWaitFraction: cfg.MaxWaitFraction, MaxWait: cfg.MaxWait}
 	for _, hook := range cfg.Hooks {
 		s.Hooks = append(s.Hooks, hook.Hook)
 		if hook.Inside && cfg.Inside == nil {
 			h.log("hook " + hook.Name + ": runs in a process, as none may run inside of this router")
 		}
 	}
-	h.sets[h.p.Load(h.m.Now(), s)] = cfg
-	h.later()
+	h.configs[h.policy.Load(h.machine.Now(), s)] = cfg
+	h.postTurn()
 	return nil
 }
 
 // Idle reports whether there are no hooks: then nothing is asked of them, and what is said to them goes nowhere.
-func (h *Hooks) Idle() bool { return h.p.Idle() }
+func (h *Hooks) Idle() bool { return h.policy.Idle() }
 
-// Ask has hooks judge a request. It reports false where none is to: then the request goes on at once. Else done is called
+// Evaluate has hooks judge a request. It reports false where none is to: then the request goes on at once. Else done is called
 // once, in a later turn of the loop, unless the request is Gone before.
-func (h *Hooks) Ask(r Request, done func(Verdict)) bool {
-	if h.p.Idle() {
+func (h *Hooks) Evaluate(r Request, done func(Verdict)) bool {
+	if h.policy.Idle() {
 		return false
 	}
-	taken := h.p.Ask(h.m.Now(), policy.Request{ID: r.ID, Value: r.Value, Call: plugin.Call{
+	taken := h.policy.Evaluate(h.machine.Now(), policy.Request{ID: r.ID, Value: r.Value, Call: plugin.Call{
 		Point:    plugin.OnRequest,
-		Now:      h.m.Now(),
+		Now:      h.machine.Now(),
 		Verb:     r.Verb,
 		Class:    r.Class,
 		Tenant:   r.Tenant,
@@ -142,27 +142,27 @@
 		TimeLeft: r.TimeLeft,
 	}})
 	if taken {
-		h.done[r.ID] = done
-		h.later()
+		h.onVerdict[r.ID] = done
+		h.postTurn()
 	}
 	return taken
 }
 
-// Gone says that a request's client has left: its done is not called any more.
-func (h *Hooks) Gone(id int64) {
-	if _, open := h.done[id]; open {
-		delete(h.done, id)
-		h.p.Gone(h.m.Now(), id)
-		h.later()
+// Cancel says that a request's client has left: its done is not called any more.
+func (h *Hooks) Cancel(id int64) {
+	if _, open := h.onVerdict[id]; open {
+		delete(h.onVerdict, id)
+		h.policy.Cancel(h.machine.Now(), id)
+		h.postTurn()
 	}
 }
 
 // Answered has hooks see a final answer.
 func (h *Hooks) Answered(a Answer) {
-	if h.p.Idle() {
+	if h.policy.Idle() {
 		return
 	}
-	h.look(plugin.Call{
+	h.notify(plugin.Call{
 		Point:   plugin.Answered,
 		Verb:    a.Verb,
 		Class:   a.Class,
@@ -176,29 +176,29 @@
 
 // ListChanged has hooks see how many caches there are, and how many of them take new work.
 func (h *Hooks) ListChanged(caches, takeWork int) {
-	if h.p.Idle() {
+	if h.policy.Idle() {
 		return
 	}
-	h.look(plugin.Call{Point: plugin.ListChanged, Caches: caches, TakeWork: takeWork})
+	h.notify(plugin.Call{Point: plugin.ListChanged, Caches: caches, ServingCaches: takeWork})
 }
 
-func (h *Hooks) look(c plugin.Call) {
-	c.Now = h.m.Now()
-	h.p.Look(c.Now, c)
-	h.later()
+func (h *Hooks) notify(c plugin.Call) {
+	c.Now = h.machine.Now()
+	h.policy.Notify(c.Now, c)
+	h.postTurn()
 }
 
 // Close ends all hooks. Requests that wait have their verdicts by on_failure, and workers a third of a second to
 // unload; then done is called. Nothing is taken from here on.
 func (h *Hooks) Close(done func()) {
-	h.closed = done
-	h.p.Close(h.m.Now())
-	h.later()
+	h.onClosed = done
+	h.policy.Close(h.machine.Now())
+	h.postTurn()
 }
 
 // Ready reports whether each hook is up.
 func (h *Hooks) Ready() bool {
-	for _, row := range h.p.Status() {
+	for _, row := range h.policy.Status() {
 		if row.State != "up" {
 			return false
 		}
@@ -207,53 +207,53 @@
 }
 
 // Status tells of each hook, in the order in which they are asked.
-func (h *Hooks) Status() []policy.Row { return h.p.Status() }
+func (h *Hooks) Status() []policy.HookStatus { return h.policy.Status() }
 
 // Left is what is open.
 func (h *Hooks) Left() map[string]int {
-	left := h.p.Left()
-	left["verdicts owed"] = len(h.done)
+	left := h.policy.Left()
+	left["verdicts owed"] = len(h.onVerdict)
 	left["worker processes"] = len(h.workers)
-	left["sets"] = len(h.sets)
+	left["sets"] = len(h.configs)
 	return left
 }
 
-// later has a turn of the hooks' own come. What was asked in one turn of the loop goes to a worker in one piece.
-func (h *Hooks) later() {
-	if !h.posted {
-		h.posted = true
-		h.m.Post(h.turned)
+// postTurn has a turn of the hooks' own come. What was asked in one turn of the loop goes to a worker in one piece.
+func (h *Hooks) postTurn() {
+	if !h.turnPosted {
+		h.turnPosted = true
+		h.machine.Post(h.turnFunc)
 	}
 }
 
-func (h *Hooks) turn() {
-	h.posted = false
-	h.carry()
+func (h *Hooks) runTurn() {
+	h.turnPosted = false
+	h.executeActions()
 }
 
-func (h *Hooks) tick() {
+func (h *Hooks) onTimer() {
 	h.timer = nil
-	h.p.Tick(h.m.Now())
-	h.carry()
+	h.policy.Tick(h.machine.Now())
+	h.executeActions()
 }
 
-// carry carries out what the policy asks for.
-func (h *Hooks) carry() {
+// executeActions carries out what the policy asks for.
+func (h *Hooks) executeActions() {
 	for {
-		a, more := h.p.Next()
+		a, more := h.policy.Next()
 		if !more {
 			break
 		}
-		switch a.Do {
-		case policy.Start:
-			h.start(&a)
-		case policy.Kill:
-			h.kill(a.Worker)
-		case policy.Ask:
-			h.send(&a)
-		case policy.Deliver:
-			done := h.done[a.ID]
-			delete(h.done, a.ID)
+		switch a.Kind {
+		case policy.StartWorker:
+			h.startWorker(&a)
+		case policy.KillWorker:
+			h.killWorker(a.Worker)
+		case policy.SendCall:
+			h.sendCall(&a)
+		case policy.DeliverVerdict:
+			done := h.onVerdict[a.RequestID]
+			delete(h.onVerdict, a.RequestID)
 			if done != nil {
 				done(a.Verdict)
 			}
@@ -261,25 +261,25 @@
 			if h.timer != nil {
 				h.timer.Stop()
 			}
-			h.timer = h.m.At(a.At, h.ticked)
-		case policy.Log:
+			h.timer = h.machine.At(a.At, h.timerFunc)
+		case policy.WriteLog:
 			h.log(a.Text)
-		case policy.Dropped:
-			delete(h.sets, a.Set)
-		case policy.Closed:
-			h.end()
+		case policy.ReleaseSet:
+			delete(h.configs, a.Set)
+		case policy.FinishClose:
+			h.finishClose()
 		}
 	}
-	h.flush()
+	h.flushWrites()
 }
 
-func (h *Hooks) end() {
+func (h *Hooks) finishClose() {
 	if h.timer != nil {
 		h.timer.Stop()
 		h.timer = nil
 	}
-	if done := h.closed; done != nil {
-		h.closed = nil
+	if done := h.onClosed; done != nil {
+		h.onClosed = nil
 		done()
 	}
 }
--- a/internal/hooks/hookstest/hookstest.go
+++ b/internal/hooks/hookstest/hookstest.go
@@ -99,7 +99,7 @@
 // next takes the next frame, if there is one.
 func (p *player) next() {
 	for !p.busy && !p.over {
-		kind, body, rest, err := wire.Next(p.in, wire.MostToWorker)
+		kind, body, rest, err := wire.Next(p.in, wire.MaxFrameToWorker)
 		if err != nil || kind == 0 {
 			return
 		}
@@ -115,7 +115,7 @@
 			}
 			frame = wire.AppendLoaded(nil, points)
 			if act.Fail != nil {
-				frame = wire.AppendRefused(nil, act.Fail)
+				frame = wire.AppendLoadFailed(nil, act.Fail)
 			}
 		case wire.KindCall:
 			var c plugin.Call
@@ -123,7 +123,7 @@
 			if p.s.Call != nil {
 				act = p.s.Call(p.hook, &c)
 			}
-			r := wire.Reply{Seq: seq, Spent: max(1, act.After), Verdict: act.Verdict}
+			r := wire.Reply{Sequence: seq, RunTime: max(1, act.After), Verdict: act.Verdict}
 			if act.Fail != nil {
 				r.Failed, r.Kind, r.Text = true, act.Fail.Kind, act.Fail.Text
 			}
--- a/internal/hooks/overrun_test.go
+++ b/internal/hooks/overrun_test.go
@@ -17,7 +17,7 @@
 	loop.Func("hook_room", 1, 1, 0, wasmfile.I32Const(1024))
 	loop.Func("on_request", 1, 1, 0, wasmfile.LocalGet(0), wasmfile.I32Load(28), // the key's length
 		wasmfile.If(wasmfile.Loop(wasmfile.Br(0))), wasmfile.I32Const(0))
-	open := plugin.Usual
+	open := plugin.DefaultBudget
 	open.Steps = 1 << 40
 	bare := open
 	bare.Depth, bare.Steps = 0, 0
@@ -37,7 +37,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			h := c.hook
 			h.Hook = one("x").Hook
-			h.OnFailure = policy.RefuseOn
+			h.OnFailure = policy.RejectOnFailure
 			h.Budget = open
 			if c.name == "ModuleRecursionUncounted" {
 				h.Budget = bare
@@ -46,7 +46,7 @@
 				h.Budget.Memory = 1 << 30
 			}
 			cfg := set(h)
-			cfg.WaitShare, cfg.WaitMost = 0.9, 9_000_000
+			cfg.MaxWaitFraction, cfg.MaxWait = 0.9, 9_000_000
 			var over, after []Time
 			for range b.N {
 				r := newRig(b, cfg)
--- a/internal/hooks/policy/chance_test.go
+++ b/internal/hooks/policy/chance_test.go
@@ -19,8 +19,8 @@
 			for i := range r.IntN(4) {
 				h := hookNamed(fmt.Sprint("h", i))
 				h.Queue = 1 + r.IntN(40)
-				h.OnFailure = OnFailure(r.IntN(2))
-				h.Share = []float64{0.01, 1}[r.IntN(2)]
+				h.OnFailure = FailureMode(r.IntN(2))
+				h.CPUFraction = []float64{0.01, 1}[r.IntN(2)]
 				hooks = append(hooks, h)
 			}
 			return settings(hooks...)
@@ -33,7 +33,7 @@
 			case n < 40:
 				id++
 				left := Time(r.IntN(800 * ms))
-				if f.p.Ask(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, TimeLeft: left}}) {
+				if f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, TimeLeft: left}}) {
 					due[id] = f.now + min(50*ms, left/10)
 				}
 			case n < 45 && id > 0:
@@ -41,11 +41,11 @@
 				if len(f.verdicts[x]) == 0 {
 					gone[x] = true
 				}
-				f.p.Gone(f.now, x)
+				f.p.Cancel(f.now, x)
 			case n < 48:
-				f.p.Look(f.now, plugin.Call{Point: plugin.Answered})
+				f.p.Notify(f.now, plugin.Call{Point: plugin.Answered})
 			case n < 52 && len(ids) > 0:
-				f.p.Ended(f.now, pick(), "crashed")
+				f.p.WorkerEnded(f.now, pick(), "crashed")
 			case n < 54:
 				f.p.Load(f.now, set())
 			case n < 60:
@@ -56,8 +56,8 @@
 				f.up(requestPoint.With(plugin.Answered).With(plugin.Unload))
 			case len(ids) > 0:
 				if w := pick(); len(f.asked[w]) > 0 {
-					say := []plugin.Say{plugin.Pass, plugin.Pass, plugin.Refuse, plugin.Fail}[r.IntN(4)]
-					f.reply(w, Reply{Failed: r.IntN(8) == 0, Verdict: &plugin.Verdict{Say: say}})
+					say := []plugin.Decision{plugin.Pass, plugin.Pass, plugin.Reject, plugin.Fail}[r.IntN(4)]
+					f.reply(w, Reply{Failed: r.IntN(8) == 0, Verdict: &plugin.Verdict{Decision: say}})
 				}
 			}
 			f.carry()
--- a/internal/hooks/policy/harness_test.go
+++ b/internal/hooks/policy/harness_test.go
@@ -36,13 +36,13 @@
 		if !ok {
 			break
 		}
-		switch a.Do {
-		case Start:
+		switch a.Kind {
+		case StartWorker:
 			f.workers[a.Worker] = a.Hook
-		case Kill:
+		case KillWorker:
 			delete(f.workers, a.Worker)
 			delete(f.asked, a.Worker)
-		case Ask:
+		case SendCall:
 			if _, ok := f.workers[a.Worker]; !ok {
 				f.t.Errorf("worker %d is asked and does not run", a.Worker)
 			}
@@ -51,15 +51,15 @@
 				break
 			}
 			f.asked[a.Worker] = append(f.asked[a.Worker], a)
-		case Deliver:
-			f.verdicts[a.ID] = append(f.verdicts[a.ID], a.Verdict)
+		case DeliverVerdict:
+			f.verdicts[a.RequestID] = append(f.verdicts[a.RequestID], a.Verdict)
 		case SetTimer:
 			f.timer = a.At
-		case Log:
+		case WriteLog:
 			f.lines = append(f.lines, a.Text)
-		case Dropped:
+		case ReleaseSet:
 			f.dropped = append(f.dropped, a.Set)
-		case Closed:
+		case FinishClose:
 			f.closed++
 		}
 	}
@@ -71,11 +71,11 @@
 }
 
 func hookNamed(name string) Hook {
-	return Hook{Name: name, Time: 5 * ms, LoadTime: 1000 * ms, Queue: 32, Share: 1}
+	return Hook{Name: name, Time: 5 * ms, LoadTime: 1000 * ms, Queue: 32, CPUFraction: 1}
 }
 
 func settings(hooks ...Hook) Settings {
-	return Settings{Hooks: hooks, WaitShare: 0.1, WaitMost: 50 * ms}
+	return Settings{Hooks: hooks, MaxWaitFraction: 0.1, MaxWait: 50 * ms}
 }
 
 var requestPoint = plugin.Points(0).With(plugin.OnRequest)
@@ -90,8 +90,8 @@
 // up has all workers come up that are not.
 func (f *field) up(points plugin.Points) {
 	for _, id := range f.running() {
-		if w := f.p.workers[id]; w != nil && !w.up {
-			f.p.Up(f.now, id, points)
+		if w := f.p.workers[id]; w != nil && !w.loaded {
+			f.p.WorkerLoaded(f.now, id, points)
 		}
 	}
 	f.carry()
@@ -119,7 +119,7 @@
 }
 
 func (f *field) ask(id int64, class string) bool {
-	taken := f.p.Ask(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: class, TimeLeft: 1000 * ms}})
+	taken := f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: class, TimeLeft: 1000 * ms}})
 	f.carry()
 	return taken
 }
@@ -132,12 +132,12 @@
 		f.t.Fatalf("worker %d has no call", worker)
 	}
 	f.asked[worker] = calls[1:]
-	r.Seq = calls[0].Seq
-	r.Spent = 10
+	r.Sequence = calls[0].Sequence
+	r.RunTime = 10
 	if r.Verdict == nil {
 		r.Verdict = &plugin.Verdict{}
 	}
-	f.p.Replied(f.now, worker, r)
+	f.p.HandleReply(f.now, worker, r)
 	f.carry()
 }
 
@@ -154,10 +154,10 @@
 }
 
 // has fails where a request has not got this one verdict.
-func (f *field) has(id int64, say plugin.Say, wait Time) {
+func (f *field) has(id int64, say plugin.Decision, wait Time) {
 	f.t.Helper()
 	got := f.verdicts[id]
-	if len(got) != 1 || got[0].Say != say || got[0].Wait != wait {
+	if len(got) != 1 || got[0].Decision != say || got[0].RetryAfter != wait {
 		f.t.Errorf("request %d has the verdicts %+v, want one %s with wait %d", id, got, say, wait)
 	}
 }
--- a/internal/hooks/policy/policy.go
+++ b/internal/hooks/policy/policy.go
@@ -8,26 +8,26 @@
 
 // Policy is the state. It is not safe for use by more than one goroutine.
 type Policy struct {
-	clock   Time // of the call that is carried out
-	present *set // that requests are asked of; nil where there are no hooks
-	next    *set // that loads beside it
-	old     []*set
-	closed  bool
-	told    bool // Closed was
+	now           Time // of the call that is carried out
+	active        *set // that requests are asked of; nil where there are no hooks
+	loading       *set // that loads beside it
+	retiring      []*set
+	closed        bool
+	closeReported bool // Closed was
 
-	sets      int
-	workerIDs int
-	seq       uint64
-	workers   map[int]*worker
-	requests  map[int64]*call
-	first     *call // of the open requests, in the order in which they came
-	last      *call
-	spare     []*call
-	all       []*hook // room for hooks
+	lastSet      int
+	lastWorker   int
+	lastSequence uint64
+	workers      map[int]*worker
+	requests     map[int64]*call
+	oldest       *call // of the open requests, in the order in which they came
+	newest       *call
+	freeCalls    []*call
+	hookBuffer   []*hook // room for hooks
 
-	actions []Action
-	done    int
-	armed   Time // when the timer that was set fires; 0 for none
+	actions      []Action
+	actionsTaken int
+	timerAt      Time // when the timer that was set fires; 0 for none
 }
 
 // New gives a Policy without hooks.
@@ -37,294 +37,294 @@
 
 // Next takes the next action off the list.
 func (p *Policy) Next() (Action, bool) {
-	if p.done == len(p.actions) {
+	if p.actionsTaken == len(p.actions) {
 		clear(p.actions)
-		p.actions, p.done = p.actions[:0], 0
+		p.actions, p.actionsTaken = p.actions[:0], 0
 		return Action{}, false
 	}
-	p.done++
-	return p.actions[p.done-1], true
+	p.actionsTaken++
+	return p.actions[p.actionsTaken-1], true
 }
 
-func (p *Policy) do(a Action) { p.actions = append(p.actions, a) }
+func (p *Policy) emit(a Action) { p.actions = append(p.actions, a) }
 
 // Idle reports whether there are no hooks to ask: Ask would take nothing.
-func (p *Policy) Idle() bool { return p.present == nil }
+func (p *Policy) Idle() bool { return p.active == nil }
 
-// Ask has hooks judge a request. It reports false where none is to: then the request goes on at once, and there is no
+// Evaluate has hooks judge a request. It reports false where none is to: then the request goes on at once, and there is no
 // verdict.
-func (p *Policy) Ask(now Time, r Request) bool {
-	s := p.present
+func (p *Policy) Evaluate(now Time, r Request) bool {
+	s := p.active
 	if s == nil {
 		return false
 	}
-	p.clock = now
-	c := p.take()
-	c.request = true
+	p.now = now
+	c := p.newCall()
+	c.isRequest = true
 	c.id, c.set, c.data, c.value = r.ID, s, r.Call, r.Value
-	c.until = now + min(s.WaitMost, Time(float64(max(0, r.Call.TimeLeft))*s.WaitShare))
+	c.deadline = now + min(s.MaxWait, Time(float64(max(0, r.Call.TimeLeft))*s.MaxWaitFraction))
 	say := s.advance(p, c)
-	if say == passed && c.hook == nil {
-		p.give(c)
+	if say == advanced && c.hook == nil {
+		p.releaseCall(c)
 		return false
 	}
-	s.open++
-	p.link(c)
+	s.openRequests++
+	p.addOpen(c)
 	p.requests[c.id] = c
-	if say == refused {
+	if say == rejected {
 		p.deliver(c)
 		return true
 	}
-	p.arm(c.until)
+	p.armTimer(c.deadline)
 	return true
 }
 
-// Gone says that a request's client has left. There is no verdict for it any more.
-func (p *Policy) Gone(now Time, id int64) {
-	p.clock = now
+// Cancel says that a request's client has left. There is no verdict for it any more.
+func (p *Policy) Cancel(now Time, id int64) {
+	p.now = now
 	if c := p.requests[id]; c != nil {
-		p.close(c)
+		p.closeRequest(c)
 	}
 }
 
-// Look has hooks see what is not theirs to judge.
-func (p *Policy) Look(now Time, data plugin.Call) {
-	if p.present == nil {
+// Notify has hooks see what is not theirs to judge.
+func (p *Policy) Notify(now Time, data plugin.Call) {
+	if p.active == nil {
 		return
 	}
-	p.clock = now
-	for _, h := range p.present.hooks {
-		if !h.points.Has(data.Point) || data.Point == plugin.Answered && !h.wants(data.Class) {
+	p.now = now
+	for _, h := range p.active.hooks {
+		if !h.points.Has(data.Point) || data.Point == plugin.Answered && !h.handlesClass(data.Class) {
 			continue
 		}
-		if !h.available(now) || h.load() >= max(1, h.Queue/2) { // the rest is for requests
-			h.Counts.Unseen++
+		if !h.acceptsCall(now) || h.pendingCalls() >= max(1, h.Queue/2) { // the rest is for requests
+			h.Counts.MissedNotifications++
 			continue
 		}
-		c := p.take()
+		c := p.newCall()
 		c.data = data
 		h.enqueue(p, c)
 	}
 }
 
-// Replied says that a worker has answered. A reply that is out of place is the worker's end.
-func (p *Policy) Replied(now Time, id int, r Reply) {
-	p.clock = now
+// HandleReply says that a worker has answered. A reply that is out of place is the worker's end.
+func (p *Policy) HandleReply(now Time, id int, r Reply) {
+	p.now = now
 	w := p.workers[id]
 	if w == nil {
 		return
 	}
-	if !w.up || len(w.out) == 0 || w.out[0].seq != r.Seq {
-		p.lose(w, "its worker gave an answer to nothing")
+	if !w.loaded || len(w.inFlight) == 0 || w.inFlight[0].sequence != r.Sequence {
+		p.workerFailed(w, "its worker gave an answer to nothing")
 		return
 	}
-	c := w.out[0]
-	c.out = false
-	w.out = append(w.out[:0], w.out[1:]...)
-	w.extend(p)
+	c := w.inFlight[0]
+	c.sent = false
+	w.inFlight = append(w.inFlight[:0], w.inFlight[1:]...)
+	w.resetDeadline(p)
 	h := w.hook
-	h.spend(now, r.Spent)
-	h.Counts.Spent += r.Spent
+	h.chargeCPU(now, r.RunTime)
+	h.Counts.RunTime += r.RunTime
 	for _, line := range r.Verdict.Log {
-		h.line(p, "says: "+line)
+		h.logLimited(p, "says: "+line)
 	}
 	switch {
 	case r.Failed:
-		h.Counts.Failed++
-		h.fail(p, 1, r.Kind.String()+": "+r.Text)
-		p.unjudged(c, h)
+		h.Counts.FailedCalls++
+		h.recordFailure(p, 1, r.Kind.String()+": "+r.Text)
+		p.applyFailureMode(c, h)
 	case c.hook == nil: // nobody waits for it any more
-		p.give(c)
-	case !c.request:
-		h.good()
+		p.releaseCall(c)
+	case !c.isRequest:
+		h.recordSuccess()
 		unload := c.data.Point == plugin.Unload
-		p.give(c)
+		p.releaseCall(c)
 		if unload {
-			p.kill(w)
+			p.killWorker(w)
 		}
 	default:
-		h.good()
-		p.judged(c, h, r.Verdict)
+		h.recordSuccess()
+		p.acceptVerdict(c, h, r.Verdict)
 	}
 	if p.workers[id] != nil {
 		h.dispatch(p)
 	}
-	p.settle()
+	p.releaseRetired()
 }
 
-// judged takes a hook's verdict over.
-func (p *Policy) judged(c *call, h *hook, v *plugin.Verdict) {
-	h.count(v)
+// acceptVerdict takes a hook's verdict over.
+func (p *Policy) acceptVerdict(c *call, h *hook, v *plugin.Verdict) {
+	h.countVerdict(v)
 	c.hook = nil
 	if v.Tenant != "" {
 		c.data.Tenant, c.verdict.Tenant = v.Tenant, v.Tenant
 	}
 	c.verdict.Tags = append(c.verdict.Tags, v.Tags...)
-	if v.Say != plugin.Pass {
-		c.verdict.Say, c.verdict.Wait, c.verdict.Text = v.Say, v.Wait, v.Text
+	if v.Decision != plugin.Pass {
+		c.verdict.Decision, c.verdict.RetryAfter, c.verdict.Text = v.Decision, v.RetryAfter, v.Text
 		p.deliver(c)
 		return
 	}
-	c.at++
-	p.goOn(c)
+	c.hookIndex++
+	p.continueRequest(c)
 }
 
-// unjudged has on_failure decide, where somebody still waits.
-func (p *Policy) unjudged(c *call, h *hook) {
-	if c.hook == nil || !c.request {
+// applyFailureMode has on_failure decide, where somebody still waits.
+func (p *Policy) applyFailureMode(c *call, h *hook) {
+	if c.hook == nil || !c.isRequest {
 		unload := c.hook != nil && c.data.Point == plugin.Unload
-		p.give(c)
+		p.releaseCall(c)
 		if unload {
-			p.kill(h.worker)
+			p.killWorker(h.worker)
 		}
 		return
 	}
 	c.hook = nil
-	if h.OnFailure == RefuseOn {
-		p.refuse(c, h)
+	if h.OnFailure == RejectOnFailure {
+		p.reject(c, h)
 		p.deliver(c)
 		return
 	}
-	c.at++
-	p.goOn(c)
+	c.hookIndex++
+	p.continueRequest(c)
 }
 
-// goOn asks the next hook, or delivers.
-func (p *Policy) goOn(c *call) {
-	if c.set.advance(p, c) == refused || c.hook == nil {
+// continueRequest asks the next hook, or delivers.
+func (p *Policy) continueRequest(c *call) {
+	if c.set.advance(p, c) == rejected || c.hook == nil {
 		p.deliver(c)
 	}
 }
 
-func (p *Policy) refuse(c *call, h *hook) {
-	c.verdict.Say, c.verdict.Wait = plugin.Refuse, h.RefuseWait
+func (p *Policy) reject(c *call, h *hook) {
+	c.verdict.Decision, c.verdict.RetryAfter = plugin.Reject, h.RetryAfter
 }
 
 // deliver gives a request its one verdict. It is not among the open ones from here on.
 func (p *Policy) deliver(c *call) {
-	p.do(Action{Do: Deliver, ID: c.id, Verdict: c.verdict})
+	p.emit(Action{Kind: DeliverVerdict, RequestID: c.id, Verdict: c.verdict})
 	c.verdict = plugin.Verdict{} // the caller has it
-	p.close(c)
+	p.closeRequest(c)
 }
 
-// close ends a request, and takes it out of where it waits.
-func (p *Policy) close(c *call) {
+// closeRequest ends a request, and takes it out of where it waits.
+func (p *Policy) closeRequest(c *call) {
 	delete(p.requests, c.id)
-	p.unlink(c)
-	c.set.open--
+	p.removeOpen(c)
+	c.set.openRequests--
 	switch h := c.hook; {
-	case h == nil && !c.out:
-		p.give(c)
-	case h != nil && h.drop(c):
-		p.give(c)
+	case h == nil && !c.sent:
+		p.releaseCall(c)
+	case h != nil && h.removeQueued(c):
+		p.releaseCall(c)
 	default:
 		c.hook = nil // its worker has it; who answers to it answers to nobody
 		c.value = nil
 	}
-	p.settle()
+	p.releaseRetired()
 }
 
 // Tick says that the time has come that SetTimer asked for, or another one.
 func (p *Policy) Tick(now Time) {
-	p.clock = now
-	if late := now - p.armed; p.armed > 0 && late > lateLoop {
+	p.now = now
+	if late := now - p.timerAt; p.timerAt > 0 && late > maxTimerDelay {
 		// The danger: after a machine stood still, all workers would be taken for stuck and be killed.
-		for _, h := range p.hooks() {
-			if w := h.worker; w != nil && w.deadline > 0 && !w.spared {
-				w.deadline = max(w.deadline, now+grace)
-				w.spared = true
+		for _, h := range p.allHooks() {
+			if w := h.worker; w != nil && w.deadline > 0 && !w.deadlineExtended {
+				w.deadline = max(w.deadline, now+interruptGrace)
+				w.deadlineExtended = true
 			}
 		}
 	}
-	p.armed = 0
-	for c := p.first; c != nil; {
+	p.timerAt = 0
+	for c := p.oldest; c != nil; {
 		after := c.next
-		if c.until <= now {
-			p.late(c)
+		if c.deadline <= now {
+			p.expire(c)
 		}
 		c = after
 	}
-	for _, h := range p.hooks() {
-		h.tick(p)
+	for _, h := range p.allHooks() {
+		h.onTimer(p)
 	}
-	p.settle()
-	p.rearm()
+	p.releaseRetired()
+	p.rearmTimer()
 }
 
-// late ends the wait of a request: what its hooks have not said, on_failure says for them.
-func (p *Policy) late(c *call) {
-	for i := c.at; i < len(c.set.hooks); i++ {
+// expire ends the wait of a request: what its hooks have not said, on_failure says for them.
+func (p *Policy) expire(c *call) {
+	for i := c.hookIndex; i < len(c.set.hooks); i++ {
 		h := c.set.hooks[i]
-		if !h.asked(c.data.Class) {
+		if !h.evaluatesClass(c.data.Class) {
 			continue
 		}
-		h.Counts.Late++
-		if h.OnFailure == RefuseOn {
-			p.refuse(c, h)
+		h.Counts.TimedOut++
+		if h.OnFailure == RejectOnFailure {
+			p.reject(c, h)
 			break
 		}
 	}
 	p.deliver(c)
 }
 
-// arm sets the timer, where it is not set to an earlier time.
-func (p *Policy) arm(t Time) {
-	if p.armed == 0 || t < p.armed {
-		p.armed = t
-		p.do(Action{Do: SetTimer, At: t})
+// armTimer sets the timer, where it is not set to an earlier time.
+func (p *Policy) armTimer(t Time) {
+	if p.timerAt == 0 || t < p.timerAt {
+		p.timerAt = t
+		p.emit(Action{Kind: SetTimer, At: t})
 	}
 }
 
-// rearm sets it to the next thing that is due.
-func (p *Policy) rearm() {
-	for c := p.first; c != nil; c = c.next {
-		p.arm(c.until)
+// rearmTimer sets it to the next thing that is due.
+func (p *Policy) rearmTimer() {
+	for c := p.oldest; c != nil; c = c.next {
+		p.armTimer(c.deadline)
 	}
-	for _, h := range p.hooks() {
+	for _, h := range p.allHooks() {
 		if w := h.worker; w != nil && w.deadline > 0 {
-			p.arm(w.deadline)
+			p.armTimer(w.deadline)
 		}
-		if h.restUntil > 0 {
-			p.arm(h.restUntil)
+		if h.suspendedUntil > 0 {
+			p.armTimer(h.suspendedUntil)
 		}
 	}
 }
 
-// hooks are those of all sets, in an order that is always the same. The list is good until the next call.
-func (p *Policy) hooks() []*hook {
-	all := p.all[:0]
-	for _, s := range p.old {
+// allHooks are those of all sets, in an order that is always the same. The list is good until the next call.
+func (p *Policy) allHooks() []*hook {
+	all := p.hookBuffer[:0]
+	for _, s := range p.retiring {
 		all = append(all, s.hooks...)
 	}
-	if p.present != nil {
-		all = append(all, p.present.hooks...)
+	if p.active != nil {
+		all = append(all, p.active.hooks...)
 	}
-	if p.next != nil {
-		all = append(all, p.next.hooks...)
+	if p.loading != nil {
+		all = append(all, p.loading.hooks...)
 	}
-	p.all = all
+	p.hookBuffer = all
 	return all
 }
 
 // log adds a line of the policy's own.
 func (p *Policy) log(format string, args ...any) {
-	p.do(Action{Do: Log, Text: fmt.Sprintf(format, args...)})
+	p.emit(Action{Kind: WriteLog, Text: fmt.Sprintf(format, args...)})
 }
 
 // Left is what is open, for tests and for a router that ends.
 func (p *Policy) Left() map[string]int {
 	out := 0
 	for _, w := range p.workers { // any order
-		out += len(w.out)
+		out += len(w.inFlight)
 	}
 	waiting := 0
-	for _, h := range p.hooks() {
+	for _, h := range p.allHooks() {
 		waiting += len(h.waiting)
 	}
 	return map[string]int{
 		"requests": len(p.requests),
 		"workers":  len(p.workers),
 		"calls":    out + waiting,
-		"old sets": len(p.old),
+		"old sets": len(p.retiring),
 	}
 }
--- a/internal/hooks/policy/policy_test.go
+++ b/internal/hooks/policy/policy_test.go
@@ -19,7 +19,7 @@
 	if f.ask(2, "read") {
 		t.Error("taken by a hook for another class")
 	}
-	if n := testing.AllocsPerRun(100, func() { f.p.Ask(f.now, Request{Call: plugin.Call{Class: "read"}}) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { f.p.Evaluate(f.now, Request{Call: plugin.Call{Class: "read"}}) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
@@ -49,10 +49,10 @@
 	f := newField(t)
 	f.load(hookNamed("a"), hookNamed("b"))
 	f.ask(1, "read")
-	f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Say: plugin.Refuse, Wait: 9}})
-	f.has(1, plugin.Refuse, 9)
+	f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Decision: plugin.Reject, RetryAfter: 9}})
+	f.has(1, plugin.Reject, 9)
 	f.ask(2, "read")
-	f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Say: plugin.Fail, Text: "no such call"}})
+	f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Decision: plugin.Fail, Text: "no such call"}})
 	f.has(2, plugin.Fail, 0)
 	if len(f.asked[f.of(1)]) > 0 {
 		t.Error("the second hook was asked")
@@ -62,34 +62,34 @@
 func TestOnFailureDecidesWhereACallFails(t *testing.T) {
 	f := newField(t)
 	strict := hookNamed("strict")
-	strict.OnFailure, strict.RefuseWait = RefuseOn, 700
+	strict.OnFailure, strict.RetryAfter = RejectOnFailure, 700
 	f.load(hookNamed("lax"), strict)
 	f.ask(1, "read")
 	f.reply(f.of(0), Reply{Failed: true, Kind: plugin.Crashed, Text: "unreachable"})
 	f.hasNone(1)
-	f.reply(f.of(1), Reply{Failed: true, Kind: plugin.Overran})
-	f.has(1, plugin.Refuse, 700)
+	f.reply(f.of(1), Reply{Failed: true, Kind: plugin.BudgetExceeded})
+	f.has(1, plugin.Reject, 700)
 	f.logged("hook lax: crashed: unreachable")
 }
 
 func TestARequestWaitsNoLongerThanItsPart(t *testing.T) {
 	f := newField(t)
 	strict := hookNamed("strict")
-	strict.OnFailure = RefuseOn
+	strict.OnFailure = RejectOnFailure
 	strict.Time = 1000 * ms // slower than the client waits
 	f.load(strict)
 	f.ask(1, "read")
 	f.pass(49 * ms)
 	f.hasNone(1)
 	f.pass(1 * ms)
-	f.has(1, plugin.Refuse, 0)
+	f.has(1, plugin.Reject, 0)
 	f.reply(f.of(0), Reply{}) // too late
-	f.has(1, plugin.Refuse, 0)
+	f.has(1, plugin.Reject, 0)
 
-	f.p.Ask(f.now, Request{ID: 2, Call: plugin.Call{TimeLeft: 100 * ms}})
+	f.p.Evaluate(f.now, Request{ID: 2, Call: plugin.Call{TimeLeft: 100 * ms}})
 	f.carry()
 	f.pass(10 * ms)
-	f.has(2, plugin.Refuse, 0)
+	f.has(2, plugin.Reject, 0)
 }
 
 func TestAStuckWorkerIsEndedWithinItsGraceAndTheOthersAreAskedAgain(t *testing.T) {
@@ -106,8 +106,8 @@
 	f.has(0, plugin.Pass, 0)
 	f.hasNone(1)
 	f.up(requestPoint)
-	f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Say: plugin.Refuse}})
-	f.has(1, plugin.Refuse, 0)
+	f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Decision: plugin.Reject}})
+	f.has(1, plugin.Reject, 0)
 	f.pass(13 * ms) // lost a second time
 	f.has(2, plugin.Pass, 0)
 }
@@ -143,19 +143,19 @@
 			t.Fatalf("request %d is not taken", id)
 		}
 	}
-	if n := len(f.asked[f.of(0)]); n != flight {
+	if n := len(f.asked[f.of(0)]); n != maxInFlight {
 		t.Errorf("%d calls are out", n)
 	}
 	if f.ask(20, "read") {
 		t.Error("one more is taken")
 	}
-	h.OnFailure = RefuseOn
+	h.OnFailure = RejectOnFailure
 	f = newField(t)
 	f.load(h)
 	for id := range int64(21) {
 		f.ask(id, "read")
 	}
-	f.has(20, plugin.Refuse, 0)
+	f.has(20, plugin.Reject, 0)
 	f.hasNone(19)
 }
 
@@ -181,8 +181,8 @@
 		f.reply(f.of(0), Reply{})
 		id++
 	}
-	if h := f.p.present.hooks[0]; h.rest != 0 || h.score != 0 {
-		t.Errorf("rest %d, score %v", h.rest, h.score)
+	if h := f.p.active.hooks[0]; h.suspension != 0 || h.failureScore != 0 {
+		t.Errorf("rest %d, score %v", h.suspension, h.failureScore)
 	}
 }
 
@@ -201,7 +201,7 @@
 func TestAHookGetsItsShareOfTheCoreAndNoMore(t *testing.T) {
 	f := newField(t)
 	h := hookNamed("a")
-	h.Share = 0.1
+	h.CPUFraction = 0.1
 	f.load(h)
 	taken := 0
 	for id := range int64(4000) { // 4 ms of work every 5 ms
@@ -209,7 +209,7 @@
 			taken++
 			calls := f.asked[f.of(0)]
 			f.asked[f.of(0)] = calls[1:]
-			f.p.Replied(f.now, f.of(0), Reply{Seq: calls[0].Seq, Spent: 4 * ms, Verdict: &plugin.Verdict{}})
+			f.p.HandleReply(f.now, f.of(0), Reply{Sequence: calls[0].Sequence, RunTime: 4 * ms, Verdict: &plugin.Verdict{}})
 			f.carry()
 		}
 		f.now += 5 * ms
@@ -223,21 +223,21 @@
 	f := newField(t)
 	f.load(hookNamed("a"))
 	value := 0
-	for id := range int64(flight + 2) {
-		f.p.Ask(f.now, Request{ID: id, Call: plugin.Call{TimeLeft: 1000 * ms}, Value: func() []byte { value++; return nil }})
+	for id := range int64(maxInFlight + 2) {
+		f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{TimeLeft: 1000 * ms}, Value: func() []byte { value++; return nil }})
 	}
-	f.p.Gone(f.now, 0)
-	f.p.Gone(f.now, flight+1) // waits in the queue
-	f.p.Gone(f.now, 99)
+	f.p.Cancel(f.now, 0)
+	f.p.Cancel(f.now, maxInFlight+1) // waits in the queue
+	f.p.Cancel(f.now, 99)
 	f.carry()
 	if a := f.asked[f.of(0)][0]; a.Value() != nil || value != 0 {
 		t.Error("the value of a client that has left is asked for")
 	}
-	for range flight + 1 {
+	for range maxInFlight + 1 {
 		f.reply(f.of(0), Reply{})
 	}
 	f.hasNone(0)
-	f.hasNone(flight + 1)
+	f.hasNone(maxInFlight + 1)
 	f.has(1, plugin.Pass, 0)
 	if left := f.p.Left(); left["requests"]+left["calls"] != 0 {
 		t.Errorf("left %v", left)
@@ -252,12 +252,12 @@
 	f.carry()
 	f.up(requestPoint.With(plugin.Answered).With(plugin.ListChanged))
 	for range 100 {
-		f.p.Look(f.now, plugin.Call{Point: plugin.Answered, Class: "read"})
-		f.p.Look(f.now, plugin.Call{Point: plugin.Answered, Class: "put"})
-		f.p.Look(f.now, plugin.Call{Point: plugin.ListChanged})
+		f.p.Notify(f.now, plugin.Call{Point: plugin.Answered, Class: "read"})
+		f.p.Notify(f.now, plugin.Call{Point: plugin.Answered, Class: "put"})
+		f.p.Notify(f.now, plugin.Call{Point: plugin.ListChanged})
 	}
 	f.carry()
-	if c := f.p.Status()[0].Counts; c.Asked != 16 || c.Unseen != 184 {
+	if c := f.p.Status()[0].Counts; c.Calls != 16 || c.MissedNotifications != 184 {
 		t.Errorf("%+v", c)
 	}
 	if !f.ask(1, "read") {
@@ -277,9 +277,9 @@
 	f.p.Load(f.now, settings(hookNamed("a"), hookNamed("b")))
 	f.carry()
 	f.ask(1, "read") // waits for the first, of which nothing is known yet
-	f.p.Up(f.now, f.of(0), plugin.Points(0).With(plugin.Answered))
+	f.p.WorkerLoaded(f.now, f.of(0), plugin.Points(0).With(plugin.Answered))
 	f.carry()
-	f.p.Up(f.now, f.of(1), requestPoint)
+	f.p.WorkerLoaded(f.now, f.of(1), requestPoint)
 	f.carry()
 	f.reply(f.of(1), Reply{})
 	f.has(1, plugin.Pass, 0)
@@ -289,13 +289,13 @@
 	f := newField(t)
 	f.load(hookNamed("a"))
 	f.ask(1, "read")
-	f.p.Replied(f.now, f.of(0), Reply{Seq: 77, Verdict: &plugin.Verdict{}})
+	f.p.HandleReply(f.now, f.of(0), Reply{Sequence: 77, Verdict: &plugin.Verdict{}})
 	f.carry()
 	f.has(1, plugin.Pass, 0)
 	f.logged("gave an answer to nothing")
 	f.up(requestPoint)
-	f.p.Replied(f.now, f.of(0), Reply{Seq: 1, Verdict: &plugin.Verdict{}})
-	f.p.Replied(f.now, 12345, Reply{Seq: 1, Verdict: &plugin.Verdict{}})
+	f.p.HandleReply(f.now, f.of(0), Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
+	f.p.HandleReply(f.now, 12345, Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
 	f.carry()
 	f.has(1, plugin.Pass, 0)
 }
@@ -307,7 +307,7 @@
 		f.ask(id, "read")
 		f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Log: []string{"a", "b", "c"}}})
 	}
-	if len(f.lines) != linesBurst {
+	if len(f.lines) != logBurst {
 		t.Errorf("%d lines", len(f.lines))
 	}
 	f.now += 1000 * ms
@@ -319,12 +319,12 @@
 func TestTagsAreCountedUpToABound(t *testing.T) {
 	f := newField(t)
 	f.load(hookNamed("a"))
-	for id := range int64(mostTags + 10) {
+	for id := range int64(maxTagNames + 10) {
 		f.ask(id, "read")
 		f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Tags: []string{"club", fmt.Sprintf("t%03d", id)}}})
 	}
 	tags := f.p.Status()[0].Tags
-	if len(tags) != mostTags+1 || tags[0] != (Tag{Others, 11}) || tags[1] != (Tag{"club", mostTags + 10}) {
+	if len(tags) != maxTagNames+1 || tags[0] != (Tag{OtherTags, 11}) || tags[1] != (Tag{"club", maxTagNames + 10}) {
 		t.Errorf("%d tags, %v", len(tags), tags)
 	}
 }
@@ -336,14 +336,14 @@
 	id := int64(0)
 	once := func() {
 		id++
-		f.p.Ask(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: "read", TimeLeft: 1000 * ms}})
+		f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: "read", TimeLeft: 1000 * ms}})
 		for {
 			a, ok := f.p.Next()
 			if !ok {
 				break
 			}
-			if a.Do == Ask {
-				f.p.Replied(f.now, a.Worker, Reply{Seq: a.Seq, Spent: 1, Verdict: v})
+			if a.Kind == SendCall {
+				f.p.HandleReply(f.now, a.Worker, Reply{Sequence: a.Sequence, RunTime: 1, Verdict: v})
 			}
 		}
 	}
--- a/internal/hooks/policy/set.go
+++ b/internal/hooks/policy/set.go
@@ -5,75 +5,75 @@
 // set is one configuration of hooks.
 type set struct {
 	Settings
-	nr    int
-	state state
-	hooks []*hook
-	open  int // requests that are in it
+	number       int
+	state        setState
+	hooks        []*hook
+	openRequests int // requests that are in it
 }
 
-type state uint8
+type setState uint8
 
 const (
-	loading state = iota // beside the present one
-	serving
-	ending // its workers unload
+	setLoading setState = iota // beside the present one
+	setServing
+	setUnloading // its workers unload
 )
 
-// outcome is where a request has got to in its set.
-type outcome uint8
+// progress is where a request has got to in its set.
+type progress uint8
 
 const (
-	passed  outcome = iota // a hook has it, or none wants it any more (its hook is nil)
-	refused                // by on_failure
+	advanced progress = iota // a hook has it, or none wants it any more (its hook is nil)
+	rejected                 // by on_failure
 )
 
 // Load has a set of hooks load beside the present one, and take over in one step once all of it is up. The first set takes
 // over at once, with its hooks out until they are up. It gives the set's number.
 func (p *Policy) Load(now Time, settings Settings) int {
-	p.clock = now
-	p.sets++
-	s := &set{Settings: settings, nr: p.sets}
+	p.now = now
+	p.lastSet++
+	s := &set{Settings: settings, number: p.lastSet}
 	if p.closed {
-		p.do(Action{Do: Dropped, Set: s.nr})
-		return s.nr
+		p.emit(Action{Kind: ReleaseSet, Set: s.number})
+		return s.number
 	}
 	for i, cfg := range settings.Hooks {
-		h := &hook{Hook: cfg, set: s, nr: i, points: ^plugin.Points(0), usedAt: now, lines: linesBurst, linesAt: now,
+		h := &hook{Hook: cfg, set: s, index: i, points: ^plugin.Points(0), cpuDebtAt: now, logTokens: logBurst, logTokensAt: now,
 			tags: map[string]int{}}
 		s.hooks = append(s.hooks, h)
 	}
-	if p.next != nil {
-		p.discard(p.next)
-		p.next = nil
+	if p.loading != nil {
+		p.discard(p.loading)
+		p.loading = nil
 	}
 	switch {
 	case len(s.hooks) == 0:
-		p.swap(nil)
-		p.do(Action{Do: Dropped, Set: s.nr})
-	case p.present == nil:
-		p.swap(s)
+		p.activate(nil)
+		p.emit(Action{Kind: ReleaseSet, Set: s.number})
+	case p.active == nil:
+		p.activate(s)
 	default:
-		p.next = s
+		p.loading = s
 	}
 	for _, h := range s.hooks {
-		h.start(p)
+		h.startWorker(p)
 	}
-	p.settle()
-	return s.nr
+	p.releaseRetired()
+	return s.number
 }
 
-// Up says that a worker has loaded its hook, which wants to be asked at these points.
-func (p *Policy) Up(now Time, id int, points plugin.Points) {
-	p.clock = now
+// WorkerLoaded says that a worker has loaded its hook, which wants to be asked at these points.
+func (p *Policy) WorkerLoaded(now Time, id int, points plugin.Points) {
+	p.now = now
 	w := p.workers[id]
 	if w == nil {
 		return
 	}
-	if w.up {
-		p.lose(w, "its worker came up twice")
+	if w.loaded {
+		p.workerFailed(w, "its worker came up twice")
 		return
 	}
-	w.up = true
+	w.loaded = true
 	w.deadline = 0
 	h := w.hook
 	h.points = points
@@ -82,125 +82,125 @@
 	}
 	points = h.points
 	if !points.Has(plugin.OnRequest) {
-		h.abandonRequests(p)
+		h.passQueuedRequests(p)
 	}
 	h.dispatch(p)
-	if s := h.set; s.state == loading && s.isUp() {
-		p.next = nil
-		p.swap(s)
+	if s := h.set; s.state == setLoading && s.isLoaded() {
+		p.loading = nil
+		p.activate(s)
 		p.log("hooks: the new set is in place (%d of them)", len(s.hooks))
 	}
-	p.settle()
+	p.releaseRetired()
 }
 
-// abandonRequests passes what waits for a verdict of a hook that turns out to give none.
-func (h *hook) abandonRequests(p *Policy) {
+// passQueuedRequests passes what waits for a verdict of a hook that turns out to give none.
+func (h *hook) passQueuedRequests(p *Policy) {
 	waiting := h.waiting
 	h.waiting = nil
 	for _, c := range waiting {
-		if !c.request {
+		if !c.isRequest {
 			h.waiting = append(h.waiting, c)
 			continue
 		}
 		c.hook = nil
-		c.at++
-		p.goOn(c)
+		c.hookIndex++
+		p.continueRequest(c)
 	}
 }
 
-// Ended says that a worker has ended by itself, or refused its hook, for this reason.
-func (p *Policy) Ended(now Time, id int, why string) {
-	p.clock = now
+// WorkerEnded says that a worker has ended by itself, or refused its hook, for this reason.
+func (p *Policy) WorkerEnded(now Time, id int, why string) {
+	p.now = now
 	if w := p.workers[id]; w != nil {
-		p.lose(w, why)
+		p.workerFailed(w, why)
 	}
 }
 
-func (s *set) isUp() bool {
+func (s *set) isLoaded() bool {
 	for _, h := range s.hooks {
-		if h.worker == nil || !h.worker.up {
+		if h.worker == nil || !h.worker.loaded {
 			return false
 		}
 	}
 	return true
 }
 
-// fail gives a set up that was to take over.
-func (s *set) fail(p *Policy, h *hook, why string) {
+// failLoading gives a set up that was to take over.
+func (s *set) failLoading(p *Policy, h *hook, why string) {
 	p.log("hook %s: %s; the hooks before stay", h.Name, why)
-	if p.next == s {
-		p.next = nil
+	if p.loading == s {
+		p.loading = nil
 	}
 	p.discard(s)
 }
 
 // discard ends a set that nobody was ever in.
 func (p *Policy) discard(s *set) {
-	s.state = ending
+	s.state = setUnloading
 	for _, h := range s.hooks {
-		p.kill(h.worker)
+		p.killWorker(h.worker)
 	}
-	p.do(Action{Do: Dropped, Set: s.nr})
+	p.emit(Action{Kind: ReleaseSet, Set: s.number})
 }
 
-// swap has a set take over. Requests that are in the present one finish there.
-func (p *Policy) swap(s *set) {
-	if p.present != nil {
-		p.old = append(p.old, p.present)
+// activate has a set take over. Requests that are in the present one finish there.
+func (p *Policy) activate(s *set) {
+	if p.active != nil {
+		p.retiring = append(p.retiring, p.active)
 	}
 	if s != nil {
-		s.state = serving
+		s.state = setServing
 	}
-	p.present = s
+	p.active = s
 }
 
-// settle ends old sets in which no request is left, and tells the end of all.
-func (p *Policy) settle() {
-	kept := p.old[:0]
-	for _, s := range p.old {
-		if s.open == 0 && s.state != ending {
-			s.end(p)
+// releaseRetired ends old sets in which no request is left, and tells the end of all.
+func (p *Policy) releaseRetired() {
+	kept := p.retiring[:0]
+	for _, s := range p.retiring {
+		if s.openRequests == 0 && s.state != setUnloading {
+			s.unload(p)
 		}
-		if s.state == ending && s.over() {
-			p.do(Action{Do: Dropped, Set: s.nr})
+		if s.state == setUnloading && s.hasStopped() {
+			p.emit(Action{Kind: ReleaseSet, Set: s.number})
 			continue
 		}
 		kept = append(kept, s)
 	}
-	clear(p.old[len(kept):])
-	p.old = kept
-	if p.closed && !p.told && len(p.workers) == 0 && len(p.old) == 0 {
-		p.told = true
-		p.do(Action{Do: Closed})
+	clear(p.retiring[len(kept):])
+	p.retiring = kept
+	if p.closed && !p.closeReported && len(p.workers) == 0 && len(p.retiring) == 0 {
+		p.closeReported = true
+		p.emit(Action{Kind: FinishClose})
 	}
 }
 
-// end has the set's workers unload.
-func (s *set) end(p *Policy) {
-	s.state = ending
+// unload has the set's workers unload.
+func (s *set) unload(p *Policy) {
+	s.state = setUnloading
 	for _, h := range s.hooks {
-		h.restUntil = 0
+		h.suspendedUntil = 0
 		for _, c := range h.waiting {
-			p.give(c) // looks: no request is in the set
+			p.releaseCall(c) // looks: no request is in the set
 		}
 		h.waiting = nil
 		w := h.worker
 		if w == nil {
 			continue
 		}
-		if !w.up || !h.points.Has(plugin.Unload) {
-			p.kill(w)
+		if !w.loaded || !h.points.Has(plugin.Unload) {
+			p.killWorker(w)
 			continue
 		}
-		w.ending = true
-		c := p.take()
+		w.unloading = true
+		c := p.newCall()
 		c.hook = h
 		c.data.Point = plugin.Unload
 		w.send(p, c)
 	}
 }
 
-func (s *set) over() bool {
+func (s *set) hasStopped() bool {
 	for _, h := range s.hooks {
 		if h.worker != nil {
 			return false
@@ -215,36 +215,36 @@
 	if p.closed {
 		return
 	}
-	p.clock = now
+	p.now = now
 	p.closed = true
-	for c := p.first; c != nil; c = p.first {
-		p.late(c)
+	for c := p.oldest; c != nil; c = p.oldest {
+		p.expire(c)
 	}
-	if p.next != nil {
-		p.discard(p.next)
-		p.next = nil
+	if p.loading != nil {
+		p.discard(p.loading)
+		p.loading = nil
 	}
-	p.swap(nil)
-	p.settle()
+	p.activate(nil)
+	p.releaseRetired()
 }
 
 // advance has a request asked by the next hook that wants it, from where it is on.
-func (s *set) advance(p *Policy, c *call) outcome {
-	for ; c.at < len(s.hooks); c.at++ {
-		h := s.hooks[c.at]
-		if !h.asked(c.data.Class) {
+func (s *set) advance(p *Policy, c *call) progress {
+	for ; c.hookIndex < len(s.hooks); c.hookIndex++ {
+		h := s.hooks[c.hookIndex]
+		if !h.evaluatesClass(c.data.Class) {
 			continue
 		}
-		if h.available(p.clock) {
-			c.tried = 0
+		if h.acceptsCall(p.now) {
+			c.attempts = 0
 			h.enqueue(p, c)
-			return passed
+			return advanced
 		}
 		h.Counts.Skipped++
-		if h.OnFailure == RefuseOn {
-			p.refuse(c, h)
-			return refused
+		if h.OnFailure == RejectOnFailure {
+			p.reject(c, h)
+			return rejected
 		}
 	}
-	return passed
+	return advanced
 }
--- a/internal/hooks/policy/set_test.go
+++ b/internal/hooks/policy/set_test.go
@@ -15,21 +15,21 @@
 	f.p.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
 	f.carry()
 	f.ask(2, "read")
-	f.p.Up(f.now, f.of(0), requestPoint)
+	f.p.WorkerLoaded(f.now, f.of(0), requestPoint)
 	f.carry()
 	f.ask(3, "read")
 	if len(f.asked[old]) != 3 {
 		t.Fatalf("the old set has %d of 3 while the new one loads", len(f.asked[old]))
 	}
-	f.p.Up(f.now, f.of(1), requestPoint)
+	f.p.WorkerLoaded(f.now, f.of(1), requestPoint)
 	f.carry()
 	f.ask(4, "read")
 	if len(f.asked[old]) != 3 || len(f.asked[f.of(0)]) != 1 {
 		t.Error("the new set has not taken over")
 	}
 	for id := range int64(3) {
-		f.reply(old, Reply{Verdict: &plugin.Verdict{Say: plugin.Refuse, Wait: 5}})
-		f.has(id+1, plugin.Refuse, 5)
+		f.reply(old, Reply{Verdict: &plugin.Verdict{Decision: plugin.Reject, RetryAfter: 5}})
+		f.has(id+1, plugin.Reject, 5)
 	}
 	if !slices.Equal(f.dropped, []int{1}) || slices.Contains(f.running(), old) {
 		t.Errorf("dropped %v, running %v with %d", f.dropped, f.running(), old)
@@ -42,8 +42,8 @@
 	old := f.of(0)
 	f.p.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
 	f.carry()
-	f.p.Up(f.now, f.of(0), requestPoint)
-	f.p.Ended(f.now, f.of(1), "does not load: not a module")
+	f.p.WorkerLoaded(f.now, f.of(0), requestPoint)
+	f.p.WorkerEnded(f.now, f.of(1), "does not load: not a module")
 	f.carry()
 	f.logged("hook c: does not load: not a module; the hooks before stay")
 	if !slices.Equal(f.running(), []int{old}) || !slices.Equal(f.dropped, []int{2}) {
@@ -66,7 +66,7 @@
 	}
 	f.p.Load(f.now, settings(hookNamed("b")))
 	f.carry()
-	f.p.Up(f.now, f.of(0), requestPoint)
+	f.p.WorkerLoaded(f.now, f.of(0), requestPoint)
 	f.carry()
 	f.pass(100 * ms)
 	for id := range int64(30) {
@@ -83,13 +83,13 @@
 func TestTheFirstSetIsTriedAgainWhereItDoesNotLoad(t *testing.T) {
 	f := newField(t)
 	strict := hookNamed("strict")
-	strict.OnFailure = RefuseOn
+	strict.OnFailure = RejectOnFailure
 	f.p.Load(f.now, settings(strict))
 	f.carry()
-	f.p.Ended(f.now, f.of(0), "does not load: x")
+	f.p.WorkerEnded(f.now, f.of(0), "does not load: x")
 	f.carry()
 	f.ask(1, "read")
-	f.has(1, plugin.Refuse, 0)
+	f.has(1, plugin.Reject, 0)
 	f.pass(1100 * ms)
 	f.up(requestPoint)
 	f.ask(2, "read")
@@ -100,7 +100,7 @@
 func TestCloseEndsInTimeWhateverTheWorkersDo(t *testing.T) {
 	f := newField(t)
 	strict := hookNamed("strict")
-	strict.OnFailure = RefuseOn
+	strict.OnFailure = RejectOnFailure
 	f.p.Load(f.now, settings(strict, hookNamed("b")))
 	f.carry()
 	f.up(requestPoint.With(plugin.Unload))
@@ -111,12 +111,12 @@
 	f.p.Close(f.now)
 	f.carry()
 	for id := range int64(30) {
-		f.has(id, plugin.Refuse, 0)
+		f.has(id, plugin.Reject, 0)
 	}
 	if f.ask(99, "read") {
 		t.Error("taken after Close")
 	}
-	f.pass(2 * unloadMost)
+	f.pass(2 * maxUnloadTime)
 	if f.closed != 1 || len(f.running()) > 0 {
 		t.Errorf("closed %d times, running %v", f.closed, f.running())
 	}
--- a/internal/hooks/policy/status.go
+++ b/internal/hooks/policy/status.go
@@ -8,67 +8,67 @@
 
 // Counts are what has happened at a hook.
 type Counts struct {
-	Asked     int  // calls, looks among them
-	Passed    int  // verdicts
-	Refused   int  //
-	Ended     int  // verdicts that fail the request
-	Failed    int  // calls that gave no verdict
-	Late      int  // requests that waited their time
-	Skipped   int  // requests that found the hook out, or its queue full
-	Unseen    int  // looks that did
-	Restarts  int  // workers that were lost
-	Suspended int  // suspensions
-	Spent     Time // of its core
+	Calls               int  // calls, looks among them
+	Passed              int  // verdicts
+	Rejected            int  //
+	FailedRequests      int  // verdicts that fail the request
+	FailedCalls         int  // calls that gave no verdict
+	TimedOut            int  // requests that waited their time
+	Skipped             int  // requests that found the hook out, or its queue full
+	MissedNotifications int  // looks that did
+	Restarts            int  // workers that were lost
+	Suspended           int  // suspensions
+	RunTime             Time // of its core
 }
 
-// Row is one hook of the present set.
-type Row struct {
-	Name   string
-	State  string // "up", "starting" or "suspended"
-	Calls  int    // that wait for it or run
-	Counts Counts
-	Tags   []Tag // in the order of their names
+// HookStatus is one hook of the present set.
+type HookStatus struct {
+	Name         string
+	State        string // "up", "starting" or "suspended"
+	PendingCalls int    // that wait for it or run
+	Counts       Counts
+	Tags         []Tag // in the order of their names
 }
 
 // Tag is a name that a hook gives requests.
 type Tag struct {
 	Name  string
-	Times int
+	Count int
 }
 
-// Others is the tag under which those are counted that are too many.
-const Others = "(others)"
+// OtherTags is the tag under which those are counted that are too many.
+const OtherTags = "(others)"
 
-// count counts a verdict.
-func (h *hook) count(v *plugin.Verdict) {
-	switch v.Say {
+// countVerdict counts a verdict.
+func (h *hook) countVerdict(v *plugin.Verdict) {
+	switch v.Decision {
 	case plugin.Pass:
 		h.Counts.Passed++
-	case plugin.Refuse:
-		h.Counts.Refused++
+	case plugin.Reject:
+		h.Counts.Rejected++
 	case plugin.Fail:
-		h.Counts.Ended++
+		h.Counts.FailedRequests++
 	}
 	for _, t := range v.Tags {
-		if _, known := h.tags[t]; !known && len(h.tags) >= mostTags {
-			t = Others
+		if _, known := h.tags[t]; !known && len(h.tags) >= maxTagNames {
+			t = OtherTags
 		}
 		h.tags[t]++
 	}
 }
 
 // Status tells of the hooks of the present set, in their order.
-func (p *Policy) Status() []Row {
-	if p.present == nil {
+func (p *Policy) Status() []HookStatus {
+	if p.active == nil {
 		return nil
 	}
-	var rows []Row
-	for _, h := range p.present.hooks {
-		row := Row{Name: h.Name, State: "up", Calls: h.load(), Counts: h.Counts}
+	var rows []HookStatus
+	for _, h := range p.active.hooks {
+		row := HookStatus{Name: h.Name, State: "up", PendingCalls: h.pendingCalls(), Counts: h.Counts}
 		switch {
-		case h.restUntil > 0:
+		case h.suspendedUntil > 0:
 			row.State = "suspended"
-		case h.worker == nil || !h.worker.up:
+		case h.worker == nil || !h.worker.loaded:
 			row.State = "starting"
 		}
 		for name, n := range h.tags { // any order
--- a/internal/hooks/real_test.go
+++ b/internal/hooks/real_test.go
@@ -87,7 +87,7 @@
 func (r *rig) ask(class, key string, done func(Verdict, Time)) {
 	r.last++
 	began := r.m.Now()
-	taken := r.h.Ask(Request{ID: r.last, Verb: "C.GET", Class: class, Key: key, TimeLeft: 10_000_000}, func(v Verdict) {
+	taken := r.h.Evaluate(Request{ID: r.last, Verb: "C.GET", Class: class, Key: key, TimeLeft: 10_000_000}, func(v Verdict) {
 		done(v, r.m.Now()-began)
 	})
 	if !taken {
@@ -148,7 +148,7 @@
 
 func TestEachKindOfBrokenHookCostsItsRequestABoundedTime(t *testing.T) {
 	h := script("moody", moody)
-	h.OnFailure, h.RefuseWait = policy.RefuseOn, 1000
+	h.OnFailure, h.RetryAfter = policy.RejectOnFailure, 1000
 	h.Budget.Steps = 1 << 40
 	h.Time, h.Budget.Time = patient, patient
 	deep := Hook{Hook: h.Hook, Engine: "wasm", Code: trap(), Budget: h.Budget}
@@ -156,7 +156,7 @@
 	deep.Budget.Depth, deep.Budget.Steps = 0, 0 // what is left is the end of its process
 	h.Classes = []string{"moody"}
 	cfg := set(h, deep)
-	cfg.WaitShare, cfg.WaitMost = 0.5, 5_000_000
+	cfg.MaxWaitFraction, cfg.MaxWait = 0.5, 5_000_000
 	r := newRig(t, cfg)
 	r.run(func(done func()) {
 		keys := []string{"ok", "loop", "ok", "crash", "ok", "nothing", "log", "ok"}
@@ -173,7 +173,7 @@
 				if key == "ok" || key == "log" {
 					want = 5000
 				}
-				if v.Say != plugin.Refuse || v.Wait != want {
+				if v.Decision != plugin.Reject || v.RetryAfter != want {
 					t.Errorf("%s: %+v, want a refusal with %d", key, v, want)
 				}
 				t.Logf("%s took %d us", key, took)
@@ -193,7 +193,7 @@
 	for _, key := range []string{"sort", "swell", "recurse"} {
 		h := script("moody", moody)
 		h.Classes = []string{"moody"}
-		h.OnFailure, h.RefuseWait = policy.RefuseOn, 1000
+		h.OnFailure, h.RetryAfter = policy.RejectOnFailure, 1000
 		h.Budget.Steps = 1 << 40
 		h.Time, h.Budget.Time = patient, patient
 		if key == "sort" {
@@ -204,12 +204,12 @@
 			h.Budget.Depth, h.Budget.Steps = 0, 0
 		}
 		cfg := set(h)
-		cfg.WaitShare, cfg.WaitMost = 0.5, 5_000_000
+		cfg.MaxWaitFraction, cfg.MaxWait = 0.5, 5_000_000
 		r := newRig(t, cfg)
 		r.run(func(done func()) {
 			r.ready(func() {
 				r.ask("moody", key, func(v Verdict, took Time) {
-					if v.Say != plugin.Refuse || v.Wait != 1000 {
+					if v.Decision != plugin.Reject || v.RetryAfter != 1000 {
 						t.Errorf("%s: %+v", key, v)
 					}
 					t.Logf("%s took %d us, budget %d us", key, took, h.Time)
@@ -218,7 +218,7 @@
 						return
 					}
 					r.ask("moody", "ok", func(v Verdict, took Time) { // waits for the next worker
-						if v.Say != plugin.Refuse || v.Wait != 5000 {
+						if v.Decision != plugin.Reject || v.RetryAfter != 5000 {
 							t.Errorf("%s: after it %+v", key, v)
 						}
 						t.Logf("after %s: %d us", key, took)
@@ -257,7 +257,7 @@
 						return
 					}
 					r.ask("read", "k", func(v Verdict, _ Time) {
-						if v.Say != plugin.Refuse {
+						if v.Decision != plugin.Reject {
 							t.Errorf("the old set says %+v", v)
 						}
 						done()
@@ -278,7 +278,7 @@
 	pass.Func("hook_room", 1, 1, 0, wasmfile.I32Const(1024))
 	pass.Func("on_request", 1, 1, 0, wasmfile.I32Const(0))
 	engines := map[string]Hook{
-		"Wasm":   {Hook: one("x").Hook, Engine: "wasm", Code: pass.Bytes(), Budget: plugin.Usual},
+		"Wasm":   {Hook: one("x").Hook, Engine: "wasm", Code: pass.Bytes(), Budget: plugin.DefaultBudget},
 		"Script": script("x", "def on_request(r):\n    pass\n"),
 	}
 	for _, engine := range []string{"Wasm", "Script"} {
@@ -328,7 +328,7 @@
 			open = atOnce
 			for range atOnce {
 				n++
-				r.h.Ask(Request{ID: int64(n), Verb: "C.GET", Class: "read", Tenant: "acme", Key: "7f3a9c21e0b4d655", TimeLeft: 10_000_000}, verdict)
+				r.h.Evaluate(Request{ID: int64(n), Verb: "C.GET", Class: "read", Tenant: "acme", Key: "7f3a9c21e0b4d655", TimeLeft: 10_000_000}, verdict)
 			}
 		}
 		r.ready(func() {
--- a/internal/hooks/virtual_test.go
+++ b/internal/hooks/virtual_test.go
@@ -43,7 +43,7 @@
 func (f *field) ask(id int64, class string) bool {
 	inside := true
 	defer func() { inside = false }()
-	return f.h.Ask(Request{ID: id, Class: class, TimeLeft: sim.Second}, func(v Verdict) {
+	return f.h.Evaluate(Request{ID: id, Class: class, TimeLeft: sim.Second}, func(v Verdict) {
 		if inside {
 			f.t.Error("a verdict came from within Ask")
 		}
@@ -91,18 +91,18 @@
 }
 
 func one(name string) Hook {
-	h := Hook{Hook: policy.Hook{Name: name, Time: 5000, LoadTime: sim.Second, Queue: 64, Share: 1}, Engine: "script"}
-	h.Budget = plugin.Usual
+	h := Hook{Hook: policy.Hook{Name: name, Time: 5000, LoadTime: sim.Second, Queue: 64, CPUFraction: 1}, Engine: "script"}
+	h.Budget = plugin.DefaultBudget
 	return h
 }
 
 func set(hooks ...Hook) Config {
-	return Config{Hooks: hooks, WaitShare: 0.1, WaitMost: 50 * sim.Millisecond}
+	return Config{Hooks: hooks, MaxWaitFraction: 0.1, MaxWait: 50 * sim.Millisecond}
 }
 
 func TestVerdictsComeBackInALaterTurn(t *testing.T) {
 	s := &hookstest.Script{Call: func(_ string, c *plugin.Call) hookstest.Act {
-		return hookstest.Act{Verdict: Verdict{Say: plugin.Refuse, Wait: 7000}}
+		return hookstest.Act{Verdict: Verdict{Decision: plugin.Reject, RetryAfter: 7000}}
 	}}
 	f := newField(t, 1, s, set(one("a")))
 	if f.h.Ready() {
@@ -113,7 +113,7 @@
 		t.Fatal("not ready, or not taken")
 	}
 	f.pass(sim.Millisecond)
-	if got := f.verdicts[1]; len(got) != 1 || got[0].Say != plugin.Refuse || got[0].Wait != 7000 {
+	if got := f.verdicts[1]; len(got) != 1 || got[0].Decision != plugin.Reject || got[0].RetryAfter != 7000 {
 		t.Errorf("%+v", got)
 	}
 	f.close()
@@ -122,12 +122,12 @@
 func TestWithoutHooksNothingIsHeldOrAllocated(t *testing.T) {
 	f := newField(t, 1, &hookstest.Script{}, Config{})
 	n := testing.AllocsPerRun(100, func() {
-		if f.h.Ask(Request{ID: 1, Class: "read"}, nil) {
+		if f.h.Evaluate(Request{ID: 1, Class: "read"}, nil) {
 			t.Error("taken")
 		}
 		f.h.Answered(Answer{})
 		f.h.ListChanged(9, 9)
-		f.h.Gone(1)
+		f.h.Cancel(1)
 	})
 	if n > 0 {
 		t.Errorf("%v allocations", n)
@@ -147,7 +147,7 @@
 	f.ask(2, "good") // behind it, at the same hook
 	f.pass(100 * sim.Millisecond)
 	for id, most := range map[int64]Time{1: 20 * sim.Millisecond, 2: 50 * sim.Millisecond} { // any order
-		if len(f.verdicts[id]) != 1 || f.verdicts[id][0].Say != plugin.Pass || f.at[id]-began > most {
+		if len(f.verdicts[id]) != 1 || f.verdicts[id][0].Decision != plugin.Pass || f.at[id]-began > most {
 			t.Errorf("request %d: %+v after %d us", id, f.verdicts[id], f.at[id]-began)
 		}
 	}
@@ -158,14 +158,14 @@
 func TestAWorkerThatSaysRubbishIsEnded(t *testing.T) {
 	for name, act := range map[string]hookstest.Act{ // any order
 		"rubbish": {Say: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "twice": {Twice: true}, "dies": {Die: true},
-		"no verdict": {Verdict: Verdict{Say: 9}},
+		"no verdict": {Verdict: Verdict{Decision: 9}},
 	} {
 		s := &hookstest.Script{Call: func(string, *plugin.Call) hookstest.Act { return act }}
 		f := newField(t, 1, s, set(one("a")))
 		f.pass(20 * sim.Millisecond)
 		f.ask(1, "read")
 		f.pass(100 * sim.Millisecond)
-		if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Say != plugin.Pass {
+		if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Decision != plugin.Pass {
 			t.Errorf("%s: %+v", name, f.verdicts[1])
 		}
 		if f.h.Status()[0].Counts.Restarts == 0 {
@@ -188,11 +188,11 @@
 	}
 	f := newField(t, 1, s, set(one("a")))
 	f.pass(20 * sim.Millisecond)
-	f.h.Answered(Answer{Class: "read", Outcome: plugin.WasFailed, Took: 9})
+	f.h.Answered(Answer{Class: "read", Outcome: plugin.OutcomeFailed, Took: 9})
 	f.h.ListChanged(9, 8)
 	f.pass(20 * sim.Millisecond)
 	f.close()
-	if len(seen) != 3 || seen[0].Outcome != plugin.WasFailed || seen[1].TakeWork != 8 || seen[2].Point != plugin.Unload {
+	if len(seen) != 3 || seen[0].Outcome != plugin.OutcomeFailed || seen[1].ServingCaches != 8 || seen[2].Point != plugin.Unload {
 		t.Errorf("%+v", seen)
 	}
 }
@@ -207,7 +207,7 @@
 	b.WantsValue = true
 	f := newField(t, 1, s, set(a, b))
 	f.pass(20 * sim.Millisecond)
-	f.h.Ask(Request{ID: 1, TimeLeft: sim.Second, Value: func() []byte { return []byte("59 for OE1XYZ") }}, func(Verdict) {})
+	f.h.Evaluate(Request{ID: 1, TimeLeft: sim.Second, Value: func() []byte { return []byte("59 for OE1XYZ") }}, func(Verdict) {})
 	f.pass(20 * sim.Millisecond)
 	if len(seen) != 2 || len(seen[0]) > 0 || string(seen[1]) != "59 for OE1XYZ" {
 		t.Errorf("%q", seen)
@@ -240,7 +240,7 @@
 	s := &hookstest.Script{Load: func(hook string) (plugin.Points, hookstest.Act) {
 		a := hookstest.Act{}
 		if hook == "bad" {
-			a.Fail = &plugin.Failure{Kind: plugin.Alien, Text: "it was built for version 2"}
+			a.Fail = &plugin.Failure{Kind: plugin.VersionMismatch, Text: "it was built for version 2"}
 		}
 		return plugin.Points(0).With(plugin.OnRequest), a
 	}}
@@ -257,13 +257,13 @@
 
 func TestAMachineWithoutWorkersLeavesOnFailureToDecide(t *testing.T) {
 	h := one("a")
-	h.OnFailure = policy.RefuseOn
+	h.OnFailure = policy.RejectOnFailure
 	f := newField(t, 1, &hookstest.Script{}, set(h))
 	f.host.Worker = nil
 	f.pass(20 * sim.Millisecond)
 	f.ask(1, "read")
 	f.pass(100 * sim.Millisecond)
-	if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Say != plugin.Refuse {
+	if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Decision != plugin.Reject {
 		t.Errorf("%+v", f.verdicts[1])
 	}
 	f.close()
@@ -292,7 +292,7 @@
 			return plugin.Points(0).With(plugin.OnRequest).With(plugin.Answered).With(plugin.Unload), a
 		},
 		Call: func(string, *plugin.Call) hookstest.Act {
-			a := hookstest.Act{After: r.Int64N(200), Verdict: Verdict{Say: plugin.Say(r.IntN(3))}}
+			a := hookstest.Act{After: r.Int64N(200), Verdict: Verdict{Decision: plugin.Decision(r.IntN(3))}}
 			switch r.IntN(60) {
 			case 0:
 				a.Hang = true
@@ -303,7 +303,7 @@
 			case 3:
 				a.Twice = true
 			case 4:
-				a.Fail = &plugin.Failure{Kind: plugin.Overran}
+				a.Fail = &plugin.Failure{Kind: plugin.BudgetExceeded}
 			case 5:
 				a.After = r.Int64N(30_000)
 			}
@@ -318,7 +318,7 @@
 	play := func(seed uint64) uint64 {
 		r := rand.New(rand.NewPCG(seed, 2))
 		strict := one("strict")
-		strict.OnFailure = policy.RefuseOn
+		strict.OnFailure = policy.RejectOnFailure
 		f := newField(t, seed, broken(r), set(one("a"), strict))
 		began, gone := map[int64]Time{}, map[int64]bool{}
 		for id := range int64(300) {
@@ -329,7 +329,7 @@
 			if r.IntN(20) == 0 {
 				x := r.Int64N(id + 1)
 				gone[x] = gone[x] || len(f.verdicts[x]) == 0
-				f.h.Gone(x)
+				f.h.Cancel(x)
 			}
 			if r.IntN(100) == 0 {
 				f.h.Reload(set(one("c"), one("d")))
--- a/internal/plugin/api.go
+++ b/internal/plugin/api.go
@@ -25,11 +25,11 @@
 	Answered                 // a final answer is about to leave: look only
 	ListChanged              // the list of caches has changed: look only
 	Unload                   // the hook ends: after all else, unless it is killed
-	points
+	pointCount
 )
 
 func (p Point) String() string {
-	if p >= points {
+	if p >= pointCount {
 		return "no point"
 	}
 	return [...]string{"load", "request", "answered", "list", "unload"}[p]
@@ -48,14 +48,14 @@
 type Outcome uint8
 
 const (
-	Served Outcome = iota
-	WasRefused
-	WasFailed
-	outcomes
+	OutcomeServed Outcome = iota
+	OutcomeRejected
+	OutcomeFailed
+	outcomeCount
 )
 
 func (o Outcome) String() string {
-	if o >= outcomes {
+	if o >= outcomeCount {
 		return "no outcome"
 	}
 	return [...]string{"served", "refused", "failed"}[o]
@@ -81,21 +81,21 @@
 	Took    Time    // Answered: from the request's coming
 
 	// ListChanged: how many caches there are, and how many of them take new work.
-	Caches, TakeWork int
+	Caches, ServingCaches int
 }
 
-// Say is what becomes of a request.
-type Say uint8
+// Decision is what becomes of a request.
+type Decision uint8
 
 const (
-	Pass   Say = iota // it goes on, to the next hook or to the router
-	Refuse            // it never went out and never will; trying again is harmless
-	Fail              // it ends with a text; it never went out either, but the client is not told so
-	says
+	Pass   Decision = iota // it goes on, to the next hook or to the router
+	Reject                 // it never went out and never will; trying again is harmless
+	Fail                   // it ends with a text; it never went out either, but the client is not told so
+	decisions
 )
 
-func (s Say) String() string {
-	if s >= says {
+func (s Decision) String() string {
+	if s >= decisions {
 		return "no verdict"
 	}
 	return [...]string{"pass", "refuse", "fail"}[s]
@@ -103,64 +103,64 @@
 
 // Verdict is what a hook says. At points that only look, Say is Pass, and Tenant and Tags are empty.
 type Verdict struct {
-	Say    Say
-	Wait   Time     // Refuse: the client is asked to stay away so long; 0 for no advice
-	Text   string   // Fail
-	Tenant string   // the request counts as this tenant's from here on; "" for no change
-	Tags   []string // names of the hook's own, which show in logs and counts
-	Log    []string // lines for the router's log
+	Decision   Decision
+	RetryAfter Time     // Refuse: the client is asked to stay away so long; 0 for no advice
+	Text       string   // Fail
+	Tenant     string   // the request counts as this tenant's from here on; "" for no change
+	Tags       []string // names of the hook's own, which show in logs and counts
+	Log        []string // lines for the router's log
 }
 
 // Bounds of a verdict, whatever the budget: beyond them it is none.
 const (
-	MostWait   Time = 60_000_000
-	MostText        = 256 // bytes of a text, and of a tenant
-	MostTag         = 64
-	MostTags        = 8
-	MostLine        = 512
-	MostLines       = 16
-	MostString      = 1024     // bytes of a verb, class, tenant or key that a hook is handed
-	MostValue       = 64 << 10 // of a value
-	MostCode        = 8 << 20  // of a hook's file
+	MaxRetryAfter Time = 60_000_000
+	MaxText            = 256 // bytes of a text, and of a tenant
+	MaxTag             = 64
+	MaxTags            = 8
+	MaxLogLine         = 512
+	MaxLogLines        = 16
+	MaxString          = 1024     // bytes of a verb, class, tenant or key that a hook is handed
+	MaxValue           = 64 << 10 // of a value
+	MaxCode            = 8 << 20  // of a hook's file
 )
 
 // Budget is what a hook may use.
 type Budget struct {
-	Time     Time  // a call, from its beginning
-	LoadTime Time  // load and unload, each
-	Steps    int64 // of a script, or calls of functions inside a WebAssembly module, in one call; 0 for no bound
-	Depth    int   // calls within calls
-	Memory   int64 // bytes that the hook's own data may take
-	Lines    int   // of the log, in one call: more are dropped, and the last line says so
-	LineSize int   // bytes of a line: the rest is cut off
+	Time        Time  // a call, from its beginning
+	LoadTime    Time  // load and unload, each
+	Steps       int64 // of a script, or calls of functions inside a WebAssembly module, in one call; 0 for no bound
+	Depth       int   // calls within calls
+	Memory      int64 // bytes that the hook's own data may take
+	LogLines    int   // of the log, in one call: more are dropped, and the last line says so
+	LogLineSize int   // bytes of a line: the rest is cut off
 }
 
-// Usual is a budget for a hook that judges by what it is handed.
-var Usual = Budget{
-	Time:     5_000,
-	LoadTime: 1_000_000,
-	Steps:    100_000,
-	Depth:    128,
-	Memory:   16 << 20,
-	Lines:    4,
-	LineSize: 200,
+// DefaultBudget is a budget for a hook that judges by what it is handed.
+var DefaultBudget = Budget{
+	Time:        5_000,
+	LoadTime:    1_000_000,
+	Steps:       100_000,
+	Depth:       128,
+	Memory:      16 << 20,
+	LogLines:    4,
+	LogLineSize: 200,
 }
 
-// Kind says what went wrong with a hook.
-type Kind uint8
+// FailureKind says what went wrong with a hook.
+type FailureKind uint8
 
 const (
-	Unloadable Kind = iota // its file is no hook: malformed, too large, without a point, asking for what there is not
-	Alien                  // it was built for another version of the contract
-	Crashed                // it trapped, or raised an error
-	Overran                // it used up its time, its steps or its depth, and was interrupted
-	Swollen                // it used up its memory
-	Wordless               // what it gave back is no verdict
-	kinds
+	NotLoadable     FailureKind = iota // its file is no hook: malformed, too large, without a point, asking for what there is not
+	VersionMismatch                    // it was built for another version of the contract
+	Crashed                            // it trapped, or raised an error
+	BudgetExceeded                     // it used up its time, its steps or its depth, and was interrupted
+	MemoryExceeded                     // it used up its memory
+	InvalidVerdict                     // what it gave back is no verdict
+	failureKindCount
 )
 
-func (k Kind) String() string {
-	if k >= kinds {
+func (k FailureKind) String() string {
+	if k >= failureKindCount {
 		return "failed"
 	}
 	return [...]string{"does not load", "other contract", "crashed", "overran its budget", "used up its memory",
@@ -169,7 +169,7 @@
 
 // Failure is the error of an engine. Its text is fit for a log: one line, without control characters.
 type Failure struct {
-	Kind Kind
+	Kind FailureKind
 	Text string
 }
 
@@ -179,7 +179,7 @@
 type Engine interface {
 	// Name is "wasm" or "script"; Ending is that of its files, with the dot.
 	Name() string
-	Ending() string
+	FileExtension() string
 	// Load checks a hook, prepares it and asks it at the point Load. The error is a *Failure that names the cause.
 	// The hook's own code is interrupted after the budget's LoadTime; what the engine needs to prepare code of a
 	// bounded size is not.
--- a/internal/plugin/draft.go
+++ b/internal/plugin/draft.go
@@ -9,16 +9,16 @@
 // Draft is a verdict while a hook makes it. Engines have hooks write into a Draft alone, so that what is a verdict, and
 // what is too much, is the same in all of them. Each method's error is the reason why the hook has failed.
 type Draft struct {
-	Budget Budget
-	Point  Point
-	v      *Verdict
-	more   int // lines that were dropped
+	Budget       Budget
+	Point        Point
+	verdict      *Verdict
+	droppedLines int // lines that were dropped
 }
 
 // Begin empties v and drafts into it. Its room is used again.
 func (d *Draft) Begin(p Point, v *Verdict) {
 	v.Reset()
-	d.Point, d.v, d.more = p, v, 0
+	d.Point, d.verdict, d.droppedLines = p, v, 0
 }
 
 // Reset empties v and keeps its room.
@@ -32,113 +32,113 @@
 //
 // The danger: the lines of one call, a megabyte long or ten thousand of them, would fill the router's memory and log.
 func (d *Draft) Log(line string) {
-	lines := min(d.Budget.Lines, MostLines)
-	if len(d.v.Log) >= lines {
-		d.more++
+	lines := min(d.Budget.LogLines, MaxLogLines)
+	if len(d.verdict.Log) >= lines {
+		d.droppedLines++
 		return
 	}
-	d.v.Log = append(d.v.Log, Plain(line, min(d.Budget.LineSize, MostLine)))
+	d.verdict.Log = append(d.verdict.Log, Plain(line, min(d.Budget.LogLineSize, MaxLogLine)))
 }
 
-// Tag takes a name of the hook's own. Naming it twice is naming it once.
-func (d *Draft) Tag(name string) error {
-	if err := d.judging("tag"); err != nil {
+// AddTag takes a name of the hook's own. Naming it twice is naming it once.
+func (d *Draft) AddTag(name string) error {
+	if err := d.requireVerdictPoint("tag"); err != nil {
 		return err
 	}
-	if !isName(name, MostTag) {
-		return wordless("a tag is no name (%q, wanted 1 to %d of letters, digits, _ - . : and /)", short(name), MostTag)
+	if !isName(name, MaxTag) {
+		return invalidVerdict("a tag is no name (%q, wanted 1 to %d of letters, digits, _ - . : and /)", excerpt(name), MaxTag)
 	}
-	for _, t := range d.v.Tags {
+	for _, t := range d.verdict.Tags {
 		if t == name {
 			return nil
 		}
 	}
-	if len(d.v.Tags) == MostTags {
-		return wordless("more than %d tags", MostTags)
+	if len(d.verdict.Tags) == MaxTags {
+		return invalidVerdict("more than %d tags", MaxTags)
 	}
-	d.v.Tags = append(d.v.Tags, strings.Clone(name))
+	d.verdict.Tags = append(d.verdict.Tags, strings.Clone(name))
 	return nil
 }
 
-// Tenant has the request count as another tenant's.
-func (d *Draft) Tenant(name string) error {
-	if err := d.judging("tenant"); err != nil {
+// SetTenant has the request count as another tenant's.
+func (d *Draft) SetTenant(name string) error {
+	if err := d.requireVerdictPoint("tenant"); err != nil {
 		return err
 	}
-	if !isName(name, MostText) {
-		return wordless("a tenant is no name (%q, wanted 1 to %d of letters, digits, _ - . : and /)", short(name), MostText)
+	if !isName(name, MaxText) {
+		return invalidVerdict("a tenant is no name (%q, wanted 1 to %d of letters, digits, _ - . : and /)", excerpt(name), MaxText)
 	}
-	d.v.Tenant = strings.Clone(name)
+	d.verdict.Tenant = strings.Clone(name)
 	return nil
 }
 
-// Text says what a client is told where the request fails.
-func (d *Draft) Text(text string) error {
-	if err := d.judging("text"); err != nil {
+// SetText says what a client is told where the request fails.
+func (d *Draft) SetText(text string) error {
+	if err := d.requireVerdictPoint("text"); err != nil {
 		return err
 	}
-	if len(text) > MostText {
-		return wordless("a text of %d bytes (wanted at most %d)", len(text), MostText)
+	if len(text) > MaxText {
+		return invalidVerdict("a text of %d bytes (wanted at most %d)", len(text), MaxText)
 	}
-	d.v.Text = Plain(text, MostText)
+	d.verdict.Text = Plain(text, MaxText)
 	return nil
 }
 
-// Wait says for how long a client that is refused is to stay away.
-func (d *Draft) Wait(t Time) error {
-	if err := d.judging("wait"); err != nil {
+// SetRetryAfter says for how long a client that is refused is to stay away.
+func (d *Draft) SetRetryAfter(t Time) error {
+	if err := d.requireVerdictPoint("wait"); err != nil {
 		return err
 	}
-	if t < 0 || t > MostWait {
-		return wordless("a wait of %d ms (wanted 0 to %d)", t/1000, MostWait/1000)
+	if t < 0 || t > MaxRetryAfter {
+		return invalidVerdict("a wait of %d ms (wanted 0 to %d)", t/1000, MaxRetryAfter/1000)
 	}
-	d.v.Wait = t
+	d.verdict.RetryAfter = t
 	return nil
 }
 
-// End takes the verdict itself, as a number of the contract.
-func (d *Draft) End(say int64) error {
-	if say < 0 || say >= int64(says) {
-		return wordless("the number %d (wanted 0, 1 or 2)", say)
+// Finish takes the verdict itself, as a number of the contract.
+func (d *Draft) Finish(say int64) error {
+	if say < 0 || say >= int64(decisions) {
+		return invalidVerdict("the number %d (wanted 0, 1 or 2)", say)
 	}
-	d.v.Say = Say(say)
-	if d.Point != OnRequest && d.v.Say != Pass {
-		return wordless("%s at the point %s, which only looks", d.v.Say, d.Point)
+	d.verdict.Decision = Decision(say)
+	if d.Point != OnRequest && d.verdict.Decision != Pass {
+		return invalidVerdict("%s at the point %s, which only looks", d.verdict.Decision, d.Point)
 	}
-	if d.v.Say != Refuse {
-		d.v.Wait = 0
+	if d.verdict.Decision != Reject {
+		d.verdict.RetryAfter = 0
 	}
-	if d.v.Say != Fail {
-		d.v.Text = ""
+	if d.verdict.Decision != Fail {
+		d.verdict.Text = ""
 	}
-	d.close()
+	d.reportDroppedLines()
 	return nil
 }
 
-// Broken empties the verdict but for its lines: a hook that has failed has said nothing.
-func (d *Draft) Broken() {
-	d.close()
-	clear(d.v.Tags)
-	*d.v = Verdict{Tags: d.v.Tags[:0], Log: d.v.Log}
+// Discard empties the verdict but for its lines: a hook that has failed has said nothing.
+func (d *Draft) Discard() {
+	d.reportDroppedLines()
+	clear(d.verdict.Tags)
+	*d.verdict = Verdict{Tags: d.verdict.Tags[:0], Log: d.verdict.Log}
 }
 
-// close has the last line say how many more there were.
-func (d *Draft) close() {
-	if d.more > 0 && len(d.v.Log) > 0 {
-		d.v.Log[len(d.v.Log)-1] = fmt.Sprintf("(%d more lines dropped)", d.more+1)
+// reportDroppedLines has the last line say how many more there were.
+func (d *Draft) reportDroppedLines() {
+	if d.droppedLines > 0 && len(d.verdict.Log) > 0 {
+		d.verdict.Log[len(d.verdict.Log)-1] = fmt.Sprintf("(%d more lines dropped)", d.droppedLines+1)
 	}
-	d.more = 0
+	d.droppedLines = 0
 }
 
-func (d *Draft) judging(what string) error {
+func (d *Draft) requireVerdictPoint(what string) error {
 	if d.Point != OnRequest {
-		return wordless("%s at the point %s, which only looks", what, d.Point)
+		return invalidVerdict("%s at the point %s, which only looks", what, d.Point)
 	}
 	return nil
 }
 
-func wordless(format string, args ...any) error {
-	return &Failure{Wordless, fmt.Sprintf(format, args...)}
+func invalidVerdict(format string, args ...any) error {
+	return &Failure{InvalidVerdict, fmt.Sprintf(format, args...)}
 }
 
 // Plain is a text cut to so many bytes, in one line and without what a terminal would obey.
@@ -158,7 +158,7 @@
 	}, strings.Clone(text))
 }
 
-func short(text string) string { return Plain(text, 40) }
+func excerpt(text string) string { return Plain(text, 40) }
 
 // isName reports whether a text is fit to stand in logs, in counts and in an argument of a command.
 func isName(text string, most int) bool {
--- a/internal/plugin/draft_test.go
+++ b/internal/plugin/draft_test.go
@@ -9,24 +9,24 @@
 
 func draft(p Point) (*Draft, *Verdict) {
 	v := &Verdict{}
-	d := &Draft{Budget: Usual}
+	d := &Draft{Budget: DefaultBudget}
 	d.Begin(p, v)
 	return d, v
 }
 
 func TestADraftTakesNoMoreThanAVerdictHolds(t *testing.T) {
-	long := strings.Repeat("x", MostText+1)
+	long := strings.Repeat("x", MaxText+1)
 	for what, f := range map[string]func(*Draft) error{ // any order
-		"an empty tag":      func(d *Draft) error { return d.Tag("") },
-		"a long tag":        func(d *Draft) error { return d.Tag(long[:MostTag+1]) },
-		"a tag with a line": func(d *Draft) error { return d.Tag("a\nb") },
-		"an empty tenant":   func(d *Draft) error { return d.Tenant("") },
-		"a long tenant":     func(d *Draft) error { return d.Tenant(long) },
-		"a long text":       func(d *Draft) error { return d.Text(long) },
-		"a long wait":       func(d *Draft) error { return d.Wait(MostWait + 1) },
-		"a wait below 0":    func(d *Draft) error { return d.Wait(-1) },
-		"a verdict below 0": func(d *Draft) error { return d.End(-1) },
-		"an unknown one":    func(d *Draft) error { return d.End(3) },
+		"an empty tag":      func(d *Draft) error { return d.AddTag("") },
+		"a long tag":        func(d *Draft) error { return d.AddTag(long[:MaxTag+1]) },
+		"a tag with a line": func(d *Draft) error { return d.AddTag("a\nb") },
+		"an empty tenant":   func(d *Draft) error { return d.SetTenant("") },
+		"a long tenant":     func(d *Draft) error { return d.SetTenant(long) },
+		"a long text":       func(d *Draft) error { return d.SetText(long) },
+		"a long wait":       func(d *Draft) error { return d.SetRetryAfter(MaxRetryAfter + 1) },
+		"a wait below 0":    func(d *Draft) error { return d.SetRetryAfter(-1) },
+		"a verdict below 0": func(d *Draft) error { return d.Finish(-1) },
+		"an unknown one":    func(d *Draft) error { return d.Finish(3) },
 	} {
 		d, _ := draft(OnRequest)
 		if err := f(d); err == nil {
@@ -36,7 +36,7 @@
 	for _, p := range []Point{Load, Answered, ListChanged, Unload} {
 		d, _ := draft(p)
 		for what, err := range map[string]error{ // any order
-			"tag": d.Tag("a"), "tenant": d.Tenant("a"), "text": d.Text("a"), "wait": d.Wait(1), "end": d.End(1),
+			"tag": d.AddTag("a"), "tenant": d.SetTenant("a"), "text": d.SetText("a"), "wait": d.SetRetryAfter(1), "end": d.Finish(1),
 		} {
 			if err == nil {
 				t.Errorf("%s is taken at the point %s", what, p)
@@ -47,19 +47,19 @@
 
 func TestWhatIsNotSaidWithAVerdictIsNotInIt(t *testing.T) {
 	d, v := draft(OnRequest)
-	d.Wait(5)
-	d.Text("why")
-	if err := d.End(int64(Pass)); err != nil || v.Wait != 0 || v.Text != "" {
+	d.SetRetryAfter(5)
+	d.SetText("why")
+	if err := d.Finish(int64(Pass)); err != nil || v.RetryAfter != 0 || v.Text != "" {
 		t.Errorf("%+v, %v", v, err)
 	}
 }
 
 func TestABrokenDraftKeepsItsLinesAlone(t *testing.T) {
 	d, v := draft(OnRequest)
-	d.Tag("a")
-	d.Tenant("b")
+	d.AddTag("a")
+	d.SetTenant("b")
 	d.Log("line")
-	d.Broken()
+	d.Discard()
 	if len(v.Tags) > 0 || v.Tenant != "" || !slices.Equal(v.Log, []string{"line"}) {
 		t.Errorf("%+v", v)
 	}
@@ -96,7 +96,7 @@
 }
 
 func TestAnInterruptReachesTheCallThatRunsAndNoOther(t *testing.T) {
-	var w Watch
+	var w InterruptGuard
 	stopped := 0
 	stop := func() { stopped++ }
 	w.Interrupt()
--- a/internal/plugin/plugintest/bench.go
+++ b/internal/plugin/plugintest/bench.go
@@ -29,15 +29,15 @@
 			}
 		}
 	}
-	open := plugin.Usual
+	open := plugin.DefaultBudget
 	open.Depth, open.Steps = 0, 0
-	b.Run("Pass", calls("P1", plugin.Usual))
+	b.Run("Pass", calls("P1", plugin.DefaultBudget))
 	b.Run("PassWithoutCounting", calls("P1", open))
-	b.Run("Tag", calls("T1", plugin.Usual))
+	b.Run("Tag", calls("T1", plugin.DefaultBudget))
 	b.Run("Load", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			h, err := e.Load("judge", hooks["judge"], plugin.Usual)
+			h, err := e.Load("judge", hooks["judge"], plugin.DefaultBudget)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -45,7 +45,7 @@
 		}
 	})
 	b.Run("CrashAndNewInstance", func(b *testing.B) {
-		h := load(b, "count", plugin.Usual)
+		h := load(b, "count", plugin.DefaultBudget)
 		c, v := request("C"), plugin.Verdict{}
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/plugin/plugintest/plugintest.go
+++ b/internal/plugin/plugintest/plugintest.go
@@ -76,28 +76,28 @@
 }
 
 type suite struct {
-	e     plugin.Engine
-	hooks map[string][]byte
+	engine plugin.Engine
+	hooks  map[string][]byte
 }
 
 // budget has room for a machine under load: what is tested is that things end, and not how soon.
-var budget = plugin.Budget{Time: 250_000, LoadTime: 500_000, Steps: 2_000_000, Depth: 64, Memory: 4 << 20, Lines: 4, LineSize: 40}
+var budget = plugin.Budget{Time: 250_000, LoadTime: 500_000, Steps: 2_000_000, Depth: 64, Memory: 4 << 20, LogLines: 4, LogLineSize: 40}
 
-func (s suite) load(t *testing.T, name string) *watched {
+func (s suite) load(t *testing.T, name string) *timedHook {
 	t.Helper()
-	h, err := s.e.Load(name, s.hooks[name], budget)
+	h, err := s.engine.Load(name, s.hooks[name], budget)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	w := &watched{Hook: h}
+	w := &timedHook{Hook: h}
 	t.Cleanup(h.Close)
 	return w
 }
 
-// watched is a hook whose calls are interrupted after the budget's time.
-type watched struct{ plugin.Hook }
+// timedHook is a hook whose calls are interrupted after the budget's time.
+type timedHook struct{ plugin.Hook }
 
-func (w *watched) ask(c plugin.Call) (plugin.Verdict, error) {
+func (w *timedHook) call(c plugin.Call) (plugin.Verdict, error) {
 	var v plugin.Verdict
 	defer time.AfterFunc(time.Duration(budget.Time)*time.Microsecond, w.Interrupt).Stop()
 	err := w.Call(&c, &v)
@@ -108,15 +108,15 @@
 	return plugin.Call{Point: plugin.OnRequest, Verb: "C.GET", Class: "call-lookup", Tenant: "acme", Key: key, Size: 17, TimeLeft: 480_000}
 }
 
-func wants(t *testing.T, what string, v plugin.Verdict, err error, say plugin.Say, wait plugin.Time, text string) {
+func checkVerdict(t *testing.T, what string, v plugin.Verdict, err error, say plugin.Decision, wait plugin.Time, text string) {
 	t.Helper()
-	if err != nil || v.Say != say || v.Wait != wait || v.Text != text {
+	if err != nil || v.Decision != say || v.RetryAfter != wait || v.Text != text {
 		t.Errorf("%s: %+v, %v; want %s, wait %d, text %q", what, v, err, say, wait, text)
 	}
 }
 
-// fails checks the kind of an error, and that its text is fit for a log.
-func fails(t *testing.T, what string, err error, kinds ...plugin.Kind) {
+// checkFailure checks the kind of an error, and that its text is fit for a log.
+func checkFailure(t *testing.T, what string, err error, kinds ...plugin.FailureKind) {
 	t.Helper()
 	var f *plugin.Failure
 	if !errors.As(err, &f) {
@@ -141,28 +141,28 @@
 		t.Errorf("points %b", h.Points())
 	}
 	for range 3 {
-		v, err := h.ask(request("P1"))
-		wants(t, "P", v, err, plugin.Pass, 0, "")
+		v, err := h.call(request("P1"))
+		checkVerdict(t, "P", v, err, plugin.Pass, 0, "")
 		if v.Tenant != "" || len(v.Tags)+len(v.Log) > 0 {
 			t.Errorf("a pass says %+v", v)
 		}
-		v, err = h.ask(request("R1"))
-		wants(t, "R", v, err, plugin.Refuse, 250_000, "")
-		v, err = h.ask(request("F1"))
-		wants(t, "F", v, err, plugin.Fail, 0, "no such call")
-		v, err = h.ask(request("T1"))
-		wants(t, "T", v, err, plugin.Pass, 0, "")
+		v, err = h.call(request("R1"))
+		checkVerdict(t, "R", v, err, plugin.Reject, 250_000, "")
+		v, err = h.call(request("F1"))
+		checkVerdict(t, "F", v, err, plugin.Fail, 0, "no such call")
+		v, err = h.call(request("T1"))
+		checkVerdict(t, "T", v, err, plugin.Pass, 0, "")
 		if v.Tenant != "guests" || len(v.Tags) != 1 || v.Tags[0] != "club" {
 			t.Errorf("T says %+v", v)
 		}
-		v, err = h.ask(request("L1"))
-		wants(t, "L", v, err, plugin.Pass, 0, "")
+		v, err = h.call(request("L1"))
+		checkVerdict(t, "L", v, err, plugin.Pass, 0, "")
 		if len(v.Log) != 1 || v.Log[0] != "seen" {
 			t.Errorf("L says %+v", v)
 		}
 	}
-	v, err := h.ask(request(""))
-	wants(t, "an empty key", v, err, plugin.Pass, 0, "")
+	v, err := h.call(request(""))
+	checkVerdict(t, "an empty key", v, err, plugin.Pass, 0, "")
 }
 
 func fields(t *testing.T, s suite) {
@@ -171,48 +171,48 @@
 	for key, want := range map[string]string{ // any order
 		"v": "C.GET", "c": "call-lookup", "t": "acme", "k" + long: "k" + long,
 	} {
-		v, err := h.ask(request(key))
-		wants(t, key, v, err, plugin.Fail, 0, want)
+		v, err := h.call(request(key))
+		checkVerdict(t, key, v, err, plugin.Fail, 0, want)
 	}
-	v, err := h.ask(request("s"))
-	wants(t, "s", v, err, plugin.Refuse, 17_000, "")
+	v, err := h.call(request("s"))
+	checkVerdict(t, "s", v, err, plugin.Reject, 17_000, "")
 }
 
 func hidesValue(t *testing.T, s suite) {
 	h := s.load(t, "echo")
-	v, err := h.ask(request("V"))
-	wants(t, "without a value", v, err, plugin.Pass, 0, "")
+	v, err := h.call(request("V"))
+	checkVerdict(t, "without a value", v, err, plugin.Pass, 0, "")
 	c := request("V")
 	c.Value = []byte("de OE1XYZ 599")
-	v, err = h.ask(c)
-	wants(t, "with a value", v, err, plugin.Fail, 0, "de OE1XYZ 599")
-	v, err = h.ask(request("V"))
-	wants(t, "without one, after one that had one", v, err, plugin.Pass, 0, "")
+	v, err = h.call(c)
+	checkVerdict(t, "with a value", v, err, plugin.Fail, 0, "de OE1XYZ 599")
+	v, err = h.call(request("V"))
+	checkVerdict(t, "without one, after one that had one", v, err, plugin.Pass, 0, "")
 }
 
 func wordless(t *testing.T, s suite) {
 	for _, name := range []string{"wordless", "long tag", "bad tag", "many tags", "long wait"} {
-		v, err := s.load(t, name).ask(request("A"))
-		fails(t, name, err, plugin.Wordless)
-		if v.Say != plugin.Pass || len(v.Tags) > 0 || v.Tenant != "" || v.Wait != 0 {
+		v, err := s.load(t, name).call(request("A"))
+		checkFailure(t, name, err, plugin.InvalidVerdict)
+		if v.Decision != plugin.Pass || len(v.Tags) > 0 || v.Tenant != "" || v.RetryAfter != 0 {
 			t.Errorf("%s: says %+v all the same", name, v)
 		}
 	}
 	for _, name := range []string{"judging look", "tagging look"} {
-		_, err := s.load(t, name).ask(plugin.Call{Point: plugin.Answered})
-		fails(t, name, err, plugin.Wordless)
+		_, err := s.load(t, name).call(plugin.Call{Point: plugin.Answered})
+		checkFailure(t, name, err, plugin.InvalidVerdict)
 	}
 }
 
 func cutsLog(t *testing.T, s suite) {
-	v, err := s.load(t, "long line").ask(request("A"))
-	wants(t, "long line", v, err, plugin.Pass, 0, "")
-	if len(v.Log) != 1 || len(v.Log[0]) != budget.LineSize {
+	v, err := s.load(t, "long line").call(request("A"))
+	checkVerdict(t, "long line", v, err, plugin.Pass, 0, "")
+	if len(v.Log) != 1 || len(v.Log[0]) != budget.LogLineSize {
 		t.Errorf("long line: %d lines, %.100q", len(v.Log), v.Log)
 	}
-	v, err = s.load(t, "many lines").ask(request("A"))
-	wants(t, "many lines", v, err, plugin.Pass, 0, "")
-	if len(v.Log) != budget.Lines || v.Log[budget.Lines-1] != "(9997 more lines dropped)" {
+	v, err = s.load(t, "many lines").call(request("A"))
+	checkVerdict(t, "many lines", v, err, plugin.Pass, 0, "")
+	if len(v.Log) != budget.LogLines || v.Log[budget.LogLines-1] != "(9997 more lines dropped)" {
 		t.Errorf("many lines: %d lines, %.300q", len(v.Log), v.Log)
 	}
 }
@@ -223,64 +223,64 @@
 		t.Errorf("points %b", h.Points())
 	}
 	for outcome, want := range []string{"s", "r", "f"} {
-		v, err := h.ask(plugin.Call{Point: plugin.Answered, Class: "x", Outcome: plugin.Outcome(outcome), Took: 5})
+		v, err := h.call(plugin.Call{Point: plugin.Answered, Class: "x", Outcome: plugin.Outcome(outcome), Took: 5})
 		if err != nil || len(v.Log) != 1 || v.Log[0] != want {
 			t.Errorf("outcome %d: %+v, %v", outcome, v, err)
 		}
 	}
-	v, err := h.ask(plugin.Call{Point: plugin.ListChanged, Caches: 9, TakeWork: 8})
+	v, err := h.call(plugin.Call{Point: plugin.ListChanged, Caches: 9, ServingCaches: 8})
 	if err != nil || len(v.Log) != 1 || v.Log[0] != "list" {
 		t.Errorf("list: %+v, %v", v, err)
 	}
-	v, err = h.ask(request("A"))
-	wants(t, "a point that it does not have", v, err, plugin.Pass, 0, "")
+	v, err = h.call(request("A"))
+	checkVerdict(t, "a point that it does not have", v, err, plugin.Pass, 0, "")
 }
 
 func forgets(t *testing.T, s suite) {
 	h := s.load(t, "count")
 	for i := range plugin.Time(3) {
-		v, err := h.ask(request("A"))
-		wants(t, "count", v, err, plugin.Refuse, (i+1)*1000, "")
+		v, err := h.call(request("A"))
+		checkVerdict(t, "count", v, err, plugin.Reject, (i+1)*1000, "")
 	}
 	for range 2 {
-		_, err := h.ask(request("C"))
-		fails(t, "C", err, plugin.Crashed)
-		v, err := h.ask(request("A"))
-		wants(t, "after a crash", v, err, plugin.Refuse, 1000, "")
+		_, err := h.call(request("C"))
+		checkFailure(t, "C", err, plugin.Crashed)
+		v, err := h.call(request("A"))
+		checkVerdict(t, "after a crash", v, err, plugin.Reject, 1000, "")
 	}
 }
 
 func saysNothing(t *testing.T, s suite) {
-	v, err := s.load(t, "crash").ask(request("A"))
-	fails(t, "crash", err, plugin.Crashed)
-	if v.Say != plugin.Pass || len(v.Tags) != 0 || v.Tenant != "" {
+	v, err := s.load(t, "crash").call(request("A"))
+	checkFailure(t, "crash", err, plugin.Crashed)
+	if v.Decision != plugin.Pass || len(v.Tags) != 0 || v.Tenant != "" {
 		t.Errorf("says %+v", v)
 	}
 	if len(v.Log) != 1 || v.Log[0] != "before" {
 		t.Errorf("its lines are lost: %q", v.Log)
 	}
-	_, err = s.load(t, "answer crash").ask(plugin.Call{Point: plugin.Answered})
-	fails(t, "answer crash", err, plugin.Crashed)
+	_, err = s.load(t, "answer crash").call(plugin.Call{Point: plugin.Answered})
+	checkFailure(t, "answer crash", err, plugin.Crashed)
 }
 
 func ends(t *testing.T, s suite) {
-	_, err := s.load(t, "loop").ask(request("L"))
-	fails(t, "loop", err, plugin.Overran)
-	_, err = s.load(t, "recurse").ask(request("A"))
-	fails(t, "recurse", err, plugin.Overran, plugin.Crashed)
-	_, err = s.load(t, "swell").ask(request("A"))
-	fails(t, "swell", err, plugin.Overran, plugin.Crashed, plugin.Swollen)
-	_, err = s.e.Load("load loop", s.hooks["load loop"], budget)
-	fails(t, "load loop", err, plugin.Overran)
+	_, err := s.load(t, "loop").call(request("L"))
+	checkFailure(t, "loop", err, plugin.BudgetExceeded)
+	_, err = s.load(t, "recurse").call(request("A"))
+	checkFailure(t, "recurse", err, plugin.BudgetExceeded, plugin.Crashed)
+	_, err = s.load(t, "swell").call(request("A"))
+	checkFailure(t, "swell", err, plugin.BudgetExceeded, plugin.Crashed, plugin.MemoryExceeded)
+	_, err = s.engine.Load("load loop", s.hooks["load loop"], budget)
+	checkFailure(t, "load loop", err, plugin.BudgetExceeded)
 }
 
 func runsOn(t *testing.T, s suite) {
 	h := s.load(t, "loop")
 	for range 2 {
-		_, err := h.ask(request("L"))
-		fails(t, "loop", err, plugin.Overran)
-		v, err := h.ask(request("A"))
-		wants(t, "after an interrupt", v, err, plugin.Pass, 0, "")
+		_, err := h.call(request("L"))
+		checkFailure(t, "loop", err, plugin.BudgetExceeded)
+		v, err := h.call(request("A"))
+		checkVerdict(t, "after an interrupt", v, err, plugin.Pass, 0, "")
 	}
 }
 
@@ -288,18 +288,18 @@
 	h := s.load(t, "count")
 	for i := range plugin.Time(3) {
 		h.Interrupt()
-		v, err := h.ask(request("A"))
-		wants(t, "count", v, err, plugin.Refuse, (i+1)*1000, "")
+		v, err := h.call(request("A"))
+		checkVerdict(t, "count", v, err, plugin.Reject, (i+1)*1000, "")
 	}
 }
 
 func refuses(t *testing.T, s suite) {
-	for name, kind := range map[string]plugin.Kind{ // any order
-		"load crash": plugin.Crashed, "alien": plugin.Alien, "pointless": plugin.Unloadable, "versionless": plugin.Unloadable,
-		"bad shape": plugin.Unloadable, "unknown words": plugin.Unloadable,
+	for name, kind := range map[string]plugin.FailureKind{ // any order
+		"load crash": plugin.Crashed, "alien": plugin.VersionMismatch, "pointless": plugin.NotLoadable, "versionless": plugin.NotLoadable,
+		"bad shape": plugin.NotLoadable, "unknown words": plugin.NotLoadable,
 	} {
-		h, err := s.e.Load(name, s.hooks[name], budget)
-		fails(t, name, err, kind)
+		h, err := s.engine.Load(name, s.hooks[name], budget)
+		checkFailure(t, name, err, kind)
 		if h != nil {
 			t.Errorf("%s: there is a hook with the error", name)
 		}
@@ -308,19 +308,19 @@
 
 func unload(t *testing.T, s suite) {
 	h := s.load(t, "unload crash")
-	_, err := h.ask(plugin.Call{Point: plugin.Unload})
-	fails(t, "unload", err, plugin.Crashed)
+	_, err := h.call(plugin.Call{Point: plugin.Unload})
+	checkFailure(t, "unload", err, plugin.Crashed)
 }
 
 func rubbish(t *testing.T, s suite) {
 	whole := s.hooks["judge"]
 	for _, code := range [][]byte{nil, []byte("x"), []byte("\x00asm"), []byte("def def"), whole[:len(whole)/2], whole[:len(whole)-1],
-		make([]byte, plugin.MostCode+1), []byte(strings.Repeat("(", 200_000))} {
-		h, err := s.e.Load("rubbish", code, budget)
+		make([]byte, plugin.MaxCode+1), []byte(strings.Repeat("(", 200_000))} {
+		h, err := s.engine.Load("rubbish", code, budget)
 		if h != nil {
 			h.Close() // half a hook may be one
 			continue
 		}
-		fails(t, "rubbish", err, plugin.Unloadable)
+		checkFailure(t, "rubbish", err, plugin.NotLoadable)
 	}
 }
--- a/internal/plugin/script/engine.go
+++ b/internal/plugin/script/engine.go
@@ -20,8 +20,8 @@
 	"starlingwinch/internal/plugin"
 )
 
-// mostSource is the longest script. The danger: the parser recurses, by a level for each bracket of the source.
-const mostSource = 256 << 10
+// maxSource is the longest script. The danger: the parser recurses, by a level for each bracket of the source.
+const maxSource = 256 << 10
 
 // Engine implements plugin.Engine.
 type Engine struct{}
@@ -29,25 +29,25 @@
 // Name implements plugin.Engine.
 func (Engine) Name() string { return "script" }
 
-// Ending implements plugin.Engine.
-func (Engine) Ending() string { return ".star" }
+// FileExtension implements plugin.Engine.
+func (Engine) FileExtension() string { return ".star" }
 
 // Load implements plugin.Engine.
 func (Engine) Load(name string, code []byte, b plugin.Budget) (plugin.Hook, error) {
-	if len(code) > mostSource {
-		return nil, bad("a file of %d bytes (wanted at most %d)", len(code), mostSource)
+	if len(code) > maxSource {
+		return nil, notLoadable("a file of %d bytes (wanted at most %d)", len(code), maxSource)
 	}
 	h := &hook{name: name, budget: b}
 	h.draft.Budget = b
-	h.names = h.words()
+	h.builtins = h.predeclared()
 	var err error
 	options := &syntax.FileOptions{Set: true, TopLevelControl: true}
-	if _, h.program, err = starlark.SourceProgramOptions(options, name, code, h.names.Has); err != nil {
-		return nil, bad("%s", plain(err))
+	if _, h.program, err = starlark.SourceProgramOptions(options, name, code, h.builtins.Has); err != nil {
+		return nil, notLoadable("%s", errorText(err))
 	}
 	var v plugin.Verdict
 	h.draft.Begin(plugin.Load, &v)
-	if err := h.renew(); err != nil {
+	if err := h.newInstance(); err != nil {
 		return nil, err
 	}
 	return h, nil
@@ -55,14 +55,14 @@
 
 // hook implements plugin.Hook.
 type hook struct {
-	name    string
-	budget  plugin.Budget
-	points  plugin.Points
-	draft   plugin.Draft
-	names   starlark.StringDict
-	program *starlark.Program
-	now     *instance // nil where the last one was thrown away
-	watch   plugin.Watch
+	name     string
+	budget   plugin.Budget
+	points   plugin.Points
+	draft    plugin.Draft
+	builtins starlark.StringDict
+	program  *starlark.Program
+	instance *instance // nil where the last one was thrown away
+	guard    plugin.InterruptGuard
 }
 
 // instance is a script that has run once, and what it keeps.
@@ -81,8 +81,8 @@
 	plugin.Unload:      "on_unload",
 }
 
-// renew runs the script anew and asks it at the point Load. It has LoadTime for that, and a hundred times the steps.
-func (h *hook) renew() error {
+// newInstance runs the script anew and asks it at the point Load. It has LoadTime for that, and a hundred times the steps.
+func (h *hook) newInstance() error {
 	in := &instance{thread: &starlark.Thread{Name: h.name, Print: func(_ *starlark.Thread, s string) { h.draft.Log(s) }}}
 	var late atomic.Bool
 	in.stop = func() { in.thread.Cancel("interrupted") }
@@ -91,29 +91,29 @@
 		in.stop()
 	})
 	defer timer.Stop()
-	in.limit(100 * h.budget.Steps)
-	globals, err := h.program.Init(in.thread, h.names)
+	in.setStepLimit(100 * h.budget.Steps)
+	globals, err := h.program.Init(in.thread, h.builtins)
 	if err != nil {
-		return h.failure(err, in, late.Load(), 100*h.budget.Steps)
+		return h.classify(err, in, late.Load(), 100*h.budget.Steps)
 	}
-	if err := h.find(in, globals); err != nil {
+	if err := h.bindFunctions(in, globals); err != nil {
 		return err
 	}
 	if f := in.calls[plugin.Load]; f != nil {
 		got, err := starlark.Call(in.thread, f, nil, nil)
 		if err != nil {
-			return h.failure(err, in, late.Load(), 100*h.budget.Steps)
+			return h.classify(err, in, late.Load(), 100*h.budget.Steps)
 		}
-		if err := h.end(got); err != nil {
+		if err := h.acceptResult(got); err != nil {
 			return err
 		}
 	}
-	h.now = in
+	h.instance = in
 	return nil
 }
 
-// limit bounds the steps from here on; 0 is no bound.
-func (in *instance) limit(steps int64) {
+// setStepLimit bounds the steps from here on; 0 is no bound.
+func (in *instance) setStepLimit(steps int64) {
 	in.thread.Steps = 0
 	if steps == 0 {
 		steps = math.MaxInt64
@@ -121,18 +121,18 @@
 	in.thread.SetMaxExecutionSteps(uint64(steps))
 }
 
-// find looks at the script's names.
-func (h *hook) find(in *instance, globals starlark.StringDict) error {
+// bindFunctions looks at the script's names.
+func (h *hook) bindFunctions(in *instance, globals starlark.StringDict) error {
 	version, found := globals["version"]
 	if !found {
-		return bad("it does not set version: it is no hook of this contract")
+		return notLoadable("it does not set version: it is no hook of this contract")
 	}
 	n, err := starlark.AsInt32(version)
 	if err != nil {
-		return bad("its version is no number (%s)", plugin.Plain(version.String(), 40))
+		return notLoadable("its version is no number (%s)", plugin.Plain(version.String(), 40))
 	}
 	if n != plugin.Version {
-		return &plugin.Failure{Kind: plugin.Alien, Text: fmt.Sprintf(
+		return &plugin.Failure{Kind: plugin.VersionMismatch, Text: fmt.Sprintf(
 			"it was built for version %d of the contract, and this router has version %d", n, plugin.Version)}
 	}
 	points := plugin.Points(0)
@@ -147,13 +147,13 @@
 			want = 0
 		}
 		if !ok || f.NumParams() != want || f.HasVarargs() || f.HasKwargs() {
-			return bad("its %s is no function of %d parameters", name, want)
+			return notLoadable("its %s is no function of %d parameters", name, want)
 		}
 		in.calls[p] = f
 		points = points.With(plugin.Point(p))
 	}
 	if !points.Has(plugin.OnRequest) && !points.Has(plugin.Answered) && !points.Has(plugin.ListChanged) {
-		return bad("it has none of on_request, on_answered and on_list")
+		return notLoadable("it has none of on_request, on_answered and on_list")
 	}
 	h.points = points
 	return nil
@@ -163,7 +163,7 @@
 func (h *hook) Points() plugin.Points { return h.points }
 
 // Interrupt implements plugin.Hook.
-func (h *hook) Interrupt() { h.watch.Interrupt() }
+func (h *hook) Interrupt() { h.guard.Interrupt() }
 
 // Call implements plugin.Hook.
 func (h *hook) Call(c *plugin.Call, v *plugin.Verdict) error {
@@ -171,16 +171,16 @@
 	if !h.points.Has(c.Point) {
 		return nil
 	}
-	if h.now == nil {
-		if err := h.renew(); err != nil {
-			h.draft.Broken()
+	if h.instance == nil {
+		if err := h.newInstance(); err != nil {
+			h.draft.Discard()
 			return err
 		}
 	}
-	err := h.call(h.now, c)
+	err := h.call(h.instance, c)
 	if err != nil {
-		h.draft.Broken()
-		h.now = nil // its values are halfway through something
+		h.draft.Discard()
+		h.instance = nil // its values are halfway through something
 	}
 	return err
 }
@@ -190,62 +190,62 @@
 	if c.Point != plugin.Load && c.Point != plugin.Unload {
 		args = starlark.Tuple{newRecord(c)}
 	}
-	in.limit(h.budget.Steps)
-	h.watch.Begin(in.stop)
+	in.setStepLimit(h.budget.Steps)
+	h.guard.Begin(in.stop)
 	got, err := starlark.Call(in.thread, in.calls[c.Point], args, nil)
-	interrupted := h.watch.End()
+	interrupted := h.guard.End()
 	if err != nil || interrupted {
-		return h.failure(err, in, interrupted, h.budget.Steps)
+		return h.classify(err, in, interrupted, h.budget.Steps)
 	}
-	return h.end(got)
+	return h.acceptResult(got)
 }
 
-// end takes what a function has given back.
-func (h *hook) end(got starlark.Value) error {
+// acceptResult takes what a function has given back.
+func (h *hook) acceptResult(got starlark.Value) error {
 	switch got := got.(type) {
 	case starlark.NoneType:
-		return h.draft.End(int64(plugin.Pass))
+		return h.draft.Finish(int64(plugin.Pass))
 	case verdict:
-		if got.say == plugin.Refuse {
-			if err := h.draft.Wait(got.wait); err != nil {
+		if got.decision == plugin.Reject {
+			if err := h.draft.SetRetryAfter(got.retryAfter); err != nil {
 				return err
 			}
 		}
-		if got.say == plugin.Fail {
-			if err := h.draft.Text(got.text); err != nil {
+		if got.decision == plugin.Fail {
+			if err := h.draft.SetText(got.text); err != nil {
 				return err
 			}
 		}
-		return h.draft.End(int64(got.say))
+		return h.draft.Finish(int64(got.decision))
 	}
-	return &plugin.Failure{Kind: plugin.Wordless, Text: fmt.Sprintf("a value of the type %s (wanted None, refuse() or fail())",
+	return &plugin.Failure{Kind: plugin.InvalidVerdict, Text: fmt.Sprintf("a value of the type %s (wanted None, refuse() or fail())",
 		plugin.Plain(got.Type(), 40))}
 }
 
 // Close implements plugin.Hook.
-func (h *hook) Close() { h.now = nil }
+func (h *hook) Close() { h.instance = nil }
 
-// failure words what a script came to.
-func (h *hook) failure(err error, in *instance, interrupted bool, steps int64) error {
+// classify words what a script came to.
+func (h *hook) classify(err error, in *instance, interrupted bool, steps int64) error {
 	if interrupted {
-		return &plugin.Failure{Kind: plugin.Overran, Text: "it was interrupted"}
+		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it was interrupted"}
 	}
 	if steps > 0 && in.thread.Steps >= uint64(steps) {
-		return &plugin.Failure{Kind: plugin.Overran, Text: fmt.Sprintf("more than %d steps", steps)}
+		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: fmt.Sprintf("more than %d steps", steps)}
 	}
 	var own *plugin.Failure
 	if errors.As(err, &own) {
 		return own
 	}
-	return &plugin.Failure{Kind: plugin.Crashed, Text: plain(err)}
+	return &plugin.Failure{Kind: plugin.Crashed, Text: errorText(err)}
 }
 
-func bad(format string, args ...any) error {
-	return &plugin.Failure{Kind: plugin.Unloadable, Text: fmt.Sprintf(format, args...)}
+func notLoadable(format string, args ...any) error {
+	return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(format, args...)}
 }
 
-// plain is an error in one line, with where it came from.
-func plain(err error) string {
+// errorText is an error in one line, with where it came from.
+func errorText(err error) string {
 	var eval *starlark.EvalError
 	if errors.As(err, &eval) {
 		for i := len(eval.CallStack) - 1; i >= 0; i-- {
--- a/internal/plugin/script/script_test.go
+++ b/internal/plugin/script/script_test.go
@@ -93,14 +93,14 @@
 
 func TestScriptReachesNothingBesideTheContract(t *testing.T) {
 	for _, line := range []string{`load("os", "open")`, `open("x")`, `import os`, `time.now()`, `json.decode("1")`} {
-		if _, err := (Engine{}).Load("x", []byte(v1+line+"\ndef on_request(r):\n    pass\n"), plugin.Usual); err == nil {
+		if _, err := (Engine{}).Load("x", []byte(v1+line+"\ndef on_request(r):\n    pass\n"), plugin.DefaultBudget); err == nil {
 			t.Errorf("%s is taken", line)
 		}
 	}
 }
 
 func TestUnknownFieldNamesItsPlace(t *testing.T) {
-	h, err := Engine{}.Load("club.star", []byte(v1+"def on_request(r):\n    return fail(r.class_name)\n"), plugin.Usual)
+	h, err := Engine{}.Load("club.star", []byte(v1+"def on_request(r):\n    return fail(r.class_name)\n"), plugin.DefaultBudget)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	for _, name := range []string{"judge", "echo", "count", "looks"} {
 		f.Add(hooks[name])
 	}
-	b := plugin.Usual
+	b := plugin.DefaultBudget
 	b.Steps, b.LoadTime = 100, 20_000
 	f.Fuzz(func(t *testing.T, code []byte) {
 		if len(code) > 4096 {
--- a/internal/plugin/script/values.go
+++ b/internal/plugin/script/values.go
@@ -30,19 +30,19 @@
 
 // verdict is what refuse and fail give.
 type verdict struct {
-	say  plugin.Say
-	wait plugin.Time
-	text string
+	decision   plugin.Decision
+	retryAfter plugin.Time
+	text       string
 }
 
-func (v verdict) String() string        { return v.say.String() }
+func (v verdict) String() string        { return v.decision.String() }
 func (v verdict) Type() string          { return "verdict" }
 func (v verdict) Freeze()               {}
 func (v verdict) Truth() starlark.Bool  { return true }
-func (v verdict) Hash() (uint32, error) { return uint32(v.say), nil }
+func (v verdict) Hash() (uint32, error) { return uint32(v.decision), nil }
 
-// words are the names that a script finds.
-func (h *hook) words() starlark.StringDict {
+// predeclared are the names that a script finds.
+func (h *hook) predeclared() starlark.StringDict {
 	text := func(name string, take func(string) error) *starlark.Builtin {
 		return starlark.NewBuiltin(name, func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple,
 			named []starlark.Tuple) (starlark.Value, error) {
@@ -55,23 +55,23 @@
 	}
 	return starlark.StringDict{
 		"log":    text("log", func(s string) error { h.draft.Log(s); return nil }),
-		"tag":    text("tag", h.draft.Tag),
-		"tenant": text("tenant", h.draft.Tenant),
-		"refuse": starlark.NewBuiltin("refuse", refuse),
+		"tag":    text("tag", h.draft.AddTag),
+		"tenant": text("tenant", h.draft.SetTenant),
+		"refuse": starlark.NewBuiltin("refuse", reject),
 		"fail":   starlark.NewBuiltin("fail", fail),
 	}
 }
 
-func refuse(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+func reject(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 	ms := 0
 	if err := starlark.UnpackArgs(b.Name(), args, named, "wait_ms?", &ms); err != nil {
 		return nil, err
 	}
-	if ms < 0 || plugin.Time(ms) > plugin.MostWait/1000 {
-		return nil, &plugin.Failure{Kind: plugin.Wordless, Text: fmt.Sprintf("a wait of %d ms (wanted 0 to %d)", ms,
-			plugin.MostWait/1000)}
+	if ms < 0 || plugin.Time(ms) > plugin.MaxRetryAfter/1000 {
+		return nil, &plugin.Failure{Kind: plugin.InvalidVerdict, Text: fmt.Sprintf("a wait of %d ms (wanted 0 to %d)", ms,
+			plugin.MaxRetryAfter/1000)}
 	}
-	return verdict{say: plugin.Refuse, wait: plugin.Time(ms) * 1000}, nil
+	return verdict{decision: plugin.Reject, retryAfter: plugin.Time(ms) * 1000}, nil
 }
 
 func fail(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
@@ -79,7 +79,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, named, "text", &text); err != nil {
 		return nil, err
 	}
-	return verdict{say: plugin.Fail, text: text}, nil
+	return verdict{decision: plugin.Fail, text: text}, nil
 }
 
 // record is what a point is handed. It is made anew for each call: a script may keep it.
@@ -93,8 +93,8 @@
 func (r *record) Truth() starlark.Bool  { return true }
 func (r *record) Hash() (uint32, error) { return 0, fmt.Errorf("a record has no hash") }
 
-// fields are the names of what a point has.
-var fields = [...][]string{
+// attributes are the names of what a point has.
+var attributes = [...][]string{
 	plugin.OnRequest:   {"key", "now", "request_class", "size", "tenant", "time_left", "value", "verb"},
 	plugin.Answered:    {"key", "now", "outcome", "request_class", "size", "took", "tenant", "verb"},
 	plugin.ListChanged: {"caches", "now", "take_work"},
@@ -102,13 +102,13 @@
 }
 
 // AttrNames implements starlark.HasAttrs.
-func (r *record) AttrNames() []string { return fields[r.c.Point] }
+func (r *record) AttrNames() []string { return attributes[r.c.Point] }
 
 // Attr implements starlark.HasAttrs. An unknown name is nil, of which the language makes an error.
 func (r *record) Attr(name string) (starlark.Value, error) {
 	c := &r.c
 	known := false
-	for _, field := range fields[c.Point] {
+	for _, field := range attributes[c.Point] {
 		known = known || field == name
 	}
 	if !known {
@@ -139,7 +139,7 @@
 	case "caches":
 		return starlark.MakeInt(c.Caches), nil
 	case "take_work":
-		return starlark.MakeInt(c.TakeWork), nil
+		return starlark.MakeInt(c.ServingCaches), nil
 	}
 	return starlark.MakeInt64(c.Now), nil
 }
--- a/internal/plugin/wasm/abi.go
+++ b/internal/plugin/wasm/abi.go
@@ -37,9 +37,9 @@
 	hostModule = "starlingwinch"
 	wasiModule = "wasi_snapshot_preview1"
 
-	exportMemory  = "memory"
-	exportVersion = "hook_version"
-	exportRoom    = "hook_room"
+	exportMemory   = "memory"
+	exportVersion  = "hook_version"
+	exportAllocate = "hook_room"
 
 	atVerb     = 0 // address and length, i32 each, as those below
 	atClass    = 8
@@ -65,13 +65,13 @@
 	plugin.Unload:      "on_unload",
 }
 
-// size is how many bytes a call takes in the memory of a module.
-func size(c *plugin.Call) int {
+// callBytes is how many bytes a call takes in the memory of a module.
+func callBytes(c *plugin.Call) int {
 	return callSize + len(c.Verb) + len(c.Class) + len(c.Tenant) + len(c.Key) + len(c.Value)
 }
 
-// write puts a call into b, which stands at the address at.
-func write(b []byte, at uint32, c *plugin.Call) {
+// writeCall puts a call into b, which stands at the address at.
+func writeCall(b []byte, at uint32, c *plugin.Call) {
 	le := binary.LittleEndian
 	end := callSize
 	place := func(field, n int) []byte {
@@ -94,11 +94,11 @@
 	le.PutUint64(b[atTook:], uint64(c.Took))
 	le.PutUint64(b[atNow:], uint64(c.Now))
 	le.PutUint32(b[atCaches:], uint32(c.Caches))
-	le.PutUint32(b[atTakeWork:], uint32(c.TakeWork))
+	le.PutUint32(b[atTakeWork:], uint32(c.ServingCaches))
 }
 
-// hostWords are the functions that a module may import. A wrong use ends the call: the panic's value is its error.
-func (h *hook) hostWords(ctx context.Context, rt wazero.Runtime) error {
+// exportHostFunctions are the functions that a module may import. A wrong use ends the call: the panic's value is its error.
+func (h *hook) exportHostFunctions(ctx context.Context, rt wazero.Runtime) error {
 	// Longer texts than the longest that counts are cut before they are copied out.
 	word := func(take func(string) error) api.GoModuleFunc {
 		return func(_ context.Context, m api.Module, stack []uint64) {
@@ -110,7 +110,7 @@
 			if uint64(at)+uint64(n) > uint64(mem.Size()) {
 				panic(&plugin.Failure{Kind: plugin.Crashed, Text: "a text that lies outside of its memory"})
 			}
-			b, _ := mem.Read(at, min(n, plugin.MostLine+1))
+			b, _ := mem.Read(at, min(n, plugin.MaxLogLine+1))
 			if err := take(string(b)); err != nil {
 				panic(err)
 			}
@@ -124,14 +124,14 @@
 		take func(string) error
 	}{
 		{"log", func(s string) error { d.Log(s); return nil }},
-		{"tag", d.Tag},
-		{"tenant", d.Tenant},
-		{"text", d.Text},
+		{"tag", d.AddTag},
+		{"tenant", d.SetTenant},
+		{"text", d.SetText},
 	} {
 		build.NewFunctionBuilder().WithGoModuleFunction(word(w.take), texts, nil).Export(w.name)
 	}
 	wait := api.GoFunc(func(_ context.Context, stack []uint64) {
-		if err := d.Wait(plugin.Time(int32(stack[0])) * 1000); err != nil {
+		if err := d.SetRetryAfter(plugin.Time(int32(stack[0])) * 1000); err != nil {
 			panic(err)
 		}
 	})
--- a/internal/plugin/wasm/check.go
+++ b/internal/plugin/wasm/check.go
@@ -9,14 +9,14 @@
 
 // Bounds of a module, beyond those of package plugin. A module that a compiler made for this contract is far below.
 const (
-	mostMemories  = 1
-	mostTables    = 16
-	mostEntries   = 1 << 16 // of a table
-	mostFunctions = 1 << 16
-	mostLocals    = 4096 // of a function: they are what a frame of the stack is made of
-	mostImports   = 256
-	mostExports   = 4096
-	pageSize      = 64 << 10
+	maxMemories     = 1
+	maxTables       = 16
+	maxTableEntries = 1 << 16 // of a table
+	maxFunctions    = 1 << 16
+	maxLocals       = 4096 // of a function: they are what a frame of the stack is made of
+	maxImports      = 256
+	maxExports      = 4096
+	pageSize        = 64 << 10
 )
 
 // Sections of a module (WebAssembly Core Specification, 5.5.2).
@@ -32,16 +32,16 @@
 
 var header = []byte("\x00asm\x01\x00\x00\x00")
 
-// check looks at a module's form and sizes before an engine gets it.
+// checkModule looks at a module's form and sizes before an engine gets it.
 //
 // The danger: a few bytes may ask for a table of a gigabyte, or for frames of the stack that make a depth that is
 // bounded cost as much as one that is not; an engine takes the memory before any hook runs.
-func check(code []byte, b plugin.Budget) error {
-	if len(code) > plugin.MostCode {
-		return bad("a file of %d bytes (wanted at most %d)", len(code), plugin.MostCode)
+func checkModule(code []byte, b plugin.Budget) error {
+	if len(code) > plugin.MaxCode {
+		return notLoadable("a file of %d bytes (wanted at most %d)", len(code), plugin.MaxCode)
 	}
 	if !bytes.HasPrefix(code, header) {
-		return bad("not a WebAssembly module of version 1")
+		return notLoadable("not a WebAssembly module of version 1")
 	}
 	r := &reader{b: code, at: len(header)}
 	for r.left() > 0 {
@@ -51,13 +51,13 @@
 			return r.err
 		}
 		if int64(size) > int64(r.left()) {
-			return bad("byte %d: section %d is cut off (%d bytes of %d)", r.at, id, r.left(), size)
+			return notLoadable("byte %d: section %d is cut off (%d bytes of %d)", r.at, id, r.left(), size)
 		}
 		if id > sectionLast {
-			return bad("byte %d: unknown section %d", r.at, id)
+			return notLoadable("byte %d: unknown section %d", r.at, id)
 		}
 		body := &reader{b: code[:r.at+int(size)], at: r.at}
-		if err := section(id, body, b); err != nil {
+		if err := checkSection(id, body, b); err != nil {
 			return err
 		}
 		r.at += int(size)
@@ -65,53 +65,53 @@
 	return r.err
 }
 
-func section(id byte, r *reader, b plugin.Budget) error {
+func checkSection(id byte, r *reader, b plugin.Budget) error {
 	count := func(what string, most uint32) uint32 {
 		n := r.uint(what)
 		if n > most && r.err == nil {
-			r.err = bad("%d %s (wanted at most %d)", n, what, most)
+			r.err = notLoadable("%d %s (wanted at most %d)", n, what, most)
 		}
 		return n
 	}
 	switch id {
 	case sectionImport:
-		count("imports", mostImports)
+		count("imports", maxImports)
 	case sectionExport:
-		count("exports", mostExports)
+		count("exports", maxExports)
 	case sectionFunction:
-		count("functions", mostFunctions)
+		count("functions", maxFunctions)
 	case sectionTable:
-		for range count("tables", mostTables) {
+		for range count("tables", maxTables) {
 			if r.byte() == 0x40 { // with an initial value: its form is the engine's to refuse
 				return r.err
 			}
-			if least := r.limits(); least > mostEntries {
-				return bad("a table of %d entries (wanted at most %d)", least, mostEntries)
+			if least := r.limits(); least > maxTableEntries {
+				return notLoadable("a table of %d entries (wanted at most %d)", least, maxTableEntries)
 			}
 			if r.err != nil {
 				return r.err
 			}
 		}
 	case sectionMemory:
-		for range count("memories", mostMemories) {
+		for range count("memories", maxMemories) {
 			least := r.limits()
 			if most := uint64(b.Memory) / pageSize; r.err == nil && least > most {
-				return &plugin.Failure{Kind: plugin.Unloadable, Text: fmt.Sprintf(
+				return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(
 					"it asks for %d KiB of memory (its budget is %d KiB)", least*pageSize>>10, b.Memory>>10)}
 			}
 		}
 	case sectionCode:
-		return functions(r, count("functions", mostFunctions))
+		return checkLocals(r, count("functions", maxFunctions))
 	}
 	return r.err
 }
 
-// functions looks at the locals of each function.
-func functions(r *reader, n uint32) error {
+// checkLocals looks at the locals of each function.
+func checkLocals(r *reader, n uint32) error {
 	for i := uint32(0); i < n && r.err == nil; i++ {
 		size := r.uint("size of a function")
 		if r.err == nil && int64(size) > int64(r.left()) {
-			return bad("byte %d: function %d is cut off", r.at, i)
+			return notLoadable("byte %d: function %d is cut off", r.at, i)
 		}
 		end := r.at + int(size)
 		total := uint64(0)
@@ -121,20 +121,20 @@
 			if r.err != nil {
 				return r.err
 			}
-			if total > mostLocals {
-				return bad("function %d has more than %d locals", i, mostLocals)
+			if total > maxLocals {
+				return notLoadable("function %d has more than %d locals", i, maxLocals)
 			}
 		}
 		if r.err == nil && r.at > end {
-			return bad("byte %d: the locals of function %d are longer than it", r.at, i)
+			return notLoadable("byte %d: the locals of function %d are longer than it", r.at, i)
 		}
 		r.at = end
 	}
 	return r.err
 }
 
-func bad(format string, args ...any) error {
-	return &plugin.Failure{Kind: plugin.Unloadable, Text: fmt.Sprintf(format, args...)}
+func notLoadable(format string, args ...any) error {
+	return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(format, args...)}
 }
 
 // reader reads the numbers of a module. After an error it gives zeros.
@@ -151,7 +151,7 @@
 		return 0
 	}
 	if r.left() < 1 {
-		r.err = bad("byte %d: the module is cut off", r.at)
+		r.err = notLoadable("byte %d: the module is cut off", r.at)
 		return 0
 	}
 	r.at++
@@ -172,7 +172,7 @@
 			return 0
 		}
 		if shift >= bits || shift+7 > bits && c&0x7f>>(bits-shift) != 0 {
-			r.err = bad("byte %d: %s: a number is too large", r.at, what)
+			r.err = notLoadable("byte %d: %s: a number is too large", r.at, what)
 			return 0
 		}
 		n |= uint64(c&0x7f) << shift
--- a/internal/plugin/wasm/engine.go
+++ b/internal/plugin/wasm/engine.go
@@ -27,12 +27,12 @@
 // Name implements plugin.Engine.
 func (Engine) Name() string { return "wasm" }
 
-// Ending implements plugin.Engine.
-func (Engine) Ending() string { return ".wasm" }
+// FileExtension implements plugin.Engine.
+func (Engine) FileExtension() string { return ".wasm" }
 
 // Load implements plugin.Engine. Each hook has a runtime of its own: nothing of one reaches another.
 func (Engine) Load(name string, code []byte, b plugin.Budget) (plugin.Hook, error) {
-	if err := check(code, b); err != nil {
+	if err := checkModule(code, b); err != nil {
 		return nil, err
 	}
 	h := &hook{name: name, budget: b}
@@ -51,59 +51,59 @@
 	points plugin.Points
 	draft  plugin.Draft
 
-	rt     wazero.Runtime
-	module wazero.CompiledModule
-	now    *instance // nil where the last one was thrown away
-	watch  plugin.Watch
-	meter  meter
+	runtime  wazero.Runtime
+	module   wazero.CompiledModule
+	instance *instance // nil where the last one was thrown away
+	guard    plugin.InterruptGuard
+	counter  callCounter
 }
 
 // instance is a module with a memory of its own.
 type instance struct {
-	m      api.Module
-	memory api.Memory
-	room   api.Function
-	calls  [len(exports)]api.Function
-	at     uint32 // the room that the module has given
-	size   int
-	stack  [1]uint64
-	stop   func() // has the call that runs end
+	module        api.Module
+	memory        api.Memory
+	allocate      api.Function
+	calls         [len(exports)]api.Function
+	bufferAddress uint32 // the room that the module has given
+	bufferSize    int
+	stack         [1]uint64
+	stop          func() // has the call that runs end
 }
 
 func (h *hook) load(code []byte) error {
 	ctx := context.Background()
-	if h.metered() {
-		ctx = experimental.WithFunctionListenerFactory(ctx, &h.meter)
+	if h.countsCalls() {
+		ctx = experimental.WithFunctionListenerFactory(ctx, &h.counter)
 	}
-	h.meter.depthMost, h.meter.stepsMost = h.budget.Depth, h.budget.Steps
-	h.rt = wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfigCompiler().
+	h.counter.maxDepth, h.counter.maxSteps = h.budget.Depth, h.budget.Steps
+	h.runtime = wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfigCompiler().
 		WithCloseOnContextDone(true). // what makes loops look whether they were interrupted
 		WithMemoryLimitPages(uint32(max(1, h.budget.Memory/pageSize))).
 		WithDebugInfoEnabled(false))
 	var err error
-	if h.module, err = h.rt.CompileModule(ctx, code); err != nil {
-		return bad("%s", plain(err))
+	if h.module, err = h.runtime.CompileModule(ctx, code); err != nil {
+		return notLoadable("%s", errorText(err))
 	}
-	if err := h.checkNames(); err != nil {
+	if err := h.checkSignatures(); err != nil {
 		return err
 	}
-	if err := h.hostWords(ctx, h.rt); err != nil {
-		return bad("%s", plain(err))
+	if err := h.exportHostFunctions(ctx, h.runtime); err != nil {
+		return notLoadable("%s", errorText(err))
 	}
-	if h.needs(wasiModule) {
-		if _, err := wasi_snapshot_preview1.Instantiate(ctx, h.rt); err != nil {
-			return bad("%s", plain(err))
+	if h.imports(wasiModule) {
+		if _, err := wasi_snapshot_preview1.Instantiate(ctx, h.runtime); err != nil {
+			return notLoadable("%s", errorText(err))
 		}
 	}
 	var v plugin.Verdict
 	h.draft.Begin(plugin.Load, &v)
-	return h.renew()
+	return h.newInstance()
 }
 
-// metered reports whether calls of functions are counted. It costs each of them a fifth of a microsecond.
-func (h *hook) metered() bool { return h.budget.Depth > 0 || h.budget.Steps > 0 }
+// countsCalls reports whether calls of functions are counted. It costs each of them a fifth of a microsecond.
+func (h *hook) countsCalls() bool { return h.budget.Depth > 0 || h.budget.Steps > 0 }
 
-func (h *hook) needs(module string) bool {
+func (h *hook) imports(module string) bool {
 	for _, f := range h.module.ImportedFunctions() {
 		if from, _, _ := f.Import(); from == module {
 			return true
@@ -112,35 +112,35 @@
 	return false
 }
 
-// checkNames looks at what the module imports and exports.
-func (h *hook) checkNames() error {
+// checkSignatures looks at what the module imports and exports.
+func (h *hook) checkSignatures() error {
 	words := map[string]string{"log": "ii:", "tag": "ii:", "tenant": "ii:", "text": "ii:", "wait": "i:"}
 	for _, f := range h.module.ImportedFunctions() {
 		from, name, _ := f.Import()
 		switch want, known := words[name]; {
 		case from == wasiModule:
 		case from != hostModule || !known:
-			return bad("it imports %q of %q, which no router has", plugin.Plain(name, 40), plugin.Plain(from, 40))
-		case shape(f) != want:
-			return bad("it imports %s with a wrong shape (%s, wanted %s)", name, shape(f), want)
+			return notLoadable("it imports %q of %q, which no router has", plugin.Plain(name, 40), plugin.Plain(from, 40))
+		case signature(f) != want:
+			return notLoadable("it imports %s with a wrong shape (%s, wanted %s)", name, signature(f), want)
 		}
 	}
 	functions := h.module.ExportedFunctions()
 	has := func(name, want string) (bool, error) {
 		f := functions[name]
-		if f != nil && shape(f) != want {
-			return true, bad("its function %s has a wrong shape (%s, wanted %s)", name, shape(f), want)
+		if f != nil && signature(f) != want {
+			return true, notLoadable("its function %s has a wrong shape (%s, wanted %s)", name, signature(f), want)
 		}
 		return f != nil, nil
 	}
 	if found, err := has(exportVersion, ":i"); !found || err != nil {
-		return firstOf(err, bad("it does not export %s: it is no hook of this contract", exportVersion))
+		return firstOf(err, notLoadable("it does not export %s: it is no hook of this contract", exportVersion))
 	}
-	if found, err := has(exportRoom, "i:i"); !found || err != nil {
-		return firstOf(err, bad("it does not export %s", exportRoom))
+	if found, err := has(exportAllocate, "i:i"); !found || err != nil {
+		return firstOf(err, notLoadable("it does not export %s", exportAllocate))
 	}
 	if h.module.ExportedMemories()[exportMemory] == nil {
-		return bad("it does not export its memory")
+		return notLoadable("it does not export its memory")
 	}
 	for p, name := range exports {
 		want := "i:i"
@@ -156,13 +156,13 @@
 		}
 	}
 	if !h.points.Has(plugin.OnRequest) && !h.points.Has(plugin.Answered) && !h.points.Has(plugin.ListChanged) {
-		return bad("it exports none of on_request, on_answered and on_list")
+		return notLoadable("it exports none of on_request, on_answered and on_list")
 	}
 	return nil
 }
 
-// shape words a function's parameters and results, by the first letters of their kinds.
-func shape(f api.FunctionDefinition) string {
+// signature words a function's parameters and results, by the first letters of their kinds.
+func signature(f api.FunctionDefinition) string {
 	var b strings.Builder
 	kinds := func(types []api.ValueType) {
 		for _, t := range types {
@@ -188,44 +188,44 @@
 	return nil
 }
 
-// renew makes an instance and asks it at the point Load. It has LoadTime for that.
-func (h *hook) renew() error {
+// newInstance makes an instance and asks it at the point Load. It has LoadTime for that.
+func (h *hook) newInstance() error {
 	span := time.Duration(h.budget.LoadTime) * time.Microsecond
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
-	h.meter.begin(0)
-	m, err := h.rt.InstantiateModule(ctx, h.module, wazero.NewModuleConfig().WithName("").
+	h.counter.reset(0)
+	m, err := h.runtime.InstantiateModule(ctx, h.module, wazero.NewModuleConfig().WithName("").
 		WithStartFunctions("_initialize"))
 	if err != nil {
-		return h.failure(err, ctx)
+		return h.classify(err, ctx)
 	}
-	in := &instance{m: m, memory: m.ExportedMemory(exportMemory), room: m.ExportedFunction(exportRoom)}
-	in.stop = func() { m.CloseWithExitCode(context.Background(), interrupted) }
+	in := &instance{module: m, memory: m.ExportedMemory(exportMemory), allocate: m.ExportedFunction(exportAllocate)}
+	in.stop = func() { m.CloseWithExitCode(context.Background(), interruptedExitCode) }
 	for p, name := range exports {
 		in.calls[p] = m.ExportedFunction(name)
 	}
-	if err := h.greet(ctx, in); err != nil {
+	if err := h.initialize(ctx, in); err != nil {
 		m.Close(ctx)
 		return err
 	}
-	h.now = in
+	h.instance = in
 	return nil
 }
 
-// greet asks a new instance for its version, and at the point Load.
-func (h *hook) greet(ctx context.Context, in *instance) error {
-	h.meter.begin(0)
-	if err := in.m.ExportedFunction(exportVersion).CallWithStack(ctx, in.stack[:]); err != nil {
-		return h.failure(err, ctx)
+// initialize asks a new instance for its version, and at the point Load.
+func (h *hook) initialize(ctx context.Context, in *instance) error {
+	h.counter.reset(0)
+	if err := in.module.ExportedFunction(exportVersion).CallWithStack(ctx, in.stack[:]); err != nil {
+		return h.classify(err, ctx)
 	}
 	if v := int32(in.stack[0]); v != plugin.Version {
-		return &plugin.Failure{Kind: plugin.Alien, Text: fmt.Sprintf(
+		return &plugin.Failure{Kind: plugin.VersionMismatch, Text: fmt.Sprintf(
 			"it was built for version %d of the contract, and this router has version %d", v, plugin.Version)}
 	}
 	if h.points.Has(plugin.Load) {
-		h.meter.begin(0)
+		h.counter.reset(0)
 		if err := in.calls[plugin.Load].CallWithStack(ctx, in.stack[:]); err != nil {
-			return h.failure(err, ctx)
+			return h.classify(err, ctx)
 		}
 		if n := int32(in.stack[0]); n != 0 {
 			return &plugin.Failure{Kind: plugin.Crashed, Text: fmt.Sprintf("on_load gave %d", n)}
@@ -238,7 +238,7 @@
 func (h *hook) Points() plugin.Points { return h.points }
 
 // Interrupt implements plugin.Hook.
-func (h *hook) Interrupt() { h.watch.Interrupt() }
+func (h *hook) Interrupt() { h.guard.Interrupt() }
 
 // Call implements plugin.Hook.
 func (h *hook) Call(c *plugin.Call, v *plugin.Verdict) error {
@@ -246,102 +246,102 @@
 	if !h.points.Has(c.Point) {
 		return nil
 	}
-	if h.now == nil {
-		if err := h.renew(); err != nil {
-			h.draft.Broken()
+	if h.instance == nil {
+		if err := h.newInstance(); err != nil {
+			h.draft.Discard()
 			return err
 		}
 	}
-	err := h.call(h.now, c)
+	err := h.call(h.instance, c)
 	if err != nil {
-		h.draft.Broken()
-		h.drop()
+		h.draft.Discard()
+		h.closeInstance()
 	}
 	return err
 }
 
 func (h *hook) call(in *instance, c *plugin.Call) error {
 	ctx := context.Background()
-	h.watch.Begin(in.stop)
-	err := h.ask(ctx, in, c)
-	if h.watch.End() {
-		return &plugin.Failure{Kind: plugin.Overran, Text: "it was interrupted"}
+	h.guard.Begin(in.stop)
+	err := h.invoke(ctx, in, c)
+	if h.guard.End() {
+		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it was interrupted"}
 	}
 	return err
 }
 
-func (h *hook) ask(ctx context.Context, in *instance, c *plugin.Call) error {
-	h.meter.begin(h.budget.Steps)
+func (h *hook) invoke(ctx context.Context, in *instance, c *plugin.Call) error {
+	h.counter.reset(h.budget.Steps)
 	in.stack[0] = 0
 	if c.Point != plugin.Load && c.Point != plugin.Unload {
-		if err := h.hand(ctx, in, c); err != nil {
+		if err := h.passCall(ctx, in, c); err != nil {
 			return err
 		}
 	}
 	if err := in.calls[c.Point].CallWithStack(ctx, in.stack[:]); err != nil {
-		return h.failure(err, ctx)
+		return h.classify(err, ctx)
 	}
-	return h.draft.End(int64(int32(in.stack[0])))
+	return h.draft.Finish(int64(int32(in.stack[0])))
 }
 
-// hand writes a call into the instance's memory, and its address onto the stack.
-func (h *hook) hand(ctx context.Context, in *instance, c *plugin.Call) error {
-	if n := size(c); n > in.size {
+// passCall writes a call into the instance's memory, and its address onto the stack.
+func (h *hook) passCall(ctx context.Context, in *instance, c *plugin.Call) error {
+	if n := callBytes(c); n > in.bufferSize {
 		n = max(n, 512)
 		in.stack[0] = uint64(n)
-		if err := in.room.CallWithStack(ctx, in.stack[:]); err != nil {
-			return h.failure(err, ctx)
+		if err := in.allocate.CallWithStack(ctx, in.stack[:]); err != nil {
+			return h.classify(err, ctx)
 		}
-		in.at, in.size = uint32(in.stack[0]), n
+		in.bufferAddress, in.bufferSize = uint32(in.stack[0]), n
 	}
-	b, ok := in.memory.Read(in.at, uint32(in.size))
-	if !ok || in.at == 0 {
+	b, ok := in.memory.Read(in.bufferAddress, uint32(in.bufferSize))
+	if !ok || in.bufferAddress == 0 {
 		return &plugin.Failure{Kind: plugin.Crashed, Text: "hook_room gave a room that lies outside of its memory"}
 	}
-	write(b, in.at, c)
-	in.stack[0] = uint64(in.at)
+	writeCall(b, in.bufferAddress, c)
+	in.stack[0] = uint64(in.bufferAddress)
 	return nil
 }
 
-// drop throws the instance away.
+// closeInstance throws the instance away.
 //
 // The danger: after a trap its memory is halfway through something, and a verdict from it may be anything.
-func (h *hook) drop() {
-	if h.now != nil {
-		h.now.m.Close(context.Background())
-		h.now = nil
+func (h *hook) closeInstance() {
+	if h.instance != nil {
+		h.instance.module.Close(context.Background())
+		h.instance = nil
 	}
 }
 
 // Close implements plugin.Hook.
 func (h *hook) Close() {
-	h.drop()
-	if h.rt != nil {
-		h.rt.Close(context.Background())
+	h.closeInstance()
+	if h.runtime != nil {
+		h.runtime.Close(context.Background())
 	}
 }
 
-// interrupted is the exit code of an instance that was interrupted.
-const interrupted = 0xffff0001
+// interruptedExitCode is the exit code of an instance that was interrupted.
+const interruptedExitCode = 0xffff0001
 
-// failure words what an instance came to.
-func (h *hook) failure(err error, ctx context.Context) error {
+// classify words what an instance came to.
+func (h *hook) classify(err error, ctx context.Context) error {
 	var own *plugin.Failure
 	if errors.As(err, &own) {
 		return own
 	}
 	var exit *sys.ExitError
 	if errors.As(err, &exit) {
-		if ctx.Err() != nil || exit.ExitCode() == interrupted {
-			return &plugin.Failure{Kind: plugin.Overran, Text: "it was interrupted"}
+		if ctx.Err() != nil || exit.ExitCode() == interruptedExitCode {
+			return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it was interrupted"}
 		}
 		return &plugin.Failure{Kind: plugin.Crashed, Text: fmt.Sprintf("it ended itself with exit code %d", exit.ExitCode())}
 	}
-	return &plugin.Failure{Kind: plugin.Crashed, Text: plain(err)}
+	return &plugin.Failure{Kind: plugin.Crashed, Text: errorText(err)}
 }
 
-// plain is the first line of an engine's error.
-func plain(err error) string {
+// errorText is the first line of an engine's error.
+func errorText(err error) string {
 	text, _, _ := strings.Cut(err.Error(), "\n")
 	return plugin.Plain(text, 200)
 }
--- a/internal/plugin/wasm/wasm_test.go
+++ b/internal/plugin/wasm/wasm_test.go
@@ -173,7 +173,7 @@
 		"a table of 10000000 entries (wanted at most 65536)":     with(func(m *Module) { m.Table = 10_000_000 }),
 		"it asks for 65536 KiB of memory (its budget is 16384":   with(func(m *Module) { m.Pages = 1024 }),
 		"function 3 has more than 4096 locals":                   with(func(m *Module) { m.Func("", 0, 0, 50_000) }),
-		"a file of 8388609 bytes (wanted at most 8388608)":       make([]byte, plugin.MostCode+1),
+		"a file of 8388609 bytes (wanted at most 8388608)":       make([]byte, plugin.MaxCode+1),
 		"not a WebAssembly module of version 1":                  []byte("\x00asm\x0d\x00\x01\x00"),
 		"section 1 is cut off":                                   []byte("\x00asm\x01\x00\x00\x00\x01\x7f"),
 		"a number is too large":                                  []byte("\x00asm\x01\x00\x00\x00\x01\xff\xff\xff\xff\xff\x01"),
@@ -186,7 +186,7 @@
 			m.Import("env", "fd_open", 1, 1)
 			code = m.Bytes()
 		}
-		_, err := Engine{}.Load("x", code, plugin.Usual)
+		_, err := Engine{}.Load("x", code, plugin.DefaultBudget)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
@@ -199,7 +199,7 @@
 		m.Func("hook_version", 0, 1, 0, I32Const(1))
 		m.Func("hook_room", 1, 1, 0, I32Const(at))
 		m.Func("on_request", 1, 1, 0, pass)
-		h, err := Engine{}.Load("x", m.Bytes(), plugin.Usual)
+		h, err := Engine{}.Load("x", m.Bytes(), plugin.DefaultBudget)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -213,7 +213,7 @@
 
 func TestTextOutsideOfTheMemoryEndsTheCall(t *testing.T) {
 	for _, text := range [][2]int32{{-1, 4}, {2<<16 - 2, 4}, {0, -1}} {
-		h, err := Engine{}.Load("x", on("on_request", 0, say(wordTag, text[0], text[1]), pass), plugin.Usual)
+		h, err := Engine{}.Load("x", on("on_request", 0, say(wordTag, text[0], text[1]), pass), plugin.DefaultBudget)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -229,10 +229,10 @@
 	for _, name := range []string{"judge", "echo", "count", "looks", "pointless"} {
 		f.Add(hooks()[name])
 	}
-	b := plugin.Usual
+	b := plugin.DefaultBudget
 	b.Memory, b.LoadTime = 1<<20, 20_000
 	f.Fuzz(func(t *testing.T, code []byte) {
-		if len(code) > 4096 || check(code, b) != nil {
+		if len(code) > 4096 || checkModule(code, b) != nil {
 			return
 		}
 		h, err := Engine{}.Load("x", code, b)
--- a/internal/plugin/wasmfile/wasmfile.go
+++ b/internal/plugin/wasmfile/wasmfile.go
@@ -96,24 +96,24 @@
 	bodies  [][]byte
 	data    [][]byte
 
-	Pages     uint32 // of memory; 0 for none
-	PagesMost uint32 // 0 for no bound
-	Table     uint32 // entries; 0 for no table
-	Start     int    // the index of the start function; 0 for none
+	Pages    uint32 // of memory; 0 for none
+	MaxPages uint32 // 0 for no bound
+	Table    uint32 // entries; 0 for no table
+	Start    int    // the index of the start function; 0 for none
 }
 
 // Import adds a function of another module, with parameters and results of the kind I32, and gives its index. All imports
 // come before the first Func.
 func (m *Module) Import(from, name string, params, results int) uint32 {
 	b := append(text(from), text(name)...)
-	m.imports = append(m.imports, append(append(b, 0x00), m.kind(params, results)...))
+	m.imports = append(m.imports, append(append(b, 0x00), m.typeIndex(params, results)...))
 	return uint32(len(m.imports) - 1)
 }
 
 // Func adds a function, exported where it has a name, and gives its index. locals come after the parameters.
 func (m *Module) Func(name string, params, results int, locals uint32, body ...Code) uint32 {
 	i := uint32(len(m.imports) + len(m.funcs))
-	m.funcs = append(m.funcs, m.kind(params, results))
+	m.funcs = append(m.funcs, m.typeIndex(params, results))
 	if name != "" {
 		m.exports = append(m.exports, append(append(text(name), 0x00), unsigned(i)...))
 	}
@@ -157,8 +157,8 @@
 	}
 	if m.Pages > 0 {
 		limits := append([]byte{0x00}, unsigned(m.Pages)...)
-		if m.PagesMost > 0 {
-			limits = append(append([]byte{0x01}, unsigned(m.Pages)...), unsigned(m.PagesMost)...)
+		if m.MaxPages > 0 {
+			limits = append(append([]byte{0x01}, unsigned(m.Pages)...), unsigned(m.MaxPages)...)
 		}
 		section(5, [][]byte{limits})
 		exports = append(exports, append(text("memory"), 0x02, 0x00))
@@ -172,8 +172,8 @@
 	return out
 }
 
-// kind is the index of a type of function, which is added where there is none like it.
-func (m *Module) kind(params, results int) []byte {
+// typeIndex is the index of a type of function, which is added where there is none like it.
+func (m *Module) typeIndex(params, results int) []byte {
 	t := []byte{0x60}
 	for _, n := range []int{params, results} {
 		t = append(t, unsigned(uint32(n))...)
--- a/internal/plugin/wire/wire.go
+++ b/internal/plugin/wire/wire.go
@@ -17,62 +17,62 @@
 
 // Kinds of frames.
 const (
-	KindLoad    = 1
-	KindCall    = 2
-	KindLoaded  = 3
-	KindRefused = 4
-	KindReply   = 5
+	KindLoad       = 1
+	KindCall       = 2
+	KindLoaded     = 3
+	KindLoadFailed = 4
+	KindReply      = 5
 )
 
 // Bounds of frames, without the length.
 const (
-	MostToWorker = plugin.MostCode + 4096
-	MostToRouter = 16 << 10
+	MaxFrameToWorker = plugin.MaxCode + 4096
+	MaxFrameToRouter = 16 << 10
 )
 
-const head = 4
+const lengthSize = 4
 
 // Errors of frames.
 var (
-	ErrLong = errors.New("wire: a frame is too long")
-	ErrForm = errors.New("wire: a frame is malformed")
+	ErrFrameTooLong   = errors.New("wire: a frame is too long")
+	ErrMalformedFrame = errors.New("wire: a frame is malformed")
 )
 
 // Next takes the first whole frame off b. kind is 0 where there is none yet.
 func Next(b []byte, most int) (kind byte, body, rest []byte, err error) {
-	if len(b) < head {
+	if len(b) < lengthSize {
 		return 0, nil, b, nil
 	}
 	n := binary.LittleEndian.Uint32(b)
 	switch {
 	case n == 0:
-		return 0, nil, b, ErrForm
+		return 0, nil, b, ErrMalformedFrame
 	case uint64(n) > uint64(most):
-		return 0, nil, b, ErrLong
-	case uint64(len(b)-head) < uint64(n):
+		return 0, nil, b, ErrFrameTooLong
+	case uint64(len(b)-lengthSize) < uint64(n):
 		return 0, nil, b, nil
 	}
-	end := head + int(n)
-	return b[head], b[head+1 : end], b[end:], nil
+	end := lengthSize + int(n)
+	return b[lengthSize], b[lengthSize+1 : end], b[end:], nil
 }
 
 // Missing is how many bytes are at least missing from the first frame of b, 0 where it is whole.
 func Missing(b []byte) int {
-	if len(b) < head {
-		return head - len(b)
+	if len(b) < lengthSize {
+		return lengthSize - len(b)
 	}
 	n := int64(binary.LittleEndian.Uint32(b))
-	return int(max(0, head+n-int64(len(b))))
+	return int(max(0, lengthSize+n-int64(len(b))))
 }
 
-// begin and end put a frame round what is appended between them.
-func begin(b []byte, kind byte) ([]byte, int) {
+// beginFrame and end put a frame round what is appended between them.
+func beginFrame(b []byte, kind byte) ([]byte, int) {
 	at := len(b)
 	return append(b, 0, 0, 0, 0, kind), at
 }
 
-func end(b []byte, at int) []byte {
-	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-head))
+func endFrame(b []byte, at int) []byte {
+	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-lengthSize))
 	return b
 }
 
@@ -86,34 +86,34 @@
 
 // AppendLoad appends a frame.
 func AppendLoad(b []byte, l *Load) []byte {
-	b, at := begin(b, KindLoad)
+	b, at := beginFrame(b, KindLoad)
 	b = appendText(b, l.Name)
 	b = appendText(b, l.Engine)
-	for _, n := range budget(&l.Budget) {
+	for _, n := range budgetFields(&l.Budget) {
 		b = binary.AppendUvarint(b, uint64(max(0, *n.get())))
 	}
 	b = appendText(b, l.Code)
-	return end(b, at)
+	return endFrame(b, at)
 }
 
 // ParseLoad reads a frame's body, on which the code lies afterwards.
 func ParseLoad(body []byte) (Load, error) {
 	r := reader{b: body}
-	l := Load{Name: string(r.text(plugin.MostText)), Engine: string(r.text(plugin.MostText))}
-	for _, n := range budget(&l.Budget) {
+	l := Load{Name: string(r.text(plugin.MaxText)), Engine: string(r.text(plugin.MaxText))}
+	for _, n := range budgetFields(&l.Budget) {
 		n.set(r.number())
 	}
-	l.Code = r.text(plugin.MostCode)
+	l.Code = r.text(plugin.MaxCode)
 	return l, r.end()
 }
 
-// field is one figure of a budget.
-type field struct {
+// budgetField is one figure of a budget.
+type budgetField struct {
 	wide   *int64
 	narrow *int
 }
 
-func (f field) get() *int64 {
+func (f budgetField) get() *int64 {
 	if f.wide != nil {
 		return f.wide
 	}
@@ -121,7 +121,7 @@
 	return &n
 }
 
-func (f field) set(n int64) {
+func (f budgetField) set(n int64) {
 	if f.wide != nil {
 		*f.wide = n
 	} else {
@@ -129,23 +129,23 @@
 	}
 }
 
-func budget(b *plugin.Budget) []field {
-	return []field{{wide: &b.Time}, {wide: &b.LoadTime}, {wide: &b.Steps}, {narrow: &b.Depth}, {wide: &b.Memory},
-		{narrow: &b.Lines}, {narrow: &b.LineSize}}
+func budgetFields(b *plugin.Budget) []budgetField {
+	return []budgetField{{wide: &b.Time}, {wide: &b.LoadTime}, {wide: &b.Steps}, {narrow: &b.Depth}, {wide: &b.Memory},
+		{narrow: &b.LogLines}, {narrow: &b.LogLineSize}}
 }
 
 // AppendCall appends a frame. Texts are cut to what the contract hands over.
 func AppendCall(b []byte, seq uint64, c *plugin.Call) []byte {
-	b, at := begin(b, KindCall)
+	b, at := beginFrame(b, KindCall)
 	b = binary.AppendUvarint(b, seq)
 	b = append(b, byte(c.Point))
 	b = appendNumber(b, c.Now)
 	switch c.Point {
 	case plugin.OnRequest, plugin.Answered:
-		b = appendText(b, cut(c.Verb))
-		b = appendText(b, cut(c.Class))
-		b = appendText(b, cut(c.Tenant))
-		b = appendText(b, cut(c.Key))
+		b = appendText(b, truncate(c.Verb))
+		b = appendText(b, truncate(c.Class))
+		b = appendText(b, truncate(c.Tenant))
+		b = appendText(b, truncate(c.Key))
 		b = appendNumber(b, int64(c.Size))
 		if c.Point == plugin.Answered {
 			b = append(b, byte(c.Outcome))
@@ -157,13 +157,13 @@
 			b = append(b, 0)
 		} else {
 			b = append(b, 1)
-			b = appendText(b, c.Value[:min(len(c.Value), plugin.MostValue)])
+			b = appendText(b, c.Value[:min(len(c.Value), plugin.MaxValue)])
 		}
 	case plugin.ListChanged:
 		b = appendNumber(b, int64(c.Caches))
-		b = appendNumber(b, int64(c.TakeWork))
+		b = appendNumber(b, int64(c.ServingCaches))
 	}
-	return end(b, at)
+	return endFrame(b, at)
 }
 
 // ParseCall reads a frame's body. The call's value lies on it.
@@ -176,15 +176,15 @@
 	c.Now = r.number()
 	switch c.Point {
 	case plugin.OnRequest, plugin.Answered:
-		c.Verb = r.again(old.Verb)
-		c.Class = r.again(old.Class)
-		c.Tenant = r.again(old.Tenant)
-		c.Key = r.again(old.Key)
-		c.Size = r.small()
+		c.Verb = r.textOrSame(old.Verb)
+		c.Class = r.textOrSame(old.Class)
+		c.Tenant = r.textOrSame(old.Tenant)
+		c.Key = r.textOrSame(old.Key)
+		c.Size = r.int()
 		if c.Point == plugin.Answered {
 			c.Outcome = plugin.Outcome(r.byte())
 			c.Took = r.number()
-			if c.Outcome > plugin.WasFailed {
+			if c.Outcome > plugin.OutcomeFailed {
 				r.bad = true
 			}
 			break
@@ -193,7 +193,7 @@
 		switch r.byte() {
 		case 0:
 		case 1:
-			c.Value = r.text(plugin.MostValue)
+			c.Value = r.text(plugin.MaxValue)
 			if c.Value == nil {
 				c.Value = []byte{}
 			}
@@ -201,8 +201,8 @@
 			r.bad = true
 		}
 	case plugin.ListChanged:
-		c.Caches = r.small()
-		c.TakeWork = r.small()
+		c.Caches = r.int()
+		c.ServingCaches = r.int()
 	case plugin.Unload:
 	default:
 		r.bad = true
@@ -212,55 +212,55 @@
 
 // AppendLoaded appends a frame.
 func AppendLoaded(b []byte, p plugin.Points) []byte {
-	b, at := begin(b, KindLoaded)
-	return end(append(b, byte(p)), at)
+	b, at := beginFrame(b, KindLoaded)
+	return endFrame(append(b, byte(p)), at)
 }
 
 // ParseLoaded reads a frame's body.
 func ParseLoaded(body []byte) (plugin.Points, error) {
 	if len(body) != 1 {
-		return 0, ErrForm
+		return 0, ErrMalformedFrame
 	}
 	return plugin.Points(body[0]), nil
 }
 
-// AppendRefused appends a frame.
-func AppendRefused(b []byte, f *plugin.Failure) []byte {
-	b, at := begin(b, KindRefused)
+// AppendLoadFailed appends a frame.
+func AppendLoadFailed(b []byte, f *plugin.Failure) []byte {
+	b, at := beginFrame(b, KindLoadFailed)
 	b = append(b, byte(f.Kind))
-	return end(appendText(b, plugin.Plain(f.Text, plugin.MostLine)), at)
+	return endFrame(appendText(b, plugin.Plain(f.Text, plugin.MaxLogLine)), at)
 }
 
-// ParseRefused reads a frame's body.
-func ParseRefused(body []byte) (*plugin.Failure, error) {
+// ParseLoadFailed reads a frame's body.
+func ParseLoadFailed(body []byte) (*plugin.Failure, error) {
 	r := reader{b: body}
-	f := &plugin.Failure{Kind: plugin.Kind(r.byte())}
-	f.Text = plugin.Plain(string(r.text(plugin.MostLine)), plugin.MostLine)
+	f := &plugin.Failure{Kind: plugin.FailureKind(r.byte())}
+	f.Text = plugin.Plain(string(r.text(plugin.MaxLogLine)), plugin.MaxLogLine)
 	return f, r.end()
 }
 
 // Reply is the answer to a call.
 type Reply struct {
-	Seq     uint64
-	Spent   plugin.Time
-	Failed  bool // then Kind and Text say why, and Verdict has lines alone
-	Kind    plugin.Kind
-	Text    string
-	Verdict plugin.Verdict
+	Sequence uint64
+	RunTime  plugin.Time
+	Failed   bool // then Kind and Text say why, and Verdict has lines alone
+	Kind     plugin.FailureKind
+	Text     string
+	Verdict  plugin.Verdict
 }
 
 // AppendReply appends a frame.
 func AppendReply(b []byte, r *Reply) []byte {
-	b, at := begin(b, KindReply)
-	b = binary.AppendUvarint(b, r.Seq)
-	b = appendNumber(b, r.Spent)
+	b, at := beginFrame(b, KindReply)
+	b = binary.AppendUvarint(b, r.Sequence)
+	b = appendNumber(b, r.RunTime)
 	v := &r.Verdict
 	if r.Failed {
 		b = append(b, 1, byte(r.Kind))
-		b = appendText(b, plugin.Plain(r.Text, plugin.MostLine))
+		b = appendText(b, plugin.Plain(r.Text, plugin.MaxLogLine))
 	} else {
-		b = append(b, 0, byte(v.Say))
-		b = appendNumber(b, v.Wait)
+		b = append(b, 0, byte(v.Decision))
+		b = appendNumber(b, v.RetryAfter)
 		b = appendText(b, v.Text)
 		b = appendText(b, v.Tenant)
 		b = binary.AppendUvarint(b, uint64(len(v.Tags)))
@@ -272,7 +272,7 @@
 	for _, line := range v.Log {
 		b = appendText(b, line)
 	}
-	return end(b, at)
+	return endFrame(b, at)
 }
 
 // ParseReply reads a frame's body, and looks at the verdict as if a hook itself had written it: a worker that was
@@ -281,41 +281,41 @@
 	r := reader{b: body}
 	v := &p.Verdict
 	v.Reset()
-	*p = Reply{Seq: uint64(r.number()), Verdict: *v}
+	*p = Reply{Sequence: uint64(r.number()), Verdict: *v}
 	v = &p.Verdict
-	p.Spent = r.number()
-	d := plugin.Draft{Point: plugin.OnRequest, Budget: plugin.Budget{Lines: plugin.MostLines, LineSize: plugin.MostLine}}
+	p.RunTime = r.number()
+	d := plugin.Draft{Point: plugin.OnRequest, Budget: plugin.Budget{LogLines: plugin.MaxLogLines, LogLineSize: plugin.MaxLogLine}}
 	d.Begin(plugin.OnRequest, v)
 	check := func(err error) { r.bad = r.bad || err != nil }
 	say := int64(0)
 	switch r.byte() {
 	case 0:
 		say = int64(r.byte())
-		check(d.Wait(r.number()))
-		if text := r.text(plugin.MostText); len(text) > 0 {
-			check(d.Text(string(text)))
+		check(d.SetRetryAfter(r.number()))
+		if text := r.text(plugin.MaxText); len(text) > 0 {
+			check(d.SetText(string(text)))
 		}
-		if tenant := r.text(plugin.MostText); len(tenant) > 0 {
-			check(d.Tenant(string(tenant)))
+		if tenant := r.text(plugin.MaxText); len(tenant) > 0 {
+			check(d.SetTenant(string(tenant)))
 		}
-		for range r.count(plugin.MostTags) {
-			check(d.Tag(string(r.text(plugin.MostTag))))
+		for range r.count(plugin.MaxTags) {
+			check(d.AddTag(string(r.text(plugin.MaxTag))))
 		}
 	case 1:
 		p.Failed = true
-		p.Kind = plugin.Kind(r.byte())
-		p.Text = plugin.Plain(string(r.text(plugin.MostLine)), plugin.MostLine)
+		p.Kind = plugin.FailureKind(r.byte())
+		p.Text = plugin.Plain(string(r.text(plugin.MaxLogLine)), plugin.MaxLogLine)
 	default:
 		r.bad = true
 	}
-	for range r.count(plugin.MostLines) {
-		d.Log(string(r.text(plugin.MostLine)))
+	for range r.count(plugin.MaxLogLines) {
+		d.Log(string(r.text(plugin.MaxLogLine)))
 	}
-	check(d.End(say))
+	check(d.Finish(say))
 	return r.end()
 }
 
-func cut(s string) string { return s[:min(len(s), plugin.MostString)] }
+func truncate(s string) string { return s[:min(len(s), plugin.MaxString)] }
 
 func appendText[T string | []byte](b []byte, s T) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
@@ -353,7 +353,7 @@
 	return int64(n)
 }
 
-func (r *reader) small() int { return r.count(math.MaxInt32) }
+func (r *reader) int() int { return r.count(math.MaxInt32) }
 
 // count reads a number that may not be above most.
 func (r *reader) count(most int) int {
@@ -376,9 +376,9 @@
 	return s
 }
 
-// again reads a text, and takes the old one where it is the same.
-func (r *reader) again(old string) string {
-	if s := r.text(plugin.MostString); string(s) != old {
+// textOrSame reads a text, and takes the old one where it is the same.
+func (r *reader) textOrSame(old string) string {
+	if s := r.text(plugin.MaxString); string(s) != old {
 		return string(s)
 	}
 	return old
@@ -386,7 +386,7 @@
 
 func (r *reader) end() error {
 	if r.bad || len(r.b) > 0 {
-		return ErrForm
+		return ErrMalformedFrame
 	}
 	return nil
 }
--- a/internal/plugin/wire/wire_test.go
+++ b/internal/plugin/wire/wire_test.go
@@ -11,7 +11,7 @@
 // body takes the one frame out of b.
 func body(t *testing.T, b []byte, kind byte) []byte {
 	t.Helper()
-	got, body, rest, err := Next(b, MostToWorker)
+	got, body, rest, err := Next(b, MaxFrameToWorker)
 	if err != nil || got != kind || len(rest) > 0 {
 		t.Fatalf("frame of kind %d with %d bytes after it, %v; want kind %d alone", got, len(rest), err, kind)
 	}
@@ -19,15 +19,15 @@
 }
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
-	load := Load{Name: "club", Engine: "wasm", Budget: plugin.Usual, Code: []byte("code")}
+	load := Load{Name: "club", Engine: "wasm", Budget: plugin.DefaultBudget, Code: []byte("code")}
 	if got, err := ParseLoad(body(t, AppendLoad(nil, &load), KindLoad)); err != nil || !reflect.DeepEqual(got, load) {
 		t.Errorf("load %+v, %v", got, err)
 	}
 	for _, c := range []plugin.Call{
 		{Point: plugin.OnRequest, Now: 9, Verb: "C.SET", Class: "put", Tenant: "a", Key: "k", Size: 3, TimeLeft: 5},
 		{Point: plugin.OnRequest, Value: []byte("abc")}, {Point: plugin.OnRequest, Value: []byte{}},
-		{Point: plugin.Answered, Verb: "C.GET", Class: "read", Outcome: plugin.WasFailed, Took: 77},
-		{Point: plugin.ListChanged, Caches: 12, TakeWork: 11}, {Point: plugin.Unload},
+		{Point: plugin.Answered, Verb: "C.GET", Class: "read", Outcome: plugin.OutcomeFailed, Took: 77},
+		{Point: plugin.ListChanged, Caches: 12, ServingCaches: 11}, {Point: plugin.Unload},
 	} {
 		var got plugin.Call
 		if seq, err := ParseCall(body(t, AppendCall(nil, 41, &c), KindCall), &got); err != nil || seq != 41 || !reflect.DeepEqual(got, c) {
@@ -35,18 +35,18 @@
 		}
 	}
 	for _, r := range []Reply{
-		{Seq: 1, Spent: 3},
-		{Seq: 2, Verdict: plugin.Verdict{Say: plugin.Refuse, Wait: 250_000, Tags: []string{"club"}, Log: []string{"a", "b"}}},
-		{Seq: 3, Verdict: plugin.Verdict{Say: plugin.Fail, Text: "no such call", Tenant: "guests"}},
-		{Seq: 4, Failed: true, Kind: plugin.Overran, Text: "it was interrupted", Verdict: plugin.Verdict{Log: []string{"x"}}},
+		{Sequence: 1, RunTime: 3},
+		{Sequence: 2, Verdict: plugin.Verdict{Decision: plugin.Reject, RetryAfter: 250_000, Tags: []string{"club"}, Log: []string{"a", "b"}}},
+		{Sequence: 3, Verdict: plugin.Verdict{Decision: plugin.Fail, Text: "no such call", Tenant: "guests"}},
+		{Sequence: 4, Failed: true, Kind: plugin.BudgetExceeded, Text: "it was interrupted", Verdict: plugin.Verdict{Log: []string{"x"}}},
 	} {
 		var got Reply
 		if err := ParseReply(body(t, AppendReply(nil, &r), KindReply), &got); err != nil || !same(got, r) {
 			t.Errorf("reply %+v, %v; want %+v", got, err, r)
 		}
 	}
-	f := plugin.Failure{Kind: plugin.Alien, Text: "it was built for version 2"}
-	if got, err := ParseRefused(body(t, AppendRefused(nil, &f), KindRefused)); err != nil || *got != f {
+	f := plugin.Failure{Kind: plugin.VersionMismatch, Text: "it was built for version 2"}
+	if got, err := ParseLoadFailed(body(t, AppendLoadFailed(nil, &f), KindLoadFailed)); err != nil || *got != f {
 		t.Errorf("refused %+v, %v", got, err)
 	}
 	if got, err := ParseLoaded(body(t, AppendLoaded(nil, 6), KindLoaded)); err != nil || got != 6 {
@@ -59,27 +59,27 @@
 	list := func(s []string) string { return strings.Join(s, "\n") }
 	av, bv := a.Verdict, b.Verdict
 	a.Verdict, b.Verdict = plugin.Verdict{}, plugin.Verdict{}
-	return reflect.DeepEqual(a, b) && av.Say == bv.Say && av.Wait == bv.Wait && av.Text == bv.Text &&
+	return reflect.DeepEqual(a, b) && av.Decision == bv.Decision && av.RetryAfter == bv.RetryAfter && av.Text == bv.Text &&
 		av.Tenant == bv.Tenant && list(av.Tags) == list(bv.Tags) && list(av.Log) == list(bv.Log)
 }
 
 func TestWorkerThatWasTakenOverCanNotSayMoreThanAHook(t *testing.T) {
 	for what, v := range map[string]plugin.Verdict{ // any order
-		"say":    {Say: 9},
-		"wait":   {Say: plugin.Refuse, Wait: plugin.MostWait + 1000},
+		"say":    {Decision: 9},
+		"wait":   {Decision: plugin.Reject, RetryAfter: plugin.MaxRetryAfter + 1000},
 		"tag":    {Tags: []string{"a b"}},
 		"tenant": {Tenant: "a\r\nb"},
-		"text":   {Say: plugin.Fail, Text: strings.Repeat("x", plugin.MostText+1)},
+		"text":   {Decision: plugin.Fail, Text: strings.Repeat("x", plugin.MaxText+1)},
 		"tags":   {Tags: strings.Split("a b c d e f g h i", " ")},
-		"lines":  {Log: make([]string, plugin.MostLines+1)},
-		"line":   {Log: []string{strings.Repeat("x", plugin.MostLine+1)}},
+		"lines":  {Log: make([]string, plugin.MaxLogLines+1)},
+		"line":   {Log: []string{strings.Repeat("x", plugin.MaxLogLine+1)}},
 	} {
-		if err := ParseReply(body(t, AppendReply(nil, &Reply{Verdict: v}), KindReply), &Reply{}); err != ErrForm {
+		if err := ParseReply(body(t, AppendReply(nil, &Reply{Verdict: v}), KindReply), &Reply{}); err != ErrMalformedFrame {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	var got Reply
-	r := Reply{Verdict: plugin.Verdict{Say: plugin.Fail, Text: "a\r\n-OK\x1b[2J", Log: []string{"a\nb"}}}
+	r := Reply{Verdict: plugin.Verdict{Decision: plugin.Fail, Text: "a\r\n-OK\x1b[2J", Log: []string{"a\nb"}}}
 	if err := ParseReply(body(t, AppendReply(nil, &r), KindReply), &got); err != nil {
 		t.Fatal(err)
 	}
@@ -90,13 +90,13 @@
 
 func TestFramesThatAreTooLongOrEmptyAreErrors(t *testing.T) {
 	for _, b := range []string{"\x00\x00\x00\x00", "\xff\xff\xff\xff\x05"} {
-		if _, _, _, err := Next([]byte(b), MostToRouter); err == nil {
+		if _, _, _, err := Next([]byte(b), MaxFrameToRouter); err == nil {
 			t.Errorf("%q is taken", b)
 		}
 	}
 	whole := AppendCall(nil, 1, &plugin.Call{Point: plugin.Unload})
 	for n := range whole {
-		if kind, _, rest, err := Next(whole[:n], MostToWorker); kind != 0 || err != nil || len(rest) != n {
+		if kind, _, rest, err := Next(whole[:n], MaxFrameToWorker); kind != 0 || err != nil || len(rest) != n {
 			t.Errorf("%d bytes of %d: kind %d, %v", n, len(whole), kind, err)
 		}
 		if m := Missing(whole[:n]); m < 1 || n+m > len(whole) {
@@ -106,7 +106,7 @@
 }
 
 func TestReadingAPassAllocatesNothing(t *testing.T) {
-	b := body(t, AppendReply(nil, &Reply{Seq: 9, Spent: 1}), KindReply)
+	b := body(t, AppendReply(nil, &Reply{Sequence: 9, RunTime: 1}), KindReply)
 	var p Reply
 	if n := testing.AllocsPerRun(100, func() { ParseReply(b, &p) }); n > 0 {
 		t.Errorf("%v allocations", n)
@@ -114,11 +114,11 @@
 }
 
 func FuzzReply(f *testing.F) {
-	f.Add(AppendReply(nil, &Reply{Seq: 2, Verdict: plugin.Verdict{Say: plugin.Refuse, Wait: 1, Tags: []string{"club"}, Log: []string{"a"}}}))
+	f.Add(AppendReply(nil, &Reply{Sequence: 2, Verdict: plugin.Verdict{Decision: plugin.Reject, RetryAfter: 1, Tags: []string{"club"}, Log: []string{"a"}}}))
 	f.Add(AppendReply(nil, &Reply{Failed: true, Text: "x"}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for {
-			kind, body, rest, err := Next(b, MostToRouter)
+			kind, body, rest, err := Next(b, MaxFrameToRouter)
 			if kind == 0 || err != nil {
 				return
 			}
--- a/internal/plugin/worker/client.go
+++ b/internal/plugin/worker/client.go
@@ -16,11 +16,11 @@
 // Client asks a worker process one call after the other, and waits. It is for the tools of authors; a router never waits
 // for a worker.
 type Client struct {
-	cmd  *exec.Cmd
-	conn *os.File
-	in   []byte
-	seq  uint64
-	most time.Duration // beyond a call's budget
+	cmd          *exec.Cmd
+	conn         *os.File
+	received     []byte
+	lastSequence uint64
+	grace        time.Duration // beyond a call's budget
 }
 
 // NewClient starts a worker process: the program's own, with the arguments that have it run Main.
@@ -39,7 +39,7 @@
 		near.Close()
 		return nil, err
 	}
-	return &Client{cmd: cmd, conn: near, most: 10 * time.Millisecond}, nil
+	return &Client{cmd: cmd, conn: near, grace: 10 * time.Millisecond}, nil
 }
 
 // Pid is the worker's process.
@@ -47,33 +47,33 @@
 
 // Load loads a hook. The error is a *plugin.Failure, but for what is wrong with the worker.
 func (c *Client) Load(l wire.Load) (plugin.Points, error) {
-	kind, body, err := c.ask(wire.AppendLoad(nil, &l), l.Budget.LoadTime+5_000_000)
+	kind, body, err := c.exchange(wire.AppendLoad(nil, &l), l.Budget.LoadTime+5_000_000)
 	if err != nil {
 		return 0, err
 	}
 	switch kind {
 	case wire.KindLoaded:
 		return wire.ParseLoaded(body)
-	case wire.KindRefused:
-		f, err := wire.ParseRefused(body)
+	case wire.KindLoadFailed:
+		f, err := wire.ParseLoadFailed(body)
 		if err != nil {
 			return 0, err
 		}
 		return 0, f
 	}
-	return 0, wire.ErrForm
+	return 0, wire.ErrMalformedFrame
 }
 
-// Ask asks it, with that budget of time.
-func (c *Client) Ask(call *plugin.Call, budget plugin.Time) (wire.Reply, error) {
-	c.seq++
-	kind, body, err := c.ask(wire.AppendCall(nil, c.seq, call), budget)
+// Call asks it, with that budget of time.
+func (c *Client) Call(call *plugin.Call, budget plugin.Time) (wire.Reply, error) {
+	c.lastSequence++
+	kind, body, err := c.exchange(wire.AppendCall(nil, c.lastSequence, call), budget)
 	if err != nil {
 		return wire.Reply{}, err
 	}
 	var r wire.Reply
 	if kind != wire.KindReply {
-		return r, wire.ErrForm
+		return r, wire.ErrMalformedFrame
 	}
 	if err := wire.ParseReply(body, &r); err != nil {
 		return r, err
@@ -84,37 +84,37 @@
 	return r, nil
 }
 
-// ask sends a frame and waits for one.
-func (c *Client) ask(frame []byte, budget plugin.Time) (byte, []byte, error) {
-	c.conn.SetDeadline(time.Now().Add(time.Duration(budget)*time.Microsecond + c.most))
+// exchange sends a frame and waits for one.
+func (c *Client) exchange(frame []byte, budget plugin.Time) (byte, []byte, error) {
+	c.conn.SetDeadline(time.Now().Add(time.Duration(budget)*time.Microsecond + c.grace))
 	if _, err := c.conn.Write(frame); err != nil {
-		return 0, nil, lost(err)
+		return 0, nil, connectionFailure(err)
 	}
 	b := make([]byte, 4096)
 	for {
-		kind, body, rest, err := wire.Next(c.in, wire.MostToRouter)
+		kind, body, rest, err := wire.Next(c.received, wire.MaxFrameToRouter)
 		if err != nil {
 			return 0, nil, err
 		}
 		if kind != 0 {
-			c.in = rest
+			c.received = rest
 			return kind, body, nil
 		}
 		n, err := c.conn.Read(b)
-		c.in = append(c.in, b[:n]...)
+		c.received = append(c.received, b[:n]...)
 		if n == 0 && err != nil {
-			return 0, nil, lost(err)
+			return 0, nil, connectionFailure(err)
 		}
 	}
 }
 
-// lost words why there is no answer.
-func lost(err error) error {
+// connectionFailure words why there is no answer.
+func connectionFailure(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &plugin.Failure{Kind: plugin.Overran, Text: "it could not be interrupted: a router ends its worker"}
+		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it could not be interrupted: a router ends its worker"}
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
-		return &plugin.Failure{Kind: plugin.Swollen, Text: "its worker ended: out of memory, or a crash of its engine"}
+		return &plugin.Failure{Kind: plugin.MemoryExceeded, Text: "its worker ended: out of memory, or a crash of its engine"}
 	}
 	return fmt.Errorf("worker: %w", err)
 }
--- a/internal/plugin/worker/confine.go
+++ b/internal/plugin/worker/confine.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// Own is what the worker itself takes beside a hook's memory: the engine, and a module while it is compiled.
-	Own = 12 << 20
-	// arena is how much address space the runtime asks for at a time, for its heap.
-	arena = 64 << 20
-	// chunk is the step in which it maps that.
-	chunk = 4 << 20
-	// garbage is what may pile up before the collector runs.
-	garbage = 3 << 20
-	// spare is address space for what is not heap: threads, compiled code, the runtime's books.
-	spare = 24 << 20
-	// lower is by how much the worker's priority is below the router's (setpriority(2)).
-	lower = 5
-	// stack is the deepest that Go code may recurse, as a parser does on brackets without end.
-	stack = 4 << 20
+	// MemoryOverhead is what the worker itself takes beside a hook's memory: the engine, and a module while it is compiled.
+	MemoryOverhead = 12 << 20
+	// arenaSize is how much address space the runtime asks for at a time, for its heap.
+	arenaSize = 64 << 20
+	// paddingChunk is the step in which it maps that.
+	paddingChunk = 4 << 20
+	// garbageAllowance is what may pile up before the collector runs.
+	garbageAllowance = 3 << 20
+	// reservedAddressSpace is address space for what is not heap: threads, compiled code, the runtime's books.
+	reservedAddressSpace = 24 << 20
+	// niceIncrement is by how much the worker's priority is below the router's (setpriority(2)).
+	niceIncrement = 5
+	// maxStack is the deepest that Go code may recurse, as a parser does on brackets without end.
+	maxStack = 4 << 20
 )
 
-// ballast is address space that is taken and never touched.
-var ballast [][]byte
+// padding is address space that is taken and never touched.
+var padding [][]byte
 
 // Main is the program of a worker process: it serves its standard input, and returns when that ends.
 //
@@ -38,8 +38,8 @@
 // hooks until it has.
 func Main() error {
 	signal.Ignore(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	yieldTo()
-	debug.SetMaxStack(stack)
+	lowerPriority()
+	debug.SetMaxStack(maxStack)
 	return Serve(os.Stdin, Confine)
 }
 
@@ -53,22 +53,22 @@
 // and then the next one up to the bound, by bytes that are never touched and cost nothing; and the collector is told
 // of the bound, so that it runs before the bound is reached rather than at twice the size.
 func Confine(b plugin.Budget) {
-	allowed := b.Memory + Own
-	arenas := (allowed + arena - 1) / arena
+	allowed := b.Memory + MemoryOverhead
+	arenas := (allowed + arenaSize - 1) / arenaSize
 	debug.SetGCPercent(-1)
 	if !fillArena() {
 		return
 	}
-	ballast = append(ballast, make([]byte, arenas*arena-allowed))
+	padding = append(padding, make([]byte, arenas*arenaSize-allowed))
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	debug.SetMemoryLimit(int64(m.Sys-m.HeapReleased) + allowed - Own/3)
-	debug.SetGCPercent(max(1, int(garbage*100/m.HeapAlloc))) // of which nearly all is ballast
+	debug.SetMemoryLimit(int64(m.Sys-m.HeapReleased) + allowed - MemoryOverhead/3)
+	debug.SetGCPercent(max(1, int(garbageAllowance*100/m.HeapAlloc))) // of which nearly all is ballast
 	space, err := addressSpace()
 	if err != nil {
 		return
 	}
-	limit := uint64(space + (arenas-1)*arena + spare)
+	limit := uint64(space + (arenas-1)*arenaSize + reservedAddressSpace)
 	syscall.Setrlimit(syscall.RLIMIT_AS, &syscall.Rlimit{Cur: limit, Max: limit})
 	syscall.Setrlimit(syscall.RLIMIT_CORE, &syscall.Rlimit{})
 }
@@ -76,13 +76,13 @@
 // fillArena fills what the runtime has of an arena, which begins anywhere in it, until it asks for another one.
 func fillArena() bool {
 	before, err := addressSpace()
-	for range arena / chunk {
-		ballast = append(ballast, make([]byte, chunk))
+	for range arenaSize / paddingChunk {
+		padding = append(padding, make([]byte, paddingChunk))
 		now, err2 := addressSpace()
 		if err != nil || err2 != nil {
 			return false
 		}
-		if now-before >= arena {
+		if now-before >= arenaSize {
 			return true
 		}
 	}
@@ -100,15 +100,15 @@
 	return pages * int64(os.Getpagesize()), err
 }
 
-// yieldTo lowers the priority of all threads; those to come inherit it.
-func yieldTo() {
+// lowerPriority lowers the priority of all threads; those to come inherit it.
+func lowerPriority() {
 	threads, err := os.ReadDir("/proc/self/task")
 	if err != nil {
 		return
 	}
 	for _, thread := range threads {
 		if id, err := strconv.Atoi(thread.Name()); err == nil {
-			syscall.Setpriority(syscall.PRIO_PROCESS, id, lower)
+			syscall.Setpriority(syscall.PRIO_PROCESS, id, niceIncrement)
 		}
 	}
 }
--- a/internal/plugin/worker/worker.go
+++ b/internal/plugin/worker/worker.go
@@ -31,8 +31,8 @@
 
 // Answers are held back for each other, to be sent in one piece, up to these bounds.
 const (
-	mostHeld     = 8 << 10 // bytes
-	mostHeldTime = time.Millisecond
+	maxBatchBytes = 8 << 10 // bytes
+	maxBatchDelay = time.Millisecond
 )
 
 // Serve answers the router until the connection ends. confine, where it is not nil, is called before the hook is
@@ -45,7 +45,7 @@
 		}
 	}()
 	for {
-		if err := s.frames(); err != nil {
+		if err := s.handleFrames(); err != nil {
 			return err
 		}
 		if err := s.flush(); err != nil {
@@ -62,38 +62,38 @@
 
 // server is one end of a connection.
 type server struct {
-	conn    io.ReadWriter
-	confine func(plugin.Budget)
-	hook    plugin.Hook
-	budget  plugin.Budget
-	in      []byte
-	call    plugin.Call
-	back    wire.Reply
-
-	mu    sync.Mutex
-	out   []byte
-	timer *time.Timer
-	until time.Time // when the call that runs is interrupted; zero between calls
+	conn     io.ReadWriter
+	confine  func(plugin.Budget)
+	hook     plugin.Hook
+	budget   plugin.Budget
+	received []byte
+	call     plugin.Call
+	reply    wire.Reply
+
+	mu       sync.Mutex
+	unsent   []byte
+	timer    *time.Timer
+	deadline time.Time // when the call that runs is interrupted; zero between calls
 }
 
 // read takes in more, with room for a whole frame.
 func (s *server) read() error {
-	if room := max(4096, wire.Missing(s.in)); cap(s.in)-len(s.in) < room {
-		s.in = append(make([]byte, 0, len(s.in)+room), s.in...)
+	if room := max(4096, wire.Missing(s.received)); cap(s.received)-len(s.received) < room {
+		s.received = append(make([]byte, 0, len(s.received)+room), s.received...)
 	}
-	n, err := s.conn.Read(s.in[len(s.in):cap(s.in)])
-	s.in = s.in[:len(s.in)+n]
+	n, err := s.conn.Read(s.received[len(s.received):cap(s.received)])
+	s.received = s.received[:len(s.received)+n]
 	if n > 0 {
 		return nil
 	}
 	return err
 }
 
-// frames works through all whole frames that have come.
-func (s *server) frames() error {
-	rest := s.in
+// handleFrames works through all whole frames that have come.
+func (s *server) handleFrames() error {
+	rest := s.received
 	for {
-		kind, body, after, err := wire.Next(rest, wire.MostToWorker)
+		kind, body, after, err := wire.Next(rest, wire.MaxFrameToWorker)
 		if err != nil {
 			return err
 		}
@@ -101,22 +101,22 @@
 			break
 		}
 		rest = after
-		if err := s.frame(kind, body); err != nil {
+		if err := s.handleFrame(kind, body); err != nil {
 			return err
 		}
 	}
-	s.in = s.in[:copy(s.in, rest)]
+	s.received = s.received[:copy(s.received, rest)]
 	return nil
 }
 
-func (s *server) frame(kind byte, body []byte) error {
+func (s *server) handleFrame(kind byte, body []byte) error {
 	switch {
 	case kind == wire.KindLoad && s.hook == nil:
 		return s.load(body)
 	case kind == wire.KindCall && s.hook != nil:
-		return s.answer(body)
+		return s.handleCall(body)
 	}
-	return wire.ErrForm
+	return wire.ErrMalformedFrame
 }
 
 // load loads the hook. After a refusal there is nothing more to do.
@@ -130,22 +130,22 @@
 	}
 	e := EngineOf(l.Engine)
 	if e == nil {
-		err = &plugin.Failure{Kind: plugin.Unloadable, Text: "there is no engine " + plugin.Plain(l.Engine, 40)}
+		err = &plugin.Failure{Kind: plugin.NotLoadable, Text: "there is no engine " + plugin.Plain(l.Engine, 40)}
 	} else {
 		s.hook, err = e.Load(l.Name, l.Code, l.Budget)
 	}
 	if err != nil {
-		s.out = wire.AppendRefused(s.out, failure(err))
+		s.unsent = wire.AppendLoadFailed(s.unsent, asFailure(err))
 		return errors.Join(s.flush(), err)
 	}
 	s.budget = l.Budget
-	s.timer = time.AfterFunc(time.Hour, s.late)
-	s.out = wire.AppendLoaded(s.out, s.hook.Points())
+	s.timer = time.AfterFunc(time.Hour, s.onTimer)
+	s.unsent = wire.AppendLoaded(s.unsent, s.hook.Points())
 	return s.flush()
 }
 
-// answer asks the hook.
-func (s *server) answer(body []byte) error {
+// handleCall asks the hook.
+func (s *server) handleCall(body []byte) error {
 	seq, err := wire.ParseCall(body, &s.call)
 	if err != nil {
 		return err
@@ -155,53 +155,53 @@
 		span = s.budget.LoadTime
 	}
 	begun := time.Now()
-	s.begin(begun, time.Duration(span)*time.Microsecond)
-	err = s.hook.Call(&s.call, &s.back.Verdict)
-	s.back.Seq = seq
-	s.back.Spent = max(1, time.Since(begun).Microseconds())
-	s.back.Failed = err != nil
+	s.startTimer(begun, time.Duration(span)*time.Microsecond)
+	err = s.hook.Call(&s.call, &s.reply.Verdict)
+	s.reply.Sequence = seq
+	s.reply.RunTime = max(1, time.Since(begun).Microseconds())
+	s.reply.Failed = err != nil
 	if err != nil {
-		f := failure(err)
-		s.back.Kind, s.back.Text = f.Kind, f.Text
+		f := asFailure(err)
+		s.reply.Kind, s.reply.Text = f.Kind, f.Text
 	}
-	return s.end()
+	return s.queueReply()
 }
 
-// begin has the call that begins interrupted in time.
-func (s *server) begin(now time.Time, span time.Duration) {
+// startTimer has the call that begins interrupted in time.
+func (s *server) startTimer(now time.Time, span time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = now.Add(span)
-	if len(s.out) > 0 {
-		span = min(span, mostHeldTime)
+	s.deadline = now.Add(span)
+	if len(s.unsent) > 0 {
+		span = min(span, maxBatchDelay)
 	}
 	s.timer.Reset(span)
 }
 
-// end adds the answer to those that are held back.
-func (s *server) end() error {
+// queueReply adds the answer to those that are held back.
+func (s *server) queueReply() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Time{}
+	s.deadline = time.Time{}
 	s.timer.Stop()
-	s.out = wire.AppendReply(s.out, &s.back)
-	if len(s.out) >= mostHeld {
+	s.unsent = wire.AppendReply(s.unsent, &s.reply)
+	if len(s.unsent) >= maxBatchBytes {
 		return s.send()
 	}
 	return nil
 }
 
-// late is called where a call takes longer than others are to wait for it, and again when its time is over.
+// onTimer is called where a call takes longer than others are to wait for it, and again when its time is over.
 //
 // The danger: a call that does not come back would keep the verdicts of those before it.
-func (s *server) late() {
+func (s *server) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.until.IsZero() {
+	if s.deadline.IsZero() {
 		return
 	}
 	s.send() // what goes wrong here goes wrong again at the next
-	if left := time.Until(s.until); left > 0 {
+	if left := time.Until(s.deadline); left > 0 {
 		s.timer.Reset(left)
 		return
 	}
@@ -215,16 +215,16 @@
 }
 
 func (s *server) send() error {
-	if len(s.out) == 0 {
+	if len(s.unsent) == 0 {
 		return nil
 	}
-	_, err := s.conn.Write(s.out)
-	s.out = s.out[:0]
+	_, err := s.conn.Write(s.unsent)
+	s.unsent = s.unsent[:0]
 	return err
 }
 
-// failure is an error as the contract has it.
-func failure(err error) *plugin.Failure {
+// asFailure is an error as the contract has it.
+func asFailure(err error) *plugin.Failure {
 	var f *plugin.Failure
 	if errors.As(err, &f) {
 		return f
