--- a/internal/plugin/worker/worker_test.go
+++ b/internal/plugin/worker/worker_test.go
@@ -84,7 +84,7 @@
 func (p *peer) next() (byte, []byte) {
 	p.t.Helper()
 	for {
-		kind, body, rest, err := wire.Next(p.in, wire.MostToRouter)
+		kind, body, rest, err := wire.Next(p.in, wire.MaxFrameToRouter)
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -105,7 +105,7 @@
 	p.t.Helper()
 	p.send(wire.AppendLoad(nil, &wire.Load{Name: "test", Engine: engine, Budget: b, Code: []byte(code)}))
 	if kind, body := p.next(); kind != wire.KindLoaded {
-		f, _ := wire.ParseRefused(body)
+		f, _ := wire.ParseLoadFailed(body)
 		p.t.Fatalf("the load gave kind %d, %v", kind, f)
 	}
 }
@@ -150,7 +150,7 @@
 `
 
 // patient has room for a machine under load.
-var patient = plugin.Budget{Time: 100_000, LoadTime: 2_000_000, Steps: 1 << 40, Depth: 64, Memory: 8 << 20, Lines: 4, LineSize: 100}
+var patient = plugin.Budget{Time: 100_000, LoadTime: 2_000_000, Steps: 1 << 40, Depth: 64, Memory: 8 << 20, LogLines: 4, LogLineSize: 100}
 
 func TestWorkerAnswersEachCallInOrder(t *testing.T) {
 	for name, p := range map[string]*peer{"inside": inside(t), "process": process(t)} { // any order
@@ -162,7 +162,7 @@
 		go p.send(batch)
 		for seq := range uint64(300) {
 			r := p.reply()
-			if r.Seq != seq || r.Failed || r.Verdict.Say != plugin.Refuse || r.Verdict.Wait != 7000 {
+			if r.Sequence != seq || r.Failed || r.Verdict.Decision != plugin.Reject || r.Verdict.RetryAfter != 7000 {
 				t.Fatalf("%s: call %d got %+v", name, seq, r)
 			}
 		}
@@ -177,8 +177,8 @@
 		for seq, key := range []string{"A", "loop", "A", "crash", "A"} {
 			p.ask(uint64(seq), key)
 			r := p.reply()
-			want := map[string]plugin.Kind{"loop": plugin.Overran, "crash": plugin.Crashed}
-			if kind, fails := want[key]; r.Failed != fails || fails && r.Kind != kind || r.Seq != uint64(seq) {
+			want := map[string]plugin.FailureKind{"loop": plugin.BudgetExceeded, "crash": plugin.Crashed}
+			if kind, fails := want[key]; r.Failed != fails || fails && r.Kind != kind || r.Sequence != uint64(seq) {
 				t.Errorf("%s: %s got %+v", name, key, r)
 			}
 		}
@@ -192,7 +192,7 @@
 	p.load("script", moody, b)
 	p.ask(1, "A")
 	p.ask(2, "loop") // for as long as this test lasts
-	if r := p.reply(); r.Seq != 1 {
+	if r := p.reply(); r.Sequence != 1 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -214,7 +214,7 @@
 			kind, _ := p.next()
 			p.cmd.Wait()
 			most := p.cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss << 10
-			if kind != 0 || most > base+memory+Own+4<<20 {
+			if kind != 0 || most > base+memory+MemoryOverhead+4<<20 {
 				t.Errorf("%s with %d MiB: frame %d, peak %d KiB after %d KiB", key, memory>>20, kind, most>>10, base>>10)
 			}
 			t.Logf("%s with %d MiB: peak %d KiB after %d KiB", key, memory>>20, most>>10, base>>10)
@@ -263,10 +263,10 @@
 		p := process(t)
 		p.send(wire.AppendLoad(nil, &l))
 		kind, body := p.next()
-		if kind != wire.KindRefused {
+		if kind != wire.KindLoadFailed {
 			t.Fatalf("%s: kind %d", want, kind)
 		}
-		f, err := wire.ParseRefused(body)
+		f, err := wire.ParseLoadFailed(body)
 		if err != nil || !strings.Contains(f.Error(), want) {
 			t.Errorf("%v, %v; want %s", f, err, want)
 		}
@@ -297,7 +297,7 @@
 	}{{"Process", process, 1}, {"ProcessBatchOf8", process, 8}} {
 		b.Run(c.name, func(b *testing.B) {
 			p := c.peer(b)
-			p.load("script", "version = 1\ndef on_request(r):\n    pass\n", plugin.Usual)
+			p.load("script", "version = 1\ndef on_request(r):\n    pass\n", plugin.DefaultBudget)
 			frame := wire.AppendCall(nil, 1, &plugin.Call{Point: plugin.OnRequest, Verb: "C.GET", Key: "7f3a9c21e0b4d655"})
 			var batch []byte
 			for range c.batch {
@@ -321,7 +321,7 @@
 	b.Run("Start", func(b *testing.B) {
 		for b.Loop() {
 			p := process(b)
-			p.load("script", "version = 1\ndef on_request(r):\n    pass\n", plugin.Usual)
+			p.load("script", "version = 1\ndef on_request(r):\n    pass\n", plugin.DefaultBudget)
 			p.conn.Close()
 			p.cmd.Wait()
 		}
--- a/internal/router/hooks.go
+++ b/internal/router/hooks.go
@@ -25,7 +25,7 @@
 func hooksMB(c hooks.Config) int64 {
 	bytes := int64(0)
 	for _, h := range c.Hooks {
-		bytes += h.Budget.Memory + worker.Own
+		bytes += h.Budget.Memory + worker.MemoryOverhead
 	}
 	return (bytes*hookSetsInMemory + bytesPerMB - 1) / bytesPerMB
 }
@@ -65,7 +65,7 @@
 }
 
 // Hooks returns the status of each hook, in the order in which they are consulted.
-func (r *Router) Hooks() []policy.Row { return r.hooks.Status() }
+func (r *Router) Hooks() []policy.HookStatus { return r.hooks.Status() }
 
 // consultHooks has the hooks look at a request before the module gets it. It reports whether the request waits for them:
 // applyVerdict goes on with it then.
@@ -83,7 +83,7 @@
 		Size:     len(q.command.Value()),
 		Value:    q.command.Value,
 	}
-	q.awaitingHooks = r.hooks.Ask(hookRequest, func(v hooks.Verdict) {
+	q.awaitingHooks = r.hooks.Evaluate(hookRequest, func(v hooks.Verdict) {
 		r.applyVerdict(q, v)
 		r.ProcessEvents()
 	})
@@ -96,11 +96,11 @@
 	if q.finished {
 		return
 	}
-	switch v.Say {
-	case plugin.Refuse:
-		r.finishRequest(q, completion{reply: frontend.AppendBusy(nil, v.Wait), outcome: plugin.WasRefused})
+	switch v.Decision {
+	case plugin.Reject:
+		r.finishRequest(q, completion{reply: frontend.AppendBusy(nil, v.RetryAfter), outcome: plugin.OutcomeRejected})
 	case plugin.Fail:
-		r.finishRequest(q, completion{reply: frontend.AppendFailed(nil, v.Text), outcome: plugin.WasFailed})
+		r.finishRequest(q, completion{reply: frontend.AppendFailed(nil, v.Text), outcome: plugin.OutcomeFailed})
 	default:
 		if v.Tenant != "" {
 			q.command.Tenant = v.Tenant
--- a/internal/router/hooks_test.go
+++ b/internal/router/hooks_test.go
@@ -32,8 +32,8 @@
 
 // hook names a hook of the usual budget.
 func hook(name string) hooks.Hook {
-	b := plugin.Usual
-	return hooks.Hook{Hook: policy.Hook{Name: name, Time: b.Time, LoadTime: b.LoadTime, Queue: 8, Share: 1}, Engine: "script",
+	b := plugin.DefaultBudget
+	return hooks.Hook{Hook: policy.Hook{Name: name, Time: b.Time, LoadTime: b.LoadTime, Queue: 8, CPUFraction: 1}, Engine: "script",
 		Budget: b}
 }
 
@@ -64,7 +64,7 @@
 	if edit != nil {
 		edit(&one)
 	}
-	h.cfg.Hooks = hooks.Config{Hooks: []hooks.Hook{one}, WaitShare: .1, WaitMost: 50_000}
+	h.cfg.Hooks = hooks.Config{Hooks: []hooks.Hook{one}, MaxWaitFraction: .1, MaxWait: 50_000}
 	if h.r, err = Start(m, h.cfg); err != nil {
 		t.Fatal(err)
 	}
@@ -133,11 +133,11 @@
 	if got := h.ask("a", 100_000); got != "$3\r\n\x00\x00\x00\r\n" || h.served() != 1 {
 		t.Errorf("passed: %q, %d went out", got, h.served())
 	}
-	say = plugin.Verdict{Say: plugin.Refuse, Wait: 250_000}
+	say = plugin.Verdict{Decision: plugin.Reject, RetryAfter: 250_000}
 	if got := h.ask("b", 100_000); got != "-BUSY 250\r\n" {
 		t.Errorf("refused: %q", got)
 	}
-	say = plugin.Verdict{Say: plugin.Fail, Text: "not a callsign"}
+	say = plugin.Verdict{Decision: plugin.Fail, Text: "not a callsign"}
 	if got := h.ask("c", 100_000); got != "-ERR not a callsign\r\n" {
 		t.Errorf("failed: %q", got)
 	}
@@ -184,7 +184,7 @@
 			t.Fatalf("request %d has %q after 60 ms", i, got)
 		}
 	}
-	h = startHooked(t, hang, func(h *hooks.Hook) { h.OnFailure, h.RefuseWait = policy.RefuseOn, 70_000 })
+	h = startHooked(t, hang, func(h *hooks.Hook) { h.OnFailure, h.RetryAfter = policy.RejectOnFailure, 70_000 })
 	for i := range 20 {
 		if got := h.ask(fmt.Sprint("r", i), 60_000); got != "-BUSY 70\r\n" {
 			t.Fatalf("request %d has %q after 60 ms", i, got)
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -57,7 +57,7 @@
 	addressDeadline Time          // the start fails when the address is still in use then; 0 until the first try found it in use
 	addressLoggedAt Time          // when the log last said that the router waits; 0 for never
 	addressTimer    machine.Timer // for the next try
-	onFailure       func(error)   // set by OnFailure
+	onFailure       func(error)   // set by FailureMode
 
 	acceptGrace   Time          // for how long a drain still takes connections
 	drainDeadline Time          // the router stops then at the latest; 0 while it does not drain
@@ -92,7 +92,7 @@
 	return r, nil
 }
 
-// OnFailure sets the function that is called when a start that waits for its address gives up. The router has stopped by
+// FailureMode sets the function that is called when a start that waits for its address gives up. The router has stopped by
 // then.
 func (r *Router) OnFailure(f func(error)) { r.onFailure = f }
 
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -50,13 +50,15 @@
 }
 
 // failure ends a request with an answer that promises nothing.
-var failure = completion{reply: []byte(frontend.FailedReply), outcome: plugin.WasFailed}
+var failure = completion{reply: []byte(frontend.FailedReply), outcome: plugin.OutcomeFailed}
 
 // clientGone ends a request whose client doesn't wait any more.
-var clientGone = completion{outcome: plugin.WasFailed, unserved: true}
+var clientGone = completion{outcome: plugin.OutcomeFailed, unserved: true}
 
 // servedWith ends a request with a value.
-func servedWith(value []byte) completion { return completion{reply: value, outcome: plugin.Served} }
+func servedWith(value []byte) completion {
+	return completion{reply: value, outcome: plugin.OutcomeServed}
+}
 
 // rejection ends a request with an answer that promises that another try does no harm; where it might do harm, with a
 // failure.
@@ -64,7 +66,7 @@
 	if r.guard.MayReject(&q.guard) != guard.Allowed {
 		return failure
 	}
-	return completion{reply: frontend.AppendBusy(nil, retryAfter), outcome: plugin.WasRefused}
+	return completion{reply: frontend.AppendBusy(nil, retryAfter), outcome: plugin.OutcomeRejected}
 }
 
 // because returns the completion of a request that the module gave up, with the event and the module's reason.
@@ -165,7 +167,7 @@
 // withdraw takes a request back from the hooks or the module, whichever has it.
 func (r *Router) withdraw(q *request) {
 	if q.awaitingHooks {
-		r.hooks.Gone(q.id)
+		r.hooks.Cancel(q.id)
 		q.awaitingHooks = false
 		return
 	}
--- a/internal/testbench/lab/hooks.go
+++ b/internal/testbench/lab/hooks.go
@@ -51,17 +51,17 @@
 
 // config is what a router is told of its hooks.
 func (k *hooked) config() hooks.Config {
-	c := hooks.Config{WaitShare: hookWaitShare, WaitMost: hookWaitMost}
+	c := hooks.Config{MaxWaitFraction: hookWaitShare, MaxWait: hookWaitMost}
 	for i, h := range k.hooks {
-		p := policy.Hook{Name: k.name(i), RefuseWait: 100 * millisecond, Time: microseconds(h.Time), LoadTime: hookLoadTime,
-			Queue: h.Queue, Share: h.Share}
+		p := policy.Hook{Name: k.name(i), RetryAfter: 100 * millisecond, Time: microseconds(h.Time), LoadTime: hookLoadTime,
+			Queue: h.Queue, CPUFraction: h.Share}
 		if h.Class != "" {
 			p.Classes = []string{h.Class}
 		}
 		if h.OnFailure == script.OnFailureRefuse {
-			p.OnFailure = policy.RefuseOn
+			p.OnFailure = policy.RejectOnFailure
 		}
-		b := plugin.Usual
+		b := plugin.DefaultBudget
 		b.Time, b.LoadTime, b.Memory = p.Time, p.LoadTime, hookMemory
 		c.Hooks = append(c.Hooks, hooks.Hook{Hook: p, Engine: "script", Budget: b})
 	}
@@ -105,7 +105,7 @@
 	}
 	switch h.Kind {
 	case script.HookLoadCrash:
-		act.Fail = &plugin.Failure{Kind: plugin.Unloadable, Text: "as its script says"}
+		act.Fail = &plugin.Failure{Kind: plugin.NotLoadable, Text: "as its script says"}
 	case script.HookLoadHang:
 		act.Hang = true
 	case script.HookLoadDie:
@@ -129,16 +129,16 @@
 		}
 	case script.HookRefuse:
 		if judges {
-			a.Verdict.Say, a.Verdict.Wait = plugin.Refuse, 100*millisecond
+			a.Verdict.Decision, a.Verdict.RetryAfter = plugin.Reject, 100*millisecond
 		}
 	case script.HookFail:
 		if judges {
-			a.Verdict.Say, a.Verdict.Text = plugin.Fail, "not like this"
+			a.Verdict.Decision, a.Verdict.Text = plugin.Fail, "not like this"
 		}
 	case script.HookCrash:
 		a.Fail = &plugin.Failure{Kind: plugin.Crashed, Text: "as its script says"}
 	case script.HookOverrun:
-		a.After, a.Fail = microseconds(h.Time), &plugin.Failure{Kind: plugin.Overran, Text: "as its script says"}
+		a.After, a.Fail = microseconds(h.Time), &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "as its script says"}
 	case script.HookHang:
 		a.Hang = true
 	case script.HookSlow:
--- a/internal/testbench/lab/node/node.go
+++ b/internal/testbench/lab/node/node.go
@@ -62,7 +62,7 @@
 func (n node) HookCalls() map[string]int {
 	calls := map[string]int{}
 	for _, row := range n.Router.Hooks() {
-		calls[row.Name] = row.Calls
+		calls[row.Name] = row.PendingCalls
 	}
 	return calls
 }
--- a/internal/testbench/lab/planted/hooks.go
+++ b/internal/testbench/lab/planted/hooks.go
@@ -17,7 +17,7 @@
 func InHooks() []Defect {
 	return withHooks(
 		told("hooks without a budget", "lost", func(c *hooks.Config) {
-			c.WaitShare, c.WaitMost = 1e6, hour
+			c.MaxWaitFraction, c.MaxWait = 1e6, hour
 			for i := range c.Hooks {
 				c.Hooks[i].Time = hour
 			}
