--- a/cmd/starlingwinch/run.go
+++ b/cmd/starlingwinch/run.go
@@ -247,7 +247,7 @@
 // readConfig reads the platform's file, which may be a pipe.
 func readConfig(path string) ([]byte, error) {
 	var f *os.File
-	err := machine.Outlast(func() (err error) {
+	err := machine.RetryShortage(func() (err error) {
 		f, err = os.Open(path)
 		return err
 	})
--- a/decide/endpoint_list.go
+++ b/decide/endpoint_list.go
@@ -58,7 +58,7 @@
 // handleFailedUpdate calls for the list again, at a pace that discovery can serve to all routers.
 func (r *Router) handleFailedUpdate() {
 	failure := r.list.pacer.Failed(r.now, r.list.random.next())
-	if failure.Lost {
+	if failure.First {
 		r.logListLost()
 	}
 	if failure.Overdue {
--- a/decide/logs.go
+++ b/decide/logs.go
@@ -31,8 +31,8 @@
 // logListUnavailable says that discovery is down, or can't serve the calls of all routers.
 func (r *Router) logListUnavailable(failure retry.Failure) {
 	r.log(slog.LevelWarn, "endpoint list unavailable",
-		slog.Int("attempts", failure.Calls),
-		slog.Duration("unavailable_for", time.Duration(failure.For)*time.Microsecond))
+		slog.Int("attempts", failure.FailedCalls),
+		slog.Duration("unavailable_for", time.Duration(failure.FailingFor)*time.Microsecond))
 }
 
 func (r *Router) logShedding() {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -88,7 +88,7 @@
 		version:   after,
 	}
 	w.client = httpclient.New(m, addr, httpclient.Options{
-		DialTime:     w.timeouts.AnswerTimeout,
+		DialTimeout:  w.timeouts.AnswerTimeout,
 		MaxBodyBytes: int(o.MaxListSize),
 	})
 	w.call()
--- a/internal/eureka/client.go
+++ b/internal/eureka/client.go
@@ -94,7 +94,7 @@
 		deltas:  deltaState{needFull: true},
 	}
 	for _, u := range o.Servers {
-		bounds := httpclient.Options{DialTime: min(maxDialTime, o.Timeout), MaxBodyBytes: o.MaxBodyBytes}
+		bounds := httpclient.Options{DialTimeout: min(maxDialTime, o.Timeout), MaxBodyBytes: o.MaxBodyBytes}
 		c.servers = append(c.servers, &server{url: u, client: httpclient.New(m, u.address, bounds)})
 	}
 	if err := c.login.readPasswordFile(m); err != nil {
--- a/internal/eureka/registration.go
+++ b/internal/eureka/registration.go
@@ -80,7 +80,7 @@
 	if r.options.VIP == "" {
 		r.options.VIP = strings.ToLower(o.Application)
 	}
-	bounds := httpclient.Options{DialTime: min(maxDialTime, o.Timeout), MaxBodyBytes: maxRegistrationResponse}
+	bounds := httpclient.Options{DialTimeout: min(maxDialTime, o.Timeout), MaxBodyBytes: maxRegistrationResponse}
 	for _, u := range o.Servers {
 		r.clients = append(r.clients, httpclient.New(m, u.address, bounds))
 	}
--- a/internal/frontend/command_test.go
+++ b/internal/frontend/command_test.go
@@ -197,7 +197,7 @@
 	if !first.FirstOnConnection || second.FirstOnConnection || !third.FirstOnConnection {
 		t.Errorf("first on their connections: %v, %v, %v", first.FirstOnConnection, second.FirstOnConnection, third.FirstOnConnection)
 	}
-	if first.Client() != third.Client() || first.Client() != addressHash("127.0.0.1:1") {
+	if first.ClientAddressHash() != third.ClientAddressHash() || first.ClientAddressHash() != addressHash("127.0.0.1:1") {
 		t.Error("clients of one address differ by their ports")
 	}
 	if addressHash("127.0.0.1:1") == addressHash("127.0.0.2:1") || addressHash("[::1]:7") != addressHash("[::1]:8") {
--- a/internal/frontend/reply_slot.go
+++ b/internal/frontend/reply_slot.go
@@ -58,5 +58,5 @@
 	return slot.connection.closed || slot.connection.socket.End() != nil
 }
 
-// Client returns a hash of the address that the request came from, without its port.
-func (slot *ReplySlot) Client() uint64 { return slot.connection.clientHash }
+// ClientAddressHash returns a hash of the address that the request came from, without its port.
+func (slot *ReplySlot) ClientAddressHash() uint64 { return slot.connection.clientHash }
--- a/internal/guard/rules.go
+++ b/internal/guard/rules.go
@@ -36,7 +36,7 @@
 // Request is what a Guard keeps of one request. It is part of the loop's own record.
 type Request struct {
 	ID       int64
-	Name     string      // the id that the client gave it
+	ClientID string      // the id that the client gave it
 	Deadline decide.Time // of the client
 
 	class                 *decide.Class // nil for one that the settings do not name: it is held to be not idempotent
@@ -67,7 +67,7 @@
 func (g *Guard) Open(id int64, name, class string, idempotencyKeyMissing bool, deadline decide.Time) Request {
 	return Request{
 		ID:                    id,
-		Name:                  name,
+		ClientID:              name,
 		Deadline:              deadline,
 		class:                 g.classes[class],
 		idempotencyKeyMissing: idempotencyKeyMissing,
@@ -172,7 +172,7 @@
 // WriteStarted is called when the first byte of an attempt was written, with the time that its cache was told it has. completed
 // says that the last byte was written too.
 func (g *Guard) WriteStarted(now decide.Time, request *Request, number int, cache Cache, wait decide.Time, completed bool) {
-	violation := Violation{At: now, Request: request.ID, Name: request.Name, Cache: cache.Name, Attempt: number}
+	violation := Violation{At: now, Request: request.ID, ClientID: request.ClientID, Cache: cache.Name, Attempt: number}
 	reason := Answered
 	if !request.answered {
 		reason = g.mayAttempt(now, request, cache)
@@ -252,7 +252,7 @@
 // Answered is called with each final answer. At most one is allowed.
 func (g *Guard) Answered(now decide.Time, request *Request) {
 	if request.answered {
-		g.recordViolation(Answered, Violation{At: now, Request: request.ID, Name: request.Name})
+		g.recordViolation(Answered, Violation{At: now, Request: request.ID, ClientID: request.ClientID})
 	}
 	request.answered = true
 }
@@ -260,10 +260,10 @@
 // Closed is called when the router itself has closed the connection of a client that still waits for this answer.
 func (g *Guard) Closed(now decide.Time, request *Request) {
 	g.recordViolation(ClosedUnanswered, Violation{
-		At:      now,
-		Request: request.ID,
-		Name:    request.Name,
-		Excess:  max(0, request.Deadline-now),
+		At:       now,
+		Request:  request.ID,
+		ClientID: request.ClientID,
+		Excess:   max(0, request.Deadline-now),
 	})
 }
 
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -37,18 +37,18 @@
 
 // Violation is a rule that was broken, as far as this router can see.
 type Violation struct {
-	Reason  Reason
-	At      decide.Time
-	Request int64
-	Name    string // the id that the client gave the request
-	Cache   string
-	Attempt int
-	Excess  decide.Time // by how much a deadline was exceeded, or how early a connection was closed; 0 for other reasons
+	Reason   Reason
+	At       decide.Time
+	Request  int64
+	ClientID string // the id that the client gave the request
+	Cache    string
+	Attempt  int
+	Excess   decide.Time // by how much a deadline was exceeded, or how early a connection was closed; 0 for other reasons
 }
 
 // String returns the violation as a line of text.
 func (v Violation) String() string {
-	return fmt.Sprintf("%v, request %d (%.64q), attempt %d at %q, by %d us", v.Reason, v.Request, v.Name, v.Attempt, v.Cache,
+	return fmt.Sprintf("%v, request %d (%.64q), attempt %d at %q, by %d us", v.Reason, v.Request, v.ClientID, v.Attempt, v.Cache,
 		v.Excess)
 }
 
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -27,7 +27,7 @@
 
 // Options are the bounds of a client.
 type Options struct {
-	DialTime       Time // for a connection to be established: a machine that has vanished must not use up the time of a long call
+	DialTimeout    Time // for a connection to be established: a machine that has vanished must not use up the time of a long call
 	MaxHeaderBytes int  // of a response's header; 0 for 64 KiB
 	MaxBodyBytes   int  // of a response's body
 }
--- a/internal/httpclient/connection.go
+++ b/internal/httpclient/connection.go
@@ -23,7 +23,7 @@
 // dial begins to establish the connection.
 func (n *connection) dial() {
 	c := n.client
-	n.dialing = c.m.Dial(c.address, c.options.DialTime, n.onDialed)
+	n.dialing = c.m.Dial(c.address, c.options.DialTimeout, n.onDialed)
 }
 
 // onDialed handles the result of the dialling.
--- a/internal/machine/dial.go
+++ b/internal/machine/dial.go
@@ -29,7 +29,7 @@
 	}
 	d.deadlineTimer = m.at(deadline, func() {
 		if d.Blocked() {
-			d.fail(ErrLack)
+			d.fail(ErrShortage)
 		} else {
 			d.fail(ErrTimeout)
 		}
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -33,8 +33,8 @@
 // ErrDescriptors says that the process holds as many descriptors as it may.
 var ErrDescriptors = errors.New("machine: no descriptor is left")
 
-// ErrLack says that this machine had no memory, port or route for a connection until its timeout.
-var ErrLack = errors.New("machine: nothing left to open a connection with")
+// ErrShortage says that this machine had no memory, port or route for a connection until its timeout.
+var ErrShortage = errors.New("machine: nothing left to open a connection with")
 
 // ErrAddressInUse says that somebody else holds an address to listen at: often the process before, which ends soon.
 var ErrAddressInUse = errors.New("machine: address already in use")
@@ -95,7 +95,7 @@
 
 	// Listen has accept called with each connection that comes in at the address, which is an IP
 	// address and a port (0 for any free one). accept names the connection's handler; one that gets
-	// none (nil) is closed. ErrAddressInUse, ErrAddressMissing and ErrLack may pass by themselves; other errors last.
+	// none (nil) is closed. ErrAddressInUse, ErrAddressMissing and ErrShortage may pass by themselves; other errors last.
 	Listen(addr string, accept func(Conn) Handler) (Listener, error)
 	// Dial opens a connection. done is called once: with a connection that is up, whose handler it
 	// names (nil closes it), or with the reason why none came up within the timeout. Until then the
--- a/internal/machine/shortage.go
+++ b/internal/machine/shortage.go
@@ -10,7 +10,7 @@
 // moment. The call is made again after shortageRetryDelay.
 const (
 	shortageRetryDelay = 10_000          // microseconds until a call that failed for a shortage is made again
-	maxStartRetry      = 3 * time.Second // how long Outlast goes on
+	maxStartRetry      = 3 * time.Second // how long RetryShortage goes on
 )
 
 // isShortage reports whether a call failed for a shortage of this machine that may pass by itself. EMFILE is none: it lasts
@@ -31,9 +31,9 @@
 		errors.Is(err, syscall.ENETUNREACH)
 }
 
-// Passes reports whether an error of Listen or ListenPacket may pass by itself, so that the caller may try again.
-func Passes(err error) bool {
-	return errors.Is(err, ErrAddressInUse) || errors.Is(err, ErrAddressMissing) || errors.Is(err, ErrLack)
+// IsTransientListenError reports whether an error of Listen or ListenPacket may pass by itself, so that the caller may try again.
+func IsTransientListenError(err error) bool {
+	return errors.Is(err, ErrAddressInUse) || errors.Is(err, ErrAddressMissing) || errors.Is(err, ErrShortage)
 }
 
 // listenError joins a sentinel of the contract and the kernel's error, whose text it has.
@@ -56,19 +56,19 @@
 	case errors.Is(err, syscall.EADDRNOTAVAIL):
 		return &listenError{ErrAddressMissing, err}
 	case isShortage(err):
-		return &listenError{ErrLack, err}
+		return &listenError{ErrShortage, err}
 	}
 	return err
 }
 
-// IsLocal reports whether a dial failed for a cause on this machine, which says nothing about the address.
-func IsLocal(err error) bool {
-	return errors.Is(err, ErrDescriptors) || errors.Is(err, ErrLack)
+// IsLocalDialError reports whether a dial failed for a cause on this machine, which says nothing about the address.
+func IsLocalDialError(err error) bool {
+	return errors.Is(err, ErrDescriptors) || errors.Is(err, ErrShortage)
 }
 
-// Outlast repeats a call while it fails for a shortage, for up to maxStartRetry. It blocks, and is for the start of a process
+// RetryShortage repeats a call while it fails for a shortage, for up to maxStartRetry. It blocks, and is for the start of a process
 // and for work beside the loop, where one failed call would end the process or lose a signal.
-func Outlast(call func() error) error {
+func RetryShortage(call func() error) error {
 	for end := time.Now().Add(maxStartRetry); ; {
 		err := call()
 		if err == nil || !isShortage(err) && !errors.Is(err, syscall.EAGAIN) || time.Now().After(end) {
@@ -78,12 +78,12 @@
 	}
 }
 
-// retryShortage is Outlast before the loop runs. In the loop, which must not block, the first failure counts.
+// retryShortage is RetryShortage before the loop runs. In the loop, which must not block, the first failure counts.
 func (m *Real) retryShortage(call func() error) error {
 	if m.running {
 		return call()
 	}
-	return Outlast(call)
+	return RetryShortage(call)
 }
 
 // attach has the poller watch a descriptor for w, now or as soon as the kernel has memory for it. Nothing is missed in
--- a/internal/machine/lack_test.go
+++ b/internal/machine/shortage_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// TestOutlastMakesCallsAgainThatMaySucceed, and no others.
-func TestOutlastMakesCallsAgainThatMaySucceed(t *testing.T) {
+// TestRetryShortageRepeatsCallsThatMaySucceed, and no others.
+func TestRetryShortageRepeatsCallsThatMaySucceed(t *testing.T) {
 	for failure, again := range map[error]bool{syscall.ENFILE: true, syscall.ENOMEM: true, syscall.EINTR: true,
 		syscall.EAGAIN: true, syscall.ENOENT: false, syscall.EACCES: false, ErrIrregular: false} {
 		calls := 0
-		err := Outlast(func() error {
+		err := RetryShortage(func() error {
 			if calls++; calls < 3 {
 				return &os.PathError{Op: "open", Path: "config.json", Err: failure}
 			}
--- a/internal/retry/pacer.go
+++ b/internal/retry/pacer.go
@@ -70,27 +70,27 @@
 
 // Failure says what to do after a failed call.
 type Failure struct {
-	Pause   Time // until the next call
-	Lost    bool // it is the first failure since an answer
-	Overdue bool // it is the first failure later than the bound
-	For     Time // since the first failure
-	Calls   int  // that have failed in this time
+	Pause       Time // until the next call
+	First       bool // it is the first failure since an answer
+	Overdue     bool // it is the first failure later than the bound
+	FailingFor  Time // since the first failure
+	FailedCalls int  // that have failed in this time
 }
 
 // Failed records that a call failed or a watch was lost. chance is a random number in [0, 1).
 func (p *Pacer) Failed(now Time, chance float64) Failure {
-	failure := Failure{Lost: !p.failing}
-	if failure.Lost {
+	failure := Failure{First: !p.failing}
+	if failure.First {
 		p.failing, p.failingSince, p.failedCalls, p.wasOverdue = true, now, 0, false
 	}
 	p.failedCalls++
-	failure.For, failure.Calls = now-p.failingSince, p.failedCalls
-	failure.Overdue = !p.wasOverdue && failure.For >= p.bound
+	failure.FailingFor, failure.FailedCalls = now-p.failingSince, p.failedCalls
+	failure.Overdue = !p.wasOverdue && failure.FailingFor >= p.bound
 	p.wasOverdue = p.wasOverdue || failure.Overdue
-	if failure.Lost && p.wasAnswered {
+	if failure.First && p.wasAnswered {
 		failure.Pause = p.firstDelay(chance)
 	} else {
-		failure.Pause = p.delay(failure.For, chance)
+		failure.Pause = p.delay(failure.FailingFor, chance)
 	}
 	return failure
 }
--- a/internal/retry/pacer_test.go
+++ b/internal/retry/pacer_test.go
@@ -12,10 +12,10 @@
 		for _, chance := range []float64{0, 0.5, 0.999999} {
 			p := NewPacer(Options{Clients: 300, Grace: second / 2, PollInterval: interval})
 			p.Answered()
-			if f := p.Failed(7*second, chance); !f.Lost || f.Pause > second/4 {
+			if f := p.Failed(7*second, chance); !f.First || f.Pause > second/4 {
 				t.Errorf("interval %d, chance %g: %+v", interval, chance, f)
 			}
-			if f := p.Failed(8*second, chance); f.Lost || f.Pause == 0 {
+			if f := p.Failed(8*second, chance); f.First || f.Pause == 0 {
 				t.Errorf("interval %d, chance %g, second failure: %+v", interval, chance, f)
 			}
 		}
@@ -51,19 +51,19 @@
 		f := p.Failed(now, rng.Float64())
 		if f.Overdue {
 			overdue++
-			if f.For < 6*second || f.Calls < 3 {
+			if f.FailingFor < 6*second || f.FailedCalls < 3 {
 				t.Errorf("overdue %+v", f)
 			}
 		}
 		shortest, longest := second*2/3, second*4/3
-		if f.For > 18*second {
+		if f.FailingFor > 18*second {
 			longest = 6 * second
 		}
-		if f.For > 81*second {
+		if f.FailingFor > 81*second {
 			shortest = 3 * second
 		}
 		if f.Pause < shortest || f.Pause > longest {
-			t.Fatalf("failing for %d us: a delay of %d", f.For, f.Pause)
+			t.Fatalf("failing for %d us: a delay of %d", f.FailingFor, f.Pause)
 		}
 		now += f.Pause
 	}
@@ -71,7 +71,7 @@
 		t.Errorf("overdue %d times, want once a loss", overdue)
 	}
 	p.Answered()
-	if f := p.Failed(now, 0.5); !f.Lost || f.Calls != 1 || f.For != 0 {
+	if f := p.Failed(now, 0.5); !f.First || f.FailedCalls != 1 || f.FailingFor != 0 {
 		t.Errorf("after an answer: %+v", f)
 	}
 }
--- a/internal/router/contract.go
+++ b/internal/router/contract.go
@@ -81,7 +81,7 @@
 
 // logViolation logs a rule that was broken.
 func (r *Router) logViolation(v guard.Violation) {
-	r.events.Add(eventlog.Violation, v.Reason.String(), slog.Int64("request", v.Request), slog.String("id", v.Name),
+	r.events.Add(eventlog.Violation, v.Reason.String(), slog.Int64("request", v.Request), slog.String("id", v.ClientID),
 		slog.Int("attempt", v.Attempt), slog.String("cache", v.Cache), slog.Int64("by_us", v.Excess))
 }
 
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -53,7 +53,7 @@
 // meanwhile as without gossip. isRetry is false for the first try. The error is one that waiting doesn't help.
 func (r *Router) startGossip(member *gossipMember, cfg gossip.Config, isRetry bool) (err error) {
 	member.transport, err = transport.Start(r.m, r.cfg.PeerListen, cfg, r.updateRouterCount)
-	if machine.Passes(err) {
+	if machine.IsTransientListenError(err) {
 		if !isRetry {
 			r.logger.Warn("gossip waits for its address", "cause", err)
 		}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -129,7 +129,7 @@
 	switch {
 	case err == nil:
 		return r.beginServing()
-	case machine.Passes(err):
+	case machine.IsTransientListenError(err):
 		return r.waitForAddress(err)
 	}
 	return err
--- a/internal/router/retry_storm.go
+++ b/internal/router/retry_storm.go
@@ -46,7 +46,7 @@
 	command := &slot.Command
 	class := w.classes[command.Class]
 	return retrystorm.Request{
-		Client:            slot.Client(),
+		Client:            slot.ClientAddressHash(),
 		Key:               command.KeyHash ^ class.nameHash,
 		ClientTimeout:     class.clientTimeout,
 		MarkedRetry:       command.Retry,
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -161,7 +161,7 @@
 		DialTimeout:  r.cfg.Transport.DialTimeout,
 		Keepalive:    r.cfg.Transport.Keepalive,
 		StalledAfter: stalledAfter(r.cfg.Settings.Classes),
-		Clock:        r.timerQueue,
+		Timers:       r.timerQueue,
 		Logger:       r.logger,
 	}, r)
 	r.subset = newEndpointSubset(r.cfg, upstreams)
--- a/internal/router/standstill.go
+++ b/internal/router/standstill.go
@@ -9,7 +9,7 @@
 // Which pauses of the loop are long enough that the endpoint list may have become too old.
 const (
 	watchPauseDivisor = 4      // of the drain grace, where lists are watched
-	pushPauseDivisor  = 2      // where lists are pushed, as half of the grace is for polling the agent: see retry.Spans
+	pushPauseDivisor  = 2      // where lists are pushed, as half of the grace is for polling the agent: see retry.Timeouts
 	minPause          = 10_000 // microseconds
 )
 
--- a/internal/testbench/lab/planted/throng.go
+++ b/internal/testbench/lab/planted/throng.go
@@ -67,7 +67,7 @@
 				}
 				if now := m.Now(); unmet >= doubtAfter && now >= doubted+doubtPause {
 					unmet, doubted = 0, now
-					client := httpclient.New(m, told.Discovery, httpclient.Options{DialTime: doubtTime, MaxBodyBytes: 1 << 20})
+					client := httpclient.New(m, told.Discovery, httpclient.Options{DialTimeout: doubtTime, MaxBodyBytes: 1 << 20})
 					m.Post(func() {
 						client.Do(httpclient.Request{Method: "GET", Path: "/discovery/hosts"}, doubtTime, func(*httpclient.Response, error) { client.Close() })
 					})
--- a/internal/testbench/sim/dial.go
+++ b/internal/testbench/sim/dial.go
@@ -55,7 +55,7 @@
 func (d *dialing) begin() {
 	w := d.p.w
 	if d.blocked = d.p.host.lacks(); d.blocked {
-		d.timeout.ev.err = machine.ErrLack
+		d.timeout.ev.err = machine.ErrShortage
 		d.p.At(w.now+lackPause, func() {
 			if !d.over {
 				d.begin()
--- a/internal/testbench/standin/registry/harness_test.go
+++ b/internal/testbench/standin/registry/harness_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	client := world.Host(fmt.Sprintf("client-%d", n), fmt.Sprintf("10.0.2.%d", n), sim.HostOptions{})
-	f.calls = httpclient.New(client.Machine(), addr, httpclient.Options{DialTime: Second, MaxBodyBytes: 4 << 20})
+	f.calls = httpclient.New(client.Machine(), addr, httpclient.Options{DialTimeout: Second, MaxBodyBytes: 4 << 20})
 	return f
 }
 
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -103,7 +103,7 @@
 		c.openedInRow = 0
 		conn.close()
 		if len(c.waiting) > 0 {
-			c.waiting[0].finish(unconnectedResult(machine.IsLocal(err)), nil)
+			c.waiting[0].finish(unconnectedResult(machine.IsLocalDialError(err)), nil)
 		}
 		c.dispatch()
 		return nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -40,8 +40,8 @@
 
 // New returns a pool without caches.
 func New(m machine.Machine, options Options, owner Owner) *Pool {
-	if options.Clock == nil {
-		options.Clock = timerqueue.New(m)
+	if options.Timers == nil {
+		options.Timers = timerqueue.New(m)
 	}
 	if options.Logger == nil {
 		options.Logger = structuredlog.Discard()
@@ -51,7 +51,7 @@
 		options:    options,
 		owner:      owner,
 		logger:     options.Logger,
-		timers:     options.Clock,
+		timers:     options.Timers,
 		caches:     map[string]*cache{},
 		readBuffer: make([]byte, resp.MaxReplyBytes),
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -56,6 +56,6 @@
 	DialTimeout  Time              // for a connection to come up
 	Keepalive    Time              // a cache closes a connection that was idle for so long
 	StalledAfter Time              // an attempt cancelled after so long counts as not answered, for the log alone
-	Clock        *timerqueue.Queue // for the deadlines of attempts; nil for a queue of the pool's own
+	Timers       *timerqueue.Queue // for the deadlines of attempts; nil for a queue of the pool's own
 	Logger       *slog.Logger      // nil discards
 }
