--- a/cmd/lab/mass.go
+++ b/cmd/lab/mass.go
@@ -71,8 +71,8 @@
 		}
 		tellMass(o.Out, r)
 		x := r.result
-		served, refused, late = min(served, x.Served()), max(refused, x.RefusedShare()), max(late, x.Late())
-		probes, dials = max(probes, x.PerRequest(x.Losses.Probes)), max(dials, x.PerRequest(x.Dials))
+		served, refused, late = min(served, x.Served()), max(refused, x.RefusedRatio()), max(late, x.Late())
+		probes, dials = max(probes, x.PerRequest(x.LossReport.HealthChecks)), max(dials, x.PerRequest(x.Dials))
 		broken += len(x.Broken) + x.More
 	}
 	ok = served >= massServed && refused <= massRefused && probes <= massProbes && dials <= massHandshakes && broken == 0
@@ -109,15 +109,15 @@
 	x := r.result
 	fmt.Fprintf(out, "%s, seed %d, %d routers, %d caches: requests %d served %.3f late %.3f refused %.3f lost %d left %d, "+
 		"a request: attempts %.2f probes %.3f dials %.2f (%d turned away); %s in %.1f s\n", r.Day, r.Seed, r.Routers, r.Caches,
-		x.Tally.Requests, x.Served(), x.Late(), x.RefusedShare(), x.Tally.Lost+x.Tally.Failed, x.Tally.Left,
-		x.PerRequest(x.Losses.Attempts), x.PerRequest(x.Losses.Probes), x.PerRequest(x.Dials), x.TurnedAway,
+		x.Tally.Requests, x.Served(), x.Late(), x.RefusedRatio(), x.Tally.Lost+x.Tally.Failed, x.Tally.Left,
+		x.PerRequest(x.LossReport.Attempts), x.PerRequest(x.LossReport.HealthChecks), x.PerRequest(x.Dials), x.RejectedDials,
 		word(x), r.took.Seconds())
 	for _, w := range x.Windows {
-		n := float64(max(1, w.Asked))
-		fmt.Fprintf(out, "  %4.0f s: tries %6d  in time %3.0f %%  refused %3.0f %%\n", float64(w.At)/1e6, w.Asked,
+		n := float64(max(1, w.Attempts))
+		fmt.Fprintf(out, "  %4.0f s: tries %6d  in time %3.0f %%  refused %3.0f %%\n", float64(w.At)/1e6, w.Attempts,
 			100*float64(w.InTime)/n, 100*float64(w.Refused)/n)
 	}
-	x.Losses.Tell(out)
+	x.LossReport.Print(out)
 }
 
 func word(x *lab.MassResult) string {
--- a/cmd/lab/storm.go
+++ b/cmd/lab/storm.go
@@ -59,7 +59,7 @@
 		for seed := range kind.seeds {
 			runs = append(runs, &stormRun{storm: lab.Storm{Seed: int64(seed + 1), Clients: stormClients, Load: stormLoad,
 				Before: stormCalm.Microseconds(), Outage: stormOutage.Microseconds(), For: stormLength.Microseconds(),
-				Ignore: kind.ignore, Keeps: kind.keeps}})
+				IgnoreAdvice: kind.ignore, KeysRetained: kind.keeps}})
 		}
 	}
 	return runs
@@ -74,21 +74,22 @@
 	empty, bound, emptyToday := 1.0, 1.0, 0.0
 	kept, others := 0, 0
 	for i, r := range runs {
-		if before := runs[max(0, i-1)].storm; i == 0 || before.Ignore != r.storm.Ignore || before.Keeps != r.storm.Keeps {
+		before := runs[max(0, i-1)].storm
+		if i == 0 || before.IgnoreAdvice != r.storm.IgnoreAdvice || before.KeysRetained != r.storm.KeysRetained {
 			memory := "memories kept"
-			if !r.storm.Keeps {
+			if !r.storm.KeysRetained {
 				memory = "memories empty"
 			}
-			fmt.Fprintf(o.Out, "caches back cold, %s; %.0f%% of clients take no advice\n", memory, 100*r.storm.Ignore)
+			fmt.Fprintf(o.Out, "caches back cold, %s; %.0f%% of clients take no advice\n", memory, 100*r.storm.IgnoreAdvice)
 		}
 		tellStorm(o.Out, r)
-		fell += r.with.Fell
-		least = min(least, r.with.Least())
-		if r.storm.Keeps {
-			inTime, today, kept = min(inTime, r.with.Share()), today+r.today.Share(), kept+1
+		fell += r.with.Overloads
+		least = min(least, r.with.MinGoodput())
+		if r.storm.KeysRetained {
+			inTime, today, kept = min(inTime, r.with.InTimeRatio()), today+r.today.InTimeRatio(), kept+1
 		} else {
-			empty, emptyToday, others = min(empty, r.with.Share()), emptyToday+r.today.Share(), others+1
-			bound = min(bound, r.with.Share()/r.with.Bound())
+			empty, emptyToday, others = min(empty, r.with.InTimeRatio()), emptyToday+r.today.InTimeRatio(), others+1
+			bound = min(bound, r.with.InTimeRatio()/r.with.Bound())
 		}
 	}
 	tellWindows(o.Out, runs[0])
@@ -149,7 +150,7 @@
 func tellStorm(out io.Writer, r *stormRun) {
 	one := func(name string, x *lab.StormResult) {
 		fmt.Fprintf(out, "  seed %d %-6s in time %5.1f%% (bound %5.1f%%)  goodput least %5.1f%%  fell %d  tries %7d  %s\n",
-			r.storm.Seed, name, 100*x.Share(), 100*x.Bound(), 100*x.Least(), x.Fell, x.Tries, x.First())
+			r.storm.Seed, name, 100*x.InTimeRatio(), 100*x.Bound(), 100*x.MinGoodput(), x.Overloads, x.Tries, x.First())
 	}
 	one("router", r.with)
 	one("today", r.today)
@@ -157,10 +158,10 @@
 
 // tellWindows shows one storm as it went.
 func tellWindows(out io.Writer, r *stormRun) {
-	fmt.Fprintf(out, "seed %d, %.0f%% take no advice: core-seconds in each window\n", r.storm.Seed, 100*r.storm.Ignore)
-	for i, p := range r.with.Parts {
+	fmt.Fprintf(out, "seed %d, %.0f%% take no advice: core-seconds in each window\n", r.storm.Seed, 100*r.storm.IgnoreAdvice)
+	for i, p := range r.with.Intervals {
 		fmt.Fprintf(out, "  %2d s: asked %5.1f  caches can bear %5.1f  in time %5.1f (goodput %3.0f%%)  today %5.1f\n",
-			p.At/1_000_000, p.Asked, p.Bear, p.InTime, 100*p.Goodput(), r.today.Parts[i].InTime)
+			p.At/1_000_000, p.Offered, p.Capacity, p.InTime, 100*p.Goodput(), r.today.Intervals[i].InTime)
 	}
 }
 
--- a/cmd/lab/stormloop.go
+++ b/cmd/lab/stormloop.go
@@ -41,8 +41,8 @@
 		}
 		books := with.books()
 		fell += with.Counts.Broken[rules.ColdPushedOver] + with.Counts.Broken[rules.StorePushedOver]
-		inTime, least = min(inTime, books.Share()), min(least, books.Least())
-		late, today = max(late, with.late, without.late), max(today, without.books().Share())
+		inTime, least = min(inTime, books.InTimeRatio()), min(least, books.MinGoodput())
+		late, today = max(late, with.late, without.late), max(today, without.books().InTimeRatio())
 		ok = ok && with.OK()
 	}
 	ok = ok && fell <= stormFell && inTime > stormInTime && least >= stormGoodput
@@ -74,16 +74,16 @@
 }
 
 func (x *loopStorm) books() *lab.StormResult {
-	return &lab.StormResult{Parts: x.Storm.Parts(), Requests: x.Storm.Requests, InTime: x.Storm.InTime}
+	return &lab.StormResult{Intervals: x.Storm.Intervals(), Requests: x.Storm.Requests, InTime: x.Storm.InTime}
 }
 
 func (x *loopStorm) tell(out io.Writer, ignore float64) {
 	books := x.books()
 	fmt.Fprintf(out, "%3.0f%% take no advice, %-6s in time %5.1f%% of %d  goodput least %5.1f%%  tries %d  harness late %.1f%%\n",
-		100*ignore, x.name, 100*books.Share(), books.Requests, 100*books.Least(), x.Counts.Asked, 100*x.late)
-	for _, p := range books.Parts {
+		100*ignore, x.name, 100*books.InTimeRatio(), books.Requests, 100*books.MinGoodput(), x.Counts.Asked, 100*x.late)
+	for _, p := range books.Intervals {
 		fmt.Fprintf(out, "  %2d s: asked %5.1f  caches can bear %5.1f  in time %5.1f (goodput %3.0f%%)\n",
-			p.At/1_000_000, p.Asked, p.Bear, p.InTime, 100*p.Goodput())
+			p.At/1_000_000, p.Offered, p.Capacity, p.InTime, 100*p.Goodput())
 	}
 	told(out, &x.Report)
 }
--- a/internal/testbench/lab/faults.go
+++ b/internal/testbench/lab/faults.go
@@ -12,44 +12,44 @@
 
 // faults carries the faults of a script out.
 type faults struct {
-	w *world
-	// lasting are those that last now, by what they switch, the latest last. The danger: the end of one would end
+	world *world
+	// active are those that last now, by what they switch, the latest last. The danger: the end of one would end
 	// another of its kind that goes on.
-	lasting map[string][]script.Fault
-	hostile int // hosts of hostile clients so far
+	active       map[string][]script.Fault
+	hostileHosts int // hosts of hostile clients so far
 }
 
-func newFaults(w *world) *faults { return &faults{w: w, lasting: map[string][]script.Fault{}} }
+func newFaults(w *world) *faults { return &faults{world: w, active: map[string][]script.Fault{}} }
 
-// plan has a fault begin and end in its time.
-func (f *faults) plan(x script.Fault) {
-	w := f.w
+// schedule has a fault begin and end in its time.
+func (f *faults) schedule(x script.Fault) {
+	w := f.world
 	at := sim.Start + lead + microseconds(x.At)
 	w.sim.At(at, func() {
-		w.eyes.say("FAULT " + x.String())
-		f.begin(x)
+		w.observer.logTimeline("FAULT " + x.String())
+		f.apply(x)
 	})
 }
 
-// until has something done when a fault ends, which is with the script at the latest.
-func (f *faults) until(x script.Fault, end func()) {
-	f.w.sim.At(sim.Start+lead+microseconds(x.Until(f.w.s.Length)), func() {
-		f.w.eyes.say("fault " + x.String() + " ends")
+// atEnd has something done when a fault ends, which is with the script at the latest.
+func (f *faults) atEnd(x script.Fault, end func()) {
+	f.world.sim.At(sim.Start+lead+microseconds(x.Until(f.world.script.Length)), func() {
+		f.world.observer.logTimeline("fault " + x.String() + " ends")
 		end()
 	})
 }
 
-// during switches something on and, at the fault's end, back to what the other faults that last make of it. set gets
+// activate switches something on and, at the fault's end, back to what the other faults that last make of it. set gets
 // nil where none is left.
-func (f *faults) during(what string, x script.Fault, set func(x *script.Fault)) {
-	f.lasting[what] = append(f.lasting[what], x)
+func (f *faults) activate(what string, x script.Fault, set func(x *script.Fault)) {
+	f.active[what] = append(f.active[what], x)
 	set(&x)
-	f.until(x, func() {
-		all := f.lasting[what]
+	f.atEnd(x, func() {
+		all := f.active[what]
 		if i := slices.Index(all, x); i >= 0 {
 			all = slices.Delete(all, i, i+1)
 		}
-		f.lasting[what] = all
+		f.active[what] = all
 		if len(all) == 0 {
 			set(nil)
 			return
@@ -58,7 +58,7 @@
 	})
 }
 
-func (f *faults) begin(x script.Fault) {
+func (f *faults) apply(x script.Fault) {
 	switch x.Kind {
 	case script.Cut, script.Lag:
 		f.link(x)
@@ -68,25 +68,25 @@
 	case script.Add, script.HotKey, script.Hostile, script.Burst:
 		f.clients(x)
 	case script.RouterKill, script.RouterRestart, script.RouterTerm, script.HangUp, script.ClockStep, script.Stall, script.FailCalls:
-		for _, i := range script.RoutersOf(x.Target, len(f.w.routers)) {
-			f.router(x, f.w.routers[i])
+		for _, i := range script.RoutersOf(x.Target, len(f.world.routers)) {
+			f.router(x, f.world.routers[i])
 		}
 	case script.RegistrySilent, script.RegistryStale, script.Registry5xx, script.RegistryTruncate,
 		script.RegistryMalform, script.RegistryHash, script.RegistryEmpty, script.RegistryDisagree,
 		script.RegistryDeltaLost, script.RegistryDeltaRepeat, script.RegistryDeltaOld, script.RegistrySlow,
 		script.RegistryRestart:
-		for _, i := range script.ReplicasOf(x.Target, len(f.w.registry.servers)) {
+		for _, i := range script.ReplicasOf(x.Target, len(f.world.registry.servers)) {
 			f.registry(x, i)
 		}
 	default:
-		for _, i := range script.CachesOf(x.Target, f.w.s.Caches) {
+		for _, i := range script.CachesOf(x.Target, f.world.script.Caches) {
 			f.cache(x, i)
 		}
 	}
 }
 
-// lasts is whether a switch is on.
-func lasts(x *script.Fault) bool { return x != nil }
+// isActive is whether a switch is on.
+func isActive(x *script.Fault) bool { return x != nil }
 
 // chanceOf is the chance of a fault, 0 where none lasts.
 func chanceOf(x *script.Fault) float64 {
@@ -98,15 +98,15 @@
 
 // cache has a fault strike the cache of a place.
 func (f *faults) cache(x script.Fault, i int) {
-	p := f.w.caches[i]
+	p := f.world.caches[i]
 	what := fmt.Sprintf("%s %d", x.Kind, i)
 	switch x.Kind {
 	case script.Hang:
-		f.during(what, x, func(x *script.Fault) { p.cache.Hang(lasts(x)) })
+		f.activate(what, x, func(x *script.Fault) { p.cache.Hang(isActive(x)) })
 	case script.Silence:
-		f.during(what, x, func(x *script.Fault) { p.cache.Silent(lasts(x)) })
+		f.activate(what, x, func(x *script.Fault) { p.cache.Silent(isActive(x)) })
 	case script.Slow:
-		f.during(what, x, func(x *script.Fault) {
+		f.activate(what, x, func(x *script.Fault) {
 			factor := 1.0
 			if x != nil {
 				factor = x.Factor
@@ -114,11 +114,11 @@
 			p.cache.Slow(factor)
 		})
 	case script.Errors:
-		f.during(what, x, func(x *script.Fault) { p.cache.ErrRate(chanceOf(x)) })
+		f.activate(what, x, func(x *script.Fault) { p.cache.ErrRate(chanceOf(x)) })
 	case script.Busy:
-		f.during(what, x, func(x *script.Fault) { p.cache.Busy(lasts(x)) })
+		f.activate(what, x, func(x *script.Fault) { p.cache.Busy(isActive(x)) })
 	case script.Spoil:
-		f.during(what, x, func(x *script.Fault) {
+		f.activate(what, x, func(x *script.Fault) {
 			how := standin.Noise
 			if x != nil {
 				how = standin.Spoil(x.How)
@@ -126,7 +126,7 @@
 			p.cache.Spoil(chanceOf(x), how)
 		})
 	case script.Double:
-		f.during(what, x, func(x *script.Fault) {
+		f.activate(what, x, func(x *script.Fault) {
 			if x == nil {
 				p.cache.Double(0, false, 0)
 				return
@@ -134,13 +134,13 @@
 			p.cache.Double(x.Chance, x.How == "noise", microseconds(x.Delay))
 		})
 	case script.ResetAccept:
-		f.during(what, x, func(x *script.Fault) { p.cache.ResetAccept(lasts(x)) })
+		f.activate(what, x, func(x *script.Fault) { p.cache.ResetAccept(isActive(x)) })
 	case script.ResetInside:
-		f.during(what, x, func(x *script.Fault) { p.cache.ResetInside(chanceOf(x)) })
+		f.activate(what, x, func(x *script.Fault) { p.cache.ResetInside(chanceOf(x)) })
 	case script.ResetAfter:
-		f.during(what, x, func(x *script.Fault) { p.cache.ResetAfter(chanceOf(x)) })
+		f.activate(what, x, func(x *script.Fault) { p.cache.ResetAfter(chanceOf(x)) })
 	case script.SwallowDials:
-		f.during(what, x, func(x *script.Fault) { f.w.hosts[p.cache.Name()].SwallowDials(lasts(x)) })
+		f.activate(what, x, func(x *script.Fault) { f.world.hosts[p.cache.Name()].SwallowDials(isActive(x)) })
 	case script.DropIdle:
 		p.cache.DropIdle(x.How == "silently")
 	default:
@@ -150,49 +150,49 @@
 
 // fleet has a cache go or come. One that is gone for good stays so.
 func (f *faults) fleet(x script.Fault, p *place) {
-	if p.gone {
+	if p.removed {
 		return
 	}
-	w := f.w
+	w := f.world
 	switch x.Kind {
 	case script.RestartCold, script.PowerCut:
 		w.fail(w.fleet.Restart(p.cache))
-		w.registry.restarted(p.cache)
+		w.registry.registerRestart(p.cache)
 	case script.Replace:
-		w.replace(p, x.How == "same-address")
+		w.replaceCache(p, x.How == "same-address")
 	case script.Drain:
 		drained := p.cache
 		w.fleet.Discovery.SetStatus(drained.Name(), standin.Terminating)
-		w.registry.put(drained, registry.OutOfService)
-		f.until(x, func() {
-			if p.cache == drained && !p.gone {
-				w.end(p)
-				w.registry.left(drained)
+		w.registry.setStatus(drained, registry.OutOfService)
+		f.atEnd(x, func() {
+			if p.cache == drained && !p.removed {
+				w.removeCache(p)
+				w.registry.unregister(drained)
 			}
 		})
 	case script.Depart:
-		w.end(p)
-		w.registry.left(p.cache)
+		w.removeCache(p)
+		w.registry.unregister(p.cache)
 	case script.CacheKill:
-		w.end(p)
-		w.registry.died(p.cache)
+		w.removeCache(p)
+		w.registry.stopRenewing(p.cache)
 	case script.RegistryFlap:
 		f.flap(x, p.cache)
 	case script.RegistryOut:
 		c := p.cache
-		w.registry.put(c, registry.OutOfService)
-		f.until(x, func() { w.registry.put(c, registry.Up) })
+		w.registry.setStatus(c, registry.OutOfService)
+		f.atEnd(x, func() { w.registry.setStatus(c, registry.Up) })
 	}
 }
 
-// end ends a cache for good.
-func (w *world) end(p *place) {
-	p.gone = true
+// removeCache ends a cache for good.
+func (w *world) removeCache(p *place) {
+	p.removed = true
 	p.cache.Stop()
 	w.fleet.Discovery.Remove(p.cache.Name())
 }
 
-func (w *world) replace(p *place, sameAddress bool) {
+func (w *world) replaceCache(p *place, sameAddress bool) {
 	old, start := p.cache, w.fleet.Replace
 	if sameAddress {
 		start = w.fleet.TakeOver
@@ -202,8 +202,8 @@
 		w.fail(err)
 		return
 	}
-	w.registry.left(old)
-	w.registry.enrol(c, w.sim.Now())
+	w.registry.unregister(old)
+	w.registry.enroll(c, w.sim.Now())
 	p.cache = c
 	if sameAddress {
 		w.hosts[c.Name()] = w.hosts[old.Name()]
@@ -219,10 +219,10 @@
 
 // discovery has a fault strike the list.
 func (f *faults) discovery(x script.Fault) {
-	d := f.w.fleet.Discovery
+	d := f.world.fleet.Discovery
 	switch x.Kind {
 	case script.ListLate, script.ListStale:
-		f.during(script.ListLate, x, func(x *script.Fault) {
+		f.activate(script.ListLate, x, func(x *script.Fault) {
 			if x == nil {
 				d.Late(0)
 				return
@@ -230,13 +230,13 @@
 			d.Late(microseconds(x.Delay))
 		})
 	case script.ListDown:
-		f.during(x.Kind, x, func(x *script.Fault) { d.Down(lasts(x), x != nil && x.How == "resets") })
+		f.activate(x.Kind, x, func(x *script.Fault) { d.Down(isActive(x), x != nil && x.How == "resets") })
 	case script.ListSilent:
-		f.during(x.Kind, x, func(x *script.Fault) { d.Silent(lasts(x)) })
+		f.activate(x.Kind, x, func(x *script.Fault) { d.Silent(isActive(x)) })
 	case script.ListAtOnce:
-		f.during(x.Kind, x, func(x *script.Fault) { d.AnswerAtOnce(lasts(x)) })
+		f.activate(x.Kind, x, func(x *script.Fault) { d.AnswerAtOnce(isActive(x)) })
 	case script.ListBadEntry:
-		f.during(x.Kind, x, func(x *script.Fault) {
+		f.activate(x.Kind, x, func(x *script.Fault) {
 			how := ""
 			if x != nil {
 				how = x.How
@@ -252,7 +252,7 @@
 
 // moveDiscovery gives discovery new addresses, and has all routers read them.
 func (f *faults) moveDiscovery() {
-	w := f.w
+	w := f.world
 	var addrs []string
 	for range w.routers {
 		addrs = append(addrs, w.hosts["discovery"].IP()+":0")
@@ -263,22 +263,22 @@
 		return
 	}
 	for i, r := range w.routers {
-		r.list = got[i]
+		r.discoveryAddr = got[i]
 		r.reload()
 	}
 }
 
 // clients has a fault come from the clients' side.
 func (f *faults) clients(x script.Fault) {
-	w := f.w
+	w := f.world
 	switch x.Kind {
 	case script.Add:
 		c, err := w.fleet.AddCache(true)
 		if w.fail(err); err == nil {
-			w.registry.enrol(c, w.sim.Now())
+			w.registry.enroll(c, w.sim.Now())
 		}
 	case script.HotKey:
-		f.during(x.Kind, x, func(x *script.Fault) {
+		f.activate(x.Kind, x, func(x *script.Fault) {
 			if x == nil {
 				w.fleet.Keys.Heat(0, 0)
 				return
@@ -286,8 +286,8 @@
 			w.fleet.Keys.Heat(x.Keys, x.Chance)
 		})
 	case script.Burst:
-		f.during(x.Kind, x, func(x *script.Fault) {
-			rate := w.s.Rate / float64(w.s.Clients.Groups)
+		f.activate(x.Kind, x, func(x *script.Fault) {
+			rate := w.script.Rate / float64(w.script.Clients.Groups)
 			if x != nil {
 				rate *= x.Factor
 			}
@@ -296,29 +296,29 @@
 			}
 		})
 	case script.Hostile:
-		f.hostiles(x)
+		f.addHostileClients(x)
 	}
 }
 
-// hostiles has a client that means harm come in each zone.
-func (f *faults) hostiles(x script.Fault) {
-	w := f.w
+// addHostileClients has a client that means harm come in each zone.
+func (f *faults) addHostileClients(x script.Fault) {
+	w := f.world
 	for _, zone := range script.Zones() {
-		f.hostile++
-		name := fmt.Sprintf("hostile-%d", f.hostile)
+		f.hostileHosts++
+		name := fmt.Sprintf("hostile-%d", f.hostileHosts)
 		h := standin.NewHostile(w.host(name, zone).Machine(), standin.HostileOptions{
 			Harm: standin.Harm(x.How), Every: 50 * millisecond, HoldFor: 2 * second, Most: 32, Class: w.classes[0],
 			Keys: w.fleet.Keys, Routers: func() []standin.Target { return w.front.routers(zone) },
-		}, w.sim.Rand(name), w.eyes)
+		}, w.sim.Rand(name), w.observer)
 		h.Start()
-		f.until(x, h.Stop)
+		f.atEnd(x, h.Stop)
 	}
 }
 
 // Figures of failing calls: connections that can't be begun are rarer than reads that are cut short.
 const (
-	dialsPart = 4
-	shortRead = 200 // bytes that such a read takes, at most
+	failingDialDivisor = 4
+	maxShortRead       = 200 // bytes that such a read takes, at most
 )
 
 // router has a fault strike a router.
@@ -329,7 +329,7 @@
 	case script.RouterRestart:
 		if r.node != nil {
 			r.kill()
-			r.back(microseconds(x.For))
+			r.restartAfter(microseconds(x.For))
 		}
 	case script.RouterTerm:
 		r.terminate()
@@ -340,8 +340,8 @@
 	case script.Stall:
 		r.stall(microseconds(x.For))
 	case script.FailCalls:
-		r.host.FailCalls(sim.FailingCalls{Dials: x.Chance / dialsPart, ShortReads: x.Chance, ReadMost: shortRead})
-		f.until(x, func() { r.host.FailCalls(sim.FailingCalls{}) })
+		r.host.FailCalls(sim.FailingCalls{Dials: x.Chance / failingDialDivisor, ShortReads: x.Chance, ReadMost: maxShortRead})
+		f.atEnd(x, func() { r.host.FailCalls(sim.FailingCalls{}) })
 	}
 }
 
@@ -357,32 +357,32 @@
 func (f *faults) oneWay(x script.Fault, from, to string) {
 	set := func(x *script.Fault) {
 		if x == nil {
-			f.w.sim.Slow(from, to, 1, 0)
+			f.world.sim.Slow(from, to, 1, 0)
 			return
 		}
-		f.w.sim.Slow(from, to, x.Factor, microseconds(x.Delay))
+		f.world.sim.Slow(from, to, x.Factor, microseconds(x.Delay))
 	}
 	if x.Kind == script.Cut {
 		set = func(x *script.Fault) {
 			if x == nil {
-				f.w.sim.Heal(from, to)
+				f.world.sim.Heal(from, to)
 				return
 			}
-			f.w.sim.Cut(from, to)
+			f.world.sim.Cut(from, to)
 		}
 	}
-	f.during(wayOf(x.Kind, from, to), x, set)
+	f.activate(linkKey(x.Kind, from, to), x, set)
 }
 
-func wayOf(kind, from, to string) string { return kind + " " + from + ">" + to }
+func linkKey(kind, from, to string) string { return kind + " " + from + ">" + to }
 
-// lag is how long the way from one zone to another takes at the most, where it is longer than usual; else 0.
-func (f *faults) lag(from, to string) Time {
-	all := f.lasting[wayOf(script.Lag, from, to)]
+// maxLag is how long the way from one zone to another takes at the most, where it is longer than usual; else 0.
+func (f *faults) maxLag(from, to string) Time {
+	all := f.active[linkKey(script.Lag, from, to)]
 	if len(all) == 0 {
 		return 0
 	}
-	n, x := f.w.s.Network, all[len(all)-1]
+	n, x := f.world.script.Network, all[len(all)-1]
 	latency := n.Far
 	if from == to {
 		latency = n.Near
@@ -390,7 +390,7 @@
 	return Time(float64(microseconds(latency))*(x.Factor+n.Jitter)) + microseconds(x.Delay)
 }
 
-// apart reports whether nothing gets from one zone to another now, or back.
-func (f *faults) apart(a, b string) bool {
-	return len(f.lasting[wayOf(script.Cut, a, b)]) > 0 || len(f.lasting[wayOf(script.Cut, b, a)]) > 0
+// partitioned reports whether nothing gets from one zone to another now, or back.
+func (f *faults) partitioned(a, b string) bool {
+	return len(f.active[linkKey(script.Cut, a, b)]) > 0 || len(f.active[linkKey(script.Cut, b, a)]) > 0
 }
--- a/internal/testbench/lab/front.go
+++ b/internal/testbench/lab/front.go
@@ -12,14 +12,14 @@
 // front deals clients to the routers of their zone, and to others where their zone has none. It uses a router
 // once it has answered PING, and notices only after some seconds that one has died.
 type front struct {
-	w       *world
+	world   *world
 	host    *sim.Host
 	serving []*router // in the order of their names
 	byZone  map[string][]standin.Target
 }
 
 func newFront(w *world) *front {
-	return &front{w: w, host: w.host("front", centre()), byZone: map[string][]standin.Target{}}
+	return &front{world: w, host: w.host("front", centre()), byZone: map[string][]standin.Target{}}
 }
 
 // routers is what clients of a zone are dealt to now.
@@ -40,7 +40,7 @@
 	if len(near) == 0 {
 		near = all
 		for _, r := range f.serving {
-			r.abroad = true
+			r.servedOtherZones = true
 		}
 	}
 	f.byZone[zone] = near
@@ -49,19 +49,19 @@
 
 // weight is how often a router is dealt to for each time of another.
 func (f *front) weight(r *router) int {
-	if f.w.o.Weight == nil {
+	if f.world.options.Weight == nil {
 		return 1
 	}
-	return f.w.o.Weight(slices.Index(f.w.routers, r))
+	return f.world.options.Weight(slices.Index(f.world.routers, r))
 }
 
-// started asks a router until it answers.
-func (f *front) started(r *router) {
-	life := r.life
+// addWhenServing asks a router until it answers.
+func (f *front) addWhenServing(r *router) {
+	life := r.generation
 	again := func() {
-		f.w.sim.At(f.w.sim.Now()+pingEvery, func() {
-			if r.life == life && r.node != nil {
-				f.started(r)
+		f.world.sim.At(f.world.sim.Now()+pingInterval, func() {
+			if r.generation == life && r.node != nil {
+				f.addWhenServing(r)
 			}
 		})
 	}
@@ -72,9 +72,9 @@
 		}
 		p := &ping{conn: c, answered: func(ok bool) {
 			switch {
-			case r.life != life || r.node == nil || r.ending:
+			case r.generation != life || r.node == nil || r.ending:
 			case ok:
-				f.use(r)
+				f.add(r)
 			default:
 				again()
 			}
@@ -84,9 +84,9 @@
 	})
 }
 
-const pingEvery = 50 * millisecond
+const pingInterval = 50 * millisecond
 
-func (f *front) use(r *router) {
+func (f *front) add(r *router) {
 	if slices.Contains(f.serving, r) {
 		return
 	}
@@ -95,17 +95,17 @@
 	clear(f.byZone)
 }
 
-func (f *front) drop(r *router) {
+func (f *front) remove(r *router) {
 	f.serving = slices.DeleteFunc(f.serving, func(x *router) bool { return x == r })
 	clear(f.byZone)
 }
 
-// ended is told when a process has ended; the front notices later.
-func (f *front) ended(r *router) {
-	life := r.life
-	f.w.sim.At(f.w.sim.Now()+microseconds(f.w.s.Clients.Front), func() {
-		if r.life == life {
-			f.drop(r)
+// removeLater is told when a process has ended; the front notices later.
+func (f *front) removeLater(r *router) {
+	life := r.generation
+	f.world.sim.At(f.world.sim.Now()+microseconds(f.world.script.Clients.Front), func() {
+		if r.generation == life {
+			f.remove(r)
 		}
 	})
 }
--- a/internal/testbench/lab/hooks.go
+++ b/internal/testbench/lab/hooks.go
@@ -17,41 +17,41 @@
 
 // Of the routers' hooks, beside what a script says.
 const (
-	hookWaitShare = 0.1
-	hookWaitMost  = 50 * millisecond
-	hookLoadTime  = 100 * millisecond
-	hookMemory    = 1 << 20 // none is used here, but the routers' limits count it
+	hookMaxWaitFraction = 0.1
+	hookMaxWait         = 50 * millisecond
+	hookLoadTime        = 100 * millisecond
+	hookMemory          = 1 << 20 // none is used here, but the routers' limits count it
 )
 
 // hookCalls is a Node that tells how many calls of each hook wait or run.
 type hookCalls interface{ HookCalls() map[string]int }
 
-// hooked is what the lab knows of the hooks that routers have, all of them the same.
-type hooked struct {
-	w        *world
-	hooks    []script.Hook
-	rand     *rand.Rand // whether one strikes
-	full     map[string]bool
-	unpassed map[string]bool // classes of which no hook lets a request through; "" for all
+// hookScripts is what the lab knows of the hooks that routers have, all of them the same.
+type hookScripts struct {
+	world          *world
+	hooks          []script.Hook
+	rand           *rand.Rand // whether one strikes
+	queueExceeded  map[string]bool
+	blockedClasses map[string]bool // classes of which no hook lets a request through; "" for all
 }
 
-func newHooked(w *world) *hooked {
-	k := &hooked{w: w, rand: w.sim.Rand("hooks"), full: map[string]bool{}, unpassed: map[string]bool{}}
-	for _, h := range w.s.Hooks {
+func newHookScripts(w *world) *hookScripts {
+	k := &hookScripts{world: w, rand: w.sim.Rand("hooks"), queueExceeded: map[string]bool{}, blockedClasses: map[string]bool{}}
+	for _, h := range w.script.Hooks {
 		k.hooks = append(k.hooks, h.Usual())
 		if h.NeverPasses() {
-			k.unpassed[h.Class] = true
+			k.blockedClasses[h.Class] = true
 		}
 	}
 	return k
 }
 
 // name is that of a hook: its number tells what it is.
-func (k *hooked) name(i int) string { return fmt.Sprintf("%d-%s", i+1, k.hooks[i].Kind) }
+func (k *hookScripts) name(i int) string { return fmt.Sprintf("%d-%s", i+1, k.hooks[i].Kind) }
 
 // config is what a router is told of its hooks.
-func (k *hooked) config() hooks.Config {
-	c := hooks.Config{MaxWaitFraction: hookWaitShare, MaxWait: hookWaitMost}
+func (k *hookScripts) config() hooks.Config {
+	c := hooks.Config{MaxWaitFraction: hookMaxWaitFraction, MaxWait: hookMaxWait}
 	for i, h := range k.hooks {
 		p := policy.Hook{Name: k.name(i), RetryAfter: 100 * millisecond, Time: microseconds(h.Time), LoadTime: hookLoadTime,
 			Queue: h.Queue, CPUFraction: h.Share}
@@ -68,20 +68,20 @@
 	return c
 }
 
-// play has a process of a router have workers.
-func (k *hooked) play(r *router) {
+// install has a process of a router have workers.
+func (k *hookScripts) install(r *router) {
 	if len(k.hooks) == 0 {
 		return
 	}
 	r.workers = &hookstest.Script{Load: k.load, Call: func(name string, c *plugin.Call) hookstest.Act {
-		k.look(r)
-		return k.act(k.of(name), c)
+		k.checkQueues(r)
+		return k.act(k.hookNamed(name), c)
 	}}
 	r.host.Worker = r.workers.Worker(r.host.Machine)
 }
 
-// of finds a hook by its name.
-func (k *hooked) of(name string) script.Hook {
+// hookNamed finds a hook by its name.
+func (k *hookScripts) hookNamed(name string) script.Hook {
 	for i := range k.hooks {
 		if k.name(i) == name {
 			return k.hooks[i]
@@ -90,17 +90,17 @@
 	return script.Hook{Kind: script.HookPass}
 }
 
-func (k *hooked) strikes(h script.Hook) bool { return h.OneIn <= 1 || k.rand.IntN(h.OneIn) == 0 }
+func (k *hookScripts) triggers(h script.Hook) bool { return h.OneIn <= 1 || k.rand.IntN(h.OneIn) == 0 }
 
-func (k *hooked) load(name string) (points plugin.Points, act hookstest.Act) {
-	h := k.of(name)
+func (k *hookScripts) load(name string) (points plugin.Points, act hookstest.Act) {
+	h := k.hookNamed(name)
 	for point, p := range map[string]plugin.Point{script.AtRequest: plugin.OnRequest, script.AtAnswered: plugin.Answered,
 		script.AtList: plugin.ListChanged, script.AtUnload: plugin.Unload} { // any order
 		if h.At(point) {
 			points = points.With(p)
 		}
 	}
-	if !strings.HasPrefix(h.Kind, "load-") || !k.strikes(h) {
+	if !strings.HasPrefix(h.Kind, "load-") || !k.triggers(h) {
 		return points, act
 	}
 	switch h.Kind {
@@ -115,9 +115,9 @@
 }
 
 // act is what a hook does with a call.
-func (k *hooked) act(h script.Hook, c *plugin.Call) (a hookstest.Act) {
+func (k *hookScripts) act(h script.Hook, c *plugin.Call) (a hookstest.Act) {
 	a.After = 1 + k.rand.Int64N(50)
-	if !k.strikes(h) {
+	if !k.triggers(h) {
 		return a
 	}
 	judges := c.Point == plugin.OnRequest
@@ -153,10 +153,10 @@
 	return a
 }
 
-// look sees whether a hook of a router has more calls than it may have. One more is its unload.
+// checkQueues sees whether a hook of a router has more calls than it may have. One more is its unload.
 //
 // The danger: a queue without a bound holds all that comes while its hook hangs, and nothing on the sockets shows it.
-func (k *hooked) look(r *router) {
+func (k *hookScripts) checkQueues(r *router) {
 	node, ok := r.node.(hookCalls)
 	if !ok {
 		return
@@ -165,32 +165,32 @@
 	for i, h := range k.hooks {
 		name := k.name(i)
 		full := calls[name] > h.Queue+1
-		if full && !k.full[r.name+name] {
-			k.w.breaks(Broken{Rule: LongQueue, At: k.w.now(), Router: r.name,
+		if full && !k.queueExceeded[r.name+name] {
+			k.world.reportBroken(Broken{Rule: LongQueue, At: k.world.now(), Router: r.name,
 				Text: fmt.Sprintf("hook %s has %d calls, %d allowed", name, calls[name], h.Queue)})
 		}
-		k.full[r.name+name] = full
+		k.queueExceeded[r.name+name] = full
 	}
 }
 
-// began looks at a command that has come to a cache: where each request of its class was refused or failed by a hook,
+// checkAttempt looks at a command that has come to a cache: where each request of its class was refused or failed by a hook,
 // it was never to be sent.
-func (k *hooked) began(a rules.Attempt) {
-	if k.unpassed[""] || k.unpassed[a.Class] {
-		k.w.breaks(Broken{Rule: PastHook, At: k.w.now(), Request: a.ID, Router: a.Router, Cache: a.Cache,
+func (k *hookScripts) checkAttempt(a rules.Attempt) {
+	if k.blockedClasses[""] || k.blockedClasses[a.Class] {
+		k.world.reportBroken(Broken{Rule: PastHook, At: k.world.now(), Request: a.ID, Router: a.Router, Cache: a.Cache,
 			Text: "no request of class " + a.Class + " is passed by hooks"})
 	}
 }
 
-// checkLeft looks at the workers that are left: one of each hook, and as many of a set that takes over.
-func (k *hooked) checkLeft(r *router) {
+// checkWorkers looks at the workers that are left: one of each hook, and as many of a set that takes over.
+func (k *hookScripts) checkWorkers(r *router) {
 	if r.workers == nil {
 		return
 	}
 	up := r.workers.Up()
 	for _, name := range slices.Sorted(maps.Keys(up)) {
 		if n := up[name] - 2; n > 0 {
-			k.w.watcher.Leftover(k.w.sim.Now(), r.name, "workers of hook "+name, n)
+			k.world.watcher.Leftover(k.world.sim.Now(), r.name, "workers of hook "+name, n)
 		}
 	}
 }
--- a/internal/testbench/lab/loopback/loopback.go
+++ b/internal/testbench/lab/loopback/loopback.go
@@ -68,7 +68,7 @@
 	Forgiven    map[string]int // by class: answers that were late only because this process was
 	Interrupted bool
 	// Storm is what was asked and served in the storm, where there was one.
-	Storm *lab.StormBooks
+	Storm *lab.StormAccounting
 	// Classes are the clients'.
 	Classes []standin.Class
 	Outs    []Out // in the order of their marks
--- a/internal/testbench/lab/loopback/registry.go
+++ b/internal/testbench/lab/loopback/registry.go
@@ -200,15 +200,15 @@
 
 func (fs *faults) registryBegins(x script.Fault) {
 	for _, v := range fs.r.registry.views {
-		if !lab.RegistryOnce(v.Registry, x) {
-			lab.RegistryDuring(v.Registry, x.Kind, &x, fs.r.registry.share(x.Chance))
+		if !lab.ApplyInstantRegistryFault(v.Registry, x) {
+			lab.SetRegistryFault(v.Registry, x.Kind, &x, fs.r.registry.share(x.Chance))
 		}
 	}
 }
 
 func (fs *faults) registryEnds(x script.Fault) {
 	for _, v := range fs.r.registry.views {
-		lab.RegistryDuring(v.Registry, x.Kind, nil, nil)
+		lab.SetRegistryFault(v.Registry, x.Kind, nil, nil)
 	}
 }
 
--- a/internal/testbench/lab/loopback/storm.go
+++ b/internal/testbench/lab/loopback/storm.go
@@ -25,16 +25,16 @@
 type storming struct {
 	*run
 	storm   *Storm
-	books   lab.StormBooks
-	bearing *lab.Bearing
+	books   lab.StormAccounting
+	bearing *lab.FleetCapacity
 	held    map[*standin.Cache][]string // keys, as the caches went
 }
 
 // newStorm makes the clients.
 func newStorm(r *run, fo standin.Options) *storming {
-	s := &storming{run: r, storm: r.o.Storm, bearing: lab.NewBearing(r.fleet, fo), held: map[*standin.Cache][]string{}}
+	s := &storming{run: r, storm: r.o.Storm, bearing: lab.NewFleetCapacity(r.fleet, fo), held: map[*standin.Cache][]string{}}
 	s.books.For = s.storm.For
-	rate := s.storm.Load * s.bearing.Now() / s.bearing.Mean / float64(s.storm.Clients)
+	rate := s.storm.Load * s.bearing.Now() / s.bearing.MeanWork / float64(s.storm.Clients)
 	rng := part(r.o.Script.Seed, 2)
 	r.fleet.Clients = nil
 	for i := range s.storm.Clients {
@@ -89,6 +89,6 @@
 	if now >= s.books.From+s.storm.For {
 		return
 	}
-	s.books.Bear(now, s.bearing.Now()/10)
+	s.books.AddCapacity(now, s.bearing.Now()/10)
 	s.m.At(now+100*millisecond, s.sample)
 }
--- a/internal/testbench/lab/loopback/storm_test.go
+++ b/internal/testbench/lab/loopback/storm_test.go
@@ -19,8 +19,8 @@
 		if bad := broken(&r); len(bad) > 0 || len(r.Troubles) > 0 {
 			t.Errorf("handled %v: broken %v, troubles %v", handled, bad, r.Troubles)
 		}
-		parts := r.Storm.Parts()
-		if r.Storm.Requests == 0 || r.Storm.InTime > r.Storm.Requests || len(parts) != 1 || parts[0].Asked <= 0 || parts[0].Bear <= 0 {
+		parts := r.Storm.Intervals()
+		if r.Storm.Requests == 0 || r.Storm.InTime > r.Storm.Requests || len(parts) != 1 || parts[0].Offered <= 0 || parts[0].Capacity <= 0 {
 			t.Errorf("handled %v: %d requests, %d in time, windows %+v", handled, r.Storm.Requests, r.Storm.InTime, parts)
 		}
 		if seen := strings.Contains(log.String(), "from=calm to=rising"); seen != handled {
--- a/internal/testbench/lab/loopback/world.go
+++ b/internal/testbench/lab/loopback/world.go
@@ -49,7 +49,7 @@
 			o.Classes[i].Share *= s.Clients.Writes
 		}
 	}
-	o.Homes = lab.Homes
+	o.Homes = lab.Placement
 	lab.SizeCaches(*s, &o)
 	o.Cache.Probes, o.Cache.Reports = s.Fleet.Probes, s.Fleet.Reports
 	o.Cache.Cancel = map[string]standin.Cancel{"none": standin.CancelNone, "queued": standin.CancelQueued,
--- a/internal/testbench/lab/mass.go
+++ b/internal/testbench/lab/mass.go
@@ -38,32 +38,32 @@
 // MassResult is what came of a day.
 type MassResult struct {
 	*Result
-	Losses     *Losses
-	Tally      standin.Tally // of all clients and classes
-	Windows    []MassWindow
-	Dials      int // connections that came to caches ...
-	TurnedAway int // ... and that were turned away for want of room
+	LossReport    *LossReport
+	Tally         standin.Tally // of all clients and classes
+	Windows       []MassWindow
+	Dials         int // connections that came to caches ...
+	RejectedDials int // ... and that were turned away for want of room
 }
 
 // MassWindow is a span of a day.
 type MassWindow struct {
-	At                     Time
-	Asked, InTime, Refused int // tries of clients
+	At                        Time
+	Attempts, InTime, Refused int // tries of clients
 }
 
 // Served is the share of the worth of all requests that was earned.
 func (r *MassResult) Served() float64 { return r.Tally.Earned / max(r.Tally.Offered, 1e-9) }
 
-// RefusedShare is the share of requests whose last try was refused.
-func (r *MassResult) RefusedShare() float64 { return share(r.Tally.Refused, r.Tally.Requests) }
+// RefusedRatio is the share of requests whose last try was refused.
+func (r *MassResult) RefusedRatio() float64 { return ratio(r.Tally.Refused, r.Tally.Requests) }
 
 // Late is the share of requests that were served past their aim.
-func (r *MassResult) Late() float64 { return share(r.Tally.Late, r.Tally.Requests) }
+func (r *MassResult) Late() float64 { return ratio(r.Tally.Late, r.Tally.Requests) }
 
 // PerRequest is a count as a share of clients' requests.
-func (r *MassResult) PerRequest(n int) float64 { return share(n, r.Tally.Requests) }
+func (r *MassResult) PerRequest(n int) float64 { return ratio(n, r.Tally.Requests) }
 
-func share(n, of int) float64 { return float64(n) / float64(max(1, of)) }
+func ratio(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
 // massWindow is the span of a window.
 const massWindow = 2 * second
@@ -74,8 +74,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &MassResult{Losses: NewLosses(classesOf(s))}
-	o.Fleet = m.fleet
+	r := &MassResult{LossReport: NewLossReport(classesOf(s))}
+	o.Fleet = m.scaleFleet
 	o.Weight = func(router int) int {
 		if router%heavyOneIn == 0 {
 			return heavyTimes
@@ -85,7 +85,7 @@
 	if o.Wrap != nil {
 		return nil, errors.New("lab: a day with many routers takes no wrapped module")
 	}
-	o.Wrap = r.Losses.Wrap
+	o.Wrap = r.LossReport.Wrap
 	var last rules.Tally
 	o.Counts = func(at Time, c rules.Counts) {
 		if at%massWindow == 0 {
@@ -110,14 +110,14 @@
 	}
 	for _, c := range w.fleet.Caches {
 		came, turned := c.Dials()
-		r.Dials, r.TurnedAway = r.Dials+came, r.TurnedAway+turned
+		r.Dials, r.RejectedDials = r.Dials+came, r.RejectedDials+turned
 	}
 	return r, nil
 }
 
-// fleet scales the operators' usual fleet of nine caches to a larger one, with caches that choke under a crowd and a store
+// scaleFleet scales the operators' usual fleet of nine caches to a larger one, with caches that choke under a crowd and a store
 // that takes massStore times the misses that are left where all memory works as one.
-func (m Mass) fleet(o *standin.Options) {
+func (m Mass) scaleFleet(o *standin.Options) {
 	times := float64(m.Caches) / 9
 	o.Keys = int(float64(o.Keys) * times)
 	hits := standin.NewKeys(o.Keys, o.Zipf, o.Offset, rand.New(rand.NewPCG(1, 1))).Mass(o.Cache.MemoryKeys * m.Caches)
@@ -153,8 +153,8 @@
 		return time.Duration(share * float64(m.Length)).Truncate(time.Millisecond)
 	}
 	add := func(f script.Fault) { s.Faults = append(s.Faults, f) }
-	caches := func(from, to int) string { return span1("c", from, to) }
-	routers := func(from, to int) string { return span1("router:", from, to) }
+	caches := func(from, to int) string { return targetRange("c", from, to) }
+	routers := func(from, to int) string { return targetRange("router:", from, to) }
 	bad := func(kind string) {
 		f := script.Fault{Kind: kind, Target: caches(1, max(1, m.Caches/badOneIn)), At: at(.3), For: at(.4)}
 		if kind == script.Errors {
@@ -211,8 +211,8 @@
 	return s, s.Check()
 }
 
-// span1 names the things from one number to another.
-func span1(of string, from, to int) string {
+// targetRange names the things from one number to another.
+func targetRange(of string, from, to int) string {
 	if from == to {
 		return fmt.Sprintf("%s%d", of, from)
 	}
--- a/internal/testbench/lab/mass_test.go
+++ b/internal/testbench/lab/mass_test.go
@@ -22,8 +22,8 @@
 	if len(r.Broken) > 0 {
 		t.Errorf("%s, seed %d: rules broken: %v", day, seed, r.Broken)
 	}
-	if r.Losses.Attempts == 0 || r.Dials == 0 {
-		t.Errorf("%s: %d attempts and %d dials were counted", day, r.Losses.Attempts, r.Dials)
+	if r.LossReport.Attempts == 0 || r.Dials == 0 {
+		t.Errorf("%s: %d attempts and %d dials were counted", day, r.LossReport.Attempts, r.Dials)
 	}
 	return r
 }
@@ -35,7 +35,7 @@
 	t.Logf("served %.3f", r.Served())
 	if got := r.Served(); got < least {
 		var table bytes.Buffer
-		r.Losses.Tell(&table)
+		r.LossReport.Print(&table)
 		t.Errorf("%.3f of all worth was served, want %.2f at least; lost:\n%s", got, least, &table)
 	}
 }
@@ -50,7 +50,7 @@
 			last = w
 		}
 	}
-	if share := float64(last.Refused) / float64(last.Asked); share > .1 {
+	if share := float64(last.Refused) / float64(last.Attempts); share > .1 {
 		t.Errorf("%.2f of tries are refused long after the burst", share)
 	}
 }
@@ -91,7 +91,7 @@
 func TestLossesNameAReasonForEachRefusal(t *testing.T) {
 	r := many(t, "join", 3)
 	refused := 0
-	for reason, n := range r.Losses.By { // any order: a sum
+	for reason, n := range r.LossReport.ByReason { // any order: a sum
 		if why, of := strings.CutPrefix(reason, "refused: "); of {
 			refused += n
 			if why == "" {
--- a/internal/testbench/lab/operator.go
+++ b/internal/testbench/lab/operator.go
@@ -19,7 +19,7 @@
 	}
 	fmt.Fprintf(&e, "kind = \"eureka\"\nenabled = true\nurls = %s\napplication = %q\ndelta = %q\n", list(servers),
 		r.Application, r.Delta)
-	fmt.Fprintf(&e, "backoff_most = \"%dms\"\n", backoffMost/millisecond)
+	fmt.Fprintf(&e, "backoff_most = \"%dms\"\n", maxBackoff/millisecond)
 	if r.Register {
 		at := netip.MustParseAddrPort(self)
 		fmt.Fprintf(&e, "[register]\nenabled = true\nip = %q\nport = %d\nrenewal = \"2s\"\nduration = \"6s\"\n",
@@ -28,9 +28,9 @@
 	return []OperatorFile{{"membership", m.String()}, {"eureka", e.String()}}
 }
 
-// backoffMost is how long a router waits at the most before it asks a registry again that fails: with the usual 5 s,
+// maxBackoff is how long a router waits at the most before it asks a registry again that fails: with the usual 5 s,
 // scripts of 10 s would end before much comes of a fault.
-const backoffMost = 2 * second
+const maxBackoff = 2 * second
 
 // list words a list of texts in TOML.
 func list(all []string) string {
--- a/internal/testbench/lab/partition.go
+++ b/internal/testbench/lab/partition.go
@@ -7,39 +7,42 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// Deserted is a rule of the lab's own: a router that sends nothing, though caches take work and have been shown to it
+// Partitioned is a rule of the lab's own: a router that sends nothing, though caches take work and have been shown to it
 // as doing so from the beginning on, by a server of the registry that answers. It is looked at only in scripts in which
 // nothing else keeps a router from sending.
-const Deserted = "deserted"
+const Partitioned = "deserted"
 
 const (
-	desertedAfter = second
-	desertedAsks  = 8
-	desertedLeast = 4 // such caches
+	partitionMinTime     = second
+	partitionMinRequests = 8
+	partitionMinCaches   = 4 // such caches
 )
 
-func (k *knowledge) deserted(l *learner, now Time) {
-	if l.idle || l.ending || l.asked < desertedAsks || l.lastAsk-l.askedAt < desertedAfter || k.r.w.hindered() {
+func (k *knowledge) checkPartitioned(l *routerKnowledge, now Time) {
+	if l.partitionReported || l.ending || k.registries.world.otherFaultsBlockTraffic() {
 		return
 	}
-	followed := slices.ContainsFunc(l.servers, func(s following) bool { return s.state == sound && s.settled(now) })
+	if l.requests < partitionMinRequests || l.lastRequestAt-l.firstRequestAt < partitionMinTime {
+		return
+	}
+	followed := slices.ContainsFunc(l.servers, func(s serverView) bool { return s.state == healthy && s.settled(now) })
 	n := 0
-	for _, e := range k.r.enrolled {
-		if c := l.caches[e.cache.Name()]; c != nil && c.steady && !k.out(l.name, e.cache.Name()) && e.cache.Up() {
+	for _, e := range k.registries.registrations {
+		if c := l.caches[e.cache.Name()]; c != nil && c.alwaysUp && !k.countsAsOut(l.name, e.cache.Name()) && e.cache.Up() {
 			n++
 		}
 	}
-	if !followed || n < desertedLeast {
+	if !followed || n < partitionMinCaches {
 		return
 	}
-	l.idle = true
-	k.r.w.breaks(Broken{Rule: Deserted, At: k.r.w.now(), Router: l.name,
-		Text: fmt.Sprintf("%d requests and no attempt, while %d caches take work", l.asked, n)})
+	l.partitionReported = true
+	k.registries.world.reportBroken(Broken{Rule: Partitioned, At: k.registries.world.now(), Router: l.name,
+		Text: fmt.Sprintf("%d requests and no attempt, while %d caches take work", l.requests, n)})
 }
 
-// hindered reports whether the script holds what may keep a router from caches that the registry shows.
-func (w *world) hindered() bool {
-	return slices.ContainsFunc(w.s.Faults, func(f script.Fault) bool {
+// otherFaultsBlockTraffic reports whether the script holds what may keep a router from caches that the registry shows.
+func (w *world) otherFaultsBlockTraffic() bool {
+	return slices.ContainsFunc(w.script.Faults, func(f script.Fault) bool {
 		return slices.Contains([]string{script.Cut, script.Lag, script.Stall, script.Hang, script.Silence, script.Busy,
 			script.Slow, script.Errors, script.Spoil, script.Double, script.ResetAccept, script.ResetInside, script.ResetAfter,
 			script.SwallowDials, script.PowerCut, script.Burst}, f.Kind) ||
@@ -48,18 +51,18 @@
 }
 
 // asks: a router was asked. sends: it has sent an attempt.
-func (k *knowledge) asks(router string, now Time) {
-	if l := k.learner(router); l != nil {
-		if l.asked == 0 {
-			l.askedAt = now
+func (k *knowledge) requestReceived(router string, now Time) {
+	if l := k.ofRouter(router); l != nil {
+		if l.requests == 0 {
+			l.firstRequestAt = now
 		}
-		l.asked++
-		l.lastAsk = now
+		l.requests++
+		l.lastRequestAt = now
 	}
 }
 
-func (k *knowledge) sends(router string) {
-	if l := k.learner(router); l != nil {
-		l.asked = 0
+func (k *knowledge) attemptSent(router string) {
+	if l := k.ofRouter(router); l != nil {
+		l.requests = 0
 	}
 }
--- a/internal/testbench/lab/placement.go
+++ b/internal/testbench/lab/placement.go
@@ -5,8 +5,8 @@
 	clientside "starlingwinch/internal/frontend"
 )
 
-// Homes tells which of the caches routers send a key to, so that stand-ins hold what a running fleet holds.
-func Homes(caches []string) func(key string) string {
+// Placement tells which of the caches routers send a key to, so that stand-ins hold what a running fleet holds.
+func Placement(caches []string) func(key string) string {
 	var entries []decide.Endpoint
 	for _, name := range caches {
 		entries = append(entries, decide.Endpoint{ID: name, Weight: 1})
--- a/internal/testbench/lab/planted/registry.go
+++ b/internal/testbench/lab/planted/registry.go
@@ -30,7 +30,7 @@
 				})
 			}
 		}),
-		Defect{Name: "an empty list obeyed unconfirmed", Rule: lab.Deserted, Apply: func(o *lab.Options) {
+		Defect{Name: "an empty list obeyed unconfirmed", Rule: lab.Partitioned, Apply: func(o *lab.Options) {
 			start := o.Node
 			o.Node = func(m machine.Machine, c lab.NodeConfig) (lab.Node, error) {
 				for i := range c.Operator {
--- a/internal/testbench/lab/reachable.go
+++ b/internal/testbench/lab/reachable.go
@@ -15,10 +15,10 @@
 	}
 	at := w.sim.Now()
 	since = r.startedAt
-	for _, s := range r.stalled {
+	for _, s := range r.stalls {
 		since = max(since, s.to)
 	}
-	for _, x := range w.s.Faults {
+	for _, x := range w.script.Faults {
 		if x.Kind != script.Cut && x.Kind != script.Lag {
 			continue
 		}
@@ -26,7 +26,7 @@
 		if ends := []string{from, to}; !slices.Contains(ends, r.zone) || !slices.Contains(ends, w.listZone()) {
 			continue
 		}
-		begin, end := sim.Start+lead+microseconds(x.At), sim.Start+lead+microseconds(x.Until(w.s.Length))
+		begin, end := sim.Start+lead+microseconds(x.At), sim.Start+lead+microseconds(x.Until(w.script.Length))
 		if begin <= at {
 			since = max(since, end)
 		}
--- a/internal/testbench/lab/registry.go
+++ b/internal/testbench/lab/registry.go
@@ -15,43 +15,43 @@
 // registries are the servers of a run's registry, and the caches that are registered there. A nil one is that of a run
 // without a registry: it does nothing.
 type registries struct {
-	w        *world
-	rand     *rand.Rand
-	servers  []*replica
-	enrolled []*enrolment // in the order in which they came
-	known    *knowledge
+	world         *world
+	rand          *rand.Rand
+	servers       []*replica
+	registrations []*registration // in the order in which they came
+	knowledge     *knowledge
 }
 
 // replica is one server of the registry.
 type replica struct {
 	*registry.Registry
-	host  *sim.Host
-	zone  string
-	url   string
-	wrong [faultStates]int // faults that last, by what they make of its word
-	// lost tells that a change of a start may have been lost, which leaves the hash code as it was.
-	lost bool
+	host         *sim.Host
+	zone         string
+	url          string
+	activeFaults [faultStates]int // faults that last, by what they make of its word
+	// startChangeLost tells that a change of a start may have been lost, which leaves the hash code as it was.
+	startChangeLost bool
 }
 
-// enrolment is a cache with its registration. A small agent beside the cache renews it, and comes again where the
+// registration is a cache with its registration. A small agent beside the cache renews it, and comes again where the
 // registry has forgotten it.
-type enrolment struct {
+type registration struct {
 	cache *standin.Cache
-	at    netip.AddrPort
+	addr  netip.AddrPort
 	start Time // 0 for long ago
-	over  bool // it renews no more
+	ended bool // it renews no more
 }
 
 // leaseEvict is how often the registry looks for leases that are over.
 const leaseEvict = second
 
 func newRegistries(w *world) (*registries, error) {
-	o := w.s.Registry
+	o := w.script.Registry
 	if !o.Enabled {
 		return nil, nil
 	}
-	r := &registries{w: w, rand: w.sim.Rand("registry")}
-	r.known = newKnowledge(r)
+	r := &registries{world: w, rand: w.sim.Rand("registry")}
+	r.knowledge = newKnowledge(r)
 	var all []*registry.Registry
 	for i := range o.Replicas {
 		zone := script.Zones()[(1+i)%len(script.Zones())]
@@ -81,39 +81,39 @@
 	for _, p := range r.servers {
 		urls = append(urls, p.url)
 	}
-	return RegistryFiles(r.w.s.Registry, urls, self)
+	return RegistryFiles(r.world.script.Registry, urls, self)
 }
 
-// begin registers the caches that run at the start: they have been there for long, and stand in the answers.
-func (r *registries) begin(caches []*standin.Cache) {
+// registerInitial registers the caches that run at the start: they have been there for long, and stand in the answers.
+func (r *registries) registerInitial(caches []*standin.Cache) {
 	if r == nil {
 		return
 	}
 	for _, c := range caches {
-		r.enrol(c, 0)
+		r.enroll(c, 0)
 	}
 	for _, p := range r.servers {
-		for _, e := range r.enrolled {
-			r.w.fail(p.Register(r.instance(e)))
+		for _, e := range r.registrations {
+			r.world.fail(p.Register(r.instance(e)))
 		}
 		p.Disagree() // with nobody: its answers are made anew
 	}
 }
 
-// enrol registers a cache that has just come.
-func (r *registries) enrol(c *standin.Cache, start Time) {
+// enroll registers a cache that has just come.
+func (r *registries) enroll(c *standin.Cache, start Time) {
 	if r == nil {
 		return
 	}
-	e := &enrolment{cache: c, at: netip.MustParseAddrPort(c.Address("")), start: start}
-	r.enrolled = append(r.enrolled, e)
+	e := &registration{cache: c, addr: netip.MustParseAddrPort(c.Address("")), start: start}
+	r.registrations = append(r.registrations, e)
 	r.register(e)
 	r.renewLater(e)
 }
 
-// of is the registration of a cache, nil for none.
-func (r *registries) of(c *standin.Cache) *enrolment {
-	for _, e := range r.enrolled {
+// registrationOf is the registration of a cache, nil for none.
+func (r *registries) registrationOf(c *standin.Cache) *registration {
+	for _, e := range r.registrations {
 		if e.cache == c {
 			return e
 		}
@@ -121,10 +121,10 @@
 	return nil
 }
 
-// server is one that answers now, the first one for most: nil where none does.
-func (r *registries) server() *replica {
+// answeringServer is one that answers now, the first one for most: nil where none does.
+func (r *registries) answeringServer() *replica {
 	for _, p := range r.servers {
-		if p.wrong[dead] == 0 {
+		if p.activeFaults[unreachable] == 0 {
 			return p
 		}
 	}
@@ -132,19 +132,19 @@
 }
 
 // register has a server take it, where one answers.
-func (r *registries) register(e *enrolment) {
-	p := r.server()
+func (r *registries) register(e *registration) {
+	p := r.answeringServer()
 	if p != nil {
-		r.w.fail(p.Register(r.instance(e)))
+		r.world.fail(p.Register(r.instance(e)))
 	}
 }
 
 // instance is a cache as it registers.
-func (r *registries) instance(e *enrolment) registry.Instance {
-	ip := e.at.Addr().String()
-	o := r.w.s.Registry
+func (r *registries) instance(e *registration) registry.Instance {
+	ip := e.addr.Addr().String()
+	o := r.world.script.Registry
 	in := registry.Instance{
-		ID: e.cache.Name(), App: script.Application, HostName: ip, IPAddr: ip, Port: int(e.at.Port()), PortOn: true,
+		ID: e.cache.Name(), App: script.Application, HostName: ip, IPAddr: ip, Port: int(e.addr.Port()), PortOn: true,
 		Metadata:   map[string]string{"zone": e.cache.Zone(), "group": strconv.Itoa(e.cache.Group()), "weight": "1"},
 		RenewEvery: int(o.Renewal.Seconds()), LeaseTime: int(o.Lease.Seconds()),
 	}
@@ -155,101 +155,101 @@
 }
 
 // renewLater has the lease renewed when it is time, up to a tenth earlier.
-func (r *registries) renewLater(e *enrolment) {
-	span := microseconds(r.w.s.Registry.Renewal)
-	r.w.sim.At(r.w.sim.Now()+span-Time(r.rand.Float64()*0.1*float64(span)), func() {
-		if e.over {
+func (r *registries) renewLater(e *registration) {
+	span := microseconds(r.world.script.Registry.Renewal)
+	r.world.sim.At(r.world.sim.Now()+span-Time(r.rand.Float64()*0.1*float64(span)), func() {
+		if e.ended {
 			return
 		}
-		if p := r.server(); p != nil && p.Renew(e.cache.Name()) != nil {
+		if p := r.answeringServer(); p != nil && p.Renew(e.cache.Name()) != nil {
 			r.register(e)
 		}
 		r.renewLater(e)
 	})
 }
 
-// restarted has a cache that has started anew register once more.
-func (r *registries) restarted(c *standin.Cache) {
+// registerRestart has a cache that has started anew register once more.
+func (r *registries) registerRestart(c *standin.Cache) {
 	if r == nil {
 		return
 	}
-	if e := r.of(c); e != nil {
-		e.start = r.w.sim.Now()
+	if e := r.registrationOf(c); e != nil {
+		e.start = r.world.sim.Now()
 		r.register(e)
 	}
 }
 
 // died: a cache ends and says nothing. Its lease runs out.
-func (r *registries) died(c *standin.Cache) {
+func (r *registries) stopRenewing(c *standin.Cache) {
 	if r == nil {
 		return
 	}
-	if e := r.of(c); e != nil {
-		e.over = true
+	if e := r.registrationOf(c); e != nil {
+		e.ended = true
 	}
 }
 
 // left: a cache is taken off the registry.
-func (r *registries) left(c *standin.Cache) {
+func (r *registries) unregister(c *standin.Cache) {
 	if r == nil {
 		return
 	}
-	r.died(c)
-	if p := r.server(); p != nil {
+	r.stopRenewing(c)
+	if p := r.answeringServer(); p != nil {
 		p.Cancel(c.Name()) // where it is not known any more, that is as well
 	}
 }
 
-// put has an operator set the status of a cache. Where no server answers nothing comes of it.
-func (r *registries) put(c *standin.Cache, status string) {
+// setStatus has an operator set the status of a cache. Where no server answers nothing comes of it.
+func (r *registries) setStatus(c *standin.Cache, status string) {
 	if r == nil {
 		return
 	}
-	if p := r.server(); p != nil {
+	if p := r.answeringServer(); p != nil {
 		p.SetStatus(c.Name(), status) // where it is not known any more there is nothing to set
 	}
 }
 
 // registry has a fault strike a server of the registry.
 func (f *faults) registry(x script.Fault, i int) {
-	p := f.w.registry.servers[i]
-	if RegistryOnce(p.Registry, x) {
-		if x.Kind == script.RegistryDeltaLost && f.w.s.Registry.FollowsDeltas() {
-			p.loses(x.Keys)
+	p := f.world.registry.servers[i]
+	if ApplyInstantRegistryFault(p.Registry, x) {
+		if x.Kind == script.RegistryDeltaLost && f.world.script.Registry.FollowsDeltas() {
+			p.dropDeltas(x.Keys)
 		}
 		return
 	}
-	is := worthOf(x.Kind)
-	p.wrong[is]++
-	f.during(fmt.Sprintf("%s %d", x.Kind, i), x, func(now *script.Fault) {
-		RegistryDuring(p.Registry, x.Kind, now, f.w.registry.share(chanceOf(now)))
+	is := faultStateOf(x.Kind)
+	p.activeFaults[is]++
+	f.activate(fmt.Sprintf("%s %d", x.Kind, i), x, func(now *script.Fault) {
+		SetRegistryFault(p.Registry, x.Kind, now, f.world.registry.firstRegistered(chanceOf(now)))
 	})
-	f.until(x, func() { p.wrong[is]-- })
+	f.atEnd(x, func() { p.activeFaults[is]-- })
 }
 
 // loses: so many changes never stand in deltas. The hash code counts instances by status, so that a new start is lost
 // without a trace, and so are two changes that make up for one another: nobody who follows deltas can know then.
-func (p *replica) loses(changes int) {
-	p.lost = true
+func (p *replica) dropDeltas(changes int) {
+	p.startChangeLost = true
 	if changes > 1 {
-		p.wrong[blind]++ // up to the next whole list, which is farther off than a run is long
+		p.activeFaults[uncertain]++ // up to the next whole list, which is farther off than a run is long
 	}
 }
 
-// worthOf is what a server's word is worth while it has a fault.
-func worthOf(kind string) faultState {
+// faultStateOf is what a server's word is worth while it has a fault.
+func faultStateOf(kind string) faultState {
 	switch kind {
 	case script.RegistrySilent, script.Registry5xx, script.RegistryTruncate, script.RegistryMalform,
 		script.RegistryRestart:
-		return dead
+		return unreachable
 	case script.RegistrySlow, script.RegistryDeltaOld:
-		return blind
+		return uncertain
 	}
-	return sound
+	return healthy
 }
 
-// RegistryOnce carries a fault out that lasts no time, and reports whether it is such a one.
-func RegistryOnce(p *registry.Registry, x script.Fault) bool {
+// ApplyInstantRegistryFault carries a fault out that lasts no time, and reports whether it is such a one.
+func ApplyInstantRegistryFault(p *registry.Registry, x script.Fault) bool {
 	switch x.Kind {
 	case script.RegistryDeltaLost:
 		p.DeltaLost(x.Keys)
@@ -261,9 +261,9 @@
 	return true
 }
 
-// RegistryDuring switches a fault of a kind on, or off where x is nil. hidden are the caches that it is to hide.
-func RegistryDuring(p *registry.Registry, kind string, x *script.Fault, hidden []string) {
-	on := lasts(x)
+// SetRegistryFault switches a fault of a kind on, or off where x is nil. hidden are the caches that it is to hide.
+func SetRegistryFault(p *registry.Registry, kind string, x *script.Fault, hidden []string) {
+	on := isActive(x)
 	switch kind {
 	case script.RegistrySilent:
 		p.Silent(on)
@@ -298,10 +298,10 @@
 	}
 }
 
-// share is the first part of the caches that are registered, by name.
-func (r *registries) share(part float64) (ids []string) {
-	n := int(part*float64(len(r.enrolled)) + 0.5)
-	for _, e := range r.enrolled[:n] {
+// firstRegistered is the first part of the caches that are registered, by name.
+func (r *registries) firstRegistered(part float64) (ids []string) {
+	n := int(part*float64(len(r.registrations)) + 0.5)
+	for _, e := range r.registrations[:n] {
 		ids = append(ids, e.cache.Name())
 	}
 	return ids
@@ -309,7 +309,7 @@
 
 // flap has a cache stand as down and as up in turns.
 func (f *faults) flap(x script.Fault, c *standin.Cache) {
-	w := f.w
+	w := f.world
 	over := false
 	var turn func(down bool)
 	turn = func(down bool) {
@@ -320,12 +320,12 @@
 		if down {
 			status = registry.OutOfService
 		}
-		w.registry.put(c, status)
+		w.registry.setStatus(c, status)
 		w.sim.At(w.sim.Now()+microseconds(x.Delay), func() { turn(!down) })
 	}
 	turn(true)
-	f.until(x, func() {
+	f.atEnd(x, func() {
 		over = true
-		w.registry.put(c, registry.Up)
+		w.registry.setStatus(c, registry.Up)
 	})
 }
--- a/internal/testbench/lab/result.go
+++ b/internal/testbench/lab/result.go
@@ -42,13 +42,13 @@
 	return s.String()
 }
 
-// broken is a violation that the watcher has found.
-func broken(v rules.Violation) Broken {
+// brokenFrom is a violation that the watcher has found.
+func brokenFrom(v rules.Violation) Broken {
 	return Broken{v.Rule.String(), v.At - sim.Start - lead, v.Request, v.Router, v.Cache, v.Text}
 }
 
-// mostBroken bounds the broken rules of one run that are kept.
-const mostBroken = 100
+// maxBroken bounds the broken rules of one run that are kept.
+const maxBroken = 100
 
 // Result is what came of a run.
 type Result struct {
@@ -80,8 +80,8 @@
 	return false
 }
 
-// sum folds what the watcher found into the trace of the world.
-func (r *Result) sum(trace uint64) {
+// setTrace folds what the watcher found into the trace of the world.
+func (r *Result) setTrace(trace uint64) {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %+v\n", trace, r.Counts)
 	for _, b := range r.Broken {
--- a/internal/testbench/lab/run.go
+++ b/internal/testbench/lab/run.go
@@ -57,12 +57,12 @@
 
 // Bounds of a run.
 const (
-	settleFor    = 8 * second // after the clients have stopped
-	settleStep   = 100 * millisecond
-	tickEvery    = 5 * millisecond
-	usageEvery   = 100 * millisecond
-	stepsAtLeast = 300_000
-	stepsASecond = 100_000 // of simulated time
+	settleFor      = 8 * second // after the clients have stopped
+	settleStep     = 100 * millisecond
+	tickEvery      = 5 * millisecond
+	usageEvery     = 100 * millisecond
+	minSteps       = 300_000
+	stepsPerSecond = 100_000 // of simulated time
 )
 
 // Run plays a script. The error tells what kept it from being played; broken rules are in the result.
@@ -96,12 +96,12 @@
 
 // play runs the world to its end, which is early where it crashes or is stuck.
 func (w *world) play() {
-	end := sim.Start + lead + microseconds(w.s.Length)
+	end := sim.Start + lead + microseconds(w.script.Length)
 	if !w.runTo(end) {
 		return
 	}
 	w.fleet.Stop()
-	w.eyes.say("the script is over, the clients stop")
+	w.observer.logTimeline("the script is over, the clients stop")
 	for until := end + settleFor; w.sim.Now() < until; {
 		if !w.runTo(w.sim.Now() + settleStep) {
 			return
@@ -110,13 +110,13 @@
 			break
 		}
 	}
-	w.checkLeft()
+	w.checkLeftovers()
 	w.watcher.Close(w.sim.Now())
 }
 
 // runTo plays up to an instant and reports whether the run can go on.
 func (w *world) runTo(until Time) bool {
-	most := int64(stepsAtLeast) + int64(stepsASecond)*((until-sim.Start)/second)
+	most := int64(minSteps) + int64(stepsPerSecond)*((until-sim.Start)/second)
 	for w.sim.Now() < until {
 		next := min(until, w.sim.Now()-w.sim.Now()%tickEvery+tickEvery)
 		if !w.runPart(next, most) {
@@ -124,14 +124,14 @@
 		}
 		now := w.sim.Now()
 		if w.registry != nil {
-			w.registry.known.look(now)
+			w.registry.knowledge.update(now)
 		}
 		w.watcher.Tick(now)
 		if now%usageEvery == 0 {
 			w.usage()
 		}
 		if w.now()%second == 0 {
-			w.tell()
+			w.reportSecond()
 		}
 	}
 	return w.err == nil
@@ -145,19 +145,19 @@
 			if h := w.sim.Acting(); h != nil {
 				who = h.Name()
 			}
-			w.breaks(Broken{Rule: Crash, At: w.now(), Router: who, Text: fmt.Sprintf("%v%s", r, stack())})
+			w.reportBroken(Broken{Rule: Crash, At: w.now(), Router: who, Text: fmt.Sprintf("%v%s", r, stack())})
 			on = false
 		}
 	}()
 	if w.sim.RunUntil(until, func() bool { return w.sim.Steps() > most }) {
-		w.breaks(Broken{Rule: Stuck, At: w.now(), Text: fmt.Sprintf("%d events", w.sim.Steps())})
+		w.reportBroken(Broken{Rule: Stuck, At: w.now(), Text: fmt.Sprintf("%d events", w.sim.Steps())})
 		return false
 	}
 	return true
 }
 
-// mostFrames is how much of a stack is told.
-const mostFrames = 8
+// maxFrames is how much of a stack is told.
+const maxFrames = 8
 
 // stack names the project's functions that led to the panic, without what differs from run to run.
 func stack() string {
@@ -173,7 +173,7 @@
 		if ours && !strings.HasPrefix(name, "internal/testbench/lab.") && !strings.HasPrefix(name, "internal/testbench/sim.") {
 			lines = append(lines, fmt.Sprintf(" | %s %s:%d", name, path.Base(f.File), f.Line))
 		}
-		if !more || len(lines) == mostFrames {
+		if !more || len(lines) == maxFrames {
 			return strings.Join(lines, "")
 		}
 	}
@@ -183,7 +183,7 @@
 func (w *world) usage() {
 	for _, r := range w.routers {
 		if r.node != nil {
-			w.watcher.Usage(w.sim.Now(), r.name, r.host.Descriptors(), w.s.Fleet.Sockets)
+			w.watcher.Usage(w.sim.Now(), r.name, r.host.Descriptors(), w.script.Fleet.Sockets)
 		}
 	}
 }
@@ -222,8 +222,8 @@
 	hookDescriptors  = 4 // of each hook: its worker's, and those of a set that takes over
 )
 
-// checkLeft looks at what is left behind. The danger: what is never given back shows only after weeks.
-func (w *world) checkLeft() {
+// checkLeftovers looks at what is left behind. The danger: what is never given back shows only after weeks.
+func (w *world) checkLeftovers() {
 	now := w.sim.Now()
 	for _, r := range w.routers {
 		if r.node == nil || r.ending {
@@ -236,43 +236,43 @@
 			}
 		}
 		conns, held, timers := left[connections], r.host.Descriptors(), r.host.Pending()+left[ownTimers]
-		others := otherDescriptors + hookDescriptors*len(w.s.Hooks)
+		others := otherDescriptors + hookDescriptors*len(w.script.Hooks)
 		if _, told := left[connections]; told && held > conns+others {
 			w.watcher.Leftover(now, r.name, "descriptors beyond its connections", held-conns)
 		}
 		if timers > held+otherTimers {
 			w.watcher.Leftover(now, r.name, "timers", timers)
 		}
-		w.hooked.checkLeft(r)
+		w.hooks.checkWorkers(r)
 	}
 }
 
 func (w *world) result() *Result {
-	r := &Result{Broken: w.broken, More: w.more, Excused: w.excused, Counts: w.watcher.Counts(), Steps: w.sim.Steps(),
-		Simulated: w.sim.Now() - sim.Start, History: w.eyes.history}
-	if last := w.watcher.History(w.o.Follow); last != nil {
+	r := &Result{Broken: w.broken, More: w.moreBroken, Excused: w.excused, Counts: w.watcher.Counts(), Steps: w.sim.Steps(),
+		Simulated: w.sim.Now() - sim.Start, History: w.observer.history}
+	if last := w.watcher.History(w.options.Follow); last != nil {
 		r.History = last
 	}
-	r.sum(w.sim.TraceHash())
+	r.setTrace(w.sim.TraceHash())
 	return r
 }
 
-// tell tells those who listen what the last second was like.
-func (w *world) tell() {
-	if w.o.Timeline != nil {
-		w.window()
+// reportSecond tells those who listen what the last second was like.
+func (w *world) reportSecond() {
+	if w.options.Timeline != nil {
+		w.logWindow()
 	}
-	if w.o.Counts != nil {
-		w.o.Counts(w.now(), w.watcher.Counts())
+	if w.options.Counts != nil {
+		w.options.Counts(w.now(), w.watcher.Counts())
 	}
 }
 
-// window tells what the last second was like.
-func (w *world) window() {
+// logWindow tells what the last second was like.
+func (w *world) logWindow() {
 	c := w.watcher.Counts()
-	was := w.eyes.last
-	w.eyes.last = c.Tally
-	w.eyes.sayf("  asked %d, served %d (in time %d), refused %d, failed %d, lost %d",
+	was := w.observer.lastTally
+	w.observer.lastTally = c.Tally
+	w.observer.logTimelinef("  asked %d, served %d (in time %d), refused %d, failed %d, lost %d",
 		c.Asked-was.Asked, c.Served-was.Served, c.InTime-was.InTime, c.Refused-was.Refused, c.Failed-was.Failed,
 		c.Lost-was.Lost)
 }
--- a/internal/testbench/lab/shrink.go
+++ b/internal/testbench/lab/shrink.go
@@ -16,8 +16,8 @@
 	Options Options
 	// Tried is told of each script that was tried and whether the rule broke.
 	Tried func(s script.Script, breaks bool)
-	// Most is how many runs are made at the most; 0 stands for 500.
-	Most int
+	// MaxRuns is how many runs are made at the most; 0 stands for 500.
+	MaxRuns int
 
 	runs int
 }
@@ -25,11 +25,11 @@
 // Shrink returns the smallest script that it has found, and the number of runs made. Where ctx ends, that is the
 // smallest so far.
 func (h *Shrinking) Shrink(ctx context.Context, s script.Script) (script.Script, int) {
-	if h.Most == 0 {
-		h.Most = 500
+	if h.MaxRuns == 0 {
+		h.MaxRuns = 500
 	}
 	breaks := func(c script.Script) bool {
-		if ctx.Err() != nil || h.runs >= h.Most || c.Check() != nil {
+		if ctx.Err() != nil || h.runs >= h.MaxRuns || c.Check() != nil {
 			return false
 		}
 		h.runs++
@@ -77,8 +77,8 @@
 	return s
 }
 
-// cut is a script of another length, with its faults cut off at the end.
-func cut(s script.Script, length time.Duration) script.Script {
+// truncate is a script of another length, with its faults cut off at the end.
+func truncate(s script.Script, length time.Duration) script.Script {
 	c := s.Clone()
 	c.Length = length
 	c.Faults = nil
@@ -94,13 +94,13 @@
 
 // shorter halves the rest of the run that it can do without, and then the spans of faults.
 func shorter(s script.Script, breaks func(script.Script) bool) script.Script {
-	s.Length = least(s.Length, 200*time.Millisecond, func(d time.Duration) bool { return breaks(cut(s, d)) })
-	s = cut(s, s.Length)
+	s.Length = shortestBreaking(s.Length, 200*time.Millisecond, func(d time.Duration) bool { return breaks(truncate(s, d)) })
+	s = truncate(s, s.Length)
 	for i := range s.Faults {
 		if s.Faults[i].For == 0 {
 			continue
 		}
-		s.Faults[i].For = least(s.Faults[i].For, 10*time.Millisecond, func(d time.Duration) bool {
+		s.Faults[i].For = shortestBreaking(s.Faults[i].For, 10*time.Millisecond, func(d time.Duration) bool {
 			c := s.Clone()
 			c.Faults[i].For = d
 			return breaks(c)
@@ -109,8 +109,8 @@
 	return s
 }
 
-// least searches for the least span that still breaks, to a tenth of what it began with.
-func least(from, floor time.Duration, breaks func(time.Duration) bool) time.Duration {
+// shortestBreaking searches for the least span that still breaks, to a tenth of what it began with.
+func shortestBreaking(from, floor time.Duration, breaks func(time.Duration) bool) time.Duration {
 	low, high := floor, from
 	for step := max(from/10, floor); high-low > step; {
 		mid := (low + (high-low)/2).Round(time.Millisecond)
--- a/internal/testbench/lab/storm_accounting.go
+++ b/internal/testbench/lab/storm_accounting.go
@@ -4,20 +4,20 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// Bearing tells what a fleet can bear at a moment. Use NewBearing.
-type Bearing struct {
-	Mean   float64 // work of a request, in seconds of one core
-	fleet  *standin.Fleet
-	writes float64 // share of requests
-	store  standin.StoreOptions
-	homes  []*standin.Cache // of keys, by their rank
+// FleetCapacity tells what a fleet can bear at a moment. Use NewFleetCapacity.
+type FleetCapacity struct {
+	MeanWork    float64 // work of a request, in seconds of one core
+	fleet       *standin.Fleet
+	writes      float64 // share of requests
+	store       standin.StoreOptions
+	cacheOfRank []*standin.Cache // of keys, by their rank
 }
 
-// NewBearing is for a fleet of which no cache is away.
-func NewBearing(f *standin.Fleet, o standin.Options) *Bearing {
-	b := &Bearing{fleet: f, store: o.Store}
+// NewFleetCapacity is for a fleet of which no cache is away.
+func NewFleetCapacity(f *standin.Fleet, o standin.Options) *FleetCapacity {
+	b := &FleetCapacity{fleet: f, store: o.Store}
 	for _, c := range o.Classes {
-		b.Mean += c.Share * float64(c.Work) / float64(second)
+		b.MeanWork += c.Share * float64(c.Work) / float64(second)
 		if c.Write {
 			b.writes += c.Share
 		}
@@ -27,48 +27,48 @@
 	for _, c := range f.Caches {
 		names, byName[c.Name()] = append(names, c.Name()), c
 	}
-	home := Homes(names)
+	home := Placement(names)
 	for rank := range o.Keys {
-		b.homes = append(b.homes, byName[home(f.Keys.Name(rank))])
+		b.cacheOfRank = append(b.cacheOfRank, byName[home(f.Keys.Name(rank))])
 	}
 	return b
 }
 
 // Now is the work, in seconds of one core in a second, that the caches and the store behind them can do at the
 // moment: a request whose key its home does not hold is a fetch from the store.
-func (b *Bearing) Now() float64 {
+func (b *FleetCapacity) Now() float64 {
 	able := 0.0
 	for _, c := range b.fleet.Caches {
 		able += c.Able() / float64(second)
 	}
 	missing := 1.0
-	for rank, c := range b.homes {
+	for rank, c := range b.cacheOfRank {
 		if c.Keeps(b.fleet.Keys.Name(rank)) {
 			missing -= b.fleet.Keys.Share(rank)
 		}
 	}
 	fetches := float64(b.store.Places) * float64(second) / float64(b.store.Latency)
-	return min(able, fetches/((1-b.writes)*missing+b.writes)*b.Mean)
+	return min(able, fetches/((1-b.writes)*missing+b.writes)*b.MeanWork)
 }
 
-// StormBooks keep what was asked and served in a storm, by windows.
-type StormBooks struct {
+// StormAccounting keep what was asked and served in a storm, by windows.
+type StormAccounting struct {
 	From, For        Time // what lies before From is not booked, and windows past For are not shown
 	Requests, InTime int  // made from From on, and so early that their aim lies within For
-	parts            []StormPart
+	intervals        []StormInterval
 }
 
 // Began books a request that is made.
-func (b *StormBooks) Began(now Time, class *standin.Class) {
+func (b *StormAccounting) Began(now Time, class *standin.Class) {
 	if now >= b.From {
-		b.part(now).Asked += float64(class.Work) / float64(second)
+		b.intervalAt(now).Offered += float64(class.Work) / float64(second)
 	}
 }
 
 // Ended books a request that is over.
-func (b *StormBooks) Ended(now Time, class *standin.Class, asked Time, inAim bool) {
+func (b *StormAccounting) Ended(now Time, class *standin.Class, asked Time, inAim bool) {
 	if inAim && now >= b.From {
-		b.part(now).InTime += float64(class.Work) / float64(second)
+		b.intervalAt(now).InTime += float64(class.Work) / float64(second)
 	}
 	if asked < b.From || asked+class.Aim > b.From+b.For {
 		return
@@ -79,12 +79,12 @@
 	}
 }
 
-// Bear books what could be done over a span, of which now is a part.
-func (b *StormBooks) Bear(now Time, work float64) { b.part(now).Bear += work }
+// AddCapacity books what could be done over a span, of which now is a part.
+func (b *StormAccounting) AddCapacity(now Time, work float64) { b.intervalAt(now).Capacity += work }
 
-// Parts are the windows that are whole.
-func (b *StormBooks) Parts() (whole []StormPart) {
-	for _, p := range b.parts {
+// Intervals are the windows that are whole.
+func (b *StormAccounting) Intervals() (whole []StormInterval) {
+	for _, p := range b.intervals {
 		if p.At+StormWindow <= b.For {
 			whole = append(whole, p)
 		}
@@ -92,13 +92,13 @@
 	return whole
 }
 
-// part is the window of a moment.
-func (b *StormBooks) part(at Time) *StormPart {
+// intervalAt is the window of a moment.
+func (b *StormAccounting) intervalAt(at Time) *StormInterval {
 	i := int((at - b.From) / StormWindow)
-	for len(b.parts) <= i {
-		b.parts = append(b.parts, StormPart{At: Time(len(b.parts)) * StormWindow})
+	for len(b.intervals) <= i {
+		b.intervals = append(b.intervals, StormInterval{At: Time(len(b.intervals)) * StormWindow})
 	}
-	return &b.parts[i]
+	return &b.intervals[i]
 }
 
 // StormClient makes the options of client i of a storm those of one that asks at a rate: the first ones, a share, take no
--- a/internal/testbench/lab/storm_test.go
+++ b/internal/testbench/lab/storm_test.go
@@ -23,24 +23,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Fell > 0 || r.First() != "" {
-		t.Errorf("seed %d: %d fell, broken: %v", s.Seed, r.Fell, r.Broken)
+	if r.Overloads > 0 || r.First() != "" {
+		t.Errorf("seed %d: %d fell, broken: %v", s.Seed, r.Overloads, r.Broken)
 	}
 	return r
 }
 
 // small is a storm that a test can afford.
 func small(seed int64) lab.Storm {
-	return lab.Storm{Seed: seed, Clients: 200, Load: 0.4, Before: 4 * second, Outage: 3 * second, For: 9 * second, Ignore: 0.5}
+	return lab.Storm{Seed: seed, Clients: 200, Load: 0.4, Before: 4 * second, Outage: 3 * second, For: 9 * second, IgnoreAdvice: 0.5}
 }
 
 func TestStormWhileCachesAreColdUsesWhatTheyBear(t *testing.T) {
 	slow(t)
 	for _, ignore := range []float64{0, 0.5, 1} {
 		s := small(1)
-		s.Ignore = ignore
-		if r := play(t, s, lab.Options{}); r.Least() < 0.6 {
-			t.Errorf("with %.0f%% that take no advice, goodput falls to %.2f of what caches bear", 100*ignore, r.Least())
+		s.IgnoreAdvice = ignore
+		if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.6 {
+			t.Errorf("with %.0f%% that take no advice, goodput falls to %.2f of what caches bear", 100*ignore, r.MinGoodput())
 		}
 	}
 }
@@ -48,9 +48,9 @@
 func TestSecondStormBeforeTheFirstIsOver(t *testing.T) {
 	slow(t)
 	s := small(2)
-	s.Again, s.For = 3*second, 12*second
+	s.SecondOutageAfter, s.For = 3*second, 12*second
 	r := play(t, s, lab.Options{})
-	if last := r.Parts[len(r.Parts)-1]; last.Goodput() < 0.6 {
+	if last := r.Intervals[len(r.Intervals)-1]; last.Goodput() < 0.6 {
 		t.Errorf("after the second outage goodput stays at %.2f", last.Goodput())
 	}
 }
@@ -58,25 +58,25 @@
 func TestOneAddressForAllClientsIsServedLikeMany(t *testing.T) {
 	slow(t)
 	s := small(3)
-	s.Layer = true
-	if r := play(t, s, lab.Options{}); r.Least() < 0.5 {
-		t.Errorf("behind a front layer goodput falls to %.2f", r.Least())
+	s.SharedAddress = true
+	if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.5 {
+		t.Errorf("behind a front layer goodput falls to %.2f", r.MinGoodput())
 	}
 }
 
 func TestThousandSilentConnectionsShutNobodyOut(t *testing.T) {
 	s := small(4)
 	s.Silent = 1000
-	if r := play(t, s, lab.Options{}); r.Least() < 0.5 {
-		t.Errorf("beside a thousand that say nothing goodput falls to %.2f", r.Least())
+	if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.5 {
+		t.Errorf("beside a thousand that say nothing goodput falls to %.2f", r.MinGoodput())
 	}
 }
 
 func TestRetriesInStepAreSpread(t *testing.T) {
 	s := small(5)
-	s.InStep, s.Ignore = true, 0
-	if r := play(t, s, lab.Options{}); r.Least() < 0.6 {
-		t.Errorf("goodput falls to %.2f", r.Least())
+	s.FixedBackoff, s.IgnoreAdvice = true, 0
+	if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.6 {
+		t.Errorf("goodput falls to %.2f", r.MinGoodput())
 	}
 }
 
@@ -129,7 +129,7 @@
 
 func TestPlantedDefectWaitsAllEqualIsFound(t *testing.T) {
 	slow(t)
-	inStep := func(r *lab.StormResult) float64 { return r.InStep }
+	inStep := func(r *lab.StormResult) float64 { return r.CommonestWaitRatio }
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, action: func(a decide.Action) decide.Action {
 			if r, ok := a.(decide.Reject); ok {
@@ -146,7 +146,7 @@
 
 func TestPlantedDefectRetriesAsFirstTriesIsFound(t *testing.T) {
 	slow(t)
-	share := func(r *lab.StormResult) float64 { return r.Share() }
+	share := func(r *lab.StormResult) float64 { return r.InTimeRatio() }
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, event: func(ev decide.Event) decide.Event {
 			if q, ok := ev.(*decide.Request); ok {
@@ -180,7 +180,7 @@
 	jump := func(o lab.Options) float64 {
 		s := small(21)
 		s.Load = 0.1
-		return play(t, s, o).Jump
+		return play(t, s, o).MaxBudgetRise
 	}
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, event: func(ev decide.Event) decide.Event {
@@ -205,18 +205,18 @@
 			places <- struct{}{}
 			defer func() { <-places }()
 			s := lab.Storm{Seed: int64(seed), Clients: 100, Load: 0.1, Before: second, Outage: int64(2+seed%29) * second,
-				For: 8 * second, Ignore: float64(seed%3) / 2}
+				For: 8 * second, IgnoreAdvice: float64(seed%3) / 2}
 			r, err := lab.PlayStorm(s, lab.Options{Node: node.Start})
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			if at := r.CalmAt(); at < 0 || at > 5*second || r.Fell > 0 {
+			if at := r.CalmAt(); at < 0 || at > 5*second || r.Overloads > 0 {
 				var lines []string
 				for _, c := range r.Changes {
 					lines = append(lines, fmt.Sprintf("%.1f s: %s %s", float64(c.At)/second, c.Router, c.Line))
 				}
-				t.Errorf("seed %d: calm at %.1f s, %d fell\n%s", seed, float64(at)/second, r.Fell, strings.Join(lines, "\n"))
+				t.Errorf("seed %d: calm at %.1f s, %d fell\n%s", seed, float64(at)/second, r.Overloads, strings.Join(lines, "\n"))
 			}
 		})
 	}
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -25,59 +25,59 @@
 // lead is how long routers run before clients come: script time 0 is this long after the world's beginning.
 const lead = 500 * millisecond
 
-// mostDescriptors is what any host but a router may hold.
-const mostDescriptors = 8192
+// maxDescriptors is what any host but a router may hold.
+const maxDescriptors = 8192
 
 // world is a run that is under way.
 type world struct {
-	s       script.Script
-	o       Options
-	sim     *sim.World
-	rand    *rand.Rand // of what no script says: how long the front takes, and the like
-	classes []standin.Class
-	fleet   *standin.Fleet
-	watcher *rules.Watcher
-	eyes    *eyes
-	hosts   map[string]*sim.Host // of stand-ins, by name
-	routers []*router
-	front   *front
-	hooked  *hooked
-	caches  []*place
-	faults  *faults
+	script   script.Script
+	options  Options
+	sim      *sim.World
+	rand     *rand.Rand // of what no script says: how long the front takes, and the like
+	classes  []standin.Class
+	fleet    *standin.Fleet
+	watcher  *rules.Watcher
+	observer *observer
+	hosts    map[string]*sim.Host // of stand-ins, by name
+	routers  []*router
+	front    *front
+	hooks    *hookScripts
+	caches   []*place
+	faults   *faults
 	// registry is nil where the script has none.
-	registry *registries
-	broken   []Broken
-	more     int
-	excused  int
-	falls    int // of caches and of the store
-	storms   []StormChange
-	err      error // of what the lab itself could not do
+	registry     *registries
+	broken       []Broken
+	moreBroken   int
+	excused      int
+	falls        int // of caches and of the store
+	stormChanges []StormChange
+	err          error // of what the lab itself could not do
 }
 
 // place is one place in the fleet: the cache that stands there now.
 type place struct {
-	cache *standin.Cache
-	gone  bool // drained, or fallen, and off the list
+	cache   *standin.Cache
+	removed bool // drained, or fallen, and off the list
 }
 
 func microseconds(d time.Duration) Time { return d.Microseconds() }
 
 // newWorld sets a world up; the routers start at once, the clients after lead.
 func newWorld(s script.Script, o Options) (*world, error) {
-	w := &world{s: s, o: o, sim: sim.New(uint64(s.Seed)), hosts: map[string]*sim.Host{}}
+	w := &world{script: s, options: o, sim: sim.New(uint64(s.Seed)), hosts: map[string]*sim.Host{}}
 	w.rand = w.sim.Rand("lab")
 	w.classes = classesOf(s)
 	w.network()
-	w.watcher = rules.New(w.rules(), w.violated)
-	w.eyes = newEyes(w)
-	w.hooked = newHooked(w)
+	w.watcher = rules.New(w.rules(), w.onViolation)
+	w.observer = newObserver(w)
+	w.hooks = newHookScripts(w)
 	w.front = newFront(w)
 	zones := script.Zones()
 	for i := range s.Routers {
 		w.routers = append(w.routers, newRouter(w, i, zones[i%len(zones)]))
 	}
 	var err error
-	if w.fleet, err = standin.NewFleet(w.fleetOptions(), w.places(), w.sim.Rand("fleet"), w.eyes); err != nil {
+	if w.fleet, err = standin.NewFleet(w.fleetOptions(), w.places(), w.sim.Rand("fleet"), w.observer); err != nil {
 		return nil, err
 	}
 	for _, c := range w.fleet.Caches {
@@ -94,7 +94,7 @@
 	if w.registry, err = newRegistries(w); err != nil {
 		return nil, err
 	}
-	w.registry.begin(w.fleet.Caches)
+	w.registry.registerInitial(w.fleet.Caches)
 	for _, r := range w.routers {
 		if r.start(); w.err != nil {
 			return nil, w.err
@@ -102,7 +102,7 @@
 	}
 	w.sim.At(sim.Start+lead, w.fleet.Start)
 	for _, f := range s.Faults {
-		w.faults.plan(f.Usual())
+		w.faults.schedule(f.Usual())
 	}
 	return w, nil
 }
@@ -111,17 +111,17 @@
 func (w *world) now() Time { return w.sim.Now() - sim.Start - lead }
 
 func (w *world) network() {
-	n := w.s.Network
+	n := w.script.Network
 	link := func(latency time.Duration) sim.Link {
 		l := microseconds(latency)
 		return sim.Link{Latency: l, Jitter: Time(float64(l) * n.Jitter), Split: n.Split}
 	}
 	w.sim.Near, w.sim.Far = link(n.Near), link(n.Far)
-	if w.s.Fleet.Pushed {
+	if w.script.Fleet.Pushed {
 		w.sim.Far = w.sim.Near // for a moment: links are made of what holds then
 		for _, zone := range script.Zones() {
-			w.sim.Link(agents, zone)
-			w.sim.Link(zone, agents)
+			w.sim.Link(agentZone, zone)
+			w.sim.Link(zone, agentZone)
 		}
 		w.sim.Far = link(n.Far)
 	}
@@ -132,7 +132,7 @@
 func (w *world) host(name, zone string) *sim.Host {
 	n := len(w.sim.Hosts()) + 1
 	h := w.sim.Host(name, fmt.Sprintf("10.0.%d.%d", n/250, n%250+1),
-		sim.HostOptions{Zone: zone, Descriptors: mostDescriptors})
+		sim.HostOptions{Zone: zone, Descriptors: maxDescriptors})
 	w.hosts[name] = h
 	return h
 }
@@ -140,13 +140,13 @@
 // centre is the zone that discovery and the store stand in.
 func centre() string { return script.Zones()[1] }
 
-// agents is where the agents are that lists are pushed to: beside the routers, so that no way to them is cut, or long.
-const agents = "agents"
+// agentZone is where the agents are that lists are pushed to: beside the routers, so that no way to them is cut, or long.
+const agentZone = "agents"
 
 // listZone is where routers ask for the list.
 func (w *world) listZone() string {
-	if w.s.Fleet.Pushed {
-		return agents
+	if w.script.Fleet.Pushed {
+		return agentZone
 	}
 	return centre()
 }
@@ -195,8 +195,8 @@
 }
 
 func (w *world) fleetOptions() standin.Options {
-	s, o := w.s, standin.DefaultOptions()
-	o.Caches, o.Zones, o.Classes, o.Homes = s.Caches, script.Zones(), w.classes, Homes
+	s, o := w.script, standin.DefaultOptions()
+	o.Caches, o.Zones, o.Classes, o.Homes = s.Caches, script.Zones(), w.classes, Placement
 	SizeCaches(s, &o)
 	o.Cache.Probes, o.Cache.Reports = s.Fleet.Probes, s.Fleet.Reports
 	o.Cache.Cancel = map[string]standin.Cancel{"none": standin.CancelNone, "queued": standin.CancelQueued,
@@ -220,8 +220,8 @@
 	for _, r := range w.routers {
 		o.Routers = append(o.Routers, r.name)
 	}
-	if w.o.Fleet != nil {
-		w.o.Fleet(&o)
+	if w.options.Fleet != nil {
+		w.options.Fleet(&o)
 	}
 	return o
 }
@@ -239,11 +239,11 @@
 // routerSettings are what a router is told at its start.
 func (w *world) routerSettings(r *router) standin.RouterSettings {
 	s := standin.DefaultRouterSettings()
-	s.Name, s.Listen, s.Discovery = r.name, r.addr, r.list
-	s.Sockets, s.Routers, s.Classes = w.s.Fleet.Sockets, w.s.Routers, w.classes
-	s.MaxAttempts, s.Copies, s.Probes = w.s.Fleet.MaxAttempts, w.s.Fleet.Copies, w.s.Fleet.Probes
-	s.Cancel = w.s.Fleet.Cancel != "none"
-	s.Pushed, s.DrainGrace = w.s.Fleet.Pushed, microseconds(w.s.Fleet.DrainGrace)
+	s.Name, s.Listen, s.Discovery = r.name, r.addr, r.discoveryAddr
+	s.Sockets, s.Routers, s.Classes = w.script.Fleet.Sockets, w.script.Routers, w.classes
+	s.MaxAttempts, s.Copies, s.Probes = w.script.Fleet.MaxAttempts, w.script.Fleet.Copies, w.script.Fleet.Probes
+	s.Cancel = w.script.Fleet.Cancel != "none"
+	s.Pushed, s.DrainGrace = w.script.Fleet.Pushed, microseconds(w.script.Fleet.DrainGrace)
 	return s
 }
 
@@ -253,11 +253,11 @@
 // rules are the figures of the rules, those of the operators.
 func (w *world) rules() rules.Settings {
 	set := rules.Settings{
-		Classes: map[string]rules.Class{}, MaxAttempts: w.s.Fleet.MaxAttempts, Slack: slack, Flight: 50 * millisecond,
-		Copies: w.s.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.s.Fleet.DrainGrace),
-		Remember:     w.longestHeld(),
+		Classes: map[string]rules.Class{}, MaxAttempts: w.script.Fleet.MaxAttempts, Slack: slack, Flight: 50 * millisecond,
+		Copies: w.script.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.script.Fleet.DrainGrace),
+		Remember:     w.maxHoldTime(),
 		FallMultiple: 3, FallFor: 3 * second, FallSlack: 0.05, StoreFallFor: 3 * second, StoreColdShare: 0.5,
-		MeanWork: meanWork(w.s, w.classes),
+		MeanWork: meanWork(w.script, w.classes),
 	}
 	for _, c := range w.classes {
 		effect := [...]rules.Effect{standin.Safe: rules.Safe, standin.Keyed: rules.Keyed, standin.Unsafe: rules.Unsafe}
@@ -267,12 +267,12 @@
 	return set
 }
 
-// longestHeld is how long a script may hold bytes back. The danger: an attempt that comes out of a cut after its request
+// maxHoldTime is how long a script may hold bytes back. The danger: an attempt that comes out of a cut after its request
 // was forgotten looks as if no client had ever asked for it.
-func (w *world) longestHeld() (most Time) {
-	for _, f := range w.s.Faults {
+func (w *world) maxHoldTime() (most Time) {
+	for _, f := range w.script.Faults {
 		if slices.Contains([]string{script.Cut, script.Lag, script.Silence}, f.Kind) {
-			most = max(most, microseconds(f.Until(w.s.Length)-f.At)+microseconds(f.Delay))
+			most = max(most, microseconds(f.Until(w.script.Length)-f.At)+microseconds(f.Delay))
 		}
 	}
 	return most
@@ -281,7 +281,7 @@
 // hidesCloses reports whether caches may learn of a close any time after it: then nobody can tell from outside whether
 // two copies of a request were out at once.
 func (w *world) hidesCloses() bool {
-	return slices.ContainsFunc(w.s.Faults, func(f script.Fault) bool {
+	return slices.ContainsFunc(w.script.Faults, func(f script.Fault) bool {
 		return slices.Contains([]string{script.Cut, script.Lag, script.Silence}, f.Kind)
 	})
 }
