--- a/internal/testbench/lab/faults.go
+++ b/internal/testbench/lab/faults.go
@@ -13,15 +13,15 @@
 // faults carries the faults of a script out.
 type faults struct {
 	world *world
-	// active are those that last now, by what they switch, the latest last. The danger: the end of one would end
-	// another of its kind that goes on.
+	// active are the faults in effect, by the switch they act on, the latest last: the end of one must not end another
+	// of its kind that goes on.
 	active       map[string][]script.Fault
 	hostileHosts int // hosts of hostile clients so far
 }
 
 func newFaults(w *world) *faults { return &faults{world: w, active: map[string][]script.Fault{}} }
 
-// schedule has a fault begin and end in its time.
+// schedule plans the beginning of a fault; apply plans its end.
 func (f *faults) schedule(x script.Fault) {
 	w := f.world
 	at := sim.Start + lead + microseconds(x.At)
@@ -31,7 +31,7 @@
 	})
 }
 
-// atEnd has something done when a fault ends, which is with the script at the latest.
+// atEnd calls end when a fault ends, which is with the script at the latest.
 func (f *faults) atEnd(x script.Fault, end func()) {
 	f.world.sim.At(sim.Start+lead+microseconds(x.Until(f.world.script.Length)), func() {
 		f.world.observer.logTimeline("fault " + x.String() + " ends")
@@ -85,10 +85,10 @@
 	}
 }
 
-// isActive is whether a switch is on.
+// isActive reports whether a switch is on.
 func isActive(x *script.Fault) bool { return x != nil }
 
-// chanceOf is the chance of a fault, 0 where none lasts.
+// chanceOf is the probability of a fault, 0 where none is active.
 func chanceOf(x *script.Fault) float64 {
 	if x == nil {
 		return 0
@@ -96,7 +96,7 @@
 	return x.Chance
 }
 
-// cache has a fault strike the cache of a place.
+// cache applies a fault to the cache of a place.
 func (f *faults) cache(x script.Fault, i int) {
 	p := f.world.caches[i]
 	what := fmt.Sprintf("%s %d", x.Kind, i)
@@ -148,7 +148,7 @@
 	}
 }
 
-// fleet has a cache go or come. One that is gone for good stays so.
+// fleet applies a fault that removes, restarts or replaces a cache. A cache that was removed stays so.
 func (f *faults) fleet(x script.Fault, p *place) {
 	if p.removed {
 		return
@@ -210,14 +210,14 @@
 	}
 }
 
-// fail keeps the first thing that the lab could not do.
+// fail records the first error of the lab itself.
 func (w *world) fail(err error) {
 	if w.err == nil {
 		w.err = err
 	}
 }
 
-// discovery has a fault strike the list.
+// discovery applies a fault of the endpoint list.
 func (f *faults) discovery(x script.Fault) {
 	d := f.world.fleet.Discovery
 	switch x.Kind {
@@ -250,7 +250,7 @@
 	}
 }
 
-// moveDiscovery gives discovery new addresses, and has all routers read them.
+// moveDiscovery gives discovery new addresses and reloads all routers.
 func (f *faults) moveDiscovery() {
 	w := f.world
 	var addrs []string
@@ -268,7 +268,7 @@
 	}
 }
 
-// clients has a fault come from the clients' side.
+// clients applies a fault of the load or of the fleet's size.
 func (f *faults) clients(x script.Fault) {
 	w := f.world
 	switch x.Kind {
@@ -300,7 +300,7 @@
 	}
 }
 
-// addHostileClients has a client that means harm come in each zone.
+// addHostileClients starts a hostile client in each zone.
 func (f *faults) addHostileClients(x script.Fault) {
 	w := f.world
 	for _, zone := range script.Zones() {
@@ -315,13 +315,13 @@
 	}
 }
 
-// Figures of failing calls: connections that can't be begun are rarer than reads that are cut short.
+// Parameters of failing system calls.
 const (
-	failingDialDivisor = 4
-	maxShortRead       = 200 // bytes that such a read takes, at most
+	failingDialDivisor = 4   // dials fail by this factor less often than reads are cut short
+	maxShortRead       = 200 // bytes that a short read returns, at most
 )
 
-// router has a fault strike a router.
+// router applies a fault to a router.
 func (f *faults) router(x script.Fault, r *router) {
 	switch x.Kind {
 	case script.RouterKill:
@@ -345,7 +345,7 @@
 	}
 }
 
-// link has a fault strike a link, one way or both.
+// link applies a fault to a link between zones, in one direction or both.
 func (f *faults) link(x script.Fault) {
 	from, to, both, _ := script.LinkOf(x.Target)
 	f.oneWay(x, from, to)
--- a/internal/testbench/lab/hooks.go
+++ b/internal/testbench/lab/hooks.go
@@ -15,22 +15,22 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// Of the routers' hooks, beside what a script says.
+// Settings of the routers' hooks that no script changes.
 const (
-	hookMaxWaitFraction = 0.1
-	hookMaxWait         = 50 * millisecond
-	hookLoadTime        = 100 * millisecond
-	hookMemory          = 1 << 20 // none is used here, but the routers' limits count it
+	hookMaxWaitFraction = 0.1               // of the latency objective that a request may wait for hooks
+	hookMaxWait         = 50 * millisecond  // that a request may wait for hooks
+	hookLoadTime        = 100 * millisecond // within which a hook is to load
+	hookMemory          = 1 << 20           // bytes; none is used, but the routers' limits count it
 )
 
-// hookCalls is a Node that tells how many calls of each hook wait or run.
+// hookCalls is implemented by a Node that reports how many calls of each hook wait or run.
 type hookCalls interface{ HookCalls() map[string]int }
 
-// hookScripts is what the lab knows of the hooks that routers have, all of them the same.
+// hookScripts plays the scripted hooks, which are the same for all routers.
 type hookScripts struct {
 	world          *world
 	hooks          []script.Hook
-	rand           *rand.Rand // whether one strikes
+	rand           *rand.Rand // decides whether a hook acts on a call
 	queueExceeded  map[string]bool
 	blockedClasses map[string]bool // classes of which no hook lets a request through; "" for all
 }
@@ -46,10 +46,10 @@
 	return k
 }
 
-// name is that of a hook: its number tells what it is.
+// name returns the name of a hook, its number and its kind.
 func (k *hookScripts) name(i int) string { return fmt.Sprintf("%d-%s", i+1, k.hooks[i].Kind) }
 
-// config is what a router is told of its hooks.
+// config returns the hook configuration of a router.
 func (k *hookScripts) config() hooks.Config {
 	c := hooks.Config{MaxWaitFraction: hookMaxWaitFraction, MaxWait: hookMaxWait}
 	for i, h := range k.hooks {
@@ -68,7 +68,7 @@
 	return c
 }
 
-// install has a process of a router have workers.
+// install gives a starting process of a router its workers.
 func (k *hookScripts) install(r *router) {
 	if len(k.hooks) == 0 {
 		return
@@ -153,9 +153,8 @@
 	return a
 }
 
-// checkQueues sees whether a hook of a router has more calls than it may have. One more is its unload.
-//
-// The danger: a queue without a bound holds all that comes while its hook hangs, and nothing on the sockets shows it.
+// checkQueues reports a hook of a router that has more calls than its queue allows; one more is its unload. Nothing on the
+// sockets shows a queue that grows without bound while its hook hangs.
 func (k *hookScripts) checkQueues(r *router) {
 	node, ok := r.node.(hookCalls)
 	if !ok {
@@ -173,8 +172,7 @@
 	}
 }
 
-// checkAttempt looks at a command that has come to a cache: where each request of its class was refused or failed by a hook,
-// it was never to be sent.
+// checkAttempt reports a command that has come to a cache although a hook rejects or fails each request of its class.
 func (k *hookScripts) checkAttempt(a rules.Attempt) {
 	if k.blockedClasses[""] || k.blockedClasses[a.Class] {
 		k.world.reportBroken(Broken{Rule: PastHook, At: k.world.now(), Request: a.ID, Router: a.Router, Cache: a.Cache,
@@ -182,7 +180,7 @@
 	}
 }
 
-// checkWorkers looks at the workers that are left: one of each hook, and as many of a set that takes over.
+// checkWorkers reports workers beyond one of each hook and one of a set that takes over.
 func (k *hookScripts) checkWorkers(r *router) {
 	if r.workers == nil {
 		return
--- a/internal/testbench/lab/loss_report.go
+++ b/internal/testbench/lab/loss_report.go
@@ -11,31 +11,31 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// LossReport counts why requests were not served in time, in the words of the routers' own modules, over all routers and all
-// their processes. It stands at the seam between a router and its module, sees what is said there and changes nothing.
+// LossReport counts why requests were not served in time, by the reasons of the routers' decision modules, over all routers
+// and all their processes. It observes the events and actions between a router and its module and changes nothing.
 type LossReport struct {
-	Requests     int // that routers were asked, retries of clients among them
+	Requests     int // that routers received, retries of clients included
 	Attempts     int
 	HealthChecks int
-	ByReason     map[string]int // what was lost, by kind and reason
+	ByReason     map[string]int // requests not served in time and wasted attempts, by kind and reason
 	Hits         Answers
-	Misses       Answers // writes among them
+	Misses       Answers // writes included
 
 	latencyObjectives map[string]Time
 }
 
-// Answers counts what caches answered, whether it came in time or not.
+// Answers counts what caches answered, in time or not.
 type Answers struct {
 	N    int
-	Time Time // altogether, from the sending on
+	Time Time // sum over all answers, each from when the attempt was sent
 }
 
-// Mean is how long one took.
+// Mean is the mean time of an answer.
 func (a Answers) Mean() Time { return a.Time / Time(max(1, a.N)) }
 
 func (a *Answers) add(t Time) { a.N, a.Time = a.N+1, a.Time+t }
 
-// NewLossReport counts for requests of these classes.
+// NewLossReport returns an empty report for requests of these classes.
 func NewLossReport(classes []standin.Class) *LossReport {
 	l := &LossReport{ByReason: map[string]int{}, latencyObjectives: map[string]Time{}}
 	for _, c := range classes {
@@ -44,7 +44,7 @@
 	return l
 }
 
-// Wrap stands before the module of one process.
+// Wrap returns a module that counts what passes between the router and m, the module of one process.
 func (l *LossReport) Wrap(m guard.Module) guard.Module {
 	return &lossModule{Module: m, report: l, requests: map[int64]*trackedRequest{}}
 }
@@ -55,7 +55,7 @@
 	requests map[int64]*trackedRequest
 }
 
-// trackedRequest is a request that is out.
+// trackedRequest is a request that has no answer yet, or attempts that have not ended.
 type trackedRequest struct {
 	receivedAt, latencyObjective Time
 	sentAt                       []Time
@@ -108,7 +108,7 @@
 	}
 }
 
-// complete ends a request; it is forgotten with its last attempt.
+// complete marks a request as answered; it is forgotten with its last attempt.
 func (l *lossModule) complete(id int64, q *trackedRequest) {
 	q.completed = true
 	if q.attemptsOut == 0 {
@@ -116,7 +116,7 @@
 	}
 }
 
-// attemptEnded books an attempt's end.
+// attemptEnded counts the end of an attempt, and a late answer.
 func (l *lossModule) attemptEnded(now Time, o *decide.AttemptResult) {
 	q := l.requests[o.ID]
 	if q == nil || o.Attempt >= len(q.sentAt) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// slowestPhase names where the most time went of a request that is served late.
+// slowestPhase names the phase that took longest in a request that is served late.
 func (q *trackedRequest) slowestPhase(now Time, o *decide.AttemptResult) string {
 	first, last := q.sentAt[0], q.sentAt[o.Attempt]
 	most, where := first-q.receivedAt, "it waited before its first attempt"
@@ -160,7 +160,7 @@
 	return where
 }
 
-// Print prints all losses, the largest first.
+// Print writes all counts, the largest first.
 func (l *LossReport) Print(out io.Writer) {
 	fmt.Fprintf(out, "  hits %d in %.0f ms, misses and writes %d in %.0f ms\n", l.Hits.N, float64(l.Hits.Mean())/1000,
 		l.Misses.N, float64(l.Misses.Mean())/1000)
--- a/internal/testbench/lab/observer.go
+++ b/internal/testbench/lab/observer.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// observer hands what the stand-ins see to the watcher, and tells a timeline what a person wants to know.
+// observer passes what the stand-ins observe on to the watcher, and writes the timeline.
 type observer struct {
 	*rules.Watcher
 	world           *world
@@ -41,8 +41,8 @@
 	}
 }
 
-// Listed is told to the watcher once the router can have read it. The danger: what discovery has written into a cut or
-// a long way, or to a router whose machine is stopped, would count against a router that can't know.
+// Listed implements rules.Observer. The watcher learns of it once the router can have read it: what discovery has
+// written into a cut or slow link, or to a router whose machine is stopped, must not count against the router.
 func (e *observer) Listed(now Time, router, cache string, takesWork bool) {
 	e.whenRead(now, router, func(now Time) {
 		if r := e.world.registry; r != nil {
@@ -62,7 +62,7 @@
 	e.Watcher.Listed(now, router, cache, takesWork)
 }
 
-// StartTold likewise.
+// StartTold implements rules.Observer. The watcher learns of it once the router can have read it.
 func (e *observer) StartTold(now Time, router, cache string, start Time) {
 	if r := e.world.registry; r != nil && !r.knowledge.usesDiscovery() {
 		return
@@ -70,31 +70,32 @@
 	e.whenRead(now, router, func(now Time) { e.Watcher.StartTold(now, router, cache, start) })
 }
 
-// whenRead calls tell when a router can have read what is written to it now.
-func (e *observer) whenRead(now Time, router string, tell func(now Time)) {
+// whenRead calls notify when a router can have read what is written to it now.
+func (e *observer) whenRead(now Time, router string, notify func(now Time)) {
 	way := Time(0)
 	if r := e.world.routerNamed(router); r != nil && e.world.faults != nil {
 		way = e.world.faults.maxLag(e.world.listZone(), r.zone)
 	}
 	if way == 0 {
-		e.whenReadable(now, router, tell)
+		e.whenReadable(now, router, notify)
 		return
 	}
-	e.world.sim.At(now+way, func() { e.whenReadable(e.world.sim.Now(), router, tell) })
+	e.world.sim.At(now+way, func() { e.whenReadable(e.world.sim.Now(), router, notify) })
 }
 
-func (e *observer) whenReadable(now Time, router string, tell func(now Time)) {
+func (e *observer) whenReadable(now Time, router string, notify func(now Time)) {
 	if at := e.world.readableBy(e.world.routerNamed(router)); at > now {
-		e.world.sim.At(min(at, now+cutCheckInterval), func() { e.whenReadable(e.world.sim.Now(), router, tell) })
+		e.world.sim.At(min(at, now+cutCheckInterval), func() { e.whenReadable(e.world.sim.Now(), router, notify) })
 		return
 	}
-	tell(now)
+	notify(now)
 }
 
-// cutCheckInterval is how often it is looked at whether a cut has healed.
+// cutCheckInterval is the interval at which it is checked whether a cut has healed.
 const cutCheckInterval = 10 * millisecond
 
-// readableBy is when a router can read what discovery writes to it now, or later than now where nobody knows.
+// readableBy is when a router can read what discovery writes to it now. Where a cut holds it up, the end of which is not
+// known, it is the time of the next check.
 func (w *world) readableBy(r *router) Time {
 	now := w.sim.Now()
 	if r == nil || r.node == nil {
@@ -153,8 +154,8 @@
 	e.reportDeparture(id)
 }
 
-// reportDeparture has the watcher count from when the end of its connection has reached the router's machine. The danger: between zones
-// that are cut off from each other, or on a long way, a router reads a request and can't know that its client has left.
+// reportDeparture has the watcher count from when the end of a client's connection has reached the router's machine. On a
+// cut or slow link a router may read a request and can't know that its client has left.
 func (e *observer) reportDeparture(id string) {
 	if ended := e.connectionEnded[id]; ended != nil && !ended() {
 		now := e.world.sim.Now()
@@ -165,14 +166,14 @@
 	delete(e.connectionEnded, id)
 }
 
-// recordHistory keeps the life of the request that is followed: the watcher forgets those that are over.
+// recordHistory keeps the history of Options.Follow, as the watcher forgets requests that are over.
 func (e *observer) recordHistory(id string) {
 	if id != "" && id == e.world.options.Follow {
 		e.history = e.History(id)
 	}
 }
 
-// CacheServing implements rules.Observer.
+// CacheUp implements rules.Observer.
 func (e *observer) CacheUp(now Time, cache string, capacity, coldShare float64, coldFor Time) {
 	if now > sim.Start {
 		e.logTimelinef("cache %s starts", cache)
@@ -194,7 +195,7 @@
 	}
 }
 
-// removeFallenCache has discovery see that a fallen cache's process runs no more.
+// removeFallenCache takes a cache that fell over off the endpoint list.
 func (w *world) removeFallenCache(cache string) {
 	for _, p := range w.caches {
 		if p.cache.Name() == cache {
@@ -227,7 +228,7 @@
 	e.Watcher.RouterDown(now, router, clean)
 }
 
-// onViolation takes in what the watcher has found.
+// onViolation records a violation that the watcher has found, unless it is excused.
 func (w *world) onViolation(v rules.Violation) {
 	if w.excuses(v) {
 		w.excused++
@@ -245,10 +246,9 @@
 	w.observer.logTimeline("BROKEN " + b.String())
 }
 
-// excuses reports whether a request was lost through no fault of its router: its machine was stopped while the
-// request was open, and the router can't know for how long the request had waited by then; or its client
-// stood in another zone, from which it was cut off; or the answer could still come, and its client closed the
-// connection early on account of another request on it.
+// excuses reports whether a request was lost through no fault of its router. Its machine was stopped while the request was
+// open, so that the router can't know how long the request had waited; or its client was in another zone, from which it
+// was cut off; or its client closed the connection early because of another request on it.
 func (w *world) excuses(v rules.Violation) bool {
 	if v.Rule != rules.Lost && v.Rule != rules.Late {
 		return false
@@ -289,7 +289,7 @@
 	return false
 }
 
-// maxOpenTime is how long a request may be open.
+// maxOpenTime is how long a request may be open, the longest deadline of all classes.
 func (w *world) maxOpenTime() (most Time) {
 	for _, c := range w.classes {
 		most = max(most, c.Deadline)
--- a/internal/testbench/lab/partition.go
+++ b/internal/testbench/lab/partition.go
@@ -7,17 +7,18 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// Partitioned is a rule of the lab's own: a router that sends nothing, though caches take work and have been shown to it
-// as doing so from the beginning on, by a server of the registry that answers. It is looked at only in scripts in which
-// nothing else keeps a router from sending.
+// Partitioned is a rule of the lab's own: a router that sends nothing although caches take work, and a server of the
+// registry that answers has shown them so from the beginning on. It is checked only in scripts in which no other fault keeps
+// a router from sending.
 const Partitioned = "deserted"
 
 const (
-	partitionMinTime     = second
-	partitionMinRequests = 8
-	partitionMinCaches   = 4 // such caches
+	partitionMinTime     = second // over which a router received requests and sent no attempt
+	partitionMinRequests = 8      // received in that time
+	partitionMinCaches   = 4      // that take work and were always shown so
 )
 
+// checkPartitioned reports a router that breaks the rule Partitioned, once for each process.
 func (k *knowledge) checkPartitioned(l *routerKnowledge, now Time) {
 	if l.partitionReported || l.ending || k.registries.world.otherFaultsBlockTraffic() {
 		return
@@ -40,7 +41,7 @@
 		Text: fmt.Sprintf("%d requests and no attempt, while %d caches take work", l.requests, n)})
 }
 
-// otherFaultsBlockTraffic reports whether the script holds what may keep a router from caches that the registry shows.
+// otherFaultsBlockTraffic reports whether the script has a fault that may keep a router from caches that the registry shows.
 func (w *world) otherFaultsBlockTraffic() bool {
 	return slices.ContainsFunc(w.script.Faults, func(f script.Fault) bool {
 		return slices.Contains([]string{script.Cut, script.Lag, script.Stall, script.Hang, script.Silence, script.Busy,
@@ -50,7 +51,7 @@
 	})
 }
 
-// asks: a router was asked. sends: it has sent an attempt.
+// requestReceived counts a request that a router received.
 func (k *knowledge) requestReceived(router string, now Time) {
 	if l := k.ofRouter(router); l != nil {
 		if l.requests == 0 {
@@ -61,6 +62,7 @@
 	}
 }
 
+// attemptSent resets the count, as the router sends attempts.
 func (k *knowledge) attemptSent(router string) {
 	if l := k.ofRouter(router); l != nil {
 		l.requests = 0
--- a/internal/testbench/lab/placement.go
+++ b/internal/testbench/lab/placement.go
@@ -5,7 +5,8 @@
 	clientside "starlingwinch/internal/frontend"
 )
 
-// Placement tells which of the caches routers send a key to, so that stand-ins hold what a running fleet holds.
+// Placement returns the function that maps a key to the cache that routers send it to, so that stand-ins hold what a running
+// fleet holds.
 func Placement(caches []string) func(key string) string {
 	var entries []decide.Endpoint
 	for _, name := range caches {
--- a/internal/testbench/lab/reachable.go
+++ b/internal/testbench/lab/reachable.go
@@ -7,7 +7,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// reachable tells since when a router has had a way to discovery that nothing holds up, and whether it has one now.
+// reachable returns since when nothing has held up the link between a router and discovery, and whether nothing does now.
 func (w *world) reachable(name string) (since Time, now bool) {
 	r := w.routerNamed(name)
 	if r == nil || r.node == nil {
--- a/internal/testbench/lab/registry_knowledge.go
+++ b/internal/testbench/lab/registry_knowledge.go
@@ -8,37 +8,37 @@
 	"starlingwinch/internal/testbench/standin/registry"
 )
 
-// What a router can know of a registry is not told by the registry's sockets alone: it may ask either server, be on its
-// way from one to the other, or be cut off. knowledge makes out, every tick, what each router must have learned.
+// knowledge derives, every tick, what each router must have learned from the registry. The registry's sockets alone do
+// not show it: a router may poll either server, be switching from one to the other, or be cut off.
 //
-// A cache is told to take no work once every server that the router can be following shows it so, and has been fit to
-// be followed for as long as the way back to it takes. What is told within the time of a poll before a server fails is
-// taken back: the router need not have asked in between.
+// A router counts as notified that a cache takes no work once every server that it can be following shows so, and has
+// been healthy for as long as a router needs to return to it. A notification within one poll before a server fails is
+// revoked, as the router need not have polled in between.
 type knowledge struct {
 	registries     *registries
 	routers        []*routerKnowledge
 	outByDiscovery map[string]map[string]bool // by discovery, for each router: caches that take no work
 }
 
-// faultState is what a server's word is worth to a router.
+// faultState says how what a server shows relates to what a router gets of it.
 type faultState uint8
 
 const (
-	healthy     faultState = iota // what it shows is what the router gets
-	uncertain                     // nobody can say what the router gets, or when
+	healthy     faultState = iota // the router gets what it shows
+	uncertain                     // it is unknown what the router gets, or when
 	unreachable                   // the router gets nothing
 	faultStates
 )
 
 const (
-	// recoveryTime is how long a router may take to follow a server again that has failed: a wait, a call that fails, and
-	// one that does not.
+	// recoveryTime is how long a router may take to follow a server again that has failed: a backoff, a call that fails,
+	// and one that does not.
 	recoveryTime = maxBackoff + 1500*millisecond
-	// startTime is how long one that has just started may take.
+	// startTime is how long a router that has just started may take.
 	startTime = second
-	// switchTime is how long one may take to turn to another server.
+	// switchTime is how long a router may take to switch to another server.
 	switchTime = 2 * second
-	// pollTime is how long a router may leave a registry unasked that is well.
+	// pollTime is how long a router may wait between two polls of a healthy server.
 	pollTime = 600 * millisecond
 )
 
@@ -53,31 +53,30 @@
 	*router
 	servers           []serverView
 	caches            map[string]*endpointKnowledge
-	requests          int  // requests since it last sent an attempt
-	firstRequestAt    Time // the first of those ...
-	lastRequestAt     Time // ... and the last
-	partitionReported bool // that was told
+	requests          int  // requests received since it last sent an attempt
+	firstRequestAt    Time // the first of those requests
+	lastRequestAt     Time // the last of those requests
+	partitionReported bool // the partition was reported
 }
 
-// serverView is how a router and a server stand to each other.
+// serverView is the state of a server as one router sees it.
 type serverView struct {
 	state faultState
-	since Time
+	since Time // when state last changed
 }
 
-// endpointKnowledge is what a router was told of a cache by the registry.
+// endpointKnowledge is what a router learned of a cache from the registry.
 type endpointKnowledge struct {
-	// A cache that the router never read of in this registry is no word of the registry's: shown tells that it stood in
-	// the list of a server for as long as the router needs to ask, shownAt since when.
+	// shown is set once the cache was listed by a server for as long as the router needs to poll. The registry says
+	// nothing of a cache that the router never read there. shownAt is when it last was not listed.
 	shown         bool
 	shownAt       Time
 	notifiedOut   bool
 	notifiedOutAt Time
-	notifiedStart Time // the start that it was told
-	readableStart Time // the start that it can read ...
-	readableSince Time // ... since then
-	// alwaysUp tells that a sound server has shown it as taking work from the beginning on, and none has told bad news
-	// of it.
+	notifiedStart Time // the start time that it was last notified of
+	readableStart Time // the start time that all servers show it
+	readableSince Time // since when it can read readableStart
+	// alwaysUp stays set while a healthy server shows the cache as taking work and none has shown it otherwise.
 	alwaysUp bool
 }
 
@@ -89,7 +88,7 @@
 	return k
 }
 
-// update brings what the routers know up to date.
+// update derives what the running routers know now. It is called every tick.
 func (k *knowledge) update(now Time) {
 	for _, l := range k.routers {
 		if l.node == nil {
@@ -114,7 +113,7 @@
 	}
 }
 
-// updateServers makes out how a router stands to each server.
+// updateServers derives the state of each server as a router sees it.
 func (k *knowledge) updateServers(l *routerKnowledge, now Time) {
 	for i, p := range k.registries.servers {
 		is := healthy
@@ -136,7 +135,7 @@
 	}
 }
 
-// revokeRecent takes back what the router need not have asked for.
+// revokeRecent revokes notifications that the router need not have polled yet.
 func (k *knowledge) revokeRecent(l *routerKnowledge, now Time) {
 	for _, e := range k.registries.registrations {
 		if c := l.caches[e.cache.Name()]; c != nil && c.notifiedOut && now-c.notifiedOutAt < pollTime {
@@ -145,7 +144,7 @@
 	}
 }
 
-// settled reports whether a router's ways to a server have had their time.
+// settled reports whether a router has had the time to follow a server, or to switch away from it.
 func (s serverView) settled(now Time) bool {
 	switch s.state {
 	case healthy:
@@ -156,19 +155,19 @@
 	return false
 }
 
-// clusterView is what the servers show of a cache to one router.
+// clusterView is what all servers together show of a cache to one router.
 type clusterView struct {
-	settled     bool // all of the router's ways to them have had their time
-	readable    bool // all that it may be following are sound, and there is one
+	settled     bool // all servers are settled for the router
+	readable    bool // all that it may be following are healthy, and there is one
 	works       bool // one that it may be following shows the cache as taking work
-	up          bool // a sound one does
-	reachable   bool // there is a sound one
-	reportedOut bool // one of them tells bad news of the cache in so many words
-	listed      bool // the cache is in the list of one that it follows
-	start       Time // the one that all of them show; 0 for none, or several
+	up          bool // a healthy one shows it so
+	reachable   bool // there is a healthy one
+	reportedOut bool // one lists the cache as taking no work
+	listed      bool // one that the router follows lists the cache
+	start       Time // the start time that all of them show; 0 for none, or several
 }
 
-// viewOf looks at all servers.
+// viewOf combines what all servers show of a cache to a router.
 func (k *knowledge) viewOf(l *routerKnowledge, cache string, now Time) clusterView {
 	v := clusterView{settled: true, readable: true, start: -1}
 	lost := false
@@ -181,7 +180,7 @@
 		v.reachable = v.reachable || sound
 		v.reportedOut = v.reportedOut || listed && !works
 		if s.state == unreachable && s.settled(now) {
-			continue // the router has turned to another one
+			continue // the router has switched to another one
 		}
 		v.listed = v.listed || listed && sound && s.settled(now)
 		v.works = v.works || works
@@ -203,7 +202,7 @@
 	return v
 }
 
-// updateEndpoint makes out what a router must know, or may have got, of a cache.
+// updateEndpoint derives what a router must have learned of a cache, and notifies the watcher of changes.
 func (k *knowledge) updateEndpoint(l *routerKnowledge, e *registration, now Time) {
 	name := e.cache.Name()
 	c := l.caches[name]
@@ -232,14 +231,14 @@
 	}
 }
 
-// setNotifiedOut tells the watcher.
+// setNotifiedOut records whether the router counts as notified that a cache takes no work.
 func (k *knowledge) setNotifiedOut(l *routerKnowledge, cache string, c *endpointKnowledge, now Time, out bool) {
 	before := c.notifiedOut || k.outByDiscovery[l.name][cache]
 	c.notifiedOut, c.notifiedOutAt = out, now
 	k.reportChange(l.name, cache, now, before)
 }
 
-// discoveryNotified takes in what discovery has told a router.
+// discoveryNotified records a status that a router has read from discovery.
 func (k *knowledge) discoveryNotified(now Time, router, cache string, takesWork bool) {
 	if !k.usesDiscovery() {
 		return
@@ -261,7 +260,7 @@
 	return c != nil && c.notifiedOut || k.outByDiscovery[router][cache]
 }
 
-// reportChange hands a change of what a router was told on. One source's bad news is enough.
+// reportChange tells the watcher of a changed status. A cache counts as out where either source says so.
 func (k *knowledge) reportChange(router, cache string, now Time, before bool) {
 	if after := k.countsAsOut(router, cache); after != before {
 		k.registries.world.observer.reportListed(now, router, cache, !after)
