--- a/internal/testbench/lab/front.go
+++ b/internal/testbench/lab/front.go
@@ -9,8 +9,8 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// front deals clients to the routers of their zone, and to others where their zone has none. It uses a router
-// once it has answered PING, and notices only after some seconds that one has died.
+// front distributes clients to the routers of their zone, or to all where their zone has none. It adds a router once it
+// has answered PING, and removes one that has died only after some seconds.
 type front struct {
 	world   *world
 	host    *sim.Host
@@ -22,7 +22,7 @@
 	return &front{world: w, host: w.host("front", centre()), byZone: map[string][]standin.Target{}}
 }
 
-// routers is what clients of a zone are dealt to now.
+// routers returns the routers that clients of a zone connect to now.
 func (f *front) routers(zone string) []standin.Target {
 	if targets, ok := f.byZone[zone]; ok {
 		return targets
@@ -47,7 +47,7 @@
 	return near
 }
 
-// weight is how often a router is dealt to for each time of another.
+// weight is how many connections a router gets for each one of another.
 func (f *front) weight(r *router) int {
 	if f.world.options.Weight == nil {
 		return 1
@@ -55,7 +55,7 @@
 	return f.world.options.Weight(slices.Index(f.world.routers, r))
 }
 
-// addWhenServing asks a router until it answers.
+// addWhenServing sends PING to a router until it answers, and adds it then.
 func (f *front) addWhenServing(r *router) {
 	life := r.generation
 	again := func() {
@@ -84,6 +84,7 @@
 	})
 }
 
+// pingInterval is the wait between two PINGs to a router that does not serve yet.
 const pingInterval = 50 * millisecond
 
 func (f *front) add(r *router) {
@@ -100,7 +101,7 @@
 	clear(f.byZone)
 }
 
-// removeLater is told when a process has ended; the front notices later.
+// removeLater removes a router whose process has ended, after the delay of the script's front.
 func (f *front) removeLater(r *router) {
 	life := r.generation
 	f.world.sim.At(f.world.sim.Now()+microseconds(f.world.script.Clients.Front), func() {
@@ -117,8 +118,10 @@
 	answered func(ok bool)
 }
 
+// Writable implements machine.Handler.
 func (p *ping) Writable() {}
 
+// Readable implements machine.Handler.
 func (p *ping) Readable() {
 	var buf [64]byte
 	for {
--- a/internal/testbench/lab/hunt.go
+++ b/internal/testbench/lab/hunt.go
@@ -22,7 +22,7 @@
 	Options  Options
 	// Draw makes the script of a seed; nil stands for script.DrawOf.
 	Draw func(seed uint64, length time.Duration) script.Script
-	// Done is told after each run, one at a time.
+	// Done is called after each run, one at a time.
 	Done func(seed uint64, r *Result)
 }
 
@@ -32,7 +32,7 @@
 	Broken []Broken
 }
 
-// Sum is what came of several runs.
+// Sum is the sum of several runs.
 type Sum struct {
 	Seeds, Broken int
 	Steps         int64
@@ -41,13 +41,13 @@
 	Found         []Found
 }
 
-// Line words a sum in the form that ends every run and hunt.
+// Line formats a sum as the last line of every run and hunt.
 func (s Sum) Line(took time.Duration) string {
 	return fmt.Sprintf("seeds %d broken %d steps %d simulated %.0fs took %.0fs trace %016x",
 		s.Seeds, s.Broken, s.Steps, float64(s.Simulated)/float64(sim.Second), took.Seconds(), s.Trace)
 }
 
-// add takes the next run in.
+// add adds the next run.
 func (s *Sum) add(seed uint64, r *Result) {
 	s.Seeds++
 	s.Steps += r.Steps
@@ -71,63 +71,76 @@
 // Run makes the runs, each in one goroutine, and sums them up in the order of the seeds. Where ctx ends first, the sum
 // holds the runs that were done by then.
 func (h Hunt) Run(ctx context.Context) (Sum, error) {
-	n := h.To - h.From + 1
-	var (
-		mu      sync.Mutex
-		next    uint64
-		results = map[uint64]*Result{}
-		failed  error
-		all     sync.WaitGroup
-	)
-	// take gives a job its next seed.
-	take := func() (uint64, bool) {
-		mu.Lock()
-		defer mu.Unlock()
-		if next == n || failed != nil || ctx.Err() != nil {
-			return 0, false
-		}
-		next++
-		return h.From + next - 1, true
-	}
-	put := func(seed uint64, r *Result, err error) {
-		mu.Lock()
-		defer mu.Unlock()
-		if err != nil {
-			if failed == nil {
-				failed = fmt.Errorf("seed %d: %w", seed, err)
-			}
-			return
-		}
-		r.Counts.Classes, r.History = nil, nil // they are not summed up, and a hunt is long
-		results[seed] = r
-		if h.Done != nil {
-			h.Done(seed, r)
-		}
-	}
-	draw := h.Draw
-	if draw == nil {
-		draw = script.DrawOf
-	}
+	p := &huntProgress{hunt: &h, results: map[uint64]*Result{}}
+	var jobs sync.WaitGroup
 	for range max(1, h.Jobs) {
-		all.Go(func() {
+		jobs.Go(func() {
 			for {
-				seed, ok := take()
+				seed, ok := p.nextSeed(ctx)
 				if !ok {
 					return
 				}
-				s := draw(seed, h.Length)
-				if h.Hooks {
-					s.Hooks = script.DrawHooks(seed)
-				}
-				r, err := Run(s, h.Options)
-				put(seed, r, err)
+				r, err := Run(h.script(seed), h.Options)
+				p.done(seed, r, err)
 			}
 		})
 	}
-	all.Wait()
+	jobs.Wait()
 	var sum Sum
-	for _, seed := range slices.Sorted(maps.Keys(results)) {
-		sum.add(seed, results[seed])
+	for _, seed := range slices.Sorted(maps.Keys(p.results)) {
+		sum.add(seed, p.results[seed])
+	}
+	return sum, p.err
+}
+
+// script draws the script of a seed.
+func (h Hunt) script(seed uint64) script.Script {
+	draw := h.Draw
+	if draw == nil {
+		draw = script.DrawOf
+	}
+	s := draw(seed, h.Length)
+	if h.Hooks {
+		s.Hooks = script.DrawHooks(seed)
+	}
+	return s
+}
+
+// huntProgress is what the jobs of a hunt share.
+type huntProgress struct {
+	hunt *Hunt
+
+	mu      sync.Mutex         // guards what follows
+	started uint64             // number of seeds handed out
+	results map[uint64]*Result // by seed, of the runs that are done
+	err     error              // the first run that could not be played
+}
+
+// nextSeed hands out the next seed. It returns false where none is left, a run could not be played, or ctx has ended.
+func (p *huntProgress) nextSeed(ctx context.Context) (seed uint64, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	seeds := p.hunt.To - p.hunt.From + 1
+	if p.started == seeds || p.err != nil || ctx.Err() != nil {
+		return 0, false
+	}
+	p.started++
+	return p.hunt.From + p.started - 1, true
+}
+
+// done records the result of a run.
+func (p *huntProgress) done(seed uint64, r *Result, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err != nil {
+		if p.err == nil {
+			p.err = fmt.Errorf("seed %d: %w", seed, err)
+		}
+		return
+	}
+	r.Counts.Classes, r.History = nil, nil // they are not summed up, and a long hunt would hold them all
+	p.results[seed] = r
+	if p.hunt.Done != nil {
+		p.hunt.Done(seed, r)
 	}
-	return sum, failed
 }
--- a/internal/testbench/lab/mass.go
+++ b/internal/testbench/lab/mass.go
@@ -23,26 +23,26 @@
 	Load    float64 // of what warm caches bear; 0 for massLoad
 }
 
-// Figures of these worlds: load, and how uneven routers are. One in so many has several times the traffic of another.
+// Parameters of these worlds.
 const (
-	massLoad   = .58
-	heavyOneIn = 10
+	massLoad   = .58 // default of Mass.Load
+	heavyOneIn = 10  // one router in so many has heavyTimes the traffic of another
 	heavyTimes = 5
-	badOneIn   = 8 // caches that a day makes slow or failing
-	massStore  = 4
+	badOneIn   = 8 // one cache in so many is made slow or failing by a day
+	massStore  = 4 // capacity of the store, as a multiple of the misses of a fleet whose memory works as one
 )
 
 // MassDays are the days there are.
 var MassDays = []string{"calm", "roll", "herd", "zone", "split", "join"}
 
-// MassResult is what came of a day.
+// MassResult is the result of a day.
 type MassResult struct {
 	*Result
 	LossReport    *LossReport
 	Tally         standin.Tally // of all clients and classes
 	Windows       []MassWindow
-	Dials         int // connections that came to caches ...
-	RejectedDials int // ... and that were turned away for want of room
+	Dials         int // connections that routers opened to caches
+	RejectedDials int // connections that caches rejected because they had no capacity
 }
 
 // MassWindow is a span of a day.
@@ -51,16 +51,16 @@
 	Attempts, InTime, Refused int // tries of clients
 }
 
-// Served is the share of the worth of all requests that was earned.
+// Served is the fraction of the priority weight of all requests that was earned.
 func (r *MassResult) Served() float64 { return r.Tally.Earned / max(r.Tally.Offered, 1e-9) }
 
-// RefusedRatio is the share of requests whose last try was refused.
+// RefusedRatio is the fraction of requests whose last try was rejected.
 func (r *MassResult) RefusedRatio() float64 { return ratio(r.Tally.Refused, r.Tally.Requests) }
 
-// Late is the share of requests that were served past their aim.
+// Late is the fraction of requests that were served past their latency objective.
 func (r *MassResult) Late() float64 { return ratio(r.Tally.Late, r.Tally.Requests) }
 
-// PerRequest is a count as a share of clients' requests.
+// PerRequest is n divided by the number of clients' requests.
 func (r *MassResult) PerRequest(n int) float64 { return ratio(n, r.Tally.Requests) }
 
 func ratio(n, of int) float64 { return float64(n) / float64(max(1, of)) }
@@ -149,69 +149,96 @@
 	s.Rate = load * float64(m.Caches) * standin.DefaultOptions().Cache.Capacity.Cores / work
 	s.Clients.Groups, s.Clients.Retries = 60, 2
 	s.Fleet.Sockets = 512
-	at := func(share float64) time.Duration {
-		return time.Duration(share * float64(m.Length)).Truncate(time.Millisecond)
-	}
-	add := func(f script.Fault) { s.Faults = append(s.Faults, f) }
-	caches := func(from, to int) string { return targetRange("c", from, to) }
-	routers := func(from, to int) string { return targetRange("router:", from, to) }
-	bad := func(kind string) {
-		f := script.Fault{Kind: kind, Target: caches(1, max(1, m.Caches/badOneIn)), At: at(.3), For: at(.4)}
-		if kind == script.Errors {
-			f.Chance = .3
-		}
-		add(f)
-	}
-	// replace has caches replaced one after another.
-	replace := func(part float64, from, to time.Duration) {
-		n := int(part * float64(m.Caches))
-		const steps = 8
-		for i := range steps {
-			first, last := 1+i*n/steps, (i+1)*n/steps
-			if last >= first {
-				add(script.Fault{Kind: script.Replace, Target: caches(first, last), At: from + (to-from)*time.Duration(i)/steps,
-					How: "new-address"})
-			}
-		}
+	if m.Day == "join" {
+		s.Clients.Impatient, s.Clients.Wait, s.Clients.Honour = .02, "at-once", .3
+	}
+	faults, err := m.faults()
+	if err != nil {
+		return s, err
 	}
+	s.Faults = append(s.Faults, faults...)
+	s.Sort()
+	return s, s.Check()
+}
+
+// faults returns the faults of the day.
+func (m Mass) faults() ([]script.Fault, error) {
+	p := &massPlan{mass: m}
 	switch m.Day {
 	case "calm":
-		add(script.Fault{Kind: script.Burst, Target: "clients", At: at(.25), For: at(.25), Factor: 1.5})
+		p.add(script.Fault{Kind: script.Burst, Target: "clients", At: p.at(.25), For: p.at(.25), Factor: 1.5})
 	case "roll":
 		for i := range 10 {
 			first, last := 1+i*m.Routers/10, (i+1)*m.Routers/10
 			if last >= first {
-				add(script.Fault{Kind: script.RouterTerm, Target: routers(first, last), At: at(.1 + .07*float64(i))})
+				p.add(script.Fault{Kind: script.RouterTerm, Target: targetRange("router:", first, last), At: p.at(.1 + .07*float64(i))})
 			}
 		}
-		replace(.5, at(.1), at(.8))
-		add(script.Fault{Kind: script.ListMoved, Target: "discovery", At: at(.5)})
+		p.replaceCaches(.5, p.at(.1), p.at(.8))
+		p.add(script.Fault{Kind: script.ListMoved, Target: "discovery", At: p.at(.5)})
 	case "herd":
-		add(script.Fault{Kind: script.RouterRestart, Target: routers(1, max(1, m.Routers*7/10)), At: at(.3), For: 800 * time.Millisecond})
-		bad(script.Errors)
+		p.add(script.Fault{Kind: script.RouterRestart, Target: targetRange("router:", 1, max(1, m.Routers*7/10)), At: p.at(.3),
+			For: 800 * time.Millisecond})
+		p.badCaches(script.Errors)
 	case "zone":
 		lost := script.Zones()[2]
-		add(script.Fault{Kind: script.SwallowDials, Target: "zone:" + lost, At: at(.2), For: 5 * time.Second})
-		add(script.Fault{Kind: script.Hang, Target: "zone:" + lost, At: at(.2), For: 5 * time.Second})
-		add(script.Fault{Kind: script.RestartCold, Target: "zone:" + lost, At: at(.2) + 5*time.Second})
-		add(script.Fault{Kind: script.Cut, Target: script.Zones()[0] + "<>" + script.Zones()[1], At: at(.6), For: 2 * time.Second})
-		bad(script.Slow)
+		p.add(script.Fault{Kind: script.SwallowDials, Target: "zone:" + lost, At: p.at(.2), For: 5 * time.Second})
+		p.add(script.Fault{Kind: script.Hang, Target: "zone:" + lost, At: p.at(.2), For: 5 * time.Second})
+		p.add(script.Fault{Kind: script.RestartCold, Target: "zone:" + lost, At: p.at(.2) + 5*time.Second})
+		p.add(script.Fault{Kind: script.Cut, Target: script.Zones()[0] + "<>" + script.Zones()[1], At: p.at(.6), For: 2 * time.Second})
+		p.badCaches(script.Slow)
 	case "split":
-		add(script.Fault{Kind: script.Cut, Target: script.Zones()[0] + "<>" + script.Zones()[2], At: at(.2), For: 6 * time.Second})
-		add(script.Fault{Kind: script.ListLate, Target: "discovery", At: at(.2), For: at(.5), Delay: 4 * time.Second})
-		add(script.Fault{Kind: script.ResetInside, Target: "all", At: at(.3), For: at(.3), Chance: .02})
+		p.add(script.Fault{Kind: script.Cut, Target: script.Zones()[0] + "<>" + script.Zones()[2], At: p.at(.2), For: 6 * time.Second})
+		p.add(script.Fault{Kind: script.ListLate, Target: "discovery", At: p.at(.2), For: p.at(.5), Delay: 4 * time.Second})
+		p.add(script.Fault{Kind: script.ResetInside, Target: "all", At: p.at(.3), For: p.at(.3), Chance: .02})
 	case "join":
-		replace(.6, at(.2), at(.2)+7*time.Second)
-		s.Clients.Impatient, s.Clients.Wait, s.Clients.Honour = .02, "at-once", .3
-		add(script.Fault{Kind: script.Spoil, Target: caches(1, max(1, m.Caches/badOneIn)), At: at(.3), For: at(.2), Chance: .05})
+		p.replaceCaches(.6, p.at(.2), p.at(.2)+7*time.Second)
+		p.add(script.Fault{Kind: script.Spoil, Target: p.badTarget(), At: p.at(.3), For: p.at(.2), Chance: .05})
 	default:
-		return s, fmt.Errorf("lab: no day is named %q (wanted one of %v)", m.Day, MassDays)
+		return nil, fmt.Errorf("lab: no day is named %q (wanted one of %v)", m.Day, MassDays)
+	}
+	return p.faults, nil
+}
+
+// massPlan collects the faults of a day.
+type massPlan struct {
+	mass   Mass
+	faults []script.Fault
+}
+
+func (p *massPlan) add(f script.Fault) { p.faults = append(p.faults, f) }
+
+// at returns the time at which a fraction of the day is over, in whole milliseconds.
+func (p *massPlan) at(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(p.mass.Length)).Truncate(time.Millisecond)
+}
+
+// badTarget names the caches that a day makes slow or failing.
+func (p *massPlan) badTarget() string { return targetRange("c", 1, max(1, p.mass.Caches/badOneIn)) }
+
+// badCaches makes some caches slow or failing during the middle of the day.
+func (p *massPlan) badCaches(kind string) {
+	f := script.Fault{Kind: kind, Target: p.badTarget(), At: p.at(.3), For: p.at(.4)}
+	if kind == script.Errors {
+		f.Chance = .3
+	}
+	p.add(f)
+}
+
+// replaceCaches replaces a fraction of the caches one group after another.
+func (p *massPlan) replaceCaches(fraction float64, from, to time.Duration) {
+	n := int(fraction * float64(p.mass.Caches))
+	const steps = 8
+	for i := range steps {
+		first, last := 1+i*n/steps, (i+1)*n/steps
+		if last >= first {
+			p.add(script.Fault{Kind: script.Replace, Target: targetRange("c", first, last),
+				At: from + (to-from)*time.Duration(i)/steps, How: "new-address"})
+		}
 	}
-	s.Sort()
-	return s, s.Check()
 }
 
-// targetRange names the things from one number to another.
+// targetRange names a target of a script, the caches or routers from one number to another.
 func targetRange(of string, from, to int) string {
 	if from == to {
 		return fmt.Sprintf("%s%d", of, from)
--- a/internal/testbench/lab/operator.go
+++ b/internal/testbench/lab/operator.go
@@ -28,11 +28,11 @@
 	return []OperatorFile{{"membership", m.String()}, {"eureka", e.String()}}
 }
 
-// maxBackoff is how long a router waits at the most before it asks a registry again that fails: with the usual 5 s,
-// scripts of 10 s would end before much comes of a fault.
+// maxBackoff bounds how long a router waits before it polls a failing registry again. With the default of 5 s, scripts of
+// 10 s would end before the recovery from a fault shows.
 const maxBackoff = 2 * second
 
-// list words a list of texts in TOML.
+// list formats strings as a TOML array.
 func list(all []string) string {
 	quoted := make([]string, len(all))
 	for i, text := range all {
--- a/internal/testbench/lab/registry.go
+++ b/internal/testbench/lab/registry.go
@@ -28,8 +28,8 @@
 	host         *sim.Host
 	zone         string
 	url          string
-	activeFaults [faultStates]int // faults that last, by what they make of its word
-	// startChangeLost tells that a change of a start may have been lost, which leaves the hash code as it was.
+	activeFaults [faultStates]int // number of active faults by the state that they cause
+	// startChangeLost is set once a changed start time may be missing from deltas, which the hash code does not reveal.
 	startChangeLost bool
 }
 
@@ -72,7 +72,7 @@
 	return r, nil
 }
 
-// files are the operators' files of a router.
+// files returns the operators' files of a router.
 func (r *registries) files(self string) []OperatorFile {
 	if r == nil {
 		return nil
@@ -100,7 +100,7 @@
 	}
 }
 
-// enroll registers a cache that has just come.
+// enroll registers a cache that has just started, and renews its lease from then on.
 func (r *registries) enroll(c *standin.Cache, start Time) {
 	if r == nil {
 		return
@@ -179,7 +179,7 @@
 	}
 }
 
-// died: a cache ends and says nothing. Its lease runs out.
+// stopRenewing lets the lease of a cache that has ended run out.
 func (r *registries) stopRenewing(c *standin.Cache) {
 	if r == nil {
 		return
@@ -189,7 +189,7 @@
 	}
 }
 
-// left: a cache is taken off the registry.
+// unregister takes a cache off the registry.
 func (r *registries) unregister(c *standin.Cache) {
 	if r == nil {
 		return
@@ -200,7 +200,7 @@
 	}
 }
 
-// setStatus has an operator set the status of a cache. Where no server answers nothing comes of it.
+// setStatus sets the status of a cache as an operator does. It has no effect where no server answers.
 func (r *registries) setStatus(c *standin.Cache, status string) {
 	if r == nil {
 		return
@@ -210,7 +210,7 @@
 	}
 }
 
-// registry has a fault strike a server of the registry.
+// registry applies a fault to a server of the registry.
 func (f *faults) registry(x script.Fault, i int) {
 	p := f.world.registry.servers[i]
 	if ApplyInstantRegistryFault(p.Registry, x) {
@@ -227,8 +227,8 @@
 	f.atEnd(x, func() { p.activeFaults[is]-- })
 }
 
-// loses: so many changes never stand in deltas. The hash code counts instances by status, so that a new start is lost
-// without a trace, and so are two changes that make up for one another: nobody who follows deltas can know then.
+// dropDeltas records that so many changes are missing from deltas. The hash code counts instances by status, so that it
+// reveals neither a new start time nor two changes that cancel each other.
 func (p *replica) dropDeltas(changes int) {
 	p.startChangeLost = true
 	if changes > 1 {
@@ -236,7 +236,7 @@
 	}
 }
 
-// faultStateOf is what a server's word is worth while it has a fault.
+// faultStateOf is the state of a server while it has a fault of a kind.
 func faultStateOf(kind string) faultState {
 	switch kind {
 	case script.RegistrySilent, script.Registry5xx, script.RegistryTruncate, script.RegistryMalform,
@@ -248,7 +248,7 @@
 	return healthy
 }
 
-// ApplyInstantRegistryFault carries a fault out that lasts no time, and reports whether it is such a one.
+// ApplyInstantRegistryFault applies x where it is a fault without duration, and reports whether it is one.
 func ApplyInstantRegistryFault(p *registry.Registry, x script.Fault) bool {
 	switch x.Kind {
 	case script.RegistryDeltaLost:
@@ -261,7 +261,7 @@
 	return true
 }
 
-// SetRegistryFault switches a fault of a kind on, or off where x is nil. hidden are the caches that it is to hide.
+// SetRegistryFault switches a fault of a kind on, or off where x is nil. hidden are the caches that RegistryDisagree hides.
 func SetRegistryFault(p *registry.Registry, kind string, x *script.Fault, hidden []string) {
 	on := isActive(x)
 	switch kind {
@@ -298,7 +298,7 @@
 	}
 }
 
-// firstRegistered is the first part of the caches that are registered, by name.
+// firstRegistered returns the names of the first caches that were registered, part of all.
 func (r *registries) firstRegistered(part float64) (ids []string) {
 	n := int(part*float64(len(r.registrations)) + 0.5)
 	for _, e := range r.registrations[:n] {
@@ -307,7 +307,7 @@
 	return ids
 }
 
-// flap has a cache stand as down and as up in turns.
+// flap sets the status of a cache to out of service and up in turns, until the fault ends.
 func (f *faults) flap(x script.Fault, c *standin.Cache) {
 	w := f.world
 	over := false
--- a/internal/testbench/lab/registry_knowledge.go
+++ b/internal/testbench/lab/registry_knowledge.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// started: a process of a router starts, and knows nothing.
+// routerStarted resets what is known of a router whose process starts.
 func (k *knowledge) routerStarted(now Time, router string) {
 	l := k.ofRouter(router)
 	*l = routerKnowledge{router: l.router, caches: map[string]*endpointKnowledge{}}
--- a/internal/testbench/lab/result.go
+++ b/internal/testbench/lab/result.go
@@ -26,6 +26,7 @@
 	Text                   string
 }
 
+// String formats a broken rule in one line. The trace of a run covers this text.
 func (b Broken) String() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "%9.6f s: %s", float64(b.At)/1e6, b.Rule)
@@ -42,18 +43,18 @@
 	return s.String()
 }
 
-// brokenFrom is a violation that the watcher has found.
+// brokenFrom converts a violation that the watcher has found.
 func brokenFrom(v rules.Violation) Broken {
 	return Broken{v.Rule.String(), v.At - sim.Start - lead, v.Request, v.Router, v.Cache, v.Text}
 }
 
-// maxBroken bounds the broken rules of one run that are kept.
+// maxBroken bounds the broken rules that a result lists.
 const maxBroken = 100
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Broken    []Broken // the first mostBroken
-	More      int      // and so many more
+	More      int      // broken rules beyond those
 	Excused   int      // requests that were lost while their router's machine was stopped or cut off
 	Counts    rules.Counts
 	Steps     int64
@@ -80,7 +81,7 @@
 	return false
 }
 
-// setTrace folds what the watcher found into the trace of the world.
+// setTrace hashes the trace of the world, the watcher's counts and the texts of the broken rules.
 func (r *Result) setTrace(trace uint64) {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %+v\n", trace, r.Counts)
--- a/internal/testbench/lab/router.go
+++ b/internal/testbench/lab/router.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// router is one router through its lives.
+// router is one router, over all its processes.
 type router struct {
 	world         *world
 	name          string
@@ -26,7 +26,7 @@
 	servedOtherZones bool // has served clients of another zone
 }
 
-// resumesAt is when its machine runs again.
+// resumesAt is when the router's machine runs again after its stalls; 0 where it never stalled.
 func (r *router) resumesAt() (at Time) {
 	for _, s := range r.stalls {
 		at = max(at, s.to)
@@ -54,7 +54,7 @@
 	return r
 }
 
-// start starts a process of it.
+// start starts a process of the router.
 func (r *router) start() {
 	m := r.host.Machine()
 	if r.generation > 0 {
@@ -102,14 +102,14 @@
 	r.world.front.removeLater(r)
 }
 
-// Figures of a planned restart, as the protocol gives them.
+// Times of a planned restart, as the protocol gives them.
 const (
 	frontDrainDelay = 300 * millisecond // new connections go on coming for so long after SIGTERM
 	shutdownTimeout = 3900 * millisecond
 	restartDelay    = 100 * millisecond
 )
 
-// terminate has it end as after SIGTERM, kills it where it takes too long, and starts a new one.
+// terminate drains the router as after SIGTERM, kills it at shutdownTimeout, and starts a new process.
 func (r *router) terminate() {
 	if r.node == nil || r.ending {
 		return
@@ -143,10 +143,10 @@
 	})
 }
 
-// kill ends it without a word.
+// kill ends the process at once.
 func (r *router) kill() { r.end(false) }
 
-// restartAfter starts it again after a while.
+// restartAfter starts a new process after a delay, unless one was started meanwhile.
 func (r *router) restartAfter(after Time) {
 	life := r.generation
 	r.world.sim.At(r.world.sim.Now()+after, func() {
@@ -156,7 +156,7 @@
 	})
 }
 
-// reload has it read its configuration again.
+// reload has the router read its configuration again, as after SIGHUP.
 func (r *router) reload() {
 	if r.node == nil {
 		return
@@ -166,7 +166,7 @@
 	}
 }
 
-// stall keeps it from running.
+// stall stops the router's machine for a time.
 func (r *router) stall(d Time) {
 	if r.node == nil {
 		return
--- a/internal/testbench/lab/run.go
+++ b/internal/testbench/lab/run.go
@@ -156,7 +156,7 @@
 	return true
 }
 
-// maxFrames is how much of a stack is told.
+// maxFrames bounds the frames of a reported stack.
 const maxFrames = 8
 
 // stack names the project's functions that led to the panic, without what differs from run to run.
@@ -179,7 +179,7 @@
 	}
 }
 
-// usage tells the watcher how many descriptors each router holds.
+// usage reports the descriptors that each router holds to the watcher.
 func (w *world) usage() {
 	for _, r := range w.routers {
 		if r.node != nil {
@@ -222,7 +222,7 @@
 	hookDescriptors  = 4 // of each hook: its worker's, and those of a set that takes over
 )
 
-// checkLeftovers looks at what is left behind. The danger: what is never given back shows only after weeks.
+// checkLeftovers reports resources that a quiet router still holds: a leak shows only after weeks otherwise.
 func (w *world) checkLeftovers() {
 	now := w.sim.Now()
 	for _, r := range w.routers {
@@ -257,7 +257,7 @@
 	return r
 }
 
-// reportSecond tells those who listen what the last second was like.
+// reportSecond passes the counts of the last second to the callbacks of the options.
 func (w *world) reportSecond() {
 	if w.options.Timeline != nil {
 		w.logWindow()
@@ -267,7 +267,7 @@
 	}
 }
 
-// logWindow tells what the last second was like.
+// logWindow writes the counts of the last second to the timeline.
 func (w *world) logWindow() {
 	c := w.watcher.Counts()
 	was := w.observer.lastTally
--- a/internal/testbench/lab/shrink.go
+++ b/internal/testbench/lab/shrink.go
@@ -14,9 +14,9 @@
 type Shrinking struct {
 	Rule    string // that is to break
 	Options Options
-	// Tried is told of each script that was tried and whether the rule broke.
+	// Tried is called after each run, with its script and whether the rule broke.
 	Tried func(s script.Script, breaks bool)
-	// MaxRuns is how many runs are made at the most; 0 stands for 500.
+	// MaxRuns bounds the number of runs; 0 stands for 500.
 	MaxRuns int
 
 	runs int
@@ -109,7 +109,7 @@
 	return s
 }
 
-// shortestBreaking searches for the least span that still breaks, to a tenth of what it began with.
+// shortestBreaking bisects for the shortest span that still breaks the rule, to a tenth of from.
 func shortestBreaking(from, floor time.Duration, breaks func(time.Duration) bool) time.Duration {
 	low, high := floor, from
 	for step := max(from/10, floor); high-low > step; {
--- a/internal/testbench/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -14,24 +14,24 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// Storm is a storm of retries and reconnects: all caches go, come back cold, and all clients reconnect at that moment.
+// Storm is a retry storm: all caches end, return without their keys, and all clients reconnect at that moment.
 type Storm struct {
 	Seed              int64
 	Clients           int
 	Load              float64 // of what warm caches bear
-	Before            Time    // of calm, before it all
+	Before            Time    // before the outage
 	Outage            Time    // for which no cache runs
-	For               Time    // how long it is watched from the caches' return on
-	IgnoreAdvice      float64 // share of clients that take no advice and retry at once
+	For               Time    // how long the run lasts from the caches' return on
+	IgnoreAdvice      float64 // fraction of clients that ignore retry-after and retry at once
 	SharedAddress     bool    // all clients come from one address
-	FixedBackoff      bool    // those that obey back off by one fixed span
-	Silent            int     // connections beside, that say nothing
-	SecondOutageAfter Time    // a second outage begins so long after the first one's end; 0 for none
-	Burst             float64 // the load is so many times as high ...
-	BurstAt           Time    // ... from this moment after the caches' return ...
-	BurstTo           Time    // ... up to this one
-	KeysRetained      bool    // the caches still hold the keys that they held: cold ones can do little, but know it all
-	Warm              bool    // nothing goes: the caches are warm, and clients come all at once
+	FixedBackoff      bool    // clients that honour retry-after back off by one fixed time
+	Silent            int     // further connections that send nothing
+	SecondOutageAfter Time    // from the end of the first outage to a second one; 0 for none
+	Burst             float64 // factor of the load from BurstAt to BurstTo; 0 for none
+	BurstAt           Time    // from the caches' return
+	BurstTo           Time    // from the caches' return
+	KeysRetained      bool    // the caches return with the keys that they held, but must still warm up
+	Warm              bool    // no outage: the caches are warm, and all clients connect at once
 }
 
 // StormWindow is the span over which goodput is judged.
@@ -46,7 +46,7 @@
 	Capacity float64 // that caches, and the store behind them, can do
 }
 
-// Goodput is the share of what could be done that was.
+// Goodput is the fraction of the possible work that was done in time.
 func (p StormInterval) Goodput() float64 {
 	if least := min(p.Offered, p.Capacity); least > 0 {
 		return min(1, p.InTime/least)
@@ -54,7 +54,7 @@
 	return 1
 }
 
-// StormResult is what came of a storm.
+// StormResult is the result of a storm.
 type StormResult struct {
 	*Result
 	Intervals          []StormInterval
@@ -62,14 +62,14 @@
 	Overloads          int // caches and stores that fell over
 	Tries, Refused     int // of the whole run
 	Changes            []StormChange
-	CommonestWaitRatio float64 // share of waits that are the commonest one, of those that refusals named
-	MaxBudgetRise      float64 // most by which the budget of retries rose at once
+	CommonestWaitRatio float64 // fraction of all retry-after times that have the commonest value
+	MaxBudgetRise      float64 // largest single rise of the retry budget's fraction
 }
 
-// stormLine is in the line of the log at each change of a router's state.
+// stormLine marks the log line of a change of a router's retry-storm state.
 const stormLine = `msg="` + retrystorm.ChangeMessage + `"`
 
-// StormChange is one change of state, as a router's log tells it.
+// StormChange is one change of a router's retry-storm state, as its log reports it.
 type StormChange struct {
 	At     Time // from the beginning of the run
 	Router string
@@ -93,10 +93,10 @@
 	return at
 }
 
-// InTimeRatio is that of requests that were served in time.
+// InTimeRatio is the fraction of requests that were served in time.
 func (r *StormResult) InTimeRatio() float64 { return float64(r.InTime) / float64(max(1, r.Requests)) }
 
-// MinGoodput is the least goodput of any window.
+// MinGoodput is the lowest goodput of any window.
 func (r *StormResult) MinGoodput() float64 {
 	least := 1.0
 	for _, p := range r.Intervals {
@@ -105,7 +105,7 @@
 	return least
 }
 
-// Bound is the share of work in time that caches could have done at best, had nothing been wasted.
+// Bound is the fraction of the offered work that caches could have done in time, had nothing been wasted.
 func (r *StormResult) Bound() float64 {
 	could, asked := 0.0, 0.0
 	for _, p := range r.Intervals {
@@ -114,8 +114,8 @@
 	return could / asked
 }
 
-// Used is the share of what caches could do, or of what was asked where that is less, that was done in time, without
-// the first window.
+// Used is the fraction of the possible work that was done in time, without the first window. Possible is what caches could
+// do, or what was offered where that is less.
 func (r *StormResult) Used() float64 {
 	could, done := 0.0, 0.0
 	for _, p := range r.Intervals[min(1, len(r.Intervals)):] {
@@ -127,10 +127,10 @@
 	return min(1, done/could)
 }
 
-// turnaround is how long a client that retries at once takes for that.
+// turnaround is the delay before a retry of a client that retries at once.
 const turnaround = 10 * millisecond
 
-// maxStormSteps bounds the steps of a run, by the second.
+// maxStormSteps bounds the events of a run, for each second of simulated time.
 const maxStormSteps = 2_000_000
 
 // stormRun is a storm that is under way.
@@ -147,13 +147,14 @@
 	keysBefore   map[*standin.Cache][]string // keys, as the caches went
 }
 
-// stormObservations is what was seen at the seam between routers and their decision modules.
+// stormObservations is what was observed between routers and their decision modules.
 type stormObservations struct {
-	retryAfters   map[Time]int // that refusals named, to the millisecond
+	retryAfters   map[Time]int // counts of retry-after times, in milliseconds
 	maxBudgetRise float64      // of the budget
 }
 
-// retryStormObserver stands behind what a test plants, and hears what the module is told.
+// retryStormObserver observes the events that reach the decision module. Options.Wrap wraps it, so that it sees what a
+// planted defect passes on.
 type retryStormObserver struct {
 	guard.Module
 	observations   *stormObservations
@@ -171,7 +172,7 @@
 	return h.Module.Handle(now, ev)
 }
 
-// rejectObserver stands before it, and sees what routers are told to do.
+// rejectObserver observes the actions that a router carries out. It wraps the module of Options.Wrap.
 type rejectObserver struct {
 	guard.Module
 	observations *stormObservations
@@ -188,7 +189,7 @@
 	return actions
 }
 
-// summarizeObservations sums up what was seen at the seam.
+// summarizeObservations puts the observations into the result.
 func (r *stormRun) summarizeObservations() {
 	all, most := 0, 0
 	for _, n := range r.observations.retryAfters { // any order: a sum and a maximum
@@ -228,48 +229,65 @@
 		keysBefore:   map[*standin.Cache][]string{},
 	}
 	r.setUp()
-	if !s.Warm {
-		w.sim.At(r.from-s.Outage, r.stopCaches)
-		w.sim.At(r.from, r.restartCaches)
-		if s.SecondOutageAfter > 0 {
-			w.sim.At(r.from+s.SecondOutageAfter, r.stopCaches)
-			w.sim.At(r.from+s.SecondOutageAfter+s.Outage, r.restartCaches)
-		}
-	} else {
-		w.sim.At(r.from, r.reconnect)
+	r.scheduleOutages()
+	r.play()
+	if w.err != nil {
+		return nil, w.err
+	}
+	r.finish()
+	return &r.result, nil
+}
+
+// scheduleOutages plans the outages, or the moment at which all clients connect where there is none.
+func (r *stormRun) scheduleOutages() {
+	if r.storm.Warm {
+		r.sim.At(r.from, r.reconnect)
+		return
+	}
+	r.sim.At(r.from-r.storm.Outage, r.stopCaches)
+	r.sim.At(r.from, r.restartCaches)
+	if again := r.storm.SecondOutageAfter; again > 0 {
+		r.sim.At(r.from+again, r.stopCaches)
+		r.sim.At(r.from+again+r.storm.Outage, r.restartCaches)
 	}
-	end := r.from + s.For
-	for now := w.sim.Now(); now < end; now = w.sim.Now() {
-		if !w.runPart(min(end, now+tickEvery), maxStormSteps*(1+(end-sim.Start)/second)) {
+}
+
+// play runs the world to the end of the storm, which is early where it crashes or is stuck.
+func (r *stormRun) play() {
+	end := r.from + r.storm.For
+	for now := r.sim.Now(); now < end; now = r.sim.Now() {
+		if !r.runPart(min(end, now+tickEvery), maxStormSteps*(1+(end-sim.Start)/second)) {
 			break
 		}
-		w.watcher.Tick(w.sim.Now())
+		r.watcher.Tick(r.sim.Now())
 		if now >= r.from && now%(100*millisecond) == 0 {
 			r.accounting.AddCapacity(now, r.capacity.Now()/10)
 		}
-		if w.now()%second == 0 && o.Timeline != nil {
-			w.logWindow()
+		if r.now()%second == 0 && r.options.Timeline != nil {
+			r.logWindow()
 		}
 	}
 	for _, c := range r.clients {
 		c.Stop()
 	}
-	if w.err != nil {
-		return nil, w.err
-	}
-	w.watcher.Close(w.sim.Now())
-	r.result.Result = w.result()
-	for _, c := range w.stormChanges {
-		c.At -= s.Before + s.Outage
+}
+
+// finish fills the result in once the storm is over.
+func (r *stormRun) finish() {
+	r.watcher.Close(r.sim.Now())
+	r.result.Result = r.world.result()
+	for _, c := range r.stormChanges {
+		c.At -= r.storm.Before + r.storm.Outage
 		r.result.Changes = append(r.result.Changes, c)
 	}
 	r.summarizeObservations()
-	r.result.Intervals, r.result.Requests, r.result.InTime = r.accounting.Intervals(), r.accounting.Requests, r.accounting.InTime
-	r.result.Overloads, r.result.Tries, r.result.Refused = w.falls, r.result.Counts.Asked, r.result.Counts.Refused
-	return &r.result, nil
+	r.result.Intervals = r.accounting.Intervals()
+	r.result.Requests, r.result.InTime = r.accounting.Requests, r.accounting.InTime
+	r.result.Overloads = r.falls
+	r.result.Tries, r.result.Refused = r.result.Counts.Asked, r.result.Counts.Refused
 }
 
-// setUp makes the clients, each a host of its own but behind a layer.
+// setUp creates the clients, each on a host of its own unless they share an address.
 func (r *stormRun) setUp() {
 	r.accounting = StormAccounting{From: r.from, For: r.storm.For}
 	r.capacity = NewFleetCapacity(r.fleet, r.fleetOptions())
@@ -339,7 +357,7 @@
 	r.reconnect()
 }
 
-// reconnect has all clients connect anew, within a moment.
+// reconnect has all clients reconnect within 20 ms.
 func (r *stormRun) reconnect() {
 	for _, c := range r.clients {
 		r.sim.At(r.sim.Now()+r.rand.Int64N(20*millisecond), func() {
@@ -351,7 +369,7 @@
 	}
 }
 
-// addSilent has a connection come at the caches' return that never says anything, and come again once it is closed.
+// addSilent opens a connection at the caches' return that sends nothing, and opens it again once it is closed.
 func (r *stormRun) addSilent(i int) {
 	zones := script.Zones()
 	zone := zones[i%len(zones)]
@@ -377,14 +395,16 @@
 	})
 }
 
-// silentConnection is a connection that says nothing.
+// silentConnection is a connection that sends nothing.
 type silentConnection struct {
 	conn  machine.Conn
 	again func()
 }
 
+// Writable implements machine.Handler.
 func (c *silentConnection) Writable() {}
 
+// Readable implements machine.Handler.
 func (c *silentConnection) Readable() {
 	var b [64]byte
 	if _, err := c.conn.Read(b[:]); err != nil && err != machine.ErrWait {
--- a/internal/testbench/lab/storm_accounting.go
+++ b/internal/testbench/lab/storm_accounting.go
@@ -4,16 +4,16 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// FleetCapacity tells what a fleet can bear at a moment. Use NewFleetCapacity.
+// FleetCapacity computes what a fleet can serve at a moment. Use NewFleetCapacity.
 type FleetCapacity struct {
 	MeanWork    float64 // work of a request, in seconds of one core
 	fleet       *standin.Fleet
-	writes      float64 // share of requests
+	writes      float64 // fraction of requests that write
 	store       standin.StoreOptions
-	cacheOfRank []*standin.Cache // of keys, by their rank
+	cacheOfRank []*standin.Cache // the cache that each key is placed on, by the key's rank
 }
 
-// NewFleetCapacity is for a fleet of which no cache is away.
+// NewFleetCapacity is for a fleet of which all caches run.
 func NewFleetCapacity(f *standin.Fleet, o standin.Options) *FleetCapacity {
 	b := &FleetCapacity{fleet: f, store: o.Store}
 	for _, c := range o.Classes {
@@ -51,21 +51,21 @@
 	return min(able, fetches/((1-b.writes)*missing+b.writes)*b.MeanWork)
 }
 
-// StormAccounting keep what was asked and served in a storm, by windows.
+// StormAccounting counts the work that was offered and done in a storm, by windows.
 type StormAccounting struct {
-	From, For        Time // what lies before From is not booked, and windows past For are not shown
-	Requests, InTime int  // made from From on, and so early that their aim lies within For
+	From, For        Time // work before From is not counted, and windows past For are not returned
+	Requests, InTime int  // of those made from From on whose latency objective lies within For
 	intervals        []StormInterval
 }
 
-// Began books a request that is made.
+// Began counts a request that a client makes.
 func (b *StormAccounting) Began(now Time, class *standin.Class) {
 	if now >= b.From {
 		b.intervalAt(now).Offered += float64(class.Work) / float64(second)
 	}
 }
 
-// Ended books a request that is over.
+// Ended counts a request that is over.
 func (b *StormAccounting) Ended(now Time, class *standin.Class, asked Time, inAim bool) {
 	if inAim && now >= b.From {
 		b.intervalAt(now).InTime += float64(class.Work) / float64(second)
@@ -79,10 +79,10 @@
 	}
 }
 
-// AddCapacity books what could be done over a span, of which now is a part.
+// AddCapacity counts work that could be done in a span of time that now is part of.
 func (b *StormAccounting) AddCapacity(now Time, work float64) { b.intervalAt(now).Capacity += work }
 
-// Intervals are the windows that are whole.
+// Intervals returns the complete windows.
 func (b *StormAccounting) Intervals() (whole []StormInterval) {
 	for _, p := range b.intervals {
 		if p.At+StormWindow <= b.For {
@@ -92,7 +92,7 @@
 	return whole
 }
 
-// intervalAt is the window of a moment.
+// intervalAt returns the window of an instant.
 func (b *StormAccounting) intervalAt(at Time) *StormInterval {
 	i := int((at - b.From) / StormWindow)
 	for len(b.intervals) <= i {
@@ -101,8 +101,8 @@
 	return &b.intervals[i]
 }
 
-// StormClient makes the options of client i of a storm those of one that asks at a rate: the first ones, a share, take no
-// advice and retry at once.
+// StormClient returns the options of client i of a storm, of all clients. The fraction ignore of them, the first ones,
+// ignore retry-after and retry at once.
 func StormClient(o standin.ClientOptions, i, all int, ignore float64) standin.ClientOptions {
 	o.Connections, o.Retries, o.Honour, o.TryShare = 8, 1<<20, 1, 1
 	o.Wait, o.WaitTime = standin.Exponential, 50*millisecond
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -62,7 +62,7 @@
 
 func microseconds(d time.Duration) Time { return d.Microseconds() }
 
-// newWorld sets a world up; the routers start at once, the clients after lead.
+// newWorld builds a world. The routers start at once, the clients after lead.
 func newWorld(s script.Script, o Options) (*world, error) {
 	w := &world{script: s, options: o, sim: sim.New(uint64(s.Seed)), hosts: map[string]*sim.Host{}}
 	w.rand = w.sim.Rand("lab")
@@ -162,7 +162,7 @@
 	}
 }
 
-// classesOf are the operators' classes, with more writes and an unsafe class where the script says so.
+// classesOf returns the default classes, with more writes and a class that is not idempotent where the script says so.
 func classesOf(s script.Script) []standin.Class {
 	all := standin.DefaultClasses()
 	for i := range all {
@@ -184,8 +184,8 @@
 	return all
 }
 
-// writes are the effects of writes by their words in scripts. Of several caches that drop repeats, all share one memory: what
-// a router sends past its group is the rules' to find.
+// writes are the semantics of writes by their names in scripts. All caches share one memory of repeats in every scope: what
+// a router sends outside the scope is left to the rules to find.
 var writes = map[string]struct {
 	effect standin.Effect
 	scope  rules.Scope
@@ -236,7 +236,7 @@
 	return ""
 }
 
-// routerSettings are what a router is told at its start.
+// routerSettings returns the settings of a router.
 func (w *world) routerSettings(r *router) standin.RouterSettings {
 	s := standin.DefaultRouterSettings()
 	s.Name, s.Listen, s.Discovery = r.name, r.addr, r.discoveryAddr
@@ -267,8 +267,8 @@
 	return set
 }
 
-// maxHoldTime is how long a script may hold bytes back. The danger: an attempt that comes out of a cut after its request
-// was forgotten looks as if no client had ever asked for it.
+// maxHoldTime is how long a script may hold bytes back. The rules must remember requests for so long, or an attempt that
+// arrives after a cut would look as if no client had sent its request.
 func (w *world) maxHoldTime() (most Time) {
 	for _, f := range w.script.Faults {
 		if slices.Contains([]string{script.Cut, script.Lag, script.Silence}, f.Kind) {
@@ -278,7 +278,7 @@
 	return most
 }
 
-// hidesCloses reports whether caches may learn of a close any time after it: then nobody can tell from outside whether
+// hidesCloses reports whether caches may learn of a close any time after it, so that it can't be seen from outside whether
 // two copies of a request were out at once.
 func (w *world) hidesCloses() bool {
 	return slices.ContainsFunc(w.script.Faults, func(f script.Fault) bool {
