--- a/cmd/lab/fleetview.go
+++ b/cmd/lab/fleetview.go
@@ -146,8 +146,10 @@
 		m.Continue(stopped)
 		x.change("stall", func(int) int { return 0 })
 	})
-	at(viewLossy, func() { m.Lossy(loopback.Losses{Lost: .3, Twice: .1, Late: .2, LateBy: 100_000, Cut: .01}) })
-	at(viewWhole, func() { m.Lossy(loopback.Losses{}) })
+	at(viewLossy, func() {
+		m.SetDatagramFaults(loopback.DatagramFaults{Lost: .3, Twice: .1, Late: .2, LateBy: 100_000, Cut: .01})
+	})
+	at(viewWhole, func() { m.SetDatagramFaults(loopback.DatagramFaults{}) })
 	at(viewQuiet, func() {
 		before := 0
 		for i := range x.group {
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -87,7 +87,7 @@
 		}
 		sum := r.Requests()
 		fmt.Fprintf(out, "seed %d %v: requests %d in_time %.3f broken %d troubles %d rss_mb %.0f descriptors %d\n", seed, c.Troubles,
-			sum.Requests, r.InTime(), r.Counts.Violations(), len(r.Troubles), float64(r.PeakRSS())/(1<<20), r.Descriptors())
+			sum.Requests, r.InTime(), r.Counts.Violations(), len(r.ProcessFaults), float64(r.PeakRSS())/(1<<20), r.Descriptors())
 		var counters []string
 		for _, rt := range r.Routers {
 			for name := range rt.Counters { // any order: a set
--- a/cmd/lab/try.go
+++ b/cmd/lab/try.go
@@ -138,7 +138,7 @@
 			fmt.Fprintln(out, "   ", line)
 		}
 	}
-	for _, t := range r.Troubles {
+	for _, t := range r.ProcessFaults {
 		fmt.Fprintln(out, "TROUBLE", t)
 	}
 	if r.Lag.Stalls > 0 {
--- a/internal/testbench/lab/loopback/faults.go
+++ b/internal/testbench/lab/loopback/faults.go
@@ -12,36 +12,36 @@
 type faults struct {
 	r       *run
 	places  []*standin.Cache // those that a target names by their number: the first ones, or who took their place
-	lasting map[lastingAt]int
+	active  map[faultAtCache]int
 	states  map[*standin.Cache]string // of draining ones
 	hostile []*standin.Hostile
 	bursts  int
 	over    bool
 }
 
-// lastingAt is a fault at a place. The danger: of two that overlap, the end of the first would end both.
-type lastingAt struct {
+// faultAtCache is a kind of fault at a cache. Of two that overlap, the end of the first must not end both.
+type faultAtCache struct {
 	kind  string
 	cache *standin.Cache
 }
 
-// doer carries a kind of fault out. end is nil for what lasts no time.
-type doer struct {
+// faultHandler carries a kind of fault out. end is nil for what lasts no time.
+type faultHandler struct {
 	begin func(*faults, script.Fault)
 	end   func(*faults, script.Fault)
 }
 
-// doers are the kinds of faults that are possible on loopback sockets.
-var doers map[string]doer
+// faultHandlers are the kinds of faults that are possible on loopback sockets.
+var faultHandlers map[string]faultHandler
 
 func init() {
-	on := func(f func(c *standin.Cache, on bool, x script.Fault)) doer {
-		return doer{
+	on := func(f func(c *standin.Cache, on bool, x script.Fault)) faultHandler {
+		return faultHandler{
 			begin: func(fs *faults, x script.Fault) { fs.switchCaches(x, true, f) },
 			end:   func(fs *faults, x script.Fault) { fs.switchCaches(x, false, f) },
 		}
 	}
-	share := func(f func(c *standin.Cache, p float64, x script.Fault)) doer {
+	share := func(f func(c *standin.Cache, p float64, x script.Fault)) faultHandler {
 		return on(func(c *standin.Cache, on bool, x script.Fault) {
 			if !on {
 				x.Chance = 0
@@ -49,13 +49,13 @@
 			f(c, x.Chance, x)
 		})
 	}
-	list := func(begin, end func(d *standin.Discovery, x script.Fault)) doer {
-		return doer{
+	list := func(begin, end func(d *standin.Discovery, x script.Fault)) faultHandler {
+		return faultHandler{
 			begin: func(fs *faults, x script.Fault) { begin(fs.r.fleet.Discovery, x) },
 			end:   func(fs *faults, x script.Fault) { end(fs.r.fleet.Discovery, x) },
 		}
 	}
-	doers = map[string]doer{
+	faultHandlers = map[string]faultHandler{
 		script.Hang:    on(func(c *standin.Cache, on bool, _ script.Fault) { c.Hang(on) }),
 		script.Silence: on(func(c *standin.Cache, on bool, _ script.Fault) { c.Silent(on) }),
 		script.Busy:    on(func(c *standin.Cache, on bool, _ script.Fault) { c.Busy(on) }),
@@ -92,8 +92,8 @@
 		}},
 		script.ListMoved: {begin: (*faults).moveList},
 
-		script.RestartCold: {begin: (*faults).restartCold},
-		script.PowerCut:    {begin: (*faults).restartCold},
+		script.RestartCold: {begin: (*faults).restartCaches},
+		script.PowerCut:    {begin: (*faults).restartCaches},
 		script.Replace:     {begin: (*faults).replace},
 		script.Drain:       {begin: (*faults).drain, end: (*faults).drained},
 		script.Add:         {begin: (*faults).add},
@@ -102,7 +102,7 @@
 			begin: func(fs *faults, x script.Fault) { fs.r.fleet.Keys.Heat(x.Keys, x.Chance) },
 			end:   func(fs *faults, _ script.Fault) { fs.r.fleet.Keys.Heat(0, 0) },
 		},
-		script.Hostile: {begin: (*faults).harm, end: (*faults).harmless},
+		script.Hostile: {begin: (*faults).startHostile, end: (*faults).hostileEndsItself},
 		script.Burst:   {begin: (*faults).burst, end: (*faults).burstOver},
 
 		script.RouterKill: {begin: func(fs *faults, x script.Fault) {
@@ -138,15 +138,15 @@
 		switch {
 		case kind.On != script.OnRegistry:
 		case kind.Instant:
-			doers[kind.Name] = doer{begin: (*faults).registryBegins}
+			faultHandlers[kind.Name] = faultHandler{begin: (*faults).registryBegins}
 		default:
-			doers[kind.Name] = doer{begin: (*faults).registryBegins, end: (*faults).registryEnds}
+			faultHandlers[kind.Name] = faultHandler{begin: (*faults).registryBegins, end: (*faults).registryEnds}
 		}
 	}
 }
 
 func (fs *faults) init(r *run) {
-	fs.r, fs.lasting, fs.states = r, map[lastingAt]int{}, map[*standin.Cache]string{}
+	fs.r, fs.active, fs.states = r, map[faultAtCache]int{}, map[*standin.Cache]string{}
 	fs.places = append(fs.places, r.fleet.Caches...)
 }
 
@@ -154,7 +154,7 @@
 func (fs *faults) begin() {
 	for _, f := range fs.r.o.Script.Faults {
 		f = f.Usual()
-		d := doers[f.Kind]
+		d := faultHandlers[f.Kind]
 		at := fs.r.start + span(f.At)
 		fs.r.m.At(at, func() { fs.unlessOver(d.begin, f) })
 		if d.end != nil && f.For > 0 {
@@ -201,16 +201,16 @@
 // switchCaches switches a lasting fault at the caches that it strikes.
 func (fs *faults) switchCaches(x script.Fault, on bool, f func(*standin.Cache, bool, script.Fault)) {
 	for _, c := range fs.caches(x) {
-		at := lastingAt{x.Kind, c}
+		at := faultAtCache{x.Kind, c}
 		if on {
-			fs.lasting[at]++
+			fs.active[at]++
 			f(c, true, x)
 			continue
 		}
-		if fs.lasting[at] == 0 {
+		if fs.active[at] == 0 {
 			continue // another cache has taken its place
 		}
-		if fs.lasting[at]--; fs.lasting[at] == 0 {
+		if fs.active[at]--; fs.active[at] == 0 {
 			f(c, false, x)
 		}
 	}
@@ -222,14 +222,14 @@
 	}
 }
 
-func (fs *faults) restartCold(x script.Fault) {
+func (fs *faults) restartCaches(x script.Fault) {
 	for _, c := range fs.caches(x) {
 		if fs.states[c] == gone {
 			continue
 		}
 		err := fs.r.fleet.Restart(c)
 		if err == nil && fs.r.registry != nil {
-			err = fs.r.registry.enrol(c, fs.r.m.Now())
+			err = fs.r.registry.enroll(c, fs.r.m.Now())
 		}
 		if err != nil {
 			fs.r.fail("%s: %w", x, err)
@@ -240,9 +240,9 @@
 func (fs *faults) replace(x script.Fault) {
 	for _, i := range script.CachesOf(x.Target, len(fs.places)) {
 		c, err := fs.r.fleet.Replace(fs.places[i])
-		fs.r.registry.left(fs.places[i])
+		fs.r.registry.unregister(fs.places[i])
 		if err == nil && fs.r.registry != nil {
-			err = fs.r.registry.enrol(c, fs.r.m.Now())
+			err = fs.r.registry.enroll(c, fs.r.m.Now())
 		}
 		if err != nil {
 			fs.r.fail("%s: %w", x, err)
@@ -264,7 +264,7 @@
 		fs.states[c] = leaving
 		fs.r.fleet.Discovery.SetStatus(c.Name(), standin.Terminating)
 		if fs.r.registry != nil {
-			fs.r.registry.put(c, registry.OutOfService)
+			fs.r.registry.setStatus(c, registry.OutOfService)
 		}
 	}
 }
@@ -275,14 +275,14 @@
 			continue
 		}
 		fs.endCache(c)
-		fs.r.registry.left(c)
+		fs.r.registry.unregister(c)
 	}
 }
 
 func (fs *faults) add(x script.Fault) {
 	c, err := fs.r.fleet.AddCache(true)
 	if err == nil && fs.r.registry != nil {
-		err = fs.r.registry.enrol(c, fs.r.m.Now())
+		err = fs.r.registry.enroll(c, fs.r.m.Now())
 	}
 	if err != nil {
 		fs.r.fail("%s: %w", x, err)
@@ -316,12 +316,12 @@
 // Pace of hostile clients.
 const (
 	harmEvery = 100 * millisecond
-	// deafEvery is for those that ask on and on. The danger: they ask for more work than all caches can do.
+	// deafEvery is the interval of those that never read, as each of them requests more work than all caches can do.
 	deafEvery = 4 * second
 	harmHolds = 4 * second
 )
 
-func (fs *faults) harm(x script.Fault) {
+func (fs *faults) startHostile(x script.Fault) {
 	r := fs.r
 	every := harmEvery
 	if standin.Harm(x.How) == standin.NeverReads {
@@ -337,7 +337,7 @@
 	}
 }
 
-func (fs *faults) harmless(script.Fault) {} // each ends by itself
+func (fs *faults) hostileEndsItself(script.Fault) {} // each ends by itself
 
 func (fs *faults) burst(x script.Fault) {
 	fs.bursts++
@@ -351,7 +351,7 @@
 }
 
 func (fs *faults) rate(times float64) {
-	if fs.r.phase != asking {
+	if fs.r.phase != serviceRunning {
 		return
 	}
 	for _, c := range fs.r.fleet.Clients {
--- a/internal/testbench/lab/loopback/handover.go
+++ b/internal/testbench/lab/loopback/handover.go
@@ -14,16 +14,16 @@
 const (
 	// longestDrain is how much of the longest deadline a planned restart allows for.
 	longestDrain = 3 * second
-	// refusedMost is how long an address may refuse connections over a hand-over.
-	refusedMost = 250 * millisecond
-	lookEvery   = 20 * millisecond
+	// maxRefused is how long an address may refuse connections over a hand-over.
+	maxRefused           = 250 * millisecond
+	addressCheckInterval = 20 * millisecond
 )
 
 // predecessor is a process of a router that another one follows while it is still there.
 type predecessor struct {
-	proc   *process
-	asked  bool // to end
-	killed bool
+	proc     *process
+	draining bool // to end
+	killed   bool
 }
 
 // handOver starts the next process of a router beside the present one, which ends as the fault says.
@@ -34,8 +34,8 @@
 	r, apart := rt.r, span(x.Delay)
 	now := r.m.Now()
 	old := &predecessor{proc: rt.proc}
-	rt.previous[rt.life] = old
-	life := rt.life
+	rt.previous[rt.generation] = old
+	life := rt.generation
 	next := func() { rt.startBeside(life) }
 	switch x.How {
 	case script.NextFirst:
@@ -46,8 +46,8 @@
 		r.m.At(now+apart, func() { rt.killOld(old) })
 	case script.Stopped:
 		// Nobody can be answered by a process that stands still for longer than the platform allows: as if it was killed.
-		rt.takenForKilled()
-		rt.dealt = false
+		rt.markKilled()
+		rt.inFront = false
 		old.proc.signal(syscall.SIGSTOP)
 		rt.endOld(old)
 		r.m.At(now+apart, next)
@@ -59,7 +59,7 @@
 
 // endOld has a predecessor drain. It is killed as early as the platform may do so.
 func (rt *router) endOld(old *predecessor) {
-	old.asked = true
+	old.draining = true
 	old.proc.signal(syscall.SIGTERM)
 	rt.r.m.At(rt.r.m.Now()+rt.killAfter(), func() { rt.killOld(old) })
 }
@@ -70,7 +70,7 @@
 	for _, c := range rt.r.report.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, longestDrain) + drainSpare
+	return min(longest, longestDrain) + drainSlack
 }
 
 // killOld kills a predecessor that is still there. What it held is its clients' to ask again for, unless it was to drain.
@@ -79,30 +79,30 @@
 		return
 	}
 	old.killed = true
-	if !old.asked {
-		rt.takenForKilled()
+	if !old.draining {
+		rt.markKilled()
 	}
 	old.proc.signal(syscall.SIGKILL)
 }
 
-// takenForKilled says that what the router holds, and what reaches it until the next process serves, is its clients' to ask
+// markKilled says that what the router holds, and what reaches it until the next process serves, is its clients' to ask
 // again for. The system goes on taking connections in for a process up to the moment of its end.
-func (rt *router) takenForKilled() {
-	rt.awaited = true
+func (rt *router) markKilled() {
+	rt.takenForKilled = true
 	rt.r.seen.RouterDown(rt.r.m.Now(), rt.name, false)
 }
 
-// goesOn is called once a process serves.
-func (rt *router) goesOn() {
-	if rt.awaited {
-		rt.awaited = false
+// successorServes is called once a process serves.
+func (rt *router) successorServes() {
+	if rt.takenForKilled {
+		rt.takenForKilled = false
 		rt.r.seen.RouterUp(rt.r.m.Now(), rt.name)
 	}
 }
 
 // startBeside starts a process while the one before, of the given life, is still there.
 func (rt *router) startBeside(life int) {
-	if rt.life != life || rt.r.phase == ending {
+	if rt.generation != life || rt.r.phase == ending {
 		return
 	}
 	if rt.state == down {
@@ -111,27 +111,27 @@
 	}
 	rt.proc, rt.state = nil, coming
 	rt.launch()
-	rt.lookAtAddress(rt.life, 0)
+	rt.checkAddress(rt.generation, 0)
 }
 
-// lookAtAddress tries the address again and again until the next process serves, and notes for how long it refuses.
-func (rt *router) lookAtAddress(life int, refusedSince Time) {
+// checkAddress tries the address again and again until the next process serves, and notes for how long it refuses.
+func (rt *router) checkAddress(life int, refusedSince Time) {
 	r := rt.r
-	if rt.life != life || r.phase == ending || rt.state == serving && len(rt.previous) == 0 {
+	if rt.generation != life || r.phase == ending || rt.state == serving && len(rt.previous) == 0 {
 		return
 	}
-	r.m.Dial(rt.port.addr, pingWithin, func(conn machine.Conn, err error) machine.Handler {
+	r.m.Dial(rt.port.addr, pingTimeout, func(conn machine.Conn, err error) machine.Handler {
 		now := r.m.Now()
 		switch {
 		case !errors.Is(err, machine.ErrRefused):
 			refusedSince = 0
 		case refusedSince == 0:
 			refusedSince = now
-		case now-refusedSince > refusedMost+r.seen.clock.lag.Lost && rt.life == life:
-			r.trouble("%s refused connections for %d ms over a hand-over", rt.name, (now-refusedSince)/millisecond)
+		case now-refusedSince > maxRefused+r.seen.clock.lag.Lost && rt.generation == life:
+			r.addProcessFault("%s refused connections for %d ms over a hand-over", rt.name, (now-refusedSince)/millisecond)
 			return nil
 		}
-		r.m.At(now+lookEvery, func() { rt.lookAtAddress(life, refusedSince) })
+		r.m.At(now+addressCheckInterval, func() { rt.checkAddress(life, refusedSince) })
 		return nil
 	})
 }
@@ -143,14 +143,14 @@
 		return false
 	}
 	delete(rt.previous, life)
-	if rt.life == life { // the next one has not been started yet
-		if old.asked && rt.state == serving {
+	if rt.generation == life { // the next one has not been started yet
+		if old.draining && rt.state == serving {
 			rt.state = draining
 		}
 		return false
 	}
-	if !old.killed && (!old.asked || exit != 0) {
-		rt.r.trouble("%s ended by itself with %d during a hand-over; the end of its log: %s", rt.name, exit,
+	if !old.killed && (!old.draining || exit != 0) {
+		rt.r.addProcessFault("%s ended by itself with %d during a hand-over; the end of its log: %s", rt.name, exit,
 			strings.Join(rt.report.Tail, " | "))
 	}
 	rt.r.ended()
@@ -167,11 +167,11 @@
 	if rt.state != serving && !isWaiting {
 		return
 	}
-	r, life := rt.r, rt.life
+	r, life := rt.r, rt.generation
 	for i, name := range strings.Split(x.How, "-") {
 		r.m.At(r.m.Now()+Time(i)*span(x.Delay), func() {
 			switch {
-			case rt.life != life || rt.state == down:
+			case rt.generation != life || rt.state == down:
 			case name == "term" && rt.state != draining:
 				rt.term(true)
 			case name == "kill":
--- a/internal/testbench/lab/loopback/loopback.go
+++ b/internal/testbench/lab/loopback/loopback.go
@@ -35,7 +35,7 @@
 	Visitors bool
 
 	Storm *Storm // nil for none
-	Fleet *Fleet // likewise
+	Fleet *Fleet // nil for none
 
 	// Calls says which system calls of the routers fail, in the words of faultkernel.Parse; the program has to be one that
 	// BuildTrial has built. "" for none.
@@ -58,15 +58,15 @@
 
 // Report is what a run has shown.
 type Report struct {
-	Counts      rules.Counts     // of tries, by the watcher
-	Tallies     []*standin.Tally // of requests with all their tries, by class
-	Broken      []Finding        // rules broken, the first ones
-	Misses      Misses           // requests that were not served in time
-	Troubles    []string         // what was wrong with a process, each in one line
-	Routers     []RouterReport
-	Lag         Lag
-	Forgiven    map[string]int // by class: answers that were late only because this process was
-	Interrupted bool
+	Counts        rules.Counts     // of tries, by the watcher
+	Tallies       []*standin.Tally // of requests with all their tries, by class
+	Broken        []Finding        // rules broken, the first ones
+	Misses        Misses           // requests that were not served in time
+	ProcessFaults []string         // what was wrong with a process, each in one line
+	Routers       []RouterReport
+	Lag           Lag
+	Forgiven      map[string]int // by class: answers that were late only because this process was
+	Interrupted   bool
 	// Storm is what was asked and served in the storm, where there was one.
 	Storm *lab.StormAccounting
 	// Classes are the clients'.
@@ -101,7 +101,7 @@
 }
 
 // OK reports whether no rule was broken and every process did as it should.
-func (r *Report) OK() bool { return r.Counts.Violations() == 0 && len(r.Troubles) == 0 }
+func (r *Report) OK() bool { return r.Counts.Violations() == 0 && len(r.ProcessFaults) == 0 }
 
 // Requests sums the tallies of all classes up.
 func (r *Report) Requests() standin.Tally {
--- a/internal/testbench/lab/loopback/loopback_test.go
+++ b/internal/testbench/lab/loopback/loopback_test.go
@@ -43,8 +43,8 @@
 		t.Fatal(err)
 	}
 	sum := r.Requests()
-	if bad := broken(&r); len(bad) > 0 || len(r.Troubles) > 0 {
-		t.Errorf("broken %v, troubles %v", bad, r.Troubles)
+	if bad := broken(&r); len(bad) > 0 || len(r.ProcessFaults) > 0 {
+		t.Errorf("broken %v, troubles %v", bad, r.ProcessFaults)
 	}
 	if sum.InAim+sum.Late == 0 || r.Counts.Attempts == 0 {
 		t.Errorf("nothing was served: %+v", sum)
@@ -73,8 +73,8 @@
 // wantStartedTwice wants a sound run in which each router had two processes, of which none is left.
 func wantStartedTwice(t *testing.T, r *Report, pids []int) {
 	t.Helper()
-	if bad := broken(r); len(bad) > 0 || len(r.Troubles) > 0 {
-		t.Errorf("broken %v, troubles %v", bad, r.Troubles)
+	if bad := broken(r); len(bad) > 0 || len(r.ProcessFaults) > 0 {
+		t.Errorf("broken %v, troubles %v", bad, r.ProcessFaults)
 	}
 	for _, rt := range r.Routers {
 		if rt.Starts != 2 {
@@ -119,10 +119,10 @@
 func TestOnlyWhatTheNetworkOrTheClockDoesIsImpossible(t *testing.T) {
 	var not []string
 	for _, k := range script.Kinds() {
-		if doers[k.Name].begin == nil {
+		if faultHandlers[k.Name].begin == nil {
 			not = append(not, k.Name)
 		}
-		if end := doers[k.Name].end; k.Instant && end != nil {
+		if end := faultHandlers[k.Name].end; k.Instant && end != nil {
 			t.Errorf("%s lasts no time and has an end", k.Name)
 		}
 	}
--- a/internal/testbench/lab/loopback/mesh.go
+++ b/internal/testbench/lab/loopback/mesh.go
@@ -16,8 +16,8 @@
 	Begin func(*Mesh)
 }
 
-// Losses are what a way does to datagrams, each by chance.
-type Losses struct {
+// DatagramFaults are what a way does to datagrams, each by chance.
+type DatagramFaults struct {
 	Lost, Twice, Cut float64
 	Late             float64 // by up to LateBy: out of order, too
 	LateBy           Time
@@ -29,25 +29,25 @@
 	rand    *rand.Rand
 	peers   []string               // where each router listens
 	faces   [][]machine.PacketConn // faces[i][j]: the address under which i knows j
-	ways    [][]way                // from i to j
+	links   [][]link               // from i to j
 	bytes   []int                  // that each router has sent
 	long    int                    // the longest datagram of all
-	views   []*watched
+	views   []*viewReader
 	closely bool
 	// Stopped holds the routers that stand still.
 	Stopped map[int]bool
 }
 
-type way struct {
-	Losses
+type link struct {
+	DatagramFaults
 	broken bool
 }
 
 // newMesh opens the addresses of all pairs.
 func newMesh(r *run, routers int) (*Mesh, error) {
-	m := &Mesh{r: r, rand: part(r.o.Script.Seed, 9), faces: make([][]machine.PacketConn, routers), ways: make([][]way, routers),
+	m := &Mesh{r: r, rand: part(r.o.Script.Seed, 9), faces: make([][]machine.PacketConn, routers), links: make([][]link, routers),
 		bytes: make([]int, routers), Stopped: map[int]bool{}}
-	// The danger: a port that was found free for a router is dealt out to one of the relays before the router has it.
+	// A port that was found free for a router stays bound until all relays have theirs, or one of them could get it.
 	var held []machine.PacketConn
 	defer func() {
 		for _, c := range held {
@@ -63,13 +63,13 @@
 		m.peers = append(m.peers, c.Addr())
 	}
 	for i := range routers {
-		m.faces[i], m.ways[i] = make([]machine.PacketConn, routers), make([]way, routers)
+		m.faces[i], m.links[i] = make([]machine.PacketConn, routers), make([]link, routers)
 		for j := range routers {
 			if i == j {
 				continue
 			}
 			var err error
-			if m.faces[i][j], err = r.m.ListenPacket("127.0.0.1:0", func(_ string, b []byte) { m.came(i, j, b) }); err != nil {
+			if m.faces[i][j], err = r.m.ListenPacket("127.0.0.1:0", func(_ string, b []byte) { m.relay(i, j, b) }); err != nil {
 				return nil, err
 			}
 		}
@@ -89,11 +89,11 @@
 	return m.peers[i], peers
 }
 
-// came carries a datagram from i to j, as their way is.
-func (m *Mesh) came(i, j int, b []byte) {
+// relay carries a datagram from i to j, as their way is.
+func (m *Mesh) relay(i, j int, b []byte) {
 	m.bytes[i] += len(b)
 	m.long = max(m.long, len(b))
-	w := &m.ways[i][j]
+	w := &m.links[i][j]
 	if w.broken || m.rand.Float64() < w.Lost {
 		return
 	}
@@ -107,33 +107,33 @@
 	for range copies {
 		if w.LateBy > 0 && m.rand.Float64() < w.Late {
 			later := append([]byte(nil), b...)
-			m.r.m.At(m.r.m.Now()+1+m.rand.Int64N(w.LateBy), func() { m.pass(i, j, later) })
+			m.r.m.At(m.r.m.Now()+1+m.rand.Int64N(w.LateBy), func() { m.deliver(i, j, later) })
 			continue
 		}
-		m.pass(i, j, b)
+		m.deliver(i, j, b)
 	}
 }
 
-// pass hands a datagram to j, from the address under which it knows i. One that is not taken is lost.
-func (m *Mesh) pass(i, j int, b []byte) { _ = m.faces[j][i].Send(m.peers[j], b) }
+// deliver hands a datagram to j, from the address under which it knows i. One that is not taken is lost.
+func (m *Mesh) deliver(i, j int, b []byte) { _ = m.faces[j][i].Send(m.peers[j], b) }
 
 // Cut breaks the ways between routers of different parts; nil heals all.
 func (m *Mesh) Cut(part func(i int) int) {
-	for i := range m.ways {
-		for j := range m.ways[i] {
-			m.ways[i][j].broken = part != nil && part(i) != part(j)
+	for i := range m.links {
+		for j := range m.links[i] {
+			m.links[i][j].broken = part != nil && part(i) != part(j)
 		}
 	}
 }
 
 // CutOneWay breaks the way from one router to another.
-func (m *Mesh) CutOneWay(i, j int) { m.ways[i][j].broken = true }
+func (m *Mesh) CutOneWay(i, j int) { m.links[i][j].broken = true }
 
-// Lossy changes what all ways do to datagrams.
-func (m *Mesh) Lossy(l Losses) {
-	for i := range m.ways {
-		for j := range m.ways[i] {
-			m.ways[i][j].Losses = l
+// SetDatagramFaults changes what all ways do to datagrams.
+func (m *Mesh) SetDatagramFaults(l DatagramFaults) {
+	for i := range m.links {
+		for j := range m.links[i] {
+			m.links[i][j].DatagramFaults = l
 		}
 	}
 }
@@ -165,7 +165,7 @@
 // At has f called so long from now, unless the run is over by then.
 func (m *Mesh) At(after Time, f func()) {
 	m.r.m.At(m.r.m.Now()+after, func() {
-		if m.r.phase == asking {
+		if m.r.phase == serviceRunning {
 			f()
 		}
 	})
--- a/internal/testbench/lab/loopback/mesh_test.go
+++ b/internal/testbench/lab/loopback/mesh_test.go
@@ -112,16 +112,16 @@
 		{"it hears again", mark(func(m *Mesh) { m.Cut(nil) }), sees(1, gossip.Alive)},
 		{"one drains", mark(func(m *Mesh) { m.Term(3) }), sees(3, gossip.Leaving, gossip.Left)},
 		{"datagrams are lost, cut and late", mark(func(m *Mesh) {
-			m.Lossy(Losses{Lost: .2, Twice: .2, Late: .2, LateBy: 50 * millisecond, Cut: .1})
+			m.SetDatagramFaults(DatagramFaults{Lost: .2, Twice: .2, Late: .2, LateBy: 50 * millisecond, Cut: .1})
 		}), func(m *Mesh) bool { return m.Now() > since+3*second }},
-		{"and no more", mark(func(m *Mesh) { m.Lossy(Losses{}) }), sees(3, gossip.Alive)},
+		{"and no more", mark(func(m *Mesh) { m.SetDatagramFaults(DatagramFaults{}) }), sees(3, gossip.Alive)},
 	}
 	r, err := Run(Options{Script: s, Fleet: &Fleet{Begin: func(m *Mesh) { w.m = m; w.next() }}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Troubles) > 0 || w.done != len(w.plan) {
-		t.Errorf("%d of %d steps were seen, troubles %v", w.done, len(w.plan), r.Troubles)
+	if len(r.ProcessFaults) > 0 || w.done != len(w.plan) {
+		t.Errorf("%d of %d steps were seen, troubles %v", w.done, len(w.plan), r.ProcessFaults)
 	}
 	if len(lives) == 2 && lives[1] <= lives[0] {
 		t.Errorf("incarnation %d after a restart, %d before", lives[1], lives[0])
--- a/internal/testbench/lab/loopback/miss.go
+++ b/internal/testbench/lab/loopback/miss.go
@@ -19,8 +19,8 @@
 
 // Bounds of what is kept of misses.
 const (
-	mostKinds   = 64
-	mostSamples = 3 // of a kind
+	maxKinds   = 64
+	maxSamples = 3 // of a kind
 )
 
 // kind groups misses that look alike.
@@ -47,14 +47,14 @@
 	at := kind{miss.How, miss.Class, miss.Router}
 	k := m.kinds[at]
 	if k == nil {
-		if len(m.kinds) == mostKinds {
+		if len(m.kinds) == maxKinds {
 			return
 		}
 		k = &kindOfMiss{}
 		m.kinds[at] = k
 	}
 	k.n++
-	if len(k.samples) < mostSamples {
+	if len(k.samples) < maxSamples {
 		miss.History = history(miss.ID)
 		k.samples = append(k.samples, miss)
 	}
--- a/internal/testbench/lab/loopback/witness_test.go
+++ b/internal/testbench/lab/loopback/observer_test.go
@@ -7,22 +7,22 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-func newScene(visitors bool) (*witness, *[]rules.Violation) {
+func newScene(visitors bool) (*observer, *[]rules.Violation) {
 	var got []rules.Violation
 	set := rules.Settings{Slack: 50 * millisecond, MaxAttempts: 3, Copies: true, Classes: map[string]rules.Class{
 		"read": {Effect: rules.Safe, Aim: 500 * millisecond, Deadline: 1200 * millisecond, Worth: 1}}}
-	return newWitness(set, visitors, func(v rules.Violation) { got = append(got, v) }), &got
+	return newObserver(set, visitors, func(v rules.Violation) { got = append(got, v) }), &got
 }
 
 func TestAnswerThatThisProcessReadLateIsNotTheRouters(t *testing.T) {
 	for _, punctual := range []bool{false, true} {
 		o, got := newScene(false)
 		at := 100 * second
-		o.clock.beaten(at)
+		o.clock.punctualUntil(at)
 		o.Asked(at, rules.Ask{ID: "q", Router: "r", Class: "read", Sent: at, Deadline: at + 1200*millisecond})
-		for past := Time(0); punctual && past < 1400*millisecond; past += beat {
-			o.clock.beaten(at + past)
-			o.w.Tick(o.clock.at(at + past))
+		for past := Time(0); punctual && past < 1400*millisecond; past += checkInterval {
+			o.clock.punctualUntil(at + past)
+			o.watcher.Tick(o.clock.at(at + past))
 		}
 		o.Answered(at+1400*millisecond, "q", rules.Failed, "")
 		if lost := len(*got) > 0; lost != punctual {
--- a/internal/testbench/lab/loopback/port.go
+++ b/internal/testbench/lab/loopback/port.go
@@ -9,7 +9,7 @@
 
 // port is a port of 127.0.0.1 that is held for a router over all its processes.
 //
-// The danger: while a router is down, one of the many connections of a run gets its port, and the restart fails.
+// While a router is down, one of the many connections of a run could otherwise get its port, and the restart would fail.
 // A socket that is bound and does not listen keeps the port from being dealt out, and with SO_REUSEADDR on both
 // sides the router can listen at it all the same.
 type port struct {
@@ -17,7 +17,7 @@
 	addr string
 }
 
-func holdPort() (*port, error) {
+func reservePort() (*port, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
--- a/internal/testbench/lab/loopback/process.go
+++ b/internal/testbench/lab/loopback/process.go
@@ -8,19 +8,19 @@
 	"syscall"
 )
 
-// longestLine bounds a line of a router's log, in bytes; what is longer comes as several.
-const longestLine = 4096
+// maxLine bounds a line of a router's log, in bytes; what is longer comes as several.
+const maxLine = 4096
 
-// nursery starts processes that do not outlive this one.
+// processStarter starts processes that do not outlive this one.
 //
-// The danger: this process is killed, and its routers serve on for ever. The kernel kills them when the thread
-// ends that has started them, so one thread starts all and stays.
-type nursery struct {
+// Routers must not serve on after this process was killed. The kernel kills them when the thread that started them ends,
+// so one thread starts all of them and stays.
+type processStarter struct {
 	jobs chan func()
 }
 
-func newNursery() *nursery {
-	n := &nursery{jobs: make(chan func())}
+func newProcessStarter() *processStarter {
+	n := &processStarter{jobs: make(chan func())}
 	go func() {
 		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 		for f := range n.jobs {
@@ -30,7 +30,7 @@
 	return n
 }
 
-func (n *nursery) close() { close(n.jobs) }
+func (n *processStarter) close() { close(n.jobs) }
 
 // process is one process of a router.
 type process struct {
@@ -40,7 +40,7 @@
 
 // start starts a program. line is called with each line of its standard error and ended once it has ended, both
 // in a goroutine of the process.
-func (n *nursery) start(cmd *exec.Cmd, line func(string), ended func(*os.ProcessState)) (*process, error) {
+func (n *processStarter) start(cmd *exec.Cmd, line func(string), ended func(*os.ProcessState)) (*process, error) {
 	cmd.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
 		Setpgid:   true, // an interrupt from the terminal is for this process, which ends the routers in order
@@ -57,7 +57,7 @@
 	p := &process{cmd: cmd, over: make(chan struct{})}
 	go func() {
 		defer close(p.over)
-		r := bufio.NewReaderSize(stderr, longestLine)
+		r := bufio.NewReaderSize(stderr, maxLine)
 		for {
 			text, _, err := r.ReadLine()
 			if err != nil {
--- a/internal/testbench/lab/loopback/registry.go
+++ b/internal/testbench/lab/loopback/registry.go
@@ -15,12 +15,12 @@
 // registries are the registry as each router sees it: one server for each, at which the caches stand with the addresses
 // that they have for that router. All of them are changed in one turn of the loop, so that they show one state.
 type registries struct {
-	r        *run
-	views    []view
-	enrolled []*enrolment
-	outs     []Out
-	open     map[string]int // place in outs of the caches that are out
-	judged   bool           // what it shows is what a router gets
+	r             *run
+	views         []view
+	registrations []*registration
+	outs          []Out
+	open          map[string]int // place in outs of the caches that are out
+	judged        bool           // what it shows is what a router gets
 }
 
 // view is the registry as one router sees it.
@@ -29,8 +29,8 @@
 	router, url string
 }
 
-// enrolment is a cache that is registered.
-type enrolment struct {
+// registration is a cache that is registered.
+type registration struct {
 	cache *standin.Cache
 	over  bool // it renews no more
 }
@@ -59,7 +59,7 @@
 		all.views = append(all.views, v)
 	}
 	for _, c := range r.fleet.Caches {
-		if err := all.enrol(c, 0); err != nil {
+		if err := all.enroll(c, 0); err != nil {
 			return nil, err
 		}
 	}
@@ -81,12 +81,12 @@
 	return nil
 }
 
-// enrol registers a cache; start is 0 for long ago.
-func (all *registries) enrol(c *standin.Cache, start Time) error {
-	e := all.of(c)
+// enroll registers a cache; start is 0 for long ago.
+func (all *registries) enroll(c *standin.Cache, start Time) error {
+	e := all.registrationOf(c)
 	if e == nil {
-		e = &enrolment{cache: c}
-		all.enrolled = append(all.enrolled, e)
+		e = &registration{cache: c}
+		all.registrations = append(all.registrations, e)
 	}
 	for _, v := range all.views {
 		if err := v.Register(all.instance(c, v.router, start)); err != nil {
@@ -112,8 +112,8 @@
 	return in
 }
 
-func (all *registries) of(c *standin.Cache) *enrolment {
-	for _, e := range all.enrolled {
+func (all *registries) registrationOf(c *standin.Cache) *registration {
+	for _, e := range all.registrations {
 		if e.cache == c {
 			return e
 		}
@@ -125,7 +125,7 @@
 func (all *registries) renew() {
 	m := all.r.m
 	m.At(m.Now()+span(all.r.o.Script.Registry.Renewal), func() {
-		for _, e := range all.enrolled {
+		for _, e := range all.registrations {
 			for _, v := range all.views {
 				if !e.over && v.Renew(e.cache.Name()) != nil { // it has been forgotten
 					if err := v.Register(all.instance(e.cache, v.router, 0)); err != nil {
@@ -139,37 +139,37 @@
 	})
 }
 
-// put has an operator set a cache's status.
-func (all *registries) put(c *standin.Cache, status string) {
+// setStatus has an operator set a cache's status.
+func (all *registries) setStatus(c *standin.Cache, status string) {
 	for _, v := range all.views {
 		v.SetStatus(c.Name(), status) // where it has been forgotten there is nothing to set
 	}
 }
 
-// left takes a cache off the registry; died lets its lease run out.
-func (all *registries) left(c *standin.Cache) {
+// unregister takes a cache off the registry; died lets its lease run out.
+func (all *registries) unregister(c *standin.Cache) {
 	if all == nil {
 		return
 	}
-	all.died(c)
+	all.stopRenewing(c)
 	for _, v := range all.views {
 		v.Cancel(c.Name()) // where it has been forgotten, that is as well
 	}
 }
 
-func (all *registries) died(c *standin.Cache) {
+func (all *registries) stopRenewing(c *standin.Cache) {
 	if all == nil {
 		return
 	}
-	if e := all.of(c); e != nil {
+	if e := all.registrationOf(c); e != nil {
 		e.over = true
 	}
 }
 
 // marked is called when a change of a cache can be seen by a router.
 func (all *registries) marked(router, id, status string, at Time) {
-	// The danger: routers register themselves too, and are no caches.
-	if !all.judged || !slices.ContainsFunc(all.enrolled, func(e *enrolment) bool { return e.cache.Name() == id }) {
+	// Routers register themselves too, and are not judged as caches.
+	if !all.judged || !slices.ContainsFunc(all.registrations, func(e *registration) bool { return e.cache.Name() == id }) {
 		return
 	}
 	all.r.seen.Listed(at, router, id, status == registry.Up)
@@ -201,7 +201,7 @@
 func (fs *faults) registryBegins(x script.Fault) {
 	for _, v := range fs.r.registry.views {
 		if !lab.ApplyInstantRegistryFault(v.Registry, x) {
-			lab.SetRegistryFault(v.Registry, x.Kind, &x, fs.r.registry.share(x.Chance))
+			lab.SetRegistryFault(v.Registry, x.Kind, &x, fs.r.registry.firstRegistered(x.Chance))
 		}
 	}
 }
@@ -212,9 +212,9 @@
 	}
 }
 
-// share is the first part of the caches.
-func (all *registries) share(part float64) (ids []string) {
-	for _, e := range all.enrolled[:int(part*float64(len(all.enrolled))+0.5)] {
+// firstRegistered is the first part of the caches.
+func (all *registries) firstRegistered(part float64) (ids []string) {
+	for _, e := range all.registrations[:int(part*float64(len(all.registrations))+0.5)] {
 		ids = append(ids, e.cache.Name())
 	}
 	return ids
@@ -222,13 +222,13 @@
 
 func (fs *faults) setOut(x script.Fault) {
 	for _, c := range fs.caches(x) {
-		fs.r.registry.put(c, registry.OutOfService)
+		fs.r.registry.setStatus(c, registry.OutOfService)
 	}
 }
 
 func (fs *faults) setUp(x script.Fault) {
 	for _, c := range fs.caches(x) {
-		fs.r.registry.put(c, registry.Up)
+		fs.r.registry.setStatus(c, registry.Up)
 	}
 }
 
@@ -253,14 +253,14 @@
 func (fs *faults) killCache(x script.Fault) {
 	for _, c := range fs.caches(x) {
 		fs.endCache(c)
-		fs.r.registry.died(c)
+		fs.r.registry.stopRenewing(c)
 	}
 }
 
 func (fs *faults) depart(x script.Fault) {
 	for _, c := range fs.caches(x) {
 		fs.endCache(c)
-		fs.r.registry.left(c)
+		fs.r.registry.unregister(c)
 	}
 }
 
--- a/internal/testbench/lab/loopback/registry_test.go
+++ b/internal/testbench/lab/loopback/registry_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if bad := broken(&r); len(bad) > 0 || len(r.Troubles) > 0 {
-		t.Errorf("broken %v, troubles %v", bad, r.Troubles)
+	if bad := broken(&r); len(bad) > 0 || len(r.ProcessFaults) > 0 {
+		t.Errorf("broken %v, troubles %v", bad, r.ProcessFaults)
 	}
 	if len(r.Outs) != 2 || r.Outs[0].At >= r.Outs[1].At || r.Outs[0].Cache == r.Outs[1].Cache {
 		t.Errorf("2 caches were marked, and these are told: %+v", r.Outs)
--- a/internal/testbench/lab/loopback/router.go
+++ b/internal/testbench/lab/loopback/router.go
@@ -18,21 +18,21 @@
 
 // Bounds of what is kept of a router.
 const (
-	mostTail    = 40 // last lines of its log
+	maxTail     = 40 // last lines of its log
 	servingLine = "msg=serving address="
 	// Lines by which a router tells that it broke a rule, or the contract between its parts, and what it has counted.
 	violationLine = "msg=violation "
 	contractLine  = `msg="contract breach" `
 	countersLine  = "msg=counters "
-	pingAgain     = 10 * millisecond
-	pingWithin    = second
+	pingInterval  = 10 * millisecond
+	pingTimeout   = second
 )
 
-// stopDealing is how long after SIGTERM the front goes on dealing connections to a router.
-const stopDealing = 300 * millisecond
+// frontDrainDelay is how long after SIGTERM the front goes on dealing connections to a router.
+const frontDrainDelay = 300 * millisecond
 
-// drainSpare is added to the longest deadline: a router that was told to end has ended by then.
-const drainSpare = 700 * millisecond
+// drainSlack is added to the longest deadline: a router that was told to end has ended by then.
+const drainSlack = 700 * millisecond
 
 // state is that of a router's process.
 type state uint8
@@ -53,20 +53,20 @@
 	args       []string
 	set        standin.RouterSettings
 
-	state  state
-	proc   *process
-	life   int  // number of the process
-	dealt  bool // the front deals connections to it
-	killed bool
-	again  bool // it is to be started again once it has ended
+	state      state
+	proc       *process
+	generation int  // number of the process
+	inFront    bool // the front deals connections to it
+	killed     bool
+	restart    bool // it is to be started again once it has ended
 
-	previous map[int]*predecessor // processes that are followed already, by their life
-	awaited  bool                 // the last of them is taken for killed, until the next one serves
-	report   RouterReport
+	previous       map[int]*predecessor // processes that are followed already, by their life
+	takenForKilled bool                 // the last of them is taken for killed, until the next one serves
+	report         RouterReport
 }
 
 func newRouter(r *run, name, zone string) (*router, error) {
-	p, err := holdPort()
+	p, err := reservePort()
 	if err != nil {
 		return nil, fmt.Errorf("a port for %s: %w", name, err)
 	}
@@ -75,7 +75,7 @@
 	rt.report.Name = name
 	rt.set.Name, rt.set.Listen = name, p.addr
 	rt.set.Seed = fmt.Sprintf("%x", uint64(r.o.Script.Seed)<<8+uint64(len(r.routers)))
-	if err := rt.operators(); err != nil {
+	if err := rt.writeOperatorFiles(); err != nil {
 		p.release()
 		return nil, err
 	}
@@ -102,8 +102,8 @@
 	return os.Rename(next, rt.config)
 }
 
-// operators writes the operators' files, where there are any, and has the program take them.
-func (rt *router) operators() error {
+// writeOperatorFiles writes the operators' files, where there are any, and has the program take them.
+func (rt *router) writeOperatorFiles() error {
 	if rt.r.registry == nil && rt.r.storm == nil {
 		return nil
 	}
@@ -143,10 +143,10 @@
 // launch starts the next life's process.
 func (rt *router) launch() {
 	r := rt.r
-	rt.killed, rt.again = false, false
-	rt.life++
+	rt.killed, rt.restart = false, false
+	rt.generation++
 	rt.report.Starts++
-	life := rt.life
+	life := rt.generation
 	cmd := exec.Command(r.program, rt.args...)
 	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+rt.config)
 	if r.o.Calls != "" {
@@ -156,25 +156,25 @@
 	ended := func(s *os.ProcessState) { r.m.Post(func() { rt.ended(life, s) }) }
 	var p *process
 	var err error
-	r.m.Work(func() { p, err = r.nursery.start(cmd, line, ended) }, func() {
+	r.m.Work(func() { p, err = r.starter.start(cmd, line, ended) }, func() {
 		if err != nil {
 			rt.state = down
-			r.trouble("%s did not start: %v", rt.name, err)
+			r.addProcessFault("%s did not start: %v", rt.name, err)
 			r.ended()
 			return
 		}
 		if r.o.started != nil {
 			r.o.started(p.pid())
 		}
-		if rt.life == life && rt.state != down { // else it has ended by now
+		if rt.generation == life && rt.state != down { // else it has ended by now
 			rt.proc = p
-			rt.catchUp()
+			rt.applyPendingSignal()
 		}
 	})
 }
 
-// catchUp carries out what was asked of the process while it was being started.
-func (rt *router) catchUp() {
+// applyPendingSignal carries out what was asked of the process while it was being started.
+func (rt *router) applyPendingSignal() {
 	switch {
 	case rt.killed:
 		rt.proc.signal(syscall.SIGKILL)
@@ -189,23 +189,23 @@
 		fmt.Fprintf(rt.r.o.Log, "%s: %s\n", rt.name, text)
 	}
 	rt.report.Lines++
-	if len(rt.report.Tail) == mostTail {
+	if len(rt.report.Tail) == maxTail {
 		rt.report.Tail = rt.report.Tail[1:]
 	}
 	rt.report.Tail = append(rt.report.Tail, text)
 	if strings.Contains(text, violationLine) || strings.Contains(text, contractLine) {
-		rt.r.trouble("%s says that it broke a rule: %s", rt.name, text)
+		rt.r.addProcessFault("%s says that it broke a rule: %s", rt.name, text)
 	}
 	if _, counters, told := strings.Cut(text, countersLine); told {
 		rt.count(counters)
 	}
 	_, fields, found := strings.Cut(text, servingLine)
-	if !found || rt.life != life || rt.state != coming {
+	if !found || rt.generation != life || rt.state != coming {
 		return
 	}
 	addr, _, _ := strings.Cut(fields, " ")
 	if addr != rt.port.addr {
-		rt.r.trouble("%s serves on %s and was told %s", rt.name, addr, rt.port.addr)
+		rt.r.addProcessFault("%s serves on %s and was told %s", rt.name, addr, rt.port.addr)
 	}
 	rt.ping(life)
 }
@@ -223,21 +223,21 @@
 
 // ping asks the router until it answers +PONG: only then it is used.
 func (rt *router) ping(life int) {
-	if rt.life != life || rt.state != coming {
+	if rt.generation != life || rt.state != coming {
 		return
 	}
 	r := rt.r
 	p := &pinger{done: func(ok bool) {
 		switch {
 		case !ok:
-			r.m.At(r.m.Now()+pingAgain, func() { rt.ping(life) })
-		case rt.life == life && rt.state == coming:
-			rt.state, rt.dealt = serving, true
-			rt.goesOn()
+			r.m.At(r.m.Now()+pingInterval, func() { rt.ping(life) })
+		case rt.generation == life && rt.state == coming:
+			rt.state, rt.inFront = serving, true
+			rt.successorServes()
 			r.served()
 		}
 	}}
-	r.m.Dial(rt.port.addr, pingWithin, p.dialed)
+	r.m.Dial(rt.port.addr, pingTimeout, p.dialed)
 }
 
 // term tells the process to end in order.
@@ -245,13 +245,13 @@
 	if rt.state != serving && rt.state != coming {
 		return
 	}
-	r, life := rt.r, rt.life
-	rt.state, rt.again = draining, again
+	r, life := rt.r, rt.generation
+	rt.state, rt.restart = draining, again
 	rt.signal(syscall.SIGTERM)
 	now := r.m.Now()
-	r.m.At(now+stopDealing, func() {
-		if rt.life == life {
-			rt.dealt = false
+	r.m.At(now+frontDrainDelay, func() {
+		if rt.generation == life {
+			rt.inFront = false
 		}
 	})
 	longest := Time(0)
@@ -259,10 +259,10 @@
 		longest = max(longest, c.Deadline)
 	}
 	var overdue func()
-	limit := now + longest + drainSpare + slack
+	limit := now + longest + drainSlack + slack
 	lost := r.seen.clock.lag.Lost
 	overdue = func() {
-		if rt.life != life || rt.state != draining {
+		if rt.generation != life || rt.state != draining {
 			return
 		}
 		if more := r.seen.clock.lag.Lost - lost; more > 0 { // this process was late
@@ -270,7 +270,7 @@
 			r.m.At(r.m.Now()+more, overdue)
 			return
 		}
-		r.trouble("%s had not ended %.1f s after SIGTERM and was killed", rt.name, float64(limit-now)/1e6)
+		r.addProcessFault("%s had not ended %.1f s after SIGTERM and was killed", rt.name, float64(limit-now)/1e6)
 		rt.signal(syscall.SIGKILL)
 	}
 	r.m.At(limit, overdue)
@@ -281,7 +281,7 @@
 	if rt.state == down {
 		return
 	}
-	rt.killed, rt.again = true, again
+	rt.killed, rt.restart = true, again
 	rt.signal(syscall.SIGKILL)
 }
 
@@ -296,7 +296,7 @@
 	if rt.oldEnded(life, s.ExitCode()) {
 		return
 	}
-	if rt.life != life || rt.state == down {
+	if rt.generation != life || rt.state == down {
 		return
 	}
 	r, now := rt.r, rt.r.m.Now()
@@ -305,11 +305,11 @@
 	// Whatever a process held that ended by itself is lost by it, crashed or not.
 	r.seen.RouterDown(now, rt.name, !rt.killed)
 	if !rt.killed && (!asked || s.ExitCode() != 0) {
-		r.trouble("%s ended by itself: %v; the end of its log: %s", rt.name, s, strings.Join(rt.report.Tail, " | "))
+		r.addProcessFault("%s ended by itself: %v; the end of its log: %s", rt.name, s, strings.Join(rt.report.Tail, " | "))
 	}
 	r.m.At(now+span(r.o.Script.Clients.Front), func() {
-		if rt.life == life {
-			rt.dealt = false
+		if rt.generation == life {
+			rt.inFront = false
 		}
 	})
 	if r.phase == starting {
@@ -317,14 +317,14 @@
 		r.m.Stop()
 		return
 	}
-	if rt.again {
+	if rt.restart {
 		rt.start()
 	}
 	r.ended()
 }
 
-// look looks at the process from outside.
-func (rt *router) look(now Time) {
+// checkUsage looks at the process from outside.
+func (rt *router) checkUsage(now Time) {
 	if rt.proc == nil || rt.state == down {
 		return
 	}
@@ -345,7 +345,7 @@
 func (r *run) front(zone string) []standin.Target {
 	var near, all []standin.Target
 	for _, rt := range r.routers {
-		if !rt.dealt {
+		if !rt.inFront {
 			continue
 		}
 		t := standin.Target{Name: rt.name, Addr: rt.port.addr}
@@ -377,8 +377,10 @@
 	return p
 }
 
+// Writable implements machine.Handler.
 func (p *pinger) Writable() {}
 
+// Readable implements machine.Handler.
 func (p *pinger) Readable() {
 	if p.conn == nil {
 		return
--- a/internal/testbench/lab/loopback/run.go
+++ b/internal/testbench/lab/loopback/run.go
@@ -13,11 +13,11 @@
 
 // Bounds of a run.
 const (
-	startWithin  = 20 * second       // from the processes' start until all routers serve
-	settleWithin = 300 * millisecond // past the longest deadline, for clients to see their requests to the end
-	settleEvery  = 20 * millisecond
-	mostBroken   = 20 // broken rules that are reported with the lives of their requests
-	mostTroubles = 50
+	startWithin      = 20 * second       // from the processes' start until all routers serve
+	settleWithin     = 300 * millisecond // past the longest deadline, for clients to see their requests to the end
+	settleEvery      = 20 * millisecond
+	maxBroken        = 20 // broken rules that are reported with the lives of their requests
+	maxProcessFaults = 50
 )
 
 // phase is how far a run has come.
@@ -25,7 +25,7 @@
 
 const (
 	starting phase = iota
-	asking
+	serviceRunning
 	settling // the clients ask no more
 	ending   // the routers are told to end
 )
@@ -34,25 +34,25 @@
 type run struct {
 	o       Options
 	m       *machine.Real
-	nursery *nursery
+	starter *processStarter
 	dir     string
 	program string
 
 	routerSet standin.RouterSettings
 	fleet     *standin.Fleet
-	seen      *witness
+	seen      *observer
 	routers   []*router
 	faults    faults
 	registry  *registries // nil where the script has none
-	storm     *storming   // nil where there is none
-	mesh      *Mesh       // likewise
+	storm     *stormRun   // nil where there is none
+	mesh      *Mesh       // nil where routers keep no view of one another
 
-	phase  phase
-	start  Time // of the clients
-	report Report
-	err    error
-	shot   shooter
-	parent int // the process that has started this one
+	phase    phase
+	start    Time // of the clients
+	report   Report
+	err      error
+	previous previousSnapshot
+	parent   int // the process that has started this one
 }
 
 // Run carries a script out and returns what it has shown. An interrupt ends it early, in order; a second one at
@@ -76,7 +76,7 @@
 		return Report{}, err
 	}
 	defer r.m.Stop()
-	r.nursery = newNursery()
+	r.starter = newProcessStarter()
 	defer r.endAll()
 	if err := r.setUp(); err != nil {
 		return Report{}, err
@@ -96,7 +96,7 @@
 		}
 		rt.port.release()
 	}
-	r.nursery.close()
+	r.starter.close()
 }
 
 func (r *run) setUp() error {
@@ -104,7 +104,7 @@
 	fo := fleetOptions(s)
 	r.routerSet = routerSettings(s, fo.Classes)
 	r.report.Classes = fo.Classes
-	r.seen = newWitness(ruleSettings(&fo, &r.routerSet), r.o.Visitors, r.broke)
+	r.seen = newObserver(ruleSettings(&fo, &r.routerSet), r.o.Visitors, r.addBroken)
 	same := func(string, string) machine.Machine { return r.m }
 	alone := func() machine.Machine { return r.m }
 	places := standin.Places{Cache: same, Store: alone, Discovery: alone, Client: same, Routers: r.front}
@@ -115,7 +115,7 @@
 	r.faults.init(r)
 	if r.o.Storm != nil {
 		r.storm = newStorm(r, fo)
-		r.report.Storm = &r.storm.books
+		r.report.Storm = &r.storm.accounting
 	}
 	if s.Registry.Enabled {
 		if r.registry, err = newRegistries(r); err != nil {
@@ -147,17 +147,17 @@
 	return nil
 }
 
-// broke takes a broken rule in.
-func (r *run) broke(v rules.Violation) {
-	if len(r.report.Broken) < mostBroken {
+// addBroken takes a broken rule in.
+func (r *run) addBroken(v rules.Violation) {
+	if len(r.report.Broken) < maxBroken {
 		r.report.Broken = append(r.report.Broken, Finding{Violation: v})
 	}
 }
 
-// trouble takes in what was wrong with a process.
-func (r *run) trouble(format string, args ...any) {
-	if len(r.report.Troubles) < mostTroubles {
-		r.report.Troubles = append(r.report.Troubles, fmt.Sprintf(format, args...))
+// addProcessFault takes in what was wrong with a process.
+func (r *run) addProcessFault(format string, args ...any) {
+	if len(r.report.ProcessFaults) < maxProcessFaults {
+		r.report.ProcessFaults = append(r.report.ProcessFaults, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -171,10 +171,10 @@
 			return
 		}
 	}
-	r.phase = asking
+	r.phase = serviceRunning
 	r.start = r.m.Now()
 	r.seen.start = r.start
-	r.beat()
+	r.checkPunctuality()
 	if r.o.Ready != nil {
 		a := Addresses{Dir: r.dir}
 		for _, rt := range r.routers {
@@ -191,37 +191,37 @@
 	if r.mesh != nil {
 		r.mesh.begin()
 	}
-	r.look()
+	r.checkProcesses()
 	if !r.o.Endless {
 		r.m.At(r.start+span(r.o.Script.Length), r.settle)
 	}
 }
 
-// beat looks at the loop's punctuality, and finds what is overdue.
-func (r *run) beat() {
+// checkPunctuality looks at the loop's punctuality, and finds what is overdue.
+func (r *run) checkPunctuality() {
 	now := r.m.Now()
-	r.seen.clock.beaten(now)
-	r.seen.w.Tick(r.seen.clock.at(now))
-	r.m.At(now+beat, r.beat)
+	r.seen.clock.punctualUntil(now)
+	r.seen.watcher.Tick(r.seen.clock.at(now))
+	r.m.At(now+checkInterval, r.checkPunctuality)
 }
 
-// look looks at the processes and shows the state, every second.
-func (r *run) look() {
+// checkProcesses looks at the processes and shows the state, every second.
+func (r *run) checkProcesses() {
 	if r.phase == ending {
 		return
 	}
 	now := r.m.Now()
 	for _, rt := range r.routers {
-		rt.look(now)
+		rt.checkUsage(now)
 	}
 	if r.o.See != nil && r.o.See(r.snapshot()) != nil {
 		r.settle()
 	}
-	// The danger: what has started this process is gone, and nobody is left to interrupt it.
+	// Once the parent process is gone, nobody is left to interrupt an endless run.
 	if r.o.Endless && os.Getppid() != r.parent {
 		r.settle()
 	}
-	r.m.At(now+second, r.look)
+	r.m.At(now+second, r.checkProcesses)
 }
 
 // signal ends the run, in order at the first signal and at once at the second; a terminal's end is one too.
@@ -238,7 +238,7 @@
 
 // settle has the clients ask no more, and waits for the answers to what they have asked.
 func (r *run) settle() {
-	if r.phase != asking {
+	if r.phase != serviceRunning {
 		return
 	}
 	r.phase = settling
@@ -256,7 +256,7 @@
 		return
 	}
 	for _, rt := range r.routers {
-		rt.look(r.m.Now())
+		rt.checkUsage(r.m.Now())
 	}
 	r.phase = ending
 	r.faults.end()
@@ -277,14 +277,14 @@
 		}
 	}
 	now := r.m.Now()
-	r.seen.w.Close(r.seen.time(now))
-	r.report.Counts = r.seen.w.Counts()
+	r.seen.watcher.Close(r.seen.time(now))
+	r.report.Counts = r.seen.watcher.Counts()
 	r.report.Tallies = r.fleet.Tallies()
 	r.report.Misses, r.report.Forgiven = r.seen.misses, r.seen.forgiven
 	r.report.Lag = r.seen.clock.lag
 	for i := range r.report.Broken {
 		f := &r.report.Broken[i]
-		f.History = r.seen.w.History(f.Request)
+		f.History = r.seen.watcher.History(f.Request)
 	}
 	for _, rt := range r.routers {
 		r.report.Routers = append(r.report.Routers, rt.report)
--- a/internal/testbench/lab/loopback/snapshot.go
+++ b/internal/testbench/lab/loopback/snapshot.go
@@ -40,33 +40,33 @@
 	Over, Served, InTime, Refused, Failed int
 }
 
-// shooter remembers the snapshot before.
-type shooter struct {
+// previousSnapshot remembers the snapshot before.
+type previousSnapshot struct {
 	clients standin.Tally
 	hits    map[*standin.Cache][2]int
 }
 
 func (r *run) snapshot() Snapshot {
-	s := Snapshot{At: r.m.Now() - r.start, Rules: r.seen.w.Counts(), Lag: r.seen.clock.lag,
+	s := Snapshot{At: r.m.Now() - r.start, Rules: r.seen.watcher.Counts(), Lag: r.seen.clock.lag,
 		Broken: slices.Clone(r.report.Broken)}
 	s.Tallies = r.fleet.Tallies()
 	for _, t := range s.Tallies {
 		s.Clients.Add(t)
 	}
-	was, now := &r.shot.clients, &s.Clients
+	was, now := &r.previous.clients, &s.Clients
 	s.Last = ClientsSince{
 		Served: now.InAim + now.Late - was.InAim - was.Late, InTime: now.InAim - was.InAim,
 		Refused: now.Refused - was.Refused, Failed: now.Failed + now.Lost - was.Failed - was.Lost,
 	}
 	s.Last.Over = s.Last.Served + s.Last.Refused + s.Last.Failed
-	r.shot.clients = s.Clients
-	if r.shot.hits == nil {
-		r.shot.hits = map[*standin.Cache][2]int{}
+	r.previous.clients = s.Clients
+	if r.previous.hits == nil {
+		r.previous.hits = map[*standin.Cache][2]int{}
 	}
 	for _, c := range r.fleet.Caches {
 		hits, misses := c.Hits()
-		before := r.shot.hits[c]
-		r.shot.hits[c] = [2]int{hits, misses}
+		before := r.previous.hits[c]
+		r.previous.hits[c] = [2]int{hits, misses}
 		hits, misses = hits-before[0], misses-before[1]
 		line := CacheState{Name: c.Name(), Zone: c.Zone(), State: r.faults.state(c), InFlight: c.Holds(),
 			Connections: c.Connections(), Reads: hits + misses, Median: r.seen.median(c.Name())}
@@ -95,7 +95,7 @@
 		words = append(words, "cold")
 	}
 	var wrong []string
-	for at, n := range fs.lasting {
+	for at, n := range fs.active {
 		if at.cache == c && n > 0 {
 			wrong = append(wrong, at.kind)
 		}
@@ -107,23 +107,23 @@
 	return strings.Join(words, ",")
 }
 
-// answering is what is known of the commands at a cache.
-type answering struct {
+// cacheCommands is what is known of the commands at a cache.
+type cacheCommands struct {
 	began map[string]Time // by id, of those that are out
 	took  standin.Histogram
 }
 
-func (o *witness) cache(name string) *answering {
+func (o *observer) cache(name string) *cacheCommands {
 	a := o.caches[name]
 	if a == nil {
-		a = &answering{began: map[string]Time{}}
+		a = &cacheCommands{began: map[string]Time{}}
 		o.caches[name] = a
 	}
 	return a
 }
 
 // median is the middle of the times that a cache took to serve, since the last call.
-func (o *witness) median(cache string) Time {
+func (o *observer) median(cache string) Time {
 	a := o.cache(cache)
 	m := a.took.Quantile(0.5)
 	a.took = standin.Histogram{}
--- a/internal/testbench/lab/loopback/steady.go
+++ b/internal/testbench/lab/loopback/steady_clock.go
@@ -7,9 +7,9 @@
 
 // Tolerances of the harness for itself.
 const (
-	beat      = 5 * millisecond  // how often the loop's punctuality is looked at
-	tolerance = 20 * millisecond // by which the loop may be late without a word
-	mostHeld  = 1000             // stalls that are remembered
+	checkInterval = 5 * millisecond  // how often the loop's punctuality is looked at
+	tolerance     = 20 * millisecond // by which the loop may be late without a word
+	maxStalls     = 1000             // stalls that are remembered
 )
 
 // Lag is how late the harness's own loop was.
@@ -19,16 +19,17 @@
 	Worst  Time
 }
 
+// String describes the lag in one line of a report.
 func (l Lag) String() string {
 	return fmt.Sprintf("the harness ran late %d times, by %d ms in all and %d ms at the worst: "+
 		"the watcher's clock stood still meanwhile", l.Stalls, l.Lost/millisecond, l.Worst/millisecond)
 }
 
-// steady is a clock that stands still while the loop of this process is late.
+// steadyClock is a clock that stands still while the loop of this process is late.
 //
-// The danger: a machine that is short of time has the stand-ins read an answer long after the router has written
-// it, and the router would be blamed. Each limit that runs over a stall is so long as the stall longer.
-type steady struct {
+// On a busy machine the stand-ins may read an answer long after the router has written it, which must not count against
+// the router. Each limit that spans a stall is longer by the length of the stall.
+type steadyClock struct {
 	due    Time // when the next beat is to be
 	lag    Lag
 	stalls []stall
@@ -39,14 +40,14 @@
 	before   Time // lost in the stalls before
 }
 
-// look finds out whether the loop is late. It is called before anything is judged at now.
-func (s *steady) look(now Time) {
+// detectLateness finds out whether the loop is late. It is called before anything is judged at now.
+func (s *steadyClock) detectLateness(now Time) {
 	late := now - s.due
 	if s.due == 0 || late <= tolerance {
 		return
 	}
-	if len(s.stalls) == mostHeld {
-		s.stalls = slices.Delete(s.stalls, 0, mostHeld/2)
+	if len(s.stalls) == maxStalls {
+		s.stalls = slices.Delete(s.stalls, 0, maxStalls/2)
 	}
 	s.stalls = append(s.stalls, stall{s.due, now, s.lag.Lost})
 	s.lag.Stalls++
@@ -55,14 +56,14 @@
 	s.due = now
 }
 
-// beaten says that the loop has been punctual up to now.
-func (s *steady) beaten(now Time) {
-	s.look(now)
-	s.due = now + beat
+// punctualUntil says that the loop has been punctual up to now.
+func (s *steadyClock) punctualUntil(now Time) {
+	s.detectLateness(now)
+	s.due = now + checkInterval
 }
 
 // at is an instant that is not to come as this clock had it.
-func (s *steady) at(t Time) Time {
+func (s *steadyClock) at(t Time) Time {
 	for _, st := range slices.Backward(s.stalls) {
 		if st.from < t {
 			return t - st.before - (min(t, st.to) - st.from)
@@ -75,7 +76,7 @@
 }
 
 // after is an instant to come, seen from now.
-func (s *steady) after(now, t Time) Time {
+func (s *steadyClock) after(now, t Time) Time {
 	if t <= now {
 		return s.at(t)
 	}
--- a/internal/testbench/lab/loopback/storm.go
+++ b/internal/testbench/lab/loopback/storm.go
@@ -21,61 +21,61 @@
 	Handled bool    // routers notice storms
 }
 
-// storming is a storm that is under way.
-type storming struct {
+// stormRun is a storm that is under way.
+type stormRun struct {
 	*run
-	storm   *Storm
-	books   lab.StormAccounting
-	bearing *lab.FleetCapacity
-	held    map[*standin.Cache][]string // keys, as the caches went
+	storm      *Storm
+	accounting lab.StormAccounting
+	capacity   *lab.FleetCapacity
+	keysBefore map[*standin.Cache][]string // keys, as the caches went
 }
 
 // newStorm makes the clients.
-func newStorm(r *run, fo standin.Options) *storming {
-	s := &storming{run: r, storm: r.o.Storm, bearing: lab.NewFleetCapacity(r.fleet, fo), held: map[*standin.Cache][]string{}}
-	s.books.For = s.storm.For
-	rate := s.storm.Load * s.bearing.Now() / s.bearing.MeanWork / float64(s.storm.Clients)
+func newStorm(r *run, fo standin.Options) *stormRun {
+	s := &stormRun{run: r, storm: r.o.Storm, capacity: lab.NewFleetCapacity(r.fleet, fo), keysBefore: map[*standin.Cache][]string{}}
+	s.accounting.For = s.storm.For
+	rate := s.storm.Load * s.capacity.Now() / s.capacity.MeanWork / float64(s.storm.Clients)
 	rng := part(r.o.Script.Seed, 2)
 	r.fleet.Clients = nil
 	for i := range s.storm.Clients {
 		o := lab.StormClient(fo.Client, i, s.storm.Clients, s.storm.Ignore)
 		o.Zone, o.Classes, o.Keys, o.Rate = fo.Zones[i%len(fo.Zones)], fo.Classes, r.fleet.Keys, rate
 		o.Routers = func() []standin.Target { return r.front(o.Zone) }
-		o.Began = func(class *standin.Class) { s.books.Began(r.m.Now(), class) }
-		o.Ended = func(class *standin.Class, asked Time, inAim bool) { s.books.Ended(r.m.Now(), class, asked, inAim) }
+		o.Began = func(class *standin.Class) { s.accounting.Began(r.m.Now(), class) }
+		o.Ended = func(class *standin.Class, asked Time, inAim bool) { s.accounting.Ended(r.m.Now(), class, asked, inAim) }
 		r.fleet.Clients = append(r.fleet.Clients, standin.NewClient(r.m, o, r.fleet.Workload, rng, r.seen))
 	}
-	s.books.From = 1 << 62 // until it is known
+	s.accounting.From = 1 << 62 // until it is known
 	return s
 }
 
 // operators is the routers' file.
-func (s *storming) operators(dir, router string) (args []string, err error) {
+func (s *stormRun) operators(dir, router string) (args []string, err error) {
 	path := filepath.Join(dir, router+"-storm.toml")
 	text := fmt.Sprintf("kind = \"storm\"\n\nenabled = %v\n", s.storm.Handled)
 	return []string{"--operator", path}, os.WriteFile(path, []byte(text), 0o600)
 }
 
 // begin is called as the clients start.
-func (s *storming) begin() {
-	s.books.From = s.start + s.storm.Before + s.storm.Outage
+func (s *stormRun) begin() {
+	s.accounting.From = s.start + s.storm.Before + s.storm.Outage
 	s.m.At(s.start+s.storm.Before, func() {
 		for _, c := range s.fleet.Caches {
-			s.held[c] = c.Memory()
+			s.keysBefore[c] = c.Memory()
 			c.Stop()
 		}
 	})
-	s.m.At(s.books.From, s.back)
+	s.m.At(s.accounting.From, s.restartCaches)
 }
 
-// back has the caches come back, with what they held, and the clients reconnect within a moment.
-func (s *storming) back() {
+// restartCaches has the caches come back, with what they held, and the clients reconnect within a moment.
+func (s *stormRun) restartCaches() {
 	for _, c := range s.fleet.Caches {
 		if err := s.fleet.Restart(c); err != nil {
 			s.fail("the storm: %v", err)
 			return
 		}
-		c.Warm(s.held[c])
+		c.Warm(s.keysBefore[c])
 	}
 	for i, c := range s.fleet.Clients {
 		s.m.At(s.m.Now()+Time(i)*20*millisecond/Time(len(s.fleet.Clients)), c.Reconnect)
@@ -84,11 +84,11 @@
 }
 
 // sample books what caches can bear, ten times a second.
-func (s *storming) sample() {
+func (s *stormRun) sample() {
 	now := s.m.Now()
-	if now >= s.books.From+s.storm.For {
+	if now >= s.accounting.From+s.storm.For {
 		return
 	}
-	s.books.AddCapacity(now, s.bearing.Now()/10)
+	s.accounting.AddCapacity(now, s.capacity.Now()/10)
 	s.m.At(now+100*millisecond, s.sample)
 }
--- a/internal/testbench/lab/loopback/storm_test.go
+++ b/internal/testbench/lab/loopback/storm_test.go
@@ -16,8 +16,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if bad := broken(&r); len(bad) > 0 || len(r.Troubles) > 0 {
-			t.Errorf("handled %v: broken %v, troubles %v", handled, bad, r.Troubles)
+		if bad := broken(&r); len(bad) > 0 || len(r.ProcessFaults) > 0 {
+			t.Errorf("handled %v: broken %v, troubles %v", handled, bad, r.ProcessFaults)
 		}
 		parts := r.Storm.Intervals()
 		if r.Storm.Requests == 0 || r.Storm.InTime > r.Storm.Requests || len(parts) != 1 || parts[0].Offered <= 0 || parts[0].Capacity <= 0 {
--- a/internal/testbench/lab/loopback/throng_test.go
+++ b/internal/testbench/lab/loopback/throng_test.go
@@ -26,7 +26,7 @@
 			t.Errorf("%v", f)
 		}
 	}
-	if len(r.Troubles) > 0 || r.Requests().Requests < 300 {
-		t.Errorf("troubles %v, %d requests", r.Troubles, r.Requests().Requests)
+	if len(r.ProcessFaults) > 0 || r.Requests().Requests < 300 {
+		t.Errorf("troubles %v, %d requests", r.ProcessFaults, r.Requests().Requests)
 	}
 }
--- a/internal/testbench/lab/loopback/views.go
+++ b/internal/testbench/lab/loopback/views.go
@@ -8,19 +8,19 @@
 // The routers' views are read from outside, as any observer reads them: by questions to each router.
 
 const (
-	askViewsEvery = 100 * millisecond // between two readings of one router's view, where they are looked at closely
-	seldom        = second            // ... and where not: each reading is work for all
-	askAgainIn    = 150 * millisecond
+	viewInterval        = 100 * millisecond // between two readings of one router's view, where they are looked at closely
+	relaxedViewInterval = second            // otherwise, as each reading is work for all
+	viewTimeout         = 150 * millisecond
 )
 
-// watched is what is known of one router's view.
-type watched struct {
-	m       *Mesh
-	i       int
-	conn    machine.PacketConn
-	nonce   uint32
-	reading []gossip.Member
-	begun   uint64 // the digest at the beginning of the reading
+// viewReader is what is known of one router's view.
+type viewReader struct {
+	m           *Mesh
+	i           int
+	conn        machine.PacketConn
+	nonce       uint32
+	reading     []gossip.Member
+	firstDigest uint64 // the digest at the beginning of the reading
 	// View is the last one that was read whole, and At when.
 	View    map[string]gossip.Member
 	Settled bool
@@ -32,15 +32,15 @@
 // watch begins to read all views.
 func (m *Mesh) watch() {
 	for i := range m.peers {
-		w := &watched{m: m, i: i}
-		conn, err := m.r.m.ListenPacket("127.0.0.1:0", w.got)
+		w := &viewReader{m: m, i: i}
+		conn, err := m.r.m.ListenPacket("127.0.0.1:0", w.receive)
 		if err != nil {
 			m.r.fail("an address for the observer of %s: %v", m.r.routers[i].name, err)
 			return
 		}
 		w.conn = conn
 		m.views = append(m.views, w)
-		w.ask()
+		w.query()
 	}
 }
 
@@ -57,39 +57,39 @@
 // Len is how many routers there are.
 func (m *Mesh) Len() int { return len(m.peers) }
 
-func (w *watched) ask() {
+func (w *viewReader) query() {
 	w.nonce++
 	_ = w.conn.Send(w.m.peers[w.i], gossip.EncodeQuery(len(w.reading), w.nonce))
-	w.in(askAgainIn)
+	w.queryAfter(viewTimeout)
 }
 
-// in asks again after a while, from the beginning where no answer has come.
-func (w *watched) in(d Time) {
+// queryAfter asks again after a while, from the beginning where no answer has come.
+func (w *viewReader) queryAfter(d Time) {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
 	w.timer = w.m.r.m.At(w.m.r.m.Now()+d, func() {
 		if w.m.r.phase != ending {
 			w.reading = nil
-			w.ask()
+			w.query()
 		}
 	})
 }
 
-func (w *watched) got(_ string, b []byte) {
+func (w *viewReader) receive(_ string, b []byte) {
 	p, err := gossip.DecodePage(b, w.nonce)
 	if err != nil || p.First != len(w.reading) {
 		return
 	}
-	if len(w.reading) > 0 && p.Digest != w.begun || len(p.Members) == 0 {
+	if len(w.reading) > 0 && p.Digest != w.firstDigest || len(p.Members) == 0 {
 		w.reading = nil
-		w.ask()
+		w.query()
 		return
 	}
-	w.begun = p.Digest
+	w.firstDigest = p.Digest
 	w.reading = append(w.reading, p.Members...)
 	if len(w.reading) < p.Of {
-		w.ask()
+		w.query()
 		return
 	}
 	w.View = make(map[string]gossip.Member, len(w.reading))
@@ -98,7 +98,7 @@
 	}
 	w.Settled, w.Digest, w.At = p.Settled, p.Digest, w.m.r.m.Now()
 	w.reading = nil
-	w.in(w.m.viewsEvery())
+	w.queryAfter(w.m.viewsEvery())
 }
 
 // Closely says whether views are to be read often.
@@ -106,14 +106,14 @@
 	m.closely = on
 	for _, w := range m.views {
 		if on && w.reading == nil {
-			w.in(askViewsEvery)
+			w.queryAfter(viewInterval)
 		}
 	}
 }
 
 func (m *Mesh) viewsEvery() Time {
 	if m.closely {
-		return askViewsEvery
+		return viewInterval
 	}
-	return seldom
+	return relaxedViewInterval
 }
--- a/internal/testbench/lab/loopback/world.go
+++ b/internal/testbench/lab/loopback/world.go
@@ -15,8 +15,8 @@
 // slack is how much longer each limit of time is on sockets than in the simulator: the operators' protocol says so.
 const slack = 50 * millisecond
 
-// longSlack is how long clients stay past the end of their patience. The watcher judges by its own clock; the danger: a
-// client that this process has woken late leaves before that clock has granted the slack.
+// longSlack is how long clients stay past their timeout. The watcher judges by the steady clock, on which a client that
+// was woken late would otherwise leave before the slack is over.
 const longSlack = 10 * slack
 
 // Check refuses a script before anything starts. The error names each fault that loopback sockets can't have.
@@ -24,13 +24,13 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	// The danger: what the two sources tell a router is judged as one in virtual worlds only.
+	// The rules judge the lists of two sources together in virtual worlds only.
 	if r := s.Registry; r.Enabled && (r.Order != script.Default().Registry.Order || r.Replicas != 1) {
 		return errors.New("registry: on loopback sockets it has one server and is the only source")
 	}
 	var impossible []string
 	for _, f := range s.Faults {
-		if doers[f.Kind].begin == nil {
+		if faultHandlers[f.Kind].begin == nil {
 			impossible = append(impossible, f.String())
 		}
 	}
--- a/internal/testbench/lab/pacing/strategies.go
+++ b/internal/testbench/lab/pacing/strategies.go
@@ -50,40 +50,49 @@
 	failures   int
 }
 
+// Start implements Strategy.
 func (d *doubling) Start(float64) Time { return 0 }
 
+// Failed implements Strategy.
 func (d *doubling) Failed(_ Time, chance float64) Time {
 	span := math.Min(float64(d.most), float64(d.base)*math.Exp2(float64(d.failures)))
 	d.failures++
 	return Time(span * (d.fixed + (1-d.fixed)*chance))
 }
 
+// Answered implements Strategy.
 func (d *doubling) Answered(Time) { d.failures = 0 }
 
 // decorrelated draws each pause from the one before.
 type decorrelated struct{ last Time }
 
+// Start implements Strategy.
 func (d *decorrelated) Start(float64) Time { return 0 }
 
+// Failed implements Strategy.
 func (d *decorrelated) Failed(_ Time, chance float64) Time {
 	const least, most = second / 4, 8 * second
 	d.last = min(most, least+Time(chance*float64(3*d.last-least)))
 	return d.last
 }
 
+// Answered implements Strategy.
 func (d *decorrelated) Answered(Time) { d.last = second / 4 }
 
 // aimd keeps a rate of calls a second.
 type aimd struct{ rate float64 }
 
+// Start implements Strategy.
 func (a *aimd) Start(float64) Time { return 0 }
 
+// Failed implements Strategy.
 func (a *aimd) Failed(_ Time, chance float64) Time {
 	const least = 0.125
 	a.rate = max(least, a.rate/2)
 	return Time(float64(second) / a.rate * (0.5 + chance))
 }
 
+// Answered implements Strategy.
 func (a *aimd) Answered(Time) {
 	const most, step = 4, 0.25
 	a.rate = min(most, a.rate+step)
@@ -98,8 +107,10 @@
 
 const callsEach = 6
 
+// Start implements Strategy.
 func (r *rate) Start(float64) Time { return 0 }
 
+// Failed implements Strategy.
 func (r *rate) Failed(_ Time, chance float64) Time {
 	const least, most = second / 5, 6 * second
 	mean := most / callsEach
@@ -109,6 +120,7 @@
 	return Time(float64(mean) * (2./3 + chance*2/3))
 }
 
+// Answered implements Strategy.
 func (r *rate) Answered(took Time) {
 	if r.shortest == 0 || took < r.shortest {
 		r.shortest = took
@@ -118,6 +130,8 @@
 // steady is the router's own.
 type steady struct{ *retry.Pacer }
 
+// Answered implements Strategy.
 func (s steady) Answered(Time) { s.Pacer.Answered() }
 
+// Failed implements Strategy.
 func (s steady) Failed(now Time, chance float64) Time { return s.Pacer.Failed(now, chance).Pause }
