--- a/internal/testbench/lab/faults.go
+++ b/internal/testbench/lab/faults.go
@@ -307,7 +307,7 @@
 		f.hostileHosts++
 		name := fmt.Sprintf("hostile-%d", f.hostileHosts)
 		h := standin.NewHostile(w.host(name, zone).Machine(), standin.HostileOptions{
-			Harm: standin.Harm(x.How), Every: 50 * millisecond, HoldFor: 2 * second, Most: 32, Class: w.classes[0],
+			Harm: standin.Harm(x.How), Every: 50 * millisecond, HoldFor: 2 * second, MaxConnections: 32, Class: w.classes[0],
 			Keys: w.fleet.Keys, Routers: func() []standin.Target { return w.front.routers(zone) },
 		}, w.sim.Rand(name), w.observer)
 		h.Start()
@@ -340,7 +340,7 @@
 	case script.Stall:
 		r.stall(microseconds(x.For))
 	case script.FailCalls:
-		r.host.FailCalls(sim.FailingCalls{Dials: x.Chance / failingDialDivisor, ShortReads: x.Chance, ReadMost: maxShortRead})
+		r.host.FailCalls(sim.FailingCalls{Dials: x.Chance / failingDialDivisor, ShortReads: x.Chance, MaxShortRead: maxShortRead})
 		f.atEnd(x, func() { r.host.FailCalls(sim.FailingCalls{}) })
 	}
 }
--- a/internal/testbench/lab/loopback/observer.go
+++ b/internal/testbench/lab/loopback/observer.go
@@ -30,7 +30,7 @@
 
 // observedRequest is a request on the steady clock, and when it was sent by the machine's.
 type observedRequest struct {
-	rules.Ask
+	rules.Request
 	sent Time
 }
 
@@ -44,7 +44,7 @@
 func (o *observer) foreign(id string) bool { return o.visitors && !o.known.has(id) }
 
 // Asked implements rules.Observer.
-func (o *observer) Asked(now Time, a rules.Ask) {
+func (o *observer) Asked(now Time, a rules.Request) {
 	at := o.time(now)
 	if o.visitors {
 		o.known.add(now, a.ID)
@@ -64,7 +64,7 @@
 	if !open {
 		return
 	}
-	switch aim := o.classes[a.Class].Aim; {
+	switch aim := o.classes[a.Class].LatencyObjective; {
 	case kind != rules.Served:
 		o.missed(at, a, kind.String())
 	case at-a.Sent > aim:
@@ -188,9 +188,9 @@
 	o.watcher.Offered(o.time(now), cache, router, work)
 }
 
-// StartTold implements rules.Observer.
-func (o *observer) StartTold(now Time, router, cache string, start Time) {
-	o.watcher.StartTold(o.time(now), router, cache, start)
+// StartNotified implements rules.Observer.
+func (o *observer) StartNotified(now Time, router, cache string, start Time) {
+	o.watcher.StartNotified(o.time(now), router, cache, start)
 }
 
 // StoreOffered implements rules.Observer.
--- a/internal/testbench/lab/loss_report.go
+++ b/internal/testbench/lab/loss_report.go
@@ -39,7 +39,7 @@
 func NewLossReport(classes []standin.Class) *LossReport {
 	l := &LossReport{ByReason: map[string]int{}, latencyObjectives: map[string]Time{}}
 	for _, c := range classes {
-		l.latencyObjectives[c.Name] = c.Aim
+		l.latencyObjectives[c.Name] = c.LatencyObjective
 	}
 	return l
 }
--- a/internal/testbench/lab/observer.go
+++ b/internal/testbench/lab/observer.go
@@ -62,12 +62,12 @@
 	e.Watcher.Listed(now, router, cache, takesWork)
 }
 
-// StartTold implements rules.Observer. The watcher learns of it once the router can have read it.
-func (e *observer) StartTold(now Time, router, cache string, start Time) {
+// StartNotified implements rules.Observer. The watcher learns of it once the router can have read it.
+func (e *observer) StartNotified(now Time, router, cache string, start Time) {
 	if r := e.world.registry; r != nil && !r.knowledge.usesDiscovery() {
 		return
 	}
-	e.whenRead(now, router, func(now Time) { e.Watcher.StartTold(now, router, cache, start) })
+	e.whenRead(now, router, func(now Time) { e.Watcher.StartNotified(now, router, cache, start) })
 }
 
 // whenRead calls notify when a router can have read what is written to it now.
@@ -128,7 +128,7 @@
 }
 
 // Asked implements rules.Observer.
-func (e *observer) Asked(now Time, a rules.Ask) {
+func (e *observer) Asked(now Time, a rules.Request) {
 	if e.requestedAt != nil {
 		e.requestedAt[a.ID] = now
 	}
@@ -292,7 +292,7 @@
 // maxOpenTime is how long a request may be open, the longest deadline of all classes.
 func (w *world) maxOpenTime() (most Time) {
 	for _, c := range w.classes {
-		most = max(most, c.Deadline)
+		most = max(most, c.ClientTimeout)
 	}
 	return most
 }
--- a/internal/testbench/lab/registry_knowledge.go
+++ b/internal/testbench/lab/registry_knowledge.go
@@ -221,7 +221,7 @@
 	}
 	if c.readableStart > c.notifiedStart && now-c.readableSince >= pollTime {
 		c.notifiedStart = c.readableStart
-		k.registries.world.observer.Watcher.StartTold(now, l.name, name, c.readableStart)
+		k.registries.world.observer.Watcher.StartNotified(now, l.name, name, c.readableStart)
 	}
 	switch {
 	case v.works && c.notifiedOut:
--- a/internal/testbench/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -302,8 +302,8 @@
 		o.Ended = func(class *standin.Class, asked Time, inAim bool) {
 			r.accounting.Ended(r.sim.Now(), class, asked, inAim)
 		}
-		if o.Honour > 0 && r.storm.FixedBackoff {
-			o.Wait, o.WaitTime = standin.FixedWait, 200*millisecond
+		if o.RetryAfterCompliance > 0 && r.storm.FixedBackoff {
+			o.RetryWait, o.RetryWaitTime = standin.FixedWait, 200*millisecond
 		}
 		name := fmt.Sprintf("c-%d", i+1)
 		host := name
--- a/internal/testbench/lab/storm_accounting.go
+++ b/internal/testbench/lab/storm_accounting.go
@@ -17,9 +17,9 @@
 func NewFleetCapacity(f *standin.Fleet, o standin.Options) *FleetCapacity {
 	b := &FleetCapacity{fleet: f, store: o.Store}
 	for _, c := range o.Classes {
-		b.MeanWork += c.Share * float64(c.Work) / float64(second)
+		b.MeanWork += c.TrafficFraction * float64(c.Work) / float64(second)
 		if c.Write {
-			b.writes += c.Share
+			b.writes += c.TrafficFraction
 		}
 	}
 	names := make([]string, 0, len(f.Caches))
@@ -43,11 +43,11 @@
 	}
 	missing := 1.0
 	for rank, c := range b.cacheOfRank {
-		if c.Keeps(b.fleet.Keys.Name(rank)) {
-			missing -= b.fleet.Keys.Share(rank)
+		if c.HasKey(b.fleet.Keys.Name(rank)) {
+			missing -= b.fleet.Keys.Fraction(rank)
 		}
 	}
-	fetches := float64(b.store.Places) * float64(second) / float64(b.store.Latency)
+	fetches := float64(b.store.Concurrency) * float64(second) / float64(b.store.Latency)
 	return min(able, fetches/((1-b.writes)*missing+b.writes)*b.MeanWork)
 }
 
@@ -70,7 +70,7 @@
 	if inAim && now >= b.From {
 		b.intervalAt(now).InTime += float64(class.Work) / float64(second)
 	}
-	if asked < b.From || asked+class.Aim > b.From+b.For {
+	if asked < b.From || asked+class.LatencyObjective > b.From+b.For {
 		return
 	}
 	b.Requests++
@@ -104,10 +104,10 @@
 // StormClient returns the options of client i of a storm, of all clients. The fraction ignore of them, the first ones,
 // ignore retry-after and retry at once.
 func StormClient(o standin.ClientOptions, i, all int, ignore float64) standin.ClientOptions {
-	o.Connections, o.Retries, o.Honour, o.TryShare = 8, 1<<20, 1, 1
-	o.Wait, o.WaitTime = standin.Exponential, 50*millisecond
+	o.Connections, o.Retries, o.RetryAfterCompliance, o.AttemptTimeoutFraction = 8, 1<<20, 1, 1
+	o.RetryWait, o.RetryWaitTime = standin.Exponential, 50*millisecond
 	if i < int(ignore*float64(all)) {
-		o.Honour, o.Wait, o.WaitTime = 0, standin.FixedWait, turnaround
+		o.RetryAfterCompliance, o.RetryWait, o.RetryWaitTime = 0, standin.FixedWait, turnaround
 	}
 	return o
 }
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -167,19 +167,19 @@
 	all := standin.DefaultClasses()
 	for i := range all {
 		if all[i].Write {
-			all[i].Share *= s.Clients.Writes
-			all[i].Window = Time(float64(all[i].Window) * s.Fleet.KeyWindow)
+			all[i].TrafficFraction *= s.Clients.Writes
+			all[i].IdempotencyWindow = Time(float64(all[i].IdempotencyWindow) * s.Fleet.KeyWindow)
 			w := writes[s.Fleet.Writes]
-			all[i].Effect, all[i].Scope = w.effect, w.scope
+			all[i].Semantics, all[i].Scope = w.effect, w.scope
 		}
 	}
 	if s.Clients.Unsafe > 0 {
-		all = append(all, standin.Class{Name: "merge-log", Share: s.Clients.Unsafe, Effect: standin.Unsafe, Write: true,
-			Aim: 800 * millisecond, Deadline: 2 * second, Worth: 4, LateWorth: 0.25, Work: 100 * millisecond, CV: 2})
+		all = append(all, standin.Class{Name: "merge-log", TrafficFraction: s.Clients.Unsafe, Semantics: standin.NonIdempotent, Write: true,
+			LatencyObjective: 800 * millisecond, ClientTimeout: 2 * second, PriorityWeight: 4, LateWeightFraction: 0.25, Work: 100 * millisecond, CV: 2})
 	}
 	for i := range all {
-		all[i].Aim = Time(float64(all[i].Aim) * s.Fleet.Patience)
-		all[i].Deadline = Time(float64(all[i].Deadline) * s.Fleet.Patience)
+		all[i].LatencyObjective = Time(float64(all[i].LatencyObjective) * s.Fleet.Patience)
+		all[i].ClientTimeout = Time(float64(all[i].ClientTimeout) * s.Fleet.Patience)
 	}
 	return all
 }
@@ -187,16 +187,16 @@
 // writes are the semantics of writes by their names in scripts. All caches share one memory of repeats in every scope: what
 // a router sends outside the scope is left to the rules to find.
 var writes = map[string]struct {
-	effect standin.Effect
-	scope  rules.Scope
+	effect standin.Semantics
+	scope  rules.DeduplicationScope
 }{
-	"keyed": {standin.Keyed, rules.ScopeAll}, "keyed-zone": {standin.Keyed, rules.ScopeZone}, "keyed-cell": {standin.Keyed, rules.ScopeCell},
-	"unsafe": {standin.Unsafe, rules.ScopeAll}, "safe": {standin.Safe, rules.ScopeAll},
+	"keyed": {standin.IdempotentByKey, rules.ScopeAll}, "keyed-zone": {standin.IdempotentByKey, rules.ScopeZone}, "keyed-cell": {standin.IdempotentByKey, rules.ScopeCell},
+	"unsafe": {standin.NonIdempotent, rules.ScopeAll}, "safe": {standin.Idempotent, rules.ScopeAll},
 }
 
 func (w *world) fleetOptions() standin.Options {
 	s, o := w.script, standin.DefaultOptions()
-	o.Caches, o.Zones, o.Classes, o.Homes = s.Caches, script.Zones(), w.classes, Placement
+	o.Caches, o.Zones, o.Classes, o.Placement = s.Caches, script.Zones(), w.classes, Placement
 	SizeCaches(s, &o)
 	o.Cache.Probes, o.Cache.Reports = s.Fleet.Probes, s.Fleet.Reports
 	o.Cache.Cancel = map[string]standin.Cancel{"none": standin.CancelNone, "queued": standin.CancelQueued,
@@ -208,14 +208,14 @@
 	o.Discovery.Reachable = w.reachable
 	o.Clients = s.Clients.Groups
 	c := &o.Client
-	c.Rate, c.Retries, c.Honour, c.TryShare = s.Rate, s.Clients.Retries, s.Clients.Honour, s.Clients.TryShare
-	c.Wait = map[string]standin.RetryWait{"at-once": standin.AtOnce, "fixed": standin.FixedWait,
+	c.Rate, c.Retries, c.RetryAfterCompliance, c.AttemptTimeoutFraction = s.Rate, s.Clients.Retries, s.Clients.Honour, s.Clients.TryShare
+	c.RetryWait = map[string]standin.RetryWait{"at-once": standin.NoRetryWait, "fixed": standin.FixedWait,
 		"exponential": standin.Exponential}[s.Clients.Wait]
-	c.WaitTime = microseconds(s.Clients.WaitTime)
+	c.RetryWaitTime = microseconds(s.Clients.WaitTime)
 	// Where a zone has no router, its clients go to another's. A split piece takes up to a quarter longer.
 	far := float64(microseconds(s.Network.Far))
-	c.Crossing = 5*millisecond + 2*Time(far*(1.25+s.Network.Jitter)) // there with the request, and back with the close
-	c.Impatient, c.Pipeline = s.Clients.Impatient, s.Clients.Pipeline
+	c.CloseRaceWindow = 5*millisecond + 2*Time(far*(1.25+s.Network.Jitter)) // there with the request, and back with the close
+	c.EarlyAbandonFraction, c.Pipeline = s.Clients.Impatient, s.Clients.Pipeline
 	o.Routers = nil
 	for _, r := range w.routers {
 		o.Routers = append(o.Routers, r.name)
@@ -241,8 +241,8 @@
 	s := standin.DefaultRouterSettings()
 	s.Name, s.Listen, s.Discovery = r.name, r.addr, r.discoveryAddr
 	s.Sockets, s.Routers, s.Classes = w.script.Fleet.Sockets, w.script.Routers, w.classes
-	s.MaxAttempts, s.Copies, s.Probes = w.script.Fleet.MaxAttempts, w.script.Fleet.Copies, w.script.Fleet.Probes
-	s.Cancel = w.script.Fleet.Cancel != "none"
+	s.MaxAttempts, s.AllowHedging, s.AllowHealthChecks = w.script.Fleet.MaxAttempts, w.script.Fleet.Copies, w.script.Fleet.Probes
+	s.AllowCancel = w.script.Fleet.Cancel != "none"
 	s.Pushed, s.DrainGrace = w.script.Fleet.Pushed, microseconds(w.script.Fleet.DrainGrace)
 	return s
 }
@@ -253,16 +253,16 @@
 // rules are the figures of the rules, those of the operators.
 func (w *world) rules() rules.Settings {
 	set := rules.Settings{
-		Classes: map[string]rules.Class{}, MaxAttempts: w.script.Fleet.MaxAttempts, Slack: slack, Flight: 50 * millisecond,
-		Copies: w.script.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.script.Fleet.DrainGrace),
-		Remember:     w.maxHoldTime(),
-		FallMultiple: 3, FallFor: 3 * second, FallSlack: 0.05, StoreFallFor: 3 * second, StoreColdShare: 0.5,
+		Classes: map[string]rules.Class{}, MaxAttempts: w.script.Fleet.MaxAttempts, Slack: slack, MaxTransit: 50 * millisecond,
+		AllowHedging: w.script.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.script.Fleet.DrainGrace),
+		ExtraRetention:   w.maxHoldTime(),
+		OverloadMultiple: 3, OverloadWindow: 3 * second, OverloadTolerance: 0.05, StoreOverloadWindow: 3 * second, MaxStoreWarmupFraction: 0.5,
 		MeanWork: meanWork(w.script, w.classes),
 	}
 	for _, c := range w.classes {
-		effect := [...]rules.Effect{standin.Safe: rules.Safe, standin.Keyed: rules.Keyed, standin.Unsafe: rules.Unsafe}
-		set.Classes[c.Name] = rules.Class{Effect: effect[c.Effect], Scope: c.Scope, Window: c.Window, Aim: c.Aim,
-			Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
+		effect := [...]rules.Semantics{standin.Idempotent: rules.Idempotent, standin.IdempotentByKey: rules.IdempotentByKey, standin.NonIdempotent: rules.NonIdempotent}
+		set.Classes[c.Name] = rules.Class{Semantics: effect[c.Semantics], Scope: c.Scope, IdempotencyWindow: c.IdempotencyWindow, LatencyObjective: c.LatencyObjective,
+			ClientTimeout: c.ClientTimeout, PriorityWeight: c.PriorityWeight, LateWeightFraction: c.LateWeightFraction}
 	}
 	return set
 }
--- a/internal/testbench/load/beside.go
+++ b/internal/testbench/load/beside.go
@@ -29,7 +29,7 @@
 	all := make([][]*Clients, len(addrs))
 	longest := Time(0)
 	for _, o := range classes {
-		longest = max(longest, o.Wait+slack)
+		longest = max(longest, o.Wait+overdueSlack)
 		for i, addr := range addrs {
 			all[i] = append(all[i], NewClients(m, addr, o))
 		}
@@ -67,7 +67,7 @@
 	results := make([][]Class, len(addrs))
 	for i, clients := range all {
 		for _, c := range clients {
-			results[i] = append(results[i], Class{Name: c.o.Class, Asked: c.Asked, Done: c.Done, InTime: c.InTime,
+			results[i] = append(results[i], Class{Name: c.options.Class, Asked: c.Asked, Done: c.Done, InTime: c.InTime,
 				Overdue: c.Overdue, Surplus: c.Surplus, Refused: c.Refused, Failed: c.Failed, Latency: c.Latency})
 		}
 	}
--- a/internal/testbench/load/beside_test.go
+++ b/internal/testbench/load/beside_test.go
@@ -58,9 +58,9 @@
 		m.Stop()
 		<-ended
 	}()
-	lax := Options{Class: "lax", Connections: 2, Rate: 200, Keys: 10, Plain: true, Aim: 60_000_000, Wait: 500_000}
+	lax := Options{Class: "lax", Connections: 2, Rate: 200, Keys: 10, Plain: true, LatencyObjective: 60_000_000, Wait: 500_000}
 	strict := lax
-	strict.Class, strict.Aim = "strict", 19_000
+	strict.Class, strict.LatencyObjective = "strict", 19_000
 	results, err := Beside([]string{slow.Addr(), silent.Addr()}, []Options{lax, strict}, 50_000, 250_000)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbench/load/load_test.go
+++ b/internal/testbench/load/load_test.go
@@ -82,7 +82,7 @@
 		}
 		return ln.Addr()
 	})
-	if c.Failed != 2 || c.asked > 10 {
-		t.Errorf("failed %d, asked %d: wanted one failure for each connection, and its end", c.Failed, c.asked)
+	if c.Failed != 2 || c.requestsSent > 10 {
+		t.Errorf("failed %d, asked %d: wanted one failure for each connection, and its end", c.Failed, c.requestsSent)
 	}
 }
--- a/internal/testbench/load/target.go
+++ b/internal/testbench/load/target.go
@@ -19,8 +19,8 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// startTime is how long a process may take until it serves.
-const startTime = 20 * time.Second
+// startTimeout is how long a process may take until it serves.
+const startTimeout = 20 * time.Second
 
 // Target is a process under load.
 type Target struct {
@@ -111,7 +111,7 @@
 			return "", errors.New("the router ended before it served")
 		}
 		return a, nil
-	case <-time.After(startTime):
+	case <-time.After(startTimeout):
 		return "", errors.New("the router does not serve")
 	}
 }
@@ -120,7 +120,7 @@
 func (t *Target) Stop() {
 	if t.cmd != nil {
 		t.cmd.Process.Signal(syscall.SIGTERM)
-		kill := time.AfterFunc(startTime, func() { t.cmd.Process.Kill() })
+		kill := time.AfterFunc(startTimeout, func() { t.cmd.Process.Kill() })
 		t.cmd.Wait()
 		kill.Stop()
 	}
@@ -191,7 +191,7 @@
 	s := standin.DefaultRouterSettings()
 	s.Name, s.Listen, s.Discovery, s.Seed, s.Routers = "load", "127.0.0.1:0", "127.0.0.1:1", "1", 1
 	s.Cores, s.MemoryMB, s.Sockets = limits.Cores, limits.MemoryMB, limits.Sockets
-	s.Probes = false
+	s.AllowHealthChecks = false
 	var config object
 	if err := json.Unmarshal(s.JSON(), &config); err != nil {
 		panic(err) // it is what the stand-ins wrote
@@ -250,7 +250,7 @@
 	}
 	n := c.Served + c.Refused + c.Failed
 	if n == 0 {
-		return Result{}, fmt.Errorf("no request of %d was answered, %d connections broke", c.asked, c.Broken)
+		return Result{}, fmt.Errorf("no request of %d was answered, %d connections broke", c.requestsSent, c.Broken)
 	}
 	return Result{Requests: n, PerSecond: float64(n) * 1e6 / float64(span),
 		CPU: float64((after.CPU - before.CPU).Microseconds()) / float64(n), P50: c.Latency.Quantile(.5),
@@ -276,8 +276,8 @@
 		})
 	})
 	m.Run()
-	if up != idle || c.answered != idle {
-		return fmt.Errorf("of %d idle clients %d came up, %d broke and %d were answered", idle, c.Up, c.Broken, c.answered)
+	if up != idle || c.idleAnswers != idle {
+		return fmt.Errorf("of %d idle clients %d came up, %d broke and %d were answered", idle, c.Up, c.Broken, c.idleAnswers)
 	}
 	return nil
 }
--- a/internal/testbench/rules/answers.go
+++ b/internal/testbench/rules/answers.go
@@ -7,16 +7,16 @@
 	case Served:
 		if v.Text = w.wrongValue(r, value); v.Text != "" {
 			v.Rule = WrongValue
-			w.violate(r, v)
+			w.reportViolation(r, v)
 		}
 	case Refused:
 		if r.class.refusable() {
 			return
 		}
 		for i := range r.attempts {
-			if a := &r.attempts[i]; !a.turnedAway(r.finalAt) {
+			if a := &r.attempts[i]; !a.wasRejectedBy(r.finalAt) {
 				v.Rule, v.Cache, v.Text = RefusedAfterRun, a.cache.name, "an attempt there may have run"
-				w.violate(r, v)
+				w.reportViolation(r, v)
 				return
 			}
 		}
@@ -27,12 +27,12 @@
 				return
 			}
 		}
-		if r.life.killed {
+		if r.process.killed {
 			return
 		}
 		r.class.tally.Lost++
 		v.Rule, v.Text = Lost, "its value was cut off, though the caches had given theirs whole"
-		w.violate(r, v)
+		w.reportViolation(r, v)
 	}
 }
 
@@ -44,15 +44,15 @@
 		if !a.replied || a.reply != Served {
 			continue
 		}
-		if a.value == value || a.dropped && len(value) > longestKept {
+		if a.value == value || a.valueDropped && len(value) > maxRetainedValue {
 			return ""
 		}
 		served = true
 	}
-	owner := w.madeFor(value)
+	owner := w.requestServedWith(value)
 	switch {
 	case owner != nil:
-		return "the value was made for request " + owner.ask.ID
+		return "the value was made for request " + owner.sent.ID
 	case served:
 		return "no cache has made this value for it"
 	default:
@@ -60,8 +60,8 @@
 	}
 }
 
-// madeFor finds the request, the first asked, that a cache made a value for.
-func (w *Watcher) madeFor(value string) *request {
+// requestServedWith finds the request, the first asked, that a cache made a value for.
+func (w *Watcher) requestServedWith(value string) *request {
 	var first *request
 	for _, r := range w.requests { // any order: the first one counts
 		if first != nil && first.order < r.order {
--- a/internal/testbench/rules/due.go
+++ b/internal/testbench/rules/due.go
@@ -1,34 +1,34 @@
 package rules
 
-// dueKind says what is to be looked at when its time has passed.
-type dueKind uint8
+// checkKind says what is to be looked at when its time has passed.
+type checkKind uint8
 
 const (
-	dueDeadline dueKind = iota // has the request an answer?
-	dueBroken                  // was its router killed when the connection broke?
-	dueCopy                    // was the earlier attempt closed when the later one was sent?
+	checkDeadline         checkKind = iota // has the request an answer?
+	checkBrokenConnection                  // was its router killed when the connection broke?
+	checkOverlap                           // was the earlier attempt closed when the later one was sent?
 )
 
-// due is a check that is to be made once at has passed.
-type due struct {
+// pendingCheck is a check that is to be made once at has passed.
+type pendingCheck struct {
 	at             Time
 	order          uint64 // of those at one instant
-	kind           dueKind
-	r              *request
+	kind           checkKind
+	request        *request
 	earlier, later int // dueCopy: the two attempts
 }
 
-func (a *due) before(b *due) bool {
+func (a *pendingCheck) before(b *pendingCheck) bool {
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
-// dueHeap has the check that is due first at its root.
-type dueHeap struct {
-	items []due
+// checkQueue has the check that is due first at its root.
+type checkQueue struct {
+	items []pendingCheck
 	order uint64
 }
 
-func (h *dueHeap) push(d due) {
+func (h *checkQueue) push(d pendingCheck) {
 	d.order = h.order
 	h.order++
 	h.items = append(h.items, d)
@@ -43,11 +43,11 @@
 	}
 }
 
-func (h *dueHeap) pop() due {
+func (h *checkQueue) pop() pendingCheck {
 	top := h.items[0]
 	n := len(h.items) - 1
 	h.items[0] = h.items[n]
-	h.items[n] = due{}
+	h.items[n] = pendingCheck{}
 	h.items = h.items[:n]
 	for i := 0; ; {
 		least := i
@@ -64,8 +64,8 @@
 	}
 }
 
-// retired are the requests past their deadline, the one to be forgotten first in front.
-type retired struct {
+// retiredQueue are the requests past their deadline, the one to be forgotten first in front.
+type retiredQueue struct {
 	items []struct {
 		until Time
 		r     *request
@@ -73,17 +73,17 @@
 	head int
 }
 
-func (q *retired) push(until Time, r *request) {
+func (q *retiredQueue) push(until Time, r *request) {
 	q.items = append(q.items, struct {
 		until Time
 		r     *request
 	}{until, r})
 }
 
-func (q *retired) len() int { return len(q.items) - q.head }
+func (q *retiredQueue) len() int { return len(q.items) - q.head }
 
 // pop takes the first one out if its time has passed.
-func (q *retired) pop(now Time) *request {
+func (q *retiredQueue) pop(now Time) *request {
 	if q.len() == 0 || q.items[q.head].until >= now {
 		return nil
 	}
--- a/internal/testbench/rules/events.go
+++ b/internal/testbench/rules/events.go
@@ -22,8 +22,8 @@
 
 func (a Answer) String() string { return [...]string{"served", "refused", "failed", "cut off"}[a] }
 
-// Ask is one request as its client wrote it.
-type Ask struct {
+// Request is one request as its client wrote it.
+type Request struct {
 	ID       string // new with every try
 	Router   string // name of the router it was written to
 	Class    string
@@ -59,7 +59,7 @@
 	// router, or its end, has ended the connection with no byte of an answer, or with part of a line. Behind:
 	// at its deadline a request waits for those before it on its connection, for which the router has up
 	// to until; answers come in order, and that time does not count.
-	Asked(now Time, a Ask)
+	Asked(now Time, a Request)
 	Answered(now Time, id string, kind Answer, value string)
 	Left(now Time, id string)
 	Broken(now Time, id string)
@@ -80,8 +80,8 @@
 	// Listed: discovery has written to a router what it says of a cache (or, for a list that must be
 	// asked for, the time has passed by which it counts as told).
 	Listed(now Time, router, cache string, takesWork bool)
-	// StartTold: discovery has written to a router when a cache last started.
-	StartTold(now Time, router, cache string, start Time)
+	// StartNotified: discovery has written to a router when a cache last started.
+	StartNotified(now Time, router, cache string, start Time)
 
 	// CacheServing: a cache's process has started, with the work it can do a second when warm (in µs of
 	// work), the share of that it starts with, and how long it takes to be warm; coldFor 0 stands for a
--- a/internal/testbench/rules/history.go
+++ b/internal/testbench/rules/history.go
@@ -2,36 +2,36 @@
 
 import "fmt"
 
-// mostMoments bounds the life that is kept of one request.
-const mostMoments = 64
+// maxHistoryEvents bounds the life that is kept of one request.
+const maxHistoryEvents = 64
 
-type momentKind uint8
+type historyEventKind uint8
 
 const (
-	wasAsked momentKind = iota
-	wasAnswered
-	hasLeft
-	wasBroken
-	hasBegun
-	hasRun
-	hasDropped
-	hasReplied
-	hasEnded
-	brokeRule
+	eventSent historyEventKind = iota
+	eventAnswered
+	eventClientLeft
+	eventConnectionBroken
+	eventAttemptBegan
+	eventRan
+	eventDeduplicated
+	eventCacheReplied
+	eventAttemptEnded
+	eventViolation
 )
 
-// moment is one event in a request's life.
-type moment struct {
-	at, sent    Time
-	who, router string
-	kind        momentKind
-	answer      Answer
-	rule        Rule
+// historyEvent is one event in a request's life.
+type historyEvent struct {
+	at, sent     Time
+	peer, router string
+	kind         historyEventKind
+	answer       Answer
+	rule         Rule
 }
 
-func (r *request) note(m moment) {
-	if len(r.moments) < mostMoments {
-		r.moments = append(r.moments, m)
+func (r *request) record(m historyEvent) {
+	if len(r.history) < maxHistoryEvents {
+		r.history = append(r.history, m)
 	}
 }
 
@@ -40,43 +40,43 @@
 func (w *Watcher) History(id string) []string {
 	r := w.requests[id]
 	if r == nil {
-		r = w.kept[id]
+		r = w.requestsWithViolation[id]
 	}
 	if r == nil {
 		return nil
 	}
-	zero := r.moments[0].at
-	lines := make([]string, 0, len(r.moments)+1)
-	for _, m := range r.moments {
-		lines = append(lines, fmt.Sprintf("%12s  %s", span(m.at-zero), m.words(r, zero)))
+	zero := r.history[0].at
+	lines := make([]string, 0, len(r.history)+1)
+	for _, m := range r.history {
+		lines = append(lines, fmt.Sprintf("%12s  %s", span(m.at-zero), m.describe(r, zero)))
 	}
-	if len(r.moments) == mostMoments {
+	if len(r.history) == maxHistoryEvents {
 		lines = append(lines, "... what came later was not kept")
 	}
 	return lines
 }
 
-func (m *moment) words(r *request, zero Time) string {
+func (m *historyEvent) describe(r *request, zero Time) string {
 	switch m.kind {
-	case wasAsked:
+	case eventSent:
 		return fmt.Sprintf("%s of %s asked of router %s, deadline %s",
-			r.ask.Class, r.ask.Key, m.who, span(r.ask.Deadline-zero))
-	case wasAnswered:
+			r.sent.Class, r.sent.Key, m.peer, span(r.sent.Deadline-zero))
+	case eventAnswered:
 		return "answered: " + m.answer.String()
-	case hasLeft:
+	case eventClientLeft:
 		return "the client left"
-	case wasBroken:
+	case eventConnectionBroken:
 		return "the router's connection ended"
-	case hasBegun:
-		return fmt.Sprintf("began at cache %s, sent by router %s at %s", m.who, m.router, span(m.sent-zero))
-	case hasRun:
-		return "ran at cache " + m.who
-	case hasDropped:
-		return "dropped as a repeat at cache " + m.who
-	case hasReplied:
-		return fmt.Sprintf("cache %s replied: %s", m.who, m.answer)
-	case hasEnded:
-		return "the connection to cache " + m.who + " ended"
+	case eventAttemptBegan:
+		return fmt.Sprintf("began at cache %s, sent by router %s at %s", m.peer, m.router, span(m.sent-zero))
+	case eventRan:
+		return "ran at cache " + m.peer
+	case eventDeduplicated:
+		return "dropped as a repeat at cache " + m.peer
+	case eventCacheReplied:
+		return fmt.Sprintf("cache %s replied: %s", m.peer, m.answer)
+	case eventAttemptEnded:
+		return "the connection to cache " + m.peer + " ended"
 	default:
 		return "BROKEN: " + m.rule.String()
 	}
--- a/internal/testbench/rules/load.go
+++ b/internal/testbench/rules/load.go
@@ -5,78 +5,78 @@
 	"math"
 )
 
-// bins is the number of parts that a window of load is summed in.
-const bins = 12
+// windowBins is the number of parts that a window of load is summed in.
+const windowBins = 12
 
-// window sums work over a span that slides on with time.
-type window struct {
-	part  Time // length of a bin
-	last  Time // number of the newest bin, in parts since the clock's zero
-	sums  [bins]Time
-	total Time
+// slidingWindow sums work over a span that slides on with time.
+type slidingWindow struct {
+	binLength Time // length of a bin
+	newestBin Time // number of the newest bin, in parts since the clock's zero
+	sums      [windowBins]Time
+	total     Time
 }
 
-func (w *window) init(span Time) { *w = window{part: max(span/bins, 1)} }
+func (w *slidingWindow) init(span Time) { *w = slidingWindow{binLength: max(span/windowBins, 1)} }
 
 // slide lets go of what is older than the window.
-func (w *window) slide(now Time) {
-	n := now / w.part
-	if n-w.last >= bins {
-		w.sums, w.total = [bins]Time{}, 0
-		w.last = n
+func (w *slidingWindow) slide(now Time) {
+	n := now / w.binLength
+	if n-w.newestBin >= windowBins {
+		w.sums, w.total = [windowBins]Time{}, 0
+		w.newestBin = n
 		return
 	}
-	for w.last < n {
-		w.last++
-		i := w.last % bins
+	for w.newestBin < n {
+		w.newestBin++
+		i := w.newestBin % windowBins
 		w.total -= w.sums[i]
 		w.sums[i] = 0
 	}
 }
 
-func (w *window) add(now, work Time) {
+func (w *slidingWindow) add(now, work Time) {
 	w.slide(now)
-	w.sums[w.last%bins] += work
+	w.sums[w.newestBin%windowBins] += work
 	w.total += work
 }
 
 // cache is a cache's name through its lives.
 type cache struct {
-	name       string
-	zone, cell string
-	life       *cacheLife
-	load       window
-	told       window // ... by routers that had been told of its start
-	over       bool   // its load was over the multiple when work last came
-}
-
-// cacheLife is one process of a cache. Attempts point to theirs, so its end ends them all at once.
-type cacheLife struct {
-	down      bool
-	downAt    Time
-	started   Time
-	capacity  float64 // work (µs) a second when warm; 0 where it was not told
-	coldShare float64
-	coldFor   Time
-	pushed    bool            // has been reported
-	told      map[string]bool // routers that have been told of its start
-}
-
-// warmth is the share of its capacity that it can do: it rises evenly from the cold share.
-func (l *cacheLife) warmth(now Time) float64 {
+	name         string
+	zone, cell   string
+	process      *cacheProcess
+	load         slidingWindow
+	notifiedLoad slidingWindow // ... by routers that had been told of its start
+	overloaded   bool          // its load was over the multiple when work last came
+}
+
+// cacheProcess is one process of a cache. Attempts point to theirs, so its end ends them all at once.
+type cacheProcess struct {
+	down             bool
+	downAt           Time
+	started          Time
+	capacity         float64 // work (µs) a second when warm; 0 where it was not told
+	startFraction    float64
+	warmupDuration   Time
+	overloadReported bool            // has been reported
+	notifiedRouters  map[string]bool // routers that have been told of its start
+}
+
+// capacityFraction is the share of its capacity that it can do: it rises evenly from the cold share.
+func (l *cacheProcess) capacityFraction(now Time) float64 {
 	age := now - l.started
-	if age >= l.coldFor {
+	if age >= l.warmupDuration {
 		return 1
 	}
-	return l.coldShare + (1-l.coldShare)*float64(age)/float64(l.coldFor)
+	return l.startFraction + (1-l.startFraction)*float64(age)/float64(l.warmupDuration)
 }
 
 func (w *Watcher) cache(name string) *cache {
 	c := w.caches[name]
 	if c == nil {
-		c = &cache{name: name, life: &cacheLife{}}
-		c.load.init(w.set.FallFor)
-		c.told.init(w.set.FallFor)
+		c = &cache{name: name, process: &cacheProcess{}}
+		c.load.init(w.settings.OverloadWindow)
+		c.notifiedLoad.init(w.settings.OverloadWindow)
 		w.caches[name] = c
 	}
 	return c
@@ -93,20 +93,20 @@
 func (w *Watcher) CacheUp(now Time, name string, capacity, coldShare float64, coldFor Time) {
 	w.advance(now)
 	c := w.cache(name)
-	if !c.life.down {
-		c.life.down, c.life.downAt = true, now // its end was not told
+	if !c.process.down {
+		c.process.down, c.process.downAt = true, now // its end was not told
 	}
-	c.life = &cacheLife{started: now, capacity: capacity, coldShare: coldShare, coldFor: coldFor, told: map[string]bool{}}
-	c.load.init(w.set.FallFor)
-	c.told.init(w.set.FallFor)
-	c.over = false
+	c.process = &cacheProcess{started: now, capacity: capacity, startFraction: coldShare, warmupDuration: coldFor, notifiedRouters: map[string]bool{}}
+	c.load.init(w.settings.OverloadWindow)
+	c.notifiedLoad.init(w.settings.OverloadWindow)
+	c.overloaded = false
 }
 
-// StartTold implements Observer.
-func (w *Watcher) StartTold(now Time, router, cache string, start Time) {
+// StartNotified implements Observer.
+func (w *Watcher) StartNotified(now Time, router, cache string, start Time) {
 	w.advance(now)
-	if l := w.cache(cache).life; l.told != nil && start >= l.started-toldSlack {
-		l.told[router] = true
+	if l := w.cache(cache).process; l.notifiedRouters != nil && start >= l.started-startTimeTolerance {
+		l.notifiedRouters[router] = true
 	}
 }
 
@@ -114,7 +114,7 @@
 func (w *Watcher) CacheDown(now Time, name string, fallen bool) {
 	w.advance(now)
 	c := w.cache(name)
-	l := c.life
+	l := c.process
 	if l.down {
 		return
 	}
@@ -122,11 +122,11 @@
 	if !fallen {
 		return
 	}
-	if l.warmth(now) >= 1 {
+	if l.capacityFraction(now) >= 1 {
 		w.counts.Overloads++
 		return
 	}
-	w.pushedOver(c, now, "it fell")
+	w.reportWarmupOverload(c, now, "it fell")
 }
 
 // Offered implements Observer. The work is a budget for each window: a short heavy burst can spend it
@@ -134,29 +134,29 @@
 func (w *Watcher) Offered(now Time, name, router string, work Time) {
 	w.advance(now)
 	c := w.cache(name)
-	l := c.life
+	l := c.process
 	c.load.add(now, work)
-	if c.told.slide(now); router == "" || l.told[router] {
-		c.told.add(now, work)
+	if c.notifiedLoad.slide(now); router == "" || l.notifiedRouters[router] {
+		c.notifiedLoad.add(now, work)
 	}
-	if w.set.FallMultiple <= 0 || l.capacity <= 0 || l.down {
+	if w.settings.OverloadMultiple <= 0 || l.capacity <= 0 || l.down {
 		return
 	}
-	warmth := l.warmth(now)
-	able := l.capacity * warmth * float64(w.set.FallFor) / 1e6
-	allowed := w.set.FallMultiple * (1 + w.set.FallSlack) * able
-	if w.set.MeanWork > 0 {
-		allowed = AllowedWork(w.set.FallMultiple*able, w.set.MeanWork)
+	warmth := l.capacityFraction(now)
+	able := l.capacity * warmth * float64(w.settings.OverloadWindow) / 1e6
+	allowed := w.settings.OverloadMultiple * (1 + w.settings.OverloadTolerance) * able
+	if w.settings.MeanWork > 0 {
+		allowed = AllowedWork(w.settings.OverloadMultiple*able, w.settings.MeanWork)
 	}
 	over := float64(c.load.total) > allowed
 	switch {
 	case over && warmth < 1:
-		w.pushedOver(c, now, fmt.Sprintf("%.1f times what it can do, in the last %s",
-			float64(c.load.total)/able, span(w.set.FallFor)))
-	case over && !c.over:
+		w.reportWarmupOverload(c, now, fmt.Sprintf("%.1f times what it can do, in the last %s",
+			float64(c.load.total)/able, span(w.settings.OverloadWindow)))
+	case over && !c.overloaded:
 		w.counts.Overloads++
 	}
-	c.over = over
+	c.overloaded = over
 }
 
 // AllowedWork is what a cold cache bears before it falls, where its limit is work of N requests of mean work: that of
@@ -166,31 +166,31 @@
 	return (n + 2*math.Sqrt(n) + 2) * float64(mean)
 }
 
-// toldShare is the part of a load that has to come from routers that know of a cache's start, for it to be theirs to
+// minNotifiedFraction is the part of a load that has to come from routers that know of a cache's start, for it to be theirs to
 // answer for; toldSlack is what the list's time of a start may lie before it, as it counts in milliseconds.
 const (
-	toldShare = 2. / 3
-	toldSlack = 1000
+	minNotifiedFraction = 2. / 3
+	startTimeTolerance  = 1000
 )
 
-// pushedOver reports a cold cache once a life. Who has not been told that a cache has started can't spare it.
-func (w *Watcher) pushedOver(c *cache, now Time, how string) {
-	c.told.slide(now)
+// reportWarmupOverload reports a cold cache once a life. Who has not been told that a cache has started can't spare it.
+func (w *Watcher) reportWarmupOverload(c *cache, now Time, how string) {
+	c.notifiedLoad.slide(now)
 	c.load.slide(now)
-	if c.life.pushed || float64(c.told.total) < toldShare*float64(c.load.total) {
+	if c.process.overloadReported || float64(c.notifiedLoad.total) < minNotifiedFraction*float64(c.load.total) {
 		return
 	}
-	c.life.pushed = true
-	w.violate(nil, Violation{Rule: ColdPushedOver, At: now, Cache: c.name,
-		Text: fmt.Sprintf("%s, %s after its start", how, span(now-c.life.started))})
+	c.process.overloadReported = true
+	w.reportViolation(nil, Violation{Rule: WarmupOverload, At: now, Cache: c.name,
+		Text: fmt.Sprintf("%s, %s after its start", how, span(now-c.process.started))})
 }
 
 // storeLoad is what the store was asked for.
-type storeLoad struct{ all, cold window }
+type storeLoad struct{ all, warmup slidingWindow }
 
 func (s *storeLoad) init(span Time) {
 	s.all.init(span)
-	s.cold.init(span)
+	s.warmup.init(span)
 }
 
 // StoreOffered implements Observer.
@@ -198,8 +198,8 @@
 	w.advance(now)
 	w.store.all.add(now, work)
 	// Misses at cold caches count from when routers can know of the start: until then nobody can spare the store.
-	if cold != "" && len(w.cache(cold).life.told) > 0 {
-		w.store.cold.add(now, work)
+	if cold != "" && len(w.cache(cold).process.notifiedRouters) > 0 {
+		w.store.warmup.add(now, work)
 	}
 }
 
@@ -207,10 +207,10 @@
 func (w *Watcher) StoreFell(now Time) {
 	w.advance(now)
 	w.store.all.slide(now)
-	w.store.cold.slide(now)
-	all, cold := float64(w.store.all.total), float64(w.store.cold.total)
-	if cold > w.set.StoreColdShare*all {
-		w.violate(nil, Violation{Rule: StorePushedOver, At: now,
+	w.store.warmup.slide(now)
+	all, cold := float64(w.store.all.total), float64(w.store.warmup.total)
+	if cold > w.settings.MaxStoreWarmupFraction*all {
+		w.reportViolation(nil, Violation{Rule: StoreOverload, At: now,
 			Text: fmt.Sprintf("%.0f%% of its load was misses at cold caches", 100*cold/all)})
 	}
 }
--- a/internal/testbench/rules/random_test.go
+++ b/internal/testbench/rules/random_test.go
@@ -53,7 +53,7 @@
 	name := drawnClasses[rng.IntN(len(drawnClasses))]
 	class := set.Classes[name]
 	router := fmt.Sprintf("r%d", rng.IntN(3))
-	ask := Ask{ID: id, Router: router, Class: name, Key: "key", IdemKey: "k" + id, Sent: at, Deadline: at + class.Deadline}
+	ask := Request{ID: id, Router: router, Class: name, Key: "key", IdemKey: "k" + id, Sent: at, Deadline: at + class.ClientTimeout}
 	tell(at, func(o Observer) { o.Asked(at, ask) })
 	faulty := rng.Float64() < sky.faults
 	now, mayHaveRun := at, false
@@ -62,7 +62,7 @@
 		now += 1 + rng.Int64N(10*ms)
 		end := now
 		if faulty && rng.IntN(4) == 0 {
-			end += class.Deadline // late
+			end += class.ClientTimeout // late
 		}
 		tell(end, func(o Observer) { o.Answered(end, id, kind, value) })
 		if faulty && rng.IntN(4) == 0 {
@@ -99,10 +99,10 @@
 			answer(Served, value)
 			return
 		}
-		if mayHaveRun && class.Effect == Unsafe && !faulty {
+		if mayHaveRun && class.Semantics == NonIdempotent && !faulty {
 			break
 		}
-		if !mayHaveRun || class.Effect == Safe || class.Scope == ScopeAll || faulty {
+		if !mayHaveRun || class.Semantics == Idempotent || class.Scope == ScopeAll || faulty {
 			cache = drawnCaches[rng.IntN(len(drawnCaches))]
 		}
 	}
@@ -112,7 +112,7 @@
 		return
 	}
 	c := class
-	if mayHaveRun && c.Effect != Safe && c.Scope != ScopeAll && !faulty {
+	if mayHaveRun && c.Semantics != Idempotent && c.Scope != ScopeAll && !faulty {
 		answer(Failed, "")
 		return
 	}
@@ -177,7 +177,7 @@
 // one plays the whole life of one request at a rate of one in 100 µs.
 func one(w *Watcher, i int, id string) {
 	at := Time(i) * 100
-	ask := Ask{ID: id, Router: "r", Class: "read", Key: "key", Sent: at, Deadline: at + 1200*ms}
+	ask := Request{ID: id, Router: "r", Class: "read", Key: "key", Sent: at, Deadline: at + 1200*ms}
 	a := Attempt{ID: id, Key: "key", Class: "read", Router: "r", Cache: "a", Sent: at, First: at + 1, Last: at + 1}
 	w.Asked(at, ask)
 	w.Began(at+1, a)
@@ -194,7 +194,7 @@
 		n = 200_000
 	}
 	// A request is held for its deadline and slack, and for the longest window after that.
-	most := int((1250*ms + w.keep) / 100)
+	most := int((1250*ms + w.retention) / 100)
 	for i := range n {
 		one(w, i, fmt.Sprintf("q%d", i))
 		if len(w.requests) > most+1 {
@@ -206,9 +206,9 @@
 	}
 	w.Tick(Time(n)*100 + 60_000*ms)
 	w.Tick(Time(n)*100 + 120_000*ms)
-	if len(w.requests) != 0 || len(w.due.items) != 0 || w.retired.len() != 0 || len(w.kept) != 0 {
+	if len(w.requests) != 0 || len(w.pendingChecks.items) != 0 || w.retired.len() != 0 || len(w.requestsWithViolation) != 0 {
 		t.Errorf("left: %d requests, %d checks, %d retired, %d kept",
-			len(w.requests), len(w.due.items), w.retired.len(), len(w.kept))
+			len(w.requests), len(w.pendingChecks.items), w.retired.len(), len(w.requestsWithViolation))
 	}
 	if len(w.caches) != 1 || len(w.routers) != 1 || len(w.classes) != len(set.Classes) {
 		t.Errorf("%d caches, %d routers, %d classes", len(w.caches), len(w.routers), len(w.classes))
@@ -217,14 +217,14 @@
 
 func TestBrokenRequestsAreKeptUpToABound(t *testing.T) {
 	w := New(figures(), nil)
-	for i := range 10 * mostKept {
-		w.Asked(Time(i), Ask{ID: fmt.Sprintf("q%d", i), Router: "r", Class: fmt.Sprintf("class %d", i), Deadline: Time(i)})
+	for i := range 10 * maxRequestsWithViolation {
+		w.Asked(Time(i), Request{ID: fmt.Sprintf("q%d", i), Router: "r", Class: fmt.Sprintf("class %d", i), Deadline: Time(i)})
 	}
 	w.Close(600_000 * ms)
-	if len(w.kept) != mostKept || len(w.requests) != 0 || len(w.classes) > mostClasses+1 {
-		t.Errorf("%d kept, %d held, %d classes", len(w.kept), len(w.requests), len(w.classes))
+	if len(w.requestsWithViolation) != maxRequestsWithViolation || len(w.requests) != 0 || len(w.classes) > maxClasses+1 {
+		t.Errorf("%d kept, %d held, %d classes", len(w.requestsWithViolation), len(w.requests), len(w.classes))
 	}
-	if w.Counts().Lost != 10*mostKept || w.History("q0") == nil {
+	if w.Counts().Lost != 10*maxRequestsWithViolation || w.History("q0") == nil {
 		t.Errorf("%d lost, the first one's history %v", w.Counts().Lost, w.History("q0"))
 	}
 }
--- a/internal/testbench/rules/rules.go
+++ b/internal/testbench/rules/rules.go
@@ -5,89 +5,89 @@
 	"strings"
 )
 
-// Effect says what may happen when a request is carried out twice.
-type Effect uint8
+// Semantics says what may happen when a request is carried out twice.
+type Semantics uint8
 
 const (
-	Unsafe Effect = iota // must never run twice; also any class that is not in the settings
-	Safe                 // may be repeated freely
-	Keyed                // repeats are dropped inside Scope for Window
+	NonIdempotent   Semantics = iota // must never run twice; also any class that is not in the settings
+	Idempotent                       // may be repeated freely
+	IdempotentByKey                  // repeats are dropped inside Scope for Window
 )
 
-// Scope names the caches that drop repeats of a keyed request.
-type Scope uint8
+// DeduplicationScope names the caches that drop repeats of a keyed request.
+type DeduplicationScope uint8
 
 const (
-	ScopeCell Scope = iota // those of the first cache's cell
-	ScopeZone              // those of its zone
-	ScopeAll               // every cache
+	ScopeCell DeduplicationScope = iota // those of the first cache's cell
+	ScopeZone                           // those of its zone
+	ScopeAll                            // every cache
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Effect    Effect
-	Scope     Scope   // Keyed only
-	Window    Time    // Keyed only: from the first send that may have run
-	Aim       Time    // full worth is earned up to here; 0 for up to the deadline
-	Deadline  Time    // the longest that a client waits
-	Worth     float64 // of an answer within the aim
-	LateWorth float64 // share of Worth earned after the aim
+	Semantics          Semantics
+	Scope              DeduplicationScope // Keyed only
+	IdempotencyWindow  Time               // Keyed only: from the first send that may have run
+	LatencyObjective   Time               // full worth is earned up to here; 0 for up to the deadline
+	ClientTimeout      Time               // the longest that a client waits
+	PriorityWeight     float64            // of an answer within the aim
+	LateWeightFraction float64            // share of Worth earned after the aim
 }
 
 // Settings are the figures of the rules. A zero figure is taken as it is, unless its line says otherwise.
 type Settings struct {
-	Classes     map[string]Class
-	MaxAttempts int  // of a request by one router; 0 for any number
-	Copies      bool // two attempts of a request may be out at once
+	Classes      map[string]Class
+	MaxAttempts  int  // of a request by one router; 0 for any number
+	AllowHedging bool // two attempts of a request may be out at once
 
 	// Slack is added to each limit of time: 50 ms on sockets.
 	Slack Time
-	// Flight bounds the time of a byte between a router and a cache. What was sent at a time that nobody knows
+	// MaxTransit bounds the time of a byte between a router and a cache. What was sent at a time that nobody knows
 	// counts as sent this long before it came.
-	Flight Time
+	MaxTransit Time
 
-	// Remember is how much longer than its class asks for a request is remembered after its deadline, for networks
+	// ExtraRetention is how much longer than its class asks for a request is remembered after its deadline, for networks
 	// that hold bytes back.
-	Remember Time
+	ExtraRetention Time
 
 	DrainGrace Time // sends to a cache that drains or is gone must have ceased by then
 
-	// A cold cache is pushed over by more than FallMultiple times what it can do at the moment, summed
-	// over FallFor, and FallSlack (a share) more for chance. FallMultiple 0 leaves it unwatched.
-	FallMultiple float64
-	FallFor      Time
-	FallSlack    float64
-	// MeanWork, where it is not 0, takes the place of FallSlack: a cold cache bears AllowedWork.
+	// A cold cache is pushed over by more than OverloadMultiple times what it can do at the moment, summed
+	// over OverloadWindow, and OverloadTolerance (a share) more for chance. OverloadMultiple 0 leaves it unwatched.
+	OverloadMultiple  float64
+	OverloadWindow    Time
+	OverloadTolerance float64
+	// MeanWork, where it is not 0, takes the place of OverloadTolerance: a cold cache bears AllowedWork.
 	MeanWork Time
 
-	// The store's fall is the routers' where misses at cold caches were more than StoreColdShare of the
-	// fetches asked of it over the StoreFallFor before.
-	StoreFallFor   Time
-	StoreColdShare float64
+	// The store's fall is the routers' where misses at cold caches were more than MaxStoreWarmupFraction of the
+	// fetches asked of it over the StoreOverloadWindow before.
+	StoreOverloadWindow    Time
+	MaxStoreWarmupFraction float64
 }
 
 // Rule is one way of breaking a rule that can be seen from outside.
 type Rule uint8
 
 const (
-	Lost            Rule = iota // no final answer in time, from a live router
-	Late                        // the answer to a lost request came after all
-	Doubled                     // a second answer
-	WrongValue                  // served with what no cache made for the request
-	SentAfterFinal              // an attempt was begun after the final answer
-	SentAfterLeft               // an attempt was begun a while after its client had gone
-	EffectTwice                 // the routers' doing
-	RefusedAfterRun             // refused, though an attempt may have run
-	UnsafeResent                // sent again, though an earlier attempt may have run
-	KeyedResent                 // sent again outside its scope or its window
-	SecondCopy                  // while an earlier attempt was out, where that is not allowed
-	TooManyAttempts             // more than MaxAttempts
-	LateDrain                   // new work to a cache that drains or is gone
-	ColdPushedOver              // a cold cache got more than it can bear, or fell
-	StorePushedOver             // the store fell under misses at cold caches
-	BadCommand                  // a cache got what no client sent in this form
-	TooManyOpen                 // more descriptors than the limit
-	LeftBehind                  // something was left once all was quiet
+	Lost                Rule = iota // no final answer in time, from a live router
+	Late                            // the answer to a lost request came after all
+	Doubled                         // a second answer
+	WrongValue                      // served with what no cache made for the request
+	SentAfterFinal                  // an attempt was begun after the final answer
+	SentAfterLeft                   // an attempt was begun a while after its client had gone
+	RanTwice                        // the routers' doing
+	RefusedAfterRun                 // refused, though an attempt may have run
+	NonIdempotentResent             // sent again, though an earlier attempt may have run
+	KeyedResent                     // sent again outside its scope or its window
+	SecondCopy                      // while an earlier attempt was out, where that is not allowed
+	TooManyAttempts                 // more than MaxAttempts
+	LateDrain                       // new work to a cache that drains or is gone
+	WarmupOverload                  // a cold cache got more than it can bear, or fell
+	StoreOverload                   // the store fell under misses at cold caches
+	BadCommand                      // a cache got what no client sent in this form
+	TooManyOpen                     // more descriptors than the limit
+	LeftBehind                      // something was left once all was quiet
 	ruleCount
 )
 
@@ -135,8 +135,8 @@
 	WorthAsked, WorthEarned float64 // an answer after the aim earns its class's share
 }
 
-// Share is the worth earned of the worth asked for; 1 where nothing was.
-func (t Tally) Share() float64 {
+// EarnedFraction is the worth earned of the worth asked for; 1 where nothing was.
+func (t Tally) EarnedFraction() float64 {
 	if t.WorthAsked == 0 {
 		return 1
 	}
@@ -149,7 +149,7 @@
 	Classes   []Tally // by name
 	Broken    [ruleCount]int
 	Attempts  int
-	Overloads int // spells in which a warm cache got more than FallMultiple times what it can do; no rule
+	Overloads int // spells in which a warm cache got more than OverloadMultiple times what it can do; no rule
 	Undropped int // repeats that caches should have dropped and ran: no router's doing
 	Unsettled int // requests still open at Close, their deadline to come
 	Strange   int // reports that can't be, such as an id that was asked again after its end
--- a/internal/testbench/rules/rules_test.go
+++ b/internal/testbench/rules/rules_test.go
@@ -12,20 +12,20 @@
 func figures() Settings {
 	return Settings{
 		Classes: map[string]Class{
-			"read":    {Effect: Safe, Aim: 500 * ms, Deadline: 1200 * ms, Worth: 2, LateWorth: 0.5},
-			"put":     {Effect: Keyed, Scope: ScopeAll, Window: 1200 * ms, Deadline: 3000 * ms, Worth: 3},
-			"zoneput": {Effect: Keyed, Scope: ScopeZone, Window: 1200 * ms, Deadline: 3000 * ms, Worth: 3},
-			"cellput": {Effect: Keyed, Scope: ScopeCell, Window: 1200 * ms, Deadline: 3000 * ms, Worth: 3},
-			"once":    {Effect: Unsafe, Deadline: 3000 * ms, Worth: 5},
+			"read":    {Semantics: Idempotent, LatencyObjective: 500 * ms, ClientTimeout: 1200 * ms, PriorityWeight: 2, LateWeightFraction: 0.5},
+			"put":     {Semantics: IdempotentByKey, Scope: ScopeAll, IdempotencyWindow: 1200 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 3},
+			"zoneput": {Semantics: IdempotentByKey, Scope: ScopeZone, IdempotencyWindow: 1200 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 3},
+			"cellput": {Semantics: IdempotentByKey, Scope: ScopeCell, IdempotencyWindow: 1200 * ms, ClientTimeout: 3000 * ms, PriorityWeight: 3},
+			"once":    {Semantics: NonIdempotent, ClientTimeout: 3000 * ms, PriorityWeight: 5},
 		},
-		MaxAttempts:    3,
-		Slack:          50 * ms,
-		Flight:         20 * ms,
-		DrainGrace:     1000 * ms,
-		FallMultiple:   3,
-		FallFor:        3000 * ms,
-		StoreFallFor:   3000 * ms,
-		StoreColdShare: 0.3,
+		MaxAttempts:            3,
+		Slack:                  50 * ms,
+		MaxTransit:             20 * ms,
+		DrainGrace:             1000 * ms,
+		OverloadMultiple:       3,
+		OverloadWindow:         3000 * ms,
+		StoreOverloadWindow:    3000 * ms,
+		MaxStoreWarmupFraction: 0.3,
 	}
 }
 
@@ -48,8 +48,8 @@
 }
 
 func (s *scene) ask(at Time, id, class string) {
-	deadline := at + s.set.Classes[class].Deadline
-	s.Asked(at, Ask{ID: id, Router: "r", Class: class, Key: "key", IdemKey: "k", Sent: at, Deadline: deadline})
+	deadline := at + s.settings.Classes[class].ClientTimeout
+	s.Asked(at, Request{ID: id, Router: "r", Class: class, Key: "key", IdemKey: "k", Sent: at, Deadline: deadline})
 }
 
 func (s *scene) attempt(at Time, cache, id, class string) Attempt {
@@ -170,7 +170,7 @@
 		s.Answered(1251*ms, "q", Failed, "")
 	}},
 	{"a long value that comes late is still the right one", []Rule{Lost, Late}, func(s *scene) {
-		long := strings.Repeat("v", longestKept+1)
+		long := strings.Repeat("v", maxRetainedValue+1)
 		s.ask(0, "q", "read")
 		s.begin(10*ms, "a", "q", "read")
 		s.Replied(20*ms, "a", "q", Served, long)
@@ -218,7 +218,7 @@
 		s.Answered(30*ms, "q", Served, "value of q")
 	}},
 	{"the value of one of two copies", nil, func(s *scene) {
-		s.set.Copies = true
+		s.settings.AllowHedging = true
 		s.ask(0, "q", "read")
 		s.begin(10*ms, "a", "q", "read")
 		s.begin(100*ms, "b", "q", "read")
@@ -281,7 +281,7 @@
 		s.Began(30*ms, a)
 	}},
 	{"a second attempt at a cache that has started anew, ended before the next one", nil, func(s *scene) {
-		s.set.Copies = false
+		s.settings.AllowHedging = false
 		s.CacheUp(0, "a", 0, 0, 0)
 		s.ask(0, "q", "read")
 		s.begin(10*ms, "a", "q", "read")
@@ -292,7 +292,7 @@
 		s.serve(60*ms, "b", "q", "read")
 		s.Answered(300*ms, "q", Served, "value of q")
 	}},
-	{"an unsafe request runs twice", []Rule{UnsafeResent, EffectTwice}, func(s *scene) {
+	{"an unsafe request runs twice", []Rule{NonIdempotentResent, RanTwice}, func(s *scene) {
 		s.ask(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.serve(20*ms, "a", "q", "once")
@@ -300,22 +300,22 @@
 		s.serve(40*ms, "b", "q", "once")
 		s.Answered(50*ms, "q", Served, "value of q")
 	}},
-	{"an unsafe request is sent again while the first attempt is out", []Rule{UnsafeResent}, func(s *scene) {
+	{"an unsafe request is sent again while the first attempt is out", []Rule{NonIdempotentResent}, func(s *scene) {
 		s.ask(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.Ended(20*ms, "a", "q")
 		s.begin(30*ms, "b", "q", "once")
 		s.Answered(50*ms, "q", Failed, "")
 	}},
-	{"an unsafe request is sent again before it was turned away", []Rule{UnsafeResent}, func(s *scene) {
-		s.set.Copies = true
+	{"an unsafe request is sent again before it was turned away", []Rule{NonIdempotentResent}, func(s *scene) {
+		s.settings.AllowHedging = true
 		s.ask(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.Replied(26*ms, "a", "q", Refused, "")
 		s.begin(30*ms, "b", "q", "once")
 		s.Answered(50*ms, "q", Failed, "")
 	}},
-	{"a cache turns an unsafe request away on a closed connection", []Rule{UnsafeResent}, func(s *scene) {
+	{"a cache turns an unsafe request away on a closed connection", []Rule{NonIdempotentResent}, func(s *scene) {
 		s.ask(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.Ended(12*ms, "a", "q")
@@ -327,7 +327,7 @@
 		s.ask(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.RouterDown(20*ms, "r", false)
-		s.Asked(30*ms, Ask{ID: "q", Router: "p", Class: "once", Key: "key", IdemKey: "k", Deadline: 3000 * ms})
+		s.Asked(30*ms, Request{ID: "q", Router: "p", Class: "once", Key: "key", IdemKey: "k", Deadline: 3000 * ms})
 		again := s.attempt(40*ms, "b", "q", "once")
 		again.Router = "p"
 		s.Began(40*ms, again)
@@ -341,7 +341,7 @@
 		s.serve(40*ms, "b", "q", "once")
 		s.Answered(50*ms, "q", Served, "value of q")
 	}},
-	{"a keyed write is sent again after its window, and runs twice", []Rule{KeyedResent, EffectTwice}, func(s *scene) {
+	{"a keyed write is sent again after its window, and runs twice", []Rule{KeyedResent, RanTwice}, func(s *scene) {
 		s.ask(0, "q", "put")
 		s.begin(10*ms, "a", "q", "put")
 		s.serve(20*ms, "a", "q", "put")
@@ -350,7 +350,7 @@
 		s.Answered(1310*ms, "q", Served, "value of q")
 	}},
 	{"a keyed write's first attempt is read late, and seems to be sent before it was asked for", nil, func(s *scene) {
-		s.set.Copies = true
+		s.settings.AllowHedging = true
 		s.ask(2000*ms, "q", "put")
 		second := s.attempt(2310*ms, "b", "q", "put")
 		s.Began(2310*ms, second)
@@ -361,7 +361,7 @@
 		s.Answered(2500*ms, "q", Served, "x")
 	}},
 	{"a keyed write's first attempt comes after its late second one", []Rule{KeyedResent}, func(s *scene) {
-		s.set.Copies = true
+		s.settings.AllowHedging = true
 		s.ask(0, "q", "put")
 		s.begin(1275*ms, "b", "q", "put")
 		slow := s.attempt(1400*ms, "a", "q", "put")
@@ -378,7 +378,7 @@
 		s.Replied(1270*ms, "b", "q", Served, "value of q")
 		s.Answered(1310*ms, "q", Served, "value of q")
 	}},
-	{"a keyed write is sent outside its zone, and runs twice", []Rule{KeyedResent, EffectTwice}, func(s *scene) {
+	{"a keyed write is sent outside its zone, and runs twice", []Rule{KeyedResent, RanTwice}, func(s *scene) {
 		s.ask(0, "q", "zoneput")
 		s.begin(10*ms, "a", "q", "zoneput")
 		s.serve(20*ms, "a", "q", "zoneput")
@@ -513,7 +513,7 @@
 		s.begin(1510*ms, "a", "q", "read")
 		s.Answered(1600*ms, "q", Failed, "")
 	}},
-	{"a cold cache gets more than its budget", []Rule{ColdPushedOver}, func(s *scene) {
+	{"a cold cache gets more than its budget", []Rule{WarmupOverload}, func(s *scene) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms) // 0.1 s of work a second at first: 0.9 s is its budget
 		s.Offered(10*ms, "a", "", 905*ms)
 		s.Offered(20*ms, "a", "", 905*ms)
@@ -530,37 +530,37 @@
 			s.Offered(i*1000*ms, "a", "", 290*ms)
 		}
 	}},
-	{"a cold cache gets too much from routers that were told of its start", []Rule{ColdPushedOver}, func(s *scene) {
+	{"a cold cache gets too much from routers that were told of its start", []Rule{WarmupOverload}, func(s *scene) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
-		s.StartTold(5*ms, "r-1", "a", 0)
-		s.StartTold(5*ms, "r-2", "a", 0)
+		s.StartNotified(5*ms, "r-1", "a", 0)
+		s.StartNotified(5*ms, "r-2", "a", 0)
 		s.Offered(10*ms, "a", "r-3", 300*ms)
 		s.Offered(20*ms, "a", "r-1", 400*ms)
 		s.Offered(30*ms, "a", "r-2", 500*ms)
 	}},
 	{"a cold cache gets too much from routers that can't know of its start", nil, func(s *scene) {
-		s.StartTold(0, "r-1", "a", 0) // of the life before
+		s.StartNotified(0, "r-1", "a", 0) // of the life before
 		s.CacheUp(2*ms, "a", 1e6, 0.1, 20_000*ms)
-		s.StartTold(5*ms, "r-2", "a", 2*ms)
+		s.StartNotified(5*ms, "r-2", "a", 2*ms)
 		s.Offered(10*ms, "a", "r-1", 905*ms)
 		s.Offered(20*ms, "a", "r-2", 905*ms)
 		s.CacheDown(30*ms, "a", true)
 	}},
 	{"a cold cache gets as many calls as its budget and chance allow", nil, func(s *scene) {
-		s.set.MeanWork = 100 * ms
+		s.settings.MeanWork = 100 * ms
 		s.CacheUp(0, "a", 1e6, 0.1, 2_000_000*ms)
 		for i := range Time(17) { // 9 of mean work, twice their root and two
 			s.Offered(i*ms, "a", "", 100*ms)
 		}
 	}},
-	{"a cold cache gets more calls than that", []Rule{ColdPushedOver}, func(s *scene) {
-		s.set.MeanWork = 100 * ms
+	{"a cold cache gets more calls than that", []Rule{WarmupOverload}, func(s *scene) {
+		s.settings.MeanWork = 100 * ms
 		s.CacheUp(0, "a", 1e6, 0.1, 2_000_000*ms)
 		for i := range Time(18) {
 			s.Offered(i*ms, "a", "", 100*ms)
 		}
 	}},
-	{"a cold cache falls", []Rule{ColdPushedOver}, func(s *scene) {
+	{"a cold cache falls", []Rule{WarmupOverload}, func(s *scene) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		s.CacheDown(19_999*ms, "a", true)
 	}},
@@ -569,9 +569,9 @@
 		s.Offered(20_000*ms, "a", "", 9001*ms)
 		s.CacheDown(20_000*ms, "a", true)
 	}},
-	{"the store falls under misses at cold caches", []Rule{StorePushedOver}, func(s *scene) {
+	{"the store falls under misses at cold caches", []Rule{StoreOverload}, func(s *scene) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
-		s.StartTold(900*ms, "r-1", "a", 0)
+		s.StartNotified(900*ms, "r-1", "a", 0)
 		s.StoreOffered(1000*ms, 69, "")
 		s.StoreOffered(1000*ms, 31, "a")
 		s.StoreFell(1500 * ms)
@@ -584,7 +584,7 @@
 	}},
 	{"the store falls under what others have asked for", nil, func(s *scene) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
-		s.StartTold(0, "r-1", "a", 0)
+		s.StartNotified(0, "r-1", "a", 0)
 		s.StoreOffered(0, 1000, "a") // long before
 		s.StoreOffered(4000*ms, 70, "")
 		s.StoreOffered(4000*ms, 30, "a")
--- a/internal/testbench/rules/watcher.go
+++ b/internal/testbench/rules/watcher.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// deathNotice is how long after a broken connection its router may turn out to have been killed.
-	deathNotice Time = 250_000
-	// forgetAfter is added to the longest window that a finished request is remembered for.
-	forgetAfter Time = 1_000_000
-	// mostClasses bounds the classes that are counted by name: names come from clients.
-	mostClasses = 64
-	// leftGrace is how long after its client has left an attempt, first or further, may still begin.
-	leftGrace Time = 100_000
-	// mostKept bounds the requests with a broken rule whose life is kept to the end.
-	mostKept = 100
-	// longestKept bounds the values that are held past the deadline, in bytes.
-	longestKept = 256
+	// killNoticeDelay is how long after a broken connection its router may turn out to have been killed.
+	killNoticeDelay Time = 250_000
+	// retentionMargin is added to the longest window that a finished request is remembered for.
+	retentionMargin Time = 1_000_000
+	// maxClasses bounds the classes that are counted by name: names come from clients.
+	maxClasses = 64
+	// clientLeftGrace is how long after its client has left an attempt, first or further, may still begin.
+	clientLeftGrace Time = 100_000
+	// maxRequestsWithViolation bounds the requests with a broken rule whose life is kept to the end.
+	maxRequestsWithViolation = 100
+	// maxRetainedValue bounds the values that are held past the deadline, in bytes.
+	maxRetainedValue = 256
 )
 
 // Watcher is an Observer that finds each broken rule. It judges by the times in the events alone: calling Tick
 // more often changes nothing in what it finds, only how soon. It must be told of all from one goroutine.
 type Watcher struct {
-	set      Settings
-	report   func(Violation)
-	keep     Time
-	now      Time
-	closed   bool
-	asked    uint64
-	requests map[string]*request
-	due      dueHeap
-	retired  retired
-	kept     map[string]*request // requests that broke a rule, the first mostKept
-	classes  map[string]*class
-	routers  map[string]*router
-	caches   map[string]*cache
-	store    storeLoad
-	counts   Counts
+	settings              Settings
+	report                func(Violation)
+	retention             Time
+	now                   Time
+	closed                bool
+	requestCount          uint64
+	requests              map[string]*request
+	pendingChecks         checkQueue
+	retired               retiredQueue
+	requestsWithViolation map[string]*request // requests that broke a rule, the first mostKept
+	classes               map[string]*class
+	routers               map[string]*router
+	caches                map[string]*cache
+	store                 storeLoad
+	counts                Counts
 }
 
 var _ Observer = (*Watcher)(nil)
@@ -51,68 +51,68 @@
 
 // refusable reports whether the class may be refused though an attempt may have run.
 func (c *class) refusable() bool {
-	return c.Effect == Safe || c.Effect == Keyed && c.Scope == ScopeAll
+	return c.Semantics == Idempotent || c.Semantics == IdempotentByKey && c.Scope == ScopeAll
 }
 
 // router is a router's name through its lives.
 type router struct {
-	life    *routerLife
-	listed  map[string]*listing
-	tooMany bool // descriptors, as last told
+	process             *routerProcess
+	listed              map[string]*listing
+	overDescriptorLimit bool // descriptors, as last told
 }
 
-// routerLife is one process of a router. Requests point to theirs, so its end is told to all of them at once.
-type routerLife struct {
+// routerProcess is one process of a router. Requests point to theirs, so its end is told to all of them at once.
+type routerProcess struct {
 	down, killed bool
 }
 
-type state uint8
+type requestState uint8
 
 const (
-	open     state = iota
-	answered       // by final, at finalAt
-	lost
-	left
-	excused
+	stateOpen     requestState = iota
+	stateAnswered              // by final, at finalAt
+	stateLost
+	stateLeft
+	stateExcused
 )
 
 // request is what is remembered of one.
 type request struct {
-	ask      Ask
-	class    *class
-	life     *routerLife
-	order    uint64 // in which it was asked
-	state    state
-	final    Answer
-	finalAt  Time
-	broken   bool // its connection has ended; the verdict waits for deathNotice
-	brokenAt Time
-	leftAt   Time // by its client, before its deadline; the earliest at which its router can have seen it
-	effects  int
-	attempts []attempt
-	moments  []moment
-
-	attemptRoom [3]attempt
-	momentRoom  [10]moment
+	sent             Request
+	class            *class
+	process          *routerProcess
+	order            uint64 // in which it was asked
+	state            requestState
+	final            Answer
+	finalAt          Time
+	connectionBroken bool // its connection has ended; the verdict waits for deathNotice
+	brokenAt         Time
+	leftAt           Time // by its client, before its deadline; the earliest at which its router can have seen it
+	effects          int
+	attempts         []attempt
+	history          []historyEvent
+
+	attemptBuffer [3]attempt
+	historyBuffer [10]historyEvent
 }
 
 // New returns a Watcher that reports each broken rule as it finds it.
 func New(set Settings, report func(Violation)) *Watcher {
 	w := &Watcher{
-		set:      set,
-		report:   report,
-		requests: map[string]*request{},
-		kept:     map[string]*request{},
-		classes:  map[string]*class{},
-		routers:  map[string]*router{},
-		caches:   map[string]*cache{},
+		settings:              set,
+		report:                report,
+		requests:              map[string]*request{},
+		requestsWithViolation: map[string]*request{},
+		classes:               map[string]*class{},
+		routers:               map[string]*router{},
+		caches:                map[string]*cache{},
 	}
 	for name, c := range set.Classes { // any order: each by itself
 		w.classes[name] = &class{Class: c, tally: Tally{Class: name}}
-		w.keep = max(w.keep, c.Window, c.Deadline)
+		w.retention = max(w.retention, c.IdempotencyWindow, c.ClientTimeout)
 	}
-	w.keep += forgetAfter + set.Slack + set.Flight + set.Remember
-	w.store.init(set.StoreFallFor)
+	w.retention += retentionMargin + set.Slack + set.MaxTransit + set.ExtraRetention
+	w.store.init(set.StoreOverloadWindow)
 	return w
 }
 
@@ -127,13 +127,13 @@
 		return
 	}
 	w.closed = true
-	for len(w.due.items) > 0 {
-		d := w.due.pop()
+	for len(w.pendingChecks.items) > 0 {
+		d := w.pendingChecks.pop()
 		switch {
-		case d.kind == dueBroken:
-			w.check(d)
-		case d.kind == dueDeadline && d.at < d.r.ask.Deadline+w.set.Slack:
-		case d.kind == dueDeadline && d.r.state == open && !d.r.broken:
+		case d.kind == checkBrokenConnection:
+			w.runCheck(d)
+		case d.kind == checkDeadline && d.at < d.request.sent.Deadline+w.settings.Slack:
+		case d.kind == checkDeadline && d.request.state == stateOpen && !d.request.connectionBroken:
 			w.counts.Unsettled++
 		}
 	}
@@ -173,56 +173,56 @@
 		return
 	}
 	w.now = now
-	for len(w.due.items) > 0 && w.due.items[0].at < now {
-		w.check(w.due.pop())
+	for len(w.pendingChecks.items) > 0 && w.pendingChecks.items[0].at < now {
+		w.runCheck(w.pendingChecks.pop())
 	}
 	for r := w.retired.pop(now); r != nil; r = w.retired.pop(now) {
-		delete(w.requests, r.ask.ID)
+		delete(w.requests, r.sent.ID)
 	}
 }
 
-func (w *Watcher) check(d due) {
+func (w *Watcher) runCheck(d pendingCheck) {
 	switch d.kind {
-	case dueDeadline:
-		if d.at < d.r.ask.Deadline+w.set.Slack {
+	case checkDeadline:
+		if d.at < d.request.sent.Deadline+w.settings.Slack {
 			return // it stands behind others; there is a later check
 		}
-		if d.r.state == open && !d.r.broken {
-			w.lose(d.r, d.r.ask.Deadline, "no answer by its deadline")
+		if d.request.state == stateOpen && !d.request.connectionBroken {
+			w.markLost(d.request, d.request.sent.Deadline, "no answer by its deadline")
 		}
-		d.r.dropLongValues()
-		w.retired.push(d.at+w.keep, d.r)
-	case dueBroken:
-		if d.r.state == open && d.r.broken && d.r.brokenAt+deathNotice == d.at {
-			w.lose(d.r, d.r.brokenAt, "the connection ended with no whole answer")
+		d.request.dropLongValues()
+		w.retired.push(d.at+w.retention, d.request)
+	case checkBrokenConnection:
+		if d.request.state == stateOpen && d.request.connectionBroken && d.request.brokenAt+killNoticeDelay == d.at {
+			w.markLost(d.request, d.request.brokenAt, "the connection ended with no whole answer")
 		}
-	case dueCopy:
-		w.checkCopy(d.r, d.earlier, d.later, d.at)
+	case checkOverlap:
+		w.reportOverlap(d.request, d.earlier, d.later, d.at)
 	}
 }
 
-// lose ends a request that got no answer: its router's fault, unless that was killed.
-func (w *Watcher) lose(r *request, at Time, why string) {
-	if r.life.killed {
-		r.state = excused
+// markLost ends a request that got no answer: its router's fault, unless that was killed.
+func (w *Watcher) markLost(r *request, at Time, why string) {
+	if r.process.killed {
+		r.state = stateExcused
 		r.class.tally.Excused++
 		return
 	}
-	r.state = lost
+	r.state = stateLost
 	r.class.tally.Lost++
-	w.violate(r, Violation{Rule: Lost, At: at, Text: why})
+	w.reportViolation(r, Violation{Rule: Lost, At: at, Text: why})
 }
 
-// violate reports a broken rule; r is nil where it is about no request.
-func (w *Watcher) violate(r *request, v Violation) {
+// reportViolation reports a broken rule; r is nil where it is about no request.
+func (w *Watcher) reportViolation(r *request, v Violation) {
 	if r != nil {
-		v.Request = r.ask.ID
+		v.Request = r.sent.ID
 		if v.Router == "" {
-			v.Router = r.ask.Router
+			v.Router = r.sent.Router
 		}
-		r.note(moment{at: v.At, kind: brokeRule, rule: v.Rule})
-		if len(w.kept) < mostKept {
-			w.kept[r.ask.ID] = r
+		r.record(historyEvent{at: v.At, kind: eventViolation, rule: v.Rule})
+		if len(w.requestsWithViolation) < maxRequestsWithViolation {
+			w.requestsWithViolation[r.sent.ID] = r
 		}
 	}
 	w.counts.Broken[v.Rule]++
@@ -236,7 +236,7 @@
 	if c != nil {
 		return c
 	}
-	if len(w.classes) >= mostClasses {
+	if len(w.classes) >= maxClasses {
 		name = "(other)"
 		if c = w.classes[name]; c != nil {
 			return c
@@ -250,59 +250,59 @@
 func (w *Watcher) router(name string) *router {
 	r := w.routers[name]
 	if r == nil {
-		r = &router{life: &routerLife{}, listed: map[string]*listing{}}
+		r = &router{process: &routerProcess{}, listed: map[string]*listing{}}
 		w.routers[name] = r
 	}
 	return r
 }
 
 // Asked implements Observer.
-func (w *Watcher) Asked(now Time, a Ask) {
+func (w *Watcher) Asked(now Time, a Request) {
 	w.advance(now)
 	if r := w.requests[a.ID]; r != nil {
-		w.askedAgain(now, r, a)
+		w.resend(now, r, a)
 		return
 	}
-	r := &request{ask: a, class: w.class(a.Class), life: w.router(a.Router).life, order: w.asked}
-	w.asked++
-	r.attempts, r.moments = r.attemptRoom[:0], r.momentRoom[:0]
-	r.note(moment{at: now, kind: wasAsked, who: a.Router})
+	r := &request{sent: a, class: w.class(a.Class), process: w.router(a.Router).process, order: w.requestCount}
+	w.requestCount++
+	r.attempts, r.history = r.attemptBuffer[:0], r.historyBuffer[:0]
+	r.record(historyEvent{at: now, kind: eventSent, peer: a.Router})
 	r.class.tally.Asked++
-	r.class.tally.WorthAsked += r.class.Worth
+	r.class.tally.WorthAsked += r.class.PriorityWeight
 	w.requests[a.ID] = r
-	if r.life.down {
+	if r.process.down {
 		// Nobody has taken it: the front has not noticed yet that the router is gone.
-		r.state = excused
+		r.state = stateExcused
 		r.class.tally.Excused++
 	}
-	if a.Forgone && r.state == open {
-		r.state, r.leftAt = left, a.Deadline // no router can see it
+	if a.Forgone && r.state == stateOpen {
+		r.state, r.leftAt = stateLeft, a.Deadline // no router can see it
 		r.class.tally.Left++
 	}
-	w.due.push(due{at: a.Deadline + w.set.Slack, kind: dueDeadline, r: r})
+	w.pendingChecks.push(pendingCheck{at: a.Deadline + w.settings.Slack, kind: checkDeadline, request: r})
 }
 
-// askedAgain takes a request that crossed the close of its connection. The danger: a router that reads a
+// resend takes a request that crossed the close of its connection. The danger: a router that reads a
 // request and then closes the connection has lost it, though the client may think that it crossed.
-func (w *Watcher) askedAgain(now Time, r *request, a Ask) {
-	r.note(moment{at: now, kind: wasAsked, who: a.Router})
-	if r.state == excused && now <= r.ask.Deadline {
+func (w *Watcher) resend(now Time, r *request, a Request) {
+	r.record(historyEvent{at: now, kind: eventSent, peer: a.Router})
+	if r.state == stateExcused && now <= r.sent.Deadline {
 		r.class.tally.Excused--
-		r.state = open
+		r.state = stateOpen
 	}
-	if r.state != open || now > r.ask.Deadline {
+	if r.state != stateOpen || now > r.sent.Deadline {
 		w.counts.Strange++
 		return
 	}
 	for i := range r.attempts {
-		if r.attempts[i].router == r.ask.Router && !r.life.killed {
-			w.lose(r, now, "its connection was closed though its router had read it")
+		if r.attempts[i].router == r.sent.Router && !r.process.killed {
+			w.markLost(r, now, "its connection was closed though its router had read it")
 			return
 		}
 	}
-	r.broken = false
-	r.ask.Router, r.ask.Sent = a.Router, a.Sent
-	r.life = w.router(a.Router).life
+	r.connectionBroken = false
+	r.sent.Router, r.sent.Sent = a.Router, a.Sent
+	r.process = w.router(a.Router).process
 }
 
 // Answered implements Observer.
@@ -310,34 +310,34 @@
 	w.advance(now)
 	r := w.requests[id]
 	if r == nil {
-		w.violate(nil, Violation{Rule: Doubled, At: now, Request: id, Text: "an answer to no request known"})
+		w.reportViolation(nil, Violation{Rule: Doubled, At: now, Request: id, Text: "an answer to no request known"})
 		return
 	}
-	r.note(moment{at: now, kind: wasAnswered, answer: kind})
+	r.record(historyEvent{at: now, kind: eventAnswered, answer: kind})
 	switch r.state {
-	case answered:
+	case stateAnswered:
 		r.class.tally.Doubled++
-		w.violate(r, Violation{Rule: Doubled, At: now,
+		w.reportViolation(r, Violation{Rule: Doubled, At: now,
 			Text: fmt.Sprintf("%s after it was %s %s before", kind, r.final, span(now-r.finalAt))})
 		return
-	case left, excused:
+	case stateLeft, stateExcused:
 		return
-	case lost:
-		if now > r.ask.Deadline+w.set.Slack {
-			w.violate(r, Violation{Rule: Late, At: now,
-				Text: fmt.Sprintf("%s, %s after its deadline", kind, span(now-r.ask.Deadline))})
+	case stateLost:
+		if now > r.sent.Deadline+w.settings.Slack {
+			w.reportViolation(r, Violation{Rule: Late, At: now,
+				Text: fmt.Sprintf("%s, %s after its deadline", kind, span(now-r.sent.Deadline))})
 		}
 	}
-	wasOpen := r.state == open
-	r.state, r.final, r.finalAt = answered, kind, now
+	wasOpen := r.state == stateOpen
+	r.state, r.final, r.finalAt = stateAnswered, kind, now
 	if wasOpen {
-		w.count(r)
+		w.countAnswer(r)
 	}
 	w.checkAnswer(r, value)
 }
 
-// count books an answer that came in time.
-func (w *Watcher) count(r *request) {
+// countAnswer books an answer that came in time.
+func (w *Watcher) countAnswer(r *request) {
 	t := &r.class.tally
 	switch r.final {
 	case Refused:
@@ -346,11 +346,11 @@
 		t.Failed++
 	case Served:
 		t.Served++
-		if r.class.Aim == 0 || r.finalAt-r.ask.Sent <= r.class.Aim {
+		if r.class.LatencyObjective == 0 || r.finalAt-r.sent.Sent <= r.class.LatencyObjective {
 			t.InTime++
-			t.WorthEarned += r.class.Worth
+			t.WorthEarned += r.class.PriorityWeight
 		} else {
-			t.WorthEarned += r.class.Worth * r.class.LateWorth
+			t.WorthEarned += r.class.PriorityWeight * r.class.LateWeightFraction
 		}
 	}
 }
@@ -362,16 +362,16 @@
 	if r == nil {
 		return
 	}
-	r.note(moment{at: now, kind: hasLeft})
-	if r.state == open && !r.broken && now < r.ask.Deadline {
-		r.state, r.leftAt = left, now
+	r.record(historyEvent{at: now, kind: eventClientLeft})
+	if r.state == stateOpen && !r.connectionBroken && now < r.sent.Deadline {
+		r.state, r.leftAt = stateLeft, now
 		r.class.tally.Left++
 	}
 }
 
 // Unseen says that a request's router can't have seen before at that its client has left: the way there was cut, or long.
 func (w *Watcher) Unseen(id string, at Time) {
-	if r := w.requests[id]; r != nil && r.state == left {
+	if r := w.requests[id]; r != nil && r.state == stateLeft {
 		r.leftAt = max(r.leftAt, at)
 	}
 }
@@ -381,41 +381,41 @@
 func (w *Watcher) Broken(now Time, id string) {
 	w.advance(now)
 	r := w.requests[id]
-	if r == nil || r.state != open {
+	if r == nil || r.state != stateOpen {
 		return
 	}
-	r.note(moment{at: now, kind: wasBroken})
-	r.broken, r.brokenAt = true, now
-	w.due.push(due{at: now + deathNotice, kind: dueBroken, r: r})
+	r.record(historyEvent{at: now, kind: eventConnectionBroken})
+	r.connectionBroken, r.brokenAt = true, now
+	w.pendingChecks.push(pendingCheck{at: now + killNoticeDelay, kind: checkBrokenConnection, request: r})
 }
 
 // Behind implements Observer.
 func (w *Watcher) Behind(now Time, id string, until Time) {
 	w.advance(now)
 	r := w.requests[id]
-	if r == nil || r.state != open || until <= r.ask.Deadline {
+	if r == nil || r.state != stateOpen || until <= r.sent.Deadline {
 		return
 	}
-	r.ask.Deadline = until
-	w.due.push(due{at: until + w.set.Slack, kind: dueDeadline, r: r})
+	r.sent.Deadline = until
+	w.pendingChecks.push(pendingCheck{at: until + w.settings.Slack, kind: checkDeadline, request: r})
 }
 
 // RouterUp implements Observer.
 func (w *Watcher) RouterUp(now Time, name string) {
 	w.advance(now)
 	r := w.router(name)
-	if r.life.down {
-		r.life = &routerLife{}
+	if r.process.down {
+		r.process = &routerProcess{}
 	}
 	clear(r.listed)
-	r.tooMany = false
+	r.overDescriptorLimit = false
 }
 
 // RouterDown implements Observer.
 func (w *Watcher) RouterDown(now Time, name string, clean bool) {
 	w.advance(now)
 	r := w.router(name)
-	r.life.down, r.life.killed = true, !clean
+	r.process.down, r.process.killed = true, !clean
 	clear(r.listed)
 }
 
@@ -424,17 +424,17 @@
 	w.advance(now)
 	r := w.router(name)
 	over := descriptors > most
-	if over && !r.tooMany {
-		w.violate(nil, Violation{Rule: TooManyOpen, At: now, Router: name,
+	if over && !r.overDescriptorLimit {
+		w.reportViolation(nil, Violation{Rule: TooManyOpen, At: now, Router: name,
 			Text: fmt.Sprintf("%d open, %d allowed", descriptors, most)})
 	}
-	r.tooMany = over
+	r.overDescriptorLimit = over
 }
 
 // Leftover implements Observer.
 func (w *Watcher) Leftover(now Time, name, what string, n int) {
 	w.advance(now)
 	if n > 0 {
-		w.violate(nil, Violation{Rule: LeftBehind, At: now, Router: name, Text: fmt.Sprintf("%d %s", n, what)})
+		w.reportViolation(nil, Violation{Rule: LeftBehind, At: now, Router: name, Text: fmt.Sprintf("%d %s", n, what)})
 	}
 }
--- a/internal/testbench/rules/watcher_test.go
+++ b/internal/testbench/rules/watcher_test.go
@@ -24,8 +24,8 @@
 	if c.Asked != 4 || c.Served != 2 || c.InTime != 1 || c.Refused != 1 || c.Unsettled != 1 || c.Attempts != 2 {
 		t.Errorf("%+v", c)
 	}
-	if want := (2 + 2*0.5) / (3*2 + 5); c.Share() != want {
-		t.Errorf("share %v, want %v", c.Share(), want)
+	if want := (2 + 2*0.5) / (3*2 + 5); c.EarnedFraction() != want {
+		t.Errorf("share %v, want %v", c.EarnedFraction(), want)
 	}
 	var names []string
 	for _, k := range c.Classes {
@@ -79,12 +79,12 @@
 	set.MaxAttempts = 0
 	s := newScene(set)
 	s.ask(0, "q", "read")
-	for i := range Time(mostAttempts + 2) {
+	for i := range Time(maxAttemptsPerRequest + 2) {
 		s.begin(i, "a", "q", "read")
 		s.Replied(i, "a", "q", Refused, "")
 	}
 	held := len(s.requests["q"].attempts)
-	if !slices.Equal(s.rules(), []Rule{TooManyAttempts, TooManyAttempts}) || held != mostAttempts {
+	if !slices.Equal(s.rules(), []Rule{TooManyAttempts, TooManyAttempts}) || held != maxAttemptsPerRequest {
 		t.Errorf("%d held, violations %v", held, s.got)
 	}
 }
--- a/internal/testbench/sim/link.go
+++ b/internal/testbench/sim/link.go
@@ -92,40 +92,40 @@
 		if w.SilentAfter > 0 && w.now-ev.heldAt > w.SilentAfter {
 			sender.forget(true)
 		}
-		sender.lateAt = max(sender.lateAt, w.now+l.delay())
-		w.schedule(ev, sender.lateAt, ev.lane)
+		sender.delayedUntil = max(sender.delayedUntil, w.now+l.delay())
+		w.schedule(ev, sender.delayedUntil, ev.lane)
 	}
 }
 
-// held reports whether a part of a connection is kept back, by a cut or behind a part that is.
-func (w *World) held(ev *event) bool {
+// holdBack reports whether a part of a connection is kept back, by a cut or behind a part that is.
+func (w *World) holdBack(ev *event) bool {
 	sender := ev.conn.peer
-	if sender.last == ev {
-		sender.last = nil
+	if sender.lastPiece == ev {
+		sender.lastPiece = nil
 	}
 	l := sender.link
 	if l.cut {
-		if !ev.late {
-			ev.late = true
+		if !ev.heldBack {
+			ev.heldBack = true
 			ev.heldAt = w.now
-			sender.late++
+			sender.delayedPieces++
 		}
 		l.held = append(l.held, ev)
 		return true
 	}
-	if ev.late {
-		sender.late--
+	if ev.heldBack {
+		sender.delayedPieces--
 		return false
 	}
-	if sender.late == 0 {
+	if sender.delayedPieces == 0 {
 		return false
 	}
 	// The danger: what was sent after the heal would overtake what the cut had held.
-	ev.late = true
+	ev.heldBack = true
 	ev.heldAt = w.now
-	sender.late++
-	sender.lateAt = max(sender.lateAt, w.now)
-	w.schedule(ev, sender.lateAt, ev.lane)
+	sender.delayedPieces++
+	sender.delayedUntil = max(sender.delayedUntil, w.now)
+	w.schedule(ev, sender.delayedUntil, ev.lane)
 	return true
 }
 
--- a/internal/testbench/sim/trace.go
+++ b/internal/testbench/sim/trace.go
@@ -35,11 +35,11 @@
 	}
 	w.trace = h
 	if w.OnEvent != nil {
-		w.tell(ev, host)
+		w.notifyObserver(ev, host)
 	}
 }
 
-func (w *World) tell(ev *event, host *Host) {
+func (w *World) notifyObserver(ev *event, host *Host) {
 	e := Event{At: ev.at, Kind: ev.kind, Data: ev.data, Err: ev.err, Peer: ev.from}
 	if host != nil {
 		e.Host = host.name
@@ -58,12 +58,12 @@
 // owner is the host on which the event happens.
 func (ev *event) owner() *Host {
 	switch {
-	case ev.proc != nil:
-		return ev.proc.host
+	case ev.target != nil:
+		return ev.target.host
 	case ev.conn != nil:
 		return ev.conn.host
 	case ev.dial != nil:
-		return ev.dial.at(ev.kind)
+		return ev.dial.hostOf(ev.kind)
 	}
 	return ev.host
 }
--- a/internal/testbench/sim/world.go
+++ b/internal/testbench/sim/world.go
@@ -46,24 +46,24 @@
 	// OnEvent is told of each event before it is carried out. It must change nothing.
 	OnEvent func(Event)
 
-	seed    uint64
-	now     Time
-	heap    eventHeap
-	dead    int // events in the heap that were taken back
-	free    []*event
-	lastID  uint64 // of events
-	lastOrd uint64
-	lanes   uint64
-	conns   uint64
-	steps   int64
-	trace   uint64
-	streams map[string]*rand.Rand
-	hosts   []*Host
-	byIP    map[netip.Addr]*Host
-	zones   map[string]*zone
-	busy    bool // an event is being carried out
-	working bool // the work of a Work is being done
-	acting  *Host
+	seed          uint64
+	now           Time
+	queue         eventQueue
+	stoppedEvents int // events in the heap that were taken back
+	free          []*event
+	lastID        uint64 // of events
+	lastOrder     uint64
+	lanes         uint64
+	conns         uint64
+	steps         int64
+	trace         uint64
+	streams       map[string]*rand.Rand
+	hosts         []*Host
+	byIP          map[netip.Addr]*Host
+	zones         map[string]*zone
+	inEvent       bool // an event is being carried out
+	inWork        bool // the work of a Work is being done
+	acting        *Host
 }
 
 // New makes a world without hosts.
@@ -115,21 +115,21 @@
 	ev := w.event(Script)
 	ev.fn = f
 	w.schedule(ev, t, 0)
-	return &timer{w: w, ev: ev, id: ev.id}
+	return &timer{world: w, event: ev, id: ev.id}
 }
 
 // Step carries the next event out and reports whether there was one.
 func (w *World) Step() bool {
-	if w.busy {
+	if w.inEvent {
 		panic("sim: Step or Run was called from within a callback")
 	}
 	ev := w.next()
 	if ev == nil {
 		return false
 	}
-	w.heap.pop()
+	w.queue.pop()
 	w.now = ev.at
-	w.carryOut(ev)
+	w.execute(ev)
 	return true
 }
 
@@ -155,45 +155,45 @@
 
 // next is the event that is due first, nil for none. Those before it that were taken back are dropped.
 func (w *World) next() *event {
-	for len(w.heap) > 0 {
-		ev := w.heap[0].ev
+	for len(w.queue) > 0 {
+		ev := w.queue[0].event
 		if !ev.stopped {
 			return ev
 		}
-		w.heap.pop()
+		w.queue.pop()
 		w.drop(ev)
 	}
 	return nil
 }
 
-// carryOut runs one event. A panic of a callback goes through to the caller, who may go on with Step.
-func (w *World) carryOut(ev *event) {
-	w.busy = true
+// execute runs one event. A panic of a callback goes through to the caller, who may go on with Step.
+func (w *World) execute(ev *event) {
+	w.inEvent = true
 	defer w.idle()
 	if w.dispatch(ev) {
 		w.release(ev)
 	}
 }
 
-func (w *World) idle() { w.busy, w.working = false, false }
+func (w *World) idle() { w.inEvent, w.inWork = false, false }
 
 // dispatch reports whether the event is done with; otherwise it waits somewhere for its time.
 func (w *World) dispatch(ev *event) bool {
-	p := ev.proc
+	p := ev.target
 	if p != nil {
 		if p.dead {
 			return true
 		}
 		if p.host.stalled() {
-			p.host.pile = append(p.host.pile, ev)
+			p.host.deferred = append(p.host.deferred, ev)
 			return false
 		}
 	}
-	if ev.wire() && w.held(ev) {
+	if ev.crossesLink() && w.holdBack(ev) {
 		return false
 	}
 	if q := ev.process(); q != nil && !q.dead && !q.host.stalled() {
-		if q.goOn(); ev.stopped {
+		if q.reportPause(); ev.stopped {
 			return true
 		}
 	}
@@ -209,31 +209,31 @@
 		ev.fn()
 	case Signalled:
 		p.signals(machine.Signal(ev.n))
-	case SynCame:
-		ev.dial.synCame()
-	case SynAckCame:
-		ev.dial.synAckCame()
-	case RefusalCame:
-		ev.dial.refusalCame()
-	case DialEnds:
-		ev.dial.ends(ev.err)
-	case OpenCame:
-		ev.conn.openCame()
-	case BytesCame, EndCame, ResetCame, CreditCame:
+	case SynArrived:
+		ev.dial.synArrived()
+	case SynAckArrived:
+		ev.dial.synAckArrived()
+	case RefusalArrived:
+		ev.dial.refusalArrived()
+	case DialEnded:
+		ev.dial.complete(ev.err)
+	case OpenArrived:
+		ev.conn.openArrived()
+	case BytesArrived, EndArrived, ResetArrived, CreditArrived:
 		ev.conn.arrived(ev)
-	case Accepting:
-		ev.listener.queued = false
-		ev.listener.take()
-	case Notice:
-		ev.conn.noticed = false
-		ev.conn.tellReadable()
-	case Room:
-		ev.conn.tellWritable()
-	case DatagramCame:
+	case AcceptQueued:
+		ev.listener.acceptQueued = false
+		ev.listener.acceptAll()
+	case ReadableQueued:
+		ev.conn.readableQueued = false
+		ev.conn.callReadable()
+	case WritableQueued:
+		ev.conn.callWritable()
+	case DatagramArrived:
 		return w.datagramCame(ev)
-	case DatagramRead:
+	case DatagramQueued:
 		ev.packets.read(ev)
-	case Resumes:
+	case HostResumed:
 		ev.host.resume()
 	default:
 		panic(fmt.Sprintf("sim: event of unknown kind %d", ev.kind))
--- a/internal/testbench/sim/world_test.go
+++ b/internal/testbench/sim/world_test.go
@@ -63,7 +63,7 @@
 	if n != w.Steps() || n < 1000 {
 		t.Errorf("%d events told of %d", n, w.Steps())
 	}
-	for k := range Resumes + 1 {
+	for k := range HostResumed + 1 {
 		if !kinds[k] {
 			t.Errorf("the busy run has no event of kind %q: it tries too little", k)
 		}
@@ -92,7 +92,7 @@
 func TestShuffledTiesTryBothOrders(t *testing.T) {
 	orders := map[bool]int{}
 	for seed := range uint64(40) {
-		f := newField(t, HostOptions{}, HostOptions{})
+		f := newTestNetwork(t, HostOptions{}, HostOptions{})
 		f.World.seed = seed
 		f.ShuffleTies = true
 		near, far := f.pair()
@@ -141,8 +141,8 @@
 		}
 		timer.Stop()
 	}
-	if h.Pending() != 100 || len(w.heap) > 3000 {
-		t.Errorf("%d timers pending, %d entries in the heap", h.Pending(), len(w.heap))
+	if h.Pending() != 100 || len(w.queue) > 3000 {
+		t.Errorf("%d timers pending, %d entries in the heap", h.Pending(), len(w.queue))
 	}
 	w.Run(w.Now() + 2*Second)
 	if h.Pending() != 0 || next != Start+Second/2+99_000 || w.Steps() != 100 {
@@ -165,7 +165,7 @@
 }
 
 func TestMisuseIsToldByAPanic(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	m := f.client.Machine()
 	tells := func(what string, f func()) {
 		t.Helper()
@@ -184,13 +184,13 @@
 	})
 	tells("an open connection without a handler", func() {
 		f.server.Machine().Listen("10.0.0.1:81", func(machine.Conn) machine.Handler { return nil })
-		m.Dial("10.0.0.1:81", Second, func(machine.Conn, error) machine.Handler { return &party{} })
+		m.Dial("10.0.0.1:81", Second, func(machine.Conn, error) machine.Handler { return &testConn{} })
 		f.after(Second)
 	})
 }
 
 func TestACallByAKilledProcessPanicsUnlessItGivesBack(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, _ := f.pair()
 	m := f.client.Machine()
 	timer := m.At(f.now+Second, func() { t.Error("a timer fired after death") })
@@ -198,7 +198,7 @@
 		t.Error("a dial was told after death")
 		return nil
 	})
-	l, err := m.Listen("10.0.0.2:1", func(machine.Conn) machine.Handler { return &party{} })
+	l, err := m.Listen("10.0.0.2:1", func(machine.Conn) machine.Handler { return &testConn{} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -277,14 +277,14 @@
 
 // checkDescriptors fails where a host counts other descriptors than those that are held.
 func checkDescriptors(t *testing.T, h *Host) {
-	p := h.proc
+	p := h.process
 	held := len(p.conns) + len(p.listeners) + len(p.packets)
 	for _, d := range p.dials {
-		if d.counted {
+		if d.hasDescriptor {
 			held++
 		}
 	}
-	if h.Descriptors() != held || held > h.opts.Descriptors {
+	if h.Descriptors() != held || held > h.options.Descriptors {
 		t.Errorf("%s counts %d descriptors and holds %d", h.Name(), h.Descriptors(), held)
 	}
 }
@@ -409,7 +409,7 @@
 // ask starts a client that dials, writes, and checks that what comes back is what it sent.
 func ask(t *testing.T, h *Host) {
 	m := h.Machine()
-	w := h.w
+	w := h.world
 	r := w.Rand("asks of " + h.Name())
 	pc, err := m.ListenPacket(h.IP()+":0", func(string, []byte) {})
 	if err != nil {
--- a/internal/testbench/standin/cacheconn.go
+++ b/internal/testbench/standin/cacheconn.go
@@ -10,114 +10,114 @@
 // cacheConn is a connection of a router to a cache. Its calls are answered in their order.
 type cacheConn struct {
 	stream
-	c       *Cache
-	router  string
-	calls   []*call // in order, from the first that is not answered
-	begun   int     // of calls, the first so many
-	first   Time    // arrival of the first byte of what was not read yet
-	came    Time    // when that byte may have come at the earliest
-	greeted bool    // the handshake is paid for
-	shaken  bool    // ... and its time is over
-	shake   job
-	timer   machine.Timer // of the handshake's time
-	idle    machine.Timer
-	working bool // work is under way
-	ended   bool // the router has ended its sending
-	lost    bool // the cache has forgotten it: what comes is answered by a reset
-	endless int  // bytes of an endless value still to come
+	cache            *Cache
+	router           string
+	commands         []*command // in order, from the first that is not answered
+	started          int        // of calls, the first so many
+	firstByteAt      Time       // arrival of the first byte of what was not read yet
+	earliestArrival  Time       // when that byte may have come at the earliest
+	handshakePaid    bool       // the handshake is paid for
+	handshakeElapsed bool       // ... and its time is over
+	handshake        job
+	handshakeTimer   machine.Timer // of the handshake's time
+	idleTimer        machine.Timer
+	advancing        bool // work is under way
+	peerEnded        bool // the router has ended its sending
+	forgotten        bool // the cache has forgotten it: what comes is answered by a reset
+	endlessLeft      int  // bytes of an endless value still to come
 }
 
 // accept takes a connection in.
-func (c *Cache) accept(conn machine.Conn, d *door) machine.Handler {
-	cc := &cacheConn{stream: stream{conn: conn}, c: c, router: d.router}
-	if cc.router == "" && c.o.RouterOf != nil {
-		cc.router = c.o.RouterOf(conn.Remote())
+func (c *Cache) accept(conn machine.Conn, d *cacheListener) machine.Handler {
+	cc := &cacheConn{stream: stream{conn: conn}, cache: c, router: d.router}
+	if cc.router == "" && c.options.RouterOf != nil {
+		cc.router = c.options.RouterOf(conn.Remote())
 	}
 	c.dials++
-	full := len(c.conns) >= c.o.Connections
+	full := len(c.conns) >= c.options.Connections
 	if full {
-		c.turned++
+		c.rejectedDials++
 	}
 	if !c.up || c.faults.resetAccept || full {
-		if full && c.o.TellsFull {
+		if full && c.options.RejectsWhenFull {
 			cc.send(redcon.AppendError(nil, "BUSY"))
 		}
 		cc.close()
 		return cc
 	}
 	c.conns = append(c.conns, cc)
-	c.tax()
-	cc.shakeHands()
-	cc.rest()
+	c.updateTableOccupancy()
+	cc.startHandshake()
+	cc.updateIdleTimer()
 	return cc
 }
 
-func (c *Cache) tax() {
-	c.proc.change(func() { c.proc.tax = float64(len(c.conns)) / float64(c.o.Connections) })
+func (c *Cache) updateTableOccupancy() {
+	c.processor.change(func() { c.processor.tableOccupancy = float64(len(c.conns)) / float64(c.options.Connections) })
 }
 
-// shakeHands has the connection cost what a handshake costs. The first request waits for it.
-func (cc *cacheConn) shakeHands() {
-	c := cc.c
-	cc.greeted, cc.shaken = c.o.HandshakeWork == 0, c.o.HandshakeTime == 0
-	if !cc.shaken {
-		cc.timer = c.m.At(c.m.Now()+c.o.HandshakeTime, func() { cc.shaken = true; cc.work() })
+// startHandshake has the connection cost what a handshake costs. The first request waits for it.
+func (cc *cacheConn) startHandshake() {
+	c := cc.cache
+	cc.handshakePaid, cc.handshakeElapsed = c.options.HandshakeWork == 0, c.options.HandshakeTime == 0
+	if !cc.handshakeElapsed {
+		cc.handshakeTimer = c.m.At(c.m.Now()+c.options.HandshakeTime, func() { cc.handshakeElapsed = true; cc.advance() })
 	}
-	if !cc.greeted {
-		cc.shake = job{work: float64(c.o.HandshakeWork), done: func() { cc.greeted = true; cc.work() }}
-		c.proc.beside(&cc.shake)
+	if !cc.handshakePaid {
+		cc.handshake = job{work: float64(c.options.HandshakeWork), done: func() { cc.handshakePaid = true; cc.advance() }}
+		c.processor.runWithoutSlot(&cc.handshake)
 	}
 }
 
-// mostBehind bounds the commands that were read and not begun.
-const mostBehind = 1024
+// maxUnstarted bounds the commands that were read and not begun.
+const maxUnstarted = 1024
 
 // Readable reads what has come.
 func (cc *cacheConn) Readable() {
-	if cc.closed || cc.c.faults.silent {
+	if cc.closed || cc.cache.faults.silent {
 		return
 	}
-	if cc.lost {
+	if cc.forgotten {
 		// What has come stays unread, so that the router sees a reset.
 		cc.drop()
 		return
 	}
 	cc.read()
-	cc.work()
+	cc.advance()
 }
 
 func (cc *cacheConn) read() {
-	had := len(cc.in)
-	cc.ended = cc.fill(mostCommand) != nil
-	if had == 0 && len(cc.in) > 0 {
-		cc.begins()
+	had := len(cc.received)
+	cc.peerEnded = cc.fill(maxCommandBytes) != nil
+	if had == 0 && len(cc.received) > 0 {
+		cc.markFirstByte()
 	}
 }
 
-// begins books the first byte of a command.
-func (cc *cacheConn) begins() {
-	cc.first = cc.c.m.Now()
-	cc.came = cc.c.faults.mayHaveCome(cc.first)
+// markFirstByte books the first byte of a command.
+func (cc *cacheConn) markFirstByte() {
+	cc.firstByteAt = cc.cache.m.Now()
+	cc.earliestArrival = cc.cache.faults.earliestArrival(cc.firstByteAt)
 }
 
-// work does what can be done now: it takes commands off what has come, begins them and writes answers.
+// advance does what can be done now: it takes commands off what has come, begins them and writes answers.
 // An end of the router's sending comes after all that was sent before it, and ends what is under way.
-func (cc *cacheConn) work() {
-	if cc.working {
+func (cc *cacheConn) advance() {
+	if cc.advancing {
 		return
 	}
-	cc.working = true
-	for !cc.closed && (cc.parseNext() || cc.beginNext() || cc.writeNext()) {
+	cc.advancing = true
+	for !cc.closed && (cc.parseNext() || cc.startNext() || cc.writeNext()) {
 	}
-	cc.working = false
+	cc.advancing = false
 	if cc.closed {
 		return
 	}
-	if cc.ended {
+	if cc.peerEnded {
 		cc.drop()
 		return
 	}
-	cc.rest()
+	cc.updateIdleTimer()
 }
 
 // Writable writes on.
@@ -129,18 +129,18 @@
 		cc.drop()
 		return
 	}
-	cc.goOnEndless()
-	cc.work()
+	cc.continueEndless()
+	cc.advance()
 }
 
 // parseNext takes one whole command off what has come.
 func (cc *cacheConn) parseNext() bool {
-	if len(cc.calls)-cc.begun >= mostBehind {
+	if len(cc.commands)-cc.started >= maxUnstarted {
 		return false
 	}
-	args, used, err := readCommand(cc.in)
+	args, used, err := readCommand(cc.received)
 	if err != nil {
-		cc.c.obs.Bad(cc.c.m.Now(), cc.c.o.Name, err.Error())
+		cc.cache.observer.Bad(cc.cache.m.Now(), cc.cache.options.Name, err.Error())
 		cc.send(redcon.AppendError(nil, "SYNTAX "+err.Error()))
 		cc.drop() // where the next command begins can't be told
 		return false
@@ -148,100 +148,100 @@
 	if used == 0 {
 		return false
 	}
-	cc.calls = append(cc.calls, cc.command(args))
-	cc.take(used)
-	cc.begins()
-	if cc.left {
+	cc.commands = append(cc.commands, cc.newCommand(args))
+	cc.consume(used)
+	cc.markFirstByte()
+	if cc.moreToRead {
 		cc.read()
 	}
 	return true
 }
 
-// line is a call that is answered at once with an error.
-func (cc *cacheConn) line(text string) *call {
-	return &call{c: cc.c, conn: cc, over: true, ready: true, reply: redcon.AppendError(nil, text)}
+// errorReply is a call that is answered at once with an error.
+func (cc *cacheConn) errorReply(text string) *command {
+	return &command{cache: cc.cache, conn: cc, finished: true, replyReady: true, reply: redcon.AppendError(nil, text)}
 }
 
-func (cc *cacheConn) ok(text string) *call {
-	return &call{c: cc.c, conn: cc, over: true, ready: true, reply: redcon.AppendString(nil, text)}
+func (cc *cacheConn) okReply(text string) *command {
+	return &command{cache: cc.cache, conn: cc, finished: true, replyReady: true, reply: redcon.AppendString(nil, text)}
 }
 
-// command makes a call of a command that has come whole.
-func (cc *cacheConn) command(args [][]byte) *call {
-	c := cc.c
+// newCommand makes a call of a command that has come whole.
+func (cc *cacheConn) newCommand(args [][]byte) *command {
+	c := cc.cache
 	switch string(args[0]) {
 	case "C.GET", "C.SET":
 	case "PING":
-		if c.o.Probes {
-			return cc.probe(redcon.AppendString(nil, "PONG"))
+		if c.options.Probes {
+			return cc.newProbe(redcon.AppendString(nil, "PONG"))
 		}
-		return cc.ok("PONG")
+		return cc.okReply("PONG")
 	case "INFO":
-		if !c.o.Probes || !c.o.Reports || len(args) != 2 || string(args[1]) != "load" {
-			return cc.line("NOPERM")
+		if !c.options.Probes || !c.options.Reports || len(args) != 2 || string(args[1]) != "load" {
+			return cc.errorReply("NOPERM")
 		}
-		return cc.probe(redcon.AppendBulkString(nil, c.report()))
+		return cc.newProbe(redcon.AppendBulkString(nil, c.loadReport()))
 	case "CLIENT", "SELECT":
-		return cc.ok("OK")
+		return cc.okReply("OK")
 	default:
-		return cc.line("ERR unknown command")
+		return cc.errorReply("ERR unknown command")
 	}
-	a, err := parseAsk(args)
+	a, err := parseRequest(args)
 	if err != nil {
-		c.obs.Bad(c.m.Now(), c.o.Name, err.Error())
-		return cc.line("SYNTAX " + err.Error())
+		c.observer.Bad(c.m.Now(), c.options.Name, err.Error())
+		return cc.errorReply("SYNTAX " + err.Error())
 	}
-	k := &call{c: c, conn: cc, ask: a}
+	k := &command{cache: c, conn: cc, request: a}
 	now := c.m.Now()
-	k.attempt = rules.Attempt{ID: a.id, Key: a.key, IdemKey: a.idem, Class: a.class, Router: cc.router,
-		Cache: c.o.Name, Write: a.write, First: cc.first, Last: now, Sent: cc.sentAt(cc.came)}
+	k.attempt = rules.Attempt{ID: a.id, Key: a.key, IdemKey: a.idempotencyKey, Class: a.class, Router: cc.router,
+		Cache: c.options.Name, Write: a.write, First: cc.firstByteAt, Last: now, Sent: cc.sentAt(cc.earliestArrival)}
 	return k
 }
 
-// probe is a call that costs a little work beside the queue.
-func (cc *cacheConn) probe(reply []byte) *call {
-	k := &call{c: cc.c, conn: cc}
-	k.job = job{work: float64(max(1, cc.c.o.ProbeWork)), done: func() {
-		k.over, k.ready, k.reply = true, true, reply
-		cc.work()
+// newProbe is a call that costs a little work beside the queue.
+func (cc *cacheConn) newProbe(reply []byte) *command {
+	k := &command{cache: cc.cache, conn: cc}
+	k.job = job{work: float64(max(1, cc.cache.options.ProbeWork)), done: func() {
+		k.finished, k.replyReady, k.reply = true, true, reply
+		cc.advance()
 	}}
 	return k
 }
 
-// beginNext begins a call, up to the number for a connection.
-func (cc *cacheConn) beginNext() bool {
-	if !cc.greeted || !cc.shaken || cc.begun >= len(cc.calls) || cc.begun >= cc.c.o.Streams {
+// startNext begins a call, up to the number for a connection.
+func (cc *cacheConn) startNext() bool {
+	if !cc.handshakePaid || !cc.handshakeElapsed || cc.started >= len(cc.commands) || cc.started >= cc.cache.options.Streams {
 		return false
 	}
-	k := cc.calls[cc.begun]
-	cc.begun++
+	k := cc.commands[cc.started]
+	cc.started++
 	switch {
-	case k.ready:
+	case k.replyReady:
 	case k.attempt.ID == "":
-		cc.c.proc.beside(&k.job)
+		cc.cache.processor.runWithoutSlot(&k.job)
 	default:
-		k.begin()
+		k.handle()
 	}
 	return true
 }
 
-// mostUnsent bounds the answers that a router does not take; the others wait for their turn.
-const mostUnsent = 256 << 10
+// maxUnsentBytes bounds the answers that a router does not take; the others wait for their turn.
+const maxUnsentBytes = 256 << 10
 
 // writeNext writes the answer whose turn it is.
 func (cc *cacheConn) writeNext() bool {
-	if cc.begun == 0 || !cc.calls[0].ready || cc.c.faults.hung || cc.endless != 0 || len(cc.out) >= mostUnsent {
+	if cc.started == 0 || !cc.commands[0].replyReady || cc.cache.faults.stalled || cc.endlessLeft != 0 || len(cc.unsent) >= maxUnsentBytes {
 		return false
 	}
-	k := cc.calls[0]
-	cc.calls = append(cc.calls[:0], cc.calls[1:]...)
-	cc.begun--
+	k := cc.commands[0]
+	cc.commands = append(cc.commands[:0], cc.commands[1:]...)
+	cc.started--
 	cc.write(k)
 	return true
 }
 
 // write writes one answer, with what is to go wrong.
-func (cc *cacheConn) write(k *call) {
+func (cc *cacheConn) write(k *command) {
 	if k.fault != "" {
 		cc.writeFaulty(k)
 		return
@@ -250,21 +250,21 @@
 		cc.drop()
 		return
 	}
-	if k.told != nil {
-		k.told()
+	if k.replyWritten != nil {
+		k.replyWritten()
 	}
 }
 
-// rest starts the idle time, or ends it.
-func (cc *cacheConn) rest() {
-	if cc.idle != nil {
-		cc.idle.Stop()
-		cc.idle = nil
+// updateIdleTimer starts the idle time, or ends it.
+func (cc *cacheConn) updateIdleTimer() {
+	if cc.idleTimer != nil {
+		cc.idleTimer.Stop()
+		cc.idleTimer = nil
 	}
-	if cc.closed || len(cc.calls) > 0 || len(cc.in) > 0 || cc.c.o.IdleFor == 0 {
+	if cc.closed || len(cc.commands) > 0 || len(cc.received) > 0 || cc.cache.options.IdleFor == 0 {
 		return
 	}
-	cc.idle = cc.c.m.At(cc.c.m.Now()+cc.c.o.IdleFor, cc.drop)
+	cc.idleTimer = cc.cache.m.At(cc.cache.m.Now()+cc.cache.options.IdleFor, cc.drop)
 }
 
 // drop ends the connection from the cache's side, or after the router's.
@@ -273,23 +273,23 @@
 		return
 	}
 	cc.close()
-	for _, t := range []machine.Timer{cc.timer, cc.idle} {
+	for _, t := range []machine.Timer{cc.handshakeTimer, cc.idleTimer} {
 		if t != nil {
 			t.Stop()
 		}
 	}
-	c := cc.c
-	c.conns = without(c.conns, cc)
-	calls := cc.calls
-	cc.calls, cc.begun = nil, 0
-	c.proc.leave(&cc.shake)
+	c := cc.cache
+	c.conns = removeFirst(c.conns, cc)
+	calls := cc.commands
+	cc.commands, cc.started = nil, 0
+	c.processor.release(&cc.handshake)
 	for _, k := range calls {
 		if k.attempt.ID == "" {
-			c.proc.leave(&k.job)
+			c.processor.release(&k.job)
 		}
-		k.forget()
+		k.connectionClosed()
 	}
 	if c.up {
-		c.tax()
+		c.updateTableOccupancy()
 	}
 }
--- a/internal/testbench/standin/call.go
+++ b/internal/testbench/standin/call.go
@@ -9,149 +9,151 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// call is one command at a cache, from its last byte to its answer.
-type call struct {
-	c       *Cache
-	conn    *cacheConn
-	ask     ask
-	attempt rules.Attempt
-	job     job
-	work    Time
-	how     string // hit, miss or pending
-	fetched bool
-	fetch   *fetch
-	write   *keyedWrite // that it carries out
-	fails   bool        // it is to be answered with an error after it ran
-	gone    bool        // its connection has ended
-	over    bool
-	reply   []byte // in its turn on the connection
-	ready   bool   // reply is whole
-	told    func() // of the reply, once it is written
-	fault   string // what is to go wrong as it is written
+// command is one command at a cache, from its last byte to its answer.
+type command struct {
+	cache           *Cache
+	conn            *cacheConn
+	request         wireRequest
+	attempt         rules.Attempt
+	job             job
+	work            Time
+	cacheResult     string // hit, miss or pending
+	fetched         bool
+	fetch           *fetch
+	write           *keyedWrite // that it carries out
+	failsAfterRun   bool        // it is to be answered with an error after it ran
+	connectionEnded bool        // its connection has ended
+	finished        bool
+	reply           []byte // in its turn on the connection
+	replyReady      bool   // reply is whole
+	replyWritten    func() // of the reply, once it is written
+	fault           string // what is to go wrong as it is written
 }
 
-// begin takes a request in, or turns it away.
-func (k *call) begin() {
-	c := k.c
-	c.obs.Began(c.m.Now(), k.attempt)
-	k.work = c.load.Of(k.ask.class, k.ask.id)
-	if !c.sent(k.ask.id, k.attempt.Router, k.work) {
+// handle takes a request in, or turns it away.
+func (k *command) handle() {
+	c := k.cache
+	c.observer.Began(c.m.Now(), k.attempt)
+	k.work = c.workload.Of(k.request.class, k.request.id)
+	if !c.offer(k.request.id, k.attempt.Router, k.work) {
 		return
 	}
-	c.calls[k] = struct{}{}
-	k.job = job{work: float64(k.work), start: k.start, done: k.worked}
-	fails := chance(c.rng, c.faults.errRate)
+	c.commands[k] = struct{}{}
+	k.job = job{work: float64(k.work), start: k.slotGranted, done: k.workDone}
+	fails := chance(c.rng, c.faults.errorRate)
 	if fails && chance(c.rng, 0.5) {
-		k.failed()
+		k.replyFailed()
 		return
 	}
-	k.fails = fails
-	if c.faults.refusing || c.faults.busy || k.ask.wait == 0 || !c.proc.admit(&k.job) {
-		k.refused()
+	k.failsAfterRun = fails
+	if c.faults.draining || c.faults.busy || k.request.timeLeft == 0 || !c.processor.enqueue(&k.job) {
+		k.replyRejected()
 	}
 }
 
-// start is called when it holds a slot.
-func (k *call) start() {
-	c := k.c
+// slotGranted is called when it holds a slot.
+func (k *command) slotGranted() {
+	c := k.cache
 	switch {
-	case k.ask.write:
-		if k.repeats() {
-			c.proc.leave(&k.job)
+	case k.request.write:
+		if k.answerRepeat() {
+			c.processor.release(&k.job)
 			return
 		}
-		c.proc.run(&k.job)
+		c.processor.run(&k.job)
 	case k.fetched:
-		c.proc.run(&k.job)
-	case c.memory.use(k.ask.key):
-		k.how = "hit"
+		c.processor.run(&k.job)
+	case c.memory.use(k.request.key):
+		k.cacheResult = "hit"
 		c.hits++
-		c.proc.run(&k.job)
+		c.processor.run(&k.job)
 	default:
 		k.miss()
 	}
 }
 
 // miss asks the store, or joins who has asked.
-func (k *call) miss() {
-	c := k.c
+func (k *command) miss() {
+	c := k.cache
 	c.misses++
-	k.how = "miss"
-	f := c.fetching(k.ask.key)
+	k.cacheResult = "miss"
+	f := c.fetching(k.request.key)
 	if f != nil {
-		k.how = "pending"
+		k.cacheResult = "pending"
 	}
-	if f == nil || !c.o.Coalesce {
-		f = newFetch(c, k.ask.key)
+	if f == nil || !c.options.Coalesce {
+		f = newFetch(c, k.request.key)
 	}
 	k.fetch = f
 	f.waiting = append(f.waiting, k)
-	if !c.o.MissHolds {
-		c.proc.leave(&k.job)
+	if !c.options.MissKeepsSlot {
+		c.processor.release(&k.job)
 	}
 }
 
-// arrived is called when the fetch it waits for has ended.
-func (k *call) arrived(ok bool) {
+// fetchDone is called when the fetch it waits for has ended.
+func (k *command) fetchDone(ok bool) {
 	k.fetch = nil
-	if k.over {
+	if k.finished {
 		return
 	}
 	if !ok {
-		k.c.proc.leave(&k.job)
-		k.failed()
+		k.cache.processor.release(&k.job)
+		k.replyFailed()
 		return
 	}
 	k.fetched = true
-	if k.job.state == held {
-		k.c.proc.run(&k.job)
+	if k.job.state == jobHoldingSlot {
+		k.cache.processor.run(&k.job)
 		return
 	}
-	k.c.proc.readmit(&k.job)
+	k.cache.processor.enqueueFirst(&k.job)
 }
 
-// worked is called when its work is done. A write has its effect at the store only now.
-func (k *call) worked() {
-	c := k.c
-	if !k.ask.write {
-		c.obs.Ran(c.m.Now(), k.attempt, false)
+// workDone is called when its work is done. A write has its effect at the store only now.
+func (k *command) workDone() {
+	c := k.cache
+	if !k.request.write {
+		c.observer.Ran(c.m.Now(), k.attempt, false)
 		k.serve("v")
 		return
 	}
-	if k.repeats() {
+	if k.answerRepeat() {
 		return
 	}
-	if k.keyed() {
-		k.write = c.repeats.claim(k.ask.idem, k.attempt.Last)
+	if k.deduplicated() {
+		k.write = c.repeats.begin(k.request.idempotencyKey, k.attempt.Last)
 	}
-	c.store.call(k.ask.key, true, "", k.written)
+	c.store.start(k.request.key, true, "", k.storeDone)
 }
 
-func (k *call) keyed() bool { return k.ask.idem != "" && k.c.load.window(k.ask.class) > 0 }
+func (k *command) deduplicated() bool {
+	return k.request.idempotencyKey != "" && k.cache.workload.window(k.request.class) > 0
+}
 
-// repeats reports whether it repeats a write that the group remembers: then it is answered like that
+// answerRepeat reports whether it repeats a write that the group remembers: then it is answered like that
 // one, and not carried out.
-func (k *call) repeats() bool {
-	c := k.c
-	if !k.keyed() {
+func (k *command) answerRepeat() bool {
+	c := k.cache
+	if !k.deduplicated() {
 		return false
 	}
-	w := c.repeats.known(k.ask.idem, k.attempt.Last, c.load.window(k.ask.class))
+	w := c.repeats.lookup(k.request.idempotencyKey, k.attempt.Last, c.workload.window(k.request.class))
 	if w == nil {
 		return false
 	}
 	dropped := func(ok bool) {
-		if k.over {
+		if k.finished {
 			return
 		}
 		if !ok {
-			k.failed()
+			k.replyFailed()
 			return
 		}
-		c.obs.Ran(c.m.Now(), k.attempt, true)
+		c.observer.Ran(c.m.Now(), k.attempt, true)
 		k.serve("w")
 	}
-	if w.over {
+	if w.finished {
 		dropped(true)
 	} else {
 		w.waiting = append(w.waiting, dropped)
@@ -159,58 +161,58 @@
 	return true
 }
 
-// written is called when the store has carried the write out, or could not. It is carried out also
+// storeDone is called when the store has carried the write out, or could not. It is carried out also
 // where nobody waits for it any more, and where the cache has ended meanwhile.
-func (k *call) written(ok bool) {
-	c := k.c
+func (k *command) storeDone(ok bool) {
+	c := k.cache
 	if ok {
-		c.obs.Ran(c.m.Now(), k.attempt, false)
+		c.observer.Ran(c.m.Now(), k.attempt, false)
 	}
 	if k.write != nil {
-		c.repeats.end(k.ask.idem, k.write, ok)
+		c.repeats.finish(k.request.idempotencyKey, k.write, ok)
 	}
 	switch {
-	case k.over:
+	case k.finished:
 	case ok:
 		k.serve("w")
 	default:
-		k.failed()
+		k.replyFailed()
 	}
 }
 
 // serve answers with a value made for this request, or with the receipt of a write.
-func (k *call) serve(kind string) {
-	if k.fails {
-		k.failed()
+func (k *command) serve(kind string) {
+	if k.failsAfterRun {
+		k.replyFailed()
 		return
 	}
-	c := k.c
-	size := k.ask.size
+	c := k.cache
+	size := k.request.size
 	if size == 0 && kind == "v" {
-		size = c.o.ValueSize
+		size = c.options.ValueSize
 	}
-	value := Value(kind, k.ask.id, k.ask.key, size)
+	value := Value(kind, k.request.id, k.request.key, size)
 	b := redcon.AppendArray(nil, 3)
 	b = redcon.AppendBulkString(b, value)
-	if k.how == "" {
+	if k.cacheResult == "" {
 		b = redcon.AppendNull(b)
 	} else {
-		b = redcon.AppendBulkString(b, k.how)
+		b = redcon.AppendBulkString(b, k.cacheResult)
 	}
-	if report := c.report(); report == "" {
+	if report := c.loadReport(); report == "" {
 		b = redcon.AppendNull(b)
 	} else {
 		b = redcon.AppendBulkString(b, report)
 	}
 	k.fault = c.faults.draw(c.rng)
-	k.answer(b, rules.Served, value)
+	k.setReply(b, rules.Served, value)
 }
 
 // Value is what a cache serves: it names the request that it was made for. kind is v for a read's
 // value and w for a write's receipt.
 func Value(kind, id, key string, size int) string {
 	value := kind + ":" + id + ":" + key
-	pad := min(size, mostValue) - len(value)
+	pad := min(size, maxValueBytes) - len(value)
 	if pad <= 0 {
 		return value
 	}
@@ -223,71 +225,71 @@
 	return string(b)
 }
 
-func (k *call) failed()  { k.answer(redcon.AppendError(nil, "ERR failed"), rules.Failed, "") }
-func (k *call) refused() { k.answer(redcon.AppendError(nil, "BUSY"), rules.Refused, "") }
+func (k *command) replyFailed()   { k.setReply(redcon.AppendError(nil, "ERR failed"), rules.Failed, "") }
+func (k *command) replyRejected() { k.setReply(redcon.AppendError(nil, "BUSY"), rules.Refused, "") }
 
-// answer ends the call. The answer is written when its turn on the connection has come.
-func (k *call) answer(b []byte, kind rules.Answer, value string) {
-	if k.over {
+// setReply ends the call. The answer is written when its turn on the connection has come.
+func (k *command) setReply(b []byte, kind rules.Answer, value string) {
+	if k.finished {
 		return
 	}
 	k.finish()
-	k.reply, k.ready = b, true
-	k.told = func() { k.c.obs.Replied(k.c.m.Now(), k.c.o.Name, k.ask.id, kind, value) }
-	if !k.gone {
-		k.conn.work()
+	k.reply, k.replyReady = b, true
+	k.replyWritten = func() { k.cache.observer.Replied(k.cache.m.Now(), k.cache.options.Name, k.request.id, kind, value) }
+	if !k.connectionEnded {
+		k.conn.advance()
 	}
 }
 
-func (k *call) finish() {
-	k.over = true
-	k.c.proc.leave(&k.job)
-	delete(k.c.calls, k)
+func (k *command) finish() {
+	k.finished = true
+	k.cache.processor.release(&k.job)
+	delete(k.cache.commands, k)
 }
 
-// forget is called when its connection has ended.
-func (k *call) forget() {
-	k.gone = true
-	if k.over || k.attempt.ID == "" {
+// connectionClosed is called when its connection has ended.
+func (k *command) connectionClosed() {
+	k.connectionEnded = true
+	if k.finished || k.attempt.ID == "" {
 		return
 	}
-	c := k.c
+	c := k.cache
 	if c.up {
-		c.obs.Ended(c.m.Now(), c.o.Name, k.ask.id)
+		c.observer.Ended(c.m.Now(), c.options.Name, k.request.id)
 	}
-	waits := k.job.state == queued && !k.fetched
-	if c.up && (c.o.Cancel == CancelNone || c.o.Cancel == CancelQueued && !waits) {
+	waits := k.job.state == jobQueued && !k.fetched
+	if c.up && (c.options.Cancel == CancelNone || c.options.Cancel == CancelQueued && !waits) {
 		return
 	}
 	f := k.fetch
 	k.finish()
 	if f != nil {
-		f.leave(k)
+		f.removeWaiter(k)
 	}
 }
 
-// report is the load report, or nothing.
-func (c *Cache) report() string {
+// loadReport is the load report, or nothing.
+func (c *Cache) loadReport() string {
 	if c.faults.badReport {
 		return "inflight=-7,,=,util=1e999,queue"
 	}
-	if !c.o.Reports {
+	if !c.options.Reports {
 		return ""
 	}
-	util := min(1, float64(len(c.proc.jobs))/c.o.Capacity.Cores)
-	return "inflight=" + strconv.Itoa(c.proc.slots) + ",queue=" + strconv.Itoa(len(c.proc.queue)) +
+	util := min(1, float64(len(c.processor.jobs))/c.options.Capacity.Cores)
+	return "inflight=" + strconv.Itoa(c.processor.usedSlots) + ",queue=" + strconv.Itoa(len(c.processor.queue)) +
 		",util=" + strconv.FormatFloat(util, 'f', 2, 64)
 }
 
 // fetch is a call to the store for a key that the cache lacks.
 type fetch struct {
-	c       *Cache
-	key     string
-	out     *storeCall
-	waiting []*call
-	timer   machine.Timer
-	stale   bool // the key was written meanwhile: the copy is answered and not kept
-	over    bool
+	cache     *Cache
+	key       string
+	storeCall *storeCall
+	waiting   []*command
+	timer     machine.Timer
+	stale     bool // the key was written meanwhile: the copy is answered and not kept
+	finished  bool
 }
 
 // fetching is the first fetch that is out for a key.
@@ -301,16 +303,16 @@
 }
 
 func newFetch(c *Cache, key string) *fetch {
-	f := &fetch{c: c, key: key}
+	f := &fetch{cache: c, key: key}
 	c.fetches = append(c.fetches, f)
 	cold := ""
-	if c.Cold() {
-		cold = c.o.Name
+	if c.WarmingUp() {
+		cold = c.options.Name
 	}
-	f.out = c.store.call(key, false, cold, f.done)
-	if c.o.FetchTimeout > 0 {
-		f.timer = c.m.At(c.m.Now()+c.o.FetchTimeout, func() {
-			f.out.abandon()
+	f.storeCall = c.store.start(key, false, cold, f.done)
+	if c.options.FetchTimeout > 0 {
+		f.timer = c.m.At(c.m.Now()+c.options.FetchTimeout, func() {
+			f.storeCall.abandon()
 			f.done(false)
 		})
 	}
@@ -318,35 +320,35 @@
 }
 
 func (f *fetch) done(ok bool) {
-	if f.over {
+	if f.finished {
 		return
 	}
-	f.end()
+	f.finish()
 	if ok && !f.stale {
-		f.c.memory.keep(f.key)
+		f.cache.memory.add(f.key)
 	}
 	for _, k := range f.waiting {
-		k.arrived(ok)
+		k.fetchDone(ok)
 	}
 }
 
-func (f *fetch) end() {
-	f.over = true
+func (f *fetch) finish() {
+	f.finished = true
 	if f.timer != nil {
 		f.timer.Stop()
 	}
-	f.c.fetches = without(f.c.fetches, f)
+	f.cache.fetches = removeFirst(f.cache.fetches, f)
 }
 
-// leave takes out a request that waits no more. A fetch that nobody waits for is given up.
-func (f *fetch) leave(k *call) {
-	f.waiting = without(f.waiting, k)
-	if len(f.waiting) == 0 && !f.over {
-		f.desert()
+// removeWaiter takes out a request that waits no more. A fetch that nobody waits for is given up.
+func (f *fetch) removeWaiter(k *command) {
+	f.waiting = removeFirst(f.waiting, k)
+	if len(f.waiting) == 0 && !f.finished {
+		f.abandon()
 	}
 }
 
-func (f *fetch) desert() {
-	f.end()
-	f.out.abandon()
+func (f *fetch) abandon() {
+	f.finish()
+	f.storeCall.abandon()
 }
--- a/internal/testbench/standin/choke.go
+++ b/internal/testbench/standin/choke.go
@@ -6,72 +6,72 @@
 	"starlingwinch/internal/machine"
 )
 
-// crowd watches for the crowd that chokes a cache, once in the life of its process.
-type crowd struct {
-	p      *processor
-	held   sampled
-	busy   sampled
-	since  Time // of the choke; 0 before
-	timer  machine.Timer
-	choked bool
+// congestionMonitor watches for the crowd that chokes a cache, once in the life of its process.
+type congestionMonitor struct {
+	processor   *processor
+	pending     movingMean
+	utilization movingMean
+	startedAt   Time // of the choke; 0 before
+	timer       machine.Timer
+	active      bool
 }
 
-// crowdStep is the time between two looks.
-const crowdStep = 100 * Millisecond
+// congestionSampleInterval is the time between two looks.
+const congestionSampleInterval = 100 * Millisecond
 
-func newCrowd(p *processor) *crowd {
-	c := &crowd{p: p, held: sampled{most: samples(p.o.Choke.Over)}, busy: sampled{most: samples(p.o.Choke.Rest)}}
-	c.timer = p.m.At(p.m.Now()+crowdStep, c.look)
+func newCongestionMonitor(p *processor) *congestionMonitor {
+	c := &congestionMonitor{processor: p, pending: movingMean{size: sampleCount(p.capacity.Congestion.Window)}, utilization: movingMean{size: sampleCount(p.capacity.Congestion.RecoveryWindow)}}
+	c.timer = p.m.At(p.m.Now()+congestionSampleInterval, c.sample)
 	return c
 }
 
-func samples(span Time) int { return int(max(1, span/crowdStep)) }
+func sampleCount(span Time) int { return int(max(1, span/congestionSampleInterval)) }
 
-func (c *crowd) look() {
-	o := &c.p.o.Choke
-	c.held.add(float64(c.p.holds()))
-	c.busy.add(min(1, float64(len(c.p.jobs))/c.p.o.Cores))
-	bound := c.p.o.Cores + o.At*math.Sqrt(c.p.o.Cores)
-	bound = min(bound, 0.7*float64(c.p.o.Slots+c.p.o.Queue))
-	now := c.p.m.Now()
+func (c *congestionMonitor) sample() {
+	o := &c.processor.capacity.Congestion
+	c.pending.add(float64(c.processor.pending()))
+	c.utilization.add(min(1, float64(len(c.processor.jobs))/c.processor.capacity.Cores))
+	bound := c.processor.capacity.Cores + o.Threshold*math.Sqrt(c.processor.capacity.Cores)
+	bound = min(bound, 0.7*float64(c.processor.capacity.ConcurrentRequests+c.processor.capacity.Queue))
+	now := c.processor.m.Now()
 	switch {
-	case c.since == 0 && c.held.full() && c.held.mean() > bound:
-		c.since, c.choked = now, true
-		c.busy.all = nil
-		c.p.change(func() { c.p.choked = o.Slower })
-	case c.choked && (now-c.since >= o.Most || c.busy.full() && c.busy.mean() < o.Below):
-		c.choked = false
-		c.p.change(func() { c.p.choked = 1 })
+	case c.startedAt == 0 && c.pending.full() && c.pending.mean() > bound:
+		c.startedAt, c.active = now, true
+		c.utilization.samples = nil
+		c.processor.change(func() { c.processor.congestionFactor = o.Slowdown })
+	case c.active && (now-c.startedAt >= o.MaxDuration || c.utilization.full() && c.utilization.mean() < o.RecoveryUtilization):
+		c.active = false
+		c.processor.change(func() { c.processor.congestionFactor = 1 })
 		return // it chokes once
 	}
-	c.timer = c.p.m.At(now+crowdStep, c.look)
+	c.timer = c.processor.m.At(now+congestionSampleInterval, c.sample)
 }
 
-func (c *crowd) stop() {
+func (c *congestionMonitor) stop() {
 	if c != nil {
 		c.timer.Stop()
 	}
 }
 
-// sampled is the mean of the latest samples.
-type sampled struct {
-	most int
-	all  []float64
+// movingMean is the mean of the latest samples.
+type movingMean struct {
+	size    int
+	samples []float64
 }
 
-func (s *sampled) add(v float64) {
-	s.all = append(s.all, v)
-	if len(s.all) > s.most {
-		s.all = s.all[1:]
+func (s *movingMean) add(v float64) {
+	s.samples = append(s.samples, v)
+	if len(s.samples) > s.size {
+		s.samples = s.samples[1:]
 	}
 }
 
-func (s *sampled) full() bool { return len(s.all) >= s.most }
+func (s *movingMean) full() bool { return len(s.samples) >= s.size }
 
-func (s *sampled) mean() float64 {
+func (s *movingMean) mean() float64 {
 	sum := 0.0
-	for _, v := range s.all {
+	for _, v := range s.samples {
 		sum += v
 	}
-	return sum / float64(len(s.all))
+	return sum / float64(len(s.samples))
 }
--- a/internal/testbench/standin/discoverycall.go
+++ b/internal/testbench/standin/discoverycall.go
@@ -10,65 +10,67 @@
 )
 
 const (
-	mostWatch = 60 * Second  // a watch may wait so long
-	mostIdle  = 600 * Second // a router may keep a connection so long without a call
-	mostHead  = 8 << 10      // bytes of a call's head
+	maxWatchTime = 60 * Second  // a watch may wait so long
+	maxIdleTime  = 600 * Second // a router may keep a connection so long without a call
+	maxHeadBytes = 8 << 10      // bytes of a call's head
 )
 
-// listDoor is an address at which discovery listens.
-type listDoor struct {
+// listListener is an address at which discovery listens.
+type listListener struct {
 	addr, router string
-	http         *httpserver.Server
+	server       *httpserver.Server
 }
 
-func (d *Discovery) listen(door *listDoor) error {
-	o := httpserver.Options{MostHead: mostHead, IdleTime: mostIdle}
-	door.http = httpserver.New(d.m, o, func(x *httpserver.Exchange) {
+func (d *Discovery) listen(door *listListener) error {
+	o := httpserver.Options{MaxHeadBytes: maxHeadBytes, IdleTime: maxIdleTime}
+	door.server = httpserver.New(d.m, o, func(x *httpserver.Exchange) {
 		router := door.router
-		if router == "" && d.o.RouterOf != nil {
-			router = d.o.RouterOf(x.Remote)
+		if router == "" && d.options.RouterOf != nil {
+			router = d.options.RouterOf(x.Remote)
 		}
-		d.take(&listCall{d: d, x: x, router: router, after: -1})
+		d.accept(&listCall{discovery: d, exchange: x, router: router, after: -1})
 	})
-	door.http.Refuse(d.down && d.resets)
+	door.server.Refuse(d.down && d.resetsConnections)
 	var err error
-	door.addr, err = door.http.Open(door.addr)
+	door.addr, err = door.server.Open(door.addr)
 	return err
 }
 
 // listCall is a router's call for the list.
 type listCall struct {
-	d      *Discovery
-	x      *httpserver.Exchange
-	router string
-	after  int64 // -1 for the whole list
-	waits  bool  // it is a watch that has nothing to tell yet
-	turn   Time  // when the work for it is done
-	timer  machine.Timer
+	discovery *Discovery
+	exchange  *httpserver.Exchange
+	router    string
+	after     int64 // -1 for the whole list
+	waiting   bool  // it is a watch that has nothing to tell yet
+	turnEnds  Time  // when the work for it is done
+	timer     machine.Timer
 }
 
-// take takes a call in.
-func (d *Discovery) take(k *listCall) {
+// accept takes a call in.
+func (d *Discovery) accept(k *listCall) {
 	if d.silent {
-		d.held = append(d.held, k)
+		d.deferredCalls = append(d.deferredCalls, k)
 		return
 	}
-	if k.x.Open() {
-		k.begin()
+	if k.exchange.Open() {
+		k.handle()
 	}
 }
 
 // reject answers what is no call for the list, and ends the connection.
-func (k *listCall) reject(status int) { k.x.Answer(httpserver.Answer{Status: status, Close: true}) }
+func (k *listCall) reject(status int) {
+	k.exchange.Answer(httpserver.Answer{Status: status, Close: true})
+}
 
-func (k *listCall) begin() {
-	d, q := k.d, k.x.Request
+func (k *listCall) handle() {
+	d, q := k.discovery, k.exchange.Request
 	query, err := url.ParseQuery(q.URL.RawQuery)
 	switch {
 	case q.Method != http.MethodGet:
 		k.reject(http.StatusMethodNotAllowed)
 		return
-	case err != nil || len(k.x.Body) > 0:
+	case err != nil || len(k.exchange.Body) > 0:
 		k.reject(http.StatusBadRequest)
 		return
 	case q.URL.Path != "/discovery/hosts":
@@ -77,21 +79,21 @@
 	}
 	wait := Time(0)
 	if query.Has("after") {
-		after, ok := number([]byte(query.Get("after")))
-		ms, ok2 := number([]byte(query.Get("wait_ms")))
+		after, ok := parseNumber([]byte(query.Get("after")))
+		ms, ok2 := parseNumber([]byte(query.Get("wait_ms")))
 		if !ok || query.Has("wait_ms") && !ok2 {
 			k.reject(http.StatusBadRequest)
 			return
 		}
-		k.after, wait = after, min(ms*Millisecond, mostWatch)
+		k.after, wait = after, min(ms*Millisecond, maxWatchTime)
 	}
 	who := d.callers[k.router]
-	goesOn := who != nil && who.waiting == 0 && k.after >= 0 && d.m.Now() <= who.answered+watchPause
-	d.calls = append(d.calls, k)
-	k.x.Gone, k.x.Ended = k.over, k.drop
+	goesOn := who != nil && who.openCalls == 0 && k.after >= 0 && d.m.Now() <= who.answeredAt+watchPause
+	d.openCalls = append(d.openCalls, k)
+	k.exchange.Gone, k.exchange.Ended = k.finish, k.drop
 	if who != nil {
-		who.last = d.m.Now()
-		who.waiting++
+		who.lastCall = d.m.Now()
+		who.openCalls++
 	}
 	if d.down {
 		k.refuse()
@@ -100,8 +102,8 @@
 	if !goesOn && !k.admit() {
 		return
 	}
-	if k.after == d.index && wait > 0 && !d.atOnce {
-		k.waits = true
+	if k.after == d.version && wait > 0 && !d.answersAtOnce {
+		k.waiting = true
 		k.timer = d.m.At(d.m.Now()+wait, k.answer)
 		return
 	}
@@ -113,17 +115,17 @@
 
 // admit takes a new call in turn, or turns it away: with it the router's other calls end.
 func (k *listCall) admit() bool {
-	d, now := k.d, k.d.m.Now()
-	cost := d.o.CallCost + Time(len(d.lines))*d.o.LineCost
-	if cost == 0 || d.o.Pushed {
+	d, now := k.discovery, k.discovery.m.Now()
+	cost := d.options.CallCost + Time(len(d.entries))*d.options.LineCost
+	if cost == 0 || d.options.Pushed {
 		return true
 	}
-	if done := max(now, d.freeAt) + cost; d.o.Timeout == 0 || done-now <= d.o.Timeout {
-		d.freeAt, k.turn = done, done
+	if done := max(now, d.busyUntil) + cost; d.options.Timeout == 0 || done-now <= d.options.Timeout {
+		d.busyUntil, k.turnEnds = done, done
 		return true
 	}
-	d.freeAt = max(now, d.freeAt) + d.o.RefuseCost
-	for _, other := range slices.Clone(d.calls) {
+	d.busyUntil = max(now, d.busyUntil) + d.options.RejectCost
+	for _, other := range slices.Clone(d.openCalls) {
 		if other.router == k.router {
 			other.refuse()
 		}
@@ -133,28 +135,28 @@
 
 // answer answers the call once its turn is over. What a watch has to tell costs by its lines.
 func (k *listCall) answer() {
-	d := k.d
+	d := k.discovery
 	if k.timer != nil {
 		k.timer.Stop()
 	}
-	k.waits = false
+	k.waiting = false
 	now := d.m.Now()
-	if k.turn <= now && !d.o.Pushed {
-		if cost := Time(d.changedSince(k.after)) * d.o.LineCost; cost > 0 {
-			d.freeAt = max(now, d.freeAt) + cost
-			k.turn = d.freeAt
+	if k.turnEnds <= now && !d.options.Pushed {
+		if cost := Time(d.changedSince(k.after)) * d.options.LineCost; cost > 0 {
+			d.busyUntil = max(now, d.busyUntil) + cost
+			k.turnEnds = d.busyUntil
 		}
 	}
-	if k.turn <= now {
+	if k.turnEnds <= now {
 		k.reply()
 		return
 	}
-	k.timer = d.m.At(k.turn, k.reply)
+	k.timer = d.m.At(k.turnEnds, k.reply)
 }
 
 // changedSince is how many lines have changed since a version.
 func (d *Discovery) changedSince(after int64) (n int) {
-	for _, l := range d.lines {
+	for _, l := range d.entries {
 		if l.version > after {
 			n++
 		}
@@ -163,29 +165,29 @@
 }
 
 func (k *listCall) reply() {
-	d := k.d
+	d := k.discovery
 	if d.silent {
-		k.timer = d.m.At(d.m.Now()+coldStep, k.reply)
+		k.timer = d.m.At(d.m.Now()+slowStartStep, k.reply)
 		return
 	}
-	k.over()
-	body, whole := d.list(k.router, k.after)
+	k.finish()
+	body, whole := d.encodeList(k.router, k.after)
 	if k.send(http.StatusOK, body) {
 		if who := d.callers[k.router]; who != nil {
-			who.answered = d.m.Now()
+			who.answeredAt = d.m.Now()
 		}
-		d.listed(k.router, k.after, whole)
+		d.notifyAnswered(k.router, k.after, whole)
 	}
 }
 
 // refuse answers the call 503.
 func (k *listCall) refuse() {
-	k.over()
+	k.finish()
 	k.send(http.StatusServiceUnavailable, nil)
 }
 
 func (k *listCall) send(status int, body []byte) bool {
-	return k.x.Answer(httpserver.Answer{
+	return k.exchange.Answer(httpserver.Answer{
 		Status: status,
 		Header: []httpserver.Header{{Name: "Content-Type", Value: "application/json"}},
 		Body:   body,
@@ -194,22 +196,22 @@
 
 // drop ends the connection of a router that waits no more.
 func (k *listCall) drop() {
-	k.over()
-	k.x.Drop()
+	k.finish()
+	k.exchange.Drop()
 }
 
-// over ends the call.
-func (k *listCall) over() {
-	d := k.d
-	d.calls = without(d.calls, k)
+// finish ends the call.
+func (k *listCall) finish() {
+	d := k.discovery
+	d.openCalls = removeFirst(d.openCalls, k)
 	if k.timer != nil {
 		k.timer.Stop()
 	}
 	if who := d.callers[k.router]; who != nil {
-		who.last = d.m.Now()
-		who.waiting--
-		if who.waiting == 0 && d.o.AskEvery > 0 {
-			d.overdue(k.router)
+		who.lastCall = d.m.Now()
+		who.openCalls--
+		if who.openCalls == 0 && d.options.PollInterval > 0 {
+			d.notifyOverdue(k.router)
 		}
 	}
 }
--- a/internal/testbench/standin/fleet_test.go
+++ b/internal/testbench/standin/fleet_test.go
@@ -26,10 +26,10 @@
 
 func (h *half) Writable() { h.flush() }
 func (h *half) Readable() {
-	err := h.fill(mostCommand)
+	err := h.fill(maxCommandBytes)
 	if h.other.conn != nil {
-		h.other.send(h.in)
-		h.in = nil
+		h.other.send(h.received)
+		h.received = nil
 	}
 	if err != nil {
 		h.close()
@@ -46,7 +46,7 @@
 	p.next++
 	c := p.fleet.Caches[p.next%len(p.fleet.Caches)]
 	addr := ""
-	for _, d := range c.doors {
+	for _, d := range c.listeners {
 		if d.router == p.name {
 			addr = d.addr
 		}
@@ -60,8 +60,8 @@
 			return b
 		}
 		b.conn = conn
-		b.send(a.in)
-		a.in = nil
+		b.send(a.received)
+		a.received = nil
 		return b
 	})
 	return a
@@ -109,10 +109,10 @@
 	for _, one := range f.Tallies() {
 		total.Add(one)
 	}
-	if total.Requests < 1800 || total.InAim < total.Requests*6/10 || f.Open() != 0 {
+	if total.Requests < 1800 || total.OnTime < total.Requests*6/10 || f.Open() != 0 {
 		t.Errorf("%d open, %+v", f.Open(), *total)
 	}
-	if sum := total.InAim + total.Late + total.Refused + total.Failed + total.Lost + total.Left; sum != total.Requests {
+	if sum := total.OnTime + total.Late + total.Rejected + total.Failed + total.Lost + total.Left; sum != total.Requests {
 		t.Errorf("%d requests have %d ends", total.Requests, sum)
 	}
 	zones := map[string]int{}
@@ -145,8 +145,8 @@
 	_, f := playFleet(t, 4)
 	old := f.Caches[1]
 	c, err := f.Replace(old)
-	if err != nil || old.Up() || !c.Cold() || c.Name() == old.Name() {
-		t.Errorf("%v: old up %t, new cold %t, names %s and %s", err, old.Up(), c.Cold(), old.Name(), c.Name())
+	if err != nil || old.Up() || !c.WarmingUp() || c.Name() == old.Name() {
+		t.Errorf("%v: old up %t, new cold %t, names %s and %s", err, old.Up(), c.WarmingUp(), old.Name(), c.Name())
 	}
 }
 
@@ -184,7 +184,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Zone() != old.Zone() || c.Name() == old.Name() || old.Up() || !c.Cold() {
+	if c.Zone() != old.Zone() || c.Name() == old.Name() || old.Up() || !c.WarmingUp() {
 		t.Errorf("%s in %s stands in for %s in %s", c.Name(), c.Zone(), old.Name(), old.Zone())
 	}
 	l.run(t, 3*Second)
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	l.run(t, 3*Second)
-	if line := f.Discovery.line(warm.Name()); line.Since != restarted || !warm.Cold() {
+	if line := f.Discovery.entry(warm.Name()); line.Since != restarted || !warm.WarmingUp() {
 		t.Errorf("discovery says that it started at %d, which was at %d", line.Since, restarted)
 	}
 }
--- a/internal/testbench/standin/memory.go
+++ b/internal/testbench/standin/memory.go
@@ -2,19 +2,19 @@
 
 import "container/list"
 
-// memory is the keys that a cache holds; the one used longest ago goes first.
-type memory struct {
-	most  int
-	order *list.List // of keys, the latest first
-	at    map[string]*list.Element
+// lruMemory is the keys that a cache holds; the one used longest ago goes first.
+type lruMemory struct {
+	capacity int
+	order    *list.List // of keys, the latest first
+	at       map[string]*list.Element
 }
 
-func newMemory(most int) *memory {
-	return &memory{most: most, order: list.New(), at: map[string]*list.Element{}}
+func newLRUMemory(most int) *lruMemory {
+	return &lruMemory{capacity: most, order: list.New(), at: map[string]*list.Element{}}
 }
 
 // use reports whether the key is held, and counts as a use of it.
-func (m *memory) use(key string) bool {
+func (m *lruMemory) use(key string) bool {
 	e := m.at[key]
 	if e != nil {
 		m.order.MoveToFront(e)
@@ -22,17 +22,17 @@
 	return e != nil
 }
 
-func (m *memory) keep(key string) {
-	if m.use(key) || m.most <= 0 {
+func (m *lruMemory) add(key string) {
+	if m.use(key) || m.capacity <= 0 {
 		return
 	}
 	m.at[key] = m.order.PushFront(key)
-	if len(m.at) > m.most {
-		m.void(m.order.Back().Value.(string))
+	if len(m.at) > m.capacity {
+		m.remove(m.order.Back().Value.(string))
 	}
 }
 
-func (m *memory) void(key string) {
+func (m *lruMemory) remove(key string) {
 	if e := m.at[key]; e != nil {
 		m.order.Remove(e)
 		delete(m.at, key)
--- a/internal/testbench/standin/registry/registry.go
+++ b/internal/testbench/standin/registry/registry.go
@@ -36,21 +36,21 @@
 	Base           string // of all paths; "/eureka"
 	User, Password string // who may call; empty for anybody
 
-	EvictEvery     Time    // 60 s
-	NoPreservation bool    // evict however few renewals come
-	RenewalShare   float64 // of the renewals that are expected, below which nothing is evicted; 0.85
-	RenewEvery     Time    // how often each instance is expected to renew; 30 s
-	DeltaTime      Time    // for which a change stands in deltas; 180 s, and up to 30 s longer
-	CacheTime      Time    // answers are brought up to date so often; 0 at once, where the real one has 30 s
-	ReplicaDelay   Time    // until a change reaches the replicas
-
-	SingleBare bool // a list of one is written as the one, as old servers do
-	OldNames   bool // overriddenstatus instead of overriddenStatus, as old servers do
-	NoGzip     bool // compress nothing, whatever a client accepts
-
-	MostInstances int // 10,000
-	MostMetadata  int // bytes of an instance's metadata; 4 KiB
-	HTTP          httpserver.Options
+	EvictEvery       Time    // 60 s
+	NoPreservation   bool    // evict however few renewals come
+	RenewalThreshold float64 // of the renewals that are expected, below which nothing is evicted; 0.85
+	RenewEvery       Time    // how often each instance is expected to renew; 30 s
+	DeltaTime        Time    // for which a change stands in deltas; 180 s, and up to 30 s longer
+	CacheTime        Time    // answers are brought up to date so often; 0 at once, where the real one has 30 s
+	ReplicaDelay     Time    // until a change reaches the replicas
+
+	UnwrapSingle bool // a list of one is written as the one, as old servers do
+	OldNames     bool // overriddenstatus instead of overriddenStatus, as old servers do
+	NoGzip       bool // compress nothing, whatever a client accepts
+
+	MaxInstances     int // 10,000
+	MaxMetadataBytes int // bytes of an instance's metadata; 4 KiB
+	HTTP             httpserver.Options
 
 	// OnMark is told when a change became visible to callers: the status that shows, or Deleted.
 	OnMark func(id, status string, at Time)
@@ -64,8 +64,8 @@
 	if o.EvictEvery == 0 {
 		o.EvictEvery = 60 * Second
 	}
-	if o.RenewalShare == 0 {
-		o.RenewalShare = 0.85
+	if o.RenewalThreshold == 0 {
+		o.RenewalThreshold = 0.85
 	}
 	if o.RenewEvery == 0 {
 		o.RenewEvery = 30 * Second
@@ -73,44 +73,44 @@
 	if o.DeltaTime == 0 {
 		o.DeltaTime = 180 * Second
 	}
-	if o.MostInstances == 0 {
-		o.MostInstances = 10_000
+	if o.MaxInstances == 0 {
+		o.MaxInstances = 10_000
 	}
-	if o.MostMetadata == 0 {
-		o.MostMetadata = 4 << 10
+	if o.MaxMetadataBytes == 0 {
+		o.MaxMetadataBytes = 4 << 10
 	}
 }
 
 // What can be wrong with a call.
 var (
-	ErrUnknown = errors.New("no such instance")
-	ErrFull    = errors.New("the registry is full")
-	ErrStatus  = errors.New("no such status")
+	ErrUnknownInstance = errors.New("no such instance")
+	ErrRegistryFull    = errors.New("the registry is full")
+	ErrUnknownStatus   = errors.New("no such status")
 )
 
 // Registry is one replica.
 type Registry struct {
-	m     machine.Machine
-	o     Options
-	http  *httpserver.Server
-	rng   *rand.Rand
-	start Time
-	peers []*Registry
-
-	leases    []*lease // by app and id
-	overrides map[string]string
-	queue     []queued // changes for deltas, oldest first
-	closed    bool
-	version   int64 // of the state
-	answers   int64 // deltas made, which the real server counts
+	machine machine.Machine
+	options Options
+	server  *httpserver.Server
+	rng     *rand.Rand
+	start   Time
+	peers   []*Registry
+
+	leases     []*lease // by app and id
+	overrides  map[string]string
+	deltaQueue []queuedChange // changes for deltas, oldest first
+	closed     bool
+	version    int64 // of the state
+	deltasMade int64 // deltas made, which the real server counts
 
 	thisMinute, renewals, lastRenewals int64 // the minute's number, its renewals, those of the one before
 
-	evicts machine.Timer
-	ticks  machine.Timer // of the response cache
-	marks  []mark        // to be told when the cache is brought up to date
-	cached *view         // as callers see it, where there is a response cache
-	latest *view
+	evictTimer   machine.Timer
+	cacheTimer   machine.Timer // of the response cache
+	pendingMarks []mark        // to be told when the cache is brought up to date
+	cached       *view         // as callers see it, where there is a response cache
+	latest       *view
 
 	faults faults
 }
@@ -119,13 +119,13 @@
 type lease struct {
 	*Instance
 	Lease
-	heard Time // as the real server counts: the time of the last renewal, and a lease's time on top of it
+	renewedAt Time // as the real server counts: the time of the last renewal, and a lease's time on top of it
 }
 
-func (l *lease) time() Time { return Time(l.LeaseTime) * Second }
+func (l *lease) duration() Time { return Time(l.LeaseTime) * Second }
 
-// queued is a change in the delta queue.
-type queued struct {
+// queuedChange is a change in the delta queue.
+type queuedChange struct {
 	at   Time
 	item item
 }
@@ -135,32 +135,32 @@
 // New returns an empty registry that listens nowhere yet.
 func New(m machine.Machine, o Options) *Registry {
 	o.fill()
-	r := &Registry{m: m, o: o, start: m.Now(), overrides: map[string]string{},
+	r := &Registry{machine: m, options: o, start: m.Now(), overrides: map[string]string{},
 		rng: rand.New(rand.NewPCG(m.Entropy(), 1))}
-	r.http = httpserver.New(m, o.HTTP, r.serve)
-	r.evicts = m.At(m.Now()+o.EvictEvery, r.evict)
+	r.server = httpserver.New(m, o.HTTP, r.serve)
+	r.evictTimer = m.At(m.Now()+o.EvictEvery, r.evict)
 	if o.CacheTime > 0 {
-		r.cached = r.view()
-		r.ticks = m.At(m.Now()+o.CacheTime, r.tick)
+		r.cached = r.currentView()
+		r.cacheTimer = m.At(m.Now()+o.CacheTime, r.refreshCache)
 	}
 	return r
 }
 
 // Open listens at an address and returns the one that it got.
-func (r *Registry) Open(addr string) (string, error) { return r.http.Open(addr) }
+func (r *Registry) Open(addr string) (string, error) { return r.server.Open(addr) }
 
 // Base is the path under which all others are.
-func (r *Registry) Base() string { return r.o.Base }
+func (r *Registry) Base() string { return r.options.Base }
 
 // Close ends the registry.
 func (r *Registry) Close() {
 	r.closed = true
-	r.http.Close()
-	r.evicts.Stop()
-	if r.ticks != nil {
-		r.ticks.Stop()
+	r.server.Close()
+	r.evictTimer.Stop()
+	if r.cacheTimer != nil {
+		r.cacheTimer.Stop()
 	}
-	r.faults.end()
+	r.faults.stop()
 }
 
 // Register takes an instance in, as a call does, and tells the replicas.
@@ -174,7 +174,7 @@
 		return err
 	}
 	if in.LastDirty == 0 {
-		in.LastDirty = r.wall()
+		in.LastDirty = r.wallMillis()
 	}
 	return r.register(in, false)
 }
@@ -183,7 +183,7 @@
 func (r *Registry) Renew(id string) error {
 	l := r.byID(id)
 	if l == nil || !r.renew(l.App, id, false) {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	return nil
 }
@@ -192,16 +192,16 @@
 func (r *Registry) SetStatus(id, status string) error {
 	l := r.byID(id)
 	if l == nil {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
-	return r.override(l.App, id, status, 0, false)
+	return r.setOverride(l.App, id, status, 0, false)
 }
 
 // Cancel takes an instance out.
 func (r *Registry) Cancel(id string) error {
 	l := r.byID(id)
 	if l == nil || !r.cancel(l.App, id, false) {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	return nil
 }
@@ -215,7 +215,7 @@
 	return all
 }
 
-func (r *Registry) wall() int64 { return r.m.Wall() / Millisecond }
+func (r *Registry) wallMillis() int64 { return r.machine.Wall() / Millisecond }
 
 // find is where an instance is, or would be.
 func (r *Registry) find(app, id string) (int, bool) {
@@ -246,8 +246,8 @@
 	for name, value := range in.Metadata { // any order: a sum
 		size += len(name) + len(value)
 	}
-	if size > r.o.MostMetadata {
-		return fmt.Errorf("instance.metadata: %d bytes (wanted up to %d)", size, r.o.MostMetadata)
+	if size > r.options.MaxMetadataBytes {
+		return fmt.Errorf("instance.metadata: %d bytes (wanted up to %d)", size, r.options.MaxMetadataBytes)
 	}
 	at, known := r.find(in.App, in.ID)
 	var old *lease
@@ -256,8 +256,8 @@
 		if old.LastDirty > in.LastDirty { // it comes late: what is known is newer
 			in = *old.Instance
 		}
-	} else if len(r.leases) >= r.o.MostInstances {
-		return ErrFull
+	} else if len(r.leases) >= r.options.MaxInstances {
+		return ErrRegistryFull
 	}
 	if in.Overridden != Unknown && r.overrides[in.ID] == "" {
 		r.overrides[in.ID] = in.Overridden
@@ -266,8 +266,8 @@
 		in.Overridden = o
 	}
 	in.Status = r.statusOf(&in, old, replicated)
-	now := r.wall()
-	l := &lease{Instance: &in, Lease: Lease{Registered: now, LastRenewal: now}, heard: r.m.Now()}
+	now := r.wallMillis()
+	l := &lease{Instance: &in, Lease: Lease{Registered: now, LastRenewal: now}, renewedAt: r.machine.Now()}
 	if old != nil {
 		l.ServiceUp = old.ServiceUp
 		r.leases[at] = l
@@ -312,7 +312,7 @@
 		l.Instance = &in
 		r.version++
 	}
-	r.minute()
+	r.updateMinute()
 	r.renewals++
 	r.extend(l)
 	if !replicated {
@@ -329,20 +329,20 @@
 
 // extend renews a lease.
 func (r *Registry) extend(l *lease) {
-	l.LastRenewal = r.wall()
+	l.LastRenewal = r.wallMillis()
 	// The real server sets the time of the last renewal a lease's time too late, and so a lease that was
 	// renewed once lasts twice as long as it says.
-	l.heard = r.m.Now() + l.time()
+	l.renewedAt = r.machine.Now() + l.duration()
 }
 
-// override sets a status that goes before what the instance says itself.
-func (r *Registry) override(app, id, status string, dirty int64, replicated bool) error {
+// setOverride sets a status that goes before what the instance says itself.
+func (r *Registry) setOverride(app, id, status string, dirty int64, replicated bool) error {
 	l := r.lease(app, id)
 	if l == nil {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	if !isStatus(status) {
-		return ErrStatus
+		return ErrUnknownStatus
 	}
 	r.extend(l)
 	if l.Status != status || l.Overridden != status {
@@ -353,7 +353,7 @@
 		})
 	}
 	if !replicated {
-		r.replicate(func(p *Registry) { p.override(app, id, status, dirty, true) })
+		r.replicate(func(p *Registry) { p.setOverride(app, id, status, dirty, true) })
 	}
 	return nil
 }
@@ -362,10 +362,10 @@
 func (r *Registry) endOverride(app, id, status string, dirty int64, replicated bool) error {
 	l := r.lease(app, id)
 	if l == nil {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	if !isStatus(status) {
-		return ErrStatus
+		return ErrUnknownStatus
 	}
 	r.extend(l)
 	if r.overrides[id] != "" {
@@ -390,7 +390,7 @@
 	l := r.leases[at]
 	r.leases = slices.Delete(r.leases, at, at+1)
 	delete(r.overrides, id)
-	l.Evicted = r.wall()
+	l.Evicted = r.wallMillis()
 	r.changed(l, Deleted)
 	if !replicated {
 		r.replicate(func(p *Registry) { p.cancel(app, id, true) })
@@ -409,46 +409,46 @@
 // changed takes a change to the callers, as far as they are shown it.
 func (r *Registry) changed(l *lease, action string) {
 	in := *l.Instance
-	in.Action, in.LastUpdated = action, r.wall()
+	in.Action, in.LastUpdated = action, r.wallMillis()
 	l.Instance = &in
 	if in.Status == Up && action != Deleted && l.ServiceUp == 0 {
-		l.ServiceUp = r.wall()
+		l.ServiceUp = r.wallMillis()
 	}
 	r.version++
 	if !r.faults.losesDelta() {
-		r.queue = append(r.queue, queued{r.m.Now(), item{&in, l.Lease}})
+		r.deltaQueue = append(r.deltaQueue, queuedChange{r.machine.Now(), item{&in, l.Lease}})
 	}
 	r.sweep()
 	// The danger: an instance that changes without a pause fills the memory. The real server has no bound here.
-	if most := changesEach * r.o.MostInstances; len(r.queue) > most {
-		r.queue = slices.Clone(r.queue[len(r.queue)-most/2:])
+	if most := maxChangesPerInstance * r.options.MaxInstances; len(r.deltaQueue) > most {
+		r.deltaQueue = slices.Clone(r.deltaQueue[len(r.deltaQueue)-most/2:])
 	}
 	m := mark{in.ID, in.Status}
 	if action == Deleted {
 		m.status = Deleted
 	}
 	switch {
-	case r.o.OnMark == nil:
-	case r.o.CacheTime > 0:
-		r.marks = append(r.marks, m)
+	case r.options.OnMark == nil:
+	case r.options.CacheTime > 0:
+		r.pendingMarks = append(r.pendingMarks, m)
 	default:
-		r.tell(m)
+		r.reportMark(m)
 	}
 }
 
-// changesEach is how many changes the delta queue holds at the most, for each instance that there may be.
-const changesEach = 4
+// maxChangesPerInstance is how many changes the delta queue holds at the most, for each instance that there may be.
+const maxChangesPerInstance = 4
 
-func (r *Registry) tell(m mark) { r.o.OnMark(m.id, m.status, r.m.Now()) }
+func (r *Registry) reportMark(m mark) { r.options.OnMark(m.id, m.status, r.machine.Now()) }
 
-// tick brings the response cache up to date.
-func (r *Registry) tick() {
-	r.ticks = r.m.At(r.m.Now()+r.o.CacheTime, r.tick)
-	r.cached = r.view()
-	marks := r.marks
-	r.marks = nil
+// refreshCache brings the response cache up to date.
+func (r *Registry) refreshCache() {
+	r.cacheTimer = r.machine.At(r.machine.Now()+r.options.CacheTime, r.refreshCache)
+	r.cached = r.currentView()
+	marks := r.pendingMarks
+	r.pendingMarks = nil
 	for _, m := range marks {
-		r.tell(m)
+		r.reportMark(m)
 	}
 }
 
@@ -469,7 +469,7 @@
 	if len(r.peers) == 0 {
 		return
 	}
-	r.m.At(r.m.Now()+r.o.ReplicaDelay, func() {
+	r.machine.At(r.machine.Now()+r.options.ReplicaDelay, func() {
 		for _, p := range r.peers {
 			if !p.closed && !r.closed {
 				f(p)
--- a/internal/testbench/standin/registry/rest_test.go
+++ b/internal/testbench/standin/registry/rest_test.go
@@ -72,13 +72,13 @@
 		}
 	}
 	f.does(204, "POST", "/apps/LOG-CACHE", body("b", ""))
-	if got := f.does(200, "GET", "/instances/b", "").body; !strings.Contains(got, `"metadata":`+noWords) {
+	if got := f.does(200, "GET", "/instances/b", "").body; !strings.Contains(got, `"metadata":`+emptyStringMap) {
 		t.Errorf("empty metadata: %s", got)
 	}
 }
 
 func TestOldServersWriteAListOfOneAsTheOne(t *testing.T) {
-	f := newField(t, Options{SingleBare: true, OldNames: true})
+	f := newField(t, Options{UnwrapSingle: true, OldNames: true})
 	f.register("a")
 	got := f.does(200, "GET", "/apps", "").body
 	for _, want := range []string{`"application":{"name":"LOG-CACHE","instance":{"instanceId":"a"`,
@@ -159,7 +159,7 @@
 }
 
 func TestAFullRegistryTakesKnownInstancesOnly(t *testing.T) {
-	f := newField(t, Options{MostInstances: 2})
+	f := newField(t, Options{MaxInstances: 2})
 	f.register("a", "b")
 	f.does(503, "POST", "/apps/LOG-CACHE", body("c", ""))
 	f.register("a")
--- a/internal/testbench/standin/standin.go
+++ b/internal/testbench/standin/standin.go
@@ -26,41 +26,41 @@
 
 // Class is one kind of request, as clients ask and as caches work.
 type Class struct {
-	Name      string
-	Share     float64 // of all requests
-	Effect    Effect
-	Write     bool        // goes on to the store
-	Aim       Time        // wanted within
-	Deadline  Time        // the client's whole patience
-	Window    Time        // for which the caches drop a repeat, of a Keyed class
-	Scope     rules.Scope // which caches do
-	Worth     float64     // of an answer within Aim
-	LateWorth float64     // share of Worth that a later one earns
-	Work      Time        // mean, on one core
-	CV        float64     // of the work: its standard deviation over its mean
+	Name               string
+	TrafficFraction    float64 // of all requests
+	Semantics          Semantics
+	Write              bool                     // goes on to the store
+	LatencyObjective   Time                     // wanted within
+	ClientTimeout      Time                     // the client's whole patience
+	IdempotencyWindow  Time                     // for which the caches drop a repeat, of a Keyed class
+	Scope              rules.DeduplicationScope // which caches do
+	PriorityWeight     float64                  // of an answer within Aim
+	LateWeightFraction float64                  // share of Worth that a later one earns
+	Work               Time                     // mean, on one core
+	CV                 float64                  // of the work: its standard deviation over its mean
 }
 
-// Effect says what may happen when a request runs twice.
-type Effect uint8
+// Semantics says what may happen when a request runs twice.
+type Semantics uint8
 
 const (
-	Safe   Effect = iota // nothing
-	Keyed                // the caches drop a repeat inside the class's window
-	Unsafe               // it has its effect twice
+	Idempotent      Semantics = iota // nothing
+	IdempotentByKey                  // the caches drop a repeat inside the class's window
+	NonIdempotent                    // it has its effect twice
 )
 
 // DefaultClasses are the operators' classes.
 func DefaultClasses() []Class {
 	return []Class{
-		{Name: "call-lookup", Share: 0.49, Effect: Safe, Aim: 500 * Millisecond, Deadline: 1200 * Millisecond,
-			Worth: 2, LateWorth: 0.5, Work: 60 * Millisecond, CV: 2},
-		{Name: "log-page", Share: 0.473, Effect: Safe, Aim: Second, Deadline: 3 * Second,
-			Worth: 5, LateWorth: 0.2, Work: 175 * Millisecond, CV: 2},
-		{Name: "add-contact", Share: 0.026, Effect: Keyed, Write: true, Aim: 600 * Millisecond,
-			Deadline: 1200 * Millisecond, Window: 1200 * Millisecond, Worth: 3, LateWorth: 0.25, Scope: rules.ScopeAll,
+		{Name: "call-lookup", TrafficFraction: 0.49, Semantics: Idempotent, LatencyObjective: 500 * Millisecond, ClientTimeout: 1200 * Millisecond,
+			PriorityWeight: 2, LateWeightFraction: 0.5, Work: 60 * Millisecond, CV: 2},
+		{Name: "log-page", TrafficFraction: 0.473, Semantics: Idempotent, LatencyObjective: Second, ClientTimeout: 3 * Second,
+			PriorityWeight: 5, LateWeightFraction: 0.2, Work: 175 * Millisecond, CV: 2},
+		{Name: "add-contact", TrafficFraction: 0.026, Semantics: IdempotentByKey, Write: true, LatencyObjective: 600 * Millisecond,
+			ClientTimeout: 1200 * Millisecond, IdempotencyWindow: 1200 * Millisecond, PriorityWeight: 3, LateWeightFraction: 0.25, Scope: rules.ScopeAll,
 			Work: 100 * Millisecond, CV: 2},
-		{Name: "confirm-contact", Share: 0.011, Effect: Keyed, Write: true, Aim: 1200 * Millisecond,
-			Deadline: 2500 * Millisecond, Window: 4 * Second, Worth: 5, LateWorth: 0.2, Scope: rules.ScopeAll,
+		{Name: "confirm-contact", TrafficFraction: 0.011, Semantics: IdempotentByKey, Write: true, LatencyObjective: 1200 * Millisecond,
+			ClientTimeout: 2500 * Millisecond, IdempotencyWindow: 4 * Second, PriorityWeight: 5, LateWeightFraction: 0.2, Scope: rules.ScopeAll,
 			Work: 175 * Millisecond, CV: 2},
 	}
 }
@@ -94,10 +94,10 @@
 }
 
 // window is how long the caches drop repeats of a class.
-func (w *Workload) window(class string) Time { return w.classes[class].Window }
+func (w *Workload) window(class string) Time { return w.classes[class].IdempotencyWindow }
 
-// longTail bounds a draw, in means. The danger: one in millions takes minutes, and pushes a cache over by itself.
-const longTail = 12
+// maxDrawFactor bounds a draw, in means. The danger: one in millions takes minutes, and pushes a cache over by itself.
+const maxDrawFactor = 12
 
 // lognormal draws from the lognormal distribution of that mean and coefficient of variation, cut at longTail.
 func lognormal(rng *rand.Rand, mean Time, cv float64) Time {
@@ -106,7 +106,7 @@
 	}
 	sigma2 := math.Log(1 + cv*cv)
 	mu := math.Log(float64(mean)) - sigma2/2
-	return Time(min(math.Exp(mu+math.Sqrt(sigma2)*rng.NormFloat64()), longTail*float64(mean)))
+	return Time(min(math.Exp(mu+math.Sqrt(sigma2)*rng.NormFloat64()), maxDrawFactor*float64(mean)))
 }
 
 // between draws a time evenly from lo to hi.
@@ -121,23 +121,23 @@
 // off changes no other draw.
 func chance(rng *rand.Rand, p float64) bool { return p > 0 && (p >= 1 || rng.Float64() < p) }
 
-// offeredOver is the work that something was sent within a sliding span of time.
-type offeredOver struct {
-	span Time
-	sum  Time
-	log  []offer
+// slidingWork is the work that something was sent within a sliding span of time.
+type slidingWork struct {
+	span    Time
+	sum     Time
+	samples []workSample
 }
 
-type offer struct{ at, work Time }
+type workSample struct{ at, work Time }
 
 // add takes in an offer and returns the sum over the span that ends now.
-func (o *offeredOver) add(now, work Time) Time {
+func (o *slidingWork) add(now, work Time) Time {
 	gone := 0
-	for gone < len(o.log) && o.log[gone].at <= now-o.span {
-		o.sum -= o.log[gone].work
+	for gone < len(o.samples) && o.samples[gone].at <= now-o.span {
+		o.sum -= o.samples[gone].work
 		gone++
 	}
-	o.log = append(o.log[gone:], offer{now, work})
+	o.samples = append(o.samples[gone:], workSample{now, work})
 	o.sum += work
 	return o.sum
 }
@@ -145,7 +145,7 @@
 // Blind is an Observer that takes no notice.
 type Blind struct{}
 
-func (Blind) Asked(Time, rules.Ask)                              {}
+func (Blind) Asked(Time, rules.Request)                          {}
 func (Blind) Answered(Time, string, rules.Answer, string)        {}
 func (Blind) Left(Time, string)                                  {}
 func (Blind) Broken(Time, string)                                {}
@@ -159,7 +159,7 @@
 func (Blind) CacheUp(Time, string, float64, float64, Time)       {}
 func (Blind) CacheDown(Time, string, bool)                       {}
 func (Blind) Offered(Time, string, string, Time)                 {}
-func (Blind) StartTold(Time, string, string, Time)               {}
+func (Blind) StartNotified(Time, string, string, Time)           {}
 func (Blind) StoreOffered(Time, Time, string)                    {}
 func (Blind) StoreFell(Time)                                     {}
 func (Blind) RouterUp(Time, string)                              {}
@@ -167,8 +167,8 @@
 func (Blind) Usage(Time, string, int, int)                       {}
 func (Blind) Leftover(Time, string, string, int)                 {}
 
-// seen is the observer, or one that takes no notice where there is none.
-func seen(o rules.Observer) rules.Observer {
+// observerOrBlind is the observer, or one that takes no notice where there is none.
+func observerOrBlind(o rules.Observer) rules.Observer {
 	if o == nil {
 		return Blind{}
 	}
