--- a/internal/endpointsource/discovery.go
+++ b/internal/endpointsource/discovery.go
@@ -10,8 +10,8 @@
 
 // Results of a discovery call, as Owner.DiscoveryCallEnded reports them. They stand in the event log.
 const (
-	resultFull      = "whole"
-	resultDelta     = "changes"
+	resultFull      = "full"
+	resultDelta     = "delta"
 	resultFailed    = "failed"
 	resultLastKnown = "last-known"
 )
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -33,7 +33,7 @@
 	var lines []string
 	l := New(Default(), func() Time { return 0 }, structuredlog.New(structuredlog.SinkFunc(func(line string) { lines = append(lines, line) })))
 	l.Add(AttemptRetried, "reset")
-	l.Add(Violation, "window-over")
+	l.Add(Violation, "idempotency-window-over")
 	l.WriteCounters()
 	if len(lines) != 2 || !strings.Contains(lines[0], "level=ERROR msg=violation") || !strings.Contains(lines[1], "attempt-retried.reset=1") {
 		t.Errorf("lines %q", lines)
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -127,17 +127,17 @@
 func (c *connection) closeReason() string {
 	switch {
 	case c.clientEnd == clientReset:
-		return "reset-by-client"
+		return "client-reset"
 	case c.clientEnd == clientEnded:
-		return "ended-by-client"
+		return "client-closed"
 	case c.server.closed:
-		return "router-ends"
+		return "router-stopping"
 	case c.excess:
-		return "too-many-clients"
+		return "connection-limit"
 	case c.retired:
-		return "retired"
+		return "drained"
 	}
-	return "overdue-" + stateNames[c.state]
+	return "timeout-" + stateNames[c.state]
 }
 
 // close ends the connection, and reports the requests without a reply to the handler.
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -24,8 +24,8 @@
 	stateCount                                  // the number of states
 )
 
-// stateNames are the states' names in the log.
-var stateNames = [stateCount]string{"fresh", "partial", "idle", "busy", "stuck", "surplus", "closing"}
+// stateNames are the states' names in the log, as what a connection took too long for.
+var stateNames = [stateCount]string{"first-command", "command", "idle", "replies", "write", "excess", "linger"}
 
 // connectionList holds the connections in one state in the order in which they entered it. The first is the first whose time
 // is over, so that one timer serves all.
--- a/internal/guard/history.go
+++ b/internal/guard/history.go
@@ -31,7 +31,7 @@
 	"cancel", "refuse", "fail", "probe", "close idle"}
 
 // resultNames are the names of results in the log.
-var resultNames = [...]string{"served", "errored", "rejected", "no answer", "no connection", "connection lost",
+var resultNames = [...]string{"served", "errored", "rejected", "timed out", "connect failed", "connection lost",
 	"cancelled", "not sent", "not stored"}
 
 // ResultName returns the name of a result in the log.
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -28,8 +28,9 @@
 )
 
 // reasonNames are the names of the reasons in the log.
-var reasonNames = [reasonCount]string{"allowed", "answered", "client-left", "cache-leaving", "time-over", "too-many-attempts",
-	"second-copy", "effect-may-repeat", "outside-group", "window-over", "deadline-exceeded", "refused-after-run",
+var reasonNames = [reasonCount]string{"allowed", "answered", "client-gone", "cache-draining", "deadline-passed", "too-many-attempts",
+	"hedge-not-allowed", "not-idempotent", "outside-deduplication-scope", "idempotency-window-over", "deadline-exceeded",
+	"rejected-after-run",
 	"closed-unanswered"}
 
 // String returns the name of the reason in the log.
--- a/internal/testbench/lab/soak/coverage.go
+++ b/internal/testbench/lab/soak/coverage.go
@@ -19,7 +19,7 @@
 
 // pathOfCounter are the paths that a router's counters tell of, by the beginning of the counter's name.
 var pathOfCounter = map[string]string{"attempt-retried.": "retry", "attempt-ended.cancelled": "cancel",
-	"connection-closed.overdue-idle": "idle close"}
+	"connection-closed.timeout-idle": "idle close"}
 
 // Coverage counts which pairs of troubles were played, and each trouble on which paths.
 type Coverage struct {
