--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -72,17 +72,17 @@
 
 // adjustLimits takes one attempt into the limit of its cache, and in part into those of all others.
 func (r *Router) adjustLimits(c *cache, inTime bool) {
-	r.spreadResult(inTime)
+	r.adjustFleetLimits(inTime)
 	c.limit.adjust(inTime, toleratedLateRatio)
 }
 
-// spreadResult takes a result at one cache into the limits of all caches, in part. Of many routers, each
+// adjustFleetLimits takes a result at one cache into the limits of all caches, in part. Of many routers, each
 // sends a cache little, and would notice a surge or a lost zone at each cache separately, when it is over.
 // Limits of one attempt of all routers or less stay as they are.
 //
-// Low traffic per router: results are not spread, as all routers would lower all limits for one cache that
+// Low traffic per router: the limits stay, as all routers would lower them for one cache that
 // hangs.
-func (r *Router) spreadResult(inTime bool) {
+func (r *Router) adjustFleetLimits(inTime bool) {
 	if r.lowTraffic() {
 		return
 	}
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("an overdue write lowers the limit of its cache from %v to %v, of another to %v", before, own, other)
 	}
 	for range 100 {
-		b.r.spreadResult(false)
+		b.r.adjustFleetLimits(false)
 	}
 	if got := b.r.caches["c00"].limit.value; got < b.r.soleAttemptLimit() {
 		t.Errorf("the others' verdicts lower a limit to %v, under one attempt of all routers", got)
--- a/decide/hedging.go
+++ b/decide/hedging.go
@@ -41,7 +41,7 @@
 func (r *Router) markOvertaken(a *attempt) {
 	a.overtaken = true
 	a.cache.overtaken++
-	r.losses.ratio.observeWeighted(1, overtakenWeight)
+	r.lossDetector.ratio.observeWeighted(1, overtakenWeight)
 }
 
 // learnLoss takes in when attempts were served, for the comparison with those that are out.
@@ -57,7 +57,7 @@
 	if result.miss || result.request.Write {
 		r.origin.lastTimelySentAt = max(r.origin.lastTimelySentAt, result.sentAt)
 	}
-	r.losses.ratio.observe(0)
+	r.lossDetector.ratio.observe(0)
 }
 
 // hedge sends a request a second time whose attempt is overdue, if the attempt was overtaken, or its cache
--- a/decide/low_traffic.go
+++ b/decide/low_traffic.go
@@ -10,7 +10,7 @@
 // Limits on attempts that are out then have nothing to learn from, and what one router does all of them do.
 // So a router uses what it needs no second answer for. These rules differ, and each says how:
 //
-//   - concurrency limit: a result at one cache does not count for others (spreadResult)
+//   - concurrency limit: a result at one cache does not count for others (adjustFleetLimits)
 //   - origin limit: late likely misses count by how likely they are (originOverdue, learnOrigin)
 //   - overdue attempts: idempotent ones are cancelled past their latency objective (objectiveMissed)
 //   - outliers: a cache that kept a request waiting is ejected, and few requests may move (outlier.go)
--- a/decide/overdue.go
+++ b/decide/overdue.go
@@ -19,7 +19,7 @@
 	if q.finished {
 		return
 	}
-	if r.losses.detected() && r.wasOvertaken(q, a) {
+	if r.lossDetector.detected() && r.wasOvertaken(q, a) {
 		r.markOvertaken(a)
 	} else {
 		r.learnTimeliness(a, false)
@@ -35,7 +35,7 @@
 	if !a.isOut() || q.finished {
 		return
 	}
-	if r.losses.detected() && r.wasOvertaken(q, a) {
+	if r.lossDetector.detected() && r.wasOvertaken(q, a) {
 		r.markOvertaken(a)
 		a.cache.limit.adjust(true, reversedLateRatio) // it had lowered the limit
 		r.hedge(q, n)
@@ -46,7 +46,7 @@
 // checkOverdueAgain schedules the next check of an overdue attempt while attempts get lost.
 func (r *Router) checkOverdueAgain(q *request, n int) {
 	a := &q.attempts[n] // a hedged request may have moved the record
-	if !r.losses.detected() || a.overtaken {
+	if !r.lossDetector.detected() || a.overtaken {
 		return
 	}
 	at := r.now + q.class.responseTimeout()/overdueChecksPerTimeout
@@ -82,7 +82,7 @@
 func (r *Router) handleObjectiveReached(q *request, n int) {
 	a := &q.attempts[n]
 	if !a.overtaken && r.wasOvertaken(q, a) {
-		r.losses.ratio.observe(1)
+		r.lossDetector.ratio.observe(1)
 		return
 	}
 	if r.lowTraffic() && r.settings.AllowCancel && !q.streaming && q.class.Semantics == Idempotent {
--- a/decide/router.go
+++ b/decide/router.go
@@ -35,7 +35,7 @@
 	healthChecks healthChecks
 	warmTraffic  warmTraffic
 	errorRatio   movingAverage // ratio of errors among the answers of all caches
-	losses       lossDetector
+	lossDetector lossDetector
 
 	attemptsSent int  // attempts ever sent
 	lastSendAt   Time // when the latest attempt was sent
@@ -51,18 +51,18 @@
 		s.DrainGrace = defaultDrainGrace
 	}
 	r := &Router{
-		settings:    s,
-		classes:     map[string]*Class{},
-		random:      randomSource(seed),
-		timers:      timerTable{pending: map[int64]timer{}},
-		caches:      map[string]*cache{},
-		zones:       map[string]*zone{},
-		requests:    map[int64]*request{},
-		hotKeys:     newHotKeys(),
-		origin:      originLimit{missRatio: movingAverage{window: originMissWindow}},
-		retryBudget: retryBudget{tokens: maxRetryTokens},
-		errorRatio:  movingAverage{window: fleetErrorWindow},
-		losses:      newLossDetector(),
+		settings:     s,
+		classes:      map[string]*Class{},
+		random:       randomSource(seed),
+		timers:       timerTable{pending: map[int64]timer{}},
+		caches:       map[string]*cache{},
+		zones:        map[string]*zone{},
+		requests:     map[int64]*request{},
+		hotKeys:      newHotKeys(),
+		origin:       originLimit{missRatio: movingAverage{window: originMissWindow}},
+		retryBudget:  retryBudget{tokens: maxRetryTokens},
+		errorRatio:   movingAverage{window: fleetErrorWindow},
+		lossDetector: newLossDetector(),
 	}
 	r.list.random = randomSource(mix(seed))
 	r.list.pacer = retry.NewPacer(retry.Options{
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -64,7 +64,7 @@
 		OriginMissRatio: r.origin.missRatio.value,
 		RetryBudget:     r.retryBudget.tokens,
 		ErrorRatio:      r.errorRatio.value,
-		LostRatio:       r.losses.ratio.value,
+		LostRatio:       r.lossDetector.ratio.value,
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.zones)) {
 		s.Zones = append(s.Zones, ZoneSnapshot{name, r.zones[name].failedConnections})
@@ -151,7 +151,7 @@
 	restoreValue(&r.origin.missRatio.value, s.OriginMissRatio, 0, 1)
 	restoreValue(&r.retryBudget.tokens, s.RetryBudget, 0, maxRetryTokens)
 	restoreValue(&r.errorRatio.value, s.ErrorRatio, 0, 1)
-	restoreValue(&r.losses.ratio.value, s.LostRatio, 0, 1)
+	restoreValue(&r.lossDetector.ratio.value, s.LostRatio, 0, 1)
 	for _, z := range s.Zones {
 		known := r.zones[z.Name]
 		if known != nil && z.FailedConnections >= maxFailedConnections {
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -13,7 +13,7 @@
 	b := newHarness(t, s)
 	es := fleet(3)
 	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-	b.r.origin.limit.value, b.r.origin.missRatio.value, b.r.retryBudget.tokens, b.r.errorRatio.value, b.r.losses.ratio.value = 7, .25, 3, .125, .0625
+	b.r.origin.limit.value, b.r.origin.missRatio.value, b.r.retryBudget.tokens, b.r.errorRatio.value, b.r.lossDetector.ratio.value = 7, .25, 3, .125, .0625
 	c := b.r.caches["c01"]
 	c.limit.value, c.lateRatio.value, c.health.healthy, c.health.failures, c.responsive = .5, .75, false, 2, false
 	c.errors.ratio, c.errors.updatedAt = .5, b.now
