--- a/decide/api.go
+++ b/decide/api.go
@@ -116,34 +116,58 @@
 	DialCost float64
 }
 
+// ErrNoClasses is New's error for settings without a class.
+var ErrNoClasses = errors.New("decide: Classes is empty")
+
+// FieldError is New's error for the first field of Settings that is out of range.
+type FieldError struct {
+	Field string // such as "Classes[0].LatencyObjective"
+	Value float64
+}
+
+// Error implements error.
+func (e *FieldError) Error() string {
+	return fmt.Sprintf("decide: %s is %v, out of range", e.Field, e.Value)
+}
+
+// settingsField is a field of Settings with the range that check holds it to.
+type settingsField struct {
+	name            string
+	value, min, max float64
+}
+
 // check returns an error that names the first field that is out of range.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
-		return errors.New("decide: Classes is empty")
-	}
-	type field struct {
-		name      string
-		v, lo, hi float64
+		return ErrNoClasses
 	}
-	inf := math.MaxFloat64
-	fields := []field{
-		{"Routers", float64(s.Routers), 0, inf}, {"MaxAttempts", float64(s.MaxAttempts), 1, inf},
-		{"RefuseWait", float64(s.MaxRetryAfter), 0, inf}, {"DrainGrace", float64(s.DrainGrace), 0, inf},
-		{"ColdTime", float64(s.SlowStartWindow), 0, inf}, {"ColdShare", s.SlowStartMinCapacity, 0, 1},
-		{"TipTime", float64(s.OverloadWindow), 0, inf}, {"AskEvery", float64(s.PollInterval), 0, inf},
-		{"ProbePrice", s.HealthCheckCost, 0, inf}, {"ConnPrice", s.ConnectionCost, 0, inf},
-		{"DialPrice", s.DialCost, 0, inf},
+	fields := []settingsField{
+		{"Routers", float64(s.Routers), 0, math.MaxFloat64},
+		{"MaxAttempts", float64(s.MaxAttempts), 1, math.MaxFloat64},
+		{"MaxRetryAfter", float64(s.MaxRetryAfter), 0, math.MaxFloat64},
+		{"DrainGrace", float64(s.DrainGrace), 0, math.MaxFloat64},
+		{"SlowStartWindow", float64(s.SlowStartWindow), 0, math.MaxFloat64},
+		{"SlowStartMinCapacity", s.SlowStartMinCapacity, 0, 1},
+		{"OverloadWindow", float64(s.OverloadWindow), 0, math.MaxFloat64},
+		{"PollInterval", float64(s.PollInterval), 0, math.MaxFloat64},
+		{"HealthCheckCost", s.HealthCheckCost, 0, math.MaxFloat64},
+		{"ConnectionCost", s.ConnectionCost, 0, math.MaxFloat64},
+		{"DialCost", s.DialCost, 0, math.MaxFloat64},
 	}
 	for i, c := range s.Classes {
-		at := fmt.Sprintf("Classes[%d].", i)
-		fields = append(fields, field{at + "Aim", float64(c.LatencyObjective), 0, inf},
-			field{at + "Limit", float64(c.ClientTimeout), 0, inf},
-			field{at + "KeyTTL", float64(c.IdempotencyWindow), 0, inf}, field{at + "Worth", c.PriorityWeight, 0, inf},
-			field{at + "LateWorth", c.LateWeightFraction, 0, 1})
+		class := fmt.Sprintf("Classes[%d].", i)
+		fields = append(fields,
+			settingsField{class + "LatencyObjective", float64(c.LatencyObjective), 0, math.MaxFloat64},
+			settingsField{class + "ClientTimeout", float64(c.ClientTimeout), 0, math.MaxFloat64},
+			settingsField{class + "IdempotencyWindow", float64(c.IdempotencyWindow), 0, math.MaxFloat64},
+			settingsField{class + "PriorityWeight", c.PriorityWeight, 0, math.MaxFloat64},
+			settingsField{class + "LateWeightFraction", c.LateWeightFraction, 0, 1},
+		)
 	}
 	for _, f := range fields {
-		if !(f.v >= f.lo && f.v <= f.hi) { // also where it is not a number
-			return fmt.Errorf("decide: %s is %v, out of range", f.name, f.v)
+		inRange := f.value >= f.min && f.value <= f.max // false for NaN
+		if !inRange {
+			return &FieldError{Field: f.name, Value: f.value}
 		}
 	}
 	return nil
