--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -92,7 +92,7 @@
 	return r, nil
 }
 
-// FailureMode sets the function that is called when a start that waits for its address gives up. The router has stopped by
+// OnFailure sets the function that is called when a start that waits for its address gives up. The router has stopped by
 // then.
 func (r *Router) OnFailure(f func(error)) { r.onFailure = f }
 
