--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -57,7 +57,7 @@
 	addressDeadline Time          // the start fails when the address is still in use then; 0 until the first try found it in use
 	addressLoggedAt Time          // when the log last said that the router waits; 0 for never
 	addressTimer    machine.Timer // for the next try
-	onFailure       func(error)   // set by FailureMode
+	onFailure       func(error)   // set by OnFailure
 
 	acceptGrace   Time          // for how long a drain still takes connections
 	drainDeadline Time          // the router stops then at the latest; 0 while it does not drain
