--- a/internal/hooks/hooks.go
+++ b/internal/hooks/hooks.go
@@ -1,12 +1,14 @@
-// Package hooks runs operators' hooks beside a router: it has their workers judge requests, and tells the verdicts. What
-// is to be done, package policy decides; this package does it, on a machine.Machine, and never waits.
+// Package hooks runs operators' hooks beside a router: it has their workers evaluate requests, and delivers the verdicts.
+// Package policy decides what is to be done; this package does it, on a machine.Machine, and never blocks.
 //
 // Where there are no hooks, it holds nothing, starts nothing and costs a comparison for each request.
 package hooks
 
 import (
+	"context"
 	"fmt"
 	"io"
+	"log/slog"
 
 	"starlingwinch/internal/hooks/policy"
 	"starlingwinch/internal/machine"
@@ -17,81 +19,80 @@
 // Time is an instant or a span in microseconds.
 type Time = machine.Time
 
-// Verdict is what the hooks say of a request, all together.
+// Verdict is what all hooks together say of a request.
 type Verdict = plugin.Verdict
 
-// Config is a set of hooks, in the order in which they are asked.
+// Config is a set of hooks, in the order in which they are called.
 type Config struct {
 	Hooks           []Hook
-	MaxWaitFraction float64 // of a request's time that it waits for all hooks together, at most ...
-	MaxWait         Time    // ... and no longer than that
+	MaxWaitFraction float64 // limit of a request's wait for all hooks together, as a fraction of its time left
+	MaxWait         Time    // limit of the same wait, as a span
 
 	// Command is the command line of this program that runs a worker: its standard input is worker.Main's. Empty
 	// stands for CommandName.
 	Command []string
-	// Inside is worker.Serve, for hooks that run inside the router. Nil where none may; then they have processes.
-	//
-	// The danger: with one processor, a module that loops keeps the router's loop from running for some 30 ms,
-	// until the scheduler comes in between.
+	// Inside is worker.Serve, for hooks that run inside the router. Nil where none may; then they have processes. With
+	// one processor it is to be nil: a module that loops keeps the router's loop from running for some 30 ms, until the
+	// scheduler preempts it.
 	Inside func(io.ReadWriteCloser)
 }
 
 // CommandName is the hidden command of the program that runs a worker.
 const CommandName = "hook-worker"
 
-// Hook is one hook.
+// Hook is one hook with its code.
 type Hook struct {
 	policy.Hook
-	Engine     string
-	Code       []byte
+	Engine     string // the name of the engine that runs it
+	Code       []byte // the content of its file
 	Budget     plugin.Budget
-	WantsValue bool
-	Inside     bool
+	WantsValue bool // it is handed the value of a request
+	Inside     bool // it runs inside the router, where Config.Inside allows that
 }
 
-// Request is one that hooks may judge.
+// Request is one that hooks may evaluate.
 type Request struct {
-	ID                       int64 // no other open one has it
+	ID                       int64 // unique among open requests
 	Verb, Class, Tenant, Key string
 	TimeLeft                 Time // until its client stops waiting
 	Size                     int  // bytes of its value
-	// Value gives the value. It is called in the loop, for hooks that want it, until there is a verdict or the
-	// request is Gone. Nil stands for none.
+	// Value returns the value. It is called in the loop, for hooks that want it, until there is a verdict or the
+	// request is cancelled. Nil stands for none.
 	Value func() []byte
 }
 
 // Answer is a final answer that is about to leave.
 type Answer struct {
 	Verb, Class, Tenant, Key string
-	Size                     int
+	Size                     int // bytes of the request's value
 	Outcome                  plugin.Outcome
-	Took                     Time
+	Took                     Time // since the request was read
 }
 
-// Hooks are the hooks of one router.
+// Hooks are the hooks of one router. All methods are called in the loop of its machine.
 type Hooks struct {
 	machine   machine.Machine
-	log       func(string)
+	logger    *slog.Logger
 	policy    *policy.Policy
-	onVerdict map[int64]func(Verdict)
-	configs   map[int]Config
-
-	workers       map[int]*workerConnection
-	pendingWrites []*workerConnection // that have something to send at the end of this turn
-	timer         machine.Timer
-	turnPosted    bool // a turn is to come
-	turnFunc      func()
-	timerFunc     func()
-	reply         wire.Reply
-	onClosed      func()
+	onVerdict map[int64]func(Verdict) // of open requests, by their numbers
+	configs   map[int]Config          // of the sets that the policy refers to, by their numbers
+
+	workers       map[int]*workerConnection // by their numbers
+	pendingWrites []*workerConnection       // those with bytes to send at the end of this turn
+	timer         machine.Timer             // calls onTimer; nil for none
+	turnPosted    bool                      // runTurn is to come
+	turnFunc      func()                    // runTurn, made once
+	timerFunc     func()                    // onTimer, made once
+	reply         wire.Reply                // of the frame that is being handled; used again for each
+	onClosed      func()                    // called once no worker is left after Close; nil before and after
 }
 
-// New begins with a set of hooks. Their workers come up meanwhile; until then, requests wait for them as they do for
-// hooks that are slow.
-func New(m machine.Machine, cfg Config, log func(string)) (*Hooks, error) {
+// New returns the hooks of a router, with a first set. Its workers start meanwhile; until they have loaded, requests wait for
+// them as they do for hooks that are slow. The error says why cfg is not a valid set.
+func New(m machine.Machine, cfg Config, logger *slog.Logger) (*Hooks, error) {
 	h := &Hooks{
 		machine:   m,
-		log:       log,
+		logger:    logger,
 		policy:    policy.New(),
 		onVerdict: map[int64]func(Verdict){},
 		configs:   map[int]Config{},
@@ -105,7 +106,7 @@
 }
 
 // Reload has a set of hooks take over in one step, once all of it has loaded. Where one does not load, the log names it
-// and the set before stays. The error says why cfg is no set at all.
+// and the set before stays. The error says why cfg is not a valid set.
 func (h *Hooks) Reload(cfg Config) error {
 	if len(cfg.Hooks) > maxHooks {
 		return fmt.Errorf("hooks: %d of them (wanted at most %d)", len(cfg.Hooks), maxHooks)
@@ -114,7 +115,7 @@
 	for _, hook := range cfg.Hooks {
 		s.Hooks = append(s.Hooks, hook.Hook)
 		if hook.Inside && cfg.Inside == nil {
-			h.log("hook " + hook.Name + ": runs in a process, as none may run inside of this router")
+			h.logger.Warn("hook runs in a process, not inside the router", "hook", hook.Name)
 		}
 	}
 	h.configs[h.policy.Load(h.machine.Now(), s)] = cfg
@@ -122,12 +123,12 @@
 	return nil
 }
 
-// Idle reports whether there are no hooks: then nothing is asked of them, and what is said to them goes nowhere.
+// Idle reports whether there are no hooks: then no request is evaluated, and notifications go nowhere.
 func (h *Hooks) Idle() bool { return h.policy.Idle() }
 
-// Evaluate has hooks judge a request. It reports false where none is to: then the request goes on at once. Else done is called
-// once, in a later turn of the loop, unless the request is Gone before.
-func (h *Hooks) Evaluate(r Request, done func(Verdict)) bool {
+// Evaluate has hooks evaluate a request. It reports false where no hook does: then the request goes on at once. Otherwise
+// onVerdict is called once, in a later turn of the loop, unless the request is cancelled before.
+func (h *Hooks) Evaluate(r Request, onVerdict func(Verdict)) bool {
 	if h.policy.Idle() {
 		return false
 	}
@@ -142,13 +143,13 @@
 		TimeLeft: r.TimeLeft,
 	}})
 	if taken {
-		h.onVerdict[r.ID] = done
+		h.onVerdict[r.ID] = onVerdict
 		h.postTurn()
 	}
 	return taken
 }
 
-// Cancel says that a request's client has left: its done is not called any more.
+// Cancel closes a request whose client has left: its onVerdict is not called any more.
 func (h *Hooks) Cancel(id int64) {
 	if _, open := h.onVerdict[id]; open {
 		delete(h.onVerdict, id)
@@ -174,42 +175,43 @@
 	})
 }
 
-// ListChanged has hooks see how many caches there are, and how many of them take new work.
-func (h *Hooks) ListChanged(caches, takeWork int) {
+// ListChanged has hooks see how many caches there are, and how many of them are serving.
+func (h *Hooks) ListChanged(caches, serving int) {
 	if h.policy.Idle() {
 		return
 	}
-	h.notify(plugin.Call{Point: plugin.ListChanged, Caches: caches, ServingCaches: takeWork})
+	h.notify(plugin.Call{Point: plugin.ListChanged, Caches: caches, ServingCaches: serving})
 }
 
+// notify has hooks see an event that needs no verdict.
 func (h *Hooks) notify(c plugin.Call) {
 	c.Now = h.machine.Now()
 	h.policy.Notify(c.Now, c)
 	h.postTurn()
 }
 
-// Close ends all hooks. Requests that wait have their verdicts by on_failure, and workers a third of a second to
-// unload; then done is called. Nothing is taken from here on.
-func (h *Hooks) Close(done func()) {
-	h.onClosed = done
+// Close ends all hooks. Open requests have their verdicts by on_failure, and workers a third of a second to unload; then
+// onClosed is called. No request is taken from here on.
+func (h *Hooks) Close(onClosed func()) {
+	h.onClosed = onClosed
 	h.policy.Close(h.machine.Now())
 	h.postTurn()
 }
 
 // Ready reports whether each hook is up.
 func (h *Hooks) Ready() bool {
-	for _, row := range h.policy.Status() {
-		if row.State != "up" {
+	for _, status := range h.policy.Status() {
+		if status.State != policy.StateUp {
 			return false
 		}
 	}
 	return true
 }
 
-// Status tells of each hook, in the order in which they are asked.
+// Status returns the status of each hook, in the order in which they are called.
 func (h *Hooks) Status() []policy.HookStatus { return h.policy.Status() }
 
-// Left is what is open.
+// Left returns how many records of each kind are held.
 func (h *Hooks) Left() map[string]int {
 	left := h.policy.Left()
 	left["verdicts owed"] = len(h.onVerdict)
@@ -218,7 +220,7 @@
 	return left
 }
 
-// postTurn has a turn of the hooks' own come. What was asked in one turn of the loop goes to a worker in one piece.
+// postTurn has runTurn come after the present turn of the loop, so that the calls of one turn go to a worker in one write.
 func (h *Hooks) postTurn() {
 	if !h.turnPosted {
 		h.turnPosted = true
@@ -226,60 +228,76 @@
 	}
 }
 
+// runTurn carries out what has gathered since postTurn.
 func (h *Hooks) runTurn() {
 	h.turnPosted = false
 	h.executeActions()
 }
 
+// onTimer is called at the time that the policy has set.
 func (h *Hooks) onTimer() {
 	h.timer = nil
 	h.policy.Tick(h.machine.Now())
 	h.executeActions()
 }
 
-// executeActions carries out what the policy asks for.
+// executeActions carries out all actions of the policy, and then sends the calls among them.
 func (h *Hooks) executeActions() {
 	for {
 		a, more := h.policy.Next()
 		if !more {
 			break
 		}
-		switch a.Kind {
-		case policy.StartWorker:
-			h.startWorker(&a)
-		case policy.KillWorker:
-			h.killWorker(a.Worker)
-		case policy.SendCall:
-			h.sendCall(&a)
-		case policy.DeliverVerdict:
-			done := h.onVerdict[a.RequestID]
-			delete(h.onVerdict, a.RequestID)
-			if done != nil {
-				done(a.Verdict)
-			}
-		case policy.SetTimer:
-			if h.timer != nil {
-				h.timer.Stop()
-			}
-			h.timer = h.machine.At(a.At, h.timerFunc)
-		case policy.WriteLog:
-			h.log(a.Text)
-		case policy.ReleaseSet:
-			delete(h.configs, a.Set)
-		case policy.FinishClose:
-			h.finishClose()
-		}
+		h.execute(&a)
 	}
 	h.flushWrites()
 }
 
-func (h *Hooks) finishClose() {
+// execute carries out one action of the policy.
+func (h *Hooks) execute(a *policy.Action) {
+	switch a.Kind {
+	case policy.StartWorker:
+		h.startWorker(a)
+	case policy.KillWorker:
+		h.killWorker(a.Worker)
+	case policy.SendCall:
+		h.sendCall(a)
+	case policy.DeliverVerdict:
+		h.deliver(a.RequestID, a.Verdict)
+	case policy.SetTimer:
+		h.stopTimer()
+		h.timer = h.machine.At(a.At, h.timerFunc)
+	case policy.WriteLog:
+		h.logger.LogAttrs(context.Background(), a.Level, a.Message, a.Attrs...)
+	case policy.ReleaseSet:
+		delete(h.configs, a.Set)
+	case policy.FinishClose:
+		h.finishClose()
+	}
+}
+
+// deliver hands a request its verdict, unless it was cancelled.
+func (h *Hooks) deliver(id int64, v Verdict) {
+	onVerdict := h.onVerdict[id]
+	delete(h.onVerdict, id)
+	if onVerdict != nil {
+		onVerdict(v)
+	}
+}
+
+// stopTimer stops the timer, where it is set.
+func (h *Hooks) stopTimer() {
 	if h.timer != nil {
 		h.timer.Stop()
 		h.timer = nil
 	}
-	if done := h.onClosed; done != nil {
+}
+
+// finishClose reports the end of Close.
+func (h *Hooks) finishClose() {
+	h.stopTimer()
+	if onClosed := h.onClosed; onClosed != nil {
 		h.onClosed = nil
-		done()
+		onClosed()
 	}
 }
--- a/internal/hooks/policy/call.go
+++ b/internal/hooks/policy/call.go
@@ -2,27 +2,28 @@
 
 import "starlingwinch/internal/plugin"
 
-// call is a request, at the hook that it has come to, or a look.
+// call is a request on its way through a set's hooks, or one notification of one hook.
 type call struct {
 	isRequest bool
-	id        int64
+	id        int64 // isRequest: the caller's number of the request
 	data      plugin.Call
-	value     func() []byte
-	set       *set
-	hookIndex int   // the hook that is asked, or the next one
-	hook      *hook // that has it; nil between hooks, and where nobody waits for its answer
-	sent      bool  // a worker has it
-	sequence  uint64
-	attempts  int
-	deadline  Time // a request's wait ends
-	verdict   plugin.Verdict
+	value     func() []byte  // isRequest: returns the request's value; nil once the client has left
+	set       *set           // isRequest: the set that evaluates it to the end
+	hookIndex int            // isRequest: the set's hook that evaluates it, or the next one
+	hook      *hook          // the hook that has it; nil between hooks, and where the reply is not wanted any more
+	sent      bool           // it is in flight at a worker
+	sequence  uint64         // its number at the worker that has it
+	attempts  int            // how often the present hook was sent it
+	deadline  Time           // isRequest: when the request has waited long enough
+	verdict   plugin.Verdict // isRequest: of the hooks so far
 
-	prev, next *call // among the open requests
+	previous, next *call // isRequest: its neighbours among the open requests
 }
 
-// maxFreeCalls bounds the calls that are kept to be used again.
+// maxFreeCalls bounds the calls that are kept for use again.
 const maxFreeCalls = 256
 
+// newCall returns an empty call.
 func (p *Policy) newCall() *call {
 	if n := len(p.freeCalls); n > 0 {
 		c := p.freeCalls[n-1]
@@ -32,7 +33,7 @@
 	return &call{}
 }
 
-// releaseCall puts a call back, of which nobody knows any more.
+// releaseCall takes back a call that nothing refers to any more.
 func (p *Policy) releaseCall(c *call) {
 	*c = call{}
 	if len(p.freeCalls) < maxFreeCalls {
@@ -40,8 +41,9 @@
 	}
 }
 
+// addOpen adds a request to the open ones, as the newest.
 func (p *Policy) addOpen(c *call) {
-	c.prev = p.newest
+	c.previous = p.newest
 	if p.newest != nil {
 		p.newest.next = c
 	} else {
@@ -50,16 +52,17 @@
 	p.newest = c
 }
 
+// removeOpen takes a request out of the open ones.
 func (p *Policy) removeOpen(c *call) {
-	if c.prev != nil {
-		c.prev.next = c.next
+	if c.previous != nil {
+		c.previous.next = c.next
 	} else {
 		p.oldest = c.next
 	}
 	if c.next != nil {
-		c.next.prev = c.prev
+		c.next.previous = c.previous
 	} else {
-		p.newest = c.prev
+		p.newest = c.previous
 	}
-	c.prev, c.next = nil, nil
+	c.previous, c.next = nil, nil
 }
--- a/internal/hooks/policy/chance_test.go
+++ b/internal/hooks/policy/chance_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"testing"
@@ -45,7 +46,7 @@
 			case n < 48:
 				f.p.Notify(f.now, plugin.Call{Point: plugin.Answered})
 			case n < 52 && len(ids) > 0:
-				f.p.WorkerEnded(f.now, pick(), "crashed")
+				f.p.WorkerEnded(f.now, pick(), errors.New("crashed"))
 			case n < 54:
 				f.p.Load(f.now, set())
 			case n < 60:
--- a/internal/hooks/policy/harness_test.go
+++ b/internal/hooks/policy/harness_test.go
@@ -1,11 +1,14 @@
 package policy
 
 import (
+	"context"
+	"log/slog"
 	"slices"
 	"strings"
 	"testing"
 
 	"starlingwinch/internal/plugin"
+	"starlingwinch/internal/structuredlog"
 )
 
 const ms = 1000
@@ -20,12 +23,15 @@
 	asked    map[int][]Action
 	verdicts map[int64][]plugin.Verdict
 	lines    []string
+	logger   *slog.Logger // appends to lines
 	dropped  []int
 	closed   int
 }
 
 func newField(t *testing.T) *field {
-	return &field{t: t, p: New(), now: 1_000_000, workers: map[int]int{}, asked: map[int][]Action{}, verdicts: map[int64][]plugin.Verdict{}}
+	f := &field{t: t, p: New(), now: 1_000_000, workers: map[int]int{}, asked: map[int][]Action{}, verdicts: map[int64][]plugin.Verdict{}}
+	f.logger = structuredlog.New(structuredlog.SinkFunc(func(line string) { f.lines = append(f.lines, line) }))
+	return f
 }
 
 // carry carries out what the Policy has asked for.
@@ -56,7 +62,7 @@
 		case SetTimer:
 			f.timer = a.At
 		case WriteLog:
-			f.lines = append(f.lines, a.Text)
+			f.logger.LogAttrs(context.Background(), a.Level, a.Message, a.Attrs...)
 		case ReleaseSet:
 			f.dropped = append(f.dropped, a.Set)
 		case FinishClose:
--- a/internal/hooks/policy/policy_test.go
+++ b/internal/hooks/policy/policy_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"slices"
 	"testing"
+	"time"
 
 	"starlingwinch/internal/plugin"
 )
@@ -42,7 +43,7 @@
 	if v := f.verdicts[1][0]; v.Tenant != "club" || !slices.Equal(v.Tags, []string{"x", "y"}) {
 		t.Errorf("%+v", v)
 	}
-	f.logged("hook b: says: seen")
+	f.logged(`msg="hook message" hook=b text=seen`)
 }
 
 func TestARefusalAsksNobodyElse(t *testing.T) {
@@ -69,7 +70,7 @@
 	f.hasNone(1)
 	f.reply(f.of(1), Reply{Failed: true, Kind: plugin.BudgetExceeded})
 	f.has(1, plugin.Reject, 700)
-	f.logged("hook lax: crashed: unreachable")
+	f.logged(`msg="hook failed" hook=lax cause="crashed: unreachable"`)
 }
 
 func TestARequestWaitsNoLongerThanItsPart(t *testing.T) {
@@ -172,7 +173,7 @@
 		if id > 100 || len(f.running()) > 0 {
 			t.Fatalf("after %d failures there are %d workers", id, len(f.running()))
 		}
-		f.logged(fmt.Sprintf("suspended for %d s: crashed: x", seconds))
+		f.logged(fmt.Sprintf(`msg="hook suspended" hook=a suspended_for=%s cause="crashed: x"`, time.Duration(seconds<<20)*time.Microsecond))
 		f.pass(seconds<<20 + ms)
 		f.up(requestPoint)
 	}
@@ -181,8 +182,8 @@
 		f.reply(f.of(0), Reply{})
 		id++
 	}
-	if h := f.p.active.hooks[0]; h.suspension != 0 || h.failureScore != 0 {
-		t.Errorf("rest %d, score %v", h.suspension, h.failureScore)
+	if h := f.p.active.hooks[0]; h.suspension.span != 0 || h.suspension.score != 0 {
+		t.Errorf("rest %d, score %v", h.suspension.span, h.suspension.score)
 	}
 }
 
@@ -292,7 +293,7 @@
 	f.p.HandleReply(f.now, f.of(0), Reply{Sequence: 77, Verdict: &plugin.Verdict{}})
 	f.carry()
 	f.has(1, plugin.Pass, 0)
-	f.logged("gave an answer to nothing")
+	f.logged(ErrUnexpectedReply.Error())
 	f.up(requestPoint)
 	f.p.HandleReply(f.now, f.of(0), Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
 	f.p.HandleReply(f.now, 12345, Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
@@ -313,7 +314,7 @@
 	f.now += 1000 * ms
 	f.ask(100, "read")
 	f.reply(f.of(0), Reply{Verdict: &plugin.Verdict{Log: []string{"last"}}})
-	f.logged("hook a: says: last (and 280 lines before it that were too many)")
+	f.logged(`msg="hook message" hook=a text=last suppressed=280`)
 }
 
 func TestTagsAreCountedUpToABound(t *testing.T) {
--- a/internal/hooks/policy/set.go
+++ b/internal/hooks/policy/set.go
@@ -1,34 +1,39 @@
 package policy
 
-import "starlingwinch/internal/plugin"
+import (
+	"log/slog"
 
-// set is one configuration of hooks.
+	"starlingwinch/internal/plugin"
+)
+
+// set is one configuration of hooks, from its loading to its unloading.
 type set struct {
 	Settings
-	number       int
+	number       int // by which the caller knows it
 	state        setState
 	hooks        []*hook
-	openRequests int // requests that are in it
+	openRequests int // requests that this set evaluates
 }
 
+// setState is where a set is in its life.
 type setState uint8
 
 const (
-	setLoading setState = iota // beside the present one
-	setServing
-	setUnloading // its workers unload
+	setLoading   setState = iota // it loads beside the active set
+	setServing                   // it is active, or retired with requests open
+	setUnloading                 // its workers unload and end
 )
 
-// progress is where a request has got to in its set.
+// progress is what became of a request that was handed on in its set.
 type progress uint8
 
 const (
-	advanced progress = iota // a hook has it, or none wants it any more (its hook is nil)
-	rejected                 // by on_failure
+	advanced progress = iota // a hook has the request, or no further hook evaluates it: then its hook is nil
+	rejected                 // a hook that takes no call rejects it, by its FailureMode
 )
 
-// Load has a set of hooks load beside the present one, and take over in one step once all of it is up. The first set takes
-// over at once, with its hooks out until they are up. It gives the set's number.
+// Load has a set of hooks load beside the active one, and take over in one step once all of it has loaded. The first set
+// takes over at once, and its hooks count as failed until they have loaded. It returns the set's number.
 func (p *Policy) Load(now Time, settings Settings) int {
 	p.now = now
 	p.lastSet++
@@ -37,10 +42,8 @@
 		p.emit(Action{Kind: ReleaseSet, Set: s.number})
 		return s.number
 	}
-	for i, cfg := range settings.Hooks {
-		h := &hook{Hook: cfg, set: s, index: i, points: ^plugin.Points(0), cpuDebtAt: now, logTokens: logBurst, logTokensAt: now,
-			tags: map[string]int{}}
-		s.hooks = append(s.hooks, h)
+	for i, configuration := range settings.Hooks {
+		s.hooks = append(s.hooks, newHook(s, i, configuration, now))
 	}
 	if p.loading != nil {
 		p.discard(p.loading)
@@ -62,15 +65,15 @@
 	return s.number
 }
 
-// WorkerLoaded says that a worker has loaded its hook, which wants to be asked at these points.
-func (p *Policy) WorkerLoaded(now Time, id int, points plugin.Points) {
+// WorkerLoaded takes the news that a worker has loaded its hook, which has these points.
+func (p *Policy) WorkerLoaded(now Time, workerID int, points plugin.Points) {
 	p.now = now
-	w := p.workers[id]
+	w := p.workers[workerID]
 	if w == nil {
 		return
 	}
 	if w.loaded {
-		p.workerFailed(w, "its worker came up twice")
+		p.workerFailed(w, ErrLoadedTwice)
 		return
 	}
 	w.loaded = true
@@ -80,42 +83,27 @@
 	if h.Points != 0 {
 		h.points &= h.Points.With(plugin.Unload)
 	}
-	points = h.points
-	if !points.Has(plugin.OnRequest) {
+	if !h.points.Has(plugin.OnRequest) {
 		h.passQueuedRequests(p)
 	}
 	h.dispatch(p)
 	if s := h.set; s.state == setLoading && s.isLoaded() {
 		p.loading = nil
 		p.activate(s)
-		p.log("hooks: the new set is in place (%d of them)", len(s.hooks))
+		p.log(slog.LevelInfo, "hook set loaded", slog.Int("hooks", len(s.hooks)))
 	}
 	p.releaseRetired()
 }
 
-// passQueuedRequests passes what waits for a verdict of a hook that turns out to give none.
-func (h *hook) passQueuedRequests(p *Policy) {
-	waiting := h.waiting
-	h.waiting = nil
-	for _, c := range waiting {
-		if !c.isRequest {
-			h.waiting = append(h.waiting, c)
-			continue
-		}
-		c.hook = nil
-		c.hookIndex++
-		p.continueRequest(c)
-	}
-}
-
-// WorkerEnded says that a worker has ended by itself, or refused its hook, for this reason.
-func (p *Policy) WorkerEnded(now Time, id int, why string) {
+// WorkerEnded takes the news that a worker has ended by itself, or could not load its hook.
+func (p *Policy) WorkerEnded(now Time, workerID int, cause error) {
 	p.now = now
-	if w := p.workers[id]; w != nil {
-		p.workerFailed(w, why)
+	if w := p.workers[workerID]; w != nil {
+		p.workerFailed(w, cause)
 	}
 }
 
+// isLoaded reports whether each hook has a worker that has loaded it.
 func (s *set) isLoaded() bool {
 	for _, h := range s.hooks {
 		if h.worker == nil || !h.worker.loaded {
@@ -125,16 +113,16 @@
 	return true
 }
 
-// failLoading gives a set up that was to take over.
-func (s *set) failLoading(p *Policy, h *hook, why string) {
-	p.log("hook %s: %s; the hooks before stay", h.Name, why)
+// failLoading gives up a set of which one hook did not load. The active set stays.
+func (s *set) failLoading(p *Policy, h *hook, cause error) {
+	p.log(slog.LevelError, "hook set not loaded", slog.String("hook", h.Name), slog.Any("cause", cause))
 	if p.loading == s {
 		p.loading = nil
 	}
 	p.discard(s)
 }
 
-// discard ends a set that nobody was ever in.
+// discard ends a set that never evaluated a request.
 func (p *Policy) discard(s *set) {
 	s.state = setUnloading
 	for _, h := range s.hooks {
@@ -143,7 +131,7 @@
 	p.emit(Action{Kind: ReleaseSet, Set: s.number})
 }
 
-// activate has a set take over. Requests that are in the present one finish there.
+// activate has a set take over; nil for none. Requests that are open in the active set finish there.
 func (p *Policy) activate(s *set) {
 	if p.active != nil {
 		p.retiring = append(p.retiring, p.active)
@@ -154,9 +142,10 @@
 	p.active = s
 }
 
-// releaseRetired ends old sets in which no request is left, and tells the end of all.
+// releaseRetired unloads retired sets without open requests and releases those that have unloaded. After Close it reports
+// the end of the last one.
 func (p *Policy) releaseRetired() {
-	kept := p.retiring[:0]
+	remaining := p.retiring[:0]
 	for _, s := range p.retiring {
 		if s.openRequests == 0 && s.state != setUnloading {
 			s.unload(p)
@@ -165,25 +154,26 @@
 			p.emit(Action{Kind: ReleaseSet, Set: s.number})
 			continue
 		}
-		kept = append(kept, s)
+		remaining = append(remaining, s)
 	}
-	clear(p.retiring[len(kept):])
-	p.retiring = kept
+	clear(p.retiring[len(remaining):])
+	p.retiring = remaining
 	if p.closed && !p.closeReported && len(p.workers) == 0 && len(p.retiring) == 0 {
 		p.closeReported = true
 		p.emit(Action{Kind: FinishClose})
 	}
 }
 
-// unload has the set's workers unload.
+// unload has the set's workers unload their hooks, and ends those whose hooks do not have the point. No request is open in
+// the set, so that the queues hold notifications alone.
 func (s *set) unload(p *Policy) {
 	s.state = setUnloading
 	for _, h := range s.hooks {
-		h.suspendedUntil = 0
-		for _, c := range h.waiting {
-			p.releaseCall(c) // looks: no request is in the set
+		h.suspension.until = 0
+		for _, c := range h.queue {
+			p.releaseCall(c)
 		}
-		h.waiting = nil
+		h.queue = nil
 		w := h.worker
 		if w == nil {
 			continue
@@ -200,6 +190,7 @@
 	}
 }
 
+// hasStopped reports whether no worker of the set is left.
 func (s *set) hasStopped() bool {
 	for _, h := range s.hooks {
 		if h.worker != nil {
@@ -209,16 +200,16 @@
 	return true
 }
 
-// Close ends all: requests that wait are decided by on_failure at once, and workers have a short time to unload.
-// Nothing is taken any more.
+// Close ends all hooks: open requests get the verdicts of their hooks' FailureModes at once, and workers have a short time
+// to unload. No request and no set is taken from here on.
 func (p *Policy) Close(now Time) {
 	if p.closed {
 		return
 	}
 	p.now = now
 	p.closed = true
-	for c := p.oldest; c != nil; c = p.oldest {
-		p.expire(c)
+	for p.oldest != nil {
+		p.expire(p.oldest)
 	}
 	if p.loading != nil {
 		p.discard(p.loading)
@@ -228,7 +219,8 @@
 	p.releaseRetired()
 }
 
-// advance has a request asked by the next hook that wants it, from where it is on.
+// advance hands a request to the next hook that evaluates it, from its hookIndex on. Hooks that take no call count by their
+// FailureMode.
 func (s *set) advance(p *Policy, c *call) progress {
 	for ; c.hookIndex < len(s.hooks); c.hookIndex++ {
 		h := s.hooks[c.hookIndex]
@@ -240,9 +232,9 @@
 			h.enqueue(p, c)
 			return advanced
 		}
-		h.Counts.Skipped++
+		h.counts.Skipped++
 		if h.OnFailure == RejectOnFailure {
-			p.reject(c, h)
+			c.reject(h)
 			return rejected
 		}
 	}
--- a/internal/hooks/policy/set_test.go
+++ b/internal/hooks/policy/set_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"errors"
 	"slices"
 	"testing"
 
@@ -43,16 +44,16 @@
 	f.p.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
 	f.carry()
 	f.p.WorkerLoaded(f.now, f.of(0), requestPoint)
-	f.p.WorkerEnded(f.now, f.of(1), "does not load: not a module")
+	f.p.WorkerEnded(f.now, f.of(1), errors.New("does not load: not a module"))
 	f.carry()
-	f.logged("hook c: does not load: not a module; the hooks before stay")
+	f.logged(`msg="hook set not loaded" hook=c cause="does not load: not a module"`)
 	if !slices.Equal(f.running(), []int{old}) || !slices.Equal(f.dropped, []int{2}) {
 		t.Errorf("running %v, dropped %v", f.running(), f.dropped)
 	}
 	f.p.Load(f.now, settings(hookNamed("d")))
 	f.carry()
 	f.pass(20_000 * ms) // it never comes up
-	f.logged("hook d: its worker did not come up in time")
+	f.logged(`msg="hook set not loaded" hook=d cause="worker did not load its hook in time"`)
 	if !slices.Equal(f.running(), []int{old}) {
 		t.Errorf("running %v", f.running())
 	}
@@ -86,7 +87,7 @@
 	strict.OnFailure = RejectOnFailure
 	f.p.Load(f.now, settings(strict))
 	f.carry()
-	f.p.WorkerEnded(f.now, f.of(0), "does not load: x")
+	f.p.WorkerEnded(f.now, f.of(0), errors.New("does not load: x"))
 	f.carry()
 	f.ask(1, "read")
 	f.has(1, plugin.Reject, 0)
--- a/internal/hooks/policy/status.go
+++ b/internal/hooks/policy/status.go
@@ -1,86 +1,101 @@
 package policy
 
 import (
+	"cmp"
 	"slices"
 
 	"starlingwinch/internal/plugin"
 )
 
-// Counts are what has happened at a hook.
+// Counts are what has happened at a hook since its set was loaded.
 type Counts struct {
-	Calls               int  // calls, looks among them
-	Passed              int  // verdicts
-	Rejected            int  //
-	FailedRequests      int  // verdicts that fail the request
+	Calls               int  // calls, notifications among them
+	Passed              int  // verdicts that let a request pass
+	Rejected            int  // verdicts that reject a request
+	FailedRequests      int  // verdicts that fail a request
 	FailedCalls         int  // calls that gave no verdict
-	TimedOut            int  // requests that waited their time
-	Skipped             int  // requests that found the hook out, or its queue full
-	MissedNotifications int  // looks that did
+	TimedOut            int  // requests that waited to their deadline
+	Skipped             int  // requests that found the hook without a worker, beyond its CPU fraction or its queue full
+	MissedNotifications int  // notifications that did
 	Restarts            int  // workers that were lost
 	Suspended           int  // suspensions
-	RunTime             Time // of its core
+	RunTime             Time // of its calls
 }
 
-// HookStatus is one hook of the present set.
+// State is whether a hook takes calls.
+type State string
+
+// The states of a hook.
+const (
+	StateUp        State = "up"        // its worker has loaded it
+	StateStarting  State = "starting"  // its worker has not loaded it yet
+	StateSuspended State = "suspended" // it failed too often
+)
+
+// HookStatus is the status of one hook of the active set.
 type HookStatus struct {
 	Name         string
-	State        string // "up", "starting" or "suspended"
-	PendingCalls int    // that wait for it or run
+	State        State
+	PendingCalls int // calls that are queued or in flight
 	Counts       Counts
 	Tags         []Tag // in the order of their names
 }
 
-// Tag is a name that a hook gives requests.
+// Tag is a name that a hook gives requests, and how often it did.
 type Tag struct {
 	Name  string
 	Count int
 }
 
-// OtherTags is the tag under which those are counted that are too many.
+// OtherTags is the tag that counts those beyond the bound on names.
 const OtherTags = "(others)"
 
-// countVerdict counts a verdict.
+// maxTagNames bounds the names of tags that are counted by themselves for one hook.
+const maxTagNames = 64
+
+// countVerdict counts a verdict and its tags.
 func (h *hook) countVerdict(v *plugin.Verdict) {
 	switch v.Decision {
 	case plugin.Pass:
-		h.Counts.Passed++
+		h.counts.Passed++
 	case plugin.Reject:
-		h.Counts.Rejected++
+		h.counts.Rejected++
 	case plugin.Fail:
-		h.Counts.FailedRequests++
+		h.counts.FailedRequests++
 	}
-	for _, t := range v.Tags {
-		if _, known := h.tags[t]; !known && len(h.tags) >= maxTagNames {
-			t = OtherTags
+	for _, name := range v.Tags {
+		_, known := h.tags[name]
+		if !known && len(h.tags) >= maxTagNames {
+			name = OtherTags
 		}
-		h.tags[t]++
+		h.tags[name]++
 	}
 }
 
-// Status tells of the hooks of the present set, in their order.
+// Status returns the status of each hook of the active set, in the order in which they are called.
 func (p *Policy) Status() []HookStatus {
 	if p.active == nil {
 		return nil
 	}
-	var rows []HookStatus
+	var all []HookStatus
 	for _, h := range p.active.hooks {
-		row := HookStatus{Name: h.Name, State: "up", PendingCalls: h.pendingCalls(), Counts: h.Counts}
-		switch {
-		case h.suspendedUntil > 0:
-			row.State = "suspended"
-		case h.worker == nil || !h.worker.loaded:
-			row.State = "starting"
-		}
-		for name, n := range h.tags { // any order
-			row.Tags = append(row.Tags, Tag{name, n})
-		}
-		slices.SortFunc(row.Tags, func(a, b Tag) int {
-			if a.Name < b.Name {
-				return -1
-			}
-			return 1
-		})
-		rows = append(rows, row)
+		all = append(all, h.status())
+	}
+	return all
+}
+
+// status returns the hook's status.
+func (h *hook) status() HookStatus {
+	status := HookStatus{Name: h.Name, State: StateUp, PendingCalls: h.pendingCalls(), Counts: h.counts}
+	switch {
+	case h.suspension.active():
+		status.State = StateSuspended
+	case h.worker == nil || !h.worker.loaded:
+		status.State = StateStarting
+	}
+	for name, n := range h.tags { // any order: sorted below
+		status.Tags = append(status.Tags, Tag{name, n})
 	}
-	return rows
+	slices.SortFunc(status.Tags, func(a, b Tag) int { return cmp.Compare(a.Name, b.Name) })
+	return status
 }
--- a/internal/hooks/real_test.go
+++ b/internal/hooks/real_test.go
@@ -14,6 +14,7 @@
 	"starlingwinch/internal/plugin"
 	"starlingwinch/internal/plugin/wasmfile"
 	"starlingwinch/internal/plugin/worker"
+	"starlingwinch/internal/structuredlog"
 )
 
 // TestMain is also the process of a worker.
@@ -50,7 +51,7 @@
 		defer c.Close()
 		worker.Serve(c, nil)
 	}
-	if r.h, err = New(m, cfg, func(line string) { r.lines = append(r.lines, line) }); err != nil {
+	if r.h, err = New(m, cfg, structuredlog.New(structuredlog.SinkFunc(func(line string) { r.lines = append(r.lines, line) }))); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -183,10 +184,10 @@
 		r.ready(next)
 	})
 	r.logged("its budget") // by the worker itself, or with its process where it came too late to that
-	r.logged("hook moody: crashed: moody:")
-	r.logged("hook moody: gave no verdict: a value of the type int")
-	r.logged("hook moody: says: (497 more lines dropped)")
-	r.logged("hook moody: crashed: moody:24:14") // at unload
+	r.logged(`hook=moody cause="crashed: moody:`)
+	r.logged(`hook=moody cause="gave no verdict: a value of the type int`)
+	r.logged(`msg="hook message" hook=moody text="(497 more lines dropped)"`)
+	r.logged(`hook=moody cause="crashed: moody:24:14`) // at unload
 }
 
 func TestWhatCanNotBeInterruptedIsEndedWithItsProcess(t *testing.T) {
@@ -236,10 +237,10 @@
 func TestHooksThatAreNoneAreNamedAndTheOldSetServes(t *testing.T) {
 	good := script("good", "def on_request(r):\n    return refuse(5)\n")
 	for want, code := range map[string]string{ // any order
-		"hook bad: does not load: bad:2:5: got end of file, want primary expression": "x = ",
-		"hook bad: other contract: it was built for version 2":                       "version = 2\n",
-		"hook bad: crashed: bad:3:14: floored division by zero":                      "def on_load():\n    return 1 // 0\ndef on_request(r):\n    pass\n",
-		"hook bad: overran its budget":                                               "def on_load():\n    for i in range(1 << 40):\n        pass\ndef on_request(r):\n    pass\n",
+		`hook=bad cause="does not load: bad:2:5: got end of file, want primary expression`: "x = ",
+		`hook=bad cause="other contract: it was built for version 2`:                       "version = 2\n",
+		`hook=bad cause="crashed: bad:3:14: floored division by zero`:                      "def on_load():\n    return 1 // 0\ndef on_request(r):\n    pass\n",
+		`hook=bad cause="overran its budget`:                                               "def on_load():\n    for i in range(1 << 40):\n        pass\ndef on_request(r):\n    pass\n",
 	} {
 		bad := script("bad", code)
 		bad.LoadTime, bad.Budget.LoadTime = 200_000, 200_000
--- a/internal/hooks/virtual_test.go
+++ b/internal/hooks/virtual_test.go
@@ -10,6 +10,7 @@
 	"starlingwinch/internal/hooks/policy"
 	"starlingwinch/internal/machine"
 	"starlingwinch/internal/plugin"
+	"starlingwinch/internal/structuredlog"
 	"starlingwinch/internal/testbench/sim"
 )
 
@@ -32,7 +33,7 @@
 	f.m = f.host.Machine()
 	f.host.Worker = s.Worker(f.host.Machine)
 	var err error
-	if f.h, err = New(f.m, cfg, func(line string) { f.lines = append(f.lines, line) }); err != nil {
+	if f.h, err = New(f.m, cfg, structuredlog.New(structuredlog.SinkFunc(func(line string) { f.lines = append(f.lines, line) }))); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -151,7 +152,7 @@
 			t.Errorf("request %d: %+v after %d us", id, f.verdicts[id], f.at[id]-began)
 		}
 	}
-	f.logged("a call went on beyond its budget")
+	f.logged(policy.ErrCallTimeout.Error())
 	f.close()
 }
 
@@ -248,7 +249,7 @@
 	f.pass(20 * sim.Millisecond)
 	f.h.Reload(set(one("b"), one("bad")))
 	f.pass(20 * sim.Millisecond)
-	f.logged("hook bad: other contract: it was built for version 2; the hooks before stay")
+	f.logged(`msg="hook set not loaded" hook=bad cause="other contract: it was built for version 2"`)
 	if rows := f.h.Status(); len(rows) != 1 || rows[0].Name != "a" || !f.h.Ready() {
 		t.Errorf("%+v", rows)
 	}
@@ -274,7 +275,7 @@
 	h.Inside = true
 	f := newField(t, 1, &hookstest.Script{}, set(h))
 	f.pass(20 * sim.Millisecond)
-	f.logged("hook a: runs in a process, as none may run inside of this router")
+	f.logged(`msg="hook runs in a process, not inside the router" hook=a`)
 	if !f.h.Ready() {
 		t.Error("it does not run")
 	}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -184,7 +184,7 @@
 	if r.addressDeadline > 0 {
 		r.logStartProgress("has-address", slog.String("address", r.frontend.Addr()))
 	}
-	if r.hooks, err = hooks.New(r.m, r.cfg.Hooks, r.logSentence); err != nil {
+	if r.hooks, err = hooks.New(r.m, r.cfg.Hooks, r.logger); err != nil {
 		return err
 	}
 	r.ProcessEvents()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -187,9 +187,6 @@
 	return limits
 }
 
-// logSentence logs a line of a package that words its lines itself.
-func (r *Router) logSentence(line string) { r.logger.Info(line) }
-
 // Addr returns the address for clients; empty while the router waits for it.
 func (r *Router) Addr() string {
 	if r.frontend == nil {
--- a/internal/testbench/lab/hooks_test.go
+++ b/internal/testbench/lab/hooks_test.go
@@ -18,14 +18,14 @@
 		{script.HookRefuse, "", false},
 		{script.HookFail, "", false},
 		{script.HookHang, "went on beyond its budget", false},
-		{script.HookDie, "its worker ended", false},
+		{script.HookDie, "worker exited", false},
 		{script.HookCrash, "crashed", false},
 		{script.HookOverrun, "overran its budget", false},
-		{script.HookNonsense, "out of turn", false},
-		{script.HookTwice, "an answer to nothing", true},
+		{script.HookNonsense, "violated its protocol", false},
+		{script.HookTwice, "an unexpected reply", true},
 		{script.HookLoadCrash, "does not load", false},
-		{script.HookLoadHang, "did not come up in time", false},
-		{script.HookLoadDie, "its worker ended", false},
+		{script.HookLoadHang, "did not load its hook in time", false},
+		{script.HookLoadDie, "worker exited", false},
 		{script.HookTag, "seen", true},
 	} {
 		t.Run(c.kind, func(t *testing.T) {
@@ -33,7 +33,7 @@
 			s.Hooks = []script.Hook{{Kind: c.kind, Class: "call-lookup", OnFailure: script.OnFailureRefuse}}
 			told := false
 			r := mustRun(t, s, lab.Options{Node: node.Start, Timeline: func(_ lab.Time, line string) {
-				told = told || strings.Contains(line, "hook 1-"+c.kind) && strings.Contains(line, c.text)
+				told = told || strings.Contains(line, "hook=1-"+c.kind+" ") && strings.Contains(line, c.text)
 			}})
 			for _, b := range r.Broken {
 				t.Error(b)
