--- a/internal/hooks/config.go
+++ b/internal/hooks/config.go
@@ -13,7 +13,7 @@
 	"starlingwinch/internal/plugin/worker"
 )
 
-// File is an operators' file of the kind "hooks".
+// File is an operators' file of the kind "hooks", as it is written.
 type File struct {
 	Folder          string              `toml:"folder" min:"1" max:"4096" doc:"where the hooks' files are"`
 	MaxWaitFraction float64             `toml:"wait_share" min:"0.001" max:"0.9" doc:"of the time that a client waits, a request waits for all hooks together at most"`
@@ -23,7 +23,7 @@
 	Hooks           []Entry             `toml:"hook"`
 }
 
-// Defaults holds for hooks whose own entry says nothing else.
+// Defaults are the values for hooks whose own entry leaves them out.
 type Defaults struct {
 	OnFailure   string              `toml:"on_failure" words:"pass,refuse" doc:"what becomes of a request that a hook could not judge"`
 	RetryAfter  time.Duration       `toml:"refuse_wait" min:"0s" max:"1m" doc:"for which a client stays away that is refused so"`
@@ -39,7 +39,7 @@
 	LogLineSize int                 `toml:"log_line" min:"16" max:"512" doc:"bytes of a line"`
 }
 
-// Entry is one hook, in the order in which they are asked.
+// Entry is one hook of a File. Hooks are called in the order of their entries.
 type Entry struct {
 	File       string   `toml:"file" min:"1" max:"255" doc:"its file in the folder; .wasm for WebAssembly, .star for a script"`
 	Points     []string `toml:"points" max:"3" doc:"it is asked at these alone: request, answered, list; empty for all that it has"`
@@ -57,12 +57,21 @@
 	CPUFraction float64             `toml:"share" min:"0" max:"1" doc:"0 for that of each"`
 }
 
-// maxHooks of a set. Each has a process.
+// maxHooks bounds the hooks of a set, as each has a process.
 const maxHooks = 16
 
-// DefaultFile is what holds where no file says otherwise: no hooks.
+// scriptEngine is the engine whose hooks can't run inside the router.
+const scriptEngine = "script"
+
+// The words of isolation and on_failure that differ from the defaults.
+const (
+	isolationInside = "inside"
+	onFailureRefuse = "refuse"
+)
+
+// DefaultFile returns the values that apply where no file sets them: no hooks.
 func DefaultFile() File {
-	u := plugin.DefaultBudget
+	budget := plugin.DefaultBudget
 	return File{
 		Folder:          "hooks",
 		MaxWaitFraction: 0.1,
@@ -72,68 +81,76 @@
 			OnFailure:   "pass",
 			RetryAfter:  time.Second,
 			Isolation:   "process",
-			Time:        time.Duration(u.Time) * time.Microsecond,
-			LoadTime:    time.Duration(u.LoadTime) * time.Microsecond,
-			Steps:       int(u.Steps),
-			Depth:       u.Depth,
-			Memory:      operatorconfig.Size(u.Memory),
+			Time:        time.Duration(budget.Time) * time.Microsecond,
+			LoadTime:    time.Duration(budget.LoadTime) * time.Microsecond,
+			Steps:       int(budget.Steps),
+			Depth:       budget.Depth,
+			Memory:      operatorconfig.Size(budget.Memory),
 			Queue:       64,
 			CPUFraction: 0.25,
-			LogLines:    u.LogLines,
-			LogLineSize: u.LogLineSize,
+			LogLines:    budget.LogLines,
+			LogLineSize: budget.LogLineSize,
 		},
 	}
 }
 
-// Kind is the kind of file that sets it.
+// Kind is the kind "hooks" of operators' files.
 var Kind = operatorconfig.Define("hooks", "the operators' own hooks, and what they may use", DefaultFile(), checkFile)
 
+// pointNames are the points that an entry may name.
 var pointNames = map[string]plugin.Point{
 	"request":  plugin.OnRequest,
 	"answered": plugin.Answered,
 	"list":     plugin.ListChanged,
 }
 
-// checkFile looks at what no single range tells.
-func checkFile(f File, bad operatorconfig.ReportFunc) {
+// checkFile checks what the range of no single value covers.
+func checkFile(f File, report operatorconfig.ReportFunc) {
 	if len(f.Hooks) > maxHooks {
-		bad("hook", "%d hooks (wanted at most %d)", len(f.Hooks), maxHooks)
+		report("hook", "%d hooks (wanted at most %d)", len(f.Hooks), maxHooks)
 	}
 	total := operatorconfig.Size(0)
 	names := map[string]bool{}
 	for i, e := range f.Hooks {
-		key := func(name string) string { return fmt.Sprintf("hook[%d].%s", i, name) }
-		switch {
-		case e.File == "":
-			bad(fmt.Sprintf("hook[%d]", i), "it names no file")
+		if e.File == "" {
+			report(fmt.Sprintf("hook[%d]", i), "it names no file")
 			continue
-		case e.File != filepath.Base(e.File) || strings.HasPrefix(e.File, "."):
-			bad(key("file"), "not a file's name alone (%.64q)", e.File)
-		case engineOf(e.File) == nil:
-			bad(key("file"), "unknown ending (%.64q, wanted %s)", e.File, fileExtensions())
-		case names[hookName(e.File)]:
-			bad(key("file"), "a hook of this name stands twice (%.64q)", hookName(e.File))
-		}
-		names[hookName(e.File)] = true
-		for _, p := range e.Points {
-			if _, known := pointNames[p]; !known {
-				bad(key("points"), "unknown point %.40q (wanted request, answered or list)", p)
-			}
 		}
 		h := f.hook(e)
-		if h.Inside && h.Engine == "script" {
-			bad(key("isolation"), "a script can't be bounded inside the router (inside, wanted process)")
-		}
-		if h.Inside && (h.Budget.Depth == 0 || h.Budget.Steps == 0) {
-			bad(key("isolation"), "inside the router, each.depth and steps must bound a module (0)")
-		}
+		checkEntry(i, e, h, names[h.Name], report)
+		names[h.Name] = true
 		total += operatorconfig.Size(h.Budget.Memory) + worker.MemoryOverhead
 	}
 	if total > f.MaxMemory {
-		bad("memory_most", "below what the hooks may take together (%s, wanted at least %s)", f.MaxMemory, total)
+		report("memory_most", "below what the hooks may take together (%s, wanted at least %s)", f.MaxMemory, total)
+	}
+}
+
+// checkEntry checks one entry that names a file. duplicate says that an entry before has the same name.
+func checkEntry(i int, e Entry, h Hook, duplicate bool, report operatorconfig.ReportFunc) {
+	key := func(name string) string { return fmt.Sprintf("hook[%d].%s", i, name) }
+	switch {
+	case e.File != filepath.Base(e.File) || strings.HasPrefix(e.File, "."):
+		report(key("file"), "not a file's name alone (%.64q)", e.File)
+	case engineOf(e.File) == nil:
+		report(key("file"), "unknown ending (%.64q, wanted %s)", e.File, fileExtensions())
+	case duplicate:
+		report(key("file"), "a hook of this name stands twice (%.64q)", h.Name)
+	}
+	for _, point := range e.Points {
+		if _, known := pointNames[point]; !known {
+			report(key("points"), "unknown point %.40q (wanted request, answered or list)", point)
+		}
+	}
+	if h.Inside && h.Engine == scriptEngine {
+		report(key("isolation"), "a script can't be bounded inside the router (inside, wanted process)")
+	}
+	if h.Inside && (h.Budget.Depth == 0 || h.Budget.Steps == 0) {
+		report(key("isolation"), "inside the router, each.depth and steps must bound a module (0)")
 	}
 }
 
+// engineOf returns the engine that runs a file, by its extension; nil for none.
 func engineOf(file string) plugin.Engine {
 	for _, e := range worker.Engines {
 		if e.FileExtension() == filepath.Ext(file) {
@@ -143,6 +160,7 @@
 	return nil
 }
 
+// fileExtensions words the extensions that some engine runs.
 func fileExtensions() string {
 	var all []string
 	for _, e := range worker.Engines {
@@ -151,35 +169,35 @@
 	return configerror.OneOf(all)
 }
 
-// hookName is the name of a hook: its file's, without the ending.
+// hookName returns the name of a hook: its file's, without the extension.
 func hookName(file string) string { return strings.TrimSuffix(file, filepath.Ext(file)) }
 
-// hook is an entry with what each says, and without the code.
+// hook returns an entry's hook, with the defaults and without the code.
 func (f File) hook(e Entry) Hook {
-	each := f.Defaults
-	us := func(d time.Duration) plugin.Time { return d.Microseconds() }
+	defaults := f.Defaults
+	microseconds := func(d time.Duration) plugin.Time { return d.Microseconds() }
 	h := Hook{
 		Hook: policy.Hook{
 			Name:        hookName(e.File),
 			Classes:     e.Classes,
-			RetryAfter:  us(firstSet(e.RetryAfter, each.RetryAfter)),
-			Time:        us(firstSet(e.Time, each.Time)),
-			LoadTime:    us(firstSet(e.LoadTime, each.LoadTime)),
-			Queue:       firstSet(e.Queue, each.Queue),
-			CPUFraction: firstSet(e.CPUFraction, each.CPUFraction),
+			RetryAfter:  microseconds(firstSet(e.RetryAfter, defaults.RetryAfter)),
+			Time:        microseconds(firstSet(e.Time, defaults.Time)),
+			LoadTime:    microseconds(firstSet(e.LoadTime, defaults.LoadTime)),
+			Queue:       firstSet(e.Queue, defaults.Queue),
+			CPUFraction: firstSet(e.CPUFraction, defaults.CPUFraction),
 		},
 		WantsValue: e.WantsValue,
-		Inside:     firstSet(e.Isolation, each.Isolation) == "inside",
+		Inside:     firstSet(e.Isolation, defaults.Isolation) == isolationInside,
 		Budget: plugin.Budget{
-			Steps:       int64(firstSet(e.Steps, each.Steps)),
-			Depth:       each.Depth,
-			Memory:      int64(firstSet(e.Memory, each.Memory)),
-			LogLines:    each.LogLines,
-			LogLineSize: each.LogLineSize,
+			Steps:       int64(firstSet(e.Steps, defaults.Steps)),
+			Depth:       defaults.Depth,
+			Memory:      int64(firstSet(e.Memory, defaults.Memory)),
+			LogLines:    defaults.LogLines,
+			LogLineSize: defaults.LogLineSize,
 		},
 	}
 	h.Budget.Time, h.Budget.LoadTime = h.Time, h.LoadTime
-	if firstSet(e.OnFailure, each.OnFailure) == "refuse" {
+	if firstSet(e.OnFailure, defaults.OnFailure) == onFailureRefuse {
 		h.OnFailure = policy.RejectOnFailure
 	}
 	for _, name := range e.Points {
@@ -191,17 +209,17 @@
 	return h
 }
 
-// firstSet is the first of two that is set.
-func firstSet[T comparable](own, each T) T {
-	var none T
-	if own == none {
-		return each
+// firstSet returns an entry's own value, or the default where that is zero.
+func firstSet[T comparable](own, byDefault T) T {
+	var zero T
+	if own == zero {
+		return byDefault
 	}
 	return own
 }
 
-// Read reads the hooks' files. It takes as long as the disk does, and starts nothing. The error names each file that can't
-// be read.
+// Read reads the hooks' files and returns their configuration. It blocks on the disk, and starts nothing. The error names each
+// file that can't be read.
 func (f File) Read() (Config, error) {
 	c := Config{MaxWaitFraction: f.MaxWaitFraction, MaxWait: f.MaxWait.Microseconds()}
 	var faults configerror.List
--- a/internal/hooks/hookstest/hookstest.go
+++ b/internal/hooks/hookstest/hookstest.go
@@ -1,5 +1,5 @@
-// Package hookstest plays workers on a virtual machine, so that a test or the lab decides what a hook does, at which
-// instant, without an engine or a process.
+// Package hookstest plays workers on a virtual machine, so that a test or the lab decides what a hook does, and when, without
+// an engine or a process.
 package hookstest
 
 import (
@@ -10,29 +10,33 @@
 	"starlingwinch/internal/plugin/wire"
 )
 
+// readSize is the number of bytes that a player reads at a time.
+const readSize = 4096
+
 // Act is what a hook does with one call.
 type Act struct {
-	After   machine.Time // so long after the call's turn has come
+	After   machine.Time // the delay from the call's turn to what follows
 	Verdict plugin.Verdict
-	Fail    *plugin.Failure // instead of the verdict
-	Hang    bool            // it never comes back
-	Die     bool            // its worker ends
-	Say     []byte          // bytes instead of an answer
-	Twice   bool            // it answers twice
+	Fail    *plugin.Failure // a failure in place of the verdict
+	Hang    bool            // the call never returns
+	Die     bool            // the worker ends
+	Say     []byte          // bytes in place of a reply
+	Twice   bool            // the reply is sent twice
 }
 
-// Script decides what hooks do. Both functions may be nil: then hooks load, ask to be asked for requests, and pass.
+// Script decides what hooks do. Both functions may be nil: then hooks load, have the point OnRequest, and pass.
 type Script struct {
-	// Load decides how a hook comes up: an Act whose Fail refuses it.
+	// Load decides how a hook loads: an Act whose Fail is set refuses it.
 	Load func(hook string) (plugin.Points, Act)
+	// Call decides what a hook does with a call.
 	Call func(hook string, c *plugin.Call) Act
 
-	players []*player // that may run
+	players []*player // those that may still run
 }
 
 // Up counts the workers that run, by their hooks; "" is for those that have not loaded one.
 func (s *Script) Up() map[string]int {
-	s.forget()
+	s.removeEnded()
 	up := map[string]int{}
 	for _, p := range s.players {
 		up[p.hook]++
@@ -40,33 +44,33 @@
 	return up
 }
 
-// forget drops the players that have ended. Nobody tells one that was killed.
-func (s *Script) forget() {
+// removeEnded removes the players that have ended. One that was killed finds out by reading its connection.
+func (s *Script) removeEnded() {
 	s.players = slices.DeleteFunc(s.players, func(p *player) bool { return !p.read() })
 }
 
-// Worker plays a worker: it is the Worker of a sim.Host whose process is m.
+// Worker returns a function that plays a worker: the Worker of a sim.Host whose process is m.
 func (s *Script) Worker(m func() machine.Machine) func(args []string, c machine.Conn) machine.Handler {
 	return func(_ []string, c machine.Conn) machine.Handler {
-		s.forget()
-		p := &player{s: s, m: m(), c: c}
+		s.removeEnded()
+		p := &player{script: s, machine: m(), conn: c}
 		s.players = append(s.players, p)
 		return p
 	}
 }
 
-// player is one worker. What it does takes its time, and the calls behind it wait.
+// player is one worker. It handles one call at a time, and the calls behind it wait.
 type player struct {
-	s    *Script
-	m    machine.Machine
-	c    machine.Conn
-	hook string
-	in   []byte
-	busy bool // or hung
-	over bool
+	script   *Script
+	machine  machine.Machine
+	conn     machine.Conn
+	hook     string // empty until it has loaded one
+	received []byte // frames that are not yet handled
+	busy     bool   // a call runs, or hangs
+	ended    bool
 }
 
-// Writable implements machine.Handler. What is not taken at once is lost: answers are small.
+// Writable implements machine.Handler. Bytes that the connection does not take at once are lost, as replies are small.
 func (p *player) Writable() {}
 
 // Readable implements machine.Handler.
@@ -75,15 +79,15 @@
 		p.end()
 		return
 	}
-	p.next()
+	p.handleFrames()
 }
 
 // read takes what has come in, and reports whether more may come.
 func (p *player) read() bool {
-	var b [4096]byte
-	for !p.over {
-		n, err := p.c.Read(b[:])
-		p.in = append(p.in, b[:n]...)
+	var buffer [readSize]byte
+	for !p.ended {
+		n, err := p.conn.Read(buffer[:])
+		p.received = append(p.received, buffer[:n]...)
 		if err != nil {
 			return err == machine.ErrWait
 		}
@@ -91,15 +95,16 @@
 	return false
 }
 
+// end ends the worker.
 func (p *player) end() {
-	p.over = true
-	p.c.Close()
+	p.ended = true
+	p.conn.Close()
 }
 
-// next takes the next frame, if there is one.
-func (p *player) next() {
-	for !p.busy && !p.over {
-		kind, body, rest, err := wire.Next(p.in, wire.MaxFrameToWorker)
+// handleFrames handles whole frames until a call takes time.
+func (p *player) handleFrames() {
+	for !p.busy && !p.ended {
+		kind, body, rest, err := wire.Next(p.received, wire.MaxFrameToWorker)
 		if err != nil || kind == 0 {
 			return
 		}
@@ -107,57 +112,68 @@
 		act := Act{}
 		switch kind {
 		case wire.KindLoad:
-			l, _ := wire.ParseLoad(body)
-			p.hook = l.Name
-			points := plugin.Points(0).With(plugin.OnRequest)
-			if p.s.Load != nil {
-				points, act = p.s.Load(p.hook)
-			}
-			frame = wire.AppendLoaded(nil, points)
-			if act.Fail != nil {
-				frame = wire.AppendLoadFailed(nil, act.Fail)
-			}
+			act, frame = p.load(body)
 		case wire.KindCall:
-			var c plugin.Call
-			seq, _ := wire.ParseCall(body, &c)
-			if p.s.Call != nil {
-				act = p.s.Call(p.hook, &c)
-			}
-			r := wire.Reply{Sequence: seq, RunTime: max(1, act.After), Verdict: act.Verdict}
-			if act.Fail != nil {
-				r.Failed, r.Kind, r.Text = true, act.Fail.Kind, act.Fail.Text
-			}
-			frame = wire.AppendReply(nil, &r)
+			act, frame = p.call(body)
 		}
-		p.in = append([]byte(nil), rest...)
-		p.act(act, frame)
+		p.received = append([]byte(nil), rest...)
+		p.perform(act, frame)
+	}
+}
+
+// load returns what a hook does when it is loaded, and the frame that answers.
+func (p *player) load(body []byte) (act Act, frame []byte) {
+	load, _ := wire.ParseLoad(body)
+	p.hook = load.Name
+	points := plugin.Points(0).With(plugin.OnRequest)
+	if p.script.Load != nil {
+		points, act = p.script.Load(p.hook)
+	}
+	if act.Fail != nil {
+		return act, wire.AppendLoadFailed(nil, act.Fail)
+	}
+	return act, wire.AppendLoaded(nil, points)
+}
+
+// call returns what a hook does with a call, and the frame that answers.
+func (p *player) call(body []byte) (act Act, frame []byte) {
+	var call plugin.Call
+	sequence, _ := wire.ParseCall(body, &call)
+	if p.script.Call != nil {
+		act = p.script.Call(p.hook, &call)
+	}
+	reply := wire.Reply{Sequence: sequence, RunTime: max(1, act.After), Verdict: act.Verdict}
+	if act.Fail != nil {
+		reply.Failed, reply.Kind, reply.Text = true, act.Fail.Kind, act.Fail.Text
 	}
+	return act, wire.AppendReply(nil, &reply)
 }
 
-func (p *player) act(a Act, frame []byte) {
+// perform carries out an act, at once or after its delay.
+func (p *player) perform(a Act, frame []byte) {
 	if a.Hang {
 		p.busy = true
 		return
 	}
 	if a.After > 0 {
 		p.busy = true
-		p.m.At(p.m.Now()+a.After, func() {
+		p.machine.At(p.machine.Now()+a.After, func() {
 			p.busy = false
 			a.After = 0
-			p.act(a, frame)
-			p.next()
+			p.perform(a, frame)
+			p.handleFrames()
 		})
 		return
 	}
 	switch {
-	case p.over:
+	case p.ended:
 	case a.Die:
 		p.end()
 	case a.Say != nil:
-		p.c.Write(a.Say)
+		p.conn.Write(a.Say)
 	case a.Twice:
-		p.c.Write(append(frame[:len(frame):len(frame)], frame...))
+		p.conn.Write(append(frame[:len(frame):len(frame)], frame...))
 	default:
-		p.c.Write(frame)
+		p.conn.Write(frame)
 	}
 }
--- a/internal/hooks/policy/cpu_quota.go
+++ b/internal/hooks/policy/cpu_quota.go
@@ -1,8 +1,8 @@
 package policy
 
 const (
-	cpuBurst      Time = 200_000 // CPU time that a hook with a whole core may save up
-	cpuBurstCalls      = 3       // calls that it may save up, where they take longer
+	cpuBurst      = 200_000.0 // µs that a hook with a whole core may save up
+	cpuBurstCalls = 3.0       // calls at their whole budget that a hook may save up, where that is longer
 )
 
 // cpuQuota bounds a hook's CPU time to a fraction of one core, with a burst on top.
@@ -15,7 +15,7 @@
 
 // newCPUQuota returns the quota of a hook that was made at now.
 func newCPUQuota(h Hook, now Time) cpuQuota {
-	burst := max(float64(cpuBurst)*h.CPUFraction, cpuBurstCalls*float64(h.Time))
+	burst := max(cpuBurst*h.CPUFraction, cpuBurstCalls*float64(h.Time))
 	return cpuQuota{fraction: h.CPUFraction, burst: burst, updatedAt: now}
 }
 
