--- a/internal/plugin/draft.go
+++ b/internal/plugin/draft.go
@@ -6,8 +6,8 @@
 	"unicode/utf8"
 )
 
-// Draft is a verdict while a hook makes it. Engines have hooks write into a Draft alone, so that what is a verdict, and
-// what is too much, is the same in all of them. Each method's error is the reason why the hook has failed.
+// Draft is a verdict in the making. Engines have hooks write into a Draft alone, so that all of them accept the same verdicts
+// with the same bounds. Each method's error is a *Failure: the reason why the hook has failed.
 type Draft struct {
 	Budget       Budget
 	Point        Point
@@ -15,22 +15,21 @@
 	droppedLines int // lines that were dropped
 }
 
-// Begin empties v and drafts into it. Its room is used again.
+// Begin resets v and drafts into it.
 func (d *Draft) Begin(p Point, v *Verdict) {
 	v.Reset()
 	d.Point, d.verdict, d.droppedLines = p, v, 0
 }
 
-// Reset empties v and keeps its room.
+// Reset empties v and retains the capacity of its slices.
 func (v *Verdict) Reset() {
 	clear(v.Tags)
 	clear(v.Log)
 	*v = Verdict{Tags: v.Tags[:0], Log: v.Log[:0]}
 }
 
-// Log takes a line. What is beyond the budget is cut off or dropped: a hook that logs too much has not failed.
-//
-// The danger: the lines of one call, a megabyte long or ten thousand of them, would fill the router's memory and log.
+// Log adds a line. A line beyond the budget is cut off or dropped, as a hook could fill the router's memory and log with one
+// call; a hook that logs too much has not failed.
 func (d *Draft) Log(line string) {
 	lines := min(d.Budget.LogLines, MaxLogLines)
 	if len(d.verdict.Log) >= lines {
@@ -40,7 +39,7 @@
 	d.verdict.Log = append(d.verdict.Log, Plain(line, min(d.Budget.LogLineSize, MaxLogLine)))
 }
 
-// AddTag takes a name of the hook's own. Naming it twice is naming it once.
+// AddTag adds a name of the hook's own for the request. A name that was added before has no effect.
 func (d *Draft) AddTag(name string) error {
 	if err := d.requireVerdictPoint("tag"); err != nil {
 		return err
@@ -60,7 +59,7 @@
 	return nil
 }
 
-// SetTenant has the request count as another tenant's.
+// SetTenant has the request count for another tenant.
 func (d *Draft) SetTenant(name string) error {
 	if err := d.requireVerdictPoint("tenant"); err != nil {
 		return err
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// SetText says what a client is told where the request fails.
+// SetText sets the text of the answer where the request fails.
 func (d *Draft) SetText(text string) error {
 	if err := d.requireVerdictPoint("text"); err != nil {
 		return err
@@ -84,7 +83,7 @@
 	return nil
 }
 
-// SetRetryAfter says for how long a client that is refused is to stay away.
+// SetRetryAfter sets how long a client that is rejected is asked to stay away.
 func (d *Draft) SetRetryAfter(t Time) error {
 	if err := d.requireVerdictPoint("wait"); err != nil {
 		return err
@@ -96,12 +95,12 @@
 	return nil
 }
 
-// Finish takes the verdict itself, as a number of the contract.
-func (d *Draft) Finish(say int64) error {
-	if say < 0 || say >= int64(decisions) {
-		return invalidVerdict("the number %d (wanted 0, 1 or 2)", say)
+// Finish sets the decision, which is a number of the contract, and ends the draft.
+func (d *Draft) Finish(decision int64) error {
+	if decision < 0 || decision >= int64(decisions) {
+		return invalidVerdict("the number %d (wanted 0, 1 or 2)", decision)
 	}
-	d.verdict.Decision = Decision(say)
+	d.verdict.Decision = Decision(decision)
 	if d.Point != OnRequest && d.verdict.Decision != Pass {
 		return invalidVerdict("%s at the point %s, which only looks", d.verdict.Decision, d.Point)
 	}
@@ -115,14 +114,14 @@
 	return nil
 }
 
-// Discard empties the verdict but for its lines: a hook that has failed has said nothing.
+// Discard empties the verdict except for its log lines, after the hook has failed.
 func (d *Draft) Discard() {
 	d.reportDroppedLines()
 	clear(d.verdict.Tags)
 	*d.verdict = Verdict{Tags: d.verdict.Tags[:0], Log: d.verdict.Log}
 }
 
-// reportDroppedLines has the last line say how many more there were.
+// reportDroppedLines replaces the last line by one with the number of lines that were dropped.
 func (d *Draft) reportDroppedLines() {
 	if d.droppedLines > 0 && len(d.verdict.Log) > 0 {
 		d.verdict.Log[len(d.verdict.Log)-1] = fmt.Sprintf("(%d more lines dropped)", d.droppedLines+1)
@@ -130,6 +129,7 @@
 	d.droppedLines = 0
 }
 
+// requireVerdictPoint returns an error at a point that has no verdict.
 func (d *Draft) requireVerdictPoint(what string) error {
 	if d.Point != OnRequest {
 		return invalidVerdict("%s at the point %s, which only looks", what, d.Point)
@@ -137,14 +137,15 @@
 	return nil
 }
 
+// invalidVerdict returns the failure of a hook whose verdict is not one of the contract.
 func invalidVerdict(format string, args ...any) error {
 	return &Failure{InvalidVerdict, fmt.Sprintf(format, args...)}
 }
 
-// Plain is a text cut to so many bytes, in one line and without what a terminal would obey.
-func Plain(text string, most int) string {
-	if len(text) > most {
-		cut := most
+// Plain returns a text truncated to limit bytes, in one line and without the control characters of terminals.
+func Plain(text string, limit int) string {
+	if len(text) > limit {
+		cut := limit
 		for cut > 0 && !utf8.RuneStart(text[cut]) {
 			cut--
 		}
@@ -158,11 +159,15 @@
 	}, strings.Clone(text))
 }
 
-func excerpt(text string) string { return Plain(text, 40) }
+// maxExcerpt bounds the bytes of a hook's text in a failure.
+const maxExcerpt = 40
 
-// isName reports whether a text is fit to stand in logs, in counts and in an argument of a command.
-func isName(text string, most int) bool {
-	if len(text) == 0 || len(text) > most {
+// excerpt returns the beginning of a text, for a failure.
+func excerpt(text string) string { return Plain(text, maxExcerpt) }
+
+// isName reports whether a text is a valid name of at most limit bytes for logs, counts and arguments of commands.
+func isName(text string, limit int) bool {
+	if len(text) == 0 || len(text) > limit {
 		return false
 	}
 	for i := range len(text) {
--- a/internal/plugin/worker/client.go
+++ b/internal/plugin/worker/client.go
@@ -13,14 +13,19 @@
 	"starlingwinch/internal/plugin/wire"
 )
 
-// Client asks a worker process one call after the other, and waits. It is for the tools of authors; a router never waits
-// for a worker.
+const (
+	callGrace                 = 10 * time.Millisecond // beyond a call's budget, for the worker to interrupt it and reply
+	loadAllowance plugin.Time = 5_000_000             // beyond LoadTime, for the process to start and the engine to compile
+)
+
+// Client calls the hook of a worker process, one call after the other, and blocks until each reply. It is for the commands
+// that help to write hooks; a router never blocks on a worker.
 type Client struct {
 	cmd          *exec.Cmd
 	conn         *os.File
-	received     []byte
-	lastSequence uint64
-	grace        time.Duration // beyond a call's budget
+	received     []byte        // frames that are not yet handled
+	lastSequence uint64        // of the calls
+	grace        time.Duration // beyond a call's budget, for the reply to come
 }
 
 // NewClient starts a worker process: the program's own, with the arguments that have it run Main.
@@ -29,7 +34,7 @@
 	if err != nil {
 		return nil, os.NewSyscallError("socketpair", err)
 	}
-	syscall.SetNonblock(ends[0], true) // so that there are deadlines
+	syscall.SetNonblock(ends[0], true) // for SetDeadline
 	near, far := os.NewFile(uintptr(ends[0]), "worker"), os.NewFile(uintptr(ends[1]), "worker")
 	defer far.Close()
 	cmd := exec.Command("/proc/self/exe", args...)
@@ -39,15 +44,15 @@
 		near.Close()
 		return nil, err
 	}
-	return &Client{cmd: cmd, conn: near, grace: 10 * time.Millisecond}, nil
+	return &Client{cmd: cmd, conn: near, grace: callGrace}, nil
 }
 
-// Pid is the worker's process.
+// Pid returns the number of the worker's process.
 func (c *Client) Pid() int { return c.cmd.Process.Pid }
 
-// Load loads a hook. The error is a *plugin.Failure, but for what is wrong with the worker.
+// Load loads a hook. The error is a *plugin.Failure, unless the worker itself or its connection failed.
 func (c *Client) Load(l wire.Load) (plugin.Points, error) {
-	kind, body, err := c.exchange(wire.AppendLoad(nil, &l), l.Budget.LoadTime+5_000_000)
+	kind, body, err := c.exchange(wire.AppendLoad(nil, &l), l.Budget.LoadTime+loadAllowance)
 	if err != nil {
 		return 0, err
 	}
@@ -64,7 +69,7 @@
 	return 0, wire.ErrMalformedFrame
 }
 
-// Call asks it, with that budget of time.
+// Call calls the hook, with a budget of time. The error is a *plugin.Failure, unless the connection failed.
 func (c *Client) Call(call *plugin.Call, budget plugin.Time) (wire.Reply, error) {
 	c.lastSequence++
 	kind, body, err := c.exchange(wire.AppendCall(nil, c.lastSequence, call), budget)
@@ -84,13 +89,13 @@
 	return r, nil
 }
 
-// exchange sends a frame and waits for one.
+// exchange sends a frame and waits for one, for the budget and the client's grace.
 func (c *Client) exchange(frame []byte, budget plugin.Time) (byte, []byte, error) {
 	c.conn.SetDeadline(time.Now().Add(time.Duration(budget)*time.Microsecond + c.grace))
 	if _, err := c.conn.Write(frame); err != nil {
 		return 0, nil, connectionFailure(err)
 	}
-	b := make([]byte, 4096)
+	buffer := make([]byte, minReadSpace)
 	for {
 		kind, body, rest, err := wire.Next(c.received, wire.MaxFrameToRouter)
 		if err != nil {
@@ -100,15 +105,15 @@
 			c.received = rest
 			return kind, body, nil
 		}
-		n, err := c.conn.Read(b)
-		c.received = append(c.received, b[:n]...)
+		n, err := c.conn.Read(buffer)
+		c.received = append(c.received, buffer[:n]...)
 		if n == 0 && err != nil {
 			return 0, nil, connectionFailure(err)
 		}
 	}
 }
 
-// connectionFailure words why there is no answer.
+// connectionFailure returns the reason why there is no reply.
 func connectionFailure(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it could not be interrupted: a router ends its worker"}
@@ -119,7 +124,7 @@
 	return fmt.Errorf("worker: %w", err)
 }
 
-// Close ends the worker.
+// Close kills the worker.
 func (c *Client) Close() {
 	c.conn.Close()
 	c.cmd.Process.Kill()
--- a/internal/plugin/worker/confine.go
+++ b/internal/plugin/worker/confine.go
@@ -12,30 +12,24 @@
 	"starlingwinch/internal/plugin"
 )
 
+// MemoryOverhead is the memory in bytes that a worker takes beside its hook's: the engine, and a module while it is compiled.
+const MemoryOverhead = 12 << 20
+
 const (
-	// MemoryOverhead is what the worker itself takes beside a hook's memory: the engine, and a module while it is compiled.
-	MemoryOverhead = 12 << 20
-	// arenaSize is how much address space the runtime asks for at a time, for its heap.
-	arenaSize = 64 << 20
-	// paddingChunk is the step in which it maps that.
-	paddingChunk = 4 << 20
-	// garbageAllowance is what may pile up before the collector runs.
-	garbageAllowance = 3 << 20
-	// reservedAddressSpace is address space for what is not heap: threads, compiled code, the runtime's books.
-	reservedAddressSpace = 24 << 20
-	// niceIncrement is by how much the worker's priority is below the router's (setpriority(2)).
-	niceIncrement = 5
-	// maxStack is the deepest that Go code may recurse, as a parser does on brackets without end.
-	maxStack = 4 << 20
+	arenaSize            = 64 << 20 // bytes of address space that the Go runtime reserves at a time for its heap
+	paddingChunk         = 4 << 20  // bytes of address space that fillArena takes at a time
+	garbageAllowance     = 3 << 20  // bytes of garbage between two runs of the collector
+	reservedAddressSpace = 24 << 20 // bytes of address space beside the heap: threads, compiled code, the runtime itself
+	niceIncrement        = 5        // by which a worker's priority is below the router's (setpriority(2))
+	maxStack             = 4 << 20  // bytes of a goroutine's stack: a parser recurses on nested brackets
 )
 
-// padding is address space that is taken and never touched.
+// padding is address space that is reserved and never touched.
 var padding [][]byte
 
-// Main is the program of a worker process: it serves its standard input, and returns when that ends.
-//
-// The danger: what stops a service sends its signal to all of its processes. The router drains then, and needs its
-// hooks until it has.
+// Main is the program of a worker process: it serves its standard input, and returns when that ends. It ignores the signals
+// that stop a service, which are sent to all of the service's processes: the router calls its hooks until its graceful
+// shutdown is over.
 func Main() error {
 	signal.Ignore(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	lowerPriority()
@@ -43,15 +37,13 @@
 	return Serve(os.Stdin, Confine)
 }
 
-// Confine bounds the memory of this process by what the hook's budget and the worker's own needs come to, for good. One
-// that takes more ends with the runtime's "out of memory", or is refused a page by the kernel and ends likewise.
-//
-// The danger: no script engine bounds its memory, and a doubled string is gigabytes within a second. Only the
-// kernel's word holds at all times.
+// Confine bounds the memory of this process for good, by the hook's budget and MemoryOverhead. A process that exceeds it ends
+// with the runtime's "out of memory", or as the kernel refuses it a page. The kernel enforces the bound, as no script engine
+// does: a string that is doubled over and over takes gigabytes within a second.
 //
-// The runtime asks for address space by arenas, which is too coarse a measure. So the arena that it has is filled up,
-// and then the next one up to the bound, by bytes that are never touched and cost nothing; and the collector is told
-// of the bound, so that it runs before the bound is reached rather than at twice the size.
+// The limit is on address space, which the runtime reserves by whole arenas. So the present arena is filled up, and part of
+// the next one up to the bound, by bytes that are never touched and cost nothing; and the collector's memory limit is set to
+// the bound, so that it runs before the bound is reached rather than at twice the size of the heap.
 func Confine(b plugin.Budget) {
 	allowed := b.Memory + MemoryOverhead
 	arenas := (allowed + arenaSize - 1) / arenaSize
@@ -73,13 +65,14 @@
 	syscall.Setrlimit(syscall.RLIMIT_CORE, &syscall.Rlimit{})
 }
 
-// fillArena fills what the runtime has of an arena, which begins anywhere in it, until it asks for another one.
+// fillArena takes address space until the runtime reserves another arena: the present one is partly used. It reports false
+// where the process's address space is not known.
 func fillArena() bool {
 	before, err := addressSpace()
 	for range arenaSize / paddingChunk {
 		padding = append(padding, make([]byte, paddingChunk))
-		now, err2 := addressSpace()
-		if err != nil || err2 != nil {
+		now, errNow := addressSpace()
+		if err != nil || errNow != nil {
 			return false
 		}
 		if now-before >= arenaSize {
@@ -89,7 +82,7 @@
 	return false
 }
 
-// addressSpace is how much the process has taken, in bytes (proc(5), statm).
+// addressSpace returns the size of the process's address space in bytes (proc(5), statm).
 func addressSpace() (int64, error) {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -100,14 +93,15 @@
 	return pages * int64(os.Getpagesize()), err
 }
 
-// lowerPriority lowers the priority of all threads; those to come inherit it.
+// lowerPriority lowers the priority of all threads; those that start later inherit it.
 func lowerPriority() {
 	threads, err := os.ReadDir("/proc/self/task")
 	if err != nil {
 		return
 	}
 	for _, thread := range threads {
-		if id, err := strconv.Atoi(thread.Name()); err == nil {
+		id, err := strconv.Atoi(thread.Name())
+		if err == nil {
 			syscall.Setpriority(syscall.PRIO_PROCESS, id, niceIncrement)
 		}
 	}
--- a/internal/plugin/worker/worker.go
+++ b/internal/plugin/worker/worker.go
@@ -1,7 +1,8 @@
 // Package worker runs one hook for a router, at the other end of a connection (package wire). It is the program of
 // the processes that hooks run in, and of the goroutines where an operator has them run inside the router.
 //
-// It interrupts a call that overruns its time and goes on. What can't be interrupted, the router ends with the process.
+// It interrupts a call that exceeds its time, and serves on. A call that can't be interrupted ends when the router kills the
+// process.
 package worker
 
 import (
@@ -16,10 +17,10 @@
 	"starlingwinch/internal/plugin/wire"
 )
 
-// Engines are all that there are.
+// Engines are all engines of this program.
 var Engines = []plugin.Engine{wasm.Engine{}, script.Engine{}}
 
-// EngineOf gives an engine by its name, nil where there is none.
+// EngineOf returns the engine of this name; nil where there is none.
 func EngineOf(name string) plugin.Engine {
 	for _, e := range Engines {
 		if e.Name() == name {
@@ -29,14 +30,26 @@
 	return nil
 }
 
-// Answers are held back for each other, to be sent in one piece, up to these bounds.
+// Bounds of a batch of replies, which are sent in one write.
 const (
-	maxBatchBytes = 8 << 10 // bytes
-	maxBatchDelay = time.Millisecond
+	maxBatchBytes = 8 << 10          // bytes
+	maxBatchDelay = time.Millisecond // for which a reply waits while the next call runs
 )
 
-// Serve answers the router until the connection ends. confine, where it is not nil, is called before the hook is
-// loaded, with what it may take.
+// minReadSpace is the free capacity in bytes that a read is offered at least.
+const minReadSpace = 4096
+
+// idleTimer is a time that the timer of a server never reaches: it is reset for each call.
+const idleTimer = time.Hour
+
+// maxCause and maxEngineName bound the bytes of an error, and of an engine's name, in a failure.
+const (
+	maxCause      = 200
+	maxEngineName = 40
+)
+
+// Serve replies to the router until the connection ends. confine, where it is not nil, is called with the hook's budget before
+// the hook is loaded.
 func Serve(conn io.ReadWriter, confine func(plugin.Budget)) error {
 	s := &server{conn: conn, confine: confine}
 	defer func() {
@@ -51,35 +64,37 @@
 		if err := s.flush(); err != nil {
 			return err
 		}
-		if err := s.read(); err != nil {
-			if err == io.EOF {
-				return nil
-			}
+		err := s.read()
+		if err == io.EOF {
+			return nil
+		}
+		if err != nil {
 			return err
 		}
 	}
 }
 
-// server is one end of a connection.
+// server is the worker's end of a connection.
 type server struct {
 	conn     io.ReadWriter
-	confine  func(plugin.Budget)
-	hook     plugin.Hook
+	confine  func(plugin.Budget) // nil for none
+	hook     plugin.Hook         // nil until it is loaded
 	budget   plugin.Budget
-	received []byte
-	call     plugin.Call
-	reply    wire.Reply
-
-	mu       sync.Mutex
-	unsent   []byte
-	timer    *time.Timer
-	deadline time.Time // when the call that runs is interrupted; zero between calls
+	received []byte      // frames that are not yet handled
+	call     plugin.Call // the present one; used again for each
+	reply    wire.Reply  // to the present call; used again for each
+
+	mu       sync.Mutex  // guards the fields below, which the timer's goroutine uses too
+	unsent   []byte      // the batch of replies
+	timer    *time.Timer // calls onTimer while a call runs
+	deadline time.Time   // when the running call is interrupted; zero between calls
 }
 
-// read takes in more, with room for a whole frame.
+// read reads once, with capacity for the first whole frame.
 func (s *server) read() error {
-	if room := max(4096, wire.Missing(s.received)); cap(s.received)-len(s.received) < room {
-		s.received = append(make([]byte, 0, len(s.received)+room), s.received...)
+	space := max(minReadSpace, wire.Missing(s.received))
+	if cap(s.received)-len(s.received) < space {
+		s.received = append(make([]byte, 0, len(s.received)+space), s.received...)
 	}
 	n, err := s.conn.Read(s.received[len(s.received):cap(s.received)])
 	s.received = s.received[:len(s.received)+n]
@@ -89,7 +104,7 @@
 	return err
 }
 
-// handleFrames works through all whole frames that have come.
+// handleFrames handles all whole frames that have come.
 func (s *server) handleFrames() error {
 	rest := s.received
 	for {
@@ -109,6 +124,7 @@
 	return nil
 }
 
+// handleFrame handles one frame: a Load first, and Calls after it.
 func (s *server) handleFrame(kind byte, body []byte) error {
 	switch {
 	case kind == wire.KindLoad && s.hook == nil:
@@ -119,7 +135,7 @@
 	return wire.ErrMalformedFrame
 }
 
-// load loads the hook. After a refusal there is nothing more to do.
+// load loads the hook and replies. A hook that does not load ends the worker.
 func (s *server) load(body []byte) error {
 	l, err := wire.ParseLoad(body)
 	if err != nil {
@@ -130,7 +146,7 @@
 	}
 	e := EngineOf(l.Engine)
 	if e == nil {
-		err = &plugin.Failure{Kind: plugin.NotLoadable, Text: "there is no engine " + plugin.Plain(l.Engine, 40)}
+		err = &plugin.Failure{Kind: plugin.NotLoadable, Text: "there is no engine " + plugin.Plain(l.Engine, maxEngineName)}
 	} else {
 		s.hook, err = e.Load(l.Name, l.Code, l.Budget)
 	}
@@ -139,12 +155,12 @@
 		return errors.Join(s.flush(), err)
 	}
 	s.budget = l.Budget
-	s.timer = time.AfterFunc(time.Hour, s.onTimer)
+	s.timer = time.AfterFunc(idleTimer, s.onTimer)
 	s.unsent = wire.AppendLoaded(s.unsent, s.hook.Points())
 	return s.flush()
 }
 
-// handleCall asks the hook.
+// handleCall calls the hook and queues its reply.
 func (s *server) handleCall(body []byte) error {
 	seq, err := wire.ParseCall(body, &s.call)
 	if err != nil {
@@ -154,11 +170,11 @@
 	if s.call.Point == plugin.Unload {
 		span = s.budget.LoadTime
 	}
-	begun := time.Now()
-	s.startTimer(begun, time.Duration(span)*time.Microsecond)
+	began := time.Now()
+	s.startTimer(began, time.Duration(span)*time.Microsecond)
 	err = s.hook.Call(&s.call, &s.reply.Verdict)
 	s.reply.Sequence = seq
-	s.reply.RunTime = max(1, time.Since(begun).Microseconds())
+	s.reply.RunTime = max(1, time.Since(began).Microseconds())
 	s.reply.Failed = err != nil
 	if err != nil {
 		f := asFailure(err)
@@ -167,7 +183,7 @@
 	return s.queueReply()
 }
 
-// startTimer has the call that begins interrupted in time.
+// startTimer has the call that begins interrupted after its budget, and replies in the batch sent before.
 func (s *server) startTimer(now time.Time, span time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +194,7 @@
 	s.timer.Reset(span)
 }
 
-// queueReply adds the answer to those that are held back.
+// queueReply stops the timer and adds the reply to the batch.
 func (s *server) queueReply() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,16 +207,15 @@
 	return nil
 }
 
-// onTimer is called where a call takes longer than others are to wait for it, and again when its time is over.
-//
-// The danger: a call that does not come back would keep the verdicts of those before it.
+// onTimer is called while a call runs: after maxBatchDelay to send the replies in the batch, which would otherwise wait for
+// a call that does not return, and once the call's budget is used up to interrupt it.
 func (s *server) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.deadline.IsZero() {
 		return
 	}
-	s.send() // what goes wrong here goes wrong again at the next
+	s.send() // a connection that fails here also fails the next send, which returns the error
 	if left := time.Until(s.deadline); left > 0 {
 		s.timer.Reset(left)
 		return
@@ -208,12 +223,14 @@
 	s.hook.Interrupt()
 }
 
+// flush sends the batch.
 func (s *server) flush() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.send()
 }
 
+// send sends the batch; the caller holds mu.
 func (s *server) send() error {
 	if len(s.unsent) == 0 {
 		return nil
@@ -223,11 +240,11 @@
 	return err
 }
 
-// asFailure is an error as the contract has it.
+// asFailure returns an error as the contract's Failure.
 func asFailure(err error) *plugin.Failure {
 	var f *plugin.Failure
 	if errors.As(err, &f) {
 		return f
 	}
-	return &plugin.Failure{Kind: plugin.Crashed, Text: plugin.Plain(err.Error(), 200)}
+	return &plugin.Failure{Kind: plugin.Crashed, Text: plugin.Plain(err.Error(), maxCause)}
 }
