--- a/internal/plugin/script/engine.go
+++ b/internal/plugin/script/engine.go
@@ -1,9 +1,9 @@
 // Package script runs hooks that are Starlark scripts (github.com/bazelbuild/starlark, spec.md): a text file that needs
 // no tool chain. values.go is the contract in terms of a script.
 //
-// The language has no files, no clock, no chance and no threads, and is used without recursion and without while. What
-// it lacks is a bound on memory, and some of its built-ins can't be interrupted: a script belongs into a process that
-// can be killed.
+// The language has no files, no clock, no randomness and no threads, and is used without recursion and without while. It has
+// no bound on memory, and some of its built-in functions can't be interrupted: a script is to run in a process that can be
+// killed.
 package script
 
 import (
@@ -20,8 +20,12 @@
 	"starlingwinch/internal/plugin"
 )
 
-// maxSource is the longest script. The danger: the parser recurses, by a level for each bracket of the source.
-const maxSource = 256 << 10
+const (
+	maxSource      = 256 << 10 // bytes of a script: the parser recurses for each nested bracket
+	loadStepFactor = 100       // steps of a load, as a multiple of those of a call
+	maxErrorText   = 200       // bytes of an error of the interpreter
+	maxValueText   = 40        // bytes of a script's value, or its type, in a failure
+)
 
 // Engine implements plugin.Engine.
 type Engine struct{}
@@ -58,21 +62,21 @@
 	name     string
 	budget   plugin.Budget
 	points   plugin.Points
-	draft    plugin.Draft
-	builtins starlark.StringDict
+	draft    plugin.Draft        // of the present call's verdict
+	builtins starlark.StringDict // the names that the contract provides
 	program  *starlark.Program
-	instance *instance // nil where the last one was thrown away
+	instance *instance // nil after a call that failed
 	guard    plugin.InterruptGuard
 }
 
-// instance is a script that has run once, and what it keeps.
+// instance is a script that has run once, with the state that it has built up since.
 type instance struct {
 	thread *starlark.Thread
-	calls  [len(functions)]*starlark.Function
-	stop   func()
+	calls  [len(functions)]*starlark.Function // by point; nil where the script has none
+	stop   func()                             // interrupts the running call
 }
 
-// functions are those of the points.
+// functions are the names of the functions that a script defines for the points.
 var functions = [...]string{
 	plugin.Load:        "on_load",
 	plugin.OnRequest:   "on_request",
@@ -81,7 +85,7 @@
 	plugin.Unload:      "on_unload",
 }
 
-// newInstance runs the script anew and asks it at the point Load. It has LoadTime for that, and a hundred times the steps.
+// newInstance runs the script from its beginning and calls it at the point Load, within LoadTime.
 func (h *hook) newInstance() error {
 	in := &instance{thread: &starlark.Thread{Name: h.name, Print: func(_ *starlark.Thread, s string) { h.draft.Log(s) }}}
 	var late atomic.Bool
@@ -91,10 +95,10 @@
 		in.stop()
 	})
 	defer timer.Stop()
-	in.setStepLimit(100 * h.budget.Steps)
+	in.setStepLimit(loadStepFactor * h.budget.Steps)
 	globals, err := h.program.Init(in.thread, h.builtins)
 	if err != nil {
-		return h.classify(err, in, late.Load(), 100*h.budget.Steps)
+		return h.classify(err, in, late.Load(), loadStepFactor*h.budget.Steps)
 	}
 	if err := h.bindFunctions(in, globals); err != nil {
 		return err
@@ -102,7 +106,7 @@
 	if f := in.calls[plugin.Load]; f != nil {
 		got, err := starlark.Call(in.thread, f, nil, nil)
 		if err != nil {
-			return h.classify(err, in, late.Load(), 100*h.budget.Steps)
+			return h.classify(err, in, late.Load(), loadStepFactor*h.budget.Steps)
 		}
 		if err := h.acceptResult(got); err != nil {
 			return err
@@ -112,7 +116,7 @@
 	return nil
 }
 
-// setStepLimit bounds the steps from here on; 0 is no bound.
+// setStepLimit bounds the steps of the next call; 0 is no bound.
 func (in *instance) setStepLimit(steps int64) {
 	in.thread.Steps = 0
 	if steps == 0 {
@@ -121,7 +125,7 @@
 	in.thread.SetMaxExecutionSteps(uint64(steps))
 }
 
-// bindFunctions looks at the script's names.
+// bindFunctions checks the script's version and finds its functions for the points.
 func (h *hook) bindFunctions(in *instance, globals starlark.StringDict) error {
 	version, found := globals["version"]
 	if !found {
@@ -129,7 +133,7 @@
 	}
 	n, err := starlark.AsInt32(version)
 	if err != nil {
-		return notLoadable("its version is no number (%s)", plugin.Plain(version.String(), 40))
+		return notLoadable("its version is no number (%s)", plugin.Plain(version.String(), maxValueText))
 	}
 	if n != plugin.Version {
 		return &plugin.Failure{Kind: plugin.VersionMismatch, Text: fmt.Sprintf(
@@ -180,11 +184,12 @@
 	err := h.call(h.instance, c)
 	if err != nil {
 		h.draft.Discard()
-		h.instance = nil // its values are halfway through something
+		h.instance = nil // a call that failed may have left its values inconsistent
 	}
 	return err
 }
 
+// call calls the instance at one point.
 func (h *hook) call(in *instance, c *plugin.Call) error {
 	var args starlark.Tuple
 	if c.Point != plugin.Load && c.Point != plugin.Unload {
@@ -200,7 +205,7 @@
 	return h.acceptResult(got)
 }
 
-// acceptResult takes what a function has given back.
+// acceptResult takes the value that a function returned as the verdict.
 func (h *hook) acceptResult(got starlark.Value) error {
 	switch got := got.(type) {
 	case starlark.NoneType:
@@ -219,13 +224,13 @@
 		return h.draft.Finish(int64(got.decision))
 	}
 	return &plugin.Failure{Kind: plugin.InvalidVerdict, Text: fmt.Sprintf("a value of the type %s (wanted None, refuse() or fail())",
-		plugin.Plain(got.Type(), 40))}
+		plugin.Plain(got.Type(), maxValueText))}
 }
 
 // Close implements plugin.Hook.
 func (h *hook) Close() { h.instance = nil }
 
-// classify words what a script came to.
+// classify returns the failure for an error of the interpreter.
 func (h *hook) classify(err error, in *instance, interrupted bool, steps int64) error {
 	if interrupted {
 		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it was interrupted"}
@@ -240,20 +245,21 @@
 	return &plugin.Failure{Kind: plugin.Crashed, Text: errorText(err)}
 }
 
+// notLoadable returns the failure of a file that is not a hook.
 func notLoadable(format string, args ...any) error {
 	return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(format, args...)}
 }
 
-// errorText is an error in one line, with where it came from.
+// errorText returns an error in one line, with its place in the script.
 func errorText(err error) string {
 	var eval *starlark.EvalError
 	if errors.As(err, &eval) {
 		for i := len(eval.CallStack) - 1; i >= 0; i-- {
 			if pos := eval.CallStack[i].Pos; pos.Filename() != "<builtin>" {
-				return plugin.Plain(fmt.Sprintf("%s: %s", pos, eval.Msg), 200)
+				return plugin.Plain(fmt.Sprintf("%s: %s", pos, eval.Msg), maxErrorText)
 			}
 		}
 	}
 	text, _, _ := strings.Cut(err.Error(), "\n")
-	return plugin.Plain(text, 200)
+	return plugin.Plain(text, maxErrorText)
 }
--- a/internal/plugin/script/values.go
+++ b/internal/plugin/script/values.go
@@ -8,40 +8,49 @@
 	"starlingwinch/internal/plugin"
 )
 
-// The contract in Starlark, version 1. A script sets `version = 1` and defines at least one of the points; a point
-// gets one record (but for on_load and on_unload, which get nothing):
+// The contract in Starlark, version 1. A script sets `version = 1` and defines at least one function for a point. Each gets
+// one record, except for on_load and on_unload, which get nothing:
 //
-//	def on_request(r)    gives back None (pass), refuse(wait_ms) or fail(text)
-//	def on_answered(r)   gives back None, as the others do
+//	def on_request(r)    returns None (pass), refuse(wait_ms) or fail(text)
+//	def on_answered(r)   returns None, as the others do
 //	def on_list(r)
 //	def on_load()
 //	def on_unload()
 //
-// A record has only what its point has: verb, request_class, tenant, key, size, time_left and value (None where the
+// A record has the attributes of its point alone: verb, request_class, tenant, key, size, time_left and value (None where the
 // operator has not set wants_value) of a request; the first five, outcome ("served", "refused" or "failed") and took
 // of an answer; caches and take_work of a list. now is in all of them. Times are in microseconds, but for wait_ms.
 //
-// Words, in any function but for the first line's:
+// Built-in functions:
 //
 //	tag(name), tenant(name)  in on_request alone
-//	log(text), print(...)
+//	log(text), print(...)    everywhere
 //
-// What a script keeps in its own lists and dicts lasts from call to call, until one fails.
+// The state that a script holds in its own lists and dicts lasts from call to call, until one fails.
 
-// verdict is what refuse and fail give.
+// verdict is the value that refuse and fail return to a script.
 type verdict struct {
-	decision   plugin.Decision
-	retryAfter plugin.Time
-	text       string
+	decision   plugin.Decision // Reject or Fail
+	retryAfter plugin.Time     // Reject
+	text       string          // Fail
 }
 
-func (v verdict) String() string        { return v.decision.String() }
-func (v verdict) Type() string          { return "verdict" }
-func (v verdict) Freeze()               {}
-func (v verdict) Truth() starlark.Bool  { return true }
+// String implements starlark.Value.
+func (v verdict) String() string { return v.decision.String() }
+
+// Type implements starlark.Value.
+func (v verdict) Type() string { return "verdict" }
+
+// Freeze implements starlark.Value.
+func (v verdict) Freeze() {}
+
+// Truth implements starlark.Value.
+func (v verdict) Truth() starlark.Bool { return true }
+
+// Hash implements starlark.Value.
 func (v verdict) Hash() (uint32, error) { return uint32(v.decision), nil }
 
-// predeclared are the names that a script finds.
+// predeclared returns the names that the contract provides to a script.
 func (h *hook) predeclared() starlark.StringDict {
 	text := func(name string, take func(string) error) *starlark.Builtin {
 		return starlark.NewBuiltin(name, func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple,
@@ -62,6 +71,7 @@
 	}
 }
 
+// reject implements the built-in function refuse.
 func reject(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 	ms := 0
 	if err := starlark.UnpackArgs(b.Name(), args, named, "wait_ms?", &ms); err != nil {
@@ -74,6 +84,7 @@
 	return verdict{decision: plugin.Reject, retryAfter: plugin.Time(ms) * 1000}, nil
 }
 
+// fail implements the built-in function fail.
 func fail(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 	var text string
 	if err := starlark.UnpackArgs(b.Name(), args, named, "text", &text); err != nil {
@@ -82,18 +93,28 @@
 	return verdict{decision: plugin.Fail, text: text}, nil
 }
 
-// record is what a point is handed. It is made anew for each call: a script may keep it.
+// record is the value that a point is handed. Each call has its own, as a script may retain it.
 type record struct{ c plugin.Call }
 
+// newRecord returns a record of a call.
 func newRecord(c *plugin.Call) *record { return &record{*c} }
 
-func (r *record) String() string        { return r.c.Point.String() }
-func (r *record) Type() string          { return "record" }
-func (r *record) Freeze()               {}
-func (r *record) Truth() starlark.Bool  { return true }
+// String implements starlark.Value.
+func (r *record) String() string { return r.c.Point.String() }
+
+// Type implements starlark.Value.
+func (r *record) Type() string { return "record" }
+
+// Freeze implements starlark.Value.
+func (r *record) Freeze() {}
+
+// Truth implements starlark.Value.
+func (r *record) Truth() starlark.Bool { return true }
+
+// Hash implements starlark.Value.
 func (r *record) Hash() (uint32, error) { return 0, fmt.Errorf("a record has no hash") }
 
-// attributes are the names of what a point has.
+// attributes are the names of a record's attributes, by point.
 var attributes = [...][]string{
 	plugin.OnRequest:   {"key", "now", "request_class", "size", "tenant", "time_left", "value", "verb"},
 	plugin.Answered:    {"key", "now", "outcome", "request_class", "size", "took", "tenant", "verb"},
@@ -104,7 +125,7 @@
 // AttrNames implements starlark.HasAttrs.
 func (r *record) AttrNames() []string { return attributes[r.c.Point] }
 
-// Attr implements starlark.HasAttrs. An unknown name is nil, of which the language makes an error.
+// Attr implements starlark.HasAttrs. It returns nil for an unknown name, which the interpreter reports as an error.
 func (r *record) Attr(name string) (starlark.Value, error) {
 	c := &r.c
 	known := false
--- a/internal/plugin/wasm/check.go
+++ b/internal/plugin/wasm/check.go
@@ -7,13 +7,13 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Bounds of a module, beyond those of package plugin. A module that a compiler made for this contract is far below.
+// Bounds of a module, beyond those of package plugin. A module that a compiler generates for this contract is far below them.
 const (
 	maxMemories     = 1
 	maxTables       = 16
 	maxTableEntries = 1 << 16 // of a table
 	maxFunctions    = 1 << 16
-	maxLocals       = 4096 // of a function: they are what a frame of the stack is made of
+	maxLocals       = 4096 // of a function: they determine the size of its stack frame
 	maxImports      = 256
 	maxExports      = 4096
 	pageSize        = 64 << 10
@@ -32,10 +32,9 @@
 
 var header = []byte("\x00asm\x01\x00\x00\x00")
 
-// checkModule looks at a module's form and sizes before an engine gets it.
-//
-// The danger: a few bytes may ask for a table of a gigabyte, or for frames of the stack that make a depth that is
-// bounded cost as much as one that is not; an engine takes the memory before any hook runs.
+// checkModule checks a module's form and sizes before an engine compiles it: a few bytes may declare a table of a gigabyte, or
+// stack frames so large that a bound on the depth of calls bounds nothing, and an engine allocates the memory before any
+// function runs.
 func checkModule(code []byte, b plugin.Budget) error {
 	if len(code) > plugin.MaxCode {
 		return notLoadable("a file of %d bytes (wanted at most %d)", len(code), plugin.MaxCode)
@@ -65,11 +64,12 @@
 	return r.err
 }
 
+// checkSection checks the counts and sizes of one section.
 func checkSection(id byte, r *reader, b plugin.Budget) error {
-	count := func(what string, most uint32) uint32 {
+	count := func(what string, limit uint32) uint32 {
 		n := r.uint(what)
-		if n > most && r.err == nil {
-			r.err = notLoadable("%d %s (wanted at most %d)", n, what, most)
+		if n > limit && r.err == nil {
+			r.err = notLoadable("%d %s (wanted at most %d)", n, what, limit)
 		}
 		return n
 	}
@@ -82,11 +82,11 @@
 		count("functions", maxFunctions)
 	case sectionTable:
 		for range count("tables", maxTables) {
-			if r.byte() == 0x40 { // with an initial value: its form is the engine's to refuse
+			if r.byte() == 0x40 { // a table with an initial value: the engine checks its form
 				return r.err
 			}
-			if least := r.limits(); least > maxTableEntries {
-				return notLoadable("a table of %d entries (wanted at most %d)", least, maxTableEntries)
+			if entries := r.limits(); entries > maxTableEntries {
+				return notLoadable("a table of %d entries (wanted at most %d)", entries, maxTableEntries)
 			}
 			if r.err != nil {
 				return r.err
@@ -94,10 +94,10 @@
 		}
 	case sectionMemory:
 		for range count("memories", maxMemories) {
-			least := r.limits()
-			if most := uint64(b.Memory) / pageSize; r.err == nil && least > most {
+			pages := r.limits()
+			if r.err == nil && pages > uint64(b.Memory)/pageSize {
 				return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(
-					"it asks for %d KiB of memory (its budget is %d KiB)", least*pageSize>>10, b.Memory>>10)}
+					"it asks for %d KiB of memory (its budget is %d KiB)", pages*pageSize>>10, b.Memory>>10)}
 			}
 		}
 	case sectionCode:
@@ -106,7 +106,7 @@
 	return r.err
 }
 
-// checkLocals looks at the locals of each function.
+// checkLocals checks the locals of each of n functions.
 func checkLocals(r *reader, n uint32) error {
 	for i := uint32(0); i < n && r.err == nil; i++ {
 		size := r.uint("size of a function")
@@ -133,19 +133,22 @@
 	return r.err
 }
 
+// notLoadable returns the failure of a file that is not a hook.
 func notLoadable(format string, args ...any) error {
 	return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(format, args...)}
 }
 
-// reader reads the numbers of a module. After an error it gives zeros.
+// reader reads the numbers of a module. After an error it returns zeros.
 type reader struct {
 	b   []byte
-	at  int
-	err error
+	at  int   // the offset of the next byte
+	err error // the first one
 }
 
+// left returns how many bytes are not yet read.
 func (r *reader) left() int { return len(r.b) - r.at }
 
+// byte reads one byte.
 func (r *reader) byte() byte {
 	if r.err != nil {
 		return 0
@@ -158,12 +161,13 @@
 	return r.b[r.at-1]
 }
 
-// uint reads a u32 in LEB128.
+// uint reads a u32 in LEB128. what names it in an error.
 func (r *reader) uint(what string) uint32 {
 	n := r.long(what, 32)
 	return uint32(n)
 }
 
+// long reads an unsigned number of so many bits in LEB128.
 func (r *reader) long(what string, bits uint) uint64 {
 	var n uint64
 	for shift := uint(0); ; shift += 7 {
@@ -182,16 +186,16 @@
 	}
 }
 
-// limits reads the bounds of a memory or a table, and gives the lower one.
+// limits reads the bounds of a memory or a table, and returns the lower one.
 func (r *reader) limits() uint64 {
 	flags := r.byte()
 	bits := uint(32)
 	if flags&4 != 0 {
 		bits = 64
 	}
-	least := r.long("lower bound", bits)
+	lower := r.long("lower bound", bits)
 	if flags&1 != 0 {
 		r.long("upper bound", bits)
 	}
-	return least
+	return lower
 }
--- a/internal/plugin/wasm/engine.go
+++ b/internal/plugin/wasm/engine.go
@@ -1,8 +1,7 @@
 // Package wasm runs hooks that are WebAssembly modules (Core Specification 2.0), with wazero's compiler. abi.go is
 // the contract in terms of a module.
 //
-// It never hands a module a file, a socket, a clock or chance, and never uses an instance again in which a call did
-// not end well.
+// It never hands a module a file, a socket, a clock or randomness, and never uses an instance again in which a call failed.
 package wasm
 
 import (
@@ -21,6 +20,12 @@
 	"starlingwinch/internal/plugin"
 )
 
+const (
+	minBuffer    = 512 // bytes that a module is asked to allocate for calls at least
+	maxErrorText = 200 // bytes of an error of the engine
+	maxNameText  = 40  // bytes of a name of the module in a failure
+)
+
 // Engine implements plugin.Engine.
 type Engine struct{}
 
@@ -49,27 +54,28 @@
 	name   string
 	budget plugin.Budget
 	points plugin.Points
-	draft  plugin.Draft
+	draft  plugin.Draft // of the present call's verdict
 
 	runtime  wazero.Runtime
 	module   wazero.CompiledModule
-	instance *instance // nil where the last one was thrown away
+	instance *instance // nil after a call that failed
 	guard    plugin.InterruptGuard
 	counter  callCounter
 }
 
-// instance is a module with a memory of its own.
+// instance is a module with a memory of its own. It is discarded after a call that failed.
 type instance struct {
 	module        api.Module
 	memory        api.Memory
-	allocate      api.Function
-	calls         [len(exports)]api.Function
-	bufferAddress uint32 // the room that the module has given
-	bufferSize    int
-	stack         [1]uint64
-	stop          func() // has the call that runs end
+	allocate      api.Function               // hook_room
+	calls         [len(exports)]api.Function // by point; nil where the module has none
+	bufferAddress uint32                     // of the buffer that the module has allocated
+	bufferSize    int                        // of that buffer in bytes; 0 before the first
+	stack         [1]uint64                  // the parameter and the result of a call
+	stop          func()                     // interrupts the running call
 }
 
+// load compiles the module, checks it and makes the first instance.
 func (h *hook) load(code []byte) error {
 	ctx := context.Background()
 	if h.countsCalls() {
@@ -77,7 +83,7 @@
 	}
 	h.counter.maxDepth, h.counter.maxSteps = h.budget.Depth, h.budget.Steps
 	h.runtime = wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfigCompiler().
-		WithCloseOnContextDone(true). // what makes loops look whether they were interrupted
+		WithCloseOnContextDone(true). // loops check for an interrupt
 		WithMemoryLimitPages(uint32(max(1, h.budget.Memory/pageSize))).
 		WithDebugInfoEnabled(false))
 	var err error
@@ -100,9 +106,10 @@
 	return h.newInstance()
 }
 
-// countsCalls reports whether calls of functions are counted. It costs each of them a fifth of a microsecond.
+// countsCalls reports whether function calls are counted, which costs each of them a fifth of a microsecond.
 func (h *hook) countsCalls() bool { return h.budget.Depth > 0 || h.budget.Steps > 0 }
 
+// imports reports whether the module imports functions of another one.
 func (h *hook) imports(module string) bool {
 	for _, f := range h.module.ImportedFunctions() {
 		if from, _, _ := f.Import(); from == module {
@@ -112,15 +119,15 @@
 	return false
 }
 
-// checkSignatures looks at what the module imports and exports.
+// checkSignatures checks what the module imports and exports, and sets the hook's points.
 func (h *hook) checkSignatures() error {
-	words := map[string]string{"log": "ii:", "tag": "ii:", "tenant": "ii:", "text": "ii:", "wait": "i:"}
+	hostFunctions := map[string]string{"log": "ii:", "tag": "ii:", "tenant": "ii:", "text": "ii:", "wait": "i:"}
 	for _, f := range h.module.ImportedFunctions() {
 		from, name, _ := f.Import()
-		switch want, known := words[name]; {
+		switch want, known := hostFunctions[name]; {
 		case from == wasiModule:
 		case from != hostModule || !known:
-			return notLoadable("it imports %q of %q, which no router has", plugin.Plain(name, 40), plugin.Plain(from, 40))
+			return notLoadable("it imports %q of %q, which no router has", plugin.Plain(name, maxNameText), plugin.Plain(from, maxNameText))
 		case signature(f) != want:
 			return notLoadable("it imports %s with a wrong shape (%s, wanted %s)", name, signature(f), want)
 		}
@@ -161,7 +168,7 @@
 	return nil
 }
 
-// signature words a function's parameters and results, by the first letters of their kinds.
+// signature returns a function's parameters and results as letters: i for an i32, ? for any other type.
 func signature(f api.FunctionDefinition) string {
 	var b strings.Builder
 	kinds := func(types []api.ValueType) {
@@ -179,6 +186,7 @@
 	return b.String()
 }
 
+// firstOf returns the first error that is not nil.
 func firstOf(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -188,7 +196,7 @@
 	return nil
 }
 
-// newInstance makes an instance and asks it at the point Load. It has LoadTime for that.
+// newInstance makes an instance and calls it at the point Load, within LoadTime.
 func (h *hook) newInstance() error {
 	span := time.Duration(h.budget.LoadTime) * time.Microsecond
 	ctx, cancel := context.WithTimeout(context.Background(), span)
@@ -212,7 +220,7 @@
 	return nil
 }
 
-// initialize asks a new instance for its version, and at the point Load.
+// initialize checks the version of a new instance, and calls it at the point Load.
 func (h *hook) initialize(ctx context.Context, in *instance) error {
 	h.counter.reset(0)
 	if err := in.module.ExportedFunction(exportVersion).CallWithStack(ctx, in.stack[:]); err != nil {
@@ -260,6 +268,7 @@
 	return err
 }
 
+// call calls an instance so that it can be interrupted.
 func (h *hook) call(in *instance, c *plugin.Call) error {
 	ctx := context.Background()
 	h.guard.Begin(in.stop)
@@ -270,6 +279,7 @@
 	return err
 }
 
+// invoke passes a call to an instance and takes its verdict.
 func (h *hook) invoke(ctx context.Context, in *instance, c *plugin.Call) error {
 	h.counter.reset(h.budget.Steps)
 	in.stack[0] = 0
@@ -284,10 +294,11 @@
 	return h.draft.Finish(int64(int32(in.stack[0])))
 }
 
-// passCall writes a call into the instance's memory, and its address onto the stack.
+// passCall writes a call into the instance's memory, and its address onto the stack. A call that needs a larger buffer than
+// the last one has the module allocate it.
 func (h *hook) passCall(ctx context.Context, in *instance, c *plugin.Call) error {
 	if n := callBytes(c); n > in.bufferSize {
-		n = max(n, 512)
+		n = max(n, minBuffer)
 		in.stack[0] = uint64(n)
 		if err := in.allocate.CallWithStack(ctx, in.stack[:]); err != nil {
 			return h.classify(err, ctx)
@@ -303,9 +314,7 @@
 	return nil
 }
 
-// closeInstance throws the instance away.
-//
-// The danger: after a trap its memory is halfway through something, and a verdict from it may be anything.
+// closeInstance discards the instance: after a trap its memory may be inconsistent.
 func (h *hook) closeInstance() {
 	if h.instance != nil {
 		h.instance.module.Close(context.Background())
@@ -324,7 +333,7 @@
 // interruptedExitCode is the exit code of an instance that was interrupted.
 const interruptedExitCode = 0xffff0001
 
-// classify words what an instance came to.
+// classify returns the failure for an error of the engine.
 func (h *hook) classify(err error, ctx context.Context) error {
 	var own *plugin.Failure
 	if errors.As(err, &own) {
@@ -340,8 +349,8 @@
 	return &plugin.Failure{Kind: plugin.Crashed, Text: errorText(err)}
 }
 
-// errorText is the first line of an engine's error.
+// errorText returns the first line of an engine's error.
 func errorText(err error) string {
 	text, _, _ := strings.Cut(err.Error(), "\n")
-	return plugin.Plain(text, 200)
+	return plugin.Plain(text, maxErrorText)
 }
--- a/internal/plugin/wasm/wasm_test.go
+++ b/internal/plugin/wasm/wasm_test.go
@@ -72,7 +72,7 @@
 
 // begins does something where the key begins with c.
 func begins(c byte, then ...Code) Code {
-	return Seq(call, I32Load(atKey+4), If(call, I32Load(atKey), I32Load8U(0), I32Const(int32(c)), I32Eq, If(then...)))
+	return Seq(call, I32Load(offsetKey+4), If(call, I32Load(offsetKey), I32Load8U(0), I32Const(int32(c)), I32Eq, If(then...)))
 }
 
 func give(n int32) Code { return Seq(I32Const(n), Return) }
@@ -88,8 +88,8 @@
 func hooks() map[string][]byte {
 	looks := module(1)
 	letter := Seq(
-		I32Const(room+4096), I32Const('s'), I32Store8(0), call, I32Load(atOutcome), I32Const(1), I32Eq,
-		If(I32Const(room+4096), I32Const('r'), I32Store8(0)), call, I32Load(atOutcome), I32Const(2), I32Eq,
+		I32Const(room+4096), I32Const('s'), I32Store8(0), call, I32Load(offsetOutcome), I32Const(1), I32Eq,
+		If(I32Const(room+4096), I32Const('r'), I32Store8(0)), call, I32Load(offsetOutcome), I32Const(2), I32Eq,
 		If(I32Const(room+4096), I32Const('f'), I32Store8(0)), say(wordLog, room+4096, 1), pass)
 	looks.Func("on_answered", 1, 1, 0, letter)
 	looks.Func("on_list", 1, 1, 0, say(wordLog, atList, 4), pass)
@@ -126,10 +126,10 @@
 			begins('T', say(wordTag, atClub, 4), say(wordTag, atClub, 4), say(wordTenant, atGuests, 6)),
 			begins('L', say(wordLog, atSeen, 4)), pass),
 		"echo": on("on_request", 0,
-			begins('v', field(wordText, atVerb), give(2)), begins('c', field(wordText, atClass), give(2)),
-			begins('t', field(wordText, atTenant), give(2)), begins('k', field(wordText, atKey), give(2)),
-			begins('V', call, I32Load(atValue), If(field(wordText, atValue), give(2))),
-			begins('s', call, I32Load(atSize), Call(wordWait), give(1)), pass),
+			begins('v', field(wordText, offsetVerb), give(2)), begins('c', field(wordText, offsetClass), give(2)),
+			begins('t', field(wordText, offsetTenant), give(2)), begins('k', field(wordText, offsetKey), give(2)),
+			begins('V', call, I32Load(offsetValue), If(field(wordText, offsetValue), give(2))),
+			begins('s', call, I32Load(offsetSize), Call(wordWait), give(1)), pass),
 		"count": on("on_request", 0,
 			I32Const(counter), I32Const(counter), I32Load(0), I32Const(1), I32Add, I32Store(0),
 			begins('C', Unreachable), I32Const(counter), I32Load(0), Call(wordWait), I32Const(1)),
--- a/internal/plugin/wasmfile/wasmfile.go
+++ b/internal/plugin/wasmfile/wasmfile.go
@@ -6,7 +6,7 @@
 // Code is a sequence of instructions.
 type Code []byte
 
-// Seq joins them.
+// Seq joins sequences of instructions.
 func Seq(parts ...Code) Code {
 	var all Code
 	for _, p := range parts {
@@ -37,10 +37,10 @@
 	MemoryGrow  = Code{0x40, 0x00}
 )
 
-// I32Const is a number.
+// I32Const pushes a 32-bit number.
 func I32Const(n int32) Code { return append(Code{0x41}, signed(int64(n))...) }
 
-// I64Const is a number.
+// I64Const pushes a 64-bit number.
 func I64Const(n int64) Code { return append(Code{0x42}, signed(n)...) }
 
 // LocalGet pushes the value of a parameter or a local.
@@ -76,33 +76,50 @@
 // If does then where the top of the stack is not 0.
 func If(then ...Code) Code { return Seq(Code{0x04, 0x40}, Seq(then...), Code{0x0b}) }
 
-// Loop is a block to whose begin Br(0) goes; Block one whose end it goes to.
-func Loop(body ...Code) Code  { return Seq(Code{0x03, 0x40}, Seq(body...), Code{0x0b}) }
+// Loop is a block that Br(0) in its body begins anew.
+func Loop(body ...Code) Code { return Seq(Code{0x03, 0x40}, Seq(body...), Code{0x0b}) }
+
+// Block is a block that Br(0) in its body leaves.
 func Block(body ...Code) Code { return Seq(Code{0x02, 0x40}, Seq(body...), Code{0x0b}) }
 
-// Br and BrIf go to the block so many levels out.
-func Br(level uint32) Code   { return append(Code{0x0c}, unsigned(level)...) }
+// Br branches to the block so many levels out.
+func Br(level uint32) Code { return append(Code{0x0c}, unsigned(level)...) }
+
+// BrIf branches as Br does, where the number on the stack is not 0.
 func BrIf(level uint32) Code { return append(Code{0x0d}, unsigned(level)...) }
 
-// I32 is the kind of a value.
+// I32 is the type of a 32-bit number.
 const I32 = 0x7f
 
-// Module is a module in the making.
+// Sections of a module (WebAssembly Core Specification, 5.5.2).
+const (
+	sectionType     = 1
+	sectionImport   = 2
+	sectionFunction = 3
+	sectionTable    = 4
+	sectionMemory   = 5
+	sectionExport   = 7
+	sectionStart    = 8
+	sectionCode     = 10
+	sectionData     = 11
+)
+
+// Module is a module that is being built. Its sections are entries that are already encoded.
 type Module struct {
 	imports [][]byte
 	types   [][]byte
-	funcs   [][]byte // the index of the type of each
+	funcs   [][]byte // the index of the type of each function
 	exports [][]byte
 	bodies  [][]byte
 	data    [][]byte
 
-	Pages    uint32 // of memory; 0 for none
-	MaxPages uint32 // 0 for no bound
+	Pages    uint32 // of memory, 64 KiB each; 0 for no memory
+	MaxPages uint32 // to which the memory may grow; 0 for no bound
 	Table    uint32 // entries; 0 for no table
 	Start    int    // the index of the start function; 0 for none
 }
 
-// Import adds a function of another module, with parameters and results of the kind I32, and gives its index. All imports
+// Import adds a function of another module, with parameters and results of the type I32, and returns its index. All imports
 // come before the first Func.
 func (m *Module) Import(from, name string, params, results int) uint32 {
 	b := append(text(from), text(name)...)
@@ -110,7 +127,8 @@
 	return uint32(len(m.imports) - 1)
 }
 
-// Func adds a function, exported where it has a name, and gives its index. locals come after the parameters.
+// Func adds a function, exported where it has a name, and returns its index. Its locals have the type I32, and their indices
+// follow those of the parameters.
 func (m *Module) Func(name string, params, results int, locals uint32, body ...Code) uint32 {
 	i := uint32(len(m.imports) + len(m.funcs))
 	m.funcs = append(m.funcs, m.typeIndex(params, results))
@@ -128,14 +146,14 @@
 	return i
 }
 
-// Data puts bytes into memory.
-func (m *Module) Data(at int32, b []byte) {
-	d := append([]byte{0x00}, I32Const(at)...)
+// Data has the memory hold bytes from an address on.
+func (m *Module) Data(address int32, b []byte) {
+	d := append([]byte{0x00}, I32Const(address)...)
 	d = append(append(d, 0x0b), unsigned(uint32(len(b)))...)
 	m.data = append(m.data, append(d, b...))
 }
 
-// Bytes is the file.
+// Bytes returns the module's file.
 func (m *Module) Bytes() []byte {
 	out := []byte("\x00asm\x01\x00\x00\x00")
 	section := func(id byte, items [][]byte) {
@@ -149,30 +167,30 @@
 		out = append(append(append(out, id), unsigned(uint32(len(body)))...), body...)
 	}
 	exports := m.exports
-	section(1, m.types)
-	section(2, m.imports)
-	section(3, m.funcs)
+	section(sectionType, m.types)
+	section(sectionImport, m.imports)
+	section(sectionFunction, m.funcs)
 	if m.Table > 0 {
-		section(4, [][]byte{append([]byte{0x70, 0x00}, unsigned(m.Table)...)})
+		section(sectionTable, [][]byte{append([]byte{0x70, 0x00}, unsigned(m.Table)...)})
 	}
 	if m.Pages > 0 {
 		limits := append([]byte{0x00}, unsigned(m.Pages)...)
 		if m.MaxPages > 0 {
 			limits = append(append([]byte{0x01}, unsigned(m.Pages)...), unsigned(m.MaxPages)...)
 		}
-		section(5, [][]byte{limits})
+		section(sectionMemory, [][]byte{limits})
 		exports = append(exports, append(text("memory"), 0x02, 0x00))
 	}
-	section(7, exports)
+	section(sectionExport, exports)
 	if m.Start > 0 {
-		out = append(append(out, 8, byte(len(unsigned(uint32(m.Start))))), unsigned(uint32(m.Start))...)
+		out = append(append(out, sectionStart, byte(len(unsigned(uint32(m.Start))))), unsigned(uint32(m.Start))...)
 	}
-	section(10, m.bodies)
-	section(11, m.data)
+	section(sectionCode, m.bodies)
+	section(sectionData, m.data)
 	return out
 }
 
-// typeIndex is the index of a type of function, which is added where there is none like it.
+// typeIndex returns the index of a function type, which is added where the module does not have it.
 func (m *Module) typeIndex(params, results int) []byte {
 	t := []byte{0x60}
 	for _, n := range []int{params, results} {
@@ -190,9 +208,10 @@
 	return unsigned(uint32(len(m.types) - 1))
 }
 
+// text returns a text with its length in front.
 func text(s string) []byte { return append(unsigned(uint32(len(s))), s...) }
 
-// unsigned and signed are numbers in LEB128.
+// unsigned returns a number in LEB128.
 func unsigned(n uint32) []byte {
 	var b []byte
 	for n >= 0x80 {
@@ -202,6 +221,7 @@
 	return append(b, byte(n))
 }
 
+// signed returns a signed number in LEB128.
 func signed(n int64) []byte {
 	var b []byte
 	for {
