--- a/internal/hooks/config_test.go
+++ b/internal/hooks/config_test.go
@@ -19,7 +19,7 @@
 	return operatorconfig.Get[File]([]operatorconfig.File{file}, Kind), nil
 }
 
-func TestAFileOfItsKindAloneHasNoHooks(t *testing.T) {
+func TestFileDefaultsToNoHooks(t *testing.T) {
 	f, err := parse("")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestAnEntrySaysWhatEachDoesNot(t *testing.T) {
+func TestEntryOverridesDefaults(t *testing.T) {
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, "a.star"), []byte("code a"), 0o600)
 	os.WriteFile(filepath.Join(dir, "b.wasm"), []byte("code b"), 0o600)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestWhatNoSingleRangeTellsIsNamed(t *testing.T) {
+func TestFileCheckNamesFaults(t *testing.T) {
 	for text, want := range map[string]string{ // any order
 		"[[hook]]\nclasses = [\"a\"]":                                            "hook[0]: it names no file",
 		"[[hook]]\nfile = \"../a.star\"":                                         `hook[0].file: not a file's name alone ("../a.star")`,
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestFilesThatCanNotBeReadAreAllNamed(t *testing.T) {
+func TestReadNamesEachUnreadableFile(t *testing.T) {
 	dir := t.TempDir()
 	os.Mkdir(filepath.Join(dir, "b.wasm"), 0o700)
 	f, err := parse("folder = \"" + dir + "\"\n[[hook]]\nfile = \"a.star\"\n[[hook]]\nfile = \"b.wasm\"\n")
--- a/internal/hooks/virtual_test.go
+++ b/internal/hooks/hooks_test.go
@@ -14,8 +14,8 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// field is a router's place on a virtual host.
-type field struct {
+// virtualHarness is a router's place on a virtual host.
+type virtualHarness struct {
 	t        *testing.T
 	w        *sim.World
 	host     *sim.Host
@@ -26,9 +26,9 @@
 	lines    []string
 }
 
-func newField(t *testing.T, seed uint64, s *hookstest.Script, cfg Config) *field {
+func newVirtualHarness(t *testing.T, seed uint64, s *hookstest.Script, cfg Config) *virtualHarness {
 	t.Helper()
-	f := &field{t: t, w: sim.New(seed), verdicts: map[int64][]Verdict{}, at: map[int64]Time{}}
+	f := &virtualHarness{t: t, w: sim.New(seed), verdicts: map[int64][]Verdict{}, at: map[int64]Time{}}
 	f.host = f.w.Host("router", "10.0.0.1", sim.HostOptions{})
 	f.m = f.host.Machine()
 	f.host.Worker = s.Worker(f.host.Machine)
@@ -39,9 +39,9 @@
 	return f
 }
 
-func (f *field) pass(d Time) { f.w.Run(f.w.Now() + d) }
+func (f *virtualHarness) advance(d Time) { f.w.Run(f.w.Now() + d) }
 
-func (f *field) ask(id int64, class string) bool {
+func (f *virtualHarness) evaluate(id int64, class string) bool {
 	inside := true
 	defer func() { inside = false }()
 	return f.h.Evaluate(Request{ID: id, Class: class, TimeLeft: sim.Second}, func(v Verdict) {
@@ -53,7 +53,7 @@
 	})
 }
 
-func (f *field) logged(text string) {
+func (f *virtualHarness) wantLog(text string) {
 	f.t.Helper()
 	for _, line := range f.lines {
 		if strings.Contains(line, text) {
@@ -63,8 +63,8 @@
 	f.t.Errorf("no line says %q: %q", text, f.lines)
 }
 
-// empty fails where something is left.
-func (f *field) empty() {
+// wantNothingLeft fails where something is left.
+func (f *virtualHarness) wantNothingLeft() {
 	f.t.Helper()
 	for name, n := range f.h.Left() { // any order
 		if n > 0 {
@@ -79,49 +79,49 @@
 	}
 }
 
-func (f *field) close() {
+func (f *virtualHarness) close() {
 	f.t.Helper()
 	closed := Time(0)
 	began := f.w.Now()
 	f.h.Close(func() { closed = f.w.Now() })
-	f.pass(sim.Second)
+	f.advance(sim.Second)
 	if closed == 0 || closed-began > 400*sim.Millisecond {
 		f.t.Errorf("closed after %d ms", (closed-began)/1000)
 	}
-	f.empty()
+	f.wantNothingLeft()
 }
 
-func one(name string) Hook {
+func hookNamed(name string) Hook {
 	h := Hook{Hook: policy.Hook{Name: name, Time: 5000, LoadTime: sim.Second, Queue: 64, CPUFraction: 1}, Engine: "script"}
 	h.Budget = plugin.DefaultBudget
 	return h
 }
 
-func set(hooks ...Hook) Config {
+func config(hooks ...Hook) Config {
 	return Config{Hooks: hooks, MaxWaitFraction: 0.1, MaxWait: 50 * sim.Millisecond}
 }
 
-func TestVerdictsComeBackInALaterTurn(t *testing.T) {
+func TestVerdictIsDeliveredInLaterTurn(t *testing.T) {
 	s := &hookstest.Script{Call: func(_ string, c *plugin.Call) hookstest.Act {
 		return hookstest.Act{Verdict: Verdict{Decision: plugin.Reject, RetryAfter: 7000}}
 	}}
-	f := newField(t, 1, s, set(one("a")))
+	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
 	if f.h.Ready() {
 		t.Error("ready before its worker is up")
 	}
-	f.pass(20 * sim.Millisecond)
-	if !f.h.Ready() || !f.ask(1, "read") {
+	f.advance(20 * sim.Millisecond)
+	if !f.h.Ready() || !f.evaluate(1, "read") {
 		t.Fatal("not ready, or not taken")
 	}
-	f.pass(sim.Millisecond)
+	f.advance(sim.Millisecond)
 	if got := f.verdicts[1]; len(got) != 1 || got[0].Decision != plugin.Reject || got[0].RetryAfter != 7000 {
 		t.Errorf("%+v", got)
 	}
 	f.close()
 }
 
-func TestWithoutHooksNothingIsHeldOrAllocated(t *testing.T) {
-	f := newField(t, 1, &hookstest.Script{}, Config{})
+func TestWithoutHooksNothingIsRetainedOrAllocated(t *testing.T) {
+	f := newVirtualHarness(t, 1, &hookstest.Script{}, Config{})
 	n := testing.AllocsPerRun(100, func() {
 		if f.h.Evaluate(Request{ID: 1, Class: "read"}, nil) {
 			t.Error("taken")
@@ -133,39 +133,39 @@
 	if n > 0 {
 		t.Errorf("%v allocations", n)
 	}
-	f.empty()
+	f.wantNothingLeft()
 	f.close()
 }
 
-func TestAHookThatHangsCostsItsRequestABoundedTime(t *testing.T) {
+func TestHangingHookDelaysRequestsBoundedTime(t *testing.T) {
 	s := &hookstest.Script{Call: func(_ string, c *plugin.Call) hookstest.Act {
 		return hookstest.Act{Hang: c.Class == "bad"}
 	}}
-	f := newField(t, 1, s, set(one("a")))
-	f.pass(20 * sim.Millisecond)
+	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
+	f.advance(20 * sim.Millisecond)
 	began := f.w.Now()
-	f.ask(1, "bad")
-	f.ask(2, "good") // behind it, at the same hook
-	f.pass(100 * sim.Millisecond)
+	f.evaluate(1, "bad")
+	f.evaluate(2, "good") // behind it, at the same hook
+	f.advance(100 * sim.Millisecond)
 	for id, most := range map[int64]Time{1: 20 * sim.Millisecond, 2: 50 * sim.Millisecond} { // any order
 		if len(f.verdicts[id]) != 1 || f.verdicts[id][0].Decision != plugin.Pass || f.at[id]-began > most {
 			t.Errorf("request %d: %+v after %d us", id, f.verdicts[id], f.at[id]-began)
 		}
 	}
-	f.logged(policy.ErrCallTimeout.Error())
+	f.wantLog(policy.ErrCallTimeout.Error())
 	f.close()
 }
 
-func TestAWorkerThatSaysRubbishIsEnded(t *testing.T) {
+func TestWorkerThatViolatesProtocolIsReplaced(t *testing.T) {
 	for name, act := range map[string]hookstest.Act{ // any order
 		"rubbish": {Say: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "twice": {Twice: true}, "dies": {Die: true},
 		"no verdict": {Verdict: Verdict{Decision: 9}},
 	} {
 		s := &hookstest.Script{Call: func(string, *plugin.Call) hookstest.Act { return act }}
-		f := newField(t, 1, s, set(one("a")))
-		f.pass(20 * sim.Millisecond)
-		f.ask(1, "read")
-		f.pass(100 * sim.Millisecond)
+		f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
+		f.advance(20 * sim.Millisecond)
+		f.evaluate(1, "read")
+		f.advance(100 * sim.Millisecond)
 		if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Decision != plugin.Pass {
 			t.Errorf("%s: %+v", name, f.verdicts[1])
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestLooksReachTheirHooks(t *testing.T) {
+func TestNotificationsReachHooks(t *testing.T) {
 	var seen []plugin.Call
 	s := &hookstest.Script{
 		Load: func(string) (plugin.Points, hookstest.Act) {
@@ -187,48 +187,48 @@
 			return hookstest.Act{}
 		},
 	}
-	f := newField(t, 1, s, set(one("a")))
-	f.pass(20 * sim.Millisecond)
+	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
+	f.advance(20 * sim.Millisecond)
 	f.h.Answered(Answer{Class: "read", Outcome: plugin.OutcomeFailed, Took: 9})
 	f.h.ListChanged(9, 8)
-	f.pass(20 * sim.Millisecond)
+	f.advance(20 * sim.Millisecond)
 	f.close()
 	if len(seen) != 3 || seen[0].Outcome != plugin.OutcomeFailed || seen[1].ServingCaches != 8 || seen[2].Point != plugin.Unload {
 		t.Errorf("%+v", seen)
 	}
 }
 
-func TestTheValueIsHandedOverWhereItIsWanted(t *testing.T) {
+func TestValueIsHandedToHooksThatWantIt(t *testing.T) {
 	var seen [][]byte
 	s := &hookstest.Script{Call: func(_ string, c *plugin.Call) hookstest.Act {
 		seen = append(seen, append([]byte(nil), c.Value...))
 		return hookstest.Act{}
 	}}
-	a, b := one("a"), one("b")
+	a, b := hookNamed("a"), hookNamed("b")
 	b.WantsValue = true
-	f := newField(t, 1, s, set(a, b))
-	f.pass(20 * sim.Millisecond)
+	f := newVirtualHarness(t, 1, s, config(a, b))
+	f.advance(20 * sim.Millisecond)
 	f.h.Evaluate(Request{ID: 1, TimeLeft: sim.Second, Value: func() []byte { return []byte("59 for OE1XYZ") }}, func(Verdict) {})
-	f.pass(20 * sim.Millisecond)
+	f.advance(20 * sim.Millisecond)
 	if len(seen) != 2 || len(seen[0]) > 0 || string(seen[1]) != "59 for OE1XYZ" {
 		t.Errorf("%q", seen)
 	}
 	f.close()
 }
 
-func TestReloadAndCloseWhileEveryWorkerIsStuck(t *testing.T) {
+func TestReloadAndCloseWithAllWorkersStuck(t *testing.T) {
 	s := &hookstest.Script{Call: func(string, *plugin.Call) hookstest.Act { return hookstest.Act{Hang: true} }}
-	f := newField(t, 1, s, set(one("a"), one("b")))
-	f.pass(20 * sim.Millisecond)
+	f := newVirtualHarness(t, 1, s, config(hookNamed("a"), hookNamed("b")))
+	f.advance(20 * sim.Millisecond)
 	for id := range int64(40) {
-		f.ask(id, "read")
+		f.evaluate(id, "read")
 	}
-	f.pass(sim.Millisecond)
-	if err := f.h.Reload(set(one("c"))); err != nil {
+	f.advance(sim.Millisecond)
+	if err := f.h.Reload(config(hookNamed("c"))); err != nil {
 		t.Fatal(err)
 	}
-	f.pass(6 * sim.Millisecond)
-	f.ask(99, "read")
+	f.advance(6 * sim.Millisecond)
+	f.evaluate(99, "read")
 	f.close()
 	for id := range int64(40) {
 		if len(f.verdicts[id]) != 1 {
@@ -237,7 +237,7 @@
 	}
 }
 
-func TestASetThatDoesNotLoadIsNamed(t *testing.T) {
+func TestSetThatDoesNotLoadIsLogged(t *testing.T) {
 	s := &hookstest.Script{Load: func(hook string) (plugin.Points, hookstest.Act) {
 		a := hookstest.Act{}
 		if hook == "bad" {
@@ -245,45 +245,45 @@
 		}
 		return plugin.Points(0).With(plugin.OnRequest), a
 	}}
-	f := newField(t, 1, s, set(one("a")))
-	f.pass(20 * sim.Millisecond)
-	f.h.Reload(set(one("b"), one("bad")))
-	f.pass(20 * sim.Millisecond)
-	f.logged(`msg="hook set not loaded" hook=bad cause="other contract: it was built for version 2"`)
+	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
+	f.advance(20 * sim.Millisecond)
+	f.h.Reload(config(hookNamed("b"), hookNamed("bad")))
+	f.advance(20 * sim.Millisecond)
+	f.wantLog(`msg="hook set not loaded" hook=bad cause="other contract: it was built for version 2"`)
 	if rows := f.h.Status(); len(rows) != 1 || rows[0].Name != "a" || !f.h.Ready() {
 		t.Errorf("%+v", rows)
 	}
 	f.close()
 }
 
-func TestAMachineWithoutWorkersLeavesOnFailureToDecide(t *testing.T) {
-	h := one("a")
+func TestOnFailureAppliesWithoutWorkers(t *testing.T) {
+	h := hookNamed("a")
 	h.OnFailure = policy.RejectOnFailure
-	f := newField(t, 1, &hookstest.Script{}, set(h))
+	f := newVirtualHarness(t, 1, &hookstest.Script{}, config(h))
 	f.host.Worker = nil
-	f.pass(20 * sim.Millisecond)
-	f.ask(1, "read")
-	f.pass(100 * sim.Millisecond)
+	f.advance(20 * sim.Millisecond)
+	f.evaluate(1, "read")
+	f.advance(100 * sim.Millisecond)
 	if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Decision != plugin.Reject {
 		t.Errorf("%+v", f.verdicts[1])
 	}
 	f.close()
 }
 
-func TestWhereNoHookRunsInsideItHasAProcess(t *testing.T) {
-	h := one("a")
+func TestInsideHookRunsInProcessWithoutConfigInside(t *testing.T) {
+	h := hookNamed("a")
 	h.Inside = true
-	f := newField(t, 1, &hookstest.Script{}, set(h))
-	f.pass(20 * sim.Millisecond)
-	f.logged(`msg="hook runs in a process, not inside the router" hook=a`)
+	f := newVirtualHarness(t, 1, &hookstest.Script{}, config(h))
+	f.advance(20 * sim.Millisecond)
+	f.wantLog(`msg="hook runs in a process, not inside the router" hook=a`)
 	if !f.h.Ready() {
 		t.Error("it does not run")
 	}
 	f.close()
 }
 
-// broken plays hooks by chance.
-func broken(r *rand.Rand) *hookstest.Script {
+// randomlyBrokenHooks plays hooks by chance.
+func randomlyBrokenHooks(r *rand.Rand) *hookstest.Script {
 	return &hookstest.Script{
 		Load: func(string) (plugin.Points, hookstest.Act) {
 			a := hookstest.Act{After: r.Int64N(3000), Die: r.IntN(20) == 0, Hang: r.IntN(30) == 0}
@@ -313,17 +313,17 @@
 	}
 }
 
-// TestBrokenHooksFromSeeds holds each run to one verdict a request, in time, and nothing left over; and equal seeds to equal
+// TestBrokenHooksOfSeedsHaveOneVerdictInTime holds each run to one verdict a request, in time, and nothing left over; and equal seeds to equal
 // runs.
-func TestBrokenHooksFromSeeds(t *testing.T) {
+func TestBrokenHooksOfSeedsHaveOneVerdictInTime(t *testing.T) {
 	play := func(seed uint64) uint64 {
 		r := rand.New(rand.NewPCG(seed, 2))
-		strict := one("strict")
+		strict := hookNamed("strict")
 		strict.OnFailure = policy.RejectOnFailure
-		f := newField(t, seed, broken(r), set(one("a"), strict))
+		f := newVirtualHarness(t, seed, randomlyBrokenHooks(r), config(hookNamed("a"), strict))
 		began, gone := map[int64]Time{}, map[int64]bool{}
 		for id := range int64(300) {
-			if f.ask(id, "read") {
+			if f.evaluate(id, "read") {
 				began[id] = f.w.Now()
 			}
 			f.h.Answered(Answer{Class: "read"})
@@ -333,9 +333,9 @@
 				f.h.Cancel(x)
 			}
 			if r.IntN(100) == 0 {
-				f.h.Reload(set(one("c"), one("d")))
+				f.h.Reload(config(hookNamed("c"), hookNamed("d")))
 			}
-			f.pass(r.Int64N(4000))
+			f.advance(r.Int64N(4000))
 		}
 		f.close()
 		for id, at := range began { // any order
--- a/internal/hooks/overrun_test.go
+++ b/internal/hooks/overrun_test.go
@@ -25,18 +25,18 @@
 		name, key string
 		hook      Hook
 	}{
-		{"ScriptLoop", "loop", script("x", moody)},
-		{"ScriptBuiltIn", "sort", script("x", moody)},
-		{"ScriptMemory", "swell", script("x", moody)},
+		{"ScriptLoop", "loop", scriptHook("x", moodyScript)},
+		{"ScriptBuiltIn", "sort", scriptHook("x", moodyScript)},
+		{"ScriptMemory", "swell", scriptHook("x", moodyScript)},
 		{"ModuleLoop", "loop", Hook{Engine: "wasm", Code: loop.Bytes()}},
 		{"ModuleLoopInside", "loop", Hook{Engine: "wasm", Code: loop.Bytes(), Inside: true}},
-		{"ModuleRecursion", "x", Hook{Engine: "wasm", Code: trap()}},
-		{"ModuleRecursionUncounted", "x", Hook{Engine: "wasm", Code: trap()}},
-		{"ModuleRecursionInside", "x", Hook{Engine: "wasm", Code: trap(), Inside: true}},
+		{"ModuleRecursion", "x", Hook{Engine: "wasm", Code: endlessRecursion()}},
+		{"ModuleRecursionUncounted", "x", Hook{Engine: "wasm", Code: endlessRecursion()}},
+		{"ModuleRecursionInside", "x", Hook{Engine: "wasm", Code: endlessRecursion(), Inside: true}},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			h := c.hook
-			h.Hook = one("x").Hook
+			h.Hook = hookNamed("x").Hook
 			h.OnFailure = policy.RejectOnFailure
 			h.Budget = open
 			if c.name == "ModuleRecursionUncounted" {
@@ -45,16 +45,16 @@
 			if c.key == "sort" {
 				h.Budget.Memory = 1 << 30
 			}
-			cfg := set(h)
+			cfg := config(h)
 			cfg.MaxWaitFraction, cfg.MaxWait = 0.9, 9_000_000
 			var over, after []Time
 			for range b.N {
-				r := newRig(b, cfg)
+				r := newRealHarness(b, cfg)
 				r.run(func(done func()) {
-					r.ready(func() {
-						r.ask("a", c.key, func(_ Verdict, took Time) {
+					r.whenReady(func() {
+						r.evaluate("a", c.key, func(_ Verdict, took Time) {
 							over = append(over, took-h.Time)
-							r.ask("a", "", func(_ Verdict, took Time) {
+							r.evaluate("a", "", func(_ Verdict, took Time) {
 								after = append(after, took)
 								done()
 							})
--- a/internal/hooks/policy/chance_test.go
+++ b/internal/hooks/policy/random_test.go
@@ -9,10 +9,10 @@
 	"starlingwinch/internal/plugin"
 )
 
-// TestEachRequestHasOneVerdictInTimeWhateverHappens plays workers, clients and operators by chance.
-func TestEachRequestHasOneVerdictInTimeWhateverHappens(t *testing.T) {
+// TestRandomEventsGiveOneVerdictInTime plays workers, clients and operators by chance.
+func TestRandomEventsGiveOneVerdictInTime(t *testing.T) {
 	for seed := range uint64(400) {
-		f := newField(t)
+		f := newHarness(t)
 		r := rand.New(rand.NewPCG(seed, 1))
 		due, gone := map[int64]Time{}, map[int64]bool{}
 		set := func() Settings {
@@ -50,18 +50,18 @@
 			case n < 54:
 				f.p.Load(f.now, set())
 			case n < 60:
-				f.pass(Time(r.IntN(30 * ms)))
+				f.advance(Time(r.IntN(30 * ms)))
 			case n < 62 && step > 500:
 				f.p.Close(f.now)
 			case n < 72:
-				f.up(requestPoint.With(plugin.Answered).With(plugin.Unload))
+				f.loadWorkers(requestPoint.With(plugin.Answered).With(plugin.Unload))
 			case len(ids) > 0:
-				if w := pick(); len(f.asked[w]) > 0 {
+				if w := pick(); len(f.sentCalls[w]) > 0 {
 					say := []plugin.Decision{plugin.Pass, plugin.Pass, plugin.Reject, plugin.Fail}[r.IntN(4)]
 					f.reply(w, Reply{Failed: r.IntN(8) == 0, Verdict: &plugin.Verdict{Decision: say}})
 				}
 			}
-			f.carry()
+			f.executeActions()
 			for x, at := range due { // any order
 				n := len(f.verdicts[x])
 				if n > 1 || n > 0 && gone[x] || n == 0 && !gone[x] && at < f.now {
@@ -70,8 +70,8 @@
 			}
 		}
 		f.p.Close(f.now)
-		f.carry()
-		f.pass(1000 * ms)
+		f.executeActions()
+		f.advance(1000 * ms)
 		left := f.p.Left()
 		if f.closed != 1 || left["requests"]+left["workers"]+left["calls"]+left["old sets"] > 0 || len(f.running()) > 0 {
 			t.Fatalf("seed %d: closed %d, left %v, running %v", seed, f.closed, left, f.running())
--- a/internal/hooks/policy/set_test.go
+++ b/internal/hooks/policy/set_test.go
@@ -8,140 +8,140 @@
 	"starlingwinch/internal/plugin"
 )
 
-func TestANewSetTakesOverInOneStepAndRequestsFinishInTheOld(t *testing.T) {
-	f := newField(t)
+func TestNewSetTakesOverAtOnceAndOldFinishesRequests(t *testing.T) {
+	f := newHarness(t)
 	f.load(hookNamed("a"))
-	old := f.of(0)
-	f.ask(1, "read")
+	old := f.workerOf(0)
+	f.evaluate(1, "read")
 	f.p.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
-	f.carry()
-	f.ask(2, "read")
-	f.p.WorkerLoaded(f.now, f.of(0), requestPoint)
-	f.carry()
-	f.ask(3, "read")
-	if len(f.asked[old]) != 3 {
-		t.Fatalf("the old set has %d of 3 while the new one loads", len(f.asked[old]))
+	f.executeActions()
+	f.evaluate(2, "read")
+	f.p.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
+	f.executeActions()
+	f.evaluate(3, "read")
+	if len(f.sentCalls[old]) != 3 {
+		t.Fatalf("the old set has %d of 3 while the new one loads", len(f.sentCalls[old]))
 	}
-	f.p.WorkerLoaded(f.now, f.of(1), requestPoint)
-	f.carry()
-	f.ask(4, "read")
-	if len(f.asked[old]) != 3 || len(f.asked[f.of(0)]) != 1 {
+	f.p.WorkerLoaded(f.now, f.workerOf(1), requestPoint)
+	f.executeActions()
+	f.evaluate(4, "read")
+	if len(f.sentCalls[old]) != 3 || len(f.sentCalls[f.workerOf(0)]) != 1 {
 		t.Error("the new set has not taken over")
 	}
 	for id := range int64(3) {
 		f.reply(old, Reply{Verdict: &plugin.Verdict{Decision: plugin.Reject, RetryAfter: 5}})
-		f.has(id+1, plugin.Reject, 5)
+		f.wantVerdict(id+1, plugin.Reject, 5)
 	}
-	if !slices.Equal(f.dropped, []int{1}) || slices.Contains(f.running(), old) {
-		t.Errorf("dropped %v, running %v with %d", f.dropped, f.running(), old)
+	if !slices.Equal(f.releasedSets, []int{1}) || slices.Contains(f.running(), old) {
+		t.Errorf("dropped %v, running %v with %d", f.releasedSets, f.running(), old)
 	}
 }
 
-func TestASetThatDoesNotLoadLeavesTheOldOne(t *testing.T) {
-	f := newField(t)
+func TestSetThatDoesNotLoadLeavesOldActive(t *testing.T) {
+	f := newHarness(t)
 	f.load(hookNamed("a"))
-	old := f.of(0)
+	old := f.workerOf(0)
 	f.p.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
-	f.carry()
-	f.p.WorkerLoaded(f.now, f.of(0), requestPoint)
-	f.p.WorkerEnded(f.now, f.of(1), errors.New("does not load: not a module"))
-	f.carry()
-	f.logged(`msg="hook set not loaded" hook=c cause="does not load: not a module"`)
-	if !slices.Equal(f.running(), []int{old}) || !slices.Equal(f.dropped, []int{2}) {
-		t.Errorf("running %v, dropped %v", f.running(), f.dropped)
+	f.executeActions()
+	f.p.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
+	f.p.WorkerEnded(f.now, f.workerOf(1), errors.New("does not load: not a module"))
+	f.executeActions()
+	f.wantLog(`msg="hook set not loaded" hook=c cause="does not load: not a module"`)
+	if !slices.Equal(f.running(), []int{old}) || !slices.Equal(f.releasedSets, []int{2}) {
+		t.Errorf("running %v, dropped %v", f.running(), f.releasedSets)
 	}
 	f.p.Load(f.now, settings(hookNamed("d")))
-	f.carry()
-	f.pass(20_000 * ms) // it never comes up
-	f.logged(`msg="hook set not loaded" hook=d cause="worker did not load its hook in time"`)
+	f.executeActions()
+	f.advance(20_000 * ms) // it never comes up
+	f.wantLog(`msg="hook set not loaded" hook=d cause="worker did not load its hook in time"`)
 	if !slices.Equal(f.running(), []int{old}) {
 		t.Errorf("running %v", f.running())
 	}
 }
 
-func TestAReloadWhileAllWorkersAreStuckGoesOn(t *testing.T) {
-	f := newField(t)
+func TestReloadSucceedsWithAllWorkersStuck(t *testing.T) {
+	f := newHarness(t)
 	f.load(hookNamed("a"))
 	for id := range int64(30) {
-		f.ask(id, "read")
+		f.evaluate(id, "read")
 	}
 	f.p.Load(f.now, settings(hookNamed("b")))
-	f.carry()
-	f.p.WorkerLoaded(f.now, f.of(0), requestPoint)
-	f.carry()
-	f.pass(100 * ms)
+	f.executeActions()
+	f.p.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
+	f.executeActions()
+	f.advance(100 * ms)
 	for id := range int64(30) {
-		f.has(id, plugin.Pass, 0)
+		f.wantVerdict(id, plugin.Pass, 0)
 	}
-	f.ask(99, "read")
-	f.reply(f.of(0), Reply{})
-	f.has(99, plugin.Pass, 0)
-	if len(f.running()) != 1 || len(f.dropped) != 1 {
-		t.Errorf("running %v, dropped %v", f.running(), f.dropped)
+	f.evaluate(99, "read")
+	f.reply(f.workerOf(0), Reply{})
+	f.wantVerdict(99, plugin.Pass, 0)
+	if len(f.running()) != 1 || len(f.releasedSets) != 1 {
+		t.Errorf("running %v, dropped %v", f.running(), f.releasedSets)
 	}
 }
 
-func TestTheFirstSetIsTriedAgainWhereItDoesNotLoad(t *testing.T) {
-	f := newField(t)
+func TestFirstSetIsLoadedAgainAfterFailure(t *testing.T) {
+	f := newHarness(t)
 	strict := hookNamed("strict")
 	strict.OnFailure = RejectOnFailure
 	f.p.Load(f.now, settings(strict))
-	f.carry()
-	f.p.WorkerEnded(f.now, f.of(0), errors.New("does not load: x"))
-	f.carry()
-	f.ask(1, "read")
-	f.has(1, plugin.Reject, 0)
-	f.pass(1100 * ms)
-	f.up(requestPoint)
-	f.ask(2, "read")
-	f.reply(f.of(0), Reply{})
-	f.has(2, plugin.Pass, 0)
+	f.executeActions()
+	f.p.WorkerEnded(f.now, f.workerOf(0), errors.New("does not load: x"))
+	f.executeActions()
+	f.evaluate(1, "read")
+	f.wantVerdict(1, plugin.Reject, 0)
+	f.advance(1100 * ms)
+	f.loadWorkers(requestPoint)
+	f.evaluate(2, "read")
+	f.reply(f.workerOf(0), Reply{})
+	f.wantVerdict(2, plugin.Pass, 0)
 }
 
-func TestCloseEndsInTimeWhateverTheWorkersDo(t *testing.T) {
-	f := newField(t)
+func TestCloseIsBoundedWithStuckWorkers(t *testing.T) {
+	f := newHarness(t)
 	strict := hookNamed("strict")
 	strict.OnFailure = RejectOnFailure
 	f.p.Load(f.now, settings(strict, hookNamed("b")))
-	f.carry()
-	f.up(requestPoint.With(plugin.Unload))
+	f.executeActions()
+	f.loadWorkers(requestPoint.With(plugin.Unload))
 	for id := range int64(30) {
-		f.ask(id, "read")
+		f.evaluate(id, "read")
 	}
 	f.p.Load(f.now, settings(hookNamed("c"))) // loads meanwhile
 	f.p.Close(f.now)
-	f.carry()
+	f.executeActions()
 	for id := range int64(30) {
-		f.has(id, plugin.Reject, 0)
+		f.wantVerdict(id, plugin.Reject, 0)
 	}
-	if f.ask(99, "read") {
+	if f.evaluate(99, "read") {
 		t.Error("taken after Close")
 	}
-	f.pass(2 * maxUnloadTime)
+	f.advance(2 * maxUnloadTime)
 	if f.closed != 1 || len(f.running()) > 0 {
 		t.Errorf("closed %d times, running %v", f.closed, f.running())
 	}
 	f.p.Close(f.now)
 	f.p.Load(f.now, settings(hookNamed("d")))
-	f.carry()
+	f.executeActions()
 	if f.closed != 1 || len(f.running()) > 0 {
 		t.Errorf("closed %d times, running %v", f.closed, f.running())
 	}
 }
 
-func TestUnloadIsAskedOnceAndThenTheWorkerEnds(t *testing.T) {
+func TestUnloadIsCalledOnceAndEndsWorker(t *testing.T) {
 	for _, failed := range []bool{false, true} {
-		f := newField(t)
+		f := newHarness(t)
 		f.p.Load(f.now, settings(hookNamed("a")))
-		f.carry()
-		f.up(requestPoint.With(plugin.Unload))
+		f.executeActions()
+		f.loadWorkers(requestPoint.With(plugin.Unload))
 		f.p.Close(f.now)
-		f.carry()
-		calls := f.asked[f.of(0)]
+		f.executeActions()
+		calls := f.sentCalls[f.workerOf(0)]
 		if len(calls) != 1 || calls[0].Call().Point != plugin.Unload {
 			t.Fatalf("asked %+v", calls)
 		}
-		f.reply(f.of(0), Reply{Failed: failed, Kind: plugin.Crashed, Text: "in unload"})
+		f.reply(f.workerOf(0), Reply{Failed: failed, Kind: plugin.Crashed, Text: "in unload"})
 		if f.closed != 1 || len(f.running()) > 0 {
 			t.Errorf("closed %d times, running %v", f.closed, f.running())
 		}
--- a/internal/hooks/real_test.go
+++ b/internal/hooks/process_test.go
@@ -28,11 +28,11 @@
 	os.Exit(m.Run())
 }
 
-// patient is a budget of time that a machine under load leaves to a call that is good.
-const patient = 200_000
+// generousCallTime is a budget of time that a machine under load leaves to a call that is good.
+const generousCallTime = 200_000
 
-// rig is a router's place on the real machine.
-type rig struct {
+// realHarness is a router's place on the real machine.
+type realHarness struct {
 	t     testing.TB
 	m     *machine.Real
 	h     *Hooks
@@ -40,13 +40,13 @@
 	last  int64
 }
 
-func newRig(t testing.TB, cfg Config) *rig {
+func newRealHarness(t testing.TB, cfg Config) *realHarness {
 	t.Helper()
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, m: m}
+	r := &realHarness{t: t, m: m}
 	cfg.Inside = func(c io.ReadWriteCloser) {
 		defer c.Close()
 		worker.Serve(c, nil)
@@ -58,7 +58,7 @@
 }
 
 // run runs the loop with f in it, until f's done is called.
-func (r *rig) run(f func(done func())) {
+func (r *realHarness) run(f func(done func())) {
 	r.t.Helper()
 	late := false
 	r.m.At(r.m.Now()+60_000_000, func() {
@@ -76,16 +76,16 @@
 	}
 }
 
-// ready calls f once all hooks are up.
-func (r *rig) ready(f func()) {
+// whenReady calls f once all hooks are up.
+func (r *realHarness) whenReady(f func()) {
 	if r.h.Ready() {
 		f()
 		return
 	}
-	r.m.At(r.m.Now()+1000, func() { r.ready(f) })
+	r.m.At(r.m.Now()+1000, func() { r.whenReady(f) })
 }
 
-func (r *rig) ask(class, key string, done func(Verdict, Time)) {
+func (r *realHarness) evaluate(class, key string, done func(Verdict, Time)) {
 	r.last++
 	began := r.m.Now()
 	taken := r.h.Evaluate(Request{ID: r.last, Verb: "C.GET", Class: class, Key: key, TimeLeft: 10_000_000}, func(v Verdict) {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (r *rig) logged(text string) {
+func (r *realHarness) wantLog(text string) {
 	r.t.Helper()
 	for _, line := range r.lines {
 		if strings.Contains(line, text) {
@@ -106,14 +106,14 @@
 	r.t.Errorf("no line says %q: %q", text, r.lines)
 }
 
-func script(name, code string) Hook {
-	h := one(name)
+func scriptHook(name, code string) Hook {
+	h := hookNamed(name)
 	h.Code = []byte("version = 1\n" + code)
 	return h
 }
 
-// moody does what a key says.
-const moody = `
+// moodyScript does what a key says.
+const moodyScript = `
 def on_request(r):
     if r.key == "loop":
         for i in range(1 << 40):
@@ -138,8 +138,8 @@
     return [][1]
 `
 
-// trap is a module that recurses without end.
-func trap() []byte {
+// endlessRecursion is a module that recurses without end.
+func endlessRecursion() []byte {
 	m := &wasmfile.Module{Pages: 1}
 	m.Func("hook_version", 0, 1, 0, wasmfile.I32Const(1))
 	m.Func("hook_room", 1, 1, 0, wasmfile.I32Const(1024))
@@ -147,18 +147,18 @@
 	return m.Bytes()
 }
 
-func TestEachKindOfBrokenHookCostsItsRequestABoundedTime(t *testing.T) {
-	h := script("moody", moody)
+func TestBrokenHooksAnswerByOnFailureAndServeOn(t *testing.T) {
+	h := scriptHook("moody", moodyScript)
 	h.OnFailure, h.RetryAfter = policy.RejectOnFailure, 1000
 	h.Budget.Steps = 1 << 40
-	h.Time, h.Budget.Time = patient, patient
-	deep := Hook{Hook: h.Hook, Engine: "wasm", Code: trap(), Budget: h.Budget}
+	h.Time, h.Budget.Time = generousCallTime, generousCallTime
+	deep := Hook{Hook: h.Hook, Engine: "wasm", Code: endlessRecursion(), Budget: h.Budget}
 	deep.Name, deep.Classes = "deep", []string{"deep"}
 	deep.Budget.Depth, deep.Budget.Steps = 0, 0 // what is left is the end of its process
 	h.Classes = []string{"moody"}
-	cfg := set(h, deep)
+	cfg := config(h, deep)
 	cfg.MaxWaitFraction, cfg.MaxWait = 0.5, 5_000_000
-	r := newRig(t, cfg)
+	r := newRealHarness(t, cfg)
 	r.run(func(done func()) {
 		keys := []string{"ok", "loop", "ok", "crash", "ok", "nothing", "log", "ok"}
 		var next func()
@@ -169,7 +169,7 @@
 			}
 			key := keys[0]
 			keys = keys[1:]
-			r.ask("moody", key, func(v Verdict, took Time) {
+			r.evaluate("moody", key, func(v Verdict, took Time) {
 				want := Time(1000)
 				if key == "ok" || key == "log" {
 					want = 5000
@@ -181,35 +181,35 @@
 				next()
 			})
 		}
-		r.ready(next)
+		r.whenReady(next)
 	})
-	r.logged("its budget") // by the worker itself, or with its process where it came too late to that
-	r.logged(`hook=moody cause="crashed: moody:`)
-	r.logged(`hook=moody cause="gave no verdict: a value of the type int`)
-	r.logged(`msg="hook message" hook=moody text="(497 more lines dropped)"`)
-	r.logged(`hook=moody cause="crashed: moody:24:14`) // at unload
+	r.wantLog("its budget") // by the worker itself, or with its process where it came too late to that
+	r.wantLog(`hook=moody cause="crashed: moody:`)
+	r.wantLog(`hook=moody cause="gave no verdict: a value of the type int`)
+	r.wantLog(`msg="hook message" hook=moody text="(497 more lines dropped)"`)
+	r.wantLog(`hook=moody cause="crashed: moody:24:14`) // at unload
 }
 
-func TestWhatCanNotBeInterruptedIsEndedWithItsProcess(t *testing.T) {
+func TestUninterruptibleCallEndsWithItsProcess(t *testing.T) {
 	for _, key := range []string{"sort", "swell", "recurse"} {
-		h := script("moody", moody)
+		h := scriptHook("moody", moodyScript)
 		h.Classes = []string{"moody"}
 		h.OnFailure, h.RetryAfter = policy.RejectOnFailure, 1000
 		h.Budget.Steps = 1 << 40
-		h.Time, h.Budget.Time = patient, patient
+		h.Time, h.Budget.Time = generousCallTime, generousCallTime
 		if key == "sort" {
 			h.Budget.Memory = 1 << 30 // time is what ends it
 		}
 		if key == "recurse" {
-			h.Engine, h.Code = "wasm", trap()
+			h.Engine, h.Code = "wasm", endlessRecursion()
 			h.Budget.Depth, h.Budget.Steps = 0, 0
 		}
-		cfg := set(h)
+		cfg := config(h)
 		cfg.MaxWaitFraction, cfg.MaxWait = 0.5, 5_000_000
-		r := newRig(t, cfg)
+		r := newRealHarness(t, cfg)
 		r.run(func(done func()) {
-			r.ready(func() {
-				r.ask("moody", key, func(v Verdict, took Time) {
+			r.whenReady(func() {
+				r.evaluate("moody", key, func(v Verdict, took Time) {
 					if v.Decision != plugin.Reject || v.RetryAfter != 1000 {
 						t.Errorf("%s: %+v", key, v)
 					}
@@ -218,7 +218,7 @@
 						done()
 						return
 					}
-					r.ask("moody", "ok", func(v Verdict, took Time) { // waits for the next worker
+					r.evaluate("moody", "ok", func(v Verdict, took Time) { // waits for the next worker
 						if v.Decision != plugin.Reject || v.RetryAfter != 5000 {
 							t.Errorf("%s: after it %+v", key, v)
 						}
@@ -234,30 +234,30 @@
 	}
 }
 
-func TestHooksThatAreNoneAreNamedAndTheOldSetServes(t *testing.T) {
-	good := script("good", "def on_request(r):\n    return refuse(5)\n")
+func TestReloadOfInvalidHookNamesItAndKeepsOldSet(t *testing.T) {
+	good := scriptHook("good", "def on_request(r):\n    return refuse(5)\n")
 	for want, code := range map[string]string{ // any order
 		`hook=bad cause="does not load: bad:2:5: got end of file, want primary expression`: "x = ",
 		`hook=bad cause="other contract: it was built for version 2`:                       "version = 2\n",
 		`hook=bad cause="crashed: bad:3:14: floored division by zero`:                      "def on_load():\n    return 1 // 0\ndef on_request(r):\n    pass\n",
 		`hook=bad cause="overran its budget`:                                               "def on_load():\n    for i in range(1 << 40):\n        pass\ndef on_request(r):\n    pass\n",
 	} {
-		bad := script("bad", code)
+		bad := scriptHook("bad", code)
 		bad.LoadTime, bad.Budget.LoadTime = 200_000, 200_000
-		r := newRig(t, set(good))
+		r := newRealHarness(t, config(good))
 		r.run(func(done func()) {
-			r.ready(func() {
+			r.whenReady(func() {
 				if strings.HasPrefix(code, "version") {
 					bad.Code = []byte(code + "def on_request(r):\n    pass\n")
 				}
-				r.h.Reload(set(good, bad))
+				r.h.Reload(config(good, bad))
 				var look func()
 				look = func() {
 					if len(r.lines) == 0 {
 						r.m.At(r.m.Now()+1000, look)
 						return
 					}
-					r.ask("read", "k", func(v Verdict, _ Time) {
+					r.evaluate("read", "k", func(v Verdict, _ Time) {
 						if v.Decision != plugin.Reject {
 							t.Errorf("the old set says %+v", v)
 						}
@@ -267,7 +267,7 @@
 				look()
 			})
 		})
-		r.logged(want)
+		r.wantLog(want)
 	}
 }
 
@@ -279,8 +279,8 @@
 	pass.Func("hook_room", 1, 1, 0, wasmfile.I32Const(1024))
 	pass.Func("on_request", 1, 1, 0, wasmfile.I32Const(0))
 	engines := map[string]Hook{
-		"Wasm":   {Hook: one("x").Hook, Engine: "wasm", Code: pass.Bytes(), Budget: plugin.DefaultBudget},
-		"Script": script("x", "def on_request(r):\n    pass\n"),
+		"Wasm":   {Hook: hookNamed("x").Hook, Engine: "wasm", Code: pass.Bytes(), Budget: plugin.DefaultBudget},
+		"Script": scriptHook("x", "def on_request(r):\n    pass\n"),
 	}
 	for _, engine := range []string{"Wasm", "Script"} {
 		for _, inside := range []bool{false, true} {
@@ -301,13 +301,13 @@
 
 func benchPass(b *testing.B, h Hook, hooks, atOnce int) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	cfg := set()
+	cfg := config()
 	for i := range hooks {
 		own := h
 		own.Name = fmt.Sprint("h", i)
 		cfg.Hooks = append(cfg.Hooks, own)
 	}
-	r := newRig(b, cfg)
+	r := newRealHarness(b, cfg)
 	b.ReportAllocs()
 	r.run(func(done func()) {
 		n, open := 0, 0
@@ -319,7 +319,7 @@
 			}
 			if n >= b.N {
 				b.StopTimer()
-				b.ReportMetric(float64(cpu(b)-before)/float64(n), "router-ns/request")
+				b.ReportMetric(float64(processorTime(b)-before)/float64(n), "router-ns/request")
 				done()
 				return
 			}
@@ -332,16 +332,16 @@
 				r.h.Evaluate(Request{ID: int64(n), Verb: "C.GET", Class: "read", Tenant: "acme", Key: "7f3a9c21e0b4d655", TimeLeft: 10_000_000}, verdict)
 			}
 		}
-		r.ready(func() {
+		r.whenReady(func() {
 			b.ResetTimer()
-			before = cpu(b)
+			before = processorTime(b)
 			turn()
 		})
 	})
 }
 
-// cpu is the processor time of this process in ns.
-func cpu(b *testing.B) int64 {
+// processorTime is the processor time of this process in ns.
+func processorTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
--- a/internal/plugin/draft_test.go
+++ b/internal/plugin/draft_test.go
@@ -14,7 +14,7 @@
 	return d, v
 }
 
-func TestADraftTakesNoMoreThanAVerdictHolds(t *testing.T) {
+func TestDraftRejectsInvalidVerdicts(t *testing.T) {
 	long := strings.Repeat("x", MaxText+1)
 	for what, f := range map[string]func(*Draft) error{ // any order
 		"an empty tag":      func(d *Draft) error { return d.AddTag("") },
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestWhatIsNotSaidWithAVerdictIsNotInIt(t *testing.T) {
+func TestDraftFinishDropsWhatDecisionDoesNotUse(t *testing.T) {
 	d, v := draft(OnRequest)
 	d.SetRetryAfter(5)
 	d.SetText("why")
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestABrokenDraftKeepsItsLinesAlone(t *testing.T) {
+func TestDraftDiscardRetainsLogLines(t *testing.T) {
 	d, v := draft(OnRequest)
 	d.AddTag("a")
 	d.SetTenant("b")
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestPlainTextIsOneLineThatNoTerminalObeys(t *testing.T) {
+func TestPlainReplacesControlCharacters(t *testing.T) {
 	for text, want := range map[string]string{ // any order
 		"a\r\nb\x1b[2J\x00": "a??b?[2J?", "Öé": "Öé", "\xff\xfe": "??", "a\u2028b\u0085": "a?b?",
 	} {
@@ -95,7 +95,7 @@
 	})
 }
 
-func TestAnInterruptReachesTheCallThatRunsAndNoOther(t *testing.T) {
+func TestInterruptGuardReachesRunningCallOnly(t *testing.T) {
 	var w InterruptGuard
 	stopped := 0
 	stop := func() { stopped++ }
--- a/internal/plugin/plugintest/plugintest.go
+++ b/internal/plugin/plugintest/plugintest.go
@@ -1,5 +1,5 @@
-// Package plugintest holds what every engine of package plugin must do: one suite of tests for all of them. An engine
-// brings the hooks that the suite asks for, written in its own way.
+// Package plugintest checks what every engine of package plugin must do: one suite of tests for all of them. An engine
+// brings the hooks that the suite calls, written for that engine.
 package plugintest
 
 import (
@@ -12,7 +12,7 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Hooks are the hooks that an engine brings, by name. What a hook does where nothing is said is to pass.
+// Hooks are the hooks that an engine brings, by name, with what each does. In all other cases a hook passes.
 var Hooks = map[string]string{
 	"judge": "on_request, by the first byte of the key: R refuses with a wait of 250 ms; F fails with the text " +
 		`"no such call"; T tags "club" and "club", and names the tenant "guests"; L logs "seen"`,
@@ -44,7 +44,7 @@
 	"unknown words": "it uses a word that the contract does not have, such as send",
 }
 
-// Run checks an engine.
+// Run tests an engine with its hooks.
 func Run(t *testing.T, e plugin.Engine, hooks map[string][]byte) {
 	for name := range Hooks { // any order
 		if hooks[name] == nil {
@@ -56,66 +56,71 @@
 		name string
 		f    func(*testing.T, suite)
 	}{
-		{"SaysWhatTheHookSays", verdicts},
-		{"HandsOverAllFields", fields},
-		{"HidesTheValueUnlessAsked", hidesValue},
-		{"TakesOnlyWhatIsAVerdict", wordless},
-		{"CutsTheLog", cutsLog},
-		{"LooksOnly", looks},
-		{"ForgetsAnInstanceThatCrashed", forgets},
-		{"SaysNothingAfterACrash", saysNothing},
-		{"EndsWhatRunsWithoutEnd", ends},
-		{"RunsOnAfterAnInterrupt", runsOn},
-		{"InterruptBetweenCallsDoesNothing", idleInterrupt},
-		{"RefusesWhatIsNoHook", refuses},
-		{"UnloadCrashIsAnErrorAlone", unload},
-		{"LoadsNothingOutOfRubbish", rubbish},
+		{"Verdicts", testVerdicts},
+		{"AllFields", testFields},
+		{"ValueOnlyWhereWanted", testValue},
+		{"InvalidVerdicts", testInvalidVerdicts},
+		{"LogBounds", testLogBounds},
+		{"Notifications", testNotifications},
+		{"NewInstanceAfterCrash", testNewInstance},
+		{"NoVerdictAfterCrash", testVerdictOfCrash},
+		{"EndlessCalls", testEndlessCalls},
+		{"CallAfterInterrupt", testCallAfterInterrupt},
+		{"InterruptBetweenCalls", testInterruptBetweenCalls},
+		{"LoadFailures", testLoadFailures},
+		{"UnloadCrash", testUnload},
+		{"MalformedFiles", testMalformedFiles},
 	} {
 		t.Run(test.name, func(t *testing.T) { test.f(t, s) })
 	}
 }
 
+// suite is an engine with its hooks.
 type suite struct {
 	engine plugin.Engine
 	hooks  map[string][]byte
 }
 
-// budget has room for a machine under load: what is tested is that things end, and not how soon.
+// budget is generous, for a machine under load: the suite tests that calls end, and not how soon.
 var budget = plugin.Budget{Time: 250_000, LoadTime: 500_000, Steps: 2_000_000, Depth: 64, Memory: 4 << 20, LogLines: 4, LogLineSize: 40}
 
+// load loads a hook, which is closed at the end of the test.
 func (s suite) load(t *testing.T, name string) *timedHook {
 	t.Helper()
 	h, err := s.engine.Load(name, s.hooks[name], budget)
 	if err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	w := &timedHook{Hook: h}
+	timed := &timedHook{Hook: h}
 	t.Cleanup(h.Close)
-	return w
+	return timed
 }
 
-// timedHook is a hook whose calls are interrupted after the budget's time.
+// timedHook is a hook whose calls are interrupted after the budget's time, as a worker does.
 type timedHook struct{ plugin.Hook }
 
-func (w *timedHook) call(c plugin.Call) (plugin.Verdict, error) {
+// call calls the hook and returns its verdict.
+func (h *timedHook) call(c plugin.Call) (plugin.Verdict, error) {
 	var v plugin.Verdict
-	defer time.AfterFunc(time.Duration(budget.Time)*time.Microsecond, w.Interrupt).Stop()
-	err := w.Call(&c, &v)
+	defer time.AfterFunc(time.Duration(budget.Time)*time.Microsecond, h.Interrupt).Stop()
+	err := h.Call(&c, &v)
 	return v, err
 }
 
+// request returns a call at OnRequest.
 func request(key string) plugin.Call {
 	return plugin.Call{Point: plugin.OnRequest, Verb: "C.GET", Class: "call-lookup", Tenant: "acme", Key: key, Size: 17, TimeLeft: 480_000}
 }
 
-func checkVerdict(t *testing.T, what string, v plugin.Verdict, err error, say plugin.Decision, wait plugin.Time, text string) {
+// checkVerdict checks a verdict.
+func checkVerdict(t *testing.T, what string, v plugin.Verdict, err error, decision plugin.Decision, retryAfter plugin.Time, text string) {
 	t.Helper()
-	if err != nil || v.Decision != say || v.RetryAfter != wait || v.Text != text {
-		t.Errorf("%s: %+v, %v; want %s, wait %d, text %q", what, v, err, say, wait, text)
+	if err != nil || v.Decision != decision || v.RetryAfter != retryAfter || v.Text != text {
+		t.Errorf("%s: %+v, %v; want %s, wait %d, text %q", what, v, err, decision, retryAfter, text)
 	}
 }
 
-// checkFailure checks the kind of an error, and that its text is fit for a log.
+// checkFailure checks that an error is a failure of one of these kinds, and that its text is fit for a log.
 func checkFailure(t *testing.T, what string, err error, kinds ...plugin.FailureKind) {
 	t.Helper()
 	var f *plugin.Failure
@@ -135,7 +140,8 @@
 	}
 }
 
-func verdicts(t *testing.T, s suite) {
+// testVerdicts checks the verdicts of OnRequest.
+func testVerdicts(t *testing.T, s suite) {
 	h := s.load(t, "judge")
 	if !h.Points().Has(plugin.OnRequest) || h.Points().Has(plugin.Answered) {
 		t.Errorf("points %b", h.Points())
@@ -165,7 +171,8 @@
 	checkVerdict(t, "an empty key", v, err, plugin.Pass, 0, "")
 }
 
-func fields(t *testing.T, s suite) {
+// testFields checks what a hook is handed of a request.
+func testFields(t *testing.T, s suite) {
 	h := s.load(t, "echo")
 	long := strings.Repeat("x", 200)
 	for key, want := range map[string]string{ // any order
@@ -178,7 +185,8 @@
 	checkVerdict(t, "s", v, err, plugin.Reject, 17_000, "")
 }
 
-func hidesValue(t *testing.T, s suite) {
+// testValue checks that a hook sees a value only where the call has one.
+func testValue(t *testing.T, s suite) {
 	h := s.load(t, "echo")
 	v, err := h.call(request("V"))
 	checkVerdict(t, "without a value", v, err, plugin.Pass, 0, "")
@@ -190,7 +198,8 @@
 	checkVerdict(t, "without one, after one that had one", v, err, plugin.Pass, 0, "")
 }
 
-func wordless(t *testing.T, s suite) {
+// testInvalidVerdicts checks that verdicts beyond the bounds of the contract are failures.
+func testInvalidVerdicts(t *testing.T, s suite) {
 	for _, name := range []string{"wordless", "long tag", "bad tag", "many tags", "long wait"} {
 		v, err := s.load(t, name).call(request("A"))
 		checkFailure(t, name, err, plugin.InvalidVerdict)
@@ -204,7 +213,8 @@
 	}
 }
 
-func cutsLog(t *testing.T, s suite) {
+// testLogBounds checks that log lines beyond the budget are cut off or dropped.
+func testLogBounds(t *testing.T, s suite) {
 	v, err := s.load(t, "long line").call(request("A"))
 	checkVerdict(t, "long line", v, err, plugin.Pass, 0, "")
 	if len(v.Log) != 1 || len(v.Log[0]) != budget.LogLineSize {
@@ -217,7 +227,8 @@
 	}
 }
 
-func looks(t *testing.T, s suite) {
+// testNotifications checks the points without a verdict.
+func testNotifications(t *testing.T, s suite) {
 	h := s.load(t, "looks")
 	if h.Points().Has(plugin.OnRequest) || !h.Points().Has(plugin.Answered) || !h.Points().Has(plugin.ListChanged) {
 		t.Errorf("points %b", h.Points())
@@ -236,7 +247,8 @@
 	checkVerdict(t, "a point that it does not have", v, err, plugin.Pass, 0, "")
 }
 
-func forgets(t *testing.T, s suite) {
+// testNewInstance checks that a call after a crash runs in a new instance.
+func testNewInstance(t *testing.T, s suite) {
 	h := s.load(t, "count")
 	for i := range plugin.Time(3) {
 		v, err := h.call(request("A"))
@@ -250,7 +262,8 @@
 	}
 }
 
-func saysNothing(t *testing.T, s suite) {
+// testVerdictOfCrash checks that a crashed call leaves its log lines alone.
+func testVerdictOfCrash(t *testing.T, s suite) {
 	v, err := s.load(t, "crash").call(request("A"))
 	checkFailure(t, "crash", err, plugin.Crashed)
 	if v.Decision != plugin.Pass || len(v.Tags) != 0 || v.Tenant != "" {
@@ -263,7 +276,8 @@
 	checkFailure(t, "answer crash", err, plugin.Crashed)
 }
 
-func ends(t *testing.T, s suite) {
+// testEndlessCalls checks that calls without end are ended.
+func testEndlessCalls(t *testing.T, s suite) {
 	_, err := s.load(t, "loop").call(request("L"))
 	checkFailure(t, "loop", err, plugin.BudgetExceeded)
 	_, err = s.load(t, "recurse").call(request("A"))
@@ -274,7 +288,8 @@
 	checkFailure(t, "load loop", err, plugin.BudgetExceeded)
 }
 
-func runsOn(t *testing.T, s suite) {
+// testCallAfterInterrupt checks that a hook serves on after an interrupt.
+func testCallAfterInterrupt(t *testing.T, s suite) {
 	h := s.load(t, "loop")
 	for range 2 {
 		_, err := h.call(request("L"))
@@ -284,7 +299,8 @@
 	}
 }
 
-func idleInterrupt(t *testing.T, s suite) {
+// testInterruptBetweenCalls checks that an interrupt between calls has no effect.
+func testInterruptBetweenCalls(t *testing.T, s suite) {
 	h := s.load(t, "count")
 	for i := range plugin.Time(3) {
 		h.Interrupt()
@@ -293,7 +309,8 @@
 	}
 }
 
-func refuses(t *testing.T, s suite) {
+// testLoadFailures checks the kinds of failures to load.
+func testLoadFailures(t *testing.T, s suite) {
 	for name, kind := range map[string]plugin.FailureKind{ // any order
 		"load crash": plugin.Crashed, "alien": plugin.VersionMismatch, "pointless": plugin.NotLoadable, "versionless": plugin.NotLoadable,
 		"bad shape": plugin.NotLoadable, "unknown words": plugin.NotLoadable,
@@ -306,19 +323,21 @@
 	}
 }
 
-func unload(t *testing.T, s suite) {
+// testUnload checks that a crash at Unload is returned as a failure.
+func testUnload(t *testing.T, s suite) {
 	h := s.load(t, "unload crash")
 	_, err := h.call(plugin.Call{Point: plugin.Unload})
 	checkFailure(t, "unload", err, plugin.Crashed)
 }
 
-func rubbish(t *testing.T, s suite) {
+// testMalformedFiles checks that malformed files do not load.
+func testMalformedFiles(t *testing.T, s suite) {
 	whole := s.hooks["judge"]
 	for _, code := range [][]byte{nil, []byte("x"), []byte("\x00asm"), []byte("def def"), whole[:len(whole)/2], whole[:len(whole)-1],
 		make([]byte, plugin.MaxCode+1), []byte(strings.Repeat("(", 200_000))} {
 		h, err := s.engine.Load("rubbish", code, budget)
 		if h != nil {
-			h.Close() // half a hook may be one
+			h.Close() // a truncated script may be valid
 			continue
 		}
 		checkFailure(t, "rubbish", err, plugin.NotLoadable)
--- a/internal/plugin/script/script_test.go
+++ b/internal/plugin/script/script_test.go
@@ -89,9 +89,9 @@
 	"unknown words": []byte(v1 + "def on_request(r):\n    send(r)\n"),
 }
 
-func TestScriptsKeepTheContract(t *testing.T) { plugintest.Run(t, Engine{}, hooks) }
+func TestScriptEngineMeetsContract(t *testing.T) { plugintest.Run(t, Engine{}, hooks) }
 
-func TestScriptReachesNothingBesideTheContract(t *testing.T) {
+func TestScriptHasNoOtherFunctions(t *testing.T) {
 	for _, line := range []string{`load("os", "open")`, `open("x")`, `import os`, `time.now()`, `json.decode("1")`} {
 		if _, err := (Engine{}).Load("x", []byte(v1+line+"\ndef on_request(r):\n    pass\n"), plugin.DefaultBudget); err == nil {
 			t.Errorf("%s is taken", line)
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestUnknownFieldNamesItsPlace(t *testing.T) {
+func TestUnknownAttributeErrorNamesItsPlace(t *testing.T) {
 	h, err := Engine{}.Load("club.star", []byte(v1+"def on_request(r):\n    return fail(r.class_name)\n"), plugin.DefaultBudget)
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 	}
 }
 
-func FuzzScriptsLoadOrAreRefused(f *testing.F) {
+func FuzzScriptLoad(f *testing.F) {
 	for _, name := range []string{"judge", "echo", "count", "looks"} {
 		f.Add(hooks[name])
 	}
--- a/internal/plugin/wasm/wasm_test.go
+++ b/internal/plugin/wasm/wasm_test.go
@@ -160,9 +160,9 @@
 	}
 }
 
-func TestModulesKeepTheContract(t *testing.T) { plugintest.Run(t, Engine{}, hooks()) }
+func TestWasmEngineMeetsContract(t *testing.T) { plugintest.Run(t, Engine{}, hooks()) }
 
-func TestModulesThatAskForTooMuchAreRefusedBeforeTheyGetIt(t *testing.T) {
+func TestOversizedModulesAreRejectedBeforeCompilation(t *testing.T) {
 	with := func(change func(*Module)) []byte {
 		m := module(1)
 		m.Func("on_request", 1, 1, 0, pass)
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestRoomOutsideOfTheMemoryEndsTheCall(t *testing.T) {
+func TestBufferOutsideMemoryFailsCall(t *testing.T) {
 	for _, at := range []int32{-1, 0, 2<<16 - 4, 1 << 30} {
 		m := &Module{Pages: 2}
 		m.Func("hook_version", 0, 1, 0, I32Const(1))
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestTextOutsideOfTheMemoryEndsTheCall(t *testing.T) {
+func TestTextOutsideMemoryFailsCall(t *testing.T) {
 	for _, text := range [][2]int32{{-1, 4}, {2<<16 - 2, 4}, {0, -1}} {
 		h, err := Engine{}.Load("x", on("on_request", 0, say(wordTag, text[0], text[1]), pass), plugin.DefaultBudget)
 		if err != nil {
@@ -225,7 +225,7 @@
 	}
 }
 
-func FuzzModulesLoadOrAreRefused(f *testing.F) {
+func FuzzModuleLoad(f *testing.F) {
 	for _, name := range []string{"judge", "echo", "count", "looks", "pointless"} {
 		f.Add(hooks()[name])
 	}
--- a/internal/plugin/wire/wire_test.go
+++ b/internal/plugin/wire/wire_test.go
@@ -18,7 +18,7 @@
 	return body
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	load := Load{Name: "club", Engine: "wasm", Budget: plugin.DefaultBudget, Code: []byte("code")}
 	if got, err := ParseLoad(body(t, AppendLoad(nil, &load), KindLoad)); err != nil || !reflect.DeepEqual(got, load) {
 		t.Errorf("load %+v, %v", got, err)
@@ -63,7 +63,7 @@
 		av.Tenant == bv.Tenant && list(av.Tags) == list(bv.Tags) && list(av.Log) == list(bv.Log)
 }
 
-func TestWorkerThatWasTakenOverCanNotSayMoreThanAHook(t *testing.T) {
+func TestParseReplyRejectsInvalidVerdicts(t *testing.T) {
 	for what, v := range map[string]plugin.Verdict{ // any order
 		"say":    {Decision: 9},
 		"wait":   {Decision: plugin.Reject, RetryAfter: plugin.MaxRetryAfter + 1000},
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestFramesThatAreTooLongOrEmptyAreErrors(t *testing.T) {
+func TestNextRejectsInvalidLengths(t *testing.T) {
 	for _, b := range []string{"\x00\x00\x00\x00", "\xff\xff\xff\xff\x05"} {
 		if _, _, _, err := Next([]byte(b), MaxFrameToRouter); err == nil {
 			t.Errorf("%q is taken", b)
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestReadingAPassAllocatesNothing(t *testing.T) {
+func TestParseReplyOfPassAllocatesNothing(t *testing.T) {
 	b := body(t, AppendReply(nil, &Reply{Sequence: 9, RunTime: 1}), KindReply)
 	var p Reply
 	if n := testing.AllocsPerRun(100, func() { ParseReply(b, &p) }); n > 0 {
--- a/internal/plugin/worker/worker_test.go
+++ b/internal/plugin/worker/worker_test.go
@@ -15,11 +15,11 @@
 	"starlingwinch/internal/plugin/wire"
 )
 
-const workerWord = "hook-worker"
+const workerCommand = "hook-worker"
 
 // TestMain is also the process of a worker.
 func TestMain(m *testing.M) {
-	if len(os.Args) == 2 && os.Args[1] == workerWord {
+	if len(os.Args) == 2 && os.Args[1] == workerCommand {
 		if Main() != nil {
 			os.Exit(1)
 		}
@@ -30,14 +30,14 @@
 
 // peer is the router's end of a connection to a worker.
 type peer struct {
-	t    testing.TB
-	conn io.ReadWriteCloser
-	in   []byte
-	cmd  *exec.Cmd
+	t        testing.TB
+	conn     io.ReadWriteCloser
+	received []byte
+	cmd      *exec.Cmd
 }
 
-// inside runs a worker in a goroutine.
-func inside(t testing.TB) *peer {
+// startInside runs a worker in a goroutine.
+func startInside(t testing.TB) *peer {
 	near, far := net.Pipe()
 	done := make(chan error, 1)
 	go func() {
@@ -51,14 +51,14 @@
 	return &peer{t: t, conn: near}
 }
 
-// process runs one in a process of its own.
-func process(t testing.TB) *peer {
+// startProcess runs one in a process of its own.
+func startProcess(t testing.TB) *peer {
 	ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	near, far := os.NewFile(uintptr(ends[0]), "near"), os.NewFile(uintptr(ends[1]), "far")
-	cmd := exec.Command(os.Args[0], workerWord)
+	cmd := exec.Command(os.Args[0], workerCommand)
 	cmd.Env = []string{"GOMAXPROCS=2", "GOTRACEBACK=none"}
 	cmd.Stdin = far
 	if err := cmd.Start(); err != nil {
@@ -84,17 +84,17 @@
 func (p *peer) next() (byte, []byte) {
 	p.t.Helper()
 	for {
-		kind, body, rest, err := wire.Next(p.in, wire.MaxFrameToRouter)
+		kind, body, rest, err := wire.Next(p.received, wire.MaxFrameToRouter)
 		if err != nil {
 			p.t.Fatal(err)
 		}
 		if kind != 0 {
-			p.in = rest
+			p.received = rest
 			return kind, body
 		}
 		b := make([]byte, 4096)
 		n, err := p.conn.Read(b)
-		p.in = append(p.in, b[:n]...)
+		p.received = append(p.received, b[:n]...)
 		if n == 0 && err != nil {
 			return 0, nil
 		}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (p *peer) ask(seq uint64, key string) {
+func (p *peer) call(seq uint64, key string) {
 	p.t.Helper()
 	p.send(wire.AppendCall(nil, seq, &plugin.Call{Point: plugin.OnRequest, Key: key}))
 }
@@ -152,8 +152,8 @@
 // patient has room for a machine under load.
 var patient = plugin.Budget{Time: 100_000, LoadTime: 2_000_000, Steps: 1 << 40, Depth: 64, Memory: 8 << 20, LogLines: 4, LogLineSize: 100}
 
-func TestWorkerAnswersEachCallInOrder(t *testing.T) {
-	for name, p := range map[string]*peer{"inside": inside(t), "process": process(t)} { // any order
+func TestWorkerRepliesInOrder(t *testing.T) {
+	for name, p := range map[string]*peer{"inside": startInside(t), "process": startProcess(t)} { // any order
 		p.load("script", moody, patient)
 		var batch []byte
 		for seq := range uint64(300) {
@@ -169,13 +169,13 @@
 	}
 }
 
-func TestWorkerInterruptsALoopAndGoesOn(t *testing.T) {
-	for name, p := range map[string]*peer{"inside": inside(t), "process": process(t)} { // any order
+func TestWorkerInterruptsLoopAndServesOn(t *testing.T) {
+	for name, p := range map[string]*peer{"inside": startInside(t), "process": startProcess(t)} { // any order
 		b := patient
 		b.Time = 20_000
 		p.load("script", moody, b)
 		for seq, key := range []string{"A", "loop", "A", "crash", "A"} {
-			p.ask(uint64(seq), key)
+			p.call(uint64(seq), key)
 			r := p.reply()
 			want := map[string]plugin.FailureKind{"loop": plugin.BudgetExceeded, "crash": plugin.Crashed}
 			if kind, fails := want[key]; r.Failed != fails || fails && r.Kind != kind || r.Sequence != uint64(seq) {
@@ -185,19 +185,19 @@
 	}
 }
 
-func TestVerdictsDoNotWaitForTheCallThatIsStuck(t *testing.T) {
-	p := process(t)
+func TestRepliesDoNotWaitForStuckCall(t *testing.T) {
+	p := startProcess(t)
 	b := patient
 	b.Time = 30_000_000
 	p.load("script", moody, b)
-	p.ask(1, "A")
-	p.ask(2, "loop") // for as long as this test lasts
+	p.call(1, "A")
+	p.call(2, "loop") // for as long as this test lasts
 	if r := p.reply(); r.Sequence != 1 {
 		t.Errorf("got %+v", r)
 	}
 }
 
-func TestWorkerEndsBeforeItsMemoryPassesTheBound(t *testing.T) {
+func TestWorkerEndsAtMemoryBound(t *testing.T) {
 	if raceEnabled {
 		t.Skip("with the race detector a process takes address space as it likes")
 	}
@@ -205,12 +205,12 @@
 		for _, memory := range []int64{1 << 20, 16 << 20, 60 << 20} {
 			b := patient
 			b.Memory, b.Time = memory, 60_000_000
-			p := process(t)
+			p := startProcess(t)
 			p.load("script", moody, b)
 			base := peak(t, p)
-			p.ask(1, "A")
+			p.call(1, "A")
 			p.reply()
-			p.ask(2, key)
+			p.call(2, key)
 			kind, _ := p.next()
 			p.cmd.Wait()
 			most := p.cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss << 10
@@ -239,28 +239,28 @@
 	return n << 10
 }
 
-func TestSignalsForTheRouterDoNotEndAWorker(t *testing.T) {
-	p := process(t)
+func TestWorkerIgnoresServiceSignals(t *testing.T) {
+	p := startProcess(t)
 	p.load("script", moody, patient)
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		if err := p.cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.ask(1, "A")
+	p.call(1, "A")
 	if r := p.reply(); r.Failed {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestWorkerRefusesWhatIsNoHookAndEnds(t *testing.T) {
+func TestWorkerEndsAfterLoadFailure(t *testing.T) {
 	for want, l := range map[string]wire.Load{ // any order
 		"there is no engine lua":                {Engine: "lua"},
 		"not a WebAssembly module of version 1": {Engine: "wasm", Code: []byte("x")},
 		"it does not set version":               {Engine: "script"},
 	} {
 		l.Budget = patient
-		p := process(t)
+		p := startProcess(t)
 		p.send(wire.AppendLoad(nil, &l))
 		kind, body := p.next()
 		if kind != wire.KindLoadFailed {
@@ -276,12 +276,12 @@
 	}
 }
 
-func TestWorkerEndsAtFramesOutOfPlace(t *testing.T) {
+func TestWorkerEndsOnUnexpectedFrame(t *testing.T) {
 	call := wire.AppendCall(nil, 1, &plugin.Call{Point: plugin.Unload})
 	for what, b := range map[string][]byte{ // any order
 		"a call before the load": call, "rubbish": []byte("GET / HTTP/1.1\r\n\r\n"), "an empty frame": make([]byte, 8),
 	} {
-		p := process(t)
+		p := startProcess(t)
 		p.conn.Write(b)
 		if kind, _ := p.next(); kind != 0 {
 			t.Errorf("%s: kind %d", what, kind)
@@ -294,7 +294,7 @@
 		name  string
 		peer  func(testing.TB) *peer
 		batch int
-	}{{"Process", process, 1}, {"ProcessBatchOf8", process, 8}} {
+	}{{"Process", startProcess, 1}, {"ProcessBatchOf8", startProcess, 8}} {
 		b.Run(c.name, func(b *testing.B) {
 			p := c.peer(b)
 			p.load("script", "version = 1\ndef on_request(r):\n    pass\n", plugin.DefaultBudget)
@@ -320,7 +320,7 @@
 	}
 	b.Run("Start", func(b *testing.B) {
 		for b.Loop() {
-			p := process(b)
+			p := startProcess(b)
 			p.load("script", "version = 1\ndef on_request(r):\n    pass\n", plugin.DefaultBudget)
 			p.conn.Close()
 			p.cmd.Wait()
