--- a/hook/hook.go
+++ b/hook/hook.go
@@ -1,10 +1,10 @@
 //go:build wasip1
 
-// Package hook is for hooks that are written in Go, and built for WebAssembly:
+// Package hook is the API for hooks that are written in Go and built for WebAssembly:
 //
 //	GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o club.wasm .
 //
-// A hook imports this package, and in its init says what it does at which point. Its main is empty and never runs.
+// A hook imports this package and registers its functions in an init function. Its main is empty and never runs.
 //
 //	func init() {
 //		hook.OnRequest(func(r *hook.Request) hook.Verdict {
@@ -16,16 +16,16 @@
 //	}
 //	func main() {}
 //
-// Go's own runtime comes with it: such a module has 1.8 MB or more, takes a second to load, and its worker takes 50 MiB
-// meanwhile. An operator has to allow it that (memory, load_time). docs/operators/hooks.md names languages that make
+// The module holds Go's own runtime: it has 1.8 MB or more, takes a second to load, and its worker takes 50 MiB
+// meanwhile. An operator has to allow that (memory, load_time). docs/operators/hooks.md names languages that make
 // small modules.
 package hook
 
 import "unsafe"
 
-// Request is what OnRequest is handed. Nothing of it may be kept but copies.
+// Request is what OnRequest is handed. It is valid during the call alone: a hook that retains a part of it copies that.
 type Request struct {
-	Now      int64 // µs on a clock that never steps, with any zero
+	Now      int64 // µs on a monotonic clock with an arbitrary zero
 	Verb     string
 	Class    string
 	Tenant   string
@@ -39,9 +39,9 @@
 type Outcome int
 
 const (
-	Served Outcome = iota
-	Refused
-	Failed
+	Served  Outcome = iota // with a value
+	Refused                // it never ran, and the client may try again
+	Failed                 // with an error that promises nothing
 )
 
 // Answer is what OnAnswered is handed.
@@ -51,58 +51,63 @@
 	Class   string
 	Tenant  string
 	Key     string
-	Size    int
+	Size    int // bytes of the value
 	Outcome Outcome
-	Took    int64 // µs from the request's coming
+	Took    int64 // µs since the request was read
 }
 
 // List is what OnList is handed.
 type List struct {
 	Now      int64
-	Caches   int
-	TakeWork int
+	Caches   int // that are listed
+	TakeWork int // of them, those that are serving
 }
 
 // Verdict is what becomes of a request.
 type Verdict int32
 
 const (
-	Pass    Verdict = 0
-	refused Verdict = 1
-	failed  Verdict = 2
+	Pass    Verdict = 0 // it goes on
+	refused Verdict = 1 // of Refuse
+	failed  Verdict = 2 // of Fail
 )
 
-// Refuse has the client told that the request was not carried out, and to stay away for so many milliseconds (0 for no
-// advice, 60,000 at most).
+// Refuse rejects the request: the client learns that it was not carried out, and is asked to stay away for waitMS
+// milliseconds (0 for no advice, at most 60,000).
 func Refuse(waitMS int) Verdict {
 	wait(int32(waitMS))
 	return refused
 }
 
-// Fail has the client told a text of 256 bytes at most.
+// Fail fails the request with a message of at most 256 bytes.
 func Fail(message string) Verdict {
 	text(message)
 	return failed
 }
 
-// Tag gives the request a name of the hook's own, which shows in counts and logs: letters, digits, _ - . : and /, 64 at
-// most.
+// Tag gives the request a name of the hook's own, which the router counts: at most 64 letters, digits, _ - . : and /.
 func Tag(name string) { tag(name) }
 
-// Tenant has the request count as that tenant's from here on.
+// Tenant has the request count for another tenant from here on.
 func Tenant(name string) { tenant(name) }
 
 // Log adds a line to the router's log.
 func Log(line string) { log(line) }
 
-// OnRequest, OnAnswered and OnList say what the hook does at a point. They are for an init.
+// OnRequest registers the function that decides on requests. It is called in an init function, as are the others.
 func OnRequest(f func(*Request) Verdict) { request = f }
-func OnAnswered(f func(*Answer))         { answered = f }
-func OnList(f func(*List))               { list = f }
 
-// OnLoad and OnUnload are the hook's beginning, where an error keeps it from being loaded, and its end.
+// OnAnswered registers the function that is notified of final answers.
+func OnAnswered(f func(*Answer)) { answered = f }
+
+// OnList registers the function that is notified of changes of the list of caches.
+func OnList(f func(*List)) { list = f }
+
+// OnLoad registers the function that is called first. With an error, the hook is not loaded.
 func OnLoad(f func() error) { load = f }
-func OnUnload(f func())     { unload = f }
+
+// OnUnload registers the function that is called last.
+func OnUnload(f func()) { unload = f }
 
 var (
 	request  = func(*Request) Verdict { return Pass }
@@ -158,6 +163,7 @@
 	return room[s.at-start:][:s.n]
 }
 
+// String returns a copy of the text.
 func (s span) String() string { return string(s.bytes()) }
 
 func given() *call { return (*call)(unsafe.Pointer(unsafe.SliceData(room))) }
--- a/internal/hooks/config.go
+++ b/internal/hooks/config.go
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// fileExtensions words the extensions that some engine runs.
+// fileExtensions returns the extensions of all engines, as a text for errors.
 func fileExtensions() string {
 	var all []string
 	for _, e := range worker.Engines {
--- a/internal/hooks/hooks_test.go
+++ b/internal/hooks/hooks_test.go
@@ -16,40 +16,40 @@
 
 // virtualHarness is a router's place on a virtual host.
 type virtualHarness struct {
-	t        *testing.T
-	w        *sim.World
-	host     *sim.Host
-	m        machine.Machine
-	h        *Hooks
-	verdicts map[int64][]Verdict
-	at       map[int64]Time
-	lines    []string
+	t           *testing.T
+	world       *sim.World
+	host        *sim.Host
+	machine     machine.Machine
+	hooks       *Hooks
+	verdicts    map[int64][]Verdict
+	deliveredAt map[int64]Time
+	lines       []string
 }
 
 func newVirtualHarness(t *testing.T, seed uint64, s *hookstest.Script, cfg Config) *virtualHarness {
 	t.Helper()
-	f := &virtualHarness{t: t, w: sim.New(seed), verdicts: map[int64][]Verdict{}, at: map[int64]Time{}}
-	f.host = f.w.Host("router", "10.0.0.1", sim.HostOptions{})
-	f.m = f.host.Machine()
+	f := &virtualHarness{t: t, world: sim.New(seed), verdicts: map[int64][]Verdict{}, deliveredAt: map[int64]Time{}}
+	f.host = f.world.Host("router", "10.0.0.1", sim.HostOptions{})
+	f.machine = f.host.Machine()
 	f.host.Worker = s.Worker(f.host.Machine)
 	var err error
-	if f.h, err = New(f.m, cfg, structuredlog.New(structuredlog.SinkFunc(func(line string) { f.lines = append(f.lines, line) }))); err != nil {
+	if f.hooks, err = New(f.machine, cfg, structuredlog.New(structuredlog.SinkFunc(func(line string) { f.lines = append(f.lines, line) }))); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func (f *virtualHarness) advance(d Time) { f.w.Run(f.w.Now() + d) }
+func (f *virtualHarness) advance(d Time) { f.world.Run(f.world.Now() + d) }
 
 func (f *virtualHarness) evaluate(id int64, class string) bool {
 	inside := true
 	defer func() { inside = false }()
-	return f.h.Evaluate(Request{ID: id, Class: class, TimeLeft: sim.Second}, func(v Verdict) {
+	return f.hooks.Evaluate(Request{ID: id, Class: class, TimeLeft: sim.Second}, func(v Verdict) {
 		if inside {
 			f.t.Error("a verdict came from within Ask")
 		}
 		f.verdicts[id] = append(f.verdicts[id], v)
-		f.at[id] = f.w.Now()
+		f.deliveredAt[id] = f.world.Now()
 	})
 }
 
@@ -66,7 +66,7 @@
 // wantNothingLeft fails where something is left.
 func (f *virtualHarness) wantNothingLeft() {
 	f.t.Helper()
-	for name, n := range f.h.Left() { // any order
+	for name, n := range f.hooks.Left() { // any order
 		if n > 0 {
 			f.t.Errorf("left over: %d %s", n, name)
 		}
@@ -82,8 +82,8 @@
 func (f *virtualHarness) close() {
 	f.t.Helper()
 	closed := Time(0)
-	began := f.w.Now()
-	f.h.Close(func() { closed = f.w.Now() })
+	began := f.world.Now()
+	f.hooks.Close(func() { closed = f.world.Now() })
 	f.advance(sim.Second)
 	if closed == 0 || closed-began > 400*sim.Millisecond {
 		f.t.Errorf("closed after %d ms", (closed-began)/1000)
@@ -106,11 +106,11 @@
 		return hookstest.Act{Verdict: Verdict{Decision: plugin.Reject, RetryAfter: 7000}}
 	}}
 	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
-	if f.h.Ready() {
+	if f.hooks.Ready() {
 		t.Error("ready before its worker is up")
 	}
 	f.advance(20 * sim.Millisecond)
-	if !f.h.Ready() || !f.evaluate(1, "read") {
+	if !f.hooks.Ready() || !f.evaluate(1, "read") {
 		t.Fatal("not ready, or not taken")
 	}
 	f.advance(sim.Millisecond)
@@ -123,12 +123,12 @@
 func TestWithoutHooksNothingIsRetainedOrAllocated(t *testing.T) {
 	f := newVirtualHarness(t, 1, &hookstest.Script{}, Config{})
 	n := testing.AllocsPerRun(100, func() {
-		if f.h.Evaluate(Request{ID: 1, Class: "read"}, nil) {
+		if f.hooks.Evaluate(Request{ID: 1, Class: "read"}, nil) {
 			t.Error("taken")
 		}
-		f.h.Answered(Answer{})
-		f.h.ListChanged(9, 9)
-		f.h.Cancel(1)
+		f.hooks.Answered(Answer{})
+		f.hooks.ListChanged(9, 9)
+		f.hooks.Cancel(1)
 	})
 	if n > 0 {
 		t.Errorf("%v allocations", n)
@@ -143,13 +143,13 @@
 	}}
 	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
 	f.advance(20 * sim.Millisecond)
-	began := f.w.Now()
+	began := f.world.Now()
 	f.evaluate(1, "bad")
 	f.evaluate(2, "good") // behind it, at the same hook
 	f.advance(100 * sim.Millisecond)
 	for id, most := range map[int64]Time{1: 20 * sim.Millisecond, 2: 50 * sim.Millisecond} { // any order
-		if len(f.verdicts[id]) != 1 || f.verdicts[id][0].Decision != plugin.Pass || f.at[id]-began > most {
-			t.Errorf("request %d: %+v after %d us", id, f.verdicts[id], f.at[id]-began)
+		if len(f.verdicts[id]) != 1 || f.verdicts[id][0].Decision != plugin.Pass || f.deliveredAt[id]-began > most {
+			t.Errorf("request %d: %+v after %d us", id, f.verdicts[id], f.deliveredAt[id]-began)
 		}
 	}
 	f.wantLog(policy.ErrCallTimeout.Error())
@@ -169,7 +169,7 @@
 		if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Decision != plugin.Pass {
 			t.Errorf("%s: %+v", name, f.verdicts[1])
 		}
-		if f.h.Status()[0].Counts.Restarts == 0 {
+		if f.hooks.Status()[0].Counts.Restarts == 0 {
 			t.Errorf("%s: the worker was kept", name)
 		}
 		f.close()
@@ -189,8 +189,8 @@
 	}
 	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
 	f.advance(20 * sim.Millisecond)
-	f.h.Answered(Answer{Class: "read", Outcome: plugin.OutcomeFailed, Took: 9})
-	f.h.ListChanged(9, 8)
+	f.hooks.Answered(Answer{Class: "read", Outcome: plugin.OutcomeFailed, Took: 9})
+	f.hooks.ListChanged(9, 8)
 	f.advance(20 * sim.Millisecond)
 	f.close()
 	if len(seen) != 3 || seen[0].Outcome != plugin.OutcomeFailed || seen[1].ServingCaches != 8 || seen[2].Point != plugin.Unload {
@@ -208,7 +208,7 @@
 	b.WantsValue = true
 	f := newVirtualHarness(t, 1, s, config(a, b))
 	f.advance(20 * sim.Millisecond)
-	f.h.Evaluate(Request{ID: 1, TimeLeft: sim.Second, Value: func() []byte { return []byte("59 for OE1XYZ") }}, func(Verdict) {})
+	f.hooks.Evaluate(Request{ID: 1, TimeLeft: sim.Second, Value: func() []byte { return []byte("59 for OE1XYZ") }}, func(Verdict) {})
 	f.advance(20 * sim.Millisecond)
 	if len(seen) != 2 || len(seen[0]) > 0 || string(seen[1]) != "59 for OE1XYZ" {
 		t.Errorf("%q", seen)
@@ -224,7 +224,7 @@
 		f.evaluate(id, "read")
 	}
 	f.advance(sim.Millisecond)
-	if err := f.h.Reload(config(hookNamed("c"))); err != nil {
+	if err := f.hooks.Reload(config(hookNamed("c"))); err != nil {
 		t.Fatal(err)
 	}
 	f.advance(6 * sim.Millisecond)
@@ -247,10 +247,10 @@
 	}}
 	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
 	f.advance(20 * sim.Millisecond)
-	f.h.Reload(config(hookNamed("b"), hookNamed("bad")))
+	f.hooks.Reload(config(hookNamed("b"), hookNamed("bad")))
 	f.advance(20 * sim.Millisecond)
 	f.wantLog(`msg="hook set not loaded" hook=bad cause="other contract: it was built for version 2"`)
-	if rows := f.h.Status(); len(rows) != 1 || rows[0].Name != "a" || !f.h.Ready() {
+	if rows := f.hooks.Status(); len(rows) != 1 || rows[0].Name != "a" || !f.hooks.Ready() {
 		t.Errorf("%+v", rows)
 	}
 	f.close()
@@ -276,7 +276,7 @@
 	f := newVirtualHarness(t, 1, &hookstest.Script{}, config(h))
 	f.advance(20 * sim.Millisecond)
 	f.wantLog(`msg="hook runs in a process, not inside the router" hook=a`)
-	if !f.h.Ready() {
+	if !f.hooks.Ready() {
 		t.Error("it does not run")
 	}
 	f.close()
@@ -313,8 +313,8 @@
 	}
 }
 
-// TestBrokenHooksOfSeedsHaveOneVerdictInTime holds each run to one verdict a request, in time, and nothing left over; and equal seeds to equal
-// runs.
+// TestBrokenHooksOfSeedsHaveOneVerdictInTime checks that each run has one verdict a request, in time, and leaves nothing over;
+// and that equal seeds give equal runs.
 func TestBrokenHooksOfSeedsHaveOneVerdictInTime(t *testing.T) {
 	play := func(seed uint64) uint64 {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -324,27 +324,27 @@
 		began, gone := map[int64]Time{}, map[int64]bool{}
 		for id := range int64(300) {
 			if f.evaluate(id, "read") {
-				began[id] = f.w.Now()
+				began[id] = f.world.Now()
 			}
-			f.h.Answered(Answer{Class: "read"})
+			f.hooks.Answered(Answer{Class: "read"})
 			if r.IntN(20) == 0 {
 				x := r.Int64N(id + 1)
 				gone[x] = gone[x] || len(f.verdicts[x]) == 0
-				f.h.Cancel(x)
+				f.hooks.Cancel(x)
 			}
 			if r.IntN(100) == 0 {
-				f.h.Reload(config(hookNamed("c"), hookNamed("d")))
+				f.hooks.Reload(config(hookNamed("c"), hookNamed("d")))
 			}
 			f.advance(r.Int64N(4000))
 		}
 		f.close()
 		for id, at := range began { // any order
 			n := len(f.verdicts[id])
-			if n > 1 || n == 0 && !gone[id] || n == 1 && (gone[id] || f.at[id]-at > 51*sim.Millisecond) {
-				t.Errorf("seed %d: request %d has %d verdicts, after %d us; client gone: %v", seed, id, n, f.at[id]-at, gone[id])
+			if n > 1 || n == 0 && !gone[id] || n == 1 && (gone[id] || f.deliveredAt[id]-at > 51*sim.Millisecond) {
+				t.Errorf("seed %d: request %d has %d verdicts, after %d us; client gone: %v", seed, id, n, f.deliveredAt[id]-at, gone[id])
 			}
 		}
-		return f.w.TraceHash()
+		return f.world.TraceHash()
 	}
 	for seed := range uint64(100) {
 		if a, b := play(seed), play(seed); a != b {
--- a/internal/hooks/policy/harness_test.go
+++ b/internal/hooks/policy/harness_test.go
@@ -16,7 +16,7 @@
 // harness is a Policy whose actions are carried out by a test.
 type harness struct {
 	t            *testing.T
-	p            *Policy
+	policy       *Policy
 	now          Time
 	timer        Time
 	workers      map[int]int // to the hook's number
@@ -29,16 +29,23 @@
 }
 
 func newHarness(t *testing.T) *harness {
-	f := &harness{t: t, p: New(), now: 1_000_000, workers: map[int]int{}, sentCalls: map[int][]Action{}, verdicts: map[int64][]plugin.Verdict{}}
+	f := &harness{
+		t:         t,
+		policy:    New(),
+		now:       1_000_000,
+		workers:   map[int]int{},
+		sentCalls: map[int][]Action{},
+		verdicts:  map[int64][]plugin.Verdict{},
+	}
 	f.logger = structuredlog.New(structuredlog.SinkFunc(func(line string) { f.lines = append(f.lines, line) }))
 	return f
 }
 
-// executeActions carries out what the Policy has asked for.
+// executeActions carries out the actions of the Policy.
 func (f *harness) executeActions() {
 	void := map[int]bool{}
 	for {
-		a, ok := f.p.Next()
+		a, ok := f.policy.Next()
 		if !ok {
 			break
 		}
@@ -88,7 +95,7 @@
 
 // load loads hooks and has their workers come up.
 func (f *harness) load(hooks ...Hook) {
-	f.p.Load(f.now, settings(hooks...))
+	f.policy.Load(f.now, settings(hooks...))
 	f.executeActions()
 	f.loadWorkers(requestPoint)
 }
@@ -96,8 +103,8 @@
 // loadWorkers has all workers come up that are not.
 func (f *harness) loadWorkers(points plugin.Points) {
 	for _, id := range f.running() {
-		if w := f.p.workers[id]; w != nil && !w.loaded {
-			f.p.WorkerLoaded(f.now, id, points)
+		if w := f.policy.workers[id]; w != nil && !w.loaded {
+			f.policy.WorkerLoaded(f.now, id, points)
 		}
 	}
 	f.executeActions()
@@ -125,7 +132,7 @@
 }
 
 func (f *harness) evaluate(id int64, class string) bool {
-	taken := f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: class, TimeLeft: 1000 * ms}})
+	taken := f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: class, TimeLeft: 1000 * ms}})
 	f.executeActions()
 	return taken
 }
@@ -143,17 +150,17 @@
 	if r.Verdict == nil {
 		r.Verdict = &plugin.Verdict{}
 	}
-	f.p.HandleReply(f.now, worker, r)
+	f.policy.HandleReply(f.now, worker, r)
 	f.executeActions()
 }
 
-// advance lets time go by, with a Tick wherever one was asked for.
+// advance advances the clock, with a Tick at each time that the Policy has set.
 func (f *harness) advance(d Time) {
 	end := f.now + d
 	for f.timer > 0 && f.timer <= end {
 		f.now = max(f.now, f.timer)
 		f.timer = 0
-		f.p.Tick(f.now)
+		f.policy.Tick(f.now)
 		f.executeActions()
 	}
 	f.now = end
--- a/internal/hooks/policy/policy_test.go
+++ b/internal/hooks/policy/policy_test.go
@@ -11,7 +11,7 @@
 
 func TestEvaluateTakesNothingWithoutHooks(t *testing.T) {
 	f := newHarness(t)
-	if f.evaluate(1, "read") || !f.p.Idle() {
+	if f.evaluate(1, "read") || !f.policy.Idle() {
 		t.Error("taken")
 	}
 	h := hookNamed("a")
@@ -20,7 +20,7 @@
 	if f.evaluate(2, "read") {
 		t.Error("taken by a hook for another class")
 	}
-	if n := testing.AllocsPerRun(100, func() { f.p.Evaluate(f.now, Request{Call: plugin.Call{Class: "read"}}) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { f.policy.Evaluate(f.now, Request{Call: plugin.Call{Class: "read"}}) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
@@ -87,7 +87,7 @@
 	f.reply(f.workerOf(0), Reply{}) // too late
 	f.wantVerdict(1, plugin.Reject, 0)
 
-	f.p.Evaluate(f.now, Request{ID: 2, Call: plugin.Call{TimeLeft: 100 * ms}})
+	f.policy.Evaluate(f.now, Request{ID: 2, Call: plugin.Call{TimeLeft: 100 * ms}})
 	f.executeActions()
 	f.advance(10 * ms)
 	f.wantVerdict(2, plugin.Reject, 0)
@@ -119,14 +119,14 @@
 	f.evaluate(1, "read")
 	worker := f.workerOf(0)
 	f.now += 40 * ms
-	f.p.Tick(f.now)
+	f.policy.Tick(f.now)
 	f.executeActions()
 	if f.workerOf(0) != worker {
 		t.Fatal("the worker was ended")
 	}
 	for range 20 { // it stands still again and again: the worker is stuck all the same
 		f.now += 40 * ms
-		f.p.Tick(f.now)
+		f.policy.Tick(f.now)
 		f.executeActions()
 	}
 	if f.workerOf(0) == worker {
@@ -182,7 +182,7 @@
 		f.reply(f.workerOf(0), Reply{})
 		id++
 	}
-	if h := f.p.active.hooks[0]; h.suspension.span != 0 || h.suspension.score != 0 {
+	if h := f.policy.active.hooks[0]; h.suspension.span != 0 || h.suspension.score != 0 {
 		t.Errorf("rest %d, score %v", h.suspension.span, h.suspension.score)
 	}
 }
@@ -210,7 +210,7 @@
 			taken++
 			calls := f.sentCalls[f.workerOf(0)]
 			f.sentCalls[f.workerOf(0)] = calls[1:]
-			f.p.HandleReply(f.now, f.workerOf(0), Reply{Sequence: calls[0].Sequence, RunTime: 4 * ms, Verdict: &plugin.Verdict{}})
+			f.policy.HandleReply(f.now, f.workerOf(0), Reply{Sequence: calls[0].Sequence, RunTime: 4 * ms, Verdict: &plugin.Verdict{}})
 			f.executeActions()
 		}
 		f.now += 5 * ms
@@ -225,11 +225,11 @@
 	f.load(hookNamed("a"))
 	value := 0
 	for id := range int64(maxInFlight + 2) {
-		f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{TimeLeft: 1000 * ms}, Value: func() []byte { value++; return nil }})
+		f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{TimeLeft: 1000 * ms}, Value: func() []byte { value++; return nil }})
 	}
-	f.p.Cancel(f.now, 0)
-	f.p.Cancel(f.now, maxInFlight+1) // waits in the queue
-	f.p.Cancel(f.now, 99)
+	f.policy.Cancel(f.now, 0)
+	f.policy.Cancel(f.now, maxInFlight+1) // waits in the queue
+	f.policy.Cancel(f.now, 99)
 	f.executeActions()
 	if a := f.sentCalls[f.workerOf(0)][0]; a.Value() != nil || value != 0 {
 		t.Error("the value of a client that has left is asked for")
@@ -240,7 +240,7 @@
 	f.wantNoVerdict(0)
 	f.wantNoVerdict(maxInFlight + 1)
 	f.wantVerdict(1, plugin.Pass, 0)
-	if left := f.p.Left(); left["requests"]+left["calls"] != 0 {
+	if left := f.policy.Left(); left["requests"]+left["calls"] != 0 {
 		t.Errorf("left %v", left)
 	}
 }
@@ -249,16 +249,16 @@
 	f := newHarness(t)
 	h := hookNamed("a")
 	h.Classes = []string{"read"}
-	f.p.Load(f.now, settings(h))
+	f.policy.Load(f.now, settings(h))
 	f.executeActions()
 	f.loadWorkers(requestPoint.With(plugin.Answered).With(plugin.ListChanged))
 	for range 100 {
-		f.p.Notify(f.now, plugin.Call{Point: plugin.Answered, Class: "read"})
-		f.p.Notify(f.now, plugin.Call{Point: plugin.Answered, Class: "put"})
-		f.p.Notify(f.now, plugin.Call{Point: plugin.ListChanged})
+		f.policy.Notify(f.now, plugin.Call{Point: plugin.Answered, Class: "read"})
+		f.policy.Notify(f.now, plugin.Call{Point: plugin.Answered, Class: "put"})
+		f.policy.Notify(f.now, plugin.Call{Point: plugin.ListChanged})
 	}
 	f.executeActions()
-	if c := f.p.Status()[0].Counts; c.Calls != 16 || c.MissedNotifications != 184 {
+	if c := f.policy.Status()[0].Counts; c.Calls != 16 || c.MissedNotifications != 184 {
 		t.Errorf("%+v", c)
 	}
 	if !f.evaluate(1, "read") {
@@ -275,12 +275,12 @@
 
 func TestHookWithoutRequestPointIsPassed(t *testing.T) {
 	f := newHarness(t)
-	f.p.Load(f.now, settings(hookNamed("a"), hookNamed("b")))
+	f.policy.Load(f.now, settings(hookNamed("a"), hookNamed("b")))
 	f.executeActions()
 	f.evaluate(1, "read") // waits for the first, of which nothing is known yet
-	f.p.WorkerLoaded(f.now, f.workerOf(0), plugin.Points(0).With(plugin.Answered))
+	f.policy.WorkerLoaded(f.now, f.workerOf(0), plugin.Points(0).With(plugin.Answered))
 	f.executeActions()
-	f.p.WorkerLoaded(f.now, f.workerOf(1), requestPoint)
+	f.policy.WorkerLoaded(f.now, f.workerOf(1), requestPoint)
 	f.executeActions()
 	f.reply(f.workerOf(1), Reply{})
 	f.wantVerdict(1, plugin.Pass, 0)
@@ -290,13 +290,13 @@
 	f := newHarness(t)
 	f.load(hookNamed("a"))
 	f.evaluate(1, "read")
-	f.p.HandleReply(f.now, f.workerOf(0), Reply{Sequence: 77, Verdict: &plugin.Verdict{}})
+	f.policy.HandleReply(f.now, f.workerOf(0), Reply{Sequence: 77, Verdict: &plugin.Verdict{}})
 	f.executeActions()
 	f.wantVerdict(1, plugin.Pass, 0)
 	f.wantLog(ErrUnexpectedReply.Error())
 	f.loadWorkers(requestPoint)
-	f.p.HandleReply(f.now, f.workerOf(0), Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
-	f.p.HandleReply(f.now, 12345, Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
+	f.policy.HandleReply(f.now, f.workerOf(0), Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
+	f.policy.HandleReply(f.now, 12345, Reply{Sequence: 1, Verdict: &plugin.Verdict{}})
 	f.executeActions()
 	f.wantVerdict(1, plugin.Pass, 0)
 }
@@ -324,7 +324,7 @@
 		f.evaluate(id, "read")
 		f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Tags: []string{"club", fmt.Sprintf("t%03d", id)}}})
 	}
-	tags := f.p.Status()[0].Tags
+	tags := f.policy.Status()[0].Tags
 	if len(tags) != maxTagNames+1 || tags[0] != (Tag{OtherTags, 11}) || tags[1] != (Tag{"club", maxTagNames + 10}) {
 		t.Errorf("%d tags, %v", len(tags), tags)
 	}
@@ -337,14 +337,14 @@
 	id := int64(0)
 	once := func() {
 		id++
-		f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: "read", TimeLeft: 1000 * ms}})
+		f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: "read", TimeLeft: 1000 * ms}})
 		for {
-			a, ok := f.p.Next()
+			a, ok := f.policy.Next()
 			if !ok {
 				break
 			}
 			if a.Kind == SendCall {
-				f.p.HandleReply(f.now, a.Worker, Reply{Sequence: a.Sequence, RunTime: 1, Verdict: v})
+				f.policy.HandleReply(f.now, a.Worker, Reply{Sequence: a.Sequence, RunTime: 1, Verdict: v})
 			}
 		}
 	}
--- a/internal/hooks/policy/random_test.go
+++ b/internal/hooks/policy/random_test.go
@@ -34,7 +34,7 @@
 			case n < 40:
 				id++
 				left := Time(r.IntN(800 * ms))
-				if f.p.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, TimeLeft: left}}) {
+				if f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, TimeLeft: left}}) {
 					due[id] = f.now + min(50*ms, left/10)
 				}
 			case n < 45 && id > 0:
@@ -42,17 +42,17 @@
 				if len(f.verdicts[x]) == 0 {
 					gone[x] = true
 				}
-				f.p.Cancel(f.now, x)
+				f.policy.Cancel(f.now, x)
 			case n < 48:
-				f.p.Notify(f.now, plugin.Call{Point: plugin.Answered})
+				f.policy.Notify(f.now, plugin.Call{Point: plugin.Answered})
 			case n < 52 && len(ids) > 0:
-				f.p.WorkerEnded(f.now, pick(), errors.New("crashed"))
+				f.policy.WorkerEnded(f.now, pick(), errors.New("crashed"))
 			case n < 54:
-				f.p.Load(f.now, set())
+				f.policy.Load(f.now, set())
 			case n < 60:
 				f.advance(Time(r.IntN(30 * ms)))
 			case n < 62 && step > 500:
-				f.p.Close(f.now)
+				f.policy.Close(f.now)
 			case n < 72:
 				f.loadWorkers(requestPoint.With(plugin.Answered).With(plugin.Unload))
 			case len(ids) > 0:
@@ -69,10 +69,10 @@
 				}
 			}
 		}
-		f.p.Close(f.now)
+		f.policy.Close(f.now)
 		f.executeActions()
 		f.advance(1000 * ms)
-		left := f.p.Left()
+		left := f.policy.Left()
 		if f.closed != 1 || left["requests"]+left["workers"]+left["calls"]+left["old sets"] > 0 || len(f.running()) > 0 {
 			t.Fatalf("seed %d: closed %d, left %v, running %v", seed, f.closed, left, f.running())
 		}
--- a/internal/hooks/policy/set_test.go
+++ b/internal/hooks/policy/set_test.go
@@ -13,16 +13,16 @@
 	f.load(hookNamed("a"))
 	old := f.workerOf(0)
 	f.evaluate(1, "read")
-	f.p.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
+	f.policy.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
 	f.executeActions()
 	f.evaluate(2, "read")
-	f.p.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
+	f.policy.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
 	f.executeActions()
 	f.evaluate(3, "read")
 	if len(f.sentCalls[old]) != 3 {
 		t.Fatalf("the old set has %d of 3 while the new one loads", len(f.sentCalls[old]))
 	}
-	f.p.WorkerLoaded(f.now, f.workerOf(1), requestPoint)
+	f.policy.WorkerLoaded(f.now, f.workerOf(1), requestPoint)
 	f.executeActions()
 	f.evaluate(4, "read")
 	if len(f.sentCalls[old]) != 3 || len(f.sentCalls[f.workerOf(0)]) != 1 {
@@ -41,16 +41,16 @@
 	f := newHarness(t)
 	f.load(hookNamed("a"))
 	old := f.workerOf(0)
-	f.p.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
+	f.policy.Load(f.now, settings(hookNamed("b"), hookNamed("c")))
 	f.executeActions()
-	f.p.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
-	f.p.WorkerEnded(f.now, f.workerOf(1), errors.New("does not load: not a module"))
+	f.policy.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
+	f.policy.WorkerEnded(f.now, f.workerOf(1), errors.New("does not load: not a module"))
 	f.executeActions()
 	f.wantLog(`msg="hook set not loaded" hook=c cause="does not load: not a module"`)
 	if !slices.Equal(f.running(), []int{old}) || !slices.Equal(f.releasedSets, []int{2}) {
 		t.Errorf("running %v, dropped %v", f.running(), f.releasedSets)
 	}
-	f.p.Load(f.now, settings(hookNamed("d")))
+	f.policy.Load(f.now, settings(hookNamed("d")))
 	f.executeActions()
 	f.advance(20_000 * ms) // it never comes up
 	f.wantLog(`msg="hook set not loaded" hook=d cause="worker did not load its hook in time"`)
@@ -65,9 +65,9 @@
 	for id := range int64(30) {
 		f.evaluate(id, "read")
 	}
-	f.p.Load(f.now, settings(hookNamed("b")))
+	f.policy.Load(f.now, settings(hookNamed("b")))
 	f.executeActions()
-	f.p.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
+	f.policy.WorkerLoaded(f.now, f.workerOf(0), requestPoint)
 	f.executeActions()
 	f.advance(100 * ms)
 	for id := range int64(30) {
@@ -85,9 +85,9 @@
 	f := newHarness(t)
 	strict := hookNamed("strict")
 	strict.OnFailure = RejectOnFailure
-	f.p.Load(f.now, settings(strict))
+	f.policy.Load(f.now, settings(strict))
 	f.executeActions()
-	f.p.WorkerEnded(f.now, f.workerOf(0), errors.New("does not load: x"))
+	f.policy.WorkerEnded(f.now, f.workerOf(0), errors.New("does not load: x"))
 	f.executeActions()
 	f.evaluate(1, "read")
 	f.wantVerdict(1, plugin.Reject, 0)
@@ -102,14 +102,14 @@
 	f := newHarness(t)
 	strict := hookNamed("strict")
 	strict.OnFailure = RejectOnFailure
-	f.p.Load(f.now, settings(strict, hookNamed("b")))
+	f.policy.Load(f.now, settings(strict, hookNamed("b")))
 	f.executeActions()
 	f.loadWorkers(requestPoint.With(plugin.Unload))
 	for id := range int64(30) {
 		f.evaluate(id, "read")
 	}
-	f.p.Load(f.now, settings(hookNamed("c"))) // loads meanwhile
-	f.p.Close(f.now)
+	f.policy.Load(f.now, settings(hookNamed("c"))) // loads meanwhile
+	f.policy.Close(f.now)
 	f.executeActions()
 	for id := range int64(30) {
 		f.wantVerdict(id, plugin.Reject, 0)
@@ -121,8 +121,8 @@
 	if f.closed != 1 || len(f.running()) > 0 {
 		t.Errorf("closed %d times, running %v", f.closed, f.running())
 	}
-	f.p.Close(f.now)
-	f.p.Load(f.now, settings(hookNamed("d")))
+	f.policy.Close(f.now)
+	f.policy.Load(f.now, settings(hookNamed("d")))
 	f.executeActions()
 	if f.closed != 1 || len(f.running()) > 0 {
 		t.Errorf("closed %d times, running %v", f.closed, f.running())
@@ -132,10 +132,10 @@
 func TestUnloadIsCalledOnceAndEndsWorker(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		f := newHarness(t)
-		f.p.Load(f.now, settings(hookNamed("a")))
+		f.policy.Load(f.now, settings(hookNamed("a")))
 		f.executeActions()
 		f.loadWorkers(requestPoint.With(plugin.Unload))
-		f.p.Close(f.now)
+		f.policy.Close(f.now)
 		f.executeActions()
 		calls := f.sentCalls[f.workerOf(0)]
 		if len(calls) != 1 || calls[0].Call().Point != plugin.Unload {
--- a/internal/hooks/process_test.go
+++ b/internal/hooks/process_test.go
@@ -33,11 +33,11 @@
 
 // realHarness is a router's place on the real machine.
 type realHarness struct {
-	t     testing.TB
-	m     *machine.Real
-	h     *Hooks
-	lines []string
-	last  int64
+	t       testing.TB
+	machine *machine.Real
+	hooks   *Hooks
+	lines   []string
+	lastID  int64
 }
 
 func newRealHarness(t testing.TB, cfg Config) *realHarness {
@@ -46,12 +46,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &realHarness{t: t, m: m}
+	r := &realHarness{t: t, machine: m}
 	cfg.Inside = func(c io.ReadWriteCloser) {
 		defer c.Close()
 		worker.Serve(c, nil)
 	}
-	if r.h, err = New(m, cfg, structuredlog.New(structuredlog.SinkFunc(func(line string) { r.lines = append(r.lines, line) }))); err != nil {
+	if r.hooks, err = New(m, cfg, structuredlog.New(structuredlog.SinkFunc(func(line string) { r.lines = append(r.lines, line) }))); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -61,38 +61,38 @@
 func (r *realHarness) run(f func(done func())) {
 	r.t.Helper()
 	late := false
-	r.m.At(r.m.Now()+60_000_000, func() {
+	r.machine.At(r.machine.Now()+60_000_000, func() {
 		late = true
-		r.m.Stop()
+		r.machine.Stop()
 	})
-	r.m.Post(func() {
+	r.machine.Post(func() {
 		f(func() {
-			r.h.Close(r.m.Stop)
+			r.hooks.Close(r.machine.Stop)
 		})
 	})
-	r.m.Run()
+	r.machine.Run()
 	if late {
-		r.t.Fatalf("it never came to an end: %v, %q", r.h.Left(), r.lines)
+		r.t.Fatalf("it never came to an end: %v, %q", r.hooks.Left(), r.lines)
 	}
 }
 
 // whenReady calls f once all hooks are up.
 func (r *realHarness) whenReady(f func()) {
-	if r.h.Ready() {
+	if r.hooks.Ready() {
 		f()
 		return
 	}
-	r.m.At(r.m.Now()+1000, func() { r.whenReady(f) })
+	r.machine.At(r.machine.Now()+1000, func() { r.whenReady(f) })
 }
 
 func (r *realHarness) evaluate(class, key string, done func(Verdict, Time)) {
-	r.last++
-	began := r.m.Now()
-	taken := r.h.Evaluate(Request{ID: r.last, Verb: "C.GET", Class: class, Key: key, TimeLeft: 10_000_000}, func(v Verdict) {
-		done(v, r.m.Now()-began)
+	r.lastID++
+	began := r.machine.Now()
+	taken := r.hooks.Evaluate(Request{ID: r.lastID, Verb: "C.GET", Class: class, Key: key, TimeLeft: 10_000_000}, func(v Verdict) {
+		done(v, r.machine.Now()-began)
 	})
 	if !taken {
-		r.m.Post(func() { done(Verdict{}, 0) })
+		r.machine.Post(func() { done(Verdict{}, 0) })
 	}
 }
 
@@ -112,7 +112,7 @@
 	return h
 }
 
-// moodyScript does what a key says.
+// moodyScript misbehaves as the key of a request asks it to.
 const moodyScript = `
 def on_request(r):
     if r.key == "loop":
@@ -228,7 +228,7 @@
 				})
 			})
 		})
-		if left := r.h.Left(); left["workers"]+left["worker processes"]+left["requests"] > 0 {
+		if left := r.hooks.Left(); left["workers"]+left["worker processes"]+left["requests"] > 0 {
 			t.Errorf("left %v", left)
 		}
 	}
@@ -250,11 +250,11 @@
 				if strings.HasPrefix(code, "version") {
 					bad.Code = []byte(code + "def on_request(r):\n    pass\n")
 				}
-				r.h.Reload(config(good, bad))
+				r.hooks.Reload(config(good, bad))
 				var look func()
 				look = func() {
 					if len(r.lines) == 0 {
-						r.m.At(r.m.Now()+1000, look)
+						r.machine.At(r.machine.Now()+1000, look)
 						return
 					}
 					r.evaluate("read", "k", func(v Verdict, _ Time) {
@@ -323,13 +323,20 @@
 				done()
 				return
 			}
-			r.m.Post(turn)
+			r.machine.Post(turn)
 		}
 		turn = func() {
 			open = atOnce
 			for range atOnce {
 				n++
-				r.h.Evaluate(Request{ID: int64(n), Verb: "C.GET", Class: "read", Tenant: "acme", Key: "7f3a9c21e0b4d655", TimeLeft: 10_000_000}, verdict)
+				r.hooks.Evaluate(Request{
+					ID:       int64(n),
+					Verb:     "C.GET",
+					Class:    "read",
+					Tenant:   "acme",
+					Key:      "7f3a9c21e0b4d655",
+					TimeLeft: 10_000_000,
+				}, verdict)
 			}
 		}
 		r.whenReady(func() {
--- a/internal/plugin/plugintest/bench.go
+++ b/internal/plugin/plugintest/bench.go
@@ -6,8 +6,8 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Bench measures an engine with the suite's hooks: a call that passes, a call that says something, a load, and an
-// instance that is thrown away and made anew.
+// Bench measures an engine with the suite's hooks: a call that passes, a call that adds to its verdict, a load, and
+// a crash with the new instance after it.
 func Bench(b *testing.B, e plugin.Engine, hooks map[string][]byte) {
 	load := func(b *testing.B, name string, budget plugin.Budget) plugin.Hook {
 		h, err := e.Load(name, hooks[name], budget)
--- a/internal/plugin/wasm/wasm_test.go
+++ b/internal/plugin/wasm/wasm_test.go
@@ -64,10 +64,10 @@
 	forever = Loop(Br(0))
 )
 
-// say uses a word on a text.
+// say calls a host function with a text.
 func say(word uint32, at, n int32) Code { return Seq(I32Const(at), I32Const(n), Call(word)) }
 
-// field says a text of the call.
+// field calls a host function with a text of the call.
 func field(word, at uint32) Code { return Seq(call, I32Load(at), call, I32Load(at+4), Call(word)) }
 
 // begins does something where the key begins with c.
--- a/internal/plugin/wire/wire_test.go
+++ b/internal/plugin/wire/wire_test.go
@@ -114,7 +114,8 @@
 }
 
 func FuzzReply(f *testing.F) {
-	f.Add(AppendReply(nil, &Reply{Sequence: 2, Verdict: plugin.Verdict{Decision: plugin.Reject, RetryAfter: 1, Tags: []string{"club"}, Log: []string{"a"}}}))
+	verdict := plugin.Verdict{Decision: plugin.Reject, RetryAfter: 1, Tags: []string{"club"}, Log: []string{"a"}}
+	f.Add(AppendReply(nil, &Reply{Sequence: 2, Verdict: verdict}))
 	f.Add(AppendReply(nil, &Reply{Failed: true, Text: "x"}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for {
--- a/internal/plugin/worker/worker_test.go
+++ b/internal/plugin/worker/worker_test.go
@@ -149,12 +149,12 @@
     return refuse(7)
 `
 
-// patient has room for a machine under load.
-var patient = plugin.Budget{Time: 100_000, LoadTime: 2_000_000, Steps: 1 << 40, Depth: 64, Memory: 8 << 20, LogLines: 4, LogLineSize: 100}
+// generousBudget is a generous budget, for a machine under load.
+var generousBudget = plugin.Budget{Time: 100_000, LoadTime: 2_000_000, Steps: 1 << 40, Depth: 64, Memory: 8 << 20, LogLines: 4, LogLineSize: 100}
 
 func TestWorkerRepliesInOrder(t *testing.T) {
 	for name, p := range map[string]*peer{"inside": startInside(t), "process": startProcess(t)} { // any order
-		p.load("script", moody, patient)
+		p.load("script", moody, generousBudget)
 		var batch []byte
 		for seq := range uint64(300) {
 			batch = wire.AppendCall(batch, seq, &plugin.Call{Point: plugin.OnRequest, Key: "A"})
@@ -171,7 +171,7 @@
 
 func TestWorkerInterruptsLoopAndServesOn(t *testing.T) {
 	for name, p := range map[string]*peer{"inside": startInside(t), "process": startProcess(t)} { // any order
-		b := patient
+		b := generousBudget
 		b.Time = 20_000
 		p.load("script", moody, b)
 		for seq, key := range []string{"A", "loop", "A", "crash", "A"} {
@@ -187,7 +187,7 @@
 
 func TestRepliesDoNotWaitForStuckCall(t *testing.T) {
 	p := startProcess(t)
-	b := patient
+	b := generousBudget
 	b.Time = 30_000_000
 	p.load("script", moody, b)
 	p.call(1, "A")
@@ -203,7 +203,7 @@
 	}
 	for _, key := range []string{"swell", "sort", "list"} {
 		for _, memory := range []int64{1 << 20, 16 << 20, 60 << 20} {
-			b := patient
+			b := generousBudget
 			b.Memory, b.Time = memory, 60_000_000
 			p := startProcess(t)
 			p.load("script", moody, b)
@@ -241,7 +241,7 @@
 
 func TestWorkerIgnoresServiceSignals(t *testing.T) {
 	p := startProcess(t)
-	p.load("script", moody, patient)
+	p.load("script", moody, generousBudget)
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		if err := p.cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
@@ -259,7 +259,7 @@
 		"not a WebAssembly module of version 1": {Engine: "wasm", Code: []byte("x")},
 		"it does not set version":               {Engine: "script"},
 	} {
-		l.Budget = patient
+		l.Budget = generousBudget
 		p := startProcess(t)
 		p.send(wire.AppendLoad(nil, &l))
 		kind, body := p.next()
