--- a/cmd/lab/chaos.go
+++ b/cmd/lab/chaos.go
@@ -113,7 +113,7 @@
 	sum := r.Requests()
 	return fmt.Sprintf("requests %d served %d refused %d failed %d lost %d doubled %d late_drains %d in_time %.3f "+
 		"after_start %.3f service %.3f broken %d rss_mb %.0f descriptors %d",
-		sum.Requests, sum.InAim+sum.Late, sum.Refused, sum.Failed+sum.Lost+sum.Left,
+		sum.Requests, sum.OnTime+sum.Late, sum.Rejected, sum.Failed+sum.Lost+sum.Left,
 		r.Counts.Lost, r.Counts.Doubled, r.Counts.LateDrains(), r.InTime(), r.InTimeSince(atStart), r.Service(),
 		r.Counts.Violations(), float64(r.PeakRSS())/(1<<20), r.Descriptors()), !missed, nil
 }
--- a/cmd/lab/eurekadrain.go
+++ b/cmd/lab/eurekadrain.go
@@ -65,7 +65,7 @@
 	told(o.Out, &r)
 	sum := r.Requests()
 	fmt.Fprintf(o.Out, "requests %d served %d in_time %.3f; a cache got %.1f requests a second\n", sum.Requests,
-		sum.InAim+sum.Late, r.InTime(), float64(r.Counts.Attempts)/drainScript(n).Length.Seconds()/drainCaches)
+		sum.OnTime+sum.Late, r.InTime(), float64(r.Counts.Attempts)/drainScript(n).Length.Seconds()/drainCaches)
 	d := drainsOf(r.Outs)
 	for _, out := range d.late {
 		fmt.Fprintf(o.Out, "LATE: %s was marked at %.3f s, and %s sent to it %d ms later\n", out.Cache, float64(out.At)/1e6,
--- a/cmd/lab/registry.go
+++ b/cmd/lab/registry.go
@@ -37,7 +37,7 @@
 	f.DurationVar(&o.evictEvery, "evict-every", time.Minute, "how often leases that are over are taken out")
 	f.DurationVar(&o.cacheTime, "cache-time", 0, "how often answers are brought up to date; 0 at once")
 	f.BoolVar(&o.options.NoPreservation, "no-preservation", false, "evict however few renewals come")
-	f.BoolVar(&o.options.SingleBare, "single-bare", false, "write a list of one as the one, as old servers do")
+	f.BoolVar(&o.options.UnwrapSingle, "single-bare", false, "write a list of one as the one, as old servers do")
 	f.BoolVar(&o.options.OldNames, "old-names", false, "write overriddenstatus, as old servers do")
 	return cmd
 }
--- a/cmd/lab/table.go
+++ b/cmd/lab/table.go
@@ -85,9 +85,9 @@
 		fmt.Fprintf(&b, "%-4s %-11s %s\n", "", r.Name, r.State)
 	}
 	all := s.Clients
-	over := all.InAim + all.Late + all.Refused + all.Failed + all.Lost + all.Left
+	over := all.OnTime + all.Late + all.Rejected + all.Failed + all.Lost + all.Left
 	fmt.Fprintf(&b, "%3.0f s  clients: served %d, refused %d, failed %d, in time %.1f %%; the last second: %d, %d, %d\n",
-		float64(s.At)/1e6, all.InAim+all.Late, all.Refused, all.Failed+all.Lost+all.Left,
-		100*float64(all.InAim)/float64(max(over, 1)), s.Last.Served, s.Last.Refused, s.Last.Failed)
+		float64(s.At)/1e6, all.OnTime+all.Late, all.Rejected, all.Failed+all.Lost+all.Left,
+		100*float64(all.OnTime)/float64(max(over, 1)), s.Last.Served, s.Last.Refused, s.Last.Failed)
 	return b.String()
 }
--- a/cmd/lab/try.go
+++ b/cmd/lab/try.go
@@ -111,7 +111,7 @@
 	told(out, &r)
 	sum := r.Requests()
 	fmt.Fprintf(out, "try: requests %d served %d refused %d failed %d lost %d doubled %d late_drains %d in_time %.3f "+
-		"rules broken %d\n", sum.Requests, sum.InAim+sum.Late, sum.Refused, sum.Failed+sum.Lost+sum.Left,
+		"rules broken %d\n", sum.Requests, sum.OnTime+sum.Late, sum.Rejected, sum.Failed+sum.Lost+sum.Left,
 		r.Counts.Lost, r.Counts.Doubled, r.Counts.LateDrains(), r.InTime(), r.Counts.Violations())
 	if !r.OK() {
 		return errMissed
--- a/internal/testbench/httpserver/conn.go
+++ b/internal/testbench/httpserver/conn.go
@@ -60,7 +60,7 @@
 
 // read takes what has come, as far as one request may be long.
 func (c *conn) read() {
-	most := c.s.o.MostHead + c.s.o.MostBody
+	most := c.s.o.MaxHeadBytes + c.s.o.MaxBodyBytes
 	var buf [16 << 10]byte
 	for !c.ended && !c.gone {
 		room := most - len(c.in)
@@ -136,7 +136,7 @@
 	if c.gone {
 		return false
 	}
-	return c.parse() || c.left && len(c.in) < c.s.o.MostHead+c.s.o.MostBody
+	return c.parse() || c.left && len(c.in) < c.s.o.MaxHeadBytes+c.s.o.MaxBodyBytes
 }
 
 // send has bytes written, and reports whether the connection took that. It is not called while others are unsent.
@@ -260,21 +260,21 @@
 	}
 	at := bytes.Index(c.in[c.scanned:], []byte(end))
 	length := c.scanned + at + len(end)
-	if at < 0 && len(c.in) > c.s.o.MostHead || at >= 0 && length > c.s.o.MostHead {
-		return nil, reject(http.StatusRequestHeaderFieldsTooLarge, "the head is longer than %d bytes", c.s.o.MostHead)
+	if at < 0 && len(c.in) > c.s.o.MaxHeadBytes || at >= 0 && length > c.s.o.MaxHeadBytes {
+		return nil, reject(http.StatusRequestHeaderFieldsTooLarge, "the head is longer than %d bytes", c.s.o.MaxHeadBytes)
 	}
 	if at < 0 {
 		c.scanned = max(0, len(c.in)-len(end)+1)
 		return nil, nil
 	}
 	head := c.in[:length]
-	req, err := readHead(head, c.s.o.MostBody)
+	req, err := readHead(head, c.s.o.MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
 	c.in, c.scanned, c.blank, c.req = c.in[length:], 0, false, req
 	if req.chunked {
-		c.chunks = &chunks{most: c.s.o.MostBody}
+		c.chunks = &chunks{most: c.s.o.MaxBodyBytes}
 	}
 	return head, nil
 }
--- a/internal/testbench/httpserver/server.go
+++ b/internal/testbench/httpserver/server.go
@@ -23,21 +23,21 @@
 
 // Options are the bounds of a server. The zero value of a field stands for its usual figure.
 type Options struct {
-	MostHead    int  // bytes of a request's head; 16 KiB
-	MostBody    int  // ... of its body; 64 KiB
-	Connections int  // open at once; 1024. One more is answered 503
-	RequestTime Time // for a request to come whole, from its first byte; 10 s
-	IdleTime    Time // for the next request to begin; 60 s
-	WriteTime   Time // for a client to take some more of an answer; 10 s
-	LingerTime  Time // for a client to end its side after the last answer; 1 s
+	MaxHeadBytes int  // bytes of a request's head; 16 KiB
+	MaxBodyBytes int  // ... of its body; 64 KiB
+	Connections  int  // open at once; 1024. One more is answered 503
+	RequestTime  Time // for a request to come whole, from its first byte; 10 s
+	IdleTime     Time // for the next request to begin; 60 s
+	WriteTime    Time // for a client to take some more of an answer; 10 s
+	LingerTime   Time // for a client to end its side after the last answer; 1 s
 }
 
 func (o *Options) fill() {
-	if o.MostHead == 0 {
-		o.MostHead = 16 << 10
+	if o.MaxHeadBytes == 0 {
+		o.MaxHeadBytes = 16 << 10
 	}
-	if o.MostBody == 0 {
-		o.MostBody = 64 << 10
+	if o.MaxBodyBytes == 0 {
+		o.MaxBodyBytes = 64 << 10
 	}
 	if o.Connections == 0 {
 		o.Connections = 1024
--- a/internal/testbench/httpserver/server_test.go
+++ b/internal/testbench/httpserver/server_test.go
@@ -162,7 +162,7 @@
 		{"GET /" + strings.Repeat("a", 600), "431"},
 		{"GET /" + strings.Repeat("a", 600) + " HTTP/1.1\r\n" + host + "\r\n", "431"},
 	} {
-		f := newField(t, Options{MostHead: 500, MostBody: 1000})
+		f := newField(t, Options{MaxHeadBytes: 500, MaxBodyBytes: 1000})
 		w := f.dial()
 		w.send(c.in)
 		f.after(2 * second)
--- a/internal/testbench/lab/capacity.go
+++ b/internal/testbench/lab/capacity.go
@@ -17,13 +17,13 @@
 func SizeCaches(s script.Script, o *standin.Options) {
 	c := &o.Cache.Capacity
 	c.Speed = s.Fleet.Speed
-	slots, queue := float64(c.Slots)/c.Cores, float64(c.Queue)/c.Cores
+	slots, queue := float64(c.ConcurrentRequests)/c.Cores, float64(c.Queue)/c.Cores
 	c.Cores = s.Fleet.Cores
-	c.Slots, c.Queue = int(math.Ceil(slots*c.Cores)), int(math.Ceil(queue*c.Cores))
+	c.ConcurrentRequests, c.Queue = int(math.Ceil(slots*c.Cores)), int(math.Ceil(queue*c.Cores))
 	c.MeanWork = meanWork(s, o.Classes)
 	o.Discovery.CallCost = microseconds(s.Fleet.CallCost)
 	o.Discovery.LineCost = o.Discovery.CallCost / linesPerCall
-	o.Discovery.RefuseCost = o.Discovery.CallCost / refusalsPerCall
+	o.Discovery.RejectCost = o.Discovery.CallCost / refusalsPerCall
 }
 
 // meanWork is the mean work of a request, where the script has cold caches bear so many calls; else 0.
@@ -33,7 +33,7 @@
 	}
 	work, share := 0.0, 0.0
 	for _, c := range classes {
-		work, share = work+c.Share*float64(c.Work), share+c.Share
+		work, share = work+c.TrafficFraction*float64(c.Work), share+c.TrafficFraction
 	}
 	return Time(work / share)
 }
--- a/internal/testbench/lab/faults.go
+++ b/internal/testbench/lab/faults.go
@@ -307,7 +307,7 @@
 		f.hostile++
 		name := fmt.Sprintf("hostile-%d", f.hostile)
 		h := standin.NewHostile(w.host(name, zone).Machine(), standin.HostileOptions{
-			Harm: standin.Harm(x.How), Every: 50 * millisecond, HoldFor: 2 * second, Most: 32, Class: w.classes[0],
+			Harm: standin.Harm(x.How), Every: 50 * millisecond, HoldFor: 2 * second, MaxConnections: 32, Class: w.classes[0],
 			Keys: w.fleet.Keys, Routers: func() []standin.Target { return w.front.routers(zone) },
 		}, w.sim.Rand(name), w.eyes)
 		h.Start()
--- a/internal/testbench/lab/loopback/handover.go
+++ b/internal/testbench/lab/loopback/handover.go
@@ -68,7 +68,7 @@
 func (rt *router) killAfter() Time {
 	longest := Time(0)
 	for _, c := range rt.r.report.Classes {
-		longest = max(longest, c.Deadline)
+		longest = max(longest, c.ClientTimeout)
 	}
 	return min(longest, longestDrain) + drainSpare
 }
--- a/internal/testbench/lab/loopback/loopback.go
+++ b/internal/testbench/lab/loopback/loopback.go
@@ -120,9 +120,9 @@
 func (r *Report) InTimeSince(before []*standin.Tally) float64 {
 	earned, asked := 0.0, 0.0
 	for i, t := range r.Tallies {
-		worth, served, made := r.Classes[i].Worth, t.InAim+r.Forgiven[t.Class], t.Requests
+		worth, served, made := r.Classes[i].PriorityWeight, t.OnTime+r.Forgiven[t.Class], t.Requests
 		if before != nil {
-			served, made = served-before[i].InAim, made-before[i].Requests
+			served, made = served-before[i].OnTime, made-before[i].Requests
 		}
 		earned += worth * float64(served)
 		asked += worth * float64(made)
--- a/internal/testbench/lab/loopback/loopback_test.go
+++ b/internal/testbench/lab/loopback/loopback_test.go
@@ -46,7 +46,7 @@
 	if bad := broken(&r); len(bad) > 0 || len(r.Troubles) > 0 {
 		t.Errorf("broken %v, troubles %v", bad, r.Troubles)
 	}
-	if sum.InAim+sum.Late == 0 || r.Counts.Attempts == 0 {
+	if sum.OnTime+sum.Late == 0 || r.Counts.Attempts == 0 {
 		t.Errorf("nothing was served: %+v", sum)
 	}
 	if r.PeakRSS() == 0 || r.Descriptors() == 0 || r.Routers[0].Lines == 0 {
--- a/internal/testbench/lab/loopback/router.go
+++ b/internal/testbench/lab/loopback/router.go
@@ -256,7 +256,7 @@
 	})
 	longest := Time(0)
 	for _, c := range r.report.Classes {
-		longest = max(longest, c.Deadline)
+		longest = max(longest, c.ClientTimeout)
 	}
 	var overdue func()
 	limit := now + longest + drainSpare + slack
--- a/internal/testbench/lab/loopback/run.go
+++ b/internal/testbench/lab/loopback/run.go
@@ -245,7 +245,7 @@
 	r.fleet.Stop()
 	longest := Time(0)
 	for _, c := range r.report.Classes {
-		longest = max(longest, c.Deadline)
+		longest = max(longest, c.ClientTimeout)
 	}
 	r.settled(r.m.Now() + longest + longSlack + settleWithin)
 }
--- a/internal/testbench/lab/loopback/snapshot.go
+++ b/internal/testbench/lab/loopback/snapshot.go
@@ -55,8 +55,8 @@
 	}
 	was, now := &r.shot.clients, &s.Clients
 	s.Last = ClientsSince{
-		Served: now.InAim + now.Late - was.InAim - was.Late, InTime: now.InAim - was.InAim,
-		Refused: now.Refused - was.Refused, Failed: now.Failed + now.Lost - was.Failed - was.Lost,
+		Served: now.OnTime + now.Late - was.OnTime - was.Late, InTime: now.OnTime - was.OnTime,
+		Refused: now.Rejected - was.Rejected, Failed: now.Failed + now.Lost - was.Failed - was.Lost,
 	}
 	s.Last.Over = s.Last.Served + s.Last.Refused + s.Last.Failed
 	r.shot.clients = s.Clients
@@ -91,7 +91,7 @@
 	} else if !c.Up() {
 		words = append(words, "down")
 	}
-	if c.Cold() {
+	if c.WarmingUp() {
 		words = append(words, "cold")
 	}
 	var wrong []string
--- a/internal/testbench/lab/loopback/world.go
+++ b/internal/testbench/lab/loopback/world.go
@@ -46,25 +46,25 @@
 	o.Caches, o.Zones = s.Caches, script.Zones()
 	for i := range o.Classes {
 		if o.Classes[i].Write {
-			o.Classes[i].Share *= s.Clients.Writes
+			o.Classes[i].TrafficFraction *= s.Clients.Writes
 		}
 	}
-	o.Homes = lab.Homes
+	o.Placement = lab.Homes
 	lab.SizeCaches(*s, &o)
 	o.Cache.Probes, o.Cache.Reports = s.Fleet.Probes, s.Fleet.Reports
 	o.Cache.Cancel = map[string]standin.Cancel{"none": standin.CancelNone, "queued": standin.CancelQueued,
 		"all": standin.CancelAll}[s.Fleet.Cancel]
 	o.Discovery.Delay = span(s.Fleet.ListDelay)
 	if s.Registry.Enabled {
-		o.Discovery.AskEvery = 0 // nobody asks it, and nothing counts as told
+		o.Discovery.PollInterval = 0 // nobody asks it, and nothing counts as told
 	}
 	o.Clients = s.Clients.Groups
-	o.Client.Rate, o.Client.Retries, o.Client.Honour = s.Rate, s.Clients.Retries, s.Clients.Honour
-	o.Client.Wait = map[string]standin.RetryWait{"at-once": standin.AtOnce, "fixed": standin.FixedWait,
+	o.Client.Rate, o.Client.Retries, o.Client.RetryAfterCompliance = s.Rate, s.Clients.Retries, s.Clients.Honour
+	o.Client.RetryWait = map[string]standin.RetryWait{"at-once": standin.NoRetryWait, "fixed": standin.FixedWait,
 		"exponential": standin.Exponential}[s.Clients.Wait]
-	o.Client.WaitTime, o.Client.TryShare = span(s.Clients.WaitTime), s.Clients.TryShare
+	o.Client.RetryWaitTime, o.Client.AttemptTimeoutFraction = span(s.Clients.WaitTime), s.Clients.TryShare
 	o.Client.Grace = longSlack
-	o.Client.Impatient, o.Client.Pipeline = s.Clients.Impatient, s.Clients.Pipeline
+	o.Client.EarlyAbandonFraction, o.Client.Pipeline = s.Clients.Impatient, s.Clients.Pipeline
 	for i := range s.Routers {
 		o.Routers = append(o.Routers[:i], fmt.Sprintf("r-%d", i+1))
 	}
@@ -75,8 +75,8 @@
 func routerSettings(s *script.Script, classes []standin.Class) standin.RouterSettings {
 	o := standin.DefaultRouterSettings()
 	o.Routers, o.Classes, o.Sockets = s.Routers, classes, s.Fleet.Sockets
-	o.MaxAttempts, o.Copies, o.Probes = s.Fleet.MaxAttempts, s.Fleet.Copies, s.Fleet.Probes
-	o.Cancel = s.Fleet.Cancel == "all"
+	o.MaxAttempts, o.AllowHedging, o.AllowHealthChecks = s.Fleet.MaxAttempts, s.Fleet.Copies, s.Fleet.Probes
+	o.AllowCancel = s.Fleet.Cancel == "all"
 	return o
 }
 
@@ -84,15 +84,15 @@
 func ruleSettings(fleet *standin.Options, router *standin.RouterSettings) rules.Settings {
 	capacity := &fleet.Cache.Capacity
 	set := rules.Settings{
-		Classes: map[string]rules.Class{}, MaxAttempts: router.MaxAttempts, Copies: router.Copies,
+		Classes: map[string]rules.Class{}, MaxAttempts: router.MaxAttempts, Copies: router.AllowHedging,
 		Slack: slack, Flight: 50 * millisecond, DrainGrace: router.DrainGrace,
-		FallMultiple: capacity.FallMultiple, FallFor: capacity.FallFor, FallSlack: 0.1,
-		StoreFallFor: fleet.Store.FallFor, StoreColdShare: 0.5, MeanWork: capacity.MeanWork,
+		FallMultiple: capacity.OverloadMultiple, FallFor: capacity.OverloadWindow, FallSlack: 0.1,
+		StoreFallFor: fleet.Store.OverloadWindow, StoreColdShare: 0.5, MeanWork: capacity.MeanWork,
 	}
-	effects := [...]rules.Effect{standin.Safe: rules.Safe, standin.Keyed: rules.Keyed, standin.Unsafe: rules.Unsafe}
+	effects := [...]rules.Effect{standin.Idempotent: rules.Safe, standin.IdempotentByKey: rules.Keyed, standin.NonIdempotent: rules.Unsafe}
 	for _, c := range fleet.Classes {
-		set.Classes[c.Name] = rules.Class{Effect: effects[c.Effect], Scope: rules.ScopeAll, Window: c.Window,
-			Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
+		set.Classes[c.Name] = rules.Class{Effect: effects[c.Semantics], Scope: rules.ScopeAll, Window: c.IdempotencyWindow,
+			Aim: c.LatencyObjective, Deadline: c.ClientTimeout, Worth: c.PriorityWeight, LateWorth: c.LateWeightFraction}
 	}
 	return set
 }
--- a/internal/testbench/lab/loss_report.go
+++ b/internal/testbench/lab/loss_report.go
@@ -39,7 +39,7 @@
 func NewLosses(classes []standin.Class) *Losses {
 	l := &Losses{By: map[string]int{}, aims: map[string]Time{}}
 	for _, c := range classes {
-		l.aims[c.Name] = c.Aim
+		l.aims[c.Name] = c.LatencyObjective
 	}
 	return l
 }
--- a/internal/testbench/lab/mass.go
+++ b/internal/testbench/lab/mass.go
@@ -55,7 +55,7 @@
 func (r *MassResult) Served() float64 { return r.Tally.Earned / max(r.Tally.Offered, 1e-9) }
 
 // RefusedShare is the share of requests whose last try was refused.
-func (r *MassResult) RefusedShare() float64 { return share(r.Tally.Refused, r.Tally.Requests) }
+func (r *MassResult) RefusedShare() float64 { return share(r.Tally.Rejected, r.Tally.Requests) }
 
 // Late is the share of requests that were served past their aim.
 func (r *MassResult) Late() float64 { return share(r.Tally.Late, r.Tally.Requests) }
@@ -124,13 +124,14 @@
 	left := 1 - hits
 	for _, c := range o.Classes {
 		if c.Write {
-			left += 2 * c.Share // itself, and the copy that it voids
+			left += 2 * c.TrafficFraction // itself, and the copy that it voids
 		}
 	}
-	o.Store.Places = int(massStore * left * o.Client.Rate * float64(o.Store.Latency) / float64(second))
+	o.Store.Concurrency = int(massStore * left * o.Client.Rate * float64(o.Store.Latency) / float64(second))
 	o.Store.Queue = int(float64(o.Store.Queue) * times)
-	o.Cache.Capacity.Choke = standin.Choke{At: 5.5, Over: 2 * second, Slower: 2.7, Below: .32, Rest: 3500 * millisecond,
-		Most: 25 * second}
+	o.Cache.Capacity.Congestion = standin.Congestion{Threshold: 5.5, Window: 2 * second, Slowdown: 2.7, RecoveryUtilization: .32,
+		RecoveryWindow: 3500 * millisecond,
+		MaxDuration:    25 * second}
 	o.Discovery.CallCost, o.Discovery.LineCost = 2*millisecond, Time(100/times)
 }
 
@@ -144,7 +145,7 @@
 	}
 	work := 0.0
 	for _, c := range standin.DefaultClasses() {
-		work += c.Share * float64(c.Work) / float64(second)
+		work += c.TrafficFraction * float64(c.Work) / float64(second)
 	}
 	s.Rate = load * float64(m.Caches) * standin.DefaultOptions().Cache.Capacity.Cores / work
 	s.Clients.Groups, s.Clients.Retries = 60, 2
--- a/internal/testbench/lab/observer.go
+++ b/internal/testbench/lab/observer.go
@@ -292,7 +292,7 @@
 // longestOpen is how long a request may be open.
 func (w *world) longestOpen() (most Time) {
 	for _, c := range w.classes {
-		most = max(most, c.Deadline)
+		most = max(most, c.ClientTimeout)
 	}
 	return most
 }
--- a/internal/testbench/lab/pacing/pacing.go
+++ b/internal/testbench/lab/pacing/pacing.go
@@ -83,7 +83,7 @@
 	world.Far = world.Near
 	// A call for the whole list costs its lines too.
 	cost := Time(float64(second) / w.Capacity / (1 + float64(caches)/linesPerCall))
-	o := standin.DiscoveryOptions{CallCost: cost, LineCost: cost / linesPerCall, RefuseCost: cost / refusalsPerCall, Timeout: callTimeout}
+	o := standin.DiscoveryOptions{CallCost: cost, LineCost: cost / linesPerCall, RejectCost: cost / refusalsPerCall, Timeout: callTimeout}
 	for i := range w.Clients {
 		o.Routers = append(o.Routers, fmt.Sprintf("router-%d", i))
 	}
--- a/internal/testbench/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -276,8 +276,8 @@
 		o.Routers = func() []standin.Target { return r.front.routers(zone) }
 		o.Began = func(class *standin.Class) { r.books.Began(r.sim.Now(), class) }
 		o.Ended = func(class *standin.Class, asked Time, inAim bool) { r.books.Ended(r.sim.Now(), class, asked, inAim) }
-		if o.Honour > 0 && r.storm.InStep {
-			o.Wait, o.WaitTime = standin.FixedWait, 200*millisecond
+		if o.RetryAfterCompliance > 0 && r.storm.InStep {
+			o.RetryWait, o.RetryWaitTime = standin.FixedWait, 200*millisecond
 		}
 		name := fmt.Sprintf("c-%d", i+1)
 		host := name
--- a/internal/testbench/lab/storm_accounting.go
+++ b/internal/testbench/lab/storm_accounting.go
@@ -17,9 +17,9 @@
 func NewBearing(f *standin.Fleet, o standin.Options) *Bearing {
 	b := &Bearing{fleet: f, store: o.Store}
 	for _, c := range o.Classes {
-		b.Mean += c.Share * float64(c.Work) / float64(second)
+		b.Mean += c.TrafficFraction * float64(c.Work) / float64(second)
 		if c.Write {
-			b.writes += c.Share
+			b.writes += c.TrafficFraction
 		}
 	}
 	names := make([]string, 0, len(f.Caches))
@@ -43,11 +43,11 @@
 	}
 	missing := 1.0
 	for rank, c := range b.homes {
-		if c.Keeps(b.fleet.Keys.Name(rank)) {
-			missing -= b.fleet.Keys.Share(rank)
+		if c.HasKey(b.fleet.Keys.Name(rank)) {
+			missing -= b.fleet.Keys.Fraction(rank)
 		}
 	}
-	fetches := float64(b.store.Places) * float64(second) / float64(b.store.Latency)
+	fetches := float64(b.store.Concurrency) * float64(second) / float64(b.store.Latency)
 	return min(able, fetches/((1-b.writes)*missing+b.writes)*b.Mean)
 }
 
@@ -70,7 +70,7 @@
 	if inAim && now >= b.From {
 		b.part(now).InTime += float64(class.Work) / float64(second)
 	}
-	if asked < b.From || asked+class.Aim > b.From+b.For {
+	if asked < b.From || asked+class.LatencyObjective > b.From+b.For {
 		return
 	}
 	b.Requests++
@@ -104,10 +104,10 @@
 // StormClient makes the options of client i of a storm those of one that asks at a rate: the first ones, a share, take no
 // advice and retry at once.
 func StormClient(o standin.ClientOptions, i, all int, ignore float64) standin.ClientOptions {
-	o.Connections, o.Retries, o.Honour, o.TryShare = 8, 1<<20, 1, 1
-	o.Wait, o.WaitTime = standin.Exponential, 50*millisecond
+	o.Connections, o.Retries, o.RetryAfterCompliance, o.AttemptTimeoutFraction = 8, 1<<20, 1, 1
+	o.RetryWait, o.RetryWaitTime = standin.Exponential, 50*millisecond
 	if i < int(ignore*float64(all)) {
-		o.Honour, o.Wait, o.WaitTime = 0, standin.FixedWait, turnaround
+		o.RetryAfterCompliance, o.RetryWait, o.RetryWaitTime = 0, standin.FixedWait, turnaround
 	}
 	return o
 }
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -167,19 +167,20 @@
 	all := standin.DefaultClasses()
 	for i := range all {
 		if all[i].Write {
-			all[i].Share *= s.Clients.Writes
-			all[i].Window = Time(float64(all[i].Window) * s.Fleet.KeyWindow)
+			all[i].TrafficFraction *= s.Clients.Writes
+			all[i].IdempotencyWindow = Time(float64(all[i].IdempotencyWindow) * s.Fleet.KeyWindow)
 			w := writes[s.Fleet.Writes]
-			all[i].Effect, all[i].Scope = w.effect, w.scope
+			all[i].Semantics, all[i].Scope = w.effect, w.scope
 		}
 	}
 	if s.Clients.Unsafe > 0 {
-		all = append(all, standin.Class{Name: "merge-log", Share: s.Clients.Unsafe, Effect: standin.Unsafe, Write: true,
-			Aim: 800 * millisecond, Deadline: 2 * second, Worth: 4, LateWorth: 0.25, Work: 100 * millisecond, CV: 2})
+		all = append(all, standin.Class{Name: "merge-log", TrafficFraction: s.Clients.Unsafe, Semantics: standin.NonIdempotent, Write: true,
+			LatencyObjective: 800 * millisecond, ClientTimeout: 2 * second, PriorityWeight: 4, LateWeightFraction: 0.25,
+			Work: 100 * millisecond, CV: 2})
 	}
 	for i := range all {
-		all[i].Aim = Time(float64(all[i].Aim) * s.Fleet.Patience)
-		all[i].Deadline = Time(float64(all[i].Deadline) * s.Fleet.Patience)
+		all[i].LatencyObjective = Time(float64(all[i].LatencyObjective) * s.Fleet.Patience)
+		all[i].ClientTimeout = Time(float64(all[i].ClientTimeout) * s.Fleet.Patience)
 	}
 	return all
 }
@@ -187,16 +188,17 @@
 // writes are the effects of writes by their words in scripts. Of several caches that drop repeats, all share one memory: what
 // a router sends past its group is the rules' to find.
 var writes = map[string]struct {
-	effect standin.Effect
+	effect standin.Semantics
 	scope  rules.Scope
 }{
-	"keyed": {standin.Keyed, rules.ScopeAll}, "keyed-zone": {standin.Keyed, rules.ScopeZone}, "keyed-cell": {standin.Keyed, rules.ScopeCell},
-	"unsafe": {standin.Unsafe, rules.ScopeAll}, "safe": {standin.Safe, rules.ScopeAll},
+	"keyed": {standin.IdempotentByKey, rules.ScopeAll}, "keyed-zone": {standin.IdempotentByKey, rules.ScopeZone},
+	"keyed-cell": {standin.IdempotentByKey, rules.ScopeCell},
+	"unsafe":     {standin.NonIdempotent, rules.ScopeAll}, "safe": {standin.Idempotent, rules.ScopeAll},
 }
 
 func (w *world) fleetOptions() standin.Options {
 	s, o := w.s, standin.DefaultOptions()
-	o.Caches, o.Zones, o.Classes, o.Homes = s.Caches, script.Zones(), w.classes, Homes
+	o.Caches, o.Zones, o.Classes, o.Placement = s.Caches, script.Zones(), w.classes, Homes
 	SizeCaches(s, &o)
 	o.Cache.Probes, o.Cache.Reports = s.Fleet.Probes, s.Fleet.Reports
 	o.Cache.Cancel = map[string]standin.Cancel{"none": standin.CancelNone, "queued": standin.CancelQueued,
@@ -208,14 +210,14 @@
 	o.Discovery.Reachable = w.reachable
 	o.Clients = s.Clients.Groups
 	c := &o.Client
-	c.Rate, c.Retries, c.Honour, c.TryShare = s.Rate, s.Clients.Retries, s.Clients.Honour, s.Clients.TryShare
-	c.Wait = map[string]standin.RetryWait{"at-once": standin.AtOnce, "fixed": standin.FixedWait,
+	c.Rate, c.Retries, c.RetryAfterCompliance, c.AttemptTimeoutFraction = s.Rate, s.Clients.Retries, s.Clients.Honour, s.Clients.TryShare
+	c.RetryWait = map[string]standin.RetryWait{"at-once": standin.NoRetryWait, "fixed": standin.FixedWait,
 		"exponential": standin.Exponential}[s.Clients.Wait]
-	c.WaitTime = microseconds(s.Clients.WaitTime)
+	c.RetryWaitTime = microseconds(s.Clients.WaitTime)
 	// Where a zone has no router, its clients go to another's. A split piece takes up to a quarter longer.
 	far := float64(microseconds(s.Network.Far))
-	c.Crossing = 5*millisecond + 2*Time(far*(1.25+s.Network.Jitter)) // there with the request, and back with the close
-	c.Impatient, c.Pipeline = s.Clients.Impatient, s.Clients.Pipeline
+	c.CloseRaceWindow = 5*millisecond + 2*Time(far*(1.25+s.Network.Jitter)) // there with the request, and back with the close
+	c.EarlyAbandonFraction, c.Pipeline = s.Clients.Impatient, s.Clients.Pipeline
 	o.Routers = nil
 	for _, r := range w.routers {
 		o.Routers = append(o.Routers, r.name)
@@ -241,8 +243,8 @@
 	s := standin.DefaultRouterSettings()
 	s.Name, s.Listen, s.Discovery = r.name, r.addr, r.list
 	s.Sockets, s.Routers, s.Classes = w.s.Fleet.Sockets, w.s.Routers, w.classes
-	s.MaxAttempts, s.Copies, s.Probes = w.s.Fleet.MaxAttempts, w.s.Fleet.Copies, w.s.Fleet.Probes
-	s.Cancel = w.s.Fleet.Cancel != "none"
+	s.MaxAttempts, s.AllowHedging, s.AllowHealthChecks = w.s.Fleet.MaxAttempts, w.s.Fleet.Copies, w.s.Fleet.Probes
+	s.AllowCancel = w.s.Fleet.Cancel != "none"
 	s.Pushed, s.DrainGrace = w.s.Fleet.Pushed, microseconds(w.s.Fleet.DrainGrace)
 	return s
 }
@@ -260,9 +262,9 @@
 		MeanWork: meanWork(w.s, w.classes),
 	}
 	for _, c := range w.classes {
-		effect := [...]rules.Effect{standin.Safe: rules.Safe, standin.Keyed: rules.Keyed, standin.Unsafe: rules.Unsafe}
-		set.Classes[c.Name] = rules.Class{Effect: effect[c.Effect], Scope: c.Scope, Window: c.Window, Aim: c.Aim,
-			Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
+		effect := [...]rules.Effect{standin.Idempotent: rules.Safe, standin.IdempotentByKey: rules.Keyed, standin.NonIdempotent: rules.Unsafe}
+		set.Classes[c.Name] = rules.Class{Effect: effect[c.Semantics], Scope: c.Scope, Window: c.IdempotencyWindow, Aim: c.LatencyObjective,
+			Deadline: c.ClientTimeout, Worth: c.PriorityWeight, LateWorth: c.LateWeightFraction}
 	}
 	return set
 }
--- a/internal/testbench/load/target.go
+++ b/internal/testbench/load/target.go
@@ -191,7 +191,7 @@
 	s := standin.DefaultRouterSettings()
 	s.Name, s.Listen, s.Discovery, s.Seed, s.Routers = "load", "127.0.0.1:0", "127.0.0.1:1", "1", 1
 	s.Cores, s.MemoryMB, s.Sockets = limits.Cores, limits.MemoryMB, limits.Sockets
-	s.Probes = false
+	s.AllowHealthChecks = false
 	var config object
 	if err := json.Unmarshal(s.JSON(), &config); err != nil {
 		panic(err) // it is what the stand-ins wrote
--- a/internal/testbench/standin/cache.go
+++ b/internal/testbench/standin/cache.go
@@ -24,17 +24,17 @@
 	Capacity   Capacity
 	Cancel     Cancel
 
-	MemoryKeys   int
-	Coalesce     bool // misses of one key share a fetch
-	MissHolds    bool // a request that waits for a fetch holds its slot
-	FetchTimeout Time // 0 for none
-
-	Connections   int  // 0 stands for 90
-	TellsFull     bool // a connection too many is told -BUSY before its end
-	Streams       int  // requests of one connection that are begun at once; 0 stands for 100
-	HandshakeWork Time // work that a new connection costs
-	HandshakeTime Time // the first request on it waits so long in any case
-	IdleFor       Time // a connection that stood idle so long is closed; 0 never
+	MemoryKeys    int
+	Coalesce      bool // misses of one key share a fetch
+	MissKeepsSlot bool // a request that waits for a fetch holds its slot
+	FetchTimeout  Time // 0 for none
+
+	Connections     int  // 0 stands for 90
+	RejectsWhenFull bool // a connection too many is told -BUSY before its end
+	Streams         int  // requests of one connection that are begun at once; 0 stands for 100
+	HandshakeWork   Time // work that a new connection costs
+	HandshakeTime   Time // the first request on it waits so long in any case
+	IdleFor         Time // a connection that stood idle so long is closed; 0 never
 
 	Probes    bool // PING and INFO are answered with care and cost work
 	ProbeWork Time
@@ -153,11 +153,11 @@
 	c.proc = newProcessor(c.m, &c.o.Capacity, cold)
 	c.memory = newMemory(c.o.MemoryKeys)
 	c.calls = map[*call]struct{}{}
-	c.offered = offeredOver{span: c.o.Capacity.FallFor}
+	c.offered = offeredOver{span: c.o.Capacity.OverloadWindow}
 	c.faults.apply(c)
 	share := 1.0
 	if c.proc.coldFor > 0 {
-		share = c.o.Capacity.ColdShare
+		share = c.o.Capacity.SlowStartMinCapacity
 	}
 	warm := c.o.Capacity.Cores * c.proc.speed() * float64(Second)
 	c.obs.CacheUp(c.m.Now(), c.o.Name, warm, share, c.proc.coldFor)
@@ -187,8 +187,8 @@
 	return keys
 }
 
-// Cold reports whether its process has not reached its whole capacity yet.
-func (c *Cache) Cold() bool { return c.up && c.proc.warmth() < 1 }
+// WarmingUp reports whether its process has not reached its whole capacity yet.
+func (c *Cache) WarmingUp() bool { return c.up && c.proc.warmth() < 1 }
 
 // Able is the work that it can do in each second by now, faults and crowds aside; 0 where it does not run.
 func (c *Cache) Able() float64 {
@@ -198,8 +198,8 @@
 	return c.proc.able() * float64(Second)
 }
 
-// Keeps reports whether its memory holds a key.
-func (c *Cache) Keeps(key string) bool { return c.up && c.memory.at[key] != nil }
+// HasKey reports whether its memory holds a key.
+func (c *Cache) HasKey(key string) bool { return c.up && c.memory.at[key] != nil }
 
 // Holds is the number of requests that run or wait.
 func (c *Cache) Holds() int { return len(c.calls) }
@@ -251,8 +251,8 @@
 	c.obs.Offered(now, c.o.Name, router, work)
 	sum := c.offered.add(now, work)
 	o := &c.o.Capacity
-	if o.FallFor > 0 && o.FallMultiple > 0 {
-		allowed := o.FallMultiple * c.proc.able() * float64(o.FallFor)
+	if o.OverloadWindow > 0 && o.OverloadMultiple > 0 {
+		allowed := o.OverloadMultiple * c.proc.able() * float64(o.OverloadWindow)
 		if o.MeanWork > 0 {
 			allowed = rules.AllowedWork(allowed, o.MeanWork)
 		}
--- a/internal/testbench/standin/cache_test.go
+++ b/internal/testbench/standin/cache_test.go
@@ -83,15 +83,15 @@
 
 func cacheOptions() CacheOptions {
 	return CacheOptions{Name: "s-1", Zone: "rajkot", Cancel: CancelAll, MemoryKeys: 100,
-		Capacity: Capacity{Cores: 6, Slots: 48, Queue: 1000, ColdShare: 0.16, ColdFor: 20 * Second,
-			FallMultiple: 3, FallFor: 3 * Second}}
+		Capacity: Capacity{Cores: 6, ConcurrentRequests: 48, Queue: 1000, SlowStartMinCapacity: 0.16, SlowStartWindow: 20 * Second,
+			OverloadMultiple: 3, OverloadWindow: 3 * Second}}
 }
 
 func newStand(t *testing.T, o CacheOptions) *stand {
 	t.Helper()
 	l := newLab()
 	s := &stand{lab: l, notes: &notes{l: l}}
-	s.store = NewStore(l, StoreOptions{Places: 4, Latency: 80 * Millisecond, Queue: 100}, chanceOf(2), s.notes)
+	s.store = NewStore(l, StoreOptions{Concurrency: 4, Latency: 80 * Millisecond, Queue: 100}, chanceOf(2), s.notes)
 	s.parts = CacheParts{Workload: NewWorkload(steady(), chanceOf(3)), Store: s.store, Repeats: NewRepeats(),
 		Observer: s.notes}
 	s.c, s.addr = s.another(t, o)
@@ -238,7 +238,7 @@
 
 func TestCancelQueuedDropsWhatWaitsForASlot(t *testing.T) {
 	o := cacheOptions()
-	o.Cancel, o.Capacity.Slots = CancelQueued, 1
+	o.Cancel, o.Capacity.ConcurrentRequests = CancelQueued, 1
 	s := newStand(t, o)
 	s.c.Warm([]string{"k"})
 	first, second := s.dial(t, s.addr), s.dial(t, s.addr)
@@ -271,7 +271,7 @@
 func TestConnectionsBeyondTheLimitAreTurnedAway(t *testing.T) {
 	for _, tells := range []bool{false, true} {
 		o := cacheOptions()
-		o.TellsFull = tells
+		o.RejectsWhenFull = tells
 		s := newStand(t, o)
 		for range 90 {
 			if w := s.dial(t, s.addr); w.end != nil {
@@ -352,11 +352,11 @@
 	if err := s.c.Restart(true); err != nil {
 		t.Fatal(err)
 	}
-	if w := s.dial(t, s.addr); w.err != nil || !s.c.Cold() {
-		t.Errorf("after the restart: %v, cold %t", w.err, s.c.Cold())
+	if w := s.dial(t, s.addr); w.err != nil || !s.c.WarmingUp() {
+		t.Errorf("after the restart: %v, cold %t", w.err, s.c.WarmingUp())
 	}
 	s.run(t, 21*Second)
-	if s.c.Cold() {
+	if s.c.WarmingUp() {
 		t.Error("still cold after its time")
 	}
 }
--- a/internal/testbench/standin/cacheconn.go
+++ b/internal/testbench/standin/cacheconn.go
@@ -39,7 +39,7 @@
 		c.turned++
 	}
 	if !c.up || c.faults.resetAccept || full {
-		if full && c.o.TellsFull {
+		if full && c.o.RejectsWhenFull {
 			cc.send(redcon.AppendError(nil, "BUSY"))
 		}
 		cc.close()
--- a/internal/testbench/standin/call.go
+++ b/internal/testbench/standin/call.go
@@ -86,7 +86,7 @@
 	}
 	k.fetch = f
 	f.waiting = append(f.waiting, k)
-	if !c.o.MissHolds {
+	if !c.o.MissKeepsSlot {
 		c.proc.leave(&k.job)
 	}
 }
@@ -304,7 +304,7 @@
 	f := &fetch{c: c, key: key}
 	c.fetches = append(c.fetches, f)
 	cold := ""
-	if c.Cold() {
+	if c.WarmingUp() {
 		cold = c.o.Name
 	}
 	f.out = c.store.call(key, false, cold, f.done)
--- a/internal/testbench/standin/capacity.go
+++ b/internal/testbench/standin/capacity.go
@@ -9,33 +9,33 @@
 
 // Capacity is what a cache's processor can do.
 type Capacity struct {
-	Cores float64
-	Speed float64 // of a core; 0 stands for 1
-	Slots int     // requests in work at once
-	Queue int     // requests that may wait for a slot
+	Cores              float64
+	Speed              float64 // of a core; 0 stands for 1
+	ConcurrentRequests int     // requests in work at once
+	Queue              int     // requests that may wait for a slot
 
-	Thrash   float64 // share of capacity lost for each request a core held ...
-	ThrashAt float64 // ... beyond so many a core
-	FullTax  float64 // share of capacity lost when the table of connections is full
+	Thrash            float64 // share of capacity lost for each request a core held ...
+	ThrashAt          float64 // ... beyond so many a core
+	FullTableSlowdown float64 // share of capacity lost when the table of connections is full
 
-	ColdShare float64 // of the capacity at a cold start, rising evenly ...
-	ColdFor   Time    // ... to the whole within this time
+	SlowStartMinCapacity float64 // of the capacity at a cold start, rising evenly ...
+	SlowStartWindow      Time    // ... to the whole within this time
 
-	FallMultiple float64 // sent more than this multiple of what it can do ...
-	FallFor      Time    // ... for this long, it falls over; 0 never
-	MeanWork     Time    // where it is not 0, rules.AllowedWork of that is borne
+	OverloadMultiple float64 // sent more than this multiple of what it can do ...
+	OverloadWindow   Time    // ... for this long, it falls over; 0 never
+	MeanWork         Time    // where it is not 0, rules.AllowedWork of that is borne
 
-	Choke Choke
+	Congestion Congestion
 }
 
-// Choke makes a cache that was crowded slow, long after the crowd has gone.
-type Choke struct {
-	At     float64 // more than Cores + At x the root of Cores held ...
-	Over   Time    // ... in the mean of this time
-	Slower float64 // makes it so many times slower; 0 never
-	Below  float64 // until its cores were busy under this share ...
-	Rest   Time    // ... for this long
-	Most   Time    // or this time is up
+// Congestion makes a cache that was crowded slow, long after the crowd has gone.
+type Congestion struct {
+	Threshold           float64 // more than Cores + At x the root of Cores held ...
+	Window              Time    // ... in the mean of this time
+	Slowdown            float64 // makes it so many times slower; 0 never
+	RecoveryUtilization float64 // until its cores were busy under this share ...
+	RecoveryWindow      Time    // ... for this long
+	MaxDuration         Time    // or this time is up
 }
 
 // job is a piece of work. Its zero value, with work and done, is ready for use.
@@ -88,9 +88,9 @@
 func newProcessor(m machine.Machine, o *Capacity, cold bool) *processor {
 	p := &processor{m: m, o: o, up: m.Now(), last: m.Now(), slow: 1, choked: 1}
 	if cold {
-		p.coldFor = o.ColdFor
+		p.coldFor = o.SlowStartWindow
 	}
-	if o.Choke.Slower > 1 {
+	if o.Congestion.Slowdown > 1 {
 		p.crowd = newCrowd(p)
 	}
 	return p
@@ -102,7 +102,7 @@
 	if age >= p.coldFor {
 		return 1
 	}
-	return p.o.ColdShare + (1-p.o.ColdShare)*float64(age)/float64(p.coldFor)
+	return p.o.SlowStartMinCapacity + (1-p.o.SlowStartMinCapacity)*float64(age)/float64(p.coldFor)
 }
 
 // able is the work it can do in each µs now, faults and crowds aside.
@@ -127,7 +127,7 @@
 	if over > 0 {
 		share /= 1 + p.o.Thrash*over
 	}
-	share *= 1 - p.o.FullTax*p.tax
+	share *= 1 - p.o.FullTableSlowdown*p.tax
 	return min(1, share) * p.speed() / (p.slow * p.choked)
 }
 
@@ -184,7 +184,7 @@
 
 // admit takes a job into the queue, or reports that there is no room for it.
 func (p *processor) admit(j *job) bool {
-	if p.slots >= p.o.Slots && len(p.queue) >= p.o.Queue && !p.halted {
+	if p.slots >= p.o.ConcurrentRequests && len(p.queue) >= p.o.Queue && !p.halted {
 		return false
 	}
 	j.state, j.slotted = queued, true
@@ -248,7 +248,7 @@
 		return
 	}
 	p.busy = true
-	for p.slots < p.o.Slots && len(p.queue) > 0 && !p.halted {
+	for p.slots < p.o.ConcurrentRequests && len(p.queue) > 0 && !p.halted {
 		j := p.queue[0]
 		p.advance()
 		p.queue = append(p.queue[:0], p.queue[1:]...)
--- a/internal/testbench/standin/capacity_test.go
+++ b/internal/testbench/standin/capacity_test.go
@@ -40,7 +40,7 @@
 
 func TestRequestsBeyondTheSlotsWaitAndBeyondTheQueueAreTurnedAway(t *testing.T) {
 	o := cacheOptions()
-	o.Capacity.Slots, o.Capacity.Queue = 2, 3
+	o.Capacity.ConcurrentRequests, o.Capacity.Queue = 2, 3
 	s := newStand(t, o)
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
@@ -83,7 +83,7 @@
 func overload(t *testing.T, multiple float64, d Time) bool {
 	t.Helper()
 	o := cacheOptions()
-	o.Capacity.ColdFor, o.Streams = 1000*Second, 10_000 // its capacity hardly moves
+	o.Capacity.SlowStartWindow, o.Streams = 1000*Second, 10_000 // its capacity hardly moves
 	s := newStand(t, o)
 	s.c.Restart(true)
 	const each = 60 * Millisecond
@@ -120,7 +120,8 @@
 
 func TestChokedCacheStaysSlowUntilItHasRested(t *testing.T) {
 	o := cacheOptions()
-	o.Capacity.Choke = Choke{At: 4, Over: Second, Slower: 3, Below: 0.3, Rest: 3 * Second, Most: 30 * Second}
+	o.Capacity.Congestion = Congestion{Threshold: 4, Window: Second, Slowdown: 3, RecoveryUtilization: 0.3,
+		RecoveryWindow: 3 * Second, MaxDuration: 30 * Second}
 	s := newStand(t, o)
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
@@ -256,7 +257,7 @@
 
 func TestStoreFailsWhatItCannotQueue(t *testing.T) {
 	s := newStand(t, cacheOptions())
-	s.store.o.Places, s.store.o.Queue = 1, 1
+	s.store.o.Concurrency, s.store.o.Queue = 1, 1
 	w := s.dial(t, s.addr)
 	w.send(t, get("a", "1")+get("b", "2")+get("c", "3"))
 	s.run(t, 2*Second)
@@ -267,8 +268,8 @@
 	for _, multiple := range []float64{2.5, 3.2} {
 		l := newLab()
 		n := &notes{l: l}
-		s := NewStore(l, StoreOptions{Places: 2, Latency: 80 * Millisecond, Queue: 1000, FallMultiple: 3,
-			FallFor: 3 * Second, DownLeast: 5 * Second, DownMost: 5 * Second}, chanceOf(1), n)
+		s := NewStore(l, StoreOptions{Concurrency: 2, Latency: 80 * Millisecond, Queue: 1000, OverloadMultiple: 3,
+			OverloadWindow: 3 * Second, MinDowntime: 5 * Second, MaxDowntime: 5 * Second}, chanceOf(1), n)
 		ok, failed := 0, 0
 		gap := Time(float64(80*Millisecond) / (2 * multiple))
 		for at := Time(0); at < 4*Second && !s.Down(); at += gap {
@@ -292,7 +293,7 @@
 func TestStoreGoesOnWithAbandonedWorkWhereItDoes(t *testing.T) {
 	for _, goesOn := range []bool{false, true} {
 		s := newStand(t, cacheOptions())
-		s.store.o.GoesOn = goesOn
+		s.store.o.KeepsAbandonedWork = goesOn
 		w := s.dial(t, s.addr)
 		w.send(t, get("k", "i"))
 		s.run(t, Millisecond)
@@ -317,7 +318,7 @@
 func TestMissHoldsItsSlotWhereItDoes(t *testing.T) {
 	for _, holds := range []bool{false, true} {
 		o := cacheOptions()
-		o.MissHolds, o.Capacity.Slots = holds, 1
+		o.MissKeepsSlot, o.Capacity.ConcurrentRequests = holds, 1
 		s := newStand(t, o)
 		s.c.Warm([]string{"warm"})
 		w, v := s.dial(t, s.addr), s.dial(t, s.addr)
--- a/internal/testbench/standin/choke.go
+++ b/internal/testbench/standin/choke.go
@@ -20,7 +20,7 @@
 const crowdStep = 100 * Millisecond
 
 func newCrowd(p *processor) *crowd {
-	c := &crowd{p: p, held: sampled{most: samples(p.o.Choke.Over)}, busy: sampled{most: samples(p.o.Choke.Rest)}}
+	c := &crowd{p: p, held: sampled{most: samples(p.o.Congestion.Window)}, busy: sampled{most: samples(p.o.Congestion.RecoveryWindow)}}
 	c.timer = p.m.At(p.m.Now()+crowdStep, c.look)
 	return c
 }
@@ -28,18 +28,18 @@
 func samples(span Time) int { return int(max(1, span/crowdStep)) }
 
 func (c *crowd) look() {
-	o := &c.p.o.Choke
+	o := &c.p.o.Congestion
 	c.held.add(float64(c.p.holds()))
 	c.busy.add(min(1, float64(len(c.p.jobs))/c.p.o.Cores))
-	bound := c.p.o.Cores + o.At*math.Sqrt(c.p.o.Cores)
-	bound = min(bound, 0.7*float64(c.p.o.Slots+c.p.o.Queue))
+	bound := c.p.o.Cores + o.Threshold*math.Sqrt(c.p.o.Cores)
+	bound = min(bound, 0.7*float64(c.p.o.ConcurrentRequests+c.p.o.Queue))
 	now := c.p.m.Now()
 	switch {
 	case c.since == 0 && c.held.full() && c.held.mean() > bound:
 		c.since, c.choked = now, true
 		c.busy.all = nil
-		c.p.change(func() { c.p.choked = o.Slower })
-	case c.choked && (now-c.since >= o.Most || c.busy.full() && c.busy.mean() < o.Below):
+		c.p.change(func() { c.p.choked = o.Slowdown })
+	case c.choked && (now-c.since >= o.MaxDuration || c.busy.full() && c.busy.mean() < o.RecoveryUtilization):
 		c.choked = false
 		c.p.change(func() { c.p.choked = 1 })
 		return // it chokes once
--- a/internal/testbench/standin/client.go
+++ b/internal/testbench/standin/client.go
@@ -16,7 +16,7 @@
 type RetryWait uint8
 
 const (
-	AtOnce      RetryWait = iota
+	NoRetryWait RetryWait = iota
 	FixedWait             // always the same
 	Exponential           // twice as long each time
 )
@@ -35,23 +35,23 @@
 	BurstFor   Time
 	BurstTimes float64 // the rate meanwhile, as a multiple
 
-	Connections int     // open at most; 0 stands for 1024
-	Pipeline    float64 // share of requests that are put behind another on its connection
-	DialTimeout Time    // 0 stands for 1 s
-	Crossing    Time    // so soon after a request its connection's end had been on its way before; 0 for 5 ms
-
-	Retries   int
-	Wait      RetryWait
-	WaitTime  Time
-	Honour    float64 // share of refusals whose advice is followed
-	MostWait  Time    // of an advice; 0 stands for 1.5 s
-	TryShare  float64 // a try is given up after this share of the deadline; 0 stands for 1
-	Impatient float64 // share of tries that are left early
-	Grace     Time    // for which a client listens past the end of its patience; 0 stands for 50 ms
-	MarkRetry bool
-	Hints     bool
-	ValueSize int // of a write's value
-	ReadSize  int // told as size, where above 0
+	Connections     int     // open at most; 0 stands for 1024
+	Pipeline        float64 // share of requests that are put behind another on its connection
+	DialTimeout     Time    // 0 stands for 1 s
+	CloseRaceWindow Time    // so soon after a request its connection's end had been on its way before; 0 for 5 ms
+
+	Retries                int
+	RetryWait              RetryWait
+	RetryWaitTime          Time
+	RetryAfterCompliance   float64 // share of refusals whose advice is followed
+	MaxRetryAfter          Time    // of an advice; 0 stands for 1.5 s
+	AttemptTimeoutFraction float64 // a try is given up after this share of the deadline; 0 stands for 1
+	EarlyAbandonFraction   float64 // share of tries that are left early
+	Grace                  Time    // for which a client listens past the end of its patience; 0 stands for 50 ms
+	MarkRetry              bool
+	Hints                  bool
+	ValueSize              int // of a write's value
+	ReadSize               int // told as size, where above 0
 
 	// Routers is the routers that the front deals connections to, now.
 	Routers func() []Target
@@ -87,22 +87,22 @@
 	if o.DialTimeout == 0 {
 		o.DialTimeout = Second
 	}
-	if o.Crossing == 0 {
-		o.Crossing = usualCrossing
+	if o.CloseRaceWindow == 0 {
+		o.CloseRaceWindow = usualCrossing
 	}
-	if o.TryShare == 0 {
-		o.TryShare = 1
+	if o.AttemptTimeoutFraction == 0 {
+		o.AttemptTimeoutFraction = 1
 	}
 	if o.Grace == 0 {
 		o.Grace = grace
 	}
-	if o.MostWait == 0 {
-		o.MostWait = 1500 * Millisecond
+	if o.MaxRetryAfter == 0 {
+		o.MaxRetryAfter = 1500 * Millisecond
 	}
 	c := &Client{m: m, o: o, rng: rng, obs: seen(obs), load: load}
 	for _, class := range o.Classes {
 		c.tally = append(c.tally, &Tally{Class: class.Name})
-		c.share += class.Share
+		c.share += class.TrafficFraction
 	}
 	return c
 }
@@ -158,14 +158,14 @@
 	gap := Time(c.rng.ExpFloat64() / max(rate, 1e-6) * float64(Second))
 	c.arrival = c.m.At(now+gap, func() {
 		c.await()
-		c.Ask(c.drawClass(), c.o.Keys.Draw(c.rng))
+		c.Request(c.drawClass(), c.o.Keys.Draw(c.rng))
 	})
 }
 
 func (c *Client) drawClass() int {
 	x := c.rng.Float64() * c.share
 	for i, class := range c.o.Classes {
-		if x -= class.Share; x < 0 {
+		if x -= class.TrafficFraction; x < 0 {
 			return i
 		}
 	}
@@ -185,17 +185,17 @@
 	over   bool
 }
 
-// Ask makes one request of a class, given by its place.
-func (c *Client) Ask(class int, key string) {
+// Request makes one request of a class, given by its place.
+func (c *Client) Request(class int, key string) {
 	r := &request{c: c, class: &c.o.Classes[class], tally: c.tally[class], key: key, asked: c.m.Now()}
-	if r.class.Effect == Keyed {
+	if r.class.Semantics == IdempotentByKey {
 		r.idem = fmt.Sprintf("%016x", c.rng.Uint64())
 	}
 	r.tally.Requests++
 	if c.o.Began != nil {
 		c.o.Began(r.class)
 	}
-	r.tally.Offered += r.class.Worth
+	r.tally.Offered += r.class.PriorityWeight
 	c.open++
 	r.try()
 }
@@ -204,7 +204,7 @@
 const hopeless = 50 * Millisecond
 
 // deadline is when the client stops waiting, whatever it has tried.
-func (r *request) deadline() Time { return r.asked + r.class.Deadline }
+func (r *request) deadline() Time { return r.asked + r.class.ClientTimeout }
 
 // grace is how much longer than it says a client listens: on sockets each limit of time is as much longer.
 const grace = 50 * Millisecond
@@ -230,9 +230,9 @@
 	now := c.m.Now()
 	r.tries++
 	t := &try{req: r, id: fmt.Sprintf("%016x", c.rng.Uint64())}
-	t.deadline = min(now+Time(c.o.TryShare*float64(r.class.Deadline)), r.deadline())
+	t.deadline = min(now+Time(c.o.AttemptTimeoutFraction*float64(r.class.ClientTimeout)), r.deadline())
 	until := t.deadline + c.o.Grace
-	if chance(c.rng, c.o.Impatient) {
+	if chance(c.rng, c.o.EarlyAbandonFraction) {
 		until = between(c.rng, now, t.deadline)
 	}
 	t.giveUp = c.m.At(until, t.givenUp)
@@ -254,11 +254,11 @@
 }
 
 func (r *request) backoff() Time {
-	switch r.c.o.Wait {
+	switch r.c.o.RetryWait {
 	case FixedWait:
-		return r.c.o.WaitTime
+		return r.c.o.RetryWaitTime
 	case Exponential:
-		return r.c.o.WaitTime << (r.tries - 1)
+		return r.c.o.RetryWaitTime << (r.tries - 1)
 	}
 	return 0
 }
@@ -271,7 +271,7 @@
 	r.c.open--
 	*outcome++
 	if r.c.o.Ended != nil {
-		r.c.o.Ended(r.class, r.asked, outcome == &r.tally.InAim)
+		r.c.o.Ended(r.class, r.asked, outcome == &r.tally.OnTime)
 	}
 }
 
@@ -279,12 +279,12 @@
 func (r *request) served() {
 	took := r.c.m.Now() - r.asked
 	r.tally.Latency.Add(took)
-	if took <= r.class.Aim {
-		r.tally.Earned += r.class.Worth
-		r.end(&r.tally.InAim)
+	if took <= r.class.LatencyObjective {
+		r.tally.Earned += r.class.PriorityWeight
+		r.end(&r.tally.OnTime)
 		return
 	}
-	r.tally.Earned += r.class.Worth * r.class.LateWorth
+	r.tally.Earned += r.class.PriorityWeight * r.class.LateWeightFraction
 	r.end(&r.tally.Late)
 }
 
@@ -400,10 +400,10 @@
 		r.served()
 	case rules.Refused:
 		wait := Time(0)
-		if a.wait > 0 && chance(c.rng, c.o.Honour) {
-			wait = min(a.wait, c.o.MostWait)
+		if a.wait > 0 && chance(c.rng, c.o.RetryAfterCompliance) {
+			wait = min(a.wait, c.o.MaxRetryAfter)
 		}
-		r.again(wait, &r.tally.Refused)
+		r.again(wait, &r.tally.Rejected)
 	default:
 		r.again(0, &r.tally.Failed)
 	}
--- a/internal/testbench/standin/client_test.go
+++ b/internal/testbench/standin/client_test.go
@@ -92,13 +92,13 @@
 	s := newClients(t, ClientOptions{}, nil)
 	wait := 400 * Millisecond
 	s.router.f = func(c *routerConn, args []string) { s.At(s.now+wait, func() { serve(c, args) }) }
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	wait = 600 * Millisecond
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	got := s.c.Tallies()[lookup]
-	if got.InAim != 1 || got.Late != 1 || got.Requests != 2 || got.Earned != 3 || got.Offered != 4 || s.c.Open() != 0 {
+	if got.OnTime != 1 || got.Late != 1 || got.Requests != 2 || got.Earned != 3 || got.Offered != 4 || s.c.Open() != 0 {
 		t.Errorf("%+v", *got)
 	}
 	if p := got.Latency.Quantile(0.5); p < 400*Millisecond || p > 480*Millisecond {
@@ -111,8 +111,8 @@
 
 func TestRequestsStandOnTheWireAsTheProtocolHasThem(t *testing.T) {
 	s := newClients(t, ClientOptions{ValueSize: 100}, serve)
-	s.c.Ask(lookup, "k")
-	s.c.Ask(add, "k")
+	s.c.Request(lookup, "k")
+	s.c.Request(add, "k")
 	s.run(t, Second)
 	read, write := s.router.got[0], s.router.got[1]
 	if len(read) != 4 || read[0] != "C.GET" || read[1] != "k" || len(read[2]) != 16 ||
@@ -126,13 +126,13 @@
 }
 
 func TestRetryIsANewRequestWithTheKeyOfTheWrite(t *testing.T) {
-	s := newClients(t, ClientOptions{Retries: 2, Wait: Exponential, WaitTime: 100 * Millisecond, MarkRetry: true}, nil)
+	s := newClients(t, ClientOptions{Retries: 2, RetryWait: Exponential, RetryWaitTime: 100 * Millisecond, MarkRetry: true}, nil)
 	var at []Time
 	s.router.f = func(c *routerConn, _ []string) {
 		at = append(at, s.now)
 		c.say("-ERR failed\r\n")
 	}
-	s.c.Ask(add, "k")
+	s.c.Request(add, "k")
 	s.run(t, 2*Second)
 	if len(s.router.got) != 3 {
 		t.Fatalf("%d tries, want 3", len(s.router.got))
@@ -160,26 +160,26 @@
 
 func TestAdviceOfARefusalIsFollowedOrNot(t *testing.T) {
 	for _, honour := range []float64{0, 1} {
-		s := newClients(t, ClientOptions{Retries: 1, Honour: honour}, nil)
+		s := newClients(t, ClientOptions{Retries: 1, RetryAfterCompliance: honour}, nil)
 		var at []Time
 		s.router.f = func(c *routerConn, _ []string) {
 			at = append(at, s.now)
 			c.say("-BUSY 300\r\n")
 		}
-		s.c.Ask(lookup, "k")
+		s.c.Request(lookup, "k")
 		s.run(t, 2*Second)
 		if len(at) != 2 || at[1]-at[0] != Time(honour)*300*Millisecond {
 			t.Errorf("honour %.0f: tries at %v", honour, at)
 		}
-		if got := s.c.Tallies()[lookup]; got.Refused != 1 {
+		if got := s.c.Tallies()[lookup]; got.Rejected != 1 {
 			t.Errorf("%+v", *got)
 		}
 	}
 }
 
 func TestTryIsGivenUpAfterItsShareOfTheDeadline(t *testing.T) {
-	s := newClients(t, ClientOptions{Retries: 1, TryShare: 0.5}, func(*routerConn, []string) {})
-	s.c.Ask(lookup, "k")
+	s := newClients(t, ClientOptions{Retries: 1, AttemptTimeoutFraction: 0.5}, func(*routerConn, []string) {})
+	s.c.Request(lookup, "k")
 	s.run(t, 599*Millisecond+grace)
 	s.notes.has(t, "left", 0)
 	s.run(t, 2*Millisecond)
@@ -200,9 +200,9 @@
 }
 
 func TestImpatientClientLeavesEarly(t *testing.T) {
-	s := newClients(t, ClientOptions{Impatient: 1}, func(*routerConn, []string) {})
+	s := newClients(t, ClientOptions{EarlyAbandonFraction: 1}, func(*routerConn, []string) {})
 	for range 20 {
-		s.c.Ask(lookup, "k")
+		s.c.Request(lookup, "k")
 	}
 	s.run(t, 1199*Millisecond)
 	if got := s.c.Tallies()[lookup]; got.Left < 18 {
@@ -219,12 +219,12 @@
 		}
 		serve(c, args)
 	}
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	got := s.c.Tallies()[lookup]
-	if got.InAim != 2 || got.Resent != 1 || got.Tries != 3 || s.router.got[1][2] == s.router.got[2][2] {
+	if got.OnTime != 2 || got.Resent != 1 || got.Tries != 3 || s.router.got[1][2] == s.router.got[2][2] {
 		t.Errorf("%+v", *got)
 	}
 	s.notes.has(t, "broken", 0)
@@ -234,7 +234,7 @@
 func TestRequestThatTheRouterHeldIsLostWithItsConnection(t *testing.T) {
 	s := newClients(t, ClientOptions{}, nil)
 	s.router.f = func(c *routerConn, args []string) { s.At(s.now+100*Millisecond, c.close) }
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	s.notes.has(t, "broken", 1)
 	if got := s.c.Tallies()[lookup]; got.Lost != 1 || got.Tries != 1 {
@@ -247,7 +247,7 @@
 		c.say("$10\r\nhalf")
 		c.close()
 	})
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	s.notes.has(t, "broken", 0)
 	s.notes.has(t, "answered failed", 1)
@@ -255,10 +255,10 @@
 
 func TestSecondAnswerIsReported(t *testing.T) {
 	s := newClients(t, ClientOptions{}, func(c *routerConn, _ []string) { c.say("$1\r\nx\r\n$1\r\nx\r\n") })
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	s.notes.has(t, "answered served", 2)
-	if got := s.c.Tallies()[lookup]; got.InAim != 1 {
+	if got := s.c.Tallies()[lookup]; got.OnTime != 1 {
 		t.Errorf("%+v", *got)
 	}
 }
@@ -271,10 +271,10 @@
 		s := newClients(t, ClientOptions{Pipeline: c.pipeline}, nil)
 		s.router.f = func(c *routerConn, args []string) { s.At(s.now+100*Millisecond, func() { serve(c, args) }) }
 		for range 10 {
-			s.c.Ask(lookup, "k")
+			s.c.Request(lookup, "k")
 		}
 		s.run(t, Second)
-		if got := s.c.Tallies()[lookup]; len(s.router.conns) != c.want || got.InAim != 10 {
+		if got := s.c.Tallies()[lookup]; len(s.router.conns) != c.want || got.OnTime != 10 {
 			t.Errorf("pipeline %.0f: %d connections, %+v", c.pipeline, len(s.router.conns), *got)
 		}
 	}
@@ -287,9 +287,9 @@
 			serve(c, args)
 		}
 	}
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, 500*Millisecond)
-	s.c.Ask(lookup, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	if got := s.c.Tallies()[lookup]; got.Lost != 1 || got.Late != 1 {
 		t.Errorf("%+v", *got)
@@ -299,7 +299,7 @@
 func TestRequestsFindNoRouterAndComeToTheirEnd(t *testing.T) {
 	for _, routers := range [][]Target{nil, {{"r-9", "127.0.0.1:9"}}} {
 		s := newClients(t, ClientOptions{Routers: func() []Target { return routers }}, nil)
-		s.c.Ask(lookup, "k")
+		s.c.Request(lookup, "k")
 		s.run(t, 2*Second)
 		if got := s.c.Tallies()[lookup]; got.Lost != 1 || s.c.Open() != 0 {
 			t.Errorf("%+v", *got)
@@ -461,8 +461,8 @@
 	s := newClients(t, ClientOptions{Pipeline: 1}, nil)
 	s.router.f = func(c *routerConn, args []string) { s.At(s.now+2500*Millisecond, func() { serve(c, args) }) }
 	const page = lookup + 1
-	s.c.Ask(page, "k")
-	s.c.Ask(lookup, "k")
+	s.c.Request(page, "k")
+	s.c.Request(lookup, "k")
 	s.run(t, 4*Second)
 	if got := s.c.Tallies()[lookup]; len(s.router.conns) != 1 || got.Late != 1 || got.Lost != 0 {
 		t.Errorf("%d connections, %+v", len(s.router.conns), *got)
--- a/internal/testbench/standin/clientconn.go
+++ b/internal/testbench/standin/clientconn.go
@@ -228,11 +228,11 @@
 		switch {
 		case partly && i == 0:
 			t.answered(answer{kind: rules.Failed}) // it is plain that the value is not whole
-		case now-t.sent <= c.o.Crossing && r.resent < mostCrossings: // also the first on it: nothing was sent on
+		case now-t.sent <= c.o.CloseRaceWindow && r.resent < mostCrossings: // also the first on it: nothing was sent on
 			r.resent++
 			r.tally.Resent++
 			t.move()
-		case now-t.sent <= c.o.Crossing: // as before: a fleet that ends all at once is no fault of the last router
+		case now-t.sent <= c.o.CloseRaceWindow: // as before: a fleet that ends all at once is no fault of the last router
 			t.left()
 			r.again(0, &r.tally.Failed)
 		default:
--- a/internal/testbench/standin/discovery.go
+++ b/internal/testbench/standin/discovery.go
@@ -36,18 +36,18 @@
 	CallCost   Time // it works through calls in turn; each costs this ...
 	LineCost   Time // ... and this for each line of the answer
 	Timeout    Time // a call whose answer would take longer is turned away with 503 at once; 0 never
-	RefuseCost Time // that one which is turned away costs
+	RejectCost Time // that one which is turned away costs
 
 	// Routers and PollInterval: a change counts as told to a router that has neither waited nor asked for so
 	// long. 0 leaves that out.
-	Routers  []string
-	AskEvery Time
+	Routers      []string
+	PollInterval Time
 
-	// ToldAfter: a change counts as told to every router so long after the list had it and could be reached, whatever became
+	// NotifiedAfter: a change counts as told to every router so long after the list had it and could be reached, whatever became
 	// of the router's calls. 0 leaves that out. Reachable tells since when a router has had a way to the list, and whether
 	// it has one now; nil is always.
-	ToldAfter Time
-	Reachable func(router string) (since Time, now bool)
+	NotifiedAfter Time
+	Reachable     func(router string) (since Time, now bool)
 
 	// Pushed: it stands for the agents beside the routers, to which the list is pushed. A change counts as told with its
 	// showing, and to a new process from its first moment on; calls cost nothing. While discovery is down the agents are
@@ -358,8 +358,8 @@
 			routers = append(routers, k.router)
 		}
 	}
-	if d.o.ToldAfter > 0 && !d.o.Pushed && len(routers) > 0 {
-		d.m.At(d.m.Now()+d.o.ToldAfter, func() { d.tellLost(routers) })
+	if d.o.NotifiedAfter > 0 && !d.o.Pushed && len(routers) > 0 {
+		d.m.At(d.m.Now()+d.o.NotifiedAfter, func() { d.tellLost(routers) })
 	}
 }
 
--- a/internal/testbench/standin/discovery_test.go
+++ b/internal/testbench/standin/discovery_test.go
@@ -218,7 +218,7 @@
 
 // TestCallsWaitInTurnAndAreTurnedAwayAtOnce: those whose answer would take longer than the time-out, and these cost work too.
 func TestCallsWaitInTurnAndAreTurnedAwayAtOnce(t *testing.T) {
-	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, RefuseCost: 100 * Millisecond, Timeout: Second})
+	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, RejectCost: 100 * Millisecond, Timeout: Second})
 	all := r.callersOf(t, "r-1", "r-2", "r-3", "r-4")
 	r.run(t, 10*Millisecond)
 	for i, want := range []string{"", "", "503", "503"} {
@@ -291,7 +291,7 @@
 // when a router has a way to it.
 func TestChangeCountsAsToldAfterItsTime(t *testing.T) {
 	cut := true
-	r := newRegistry(t, DiscoveryOptions{ToldAfter: 6 * Second, Routers: []string{"r-1", "r-2"},
+	r := newRegistry(t, DiscoveryOptions{NotifiedAfter: 6 * Second, Routers: []string{"r-1", "r-2"},
 		Reachable: func(router string) (Time, bool) { return 0, router == "r-1" || !cut }})
 	r.run(t, 7*Second)
 	r.notes.has(t, "listed r-1 s-1 true", 1)
@@ -332,7 +332,7 @@
 }
 
 func TestRouterThatDoesNotAskCountsAsTold(t *testing.T) {
-	r := newRegistry(t, DiscoveryOptions{Routers: []string{"r-1", "r-2"}, AskEvery: 6 * Second})
+	r := newRegistry(t, DiscoveryOptions{Routers: []string{"r-1", "r-2"}, PollInterval: 6 * Second})
 	w := r.dial(t, r.addr)
 	w.send(t, hosts(""))
 	r.run(t, 0)
@@ -370,7 +370,7 @@
 // TestPushedListsCountAsToldWithTheirShowing, also to a router that asks nothing and to a new process of one, and while the agent is
 // silent nothing is learned: what is asked of it meanwhile, or waits, is never answered.
 func TestPushedListsCountAsToldWithTheirShowing(t *testing.T) {
-	r := newRegistry(t, DiscoveryOptions{Pushed: true, Routers: []string{"r-1"}, AskEvery: Second, CallCost: Second})
+	r := newRegistry(t, DiscoveryOptions{Pushed: true, Routers: []string{"r-1"}, PollInterval: Second, CallCost: Second})
 	r.notes.has(t, "listed r-1 s-1 true", 1)
 	r.d.SetStatus("s-1", Terminating)
 	r.run(t, 0)
--- a/internal/testbench/standin/discoverycall.go
+++ b/internal/testbench/standin/discoverycall.go
@@ -22,7 +22,7 @@
 }
 
 func (d *Discovery) listen(door *listDoor) error {
-	o := httpserver.Options{MostHead: mostHead, IdleTime: mostIdle}
+	o := httpserver.Options{MaxHeadBytes: mostHead, IdleTime: mostIdle}
 	door.http = httpserver.New(d.m, o, func(x *httpserver.Exchange) {
 		router := door.router
 		if router == "" && d.o.RouterOf != nil {
@@ -122,7 +122,7 @@
 		d.freeAt, k.turn = done, done
 		return true
 	}
-	d.freeAt = max(now, d.freeAt) + d.o.RefuseCost
+	d.freeAt = max(now, d.freeAt) + d.o.RejectCost
 	for _, other := range slices.Clone(d.calls) {
 		if other.router == k.router {
 			other.refuse()
@@ -208,7 +208,7 @@
 	if who := d.callers[k.router]; who != nil {
 		who.last = d.m.Now()
 		who.waiting--
-		if who.waiting == 0 && d.o.AskEvery > 0 {
+		if who.waiting == 0 && d.o.PollInterval > 0 {
 			d.overdue(k.router)
 		}
 	}
--- a/internal/testbench/standin/discoverytold.go
+++ b/internal/testbench/standin/discoverytold.go
@@ -1,7 +1,7 @@
 package standin
 
 // What routers count as told. An answer tells what it says as it is written. Beside that, a change counts as told to a router
-// that has neither waited nor asked for PollInterval, and to every router ToldAfter after the list had it and could be reached,
+// that has neither waited nor asked for PollInterval, and to every router NotifiedAfter after the list had it and could be reached,
 // whatever became of their calls.
 
 // Forget forgets what a router was told: it has started anew, and knows nothing.
@@ -71,10 +71,10 @@
 		c.timer.Stop()
 		c.timer = nil
 	}
-	if d.o.AskEvery == 0 || d.o.Pushed || c.waiting > 0 {
+	if d.o.PollInterval == 0 || d.o.Pushed || c.waiting > 0 {
 		return
 	}
-	if due := c.last + d.o.AskEvery; d.m.Now() < due {
+	if due := c.last + d.o.PollInterval; d.m.Now() < due {
 		c.timer = d.m.At(due, func() { d.overdue(router) })
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// tellAll tells each router what the list has had for ToldAfter while that router could reach it.
+// tellAll tells each router what the list has had for NotifiedAfter while that router could reach it.
 func (d *Discovery) tellAll() {
 	d.toldTimer = nil
 	if d.down || d.silent || d.bad != "" {
@@ -93,11 +93,11 @@
 	for _, r := range d.o.Routers {
 		since, reached := d.reachable(r)
 		if !reached {
-			next = earlier(next, now+d.o.ToldAfter)
+			next = earlier(next, now+d.o.NotifiedAfter)
 			continue
 		}
 		for _, l := range d.lines {
-			if due := max(since, l.changed) + d.o.ToldAfter; due <= now {
+			if due := max(since, l.changed) + d.o.NotifiedAfter; due <= now {
 				d.tell(r, l)
 			} else {
 				next = earlier(next, due)
@@ -109,10 +109,10 @@
 	}
 }
 
-// tellLost tells routers whose watches fell silent ToldAfter ago all that the list has.
+// tellLost tells routers whose watches fell silent NotifiedAfter ago all that the list has.
 func (d *Discovery) tellLost(routers []string) {
 	for _, r := range routers {
-		if !d.reachedFor(r, d.o.ToldAfter) {
+		if !d.reachedFor(r, d.o.NotifiedAfter) {
 			continue
 		}
 		for _, l := range d.lines {
@@ -149,10 +149,10 @@
 
 // tellLater sees to it that what the list has now is told to all in time.
 func (d *Discovery) tellLater() {
-	if d.o.ToldAfter == 0 || d.o.Pushed || d.toldTimer != nil {
+	if d.o.NotifiedAfter == 0 || d.o.Pushed || d.toldTimer != nil {
 		return
 	}
-	d.toldTimer = d.m.At(d.m.Now()+d.o.ToldAfter, d.tellAll)
+	d.toldTimer = d.m.At(d.m.Now()+d.o.NotifiedAfter, d.tellAll)
 }
 
 // returned notes that calls can be answered again.
--- a/internal/testbench/standin/fleet.go
+++ b/internal/testbench/standin/fleet.go
@@ -24,9 +24,9 @@
 	Client    ClientOptions // of each; its rate is that of all groups together
 	Routers   []string      // names; each has addresses of its own at every cache and at discovery
 
-	// Homes, given the caches' names, tells which of them routers send a key to. The caches that run at the start
+	// Placement, given the caches' names, tells which of them routers send a key to. The caches that run at the start
 	// hold what they were asked for lately; nil stands for the most popular keys at each.
-	Homes func(caches []string) func(key string) string
+	Placement func(caches []string) func(key string) string
 }
 
 // DefaultOptions are those of a usual day with nine caches and three routers.
@@ -35,19 +35,19 @@
 		Caches: 9, Zones: []string{"ahmedabad", "rajkot", "surat"}, Classes: DefaultClasses(),
 		Keys: 20000, Zipf: 1.05, Offset: 3,
 		Cache: CacheOptions{
-			Capacity: Capacity{Cores: 6, Speed: 1, Slots: 96, Queue: 2400, Thrash: 0.05, ThrashAt: 4, FullTax: 0.25,
-				ColdShare: 0.16, ColdFor: 20 * Second, FallMultiple: 3, FallFor: 3 * Second},
+			Capacity: Capacity{Cores: 6, Speed: 1, ConcurrentRequests: 96, Queue: 2400, Thrash: 0.05, ThrashAt: 4, FullTableSlowdown: 0.25,
+				SlowStartMinCapacity: 0.16, SlowStartWindow: 20 * Second, OverloadMultiple: 3, OverloadWindow: 3 * Second},
 			Cancel: CancelAll, MemoryKeys: 600, Coalesce: true, Connections: 90, Streams: 100,
 			HandshakeWork: 16 * Millisecond, HandshakeTime: Millisecond, IdleFor: 60 * Second,
 			Probes: true, ProbeWork: 2400,
 		},
-		Store: StoreOptions{Places: 4, Latency: 80 * Millisecond, CV: 0.6, Queue: 75, FallMultiple: 3,
-			FallFor: 3 * Second, DownLeast: 3 * Second, DownMost: 8 * Second},
+		Store: StoreOptions{Concurrency: 4, Latency: 80 * Millisecond, CV: 0.6, Queue: 75, OverloadMultiple: 3,
+			OverloadWindow: 3 * Second, MinDowntime: 3 * Second, MaxDowntime: 8 * Second},
 		Discovery: DiscoveryOptions{Delay: 1500 * Millisecond, CallCost: 2 * Millisecond, LineCost: 100,
-			Timeout: Second, RefuseCost: 50, AskEvery: 6 * Second, ToldAfter: 6 * Second},
+			Timeout: Second, RejectCost: 50, PollInterval: 6 * Second, NotifiedAfter: 6 * Second},
 		Clients: 6,
-		Client: ClientOptions{Tenant: "logbook", Rate: 200, Retries: 1, Wait: FixedWait, WaitTime: 50 * Millisecond,
-			Honour: 0.6, TryShare: 0.75},
+		Client: ClientOptions{Tenant: "logbook", Rate: 200, Retries: 1, RetryWait: FixedWait, RetryWaitTime: 50 * Millisecond,
+			RetryAfterCompliance: 0.6, AttemptTimeoutFraction: 0.75},
 		Routers: []string{"r-1", "r-2", "r-3"},
 	}
 }
@@ -117,14 +117,14 @@
 
 // warm fills the memories of the caches that run at the start with what routers have asked them for.
 func (f *Fleet) warm() {
-	if f.o.Homes == nil {
+	if f.o.Placement == nil {
 		return
 	}
 	var names []string
 	for _, c := range f.Caches {
 		names = append(names, c.Name())
 	}
-	home := f.o.Homes(names)
+	home := f.o.Placement(names)
 	keys := map[string][]string{}
 	for _, key := range f.Keys.Popular(f.o.Keys) {
 		name := home(key)
--- a/internal/testbench/standin/fleet_test.go
+++ b/internal/testbench/standin/fleet_test.go
@@ -109,10 +109,10 @@
 	for _, one := range f.Tallies() {
 		total.Add(one)
 	}
-	if total.Requests < 1800 || total.InAim < total.Requests*6/10 || f.Open() != 0 {
+	if total.Requests < 1800 || total.OnTime < total.Requests*6/10 || f.Open() != 0 {
 		t.Errorf("%d open, %+v", f.Open(), *total)
 	}
-	if sum := total.InAim + total.Late + total.Refused + total.Failed + total.Lost + total.Left; sum != total.Requests {
+	if sum := total.OnTime + total.Late + total.Rejected + total.Failed + total.Lost + total.Left; sum != total.Requests {
 		t.Errorf("%d requests have %d ends", total.Requests, sum)
 	}
 	zones := map[string]int{}
@@ -145,8 +145,8 @@
 	_, f := playFleet(t, 4)
 	old := f.Caches[1]
 	c, err := f.Replace(old)
-	if err != nil || old.Up() || !c.Cold() || c.Name() == old.Name() {
-		t.Errorf("%v: old up %t, new cold %t, names %s and %s", err, old.Up(), c.Cold(), old.Name(), c.Name())
+	if err != nil || old.Up() || !c.WarmingUp() || c.Name() == old.Name() {
+		t.Errorf("%v: old up %t, new cold %t, names %s and %s", err, old.Up(), c.WarmingUp(), old.Name(), c.Name())
 	}
 }
 
@@ -160,7 +160,8 @@
 		t.Fatal(err)
 	}
 	put := s.Classes[2]
-	if put.Semantics != decide.IdempotentByKey || put.DeduplicationScope != decide.DeduplicatedEverywhere || put.IdempotencyWindow != 1200*Millisecond ||
+	if put.Semantics != decide.IdempotentByKey || put.DeduplicationScope != decide.DeduplicatedEverywhere ||
+		put.IdempotencyWindow != 1200*Millisecond ||
 		!s.WatchRequired || s.DrainGrace != Second || transport.Keepalive != 60*Second || s.PollInterval != 6*Second {
 		t.Errorf("the router read %+v and %+v", s, transport)
 	}
@@ -184,7 +185,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Zone() != old.Zone() || c.Name() == old.Name() || old.Up() || !c.Cold() {
+	if c.Zone() != old.Zone() || c.Name() == old.Name() || old.Up() || !c.WarmingUp() {
 		t.Errorf("%s in %s stands in for %s in %s", c.Name(), c.Zone(), old.Name(), old.Zone())
 	}
 	l.run(t, 3*Second)
@@ -194,7 +195,7 @@
 		t.Fatal(err)
 	}
 	l.run(t, 3*Second)
-	if line := f.Discovery.line(warm.Name()); line.Since != restarted || !warm.Cold() {
+	if line := f.Discovery.line(warm.Name()); line.Since != restarted || !warm.WarmingUp() {
 		t.Errorf("discovery says that it started at %d, which was at %d", line.Since, restarted)
 	}
 }
--- a/internal/testbench/standin/hostile.go
+++ b/internal/testbench/standin/hostile.go
@@ -25,13 +25,13 @@
 
 // HostileOptions describe a hostile client.
 type HostileOptions struct {
-	Harm    Harm
-	Every   Time // from one connection to the next
-	HoldFor Time // a connection is closed after this, if the router has not; 0 for never
-	Most    int  // connections held at once; 0 stands for 64
-	Class   Class
-	Keys    *Keys
-	Routers func() []Target
+	Harm           Harm
+	Every          Time // from one connection to the next
+	HoldFor        Time // a connection is closed after this, if the router has not; 0 for never
+	MaxConnections int  // connections held at once; 0 stands for 64
+	Class          Class
+	Keys           *Keys
+	Routers        func() []Target
 }
 
 // Hostile is a client that means harm.
@@ -56,8 +56,8 @@
 
 // NewHostile is a hostile client that does nothing yet.
 func NewHostile(m machine.Machine, o HostileOptions, rng *rand.Rand, obs rules.Observer) *Hostile {
-	if o.Most == 0 {
-		o.Most = 64
+	if o.MaxConnections == 0 {
+		o.MaxConnections = 64
 	}
 	return &Hostile{m: m, o: o, rng: rng, obs: seen(obs)}
 }
@@ -66,7 +66,7 @@
 func (h *Hostile) Start() {
 	h.timer = h.m.At(h.m.Now()+h.o.Every, h.Start)
 	routers := h.o.Routers()
-	if len(h.conns) >= h.o.Most || len(routers) == 0 {
+	if len(h.conns) >= h.o.MaxConnections || len(routers) == 0 {
 		return
 	}
 	h.next++
@@ -135,7 +135,7 @@
 func (c *hostileConn) read() (b []byte, t *try) {
 	h := c.h
 	client := &Client{m: h.m, o: ClientOptions{Tenant: "hostile"}}
-	t = &try{id: fmt.Sprintf("%016x", h.rng.Uint64()), deadline: h.m.Now() + h.o.Class.Deadline}
+	t = &try{id: fmt.Sprintf("%016x", h.rng.Uint64()), deadline: h.m.Now() + h.o.Class.ClientTimeout}
 	t.req = &request{c: client, class: &h.o.Class, key: h.o.Keys.Draw(h.rng)}
 	return t.words(h.m.Now()), t
 }
--- a/internal/testbench/standin/keys.go
+++ b/internal/testbench/standin/keys.go
@@ -42,8 +42,8 @@
 // Name is the key of that rank, 16 hexadecimal digits.
 func (k *Keys) Name(rank int) string { return fmt.Sprintf("%016x", mix(k.salt+uint64(rank))) }
 
-// Share is the part of all requests that the key of a rank draws.
-func (k *Keys) Share(rank int) float64 {
+// Fraction is the part of all requests that the key of a rank draws.
+func (k *Keys) Fraction(rank int) float64 {
 	before := 0.0
 	if rank > 0 {
 		before = k.sums[rank-1]
--- a/internal/testbench/standin/registry/evict.go
+++ b/internal/testbench/standin/registry/evict.go
@@ -25,7 +25,7 @@
 	}
 	r.minute()
 	expected := float64(len(r.leases)) * float64(minute) / float64(r.o.RenewEvery)
-	least := int64(expected * r.o.RenewalShare)
+	least := int64(expected * r.o.RenewalThreshold)
 	return least == 0 || r.lastRenewals <= least
 }
 
@@ -41,7 +41,7 @@
 			over = append(over, l)
 		}
 	}
-	most := len(r.leases) - int(float64(len(r.leases))*r.o.RenewalShare)
+	most := len(r.leases) - int(float64(len(r.leases))*r.o.RenewalThreshold)
 	r.rng.Shuffle(len(over), func(i, k int) { over[i], over[k] = over[k], over[i] })
 	for _, l := range over[:min(most, len(over))] {
 		// Each replica evicts by itself.
--- a/internal/testbench/standin/registry/registry.go
+++ b/internal/testbench/standin/registry/registry.go
@@ -36,21 +36,21 @@
 	Base           string // of all paths; "/eureka"
 	User, Password string // who may call; empty for anybody
 
-	EvictEvery     Time    // 60 s
-	NoPreservation bool    // evict however few renewals come
-	RenewalShare   float64 // of the renewals that are expected, below which nothing is evicted; 0.85
-	RenewEvery     Time    // how often each instance is expected to renew; 30 s
-	DeltaTime      Time    // for which a change stands in deltas; 180 s, and up to 30 s longer
-	CacheTime      Time    // answers are brought up to date so often; 0 at once, where the real one has 30 s
-	ReplicaDelay   Time    // until a change reaches the replicas
-
-	SingleBare bool // a list of one is written as the one, as old servers do
-	OldNames   bool // overriddenstatus instead of overriddenStatus, as old servers do
-	NoGzip     bool // compress nothing, whatever a client accepts
-
-	MostInstances int // 10,000
-	MostMetadata  int // bytes of an instance's metadata; 4 KiB
-	HTTP          httpserver.Options
+	EvictEvery       Time    // 60 s
+	NoPreservation   bool    // evict however few renewals come
+	RenewalThreshold float64 // of the renewals that are expected, below which nothing is evicted; 0.85
+	RenewEvery       Time    // how often each instance is expected to renew; 30 s
+	DeltaTime        Time    // for which a change stands in deltas; 180 s, and up to 30 s longer
+	CacheTime        Time    // answers are brought up to date so often; 0 at once, where the real one has 30 s
+	ReplicaDelay     Time    // until a change reaches the replicas
+
+	UnwrapSingle bool // a list of one is written as the one, as old servers do
+	OldNames     bool // overriddenstatus instead of overriddenStatus, as old servers do
+	NoGzip       bool // compress nothing, whatever a client accepts
+
+	MaxInstances     int // 10,000
+	MaxMetadataBytes int // bytes of an instance's metadata; 4 KiB
+	HTTP             httpserver.Options
 
 	// OnMark is told when a change became visible to callers: the status that shows, or Deleted.
 	OnMark func(id, status string, at Time)
@@ -64,8 +64,8 @@
 	if o.EvictEvery == 0 {
 		o.EvictEvery = 60 * Second
 	}
-	if o.RenewalShare == 0 {
-		o.RenewalShare = 0.85
+	if o.RenewalThreshold == 0 {
+		o.RenewalThreshold = 0.85
 	}
 	if o.RenewEvery == 0 {
 		o.RenewEvery = 30 * Second
@@ -73,19 +73,19 @@
 	if o.DeltaTime == 0 {
 		o.DeltaTime = 180 * Second
 	}
-	if o.MostInstances == 0 {
-		o.MostInstances = 10_000
+	if o.MaxInstances == 0 {
+		o.MaxInstances = 10_000
 	}
-	if o.MostMetadata == 0 {
-		o.MostMetadata = 4 << 10
+	if o.MaxMetadataBytes == 0 {
+		o.MaxMetadataBytes = 4 << 10
 	}
 }
 
 // What can be wrong with a call.
 var (
-	ErrUnknown = errors.New("no such instance")
-	ErrFull    = errors.New("the registry is full")
-	ErrStatus  = errors.New("no such status")
+	ErrUnknownInstance = errors.New("no such instance")
+	ErrRegistryFull    = errors.New("the registry is full")
+	ErrUnknownStatus   = errors.New("no such status")
 )
 
 // Registry is one replica.
@@ -183,7 +183,7 @@
 func (r *Registry) Renew(id string) error {
 	l := r.byID(id)
 	if l == nil || !r.renew(l.App, id, false) {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 func (r *Registry) SetStatus(id, status string) error {
 	l := r.byID(id)
 	if l == nil {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	return r.override(l.App, id, status, 0, false)
 }
@@ -201,7 +201,7 @@
 func (r *Registry) Cancel(id string) error {
 	l := r.byID(id)
 	if l == nil || !r.cancel(l.App, id, false) {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	return nil
 }
@@ -246,8 +246,8 @@
 	for name, value := range in.Metadata { // any order: a sum
 		size += len(name) + len(value)
 	}
-	if size > r.o.MostMetadata {
-		return fmt.Errorf("instance.metadata: %d bytes (wanted up to %d)", size, r.o.MostMetadata)
+	if size > r.o.MaxMetadataBytes {
+		return fmt.Errorf("instance.metadata: %d bytes (wanted up to %d)", size, r.o.MaxMetadataBytes)
 	}
 	at, known := r.find(in.App, in.ID)
 	var old *lease
@@ -256,8 +256,8 @@
 		if old.LastDirty > in.LastDirty { // it comes late: what is known is newer
 			in = *old.Instance
 		}
-	} else if len(r.leases) >= r.o.MostInstances {
-		return ErrFull
+	} else if len(r.leases) >= r.o.MaxInstances {
+		return ErrRegistryFull
 	}
 	if in.Overridden != Unknown && r.overrides[in.ID] == "" {
 		r.overrides[in.ID] = in.Overridden
@@ -339,10 +339,10 @@
 func (r *Registry) override(app, id, status string, dirty int64, replicated bool) error {
 	l := r.lease(app, id)
 	if l == nil {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	if !isStatus(status) {
-		return ErrStatus
+		return ErrUnknownStatus
 	}
 	r.extend(l)
 	if l.Status != status || l.Overridden != status {
@@ -362,10 +362,10 @@
 func (r *Registry) endOverride(app, id, status string, dirty int64, replicated bool) error {
 	l := r.lease(app, id)
 	if l == nil {
-		return ErrUnknown
+		return ErrUnknownInstance
 	}
 	if !isStatus(status) {
-		return ErrStatus
+		return ErrUnknownStatus
 	}
 	r.extend(l)
 	if r.overrides[id] != "" {
@@ -420,7 +420,7 @@
 	}
 	r.sweep()
 	// The danger: an instance that changes without a pause fills the memory. The real server has no bound here.
-	if most := changesEach * r.o.MostInstances; len(r.queue) > most {
+	if most := changesEach * r.o.MaxInstances; len(r.queue) > most {
 		r.queue = slices.Clone(r.queue[len(r.queue)-most/2:])
 	}
 	m := mark{in.ID, in.Status}
--- a/internal/testbench/standin/registry/registry_test.go
+++ b/internal/testbench/standin/registry/registry_test.go
@@ -195,7 +195,7 @@
 }
 
 func TestTheDeltaQueueIsBounded(t *testing.T) {
-	f := newField(t, Options{MostInstances: 2})
+	f := newField(t, Options{MaxInstances: 2})
 	f.register("a", "b")
 	for i := range 100 {
 		f.r.SetStatus("a", []string{OutOfService, Up}[i%2])
--- a/internal/testbench/standin/registry/rest.go
+++ b/internal/testbench/standin/registry/rest.go
@@ -107,7 +107,7 @@
 		return r.putLease(c)
 	case n == 3 && c.method == http.MethodDelete:
 		if !r.cancel(strings.ToUpper(c.path[1]), c.path[2], c.replicated) {
-			return notFound(ErrUnknown.Error())
+			return notFound(ErrUnknownInstance.Error())
 		}
 		return httpserver.Answer{Status: http.StatusOK}
 	case n == 3:
@@ -133,9 +133,9 @@
 // failed is the answer for a call that did nothing.
 func failed(err error) httpserver.Answer {
 	switch {
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownInstance):
 		return notFound(err.Error())
-	case errors.Is(err, ErrFull):
+	case errors.Is(err, ErrRegistryFull):
 		return httpserver.Text(http.StatusServiceUnavailable, err.Error())
 	}
 	return httpserver.Text(http.StatusBadRequest, err.Error())
@@ -185,7 +185,7 @@
 		return httpserver.Text(http.StatusBadRequest, "lastDirtyTimestamp: not a time in ms")
 	}
 	if !r.renew(app, id, c.replicated) {
-		return notFound(ErrUnknown.Error())
+		return notFound(ErrUnknownInstance.Error())
 	}
 	if l := r.lease(app, id); dirty > l.LastDirty {
 		return notFound("the instance has changed since it registered")
@@ -223,7 +223,7 @@
 func (r *Registry) putMetadata(c call) httpserver.Answer {
 	l := r.lease(strings.ToUpper(c.path[1]), c.path[2])
 	if l == nil {
-		return notFound(ErrUnknown.Error())
+		return notFound(ErrUnknownInstance.Error())
 	}
 	in := *l.Instance
 	in.Metadata = map[string]string{}
@@ -286,7 +286,7 @@
 func (r *Registry) getOne(c call, match func(*Instance) bool) httpserver.Answer {
 	i, ok := r.one(match)
 	if !ok {
-		return notFound(ErrUnknown.Error())
+		return notFound(ErrUnknownInstance.Error())
 	}
 	return r.fresh(c, encode(map[string]any{"instance": i.Instance.wire(i.Lease, r.o.OldNames)}))
 }
--- a/internal/testbench/standin/registry/rest_test.go
+++ b/internal/testbench/standin/registry/rest_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestOldServersWriteAListOfOneAsTheOne(t *testing.T) {
-	f := newField(t, Options{SingleBare: true, OldNames: true})
+	f := newField(t, Options{UnwrapSingle: true, OldNames: true})
 	f.register("a")
 	got := f.does(200, "GET", "/apps", "").body
 	for _, want := range []string{`"application":{"name":"LOG-CACHE","instance":{"instanceId":"a"`,
@@ -159,7 +159,7 @@
 }
 
 func TestAFullRegistryTakesKnownInstancesOnly(t *testing.T) {
-	f := newField(t, Options{MostInstances: 2})
+	f := newField(t, Options{MaxInstances: 2})
 	f.register("a", "b")
 	f.does(503, "POST", "/apps/LOG-CACHE", body("c", ""))
 	f.register("a")
--- a/internal/testbench/standin/registry/view.go
+++ b/internal/testbench/standin/registry/view.go
@@ -132,7 +132,7 @@
 
 // listOf is a list as answers have it.
 func listOf[T any](r *Registry, list []T) any {
-	if r.o.SingleBare && len(list) == 1 {
+	if r.o.UnwrapSingle && len(list) == 1 {
 		return list[0]
 	}
 	return list
--- a/internal/testbench/standin/settings.go
+++ b/internal/testbench/standin/settings.go
@@ -16,25 +16,25 @@
 	MemoryMB  int64
 	Sockets   int
 
-	Routers     int
-	Classes     []Class
-	MaxAttempts int
-	Probes      bool
-	Copies      bool
-	Cancel      bool
-	RetryAfter  bool
-	MaxWait     Time // longest advice that clients follow
-	MaxOpen     int
-	DialTimeout Time
-	Keepalive   Time
-	AskEvery    Time
-	Cold        Time
-	DrainGrace  Time
-	Fall        Time
-	ColdShare   float64
-	Pushed      bool // lists are pushed; else discovery has to be asked
+	Routers              int
+	Classes              []Class
+	MaxAttempts          int
+	AllowHealthChecks    bool
+	AllowHedging         bool
+	AllowCancel          bool
+	RetryAfter           bool
+	MaxRetryAfter        Time // longest advice that clients follow
+	MaxOpen              int
+	DialTimeout          Time
+	Keepalive            Time
+	PollInterval         Time
+	SlowStartWindow      Time
+	DrainGrace           Time
+	OverloadWindow       Time
+	SlowStartMinCapacity float64
+	Pushed               bool // lists are pushed; else discovery has to be asked
 
-	ProbePrice, ConnPrice, DialPrice float64
+	HealthCheckCost, ConnectionCost, DialCost float64
 
 	PeerListen string   // where messages of other routers come to; empty where there are none
 	Peers      []string // of the routers, its own address among them
@@ -44,15 +44,15 @@
 func DefaultRouterSettings() RouterSettings {
 	return RouterSettings{
 		Cores: 1, MemoryMB: 256, Sockets: 1024,
-		Routers: 3, Classes: DefaultClasses(), MaxAttempts: 3, Probes: true, Copies: true, Cancel: true,
-		RetryAfter: true, MaxWait: 1500 * Millisecond, MaxOpen: 20000, DialTimeout: 200 * Millisecond,
-		Keepalive: 60 * Second, AskEvery: 6 * Second, Cold: 23 * Second, DrainGrace: Second, Fall: 3 * Second,
-		ColdShare: 0.16, ProbePrice: 0.01, ConnPrice: 0.03, DialPrice: 0.03,
+		Routers: 3, Classes: DefaultClasses(), MaxAttempts: 3, AllowHealthChecks: true, AllowHedging: true, AllowCancel: true,
+		RetryAfter: true, MaxRetryAfter: 1500 * Millisecond, MaxOpen: 20000, DialTimeout: 200 * Millisecond,
+		Keepalive: 60 * Second, PollInterval: 6 * Second, SlowStartWindow: 23 * Second, DrainGrace: Second, OverloadWindow: 3 * Second,
+		SlowStartMinCapacity: 0.16, HealthCheckCost: 0.01, ConnectionCost: 0.03, DialCost: 0.03,
 	}
 }
 
 // The names that effects have in the settings.
-var effectNames = [...]string{Safe: "read_like", Keyed: "idempotency_key", Unsafe: "non_idempotent"}
+var semanticsNames = [...]string{Idempotent: "read_like", IdempotentByKey: "idempotency_key", NonIdempotent: "non_idempotent"}
 
 // The names that groups have in the settings.
 var scopeNames = [...]string{rules.ScopeCell: "cell", rules.ScopeZone: "zone", rules.ScopeAll: "all"}
@@ -62,21 +62,22 @@
 	type object = map[string]any
 	categories := []object{}
 	for _, c := range s.Classes {
-		categories = append(categories, object{"name": c.Name, "effect": effectNames[c.Effect], "dedupScope": scopeNames[c.Scope],
-			"keyTtl": c.Window, "aim": c.Aim, "hardLimit": c.Deadline, "worth": c.Worth, "lateWorth": c.LateWorth})
+		categories = append(categories, object{"name": c.Name, "effect": semanticsNames[c.Semantics], "dedupScope": scopeNames[c.Scope],
+			"keyTtl": c.IdempotencyWindow, "aim": c.LatencyObjective, "hardLimit": c.ClientTimeout, "worth": c.PriorityWeight,
+			"lateWorth": c.LateWeightFraction})
 	}
-	mode, askEvery := "subscribe", s.AskEvery
+	mode, askEvery := "subscribe", s.PollInterval
 	if s.Pushed {
 		mode, askEvery = "automatic", 0
 	}
 	settings := object{
 		"instances": s.Routers, "discovery": mode, "weights": "none", "categories": categories,
-		"limits": object{"cancel": s.Cancel, "probes": s.Probes, "secondCopies": s.Copies, "retryAfter": s.RetryAfter,
-			"maxAttempts": s.MaxAttempts, "maxRetryAfter": s.MaxWait, "maxOpen": s.MaxOpen,
+		"limits": object{"cancel": s.AllowCancel, "probes": s.AllowHealthChecks, "secondCopies": s.AllowHedging, "retryAfter": s.RetryAfter,
+			"maxAttempts": s.MaxAttempts, "maxRetryAfter": s.MaxRetryAfter, "maxOpen": s.MaxOpen,
 			"dialTimeout": s.DialTimeout, "keepalive": s.Keepalive},
-		"rules": object{"askEvery": askEvery, "cold": s.Cold, "drainGrace": s.DrainGrace, "fall": s.Fall,
-			"startCapacity": s.ColdShare},
-		"penalties": object{"probe": s.ProbePrice, "connection": s.ConnPrice, "handshake": s.DialPrice},
+		"rules": object{"askEvery": askEvery, "cold": s.SlowStartWindow, "drainGrace": s.DrainGrace, "fall": s.OverloadWindow,
+			"startCapacity": s.SlowStartMinCapacity},
+		"penalties": object{"probe": s.HealthCheckCost, "connection": s.ConnectionCost, "handshake": s.DialCost},
 	}
 	config := object{"name": s.Name, "listen": s.Listen, "discovery": s.Discovery, "settings": settings,
 		"limits": object{"cores": s.Cores, "memory_mb": s.MemoryMB, "sockets": s.Sockets}}
--- a/internal/testbench/standin/standin.go
+++ b/internal/testbench/standin/standin.go
@@ -20,48 +20,67 @@
 type Time = int64
 
 const (
-	Millisecond Time = 1000
-	Second      Time = 1000 * Millisecond
+	Millisecond Time = 1000               // Millisecond is a thousandth of a second.
+	Second      Time = 1000 * Millisecond // Second is a million microseconds.
 )
 
 // Class is one kind of request, as clients ask and as caches work.
 type Class struct {
-	Name      string
-	Share     float64 // of all requests
-	Effect    Effect
-	Write     bool        // goes on to the store
-	Aim       Time        // wanted within
-	Deadline  Time        // the client's whole patience
-	Window    Time        // for which the caches drop a repeat, of a Keyed class
-	Scope     rules.Scope // which caches do
-	Worth     float64     // of an answer within Aim
-	LateWorth float64     // share of Worth that a later one earns
-	Work      Time        // mean, on one core
-	CV        float64     // of the work: its standard deviation over its mean
+	Name               string
+	TrafficFraction    float64 // of all requests
+	Semantics          Semantics
+	Write              bool        // goes on to the store
+	LatencyObjective   Time        // wanted within
+	ClientTimeout      Time        // the client's whole patience
+	IdempotencyWindow  Time        // for which the caches drop a repeat, of an IdempotentByKey class
+	Scope              rules.Scope // which caches do
+	PriorityWeight     float64     // of an answer within LatencyObjective
+	LateWeightFraction float64     // fraction of PriorityWeight that a late answer earns
+	Work               Time        // mean, on one core
+	CV                 float64     // of the work: its standard deviation over its mean
 }
 
-// Effect says what may happen when a request runs twice.
-type Effect uint8
+// Semantics says what may happen when a request runs twice.
+type Semantics uint8
 
 const (
-	Safe   Effect = iota // nothing
-	Keyed                // the caches drop a repeat inside the class's window
-	Unsafe               // it has its effect twice
+	// Idempotent requests may run any number of times.
+	Idempotent Semantics = iota
+	// IdempotentByKey requests carry a key, and caches drop repeats of it inside the class's window.
+	IdempotentByKey
+	// NonIdempotent requests have their effect each time they run.
+	NonIdempotent
 )
 
 // DefaultClasses are the operators' classes.
 func DefaultClasses() []Class {
 	return []Class{
-		{Name: "call-lookup", Share: 0.49, Effect: Safe, Aim: 500 * Millisecond, Deadline: 1200 * Millisecond,
-			Worth: 2, LateWorth: 0.5, Work: 60 * Millisecond, CV: 2},
-		{Name: "log-page", Share: 0.473, Effect: Safe, Aim: Second, Deadline: 3 * Second,
-			Worth: 5, LateWorth: 0.2, Work: 175 * Millisecond, CV: 2},
-		{Name: "add-contact", Share: 0.026, Effect: Keyed, Write: true, Aim: 600 * Millisecond,
-			Deadline: 1200 * Millisecond, Window: 1200 * Millisecond, Worth: 3, LateWorth: 0.25, Scope: rules.ScopeAll,
-			Work: 100 * Millisecond, CV: 2},
-		{Name: "confirm-contact", Share: 0.011, Effect: Keyed, Write: true, Aim: 1200 * Millisecond,
-			Deadline: 2500 * Millisecond, Window: 4 * Second, Worth: 5, LateWorth: 0.2, Scope: rules.ScopeAll,
-			Work: 175 * Millisecond, CV: 2},
+		{
+			Name: "call-lookup", TrafficFraction: 0.49, Semantics: Idempotent,
+			LatencyObjective: 500 * Millisecond, ClientTimeout: 1200 * Millisecond,
+			PriorityWeight: 2, LateWeightFraction: 0.5,
+			Work: 60 * Millisecond, CV: 2,
+		},
+		{
+			Name: "log-page", TrafficFraction: 0.473, Semantics: Idempotent,
+			LatencyObjective: Second, ClientTimeout: 3 * Second,
+			PriorityWeight: 5, LateWeightFraction: 0.2,
+			Work: 175 * Millisecond, CV: 2,
+		},
+		{
+			Name: "add-contact", TrafficFraction: 0.026, Semantics: IdempotentByKey, Write: true,
+			LatencyObjective: 600 * Millisecond, ClientTimeout: 1200 * Millisecond,
+			IdempotencyWindow: 1200 * Millisecond, Scope: rules.ScopeAll,
+			PriorityWeight: 3, LateWeightFraction: 0.25,
+			Work: 100 * Millisecond, CV: 2,
+		},
+		{
+			Name: "confirm-contact", TrafficFraction: 0.011, Semantics: IdempotentByKey, Write: true,
+			LatencyObjective: 1200 * Millisecond, ClientTimeout: 2500 * Millisecond,
+			IdempotencyWindow: 4 * Second, Scope: rules.ScopeAll,
+			PriorityWeight: 5, LateWeightFraction: 0.2,
+			Work: 175 * Millisecond, CV: 2,
+		},
 	}
 }
 
@@ -94,7 +113,7 @@
 }
 
 // window is how long the caches drop repeats of a class.
-func (w *Workload) window(class string) Time { return w.classes[class].Window }
+func (w *Workload) window(class string) Time { return w.classes[class].IdempotencyWindow }
 
 // longTail bounds a draw, in means. The danger: one in millions takes minutes, and pushes a cache over by itself.
 const longTail = 12
--- a/internal/testbench/standin/store.go
+++ b/internal/testbench/standin/store.go
@@ -9,19 +9,19 @@
 
 // StoreOptions say what the central store can do.
 type StoreOptions struct {
-	Places  int     // fetches in work at once
-	Latency Time    // mean of one
-	CV      float64 // of the latency
-	Queue   int     // fetches that may wait
-	Writes  float64 // how many times the latency a write takes; 0 stands for 1
-
-	GoesOn bool // with work that nobody waits for
-
-	FallMultiple float64 // offered more than this multiple of its capacity ...
-	FallFor      Time    // ... for this long, it stops; 0 never
-	DownLeast    Time    // for this long at the least
-	DownMost     Time
-	MostFalls    int // 0 stands for 2
+	Concurrency        int     // fetches in work at once
+	Latency            Time    // mean of one
+	CV                 float64 // of the latency
+	Queue              int     // fetches that may wait
+	WriteLatencyFactor float64 // how many times the latency a write takes; 0 stands for 1
+
+	KeepsAbandonedWork bool // with work that nobody waits for
+
+	OverloadMultiple float64 // offered more than this multiple of its capacity ...
+	OverloadWindow   Time    // ... for this long, it stops; 0 never
+	MinDowntime      Time    // for this long at the least
+	MaxDowntime      Time
+	MaxOutages       int // 0 stands for 2
 }
 
 // Store is the origin that all caches share. It tells them of each write.
@@ -52,13 +52,13 @@
 
 // NewStore is a store at work.
 func NewStore(m machine.Machine, o StoreOptions, rng *rand.Rand, obs rules.Observer) *Store {
-	if o.MostFalls == 0 {
-		o.MostFalls = 2
+	if o.MaxOutages == 0 {
+		o.MaxOutages = 2
 	}
-	if o.Writes == 0 {
-		o.Writes = 1
+	if o.WriteLatencyFactor == 0 {
+		o.WriteLatencyFactor = 1
 	}
-	return &Store{m: m, o: o, rng: rng, obs: seen(obs), offered: offeredOver{span: o.FallFor}}
+	return &Store{m: m, o: o, rng: rng, obs: seen(obs), offered: offeredOver{span: o.OverloadWindow}}
 }
 
 // Down reports whether it has stopped under its load.
@@ -72,17 +72,17 @@
 func (s *Store) call(key string, write bool, cold string, done func(ok bool)) *storeCall {
 	c := &storeCall{s: s, key: key, write: write, done: done, work: max(1, lognormal(s.rng, s.o.Latency, s.o.CV))}
 	if write {
-		c.work = Time(float64(c.work) * s.o.Writes)
+		c.work = Time(float64(c.work) * s.o.WriteLatencyFactor)
 	}
 	now := s.m.Now()
 	s.obs.StoreOffered(now, c.work, cold)
-	most := s.o.FallMultiple * float64(s.o.Places) * float64(s.o.FallFor)
+	most := s.o.OverloadMultiple * float64(s.o.Concurrency) * float64(s.o.OverloadWindow)
 	sum := s.offered.add(now, c.work)
-	if most > 0 && float64(sum) > most && !s.down && s.falls < s.o.MostFalls {
+	if most > 0 && float64(sum) > most && !s.down && s.falls < s.o.MaxOutages {
 		s.fall()
 	}
 	switch {
-	case s.down || len(s.busy) >= s.o.Places && len(s.queue) >= s.o.Queue:
+	case s.down || len(s.busy) >= s.o.Concurrency && len(s.queue) >= s.o.Queue:
 		c.timer = s.m.At(now, func() { c.end(false) })
 	default:
 		s.queue = append(s.queue, c)
@@ -92,7 +92,7 @@
 }
 
 func (s *Store) dispatch() {
-	for len(s.busy) < s.o.Places && len(s.queue) > 0 {
+	for len(s.busy) < s.o.Concurrency && len(s.queue) > 0 {
 		c := s.queue[0]
 		s.queue = append(s.queue[:0], s.queue[1:]...)
 		s.busy = append(s.busy, c)
@@ -124,7 +124,7 @@
 // abandon says that nobody waits for a fetch any more.
 func (c *storeCall) abandon() {
 	c.deserted = true
-	if c.over || c.s.o.GoesOn || c.write {
+	if c.over || c.s.o.KeepsAbandonedWork || c.write {
 		return
 	}
 	c.over = true
@@ -148,7 +148,7 @@
 		}
 		c.timer = s.m.At(s.m.Now(), func() { c.end(false) })
 	}
-	s.m.At(s.m.Now()+between(s.rng, s.o.DownLeast, s.o.DownMost), func() { s.down = false })
+	s.m.At(s.m.Now()+between(s.rng, s.o.MinDowntime, s.o.MaxDowntime), func() { s.down = false })
 }
 
 // without takes one element out, in place.
--- a/internal/testbench/standin/tally.go
+++ b/internal/testbench/standin/tally.go
@@ -6,9 +6,9 @@
 type Tally struct {
 	Class    string
 	Requests int
-	InAim    int // served within the aim
+	OnTime   int // served within the aim
 	Late     int // served after it
-	Refused  int
+	Rejected int
 	Failed   int
 	Lost     int // the connection ended with no whole answer, or no answer came in time
 	Left     int // the client left early
@@ -69,9 +69,9 @@
 // Add adds another tally's counts.
 func (t *Tally) Add(o *Tally) {
 	t.Requests += o.Requests
-	t.InAim += o.InAim
+	t.OnTime += o.OnTime
 	t.Late += o.Late
-	t.Refused += o.Refused
+	t.Rejected += o.Rejected
 	t.Failed += o.Failed
 	t.Lost += o.Lost
 	t.Left += o.Left
