--- a/internal/testbench/httpserver/conn.go
+++ b/internal/testbench/httpserver/conn.go
@@ -9,42 +9,42 @@
 	"starlingwinch/internal/machine"
 )
 
-// mostDiscarded bounds what is read after the last answer.
-const mostDiscarded = 1 << 20
+// maxDiscardedBytes bounds what is read after the last answer.
+const maxDiscardedBytes = 1 << 20
 
 // conn is a client's connection. What it does next follows from its fields: an answer that is not sent yet comes
 // first, then the exchange that is out, then what has come.
 type conn struct {
-	s    *Server
-	conn machine.Conn
+	server *Server
+	conn   machine.Conn
 
-	in      []byte   // has come and was not taken
-	left    bool     // more may wait in the connection: in was full
-	scanned int      // bytes of in that hold no end of a head
-	blank   bool     // an empty line before the next head was passed over
-	req     *request // whose body has not come whole
-	chunks  *chunks  // of its body
-	out     *Exchange
+	received   []byte         // has come and was not taken
+	moreToRead bool           // more may wait in the connection: in was full
+	scanned    int            // bytes of in that hold no end of a head
+	blank      bool           // an empty line before the next head was passed over
+	request    *request       // whose body has not come whole
+	chunks     *chunkedReader // of its body
+	exchange   *Exchange
 
-	unsent []byte
-	more   func() []byte // gives the next piece of a body
-	posted bool          // a turn to send more is to come
+	unsent         []byte
+	nextBodyPiece  func() []byte // gives the next piece of a body
+	pieceScheduled bool          // a turn to send more is to come
 
-	ended     bool // the client has ended its side
+	peerEnded bool // the client has ended its side
 	ending    bool // no request is taken any more; the connection ends after what is unsent
 	lingering bool // this side has ended too
 	discarded int  // bytes read since
-	gone      bool
+	closed    bool
 	stepping  bool // step is under way
 
-	due   Time // when the connection is given up; 0 never
-	timer machine.Timer
-	rings Time // when the timer is due; it may be before due
+	deadline Time // when the connection is given up; 0 never
+	timer    machine.Timer
+	timerAt  Time // when the timer is due; it may be before due
 }
 
 // Readable reads what has come.
 func (c *conn) Readable() {
-	if c.gone {
+	if c.closed {
 		return
 	}
 	if c.lingering {
@@ -60,91 +60,91 @@
 
 // read takes what has come, as far as one request may be long.
 func (c *conn) read() {
-	most := c.s.o.MaxHeadBytes + c.s.o.MaxBodyBytes
+	most := c.server.options.MaxHeadBytes + c.server.options.MaxBodyBytes
 	var buf [16 << 10]byte
-	for !c.ended && !c.gone {
-		room := most - len(c.in)
-		if c.left = room <= 0; c.left {
+	for !c.peerEnded && !c.closed {
+		room := most - len(c.received)
+		if c.moreToRead = room <= 0; c.moreToRead {
 			return
 		}
 		n, err := c.conn.Read(buf[:min(room, len(buf))])
-		if n > 0 && len(c.in) == 0 && c.req == nil && c.out == nil {
-			c.expire(c.s.o.RequestTime)
+		if n > 0 && len(c.received) == 0 && c.request == nil && c.exchange == nil {
+			c.setDeadline(c.server.options.RequestTime)
 		}
-		c.in = append(c.in, buf[:n]...)
+		c.received = append(c.received, buf[:n]...)
 		switch {
 		case errors.Is(err, machine.ErrWait):
 			return
 		case errors.Is(err, machine.ErrReset):
 			c.drop()
 		case err != nil:
-			c.end()
+			c.peerClosed()
 		}
 	}
 }
 
-// end takes the end of the client's side. It may still read the answer.
-func (c *conn) end() {
-	c.ended = true
-	if x := c.out; x != nil {
+// peerClosed takes the end of the client's side. It may still read the answer.
+func (c *conn) peerClosed() {
+	c.peerEnded = true
+	if x := c.exchange; x != nil {
 		// The danger: an exchange that nobody ever answers holds the connection of a client that has left.
-		c.expire(c.s.o.IdleTime)
+		c.setDeadline(c.server.options.IdleTime)
 		if x.Ended != nil {
 			x.Ended()
 		}
 	}
 }
 
-// mostAtOnce is how many steps a connection takes in one turn of the loop.
-const mostAtOnce = 128
+// maxStepsPerTurn is how many steps a connection takes in one turn of the loop.
+const maxStepsPerTurn = 128
 
 // step does what can be done now.
 func (c *conn) step() {
-	if c.stepping || c.gone {
+	if c.stepping || c.closed {
 		return
 	}
 	c.stepping = true
 	steps := 0
-	for !c.gone && steps < mostAtOnce && c.one() {
+	for !c.closed && steps < maxStepsPerTurn && c.stepOnce() {
 		steps++
 	}
 	c.stepping = false
 	// The danger: a client that sends requests as fast as they are answered keeps the loop to itself.
-	if steps == mostAtOnce {
-		c.s.m.Post(c.step)
+	if steps == maxStepsPerTurn {
+		c.server.machine.Post(c.step)
 	}
 }
 
-// one does one thing, and reports whether there may be another.
-func (c *conn) one() bool {
+// stepOnce does one thing, and reports whether there may be another.
+func (c *conn) stepOnce() bool {
 	switch {
 	case c.lingering:
 		return false
 	case len(c.unsent) > 0:
 		return c.write()
-	case c.more != nil:
+	case c.nextBodyPiece != nil:
 		return c.nextPiece()
 	case c.ending:
 		c.linger()
 		return false
-	case c.out != nil:
+	case c.exchange != nil:
 		return false
 	}
-	if c.left {
+	if c.moreToRead {
 		c.read()
 	}
-	if c.gone {
+	if c.closed {
 		return false
 	}
-	return c.parse() || c.left && len(c.in) < c.s.o.MaxHeadBytes+c.s.o.MaxBodyBytes
+	return c.parse() || c.moreToRead && len(c.received) < c.server.options.MaxHeadBytes+c.server.options.MaxBodyBytes
 }
 
 // send has bytes written, and reports whether the connection took that. It is not called while others are unsent.
 func (c *conn) send(b []byte) bool {
 	c.unsent = b
-	c.expire(c.s.o.WriteTime)
+	c.setDeadline(c.server.options.WriteTime)
 	c.write()
-	sent := !c.gone
+	sent := !c.closed
 	c.step()
 	return sent
 }
@@ -158,15 +158,15 @@
 			return false
 		}
 		if n > 0 {
-			c.expire(c.s.o.WriteTime)
+			c.setDeadline(c.server.options.WriteTime)
 		}
 		if c.unsent = c.unsent[n:]; n == 0 || len(c.unsent) > 0 {
 			return false
 		}
 	}
 	c.unsent = nil
-	if c.more == nil {
-		c.rest()
+	if c.nextBodyPiece == nil {
+		c.awaitRequest()
 	}
 	return true
 }
@@ -174,18 +174,18 @@
 // nextPiece has the next piece of a body sent. It takes a turn of its own.
 func (c *conn) nextPiece() bool {
 	// The danger: a client that reads as fast as pieces are made keeps the loop to itself.
-	if !c.posted {
-		c.posted = true
-		c.s.m.Post(func() {
-			c.posted = false
-			if c.gone || len(c.unsent) > 0 {
+	if !c.pieceScheduled {
+		c.pieceScheduled = true
+		c.server.machine.Post(func() {
+			c.pieceScheduled = false
+			if c.closed || len(c.unsent) > 0 {
 				return
 			}
-			piece := c.more()
+			piece := c.nextBodyPiece()
 			if len(piece) == 0 {
-				c.more = nil
+				c.nextBodyPiece = nil
 			}
-			c.send(chunk(piece))
+			c.send(encodeChunk(piece))
 		})
 	}
 	return false
@@ -193,94 +193,94 @@
 
 // parse takes one request off what has come, and hands it on once it is whole.
 func (c *conn) parse() bool {
-	whole, err := c.request()
+	whole, err := c.readRequest()
 	var r *rejection
 	switch {
 	case errors.As(err, &r):
-		c.refuse(r.status, r.why)
+		c.reject(r.status, r.reason)
 		return true
-	case !whole && c.ended:
+	case !whole && c.peerEnded:
 		c.drop()
 		return false
 	case !whole:
 		return false
 	}
-	x := &Exchange{Request: c.req.Request, Remote: c.conn.Remote(), c: c}
-	if x.Body = c.in[:c.req.length:c.req.length]; c.chunks != nil {
+	x := &Exchange{Request: c.request.Request, Remote: c.conn.Remote(), c: c}
+	if x.Body = c.received[:c.request.length:c.request.length]; c.chunks != nil {
 		x.Body = c.chunks.body
 	} else {
-		c.in = c.in[c.req.length:]
+		c.received = c.received[c.request.length:]
 	}
 	x.Request.Body = http.NoBody
-	c.req, c.chunks, c.out = nil, nil, x
-	c.expire(0)
-	c.s.handle(x)
-	if c.out != nil && c.ended {
-		c.end()
+	c.request, c.chunks, c.exchange = nil, nil, x
+	c.setDeadline(0)
+	c.server.handle(x)
+	if c.exchange != nil && c.peerEnded {
+		c.peerClosed()
 	}
 	return true
 }
 
-// request reports whether a request has come whole.
-func (c *conn) request() (bool, error) {
-	if c.req == nil {
-		if head, err := c.head(); head == nil || err != nil {
+// readRequest reports whether a request has come whole.
+func (c *conn) readRequest() (bool, error) {
+	if c.request == nil {
+		if head, err := c.readRequestHead(); head == nil || err != nil {
 			return false, err
 		}
 	}
 	if c.chunks == nil {
-		if len(c.in) < c.req.length {
-			c.goAhead()
+		if len(c.received) < c.request.length {
+			c.sendContinue()
 			return false, nil
 		}
 		return true, nil
 	}
-	used, err := c.chunks.take(c.in)
-	c.in = c.in[used:]
+	used, err := c.chunks.take(c.received)
+	c.received = c.received[used:]
 	if err == nil && !c.chunks.done {
-		c.goAhead()
+		c.sendContinue()
 	}
 	return c.chunks.done, err
 }
 
-// goAhead tells a client that waits for a word before it sends the body.
-func (c *conn) goAhead() {
-	if c.req.continues && len(c.in) == 0 {
-		c.req.continues = false
+// sendContinue tells a client that waits for a word before it sends the body.
+func (c *conn) sendContinue() {
+	if c.request.awaitsContinue && len(c.received) == 0 {
+		c.request.awaitsContinue = false
 		c.unsent = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 		c.write()
 	}
 }
 
-// head takes a head off what has come; nil where it is not whole.
-func (c *conn) head() ([]byte, error) {
+// readRequestHead takes a head off what has come; nil where it is not whole.
+func (c *conn) readRequestHead() ([]byte, error) {
 	const end = "\r\n\r\n"
-	if !c.blank && bytes.HasPrefix(c.in, []byte("\r\n")) { // RFC 9112, 2.2
-		c.in, c.blank, c.scanned = c.in[2:], true, 0
+	if !c.blank && bytes.HasPrefix(c.received, []byte("\r\n")) { // RFC 9112, 2.2
+		c.received, c.blank, c.scanned = c.received[2:], true, 0
 	}
-	at := bytes.Index(c.in[c.scanned:], []byte(end))
+	at := bytes.Index(c.received[c.scanned:], []byte(end))
 	length := c.scanned + at + len(end)
-	if at < 0 && len(c.in) > c.s.o.MaxHeadBytes || at >= 0 && length > c.s.o.MaxHeadBytes {
-		return nil, reject(http.StatusRequestHeaderFieldsTooLarge, "the head is longer than %d bytes", c.s.o.MaxHeadBytes)
+	if at < 0 && len(c.received) > c.server.options.MaxHeadBytes || at >= 0 && length > c.server.options.MaxHeadBytes {
+		return nil, rejectWith(http.StatusRequestHeaderFieldsTooLarge, "the head is longer than %d bytes", c.server.options.MaxHeadBytes)
 	}
 	if at < 0 {
-		c.scanned = max(0, len(c.in)-len(end)+1)
+		c.scanned = max(0, len(c.received)-len(end)+1)
 		return nil, nil
 	}
-	head := c.in[:length]
-	req, err := readHead(head, c.s.o.MaxBodyBytes)
+	head := c.received[:length]
+	req, err := readHead(head, c.server.options.MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
-	c.in, c.scanned, c.blank, c.req = c.in[length:], 0, false, req
+	c.received, c.scanned, c.blank, c.request = c.received[length:], 0, false, req
 	if req.chunked {
-		c.chunks = &chunks{most: c.s.o.MaxBodyBytes}
+		c.chunks = &chunkedReader{maxBytes: c.server.options.MaxBodyBytes}
 	}
 	return head, nil
 }
 
-// refuse answers what is no request that can be served, and ends the connection.
-func (c *conn) refuse(status int, why string) {
+// reject answers what is no request that can be served, and ends the connection.
+func (c *conn) reject(status int, why string) {
 	a := Text(status, why)
 	a.Close = true
 	c.ending = true
@@ -291,68 +291,68 @@
 func (c *conn) linger() {
 	// The danger: closed with bytes unread, the client sees a reset instead of the answer.
 	c.lingering = true
-	c.in = nil
-	if c.ended || c.conn.CloseWrite() != nil {
+	c.received = nil
+	if c.peerEnded || c.conn.CloseWrite() != nil {
 		c.drop()
 		return
 	}
-	c.expire(c.s.o.LingerTime)
+	c.setDeadline(c.server.options.LingerTime)
 	c.discard()
 }
 
 // discard reads on without a use for it.
 func (c *conn) discard() {
 	var buf [16 << 10]byte
-	for !c.gone {
+	for !c.closed {
 		n, err := c.conn.Read(buf[:])
 		if errors.Is(err, machine.ErrWait) {
 			return
 		}
 		// The danger: a client that sends without an end is read for ever.
-		if c.discarded += n; err != nil || c.discarded > mostDiscarded {
+		if c.discarded += n; err != nil || c.discarded > maxDiscardedBytes {
 			c.drop()
 		}
 	}
 }
 
-// rest waits for the next request.
-func (c *conn) rest() {
-	if len(c.in) > 0 || c.req != nil {
-		c.expire(c.s.o.RequestTime)
+// awaitRequest waits for the next request.
+func (c *conn) awaitRequest() {
+	if len(c.received) > 0 || c.request != nil {
+		c.setDeadline(c.server.options.RequestTime)
 		return
 	}
-	c.expire(c.s.o.IdleTime)
+	c.setDeadline(c.server.options.IdleTime)
 }
 
-// expire has the connection given up after a span, in place of the one before; 0 for never.
-func (c *conn) expire(after Time) {
-	if c.gone {
+// setDeadline has the connection given up after a span, in place of the one before; 0 for never.
+func (c *conn) setDeadline(after Time) {
+	if c.closed {
 		return
 	}
 	if after == 0 {
-		c.due = 0
+		c.deadline = 0
 		return
 	}
-	c.due = c.s.m.Now() + after
-	if c.timer != nil && c.rings > c.due {
+	c.deadline = c.server.machine.Now() + after
+	if c.timer != nil && c.timerAt > c.deadline {
 		c.timer.Stop()
 		c.timer = nil
 	}
 	if c.timer == nil {
-		c.timer, c.rings = c.s.m.At(c.due, c.overdue), c.due
+		c.timer, c.timerAt = c.server.machine.At(c.deadline, c.deadlineReached), c.deadline
 	}
 }
 
-// overdue gives the connection up, where that was not put off since.
-func (c *conn) overdue() {
+// deadlineReached gives the connection up, where that was not put off since.
+func (c *conn) deadlineReached() {
 	c.timer = nil
-	now := c.s.m.Now()
+	now := c.server.machine.Now()
 	switch {
-	case c.gone || c.due == 0:
-	case now < c.due:
-		c.timer, c.rings = c.s.m.At(c.due, c.overdue), c.due
-	case !c.ending && c.out == nil && len(c.unsent) == 0 && (c.req != nil || len(c.in) > 0):
-		c.refuse(http.StatusRequestTimeout, "the request did not come whole in time")
+	case c.closed || c.deadline == 0:
+	case now < c.deadline:
+		c.timer, c.timerAt = c.server.machine.At(c.deadline, c.deadlineReached), c.deadline
+	case !c.ending && c.exchange == nil && len(c.unsent) == 0 && (c.request != nil || len(c.received) > 0):
+		c.reject(http.StatusRequestTimeout, "the request did not come whole in time")
 	default:
 		c.drop()
 	}
@@ -360,20 +360,20 @@
 
 // drop ends the connection.
 func (c *conn) drop() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.gone = true
+	c.closed = true
 	c.conn.Close()
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	if at := slices.Index(c.s.conns, c); at >= 0 {
-		c.s.conns = slices.Delete(c.s.conns, at, at+1)
+	if at := slices.Index(c.server.conns, c); at >= 0 {
+		c.server.conns = slices.Delete(c.server.conns, at, at+1)
 	}
-	c.in, c.unsent, c.more = nil, nil, nil
-	if x := c.out; x != nil {
-		c.out, x.c = nil, nil
+	c.received, c.unsent, c.nextBodyPiece = nil, nil, nil
+	if x := c.exchange; x != nil {
+		c.exchange, x.c = nil, nil
 		if x.Gone != nil {
 			x.Gone()
 		}
--- a/internal/testbench/httpserver/exchange.go
+++ b/internal/testbench/httpserver/exchange.go
@@ -24,7 +24,7 @@
 
 // Answer answers, and reports whether the answer is on its way, as far as this side can tell.
 func (x *Exchange) Answer(a Answer) bool {
-	c := x.over()
+	c := x.detach()
 	if c == nil {
 		return false
 	}
@@ -39,7 +39,7 @@
 
 // Raw sends bytes in place of an answer, good or bad, and ends the connection after them.
 func (x *Exchange) Raw(b []byte) {
-	if c := x.over(); c != nil {
+	if c := x.detach(); c != nil {
 		c.ending = true
 		c.send(b)
 	}
@@ -48,36 +48,36 @@
 // Stream answers with a body in chunks. more is called for the next one whenever the client has taken what was
 // there, until it gives none.
 func (x *Exchange) Stream(a Answer, more func() []byte) {
-	c := x.over()
+	c := x.detach()
 	if c == nil {
 		return
 	}
 	a.Close = a.Close || x.Request.Close
 	c.ending = c.ending || a.Close
 	if x.Request.Method != http.MethodHead {
-		c.more = more
+		c.nextBodyPiece = more
 	}
 	c.send(a.head(-1))
 }
 
 // Drop ends the connection without an answer.
 func (x *Exchange) Drop() {
-	if c := x.over(); c != nil {
+	if c := x.detach(); c != nil {
 		c.drop()
 	}
 }
 
-func (x *Exchange) over() *conn {
+func (x *Exchange) detach() *conn {
 	c := x.c
 	x.c = nil
 	if c != nil {
-		c.out = nil
+		c.exchange = nil
 	}
 	return c
 }
 
-// chunk is a piece of a body in chunks; an empty one ends it.
-func chunk(piece []byte) []byte {
+// encodeChunk is a piece of a body in chunks; an empty one ends it.
+func encodeChunk(piece []byte) []byte {
 	b := strconv.AppendInt(nil, int64(len(piece)), 16)
 	b = append(b, "\r\n"...)
 	b = append(b, piece...)
--- a/internal/testbench/httpserver/server.go
+++ b/internal/testbench/httpserver/server.go
@@ -57,37 +57,37 @@
 
 // Server answers calls at any number of addresses.
 type Server struct {
-	m      machine.Machine
-	o      Options
-	handle func(*Exchange)
-	doors  []machine.Listener
-	conns  []*conn
-	refuse bool
+	machine   machine.Machine
+	options   Options
+	handle    func(*Exchange)
+	listeners []machine.Listener
+	conns     []*conn
+	refusing  bool
 }
 
 // New returns a server that listens nowhere yet. handle is called with each request that has come whole,
 // and has it answered, at once or later.
 func New(m machine.Machine, o Options, handle func(*Exchange)) *Server {
 	o.fill()
-	return &Server{m: m, o: o, handle: handle}
+	return &Server{machine: m, options: o, handle: handle}
 }
 
 // Open listens at an address and returns the one that it got.
 func (s *Server) Open(addr string) (string, error) {
-	ln, err := s.m.Listen(addr, s.accept)
+	ln, err := s.machine.Listen(addr, s.accept)
 	if err != nil {
 		return "", err
 	}
-	s.doors = append(s.doors, ln)
+	s.listeners = append(s.listeners, ln)
 	return ln.Addr(), nil
 }
 
 // Close ends the server and all its connections.
 func (s *Server) Close() {
-	for _, ln := range s.doors {
+	for _, ln := range s.listeners {
 		ln.Close()
 	}
-	s.doors = nil
+	s.listeners = nil
 	s.DropAll()
 }
 
@@ -100,7 +100,7 @@
 
 // Refuse ends all connections, and each that comes from now on, without a word; or not any more.
 func (s *Server) Refuse(on bool) {
-	s.refuse = on
+	s.refusing = on
 	if on {
 		s.DropAll()
 	}
@@ -110,20 +110,20 @@
 func (s *Server) Connections() int { return len(s.conns) }
 
 func (s *Server) accept(mc machine.Conn) machine.Handler {
-	c := &conn{s: s, conn: mc}
-	full := len(s.conns) >= s.o.Connections
+	c := &conn{server: s, conn: mc}
+	full := len(s.conns) >= s.options.Connections
 	// The danger: those that are told to go away are more than those that are served.
-	if most := s.o.Connections + s.o.Connections/8; s.refuse || len(s.conns) > most {
-		c.gone = true
+	if most := s.options.Connections + s.options.Connections/8; s.refusing || len(s.conns) > most {
+		c.closed = true
 		mc.Close()
 		return c
 	}
 	s.conns = append(s.conns, c)
 	if full {
-		c.refuse(http.StatusServiceUnavailable, "too many connections")
+		c.reject(http.StatusServiceUnavailable, "too many connections")
 		return c
 	}
-	c.rest()
+	c.awaitRequest()
 	return c
 }
 
--- a/internal/testbench/httpserver/server_test.go
+++ b/internal/testbench/httpserver/server_test.go
@@ -44,7 +44,7 @@
 func TestManyRequestsAtOnceAreAllAnswered(t *testing.T) {
 	f := newField(t, Options{})
 	c := f.dial()
-	const many = 5 * mostAtOnce
+	const many = 5 * maxStepsPerTurn
 	c.send(strings.Repeat(get, many))
 	f.after(second)
 	if n := strings.Count(c.take(), "HTTP/1.1 200 OK\r\n"); n != many {
@@ -286,9 +286,9 @@
 	f.Add([]byte("1\r\nabc"), 2)
 	f.Fuzz(func(t *testing.T, b []byte, step int) {
 		step = max(1, step%64)
-		whole := &chunks{most: 1000}
+		whole := &chunkedReader{maxBytes: 1000}
 		_, err := whole.take(b)
-		pieces := &chunks{most: 1000}
+		pieces := &chunkedReader{maxBytes: 1000}
 		var in []byte
 		var errPieces error
 		for at := 0; at < len(b) && errPieces == nil && !pieces.done; at += step {
--- a/internal/testbench/standin/cache.go
+++ b/internal/testbench/standin/cache.go
@@ -47,33 +47,33 @@
 
 // Cache is one cache server. It keeps its name and its addresses over restarts of its process.
 type Cache struct {
-	m       machine.Machine
-	o       CacheOptions
-	rng     *rand.Rand
-	obs     rules.Observer
-	load    *Workload
-	store   *Store
-	repeats *Repeats
-
-	doors   []*door
-	up      bool
-	proc    *processor
-	memory  *memory
-	fetches []*fetch // that are out, in the order in which they began
-	conns   []*cacheConn
-	calls   map[*call]struct{} // begun and not over
-	offered offeredOver
-	faults  faults
-	hits    int // reads that its memory held ...
-	misses  int // ... and those that it did not
-	dials   int // connections that came
-	turned  int // ... and those for which there was no room
+	m        machine.Machine
+	options  CacheOptions
+	rng      *rand.Rand
+	observer rules.Observer
+	workload *Workload
+	store    *Store
+	repeats  *Repeats
+
+	listeners     []*cacheListener
+	up            bool
+	processor     *processor
+	memory        *lruMemory
+	fetches       []*fetch // that are out, in the order in which they began
+	conns         []*cacheConn
+	commands      map[*command]struct{} // begun and not over
+	offeredWork   slidingWork
+	faults        faults
+	hits          int // reads that its memory held ...
+	misses        int // ... and those that it did not
+	dials         int // connections that came
+	rejectedDials int // ... and those for which there was no room
 }
 
-// door is an address that a cache listens on.
-type door struct {
+// cacheListener is an address that a cache listens on.
+type cacheListener struct {
 	addr, router string
-	ln           machine.Listener
+	listener     machine.Listener
 }
 
 // CacheParts are what a cache shares with others.
@@ -92,17 +92,17 @@
 	if o.Streams == 0 {
 		o.Streams = 100
 	}
-	c := &Cache{m: m, o: o, rng: rng, obs: seen(parts.Observer), load: parts.Workload, store: parts.Store,
+	c := &Cache{m: m, options: o, rng: rng, observer: observerOrBlind(parts.Observer), workload: parts.Workload, store: parts.Store,
 		repeats: parts.Repeats}
 	c.store.caches = append(c.store.caches, c)
 	return c
 }
 
 // Name is the cache's name.
-func (c *Cache) Name() string { return c.o.Name }
+func (c *Cache) Name() string { return c.options.Name }
 
 // Zone is where it stands.
-func (c *Cache) Zone() string { return c.o.Zone }
+func (c *Cache) Zone() string { return c.options.Zone }
 
 // Up reports whether its process runs.
 func (c *Cache) Up() bool { return c.up }
@@ -110,20 +110,20 @@
 // Open listens at an address and returns the one that it got. Attempts that come in there are those of
 // the router; without a name, RouterOf tells.
 func (c *Cache) Open(addr, router string) (string, error) {
-	d := &door{addr: addr, router: router}
+	d := &cacheListener{addr: addr, router: router}
 	if err := c.listen(d); err != nil {
 		return "", err
 	}
-	c.doors = append(c.doors, d)
+	c.listeners = append(c.listeners, d)
 	return d.addr, nil
 }
 
 // Group is the number of the group that it belongs to.
-func (c *Cache) Group() int { return c.o.Group }
+func (c *Cache) Group() int { return c.options.Group }
 
 // Address is the one that was opened for a router; "" stands for all routers.
 func (c *Cache) Address(router string) string {
-	for _, d := range c.doors {
+	for _, d := range c.listeners {
 		if d.router == router {
 			return d.addr
 		}
@@ -131,12 +131,12 @@
 	return ""
 }
 
-func (c *Cache) listen(d *door) error {
+func (c *Cache) listen(d *cacheListener) error {
 	ln, err := c.m.Listen(d.addr, func(conn machine.Conn) machine.Handler { return c.accept(conn, d) })
 	if err != nil {
 		return err
 	}
-	d.ln, d.addr = ln, ln.Addr()
+	d.listener, d.addr = ln, ln.Addr()
 	if c.faults.silent {
 		ln.Pause()
 	}
@@ -150,19 +150,19 @@
 		return nil
 	}
 	c.up = true
-	c.proc = newProcessor(c.m, &c.o.Capacity, cold)
-	c.memory = newMemory(c.o.MemoryKeys)
-	c.calls = map[*call]struct{}{}
-	c.offered = offeredOver{span: c.o.Capacity.OverloadWindow}
+	c.processor = newProcessor(c.m, &c.options.Capacity, cold)
+	c.memory = newLRUMemory(c.options.MemoryKeys)
+	c.commands = map[*command]struct{}{}
+	c.offeredWork = slidingWork{span: c.options.Capacity.OverloadWindow}
 	c.faults.apply(c)
 	share := 1.0
-	if c.proc.coldFor > 0 {
-		share = c.o.Capacity.SlowStartMinCapacity
+	if c.processor.slowStartWindow > 0 {
+		share = c.options.Capacity.SlowStartMinCapacity
 	}
-	warm := c.o.Capacity.Cores * c.proc.speed() * float64(Second)
-	c.obs.CacheUp(c.m.Now(), c.o.Name, warm, share, c.proc.coldFor)
-	for _, d := range c.doors {
-		if d.ln != nil {
+	warm := c.options.Capacity.Cores * c.processor.speed() * float64(Second)
+	c.observer.CacheUp(c.m.Now(), c.options.Name, warm, share, c.processor.slowStartWindow)
+	for _, d := range c.listeners {
+		if d.listener != nil {
 			continue
 		}
 		if err := c.listen(d); err != nil {
@@ -175,7 +175,7 @@
 // Warm puts keys into the memory, the first as the one used longest ago.
 func (c *Cache) Warm(keys []string) {
 	for _, k := range keys {
-		c.memory.keep(k)
+		c.memory.add(k)
 	}
 }
 
@@ -188,87 +188,87 @@
 }
 
 // WarmingUp reports whether its process has not reached its whole capacity yet.
-func (c *Cache) WarmingUp() bool { return c.up && c.proc.warmth() < 1 }
+func (c *Cache) WarmingUp() bool { return c.up && c.processor.capacityFraction() < 1 }
 
 // Able is the work that it can do in each second by now, faults and crowds aside; 0 where it does not run.
 func (c *Cache) Able() float64 {
 	if !c.up {
 		return 0
 	}
-	return c.proc.able() * float64(Second)
+	return c.processor.availableRate() * float64(Second)
 }
 
 // HasKey reports whether its memory holds a key.
 func (c *Cache) HasKey(key string) bool { return c.up && c.memory.at[key] != nil }
 
 // Holds is the number of requests that run or wait.
-func (c *Cache) Holds() int { return len(c.calls) }
+func (c *Cache) Holds() int { return len(c.commands) }
 
 // Hits is the number of reads whose key it held, and of those that had to wait for the store, since it exists.
 func (c *Cache) Hits() (hits, misses int) { return c.hits, c.misses }
 
 // Dials is the number of connections that came, and of those that were turned away for want of room, since it exists.
-func (c *Cache) Dials() (came, turnedAway int) { return c.dials, c.turned }
+func (c *Cache) Dials() (came, turnedAway int) { return c.dials, c.rejectedDials }
 
 // Connections is the number of those that are open.
 func (c *Cache) Connections() int { return len(c.conns) }
 
 // Stop ends the process: its connections end, new ones are refused.
-func (c *Cache) Stop() { c.end(false) }
+func (c *Cache) Stop() { c.stop(false) }
 
 // Restart ends the process and starts a new one.
 func (c *Cache) Restart(cold bool) error {
-	c.end(false)
+	c.stop(false)
 	return c.Start(cold)
 }
 
-func (c *Cache) end(fallen bool) {
+func (c *Cache) stop(fallen bool) {
 	if !c.up {
 		return
 	}
 	c.up = false
-	c.obs.CacheDown(c.m.Now(), c.o.Name, fallen)
-	for _, d := range c.doors {
-		if d.ln != nil {
-			d.ln.Close()
-			d.ln = nil
+	c.observer.CacheDown(c.m.Now(), c.options.Name, fallen)
+	for _, d := range c.listeners {
+		if d.listener != nil {
+			d.listener.Close()
+			d.listener = nil
 		}
 	}
-	c.proc.stop()
+	c.processor.stop()
 	for _, conn := range slices.Clone(c.conns) {
 		conn.drop()
 	}
 	for _, f := range slices.Clone(c.fetches) {
-		f.desert()
+		f.abandon()
 	}
-	c.conns, c.calls, c.fetches = nil, nil, nil
+	c.conns, c.commands, c.fetches = nil, nil, nil
 }
 
-// sent books work that it was sent, and falls over where that was too much. It reports whether the
+// offer books work that it was sent, and falls over where that was too much. It reports whether the
 // process still runs.
-func (c *Cache) sent(id, router string, work Time) bool {
+func (c *Cache) offer(id, router string, work Time) bool {
 	now := c.m.Now()
-	c.obs.Offered(now, c.o.Name, router, work)
-	sum := c.offered.add(now, work)
-	o := &c.o.Capacity
+	c.observer.Offered(now, c.options.Name, router, work)
+	sum := c.offeredWork.add(now, work)
+	o := &c.options.Capacity
 	if o.OverloadWindow > 0 && o.OverloadMultiple > 0 {
-		allowed := o.OverloadMultiple * c.proc.able() * float64(o.OverloadWindow)
+		allowed := o.OverloadMultiple * c.processor.availableRate() * float64(o.OverloadWindow)
 		if o.MeanWork > 0 {
 			allowed = rules.AllowedWork(allowed, o.MeanWork)
 		}
 		if float64(sum) > allowed {
-			c.end(true)
+			c.stop(true)
 		}
 	}
 	return c.up
 }
 
-// void drops the copy of a key that was written.
-func (c *Cache) void(key string) {
+// invalidate drops the copy of a key that was written.
+func (c *Cache) invalidate(key string) {
 	if !c.up {
 		return
 	}
-	c.memory.void(key)
+	c.memory.remove(key)
 	for _, f := range c.fetches {
 		f.stale = f.stale || f.key == key
 	}
--- a/internal/testbench/standin/cache_test.go
+++ b/internal/testbench/standin/cache_test.go
@@ -326,7 +326,7 @@
 		w.send(t, words("C.GET", "k", fmt.Sprint(i), "c=call-lookup,t=a,d=1200,size=60000"))
 	}
 	s.run(t, 10*Second)
-	if got := len(s.c.conns[0].out); got == 0 || got > mostUnsent+mostCommand {
+	if got := len(s.c.conns[0].unsent); got == 0 || got > maxUnsentBytes+maxCommandBytes {
 		t.Errorf("%d bytes wait to be taken", got)
 	}
 	w.reads = true
@@ -380,6 +380,6 @@
 		if words(again...) != string(b[:used]) {
 			t.Fatalf("%q was read as %q", b[:used], again)
 		}
-		parseAsk(args)
+		parseRequest(args)
 	})
 }
--- a/internal/testbench/standin/client.go
+++ b/internal/testbench/standin/client.go
@@ -63,20 +63,20 @@
 
 // Client is a group of clients. It makes requests until Stop, and sees each to its end.
 type Client struct {
-	m     machine.Machine
-	o     ClientOptions
-	rng   *rand.Rand
-	obs   rules.Observer
-	load  *Workload
-	tally []*Tally // by class
-	share float64  // sum of the classes' shares
-
-	arrival machine.Timer
-	began   Time
-	conns   []*clientConn
-	next    int // router that the front deals to
-	open    int // requests that are not over
-	closed  bool
+	m            machine.Machine
+	options      ClientOptions
+	rng          *rand.Rand
+	observer     rules.Observer
+	workload     *Workload
+	tallies      []*Tally // by class
+	totalTraffic float64  // sum of the classes' shares
+
+	arrival      machine.Timer
+	startedAt    Time
+	conns        []*clientConn
+	nextRouter   int // router that the front deals to
+	openRequests int // requests that are not over
+	closed       bool
 }
 
 // NewClient is a group of clients that asks for nothing yet.
@@ -88,29 +88,29 @@
 		o.DialTimeout = Second
 	}
 	if o.CloseRaceWindow == 0 {
-		o.CloseRaceWindow = usualCrossing
+		o.CloseRaceWindow = defaultCloseRaceWindow
 	}
 	if o.AttemptTimeoutFraction == 0 {
 		o.AttemptTimeoutFraction = 1
 	}
 	if o.Grace == 0 {
-		o.Grace = grace
+		o.Grace = defaultGrace
 	}
 	if o.MaxRetryAfter == 0 {
 		o.MaxRetryAfter = 1500 * Millisecond
 	}
-	c := &Client{m: m, o: o, rng: rng, obs: seen(obs), load: load}
+	c := &Client{m: m, options: o, rng: rng, observer: observerOrBlind(obs), workload: load}
 	for _, class := range o.Classes {
-		c.tally = append(c.tally, &Tally{Class: class.Name})
-		c.share += class.TrafficFraction
+		c.tallies = append(c.tallies, &Tally{Class: class.Name})
+		c.totalTraffic += class.TrafficFraction
 	}
 	return c
 }
 
 // Start begins to make requests.
 func (c *Client) Start() {
-	c.began = c.m.Now()
-	c.await()
+	c.startedAt = c.m.Now()
+	c.scheduleArrival()
 }
 
 // Stop makes no more requests. Those under way go on.
@@ -126,9 +126,9 @@
 	c.Stop()
 	c.closed = true
 	for _, cc := range slices.Clone(c.conns) {
-		for _, t := range cc.tries {
-			t.left()
-			t.req.end(&t.req.tally.Left)
+		for _, t := range cc.attempts {
+			t.leave()
+			t.request.finish(&t.request.tally.Left)
 		}
 		cc.drop()
 	}
@@ -136,174 +136,174 @@
 
 // SetRate changes the rate.
 func (c *Client) SetRate(rate float64) {
-	c.o.Rate = rate
+	c.options.Rate = rate
 	if c.arrival != nil {
 		c.arrival.Stop()
-		c.await()
+		c.scheduleArrival()
 	}
 }
 
 // Open is the number of requests that are under way.
-func (c *Client) Open() int { return c.open }
+func (c *Client) Open() int { return c.openRequests }
 
 // Tallies are the counts by class.
-func (c *Client) Tallies() []*Tally { return c.tally }
+func (c *Client) Tallies() []*Tally { return c.tallies }
 
-// await draws the next arrival. Arrivals do not wait for answers.
-func (c *Client) await() {
-	rate, now := c.o.Rate, c.m.Now()
-	if c.o.BurstEvery > 0 && (now-c.began)%c.o.BurstEvery < c.o.BurstFor {
-		rate *= c.o.BurstTimes
+// scheduleArrival draws the next arrival. Arrivals do not wait for answers.
+func (c *Client) scheduleArrival() {
+	rate, now := c.options.Rate, c.m.Now()
+	if c.options.BurstEvery > 0 && (now-c.startedAt)%c.options.BurstEvery < c.options.BurstFor {
+		rate *= c.options.BurstTimes
 	}
 	gap := Time(c.rng.ExpFloat64() / max(rate, 1e-6) * float64(Second))
 	c.arrival = c.m.At(now+gap, func() {
-		c.await()
-		c.Request(c.drawClass(), c.o.Keys.Draw(c.rng))
+		c.scheduleArrival()
+		c.Request(c.drawClass(), c.options.Keys.Draw(c.rng))
 	})
 }
 
 func (c *Client) drawClass() int {
-	x := c.rng.Float64() * c.share
-	for i, class := range c.o.Classes {
+	x := c.rng.Float64() * c.totalTraffic
+	for i, class := range c.options.Classes {
 		if x -= class.TrafficFraction; x < 0 {
 			return i
 		}
 	}
-	return len(c.o.Classes) - 1
+	return len(c.options.Classes) - 1
 }
 
 // request is what a client wants, over all its tries.
 type request struct {
-	c      *Client
-	class  *Class
-	tally  *Tally
-	key    string
-	idem   string
-	asked  Time
-	tries  int
-	resent int // times that the close of its connection has crossed it
-	over   bool
+	client         *Client
+	class          *Class
+	tally          *Tally
+	key            string
+	idempotencyKey string
+	askedAt        Time
+	attempts       int
+	resends        int // times that the close of its connection has crossed it
+	finished       bool
 }
 
 // Request makes one request of a class, given by its place.
 func (c *Client) Request(class int, key string) {
-	r := &request{c: c, class: &c.o.Classes[class], tally: c.tally[class], key: key, asked: c.m.Now()}
+	r := &request{client: c, class: &c.options.Classes[class], tally: c.tallies[class], key: key, askedAt: c.m.Now()}
 	if r.class.Semantics == IdempotentByKey {
-		r.idem = fmt.Sprintf("%016x", c.rng.Uint64())
+		r.idempotencyKey = fmt.Sprintf("%016x", c.rng.Uint64())
 	}
 	r.tally.Requests++
-	if c.o.Began != nil {
-		c.o.Began(r.class)
+	if c.options.Began != nil {
+		c.options.Began(r.class)
 	}
 	r.tally.Offered += r.class.PriorityWeight
-	c.open++
-	r.try()
+	c.openRequests++
+	r.startAttempt()
 }
 
-// hopeless is the time that is left of a request's for which no client tries again.
-const hopeless = 50 * Millisecond
+// minAttemptTime is the time that is left of a request's for which no client tries again.
+const minAttemptTime = 50 * Millisecond
 
 // deadline is when the client stops waiting, whatever it has tried.
-func (r *request) deadline() Time { return r.asked + r.class.ClientTimeout }
-
-// grace is how much longer than it says a client listens: on sockets each limit of time is as much longer.
-const grace = 50 * Millisecond
-
-// try is one writing of a request.
-type try struct {
-	req      *request
-	id       string
-	conn     *clientConn
-	sent     Time // 0 before
-	deadline Time
-	giveUp   machine.Timer
-	due      machine.Timer // nil where no request stands behind another
-	over     bool
+func (r *request) deadline() Time { return r.askedAt + r.class.ClientTimeout }
+
+// defaultGrace is how much longer than it says a client listens: on sockets each limit of time is as much longer.
+const defaultGrace = 50 * Millisecond
+
+// clientAttempt is one writing of a request.
+type clientAttempt struct {
+	request       *request
+	id            string
+	conn          *clientConn
+	sentAt        Time // 0 before
+	deadline      Time
+	abandonTimer  machine.Timer
+	deadlineTimer machine.Timer // nil where no request stands behind another
+	finished      bool
 }
 
-func (r *request) try() {
-	c := r.c
+func (r *request) startAttempt() {
+	c := r.client
 	if c.closed {
-		r.end(&r.tally.Left)
+		r.finish(&r.tally.Left)
 		return
 	}
 	now := c.m.Now()
-	r.tries++
-	t := &try{req: r, id: fmt.Sprintf("%016x", c.rng.Uint64())}
-	t.deadline = min(now+Time(c.o.AttemptTimeoutFraction*float64(r.class.ClientTimeout)), r.deadline())
-	until := t.deadline + c.o.Grace
-	if chance(c.rng, c.o.EarlyAbandonFraction) {
+	r.attempts++
+	t := &clientAttempt{request: r, id: fmt.Sprintf("%016x", c.rng.Uint64())}
+	t.deadline = min(now+Time(c.options.AttemptTimeoutFraction*float64(r.class.ClientTimeout)), r.deadline())
+	until := t.deadline + c.options.Grace
+	if chance(c.rng, c.options.EarlyAbandonFraction) {
 		until = between(c.rng, now, t.deadline)
 	}
-	t.giveUp = c.m.At(until, t.givenUp)
-	if c.o.Pipeline > 0 {
-		t.due = c.m.At(t.deadline, t.behind)
+	t.abandonTimer = c.m.At(until, t.abandon)
+	if c.options.Pipeline > 0 {
+		t.deadlineTimer = c.m.At(t.deadline, t.extendDeadline)
 	}
-	c.place(t)
+	c.assign(t)
 }
 
-// again tries once more after a wait, where tries and time are left. Else the request ends as outcome says.
-func (r *request) again(wait Time, outcome *int) {
-	c := r.c
+// retry tries once more after a wait, where tries and time are left. Else the request ends as outcome says.
+func (r *request) retry(wait Time, outcome *int) {
+	c := r.client
 	at := c.m.Now() + max(wait, r.backoff())
-	if r.tries > c.o.Retries || at+hopeless >= r.deadline() {
-		r.end(outcome)
+	if r.attempts > c.options.Retries || at+minAttemptTime >= r.deadline() {
+		r.finish(outcome)
 		return
 	}
-	c.m.At(at, r.try)
+	c.m.At(at, r.startAttempt)
 }
 
 func (r *request) backoff() Time {
-	switch r.c.o.RetryWait {
+	switch r.client.options.RetryWait {
 	case FixedWait:
-		return r.c.o.RetryWaitTime
+		return r.client.options.RetryWaitTime
 	case Exponential:
-		return r.c.o.RetryWaitTime << (r.tries - 1)
+		return r.client.options.RetryWaitTime << (r.attempts - 1)
 	}
 	return 0
 }
 
-func (r *request) end(outcome *int) {
-	if r.over {
+func (r *request) finish(outcome *int) {
+	if r.finished {
 		return
 	}
-	r.over = true
-	r.c.open--
+	r.finished = true
+	r.client.openRequests--
 	*outcome++
-	if r.c.o.Ended != nil {
-		r.c.o.Ended(r.class, r.asked, outcome == &r.tally.OnTime)
+	if r.client.options.Ended != nil {
+		r.client.options.Ended(r.class, r.askedAt, outcome == &r.tally.OnTime)
 	}
 }
 
 // served ends a request with the answer it wanted.
 func (r *request) served() {
-	took := r.c.m.Now() - r.asked
+	took := r.client.m.Now() - r.askedAt
 	r.tally.Latency.Add(took)
 	if took <= r.class.LatencyObjective {
 		r.tally.Earned += r.class.PriorityWeight
-		r.end(&r.tally.OnTime)
+		r.finish(&r.tally.OnTime)
 		return
 	}
 	r.tally.Earned += r.class.PriorityWeight * r.class.LateWeightFraction
-	r.end(&r.tally.Late)
+	r.finish(&r.tally.Late)
 }
 
-// words are the request as it is written, with what the client will wait from now on.
-func (t *try) words(now Time) []byte {
-	r, o := t.req, &t.req.c.o
+// encode are the request as it is written, with what the client will wait from now on.
+func (t *clientAttempt) encode(now Time) []byte {
+	r, o := t.request, &t.request.client.options
 	verb, n := "C.GET", valueArg
 	if r.class.Write {
 		verb, n = "C.SET", valueArg+1
 	}
 	meta := "c=" + r.class.Name + ",t=" + o.Tenant + ",d=" + strconv.FormatInt(max(1, (t.deadline-now)/Millisecond), 10)
-	if r.idem != "" {
-		meta += ",k=" + r.idem
+	if r.idempotencyKey != "" {
+		meta += ",k=" + r.idempotencyKey
 	}
-	if o.MarkRetry && r.tries > 1 {
+	if o.MarkRetry && r.attempts > 1 {
 		meta += ",r=1"
 	}
 	if o.Hints {
-		meta += ",h=" + strconv.FormatInt(r.c.load.Of(r.class.Name, t.id), 10)
+		meta += ",h=" + strconv.FormatInt(r.client.workload.Of(r.class.Name, t.id), 10)
 	}
 	if o.ReadSize > 0 && !r.class.Write {
 		meta += ",size=" + strconv.Itoa(o.ReadSize)
@@ -318,93 +318,93 @@
 	return b
 }
 
-// end takes the try off its connection's books.
-func (t *try) end() {
-	t.over = true
-	t.giveUp.Stop()
-	if t.due != nil {
-		t.due.Stop()
+// stop takes the try off its connection's books.
+func (t *clientAttempt) stop() {
+	t.finished = true
+	t.abandonTimer.Stop()
+	if t.deadlineTimer != nil {
+		t.deadlineTimer.Stop()
 	}
 }
 
-// behind is called at the deadline. A request that stands behind others waits for as long as they may take.
-func (t *try) behind() {
-	if t.sent == 0 || t.conn == nil || t.conn.tries[0] == t {
+// extendDeadline is called at the deadline. A request that stands behind others waits for as long as they may take.
+func (t *clientAttempt) extendDeadline() {
+	if t.sentAt == 0 || t.conn == nil || t.conn.attempts[0] == t {
 		return
 	}
 	// All of them, not the last alone: where two are due at one instant, the other's time may not have been moved yet.
 	latest := t.deadline
-	for _, before := range t.conn.tries[:slices.Index(t.conn.tries, t)] {
+	for _, before := range t.conn.attempts[:slices.Index(t.conn.attempts, t)] {
 		latest = max(latest, before.deadline)
 	}
 	if latest <= t.deadline {
 		return
 	}
 	t.deadline = latest
-	t.req.c.obs.Behind(t.req.c.m.Now(), t.id, t.deadline)
-	t.giveUp.Stop()
-	t.giveUp = t.req.c.m.At(t.deadline+t.req.c.o.Grace, t.givenUp)
-	t.due = t.req.c.m.At(t.deadline, t.behind)
+	t.request.client.observer.Behind(t.request.client.m.Now(), t.id, t.deadline)
+	t.abandonTimer.Stop()
+	t.abandonTimer = t.request.client.m.At(t.deadline+t.request.client.options.Grace, t.abandon)
+	t.deadlineTimer = t.request.client.m.At(t.deadline, t.extendDeadline)
 }
 
-// left reports that the client waits no more.
-func (t *try) left() {
-	t.end()
-	if t.sent != 0 {
-		t.req.c.obs.Left(t.req.c.m.Now(), t.id)
+// leave reports that the client waits no more.
+func (t *clientAttempt) leave() {
+	t.stop()
+	if t.sentAt != 0 {
+		t.request.client.observer.Left(t.request.client.m.Now(), t.id)
 	}
 }
 
-// givenUp is called when the client has waited long enough. It closes the connection: what else is on
+// abandon is called when the client has waited long enough. It closes the connection: what else is on
 // it is asked once more on another.
-func (t *try) givenUp() {
-	if t.over {
+func (t *clientAttempt) abandon() {
+	if t.finished {
 		return
 	}
-	r, cc := t.req, t.conn
-	t.left()
+	r, cc := t.request, t.conn
+	t.leave()
 	outcome := &r.tally.Left
-	if r.c.m.Now() >= t.deadline {
+	if r.client.m.Now() >= t.deadline {
 		outcome = &r.tally.Lost
 	}
 	if cc != nil {
-		cc.tries = without(cc.tries, t)
-		others := cc.tries
+		cc.attempts = removeFirst(cc.attempts, t)
+		others := cc.attempts
 		cc.drop()
 		for _, other := range others {
-			other.move()
+			other.resend()
 		}
 	}
-	r.again(0, outcome)
+	r.retry(0, outcome)
 }
 
-// move writes the request once more, on another connection and under another id: the client has closed
+// resend writes the request once more, on another connection and under another id: the client has closed
 // this one, or the router has before it read the request.
-func (t *try) move() {
-	t.left()
-	if t.req.c.m.Now()+hopeless >= t.deadline {
-		t.req.end(&t.req.tally.Left)
+func (t *clientAttempt) resend() {
+	t.leave()
+	if t.request.client.m.Now()+minAttemptTime >= t.deadline {
+		t.request.finish(&t.request.tally.Left)
 		return
 	}
-	t.req.tries--
-	t.req.try()
+	t.request.attempts--
+	t.request.startAttempt()
 }
 
-// answered is called with the answer.
-func (t *try) answered(a answer) {
-	r, c := t.req, t.req.c
-	t.end()
-	c.obs.Answered(c.m.Now(), t.id, a.kind, a.value)
+// handleReply is called with the answer.
+func (t *clientAttempt) handleReply(a clientReply) {
+	r, c := t.request, t.request.client
+	t.stop()
+	c.observer.Answered(c.m.Now(), t.id, a.kind, a.value)
 	switch a.kind {
 	case rules.Served:
 		r.served()
 	case rules.Refused:
 		wait := Time(0)
-		if a.wait > 0 && chance(c.rng, c.o.RetryAfterCompliance) {
-			wait = min(a.wait, c.o.MaxRetryAfter)
+		if a.retryAfter > 0 && chance(c.rng, c.options.RetryAfterCompliance) {
+			wait = min(a.retryAfter, c.options.MaxRetryAfter)
 		}
-		r.again(wait, &r.tally.Rejected)
+		r.retry(wait, &r.tally.Rejected)
 	default:
-		r.again(0, &r.tally.Failed)
+		r.retry(0, &r.tally.Failed)
 	}
 }
--- a/internal/testbench/standin/client_test.go
+++ b/internal/testbench/standin/client_test.go
@@ -26,12 +26,12 @@
 
 func (c *routerConn) Writable() { c.flush() }
 func (c *routerConn) Readable() {
-	err := c.fill(mostCommand)
-	if len(c.in) >= mostCommand {
+	err := c.fill(maxCommandBytes)
+	if len(c.received) >= maxCommandBytes {
 		c.close()
 	}
 	for !c.closed {
-		args, used, _ := readCommand(c.in)
+		args, used, _ := readCommand(c.received)
 		if used == 0 {
 			break
 		}
@@ -39,7 +39,7 @@
 		for _, a := range args {
 			text = append(text, string(a))
 		}
-		c.take(used)
+		c.consume(used)
 		c.n++
 		c.r.got = append(c.r.got, text)
 		c.r.f(c, text)
@@ -180,7 +180,7 @@
 func TestTryIsGivenUpAfterItsShareOfTheDeadline(t *testing.T) {
 	s := newClients(t, ClientOptions{Retries: 1, AttemptTimeoutFraction: 0.5}, func(*routerConn, []string) {})
 	s.c.Request(lookup, "k")
-	s.run(t, 599*Millisecond+grace)
+	s.run(t, 599*Millisecond+defaultGrace)
 	s.notes.has(t, "left", 0)
 	s.run(t, 2*Millisecond)
 	s.notes.has(t, "left", 1)
@@ -358,8 +358,8 @@
 func TestHostileClientsDoTheirHarm(t *testing.T) {
 	for _, harm := range []Harm{BadBytes, EndlessLine, HalfCommand, SilentClient, Abandons, NeverReads} {
 		s := newClients(t, ClientOptions{}, serve)
-		h := NewHostile(s.lab, HostileOptions{Harm: harm, Every: Second, Class: steady()[0], Keys: s.c.o.Keys,
-			Routers: s.c.o.Routers, HoldFor: 10 * Second}, chanceOf(3), s.notes)
+		h := NewHostile(s.lab, HostileOptions{Harm: harm, Every: Second, Class: steady()[0], Keys: s.c.options.Keys,
+			Routers: s.c.options.Routers, HoldFor: 10 * Second}, chanceOf(3), s.notes)
 		h.Start()
 		s.run(t, 500*Millisecond)
 		open, asked := 1, 0
@@ -367,9 +367,9 @@
 		case EndlessLine:
 			open = 0 // the router has ended it
 		case Abandons:
-			open, asked = 0, abandoned
+			open, asked = 0, abandonedReads
 		case NeverReads:
-			asked = deafReads
+			asked = unreadReads
 		}
 		if h.Open() != open || s.notes.count("asked call-lookup") != asked || len(s.router.conns) != 1 {
 			t.Errorf("%s: %d open, %d asked", harm, h.Open(), s.notes.count("asked call-lookup"))
@@ -409,7 +409,7 @@
 		{"*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n", rules.Failed, 0, true},
 		{strings.Repeat("-", 600), rules.Failed, 0, true},
 	} {
-		a, used, err := readAnswer([]byte(c.in))
+		a, used, err := readReply([]byte(c.in))
 		if used != c.used || (err != nil) != c.bad || used > 0 && a.kind != c.kind {
 			t.Errorf("%.30q: %s, used %d, %v", c.in, a.kind, used, err)
 		}
@@ -421,14 +421,14 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, used, err := readAnswer(b)
+		a, used, err := readReply(b)
 		if used > len(b) || err != nil && used != 0 {
 			t.Fatalf("%q: used %d, %v", b, used, err)
 		}
 		if used == 0 {
 			return
 		}
-		again, n, err := readAnswer(b[:used])
+		again, n, err := readReply(b[:used])
 		if again != a || n != used || err != nil {
 			t.Fatalf("%q: read %v, and then %v", b, a, again)
 		}
--- a/internal/testbench/standin/discovery.go
+++ b/internal/testbench/standin/discovery.go
@@ -60,59 +60,59 @@
 
 // Discovery is the service that names the caches.
 type Discovery struct {
-	m   machine.Machine
-	o   DiscoveryOptions
-	obs rules.Observer
-
-	doors []*listDoor
-	calls []*listCall // that are out
-	held  []*listCall // that came while it was silent
-
-	coming  []change // changes that do not show yet, in order of time
-	timer   machine.Timer
-	lines   []*line // by name
-	index   int64
-	floor   int64 // versions up to here are answered with the whole list
-	freeAt  Time  // when the calls before are done
-	told    map[string]map[string]said
-	callers map[string]*caller
-
-	late                 Time
-	silent, atOnce, down bool
-	resets               bool
-	bad                  BadEntry
+	m        machine.Machine
+	options  DiscoveryOptions
+	observer rules.Observer
+
+	listeners     []*listListener
+	openCalls     []*listCall // that are out
+	deferredCalls []*listCall // that came while it was silent
+
+	pendingChanges  []listChange // changes that do not show yet, in order of time
+	timer           machine.Timer
+	entries         []*listEntry // by name
+	version         int64
+	minDeltaVersion int64 // versions up to here are answered with the whole list
+	busyUntil       Time  // when the calls before are done
+	notified        map[string]map[string]notifiedState
+	callers         map[string]*caller
+
+	extraDelay                  Time
+	silent, answersAtOnce, down bool
+	resetsConnections           bool
+	badEntry                    BadEntry
 
 	reachableSince Time
-	toldTimer      machine.Timer
+	notifyTimer    machine.Timer
 }
 
-// change is a change on its way into the list.
-type change struct {
-	at   Time
-	make func(d *Discovery)
+// listChange is a change on its way into the list.
+type listChange struct {
+	at    Time
+	apply func(d *Discovery)
 }
 
-// line is an entry with the version of its last change.
-type line struct {
+// listEntry is an entry with the version of its last change.
+type listEntry struct {
 	Entry
-	version int64
-	changed Time
+	version   int64
+	changedAt Time
 }
 
 // caller is what discovery knows of a router's calls.
 type caller struct {
-	last     Time
-	answered Time // when it was last answered with a list
-	waiting  int
-	timer    machine.Timer
+	lastCall   Time
+	answeredAt Time // when it was last answered with a list
+	openCalls  int
+	timer      machine.Timer
 }
 
 // NewDiscovery is a service with an empty list, of version 1.
 func NewDiscovery(m machine.Machine, o DiscoveryOptions, obs rules.Observer) *Discovery {
-	d := &Discovery{m: m, o: o, obs: seen(obs), index: 1, told: map[string]map[string]said{},
+	d := &Discovery{m: m, options: o, observer: observerOrBlind(obs), version: 1, notified: map[string]map[string]notifiedState{},
 		callers: map[string]*caller{}}
 	for _, r := range o.Routers {
-		d.callers[r] = &caller{last: m.Now()}
+		d.callers[r] = &caller{lastCall: m.Now()}
 	}
 	return d
 }
@@ -120,28 +120,28 @@
 // Open listens at an address and returns the one that it got. Calls that come in there are those of the
 // router; without a name, RouterOf tells.
 func (d *Discovery) Open(addr, router string) (string, error) {
-	door := &listDoor{addr: addr, router: router}
+	door := &listListener{addr: addr, router: router}
 	if err := d.listen(door); err != nil {
 		return "", err
 	}
-	d.doors = append(d.doors, door)
+	d.listeners = append(d.listeners, door)
 	return door.addr, nil
 }
 
 // Index is the version of the list as it shows.
-func (d *Discovery) Index() int64 { return d.index }
+func (d *Discovery) Index() int64 { return d.version }
 
 // Close ends the service.
 func (d *Discovery) Close() {
-	for _, door := range d.doors {
-		door.http.Close()
+	for _, door := range d.listeners {
+		door.server.Close()
 	}
-	for _, t := range []machine.Timer{d.timer, d.toldTimer} {
+	for _, t := range []machine.Timer{d.timer, d.notifyTimer} {
 		if t != nil {
 			t.Stop()
 		}
 	}
-	for _, r := range d.o.Routers {
+	for _, r := range d.options.Routers {
 		if t := d.callers[r].timer; t != nil {
 			t.Stop()
 		}
@@ -149,15 +149,15 @@
 }
 
 // Add puts a cache on the list.
-func (d *Discovery) Add(e Entry) { d.change(func(d *Discovery) { d.set(e) }) }
+func (d *Discovery) Add(e Entry) { d.change(func(d *Discovery) { d.setEntry(e) }) }
 
 // SetStatus changes what the list says of a cache.
 func (d *Discovery) SetStatus(name, status string) {
 	d.change(func(d *Discovery) {
-		if l := d.line(name); l != nil {
+		if l := d.entry(name); l != nil {
 			e := l.Entry
 			e.Status = status
-			d.set(e)
+			d.setEntry(e)
 		}
 	})
 }
@@ -168,18 +168,18 @@
 // Replace takes a cache off the list and puts another on, in one change.
 func (d *Discovery) Replace(name string, e Entry) {
 	d.change(func(d *Discovery) {
-		if l := d.line(name); l != nil {
+		if l := d.entry(name); l != nil {
 			old := l.Entry
 			old.Status = Terminated
-			d.set(old)
+			d.setEntry(old)
 		}
-		d.set(e)
+		d.setEntry(e)
 	})
 }
 
 // change has a change show after the delay.
 func (d *Discovery) change(f func(*Discovery)) {
-	d.coming = append(d.coming, change{d.m.Now(), f})
+	d.pendingChanges = append(d.pendingChanges, listChange{d.m.Now(), f})
 	d.publish()
 }
 
@@ -189,74 +189,74 @@
 		d.timer.Stop()
 		d.timer = nil
 	}
-	if d.o.Pushed && d.silent {
+	if d.options.Pushed && d.silent {
 		return
 	}
-	now, lag := d.m.Now(), d.o.Delay+d.late
+	now, lag := d.m.Now(), d.options.Delay+d.extraDelay
 	due := 0
-	for due < len(d.coming) && d.coming[due].at+lag <= now {
+	for due < len(d.pendingChanges) && d.pendingChanges[due].at+lag <= now {
 		due++
 	}
 	if due > 0 {
-		d.index++
-		for _, c := range d.coming[:due] {
-			c.make(d)
+		d.version++
+		for _, c := range d.pendingChanges[:due] {
+			c.apply(d)
 		}
-		d.coming = d.coming[due:]
-		d.wake()
+		d.pendingChanges = d.pendingChanges[due:]
+		d.answerWatches()
 	}
-	if len(d.coming) > 0 {
-		d.timer = d.m.At(d.coming[0].at+lag, d.publish)
+	if len(d.pendingChanges) > 0 {
+		d.timer = d.m.At(d.pendingChanges[0].at+lag, d.publish)
 	}
 }
 
-// wake answers the watches that have something to tell, and sees to routers that do not ask.
-func (d *Discovery) wake() {
-	for _, k := range slices.Clone(d.calls) {
-		if k.waits && k.after != d.index {
+// answerWatches answers the watches that have something to tell, and sees to routers that do not ask.
+func (d *Discovery) answerWatches() {
+	for _, k := range slices.Clone(d.openCalls) {
+		if k.waiting && k.after != d.version {
 			k.answer()
 		}
 	}
-	d.tellLater()
-	for _, r := range d.o.Routers {
-		if d.o.Pushed {
-			d.push(r)
+	d.scheduleNotifyAll()
+	for _, r := range d.options.Routers {
+		if d.options.Pushed {
+			d.notifyPushed(r)
 		} else {
-			d.overdue(r)
+			d.notifyOverdue(r)
 		}
 	}
 }
 
-func (d *Discovery) line(name string) *line {
-	at, ok := slices.BinarySearchFunc(d.lines, name, func(l *line, n string) int { return cmp.Compare(l.Name, n) })
+func (d *Discovery) entry(name string) *listEntry {
+	at, ok := slices.BinarySearchFunc(d.entries, name, func(l *listEntry, n string) int { return cmp.Compare(l.Name, n) })
 	if !ok {
 		return nil
 	}
-	return d.lines[at]
+	return d.entries[at]
 }
 
-// mostLines bounds the list together with the caches that have gone.
-const mostLines = 4096
+// maxEntries bounds the list together with the caches that have gone.
+const maxEntries = 4096
 
-func (d *Discovery) set(e Entry) {
+func (d *Discovery) setEntry(e Entry) {
 	if e.Status == "" {
 		e.Status = InService
 	}
-	at, ok := slices.BinarySearchFunc(d.lines, e.Name, func(l *line, n string) int { return cmp.Compare(l.Name, n) })
+	at, ok := slices.BinarySearchFunc(d.entries, e.Name, func(l *listEntry, n string) int { return cmp.Compare(l.Name, n) })
 	if ok {
-		*d.lines[at] = line{e, d.index, d.m.Now()}
+		*d.entries[at] = listEntry{e, d.version, d.m.Now()}
 		return
 	}
-	d.lines = slices.Insert(d.lines, at, &line{e, d.index, d.m.Now()})
-	if len(d.lines) > mostLines {
-		d.lines = slices.DeleteFunc(d.lines, func(l *line) bool { return l.Status == Terminated })
-		d.floor = d.index
+	d.entries = slices.Insert(d.entries, at, &listEntry{e, d.version, d.m.Now()})
+	if len(d.entries) > maxEntries {
+		d.entries = slices.DeleteFunc(d.entries, func(l *listEntry) bool { return l.Status == Terminated })
+		d.minDeltaVersion = d.version
 	}
 }
 
-// list is the body of an answer: the changes after a version, or the whole list.
-func (d *Discovery) list(router string, after int64) (body []byte, whole bool) {
-	whole = after < 0 || after < d.floor || after > d.index
+// encodeList is the body of an answer: the changes after a version, or the whole list.
+func (d *Discovery) encodeList(router string, after int64) (body []byte, whole bool) {
+	whole = after < 0 || after < d.minDeltaVersion || after > d.version
 	type endpoint struct {
 		Name    string  `json:"name"`
 		Address string  `json:"address"`
@@ -271,8 +271,8 @@
 		Index     int64 `json:"index"`
 		Snapshot  bool  `json:"snapshot"`
 		Endpoints []any `json:"endpoints"`
-	}{d.index, whole, []any{}}
-	for _, l := range d.lines {
+	}{d.version, whole, []any{}}
+	for _, l := range d.entries {
 		if whole && l.Status == Terminated || !whole && l.version <= after {
 			continue
 		}
@@ -283,14 +283,14 @@
 		out.Endpoints = append(out.Endpoints, endpoint{l.Name, addr, l.Zone, l.Type, l.Group, l.Status, l.Weight,
 			l.Since / Millisecond})
 	}
-	if d.bad != "" {
-		out.Endpoints = append(out.Endpoints, badEntries[d.bad])
+	if d.badEntry != "" {
+		out.Endpoints = append(out.Endpoints, badEntries[d.badEntry])
 	}
 	body, err := json.Marshal(out)
 	if err != nil { // a weight that is no number; the list's author is at fault
 		panic(err)
 	}
-	if d.bad == BadJSON {
+	if d.badEntry == BadJSON {
 		body = body[:len(body)/2]
 	}
 	return body, whole
@@ -298,7 +298,7 @@
 
 // Late has changes show so much later than they would; 0 ends that, and what was held back shows.
 func (d *Discovery) Late(more Time) {
-	d.late = more
+	d.extraDelay = more
 	d.publish()
 }
 
@@ -307,21 +307,21 @@
 
 // Down ends all watches. Calls are answered 503, or by the connection's end.
 func (d *Discovery) Down(on, resets bool) {
-	if d.o.Pushed {
+	if d.options.Pushed {
 		d.Silent(on)
 		return
 	}
-	d.down, d.resets = on, resets
-	for _, door := range d.doors {
-		door.http.Refuse(on && resets)
+	d.down, d.resetsConnections = on, resets
+	for _, door := range d.listeners {
+		door.server.Refuse(on && resets)
 	}
 	if !on {
-		d.returned()
+		d.markReachable()
 	}
 	if !on || resets {
 		return
 	}
-	for _, k := range slices.Clone(d.calls) {
+	for _, k := range slices.Clone(d.openCalls) {
 		k.refuse()
 	}
 }
@@ -330,47 +330,47 @@
 func (d *Discovery) Silent(on bool) {
 	d.silent = on
 	if on {
-		if d.o.Pushed {
+		if d.options.Pushed {
 			d.LoseWatches()
 		}
 		return
 	}
-	held := d.held
-	d.held = nil
-	d.returned()
-	if d.o.Pushed {
+	held := d.deferredCalls
+	d.deferredCalls = nil
+	d.markReachable()
+	if d.options.Pushed {
 		d.publish()
 		return
 	}
 	for _, k := range held {
-		d.take(k)
+		d.accept(k)
 	}
-	d.wake()
+	d.answerWatches()
 }
 
 // LoseWatches has it forget the calls that wait: they are never answered, and their connections stay as they are.
 func (d *Discovery) LoseWatches() {
 	var routers []string
-	for _, k := range d.calls {
-		if k.waits {
-			k.waits = false
+	for _, k := range d.openCalls {
+		if k.waiting {
+			k.waiting = false
 			k.timer.Stop()
 			routers = append(routers, k.router)
 		}
 	}
-	if d.o.NotifiedAfter > 0 && !d.o.Pushed && len(routers) > 0 {
-		d.m.At(d.m.Now()+d.o.NotifiedAfter, func() { d.tellLost(routers) })
+	if d.options.NotifiedAfter > 0 && !d.options.Pushed && len(routers) > 0 {
+		d.m.At(d.m.Now()+d.options.NotifiedAfter, func() { d.notifyLostWatches(routers) })
 	}
 }
 
 // AnswerAtOnce has watches answered without a wait, with nothing new.
 func (d *Discovery) AnswerAtOnce(on bool) {
-	d.atOnce = on
+	d.answersAtOnce = on
 	if !on {
 		return
 	}
-	for _, k := range slices.Clone(d.calls) {
-		if k.waits {
+	for _, k := range slices.Clone(d.openCalls) {
+		if k.waiting {
 			k.answer()
 		}
 	}
@@ -378,18 +378,18 @@
 
 // VersionBack sets the list's version back, as a service does that has lost its memory.
 func (d *Discovery) VersionBack(n int64) {
-	d.index = max(1, d.index-n)
-	for _, l := range d.lines {
-		l.version = min(l.version, d.index)
+	d.version = max(1, d.version-n)
+	for _, l := range d.entries {
+		l.version = min(l.version, d.version)
 	}
-	d.wake()
+	d.answerWatches()
 }
 
 // Move closes the addresses and every connection, and opens others, one for each of those before.
 func (d *Discovery) Move(addrs []string) ([]string, error) {
 	var got []string
-	for i, door := range d.doors {
-		door.http.Close()
+	for i, door := range d.listeners {
+		door.server.Close()
 		if i >= len(addrs) {
 			continue
 		}
@@ -399,7 +399,7 @@
 		}
 		got = append(got, door.addr)
 	}
-	d.returned()
+	d.markReachable()
 	return got, nil
 }
 
@@ -427,11 +427,11 @@
 
 // Spoil has every answer hold something that no list may hold; the empty string ends that.
 func (d *Discovery) Spoil(how BadEntry) {
-	if d.bad = how; how != "" {
+	if d.badEntry = how; how != "" {
 		return
 	}
-	d.returned()
-	if d.o.Pushed && !d.silent {
-		d.wake()
+	d.markReachable()
+	if d.options.Pushed && !d.silent {
+		d.answerWatches()
 	}
 }
--- a/internal/testbench/standin/discovery_test.go
+++ b/internal/testbench/standin/discovery_test.go
@@ -356,7 +356,7 @@
 		{hosts("?after=x"), "400"},
 		{hosts("?after=-1"), "400"},
 		{hosts("?after=1&wait_ms=1e9"), "400"},
-		{"GET /" + strings.Repeat("x", mostHead), "431"},
+		{"GET /" + strings.Repeat("x", maxHeadBytes), "431"},
 	} {
 		w := r.dial(t, r.addr)
 		w.send(t, c.in)
--- a/internal/testbench/standin/faults_test.go
+++ b/internal/testbench/standin/faults_test.go
@@ -100,7 +100,7 @@
 		if !strings.HasPrefix(got, c.want) {
 			t.Errorf("%s: got %.40q", c.how, got)
 		}
-		if c.how == Endless && len(got) < mostEndless {
+		if c.how == Endless && len(got) < endlessBytes {
 			t.Errorf("the endless value ended after %d bytes", len(got))
 		}
 		s.notes.has(t, "replied i failed", 1)
@@ -113,7 +113,7 @@
 		noise bool
 		after Time
 		more  string
-	}{{false, 0, good}, {true, 0, noise}, {false, 100 * Millisecond, good}, {true, 100 * Millisecond, noise}} {
+	}{{false, 0, good}, {true, 0, noiseBytes}, {false, 100 * Millisecond, good}, {true, 100 * Millisecond, noiseBytes}} {
 		s, w := warmStand(t)
 		s.c.Double(1, c.noise, c.after)
 		w.send(t, get("k", "i"))
--- a/internal/testbench/standin/fleet.go
+++ b/internal/testbench/standin/fleet.go
@@ -78,22 +78,22 @@
 	Lists   map[string]string
 	Clients []*Client
 
-	o     Options
-	p     Places
-	rng   *rand.Rand
-	obs   rules.Observer
-	names int
+	options  Options
+	places   Places
+	rng      *rand.Rand
+	observer rules.Observer
+	created  int
 }
 
 // NewFleet sets a fleet up: its caches run, warm, and are on the list; the clients wait for Start. Each
 // part draws from a generator of its own, so that a change of one leaves the draws of the others.
 func NewFleet(o Options, p Places, rng *rand.Rand, obs rules.Observer) (*Fleet, error) {
-	f := &Fleet{o: o, p: p, rng: rng, obs: seen(obs), Repeats: NewRepeats(), Lists: map[string]string{}}
-	f.Workload = NewWorkload(o.Classes, f.part())
-	f.Keys = NewKeys(o.Keys, o.Zipf, o.Offset, f.part())
-	f.Store = NewStore(p.Store(), o.Store, f.part(), f.obs)
+	f := &Fleet{options: o, places: p, rng: rng, observer: observerOrBlind(obs), Repeats: NewRepeats(), Lists: map[string]string{}}
+	f.Workload = NewWorkload(o.Classes, f.newRand())
+	f.Keys = NewKeys(o.Keys, o.Zipf, o.Offset, f.newRand())
+	f.Store = NewStore(p.Store(), o.Store, f.newRand(), f.observer)
 	o.Discovery.Routers = o.Routers
-	f.Discovery = NewDiscovery(p.Discovery(), o.Discovery, f.obs)
+	f.Discovery = NewDiscovery(p.Discovery(), o.Discovery, f.observer)
 	for _, r := range o.Routers {
 		addr, err := f.Discovery.Open(f.listen("discovery", r), r)
 		if err != nil {
@@ -117,16 +117,16 @@
 
 // warm fills the memories of the caches that run at the start with what routers have asked them for.
 func (f *Fleet) warm() {
-	if f.o.Placement == nil {
+	if f.options.Placement == nil {
 		return
 	}
 	var names []string
 	for _, c := range f.Caches {
 		names = append(names, c.Name())
 	}
-	home := f.o.Placement(names)
+	home := f.options.Placement(names)
 	keys := map[string][]string{}
-	for _, key := range f.Keys.Popular(f.o.Keys) {
+	for _, key := range f.Keys.Popular(f.options.Keys) {
 		name := home(key)
 		keys[name] = append(keys[name], key)
 	}
@@ -135,14 +135,14 @@
 	}
 }
 
-// part is a generator for one part.
-func (f *Fleet) part() *rand.Rand { return rand.New(rand.NewPCG(f.rng.Uint64(), f.rng.Uint64())) }
+// newRand is a generator for one part.
+func (f *Fleet) newRand() *rand.Rand { return rand.New(rand.NewPCG(f.rng.Uint64(), f.rng.Uint64())) }
 
 func (f *Fleet) listen(standin, router string) string {
-	if f.p.Listen == nil {
+	if f.places.Listen == nil {
 		return "127.0.0.1:0"
 	}
-	return f.p.Listen(standin, router)
+	return f.places.Listen(standin, router)
 }
 
 // AddCache starts one more cache and has discovery name it. A warm one holds the most popular keys.
@@ -176,10 +176,10 @@
 		return err
 	}
 	f.Discovery.change(func(d *Discovery) {
-		if l := d.line(c.Name()); l != nil {
+		if l := d.entry(c.Name()); l != nil {
 			e := l.Entry
 			e.Since = now
-			d.set(e)
+			d.setEntry(e)
 		}
 	})
 	return nil
@@ -187,23 +187,23 @@
 
 // newCache starts a cache, in the zone of an old one and, where it is to be, at its addresses.
 func (f *Fleet) newCache(cold bool, old *Cache, sameAddress bool) (*Cache, Entry, error) {
-	o := f.o.Cache
-	o.Zone = f.o.Zones[f.names%len(f.o.Zones)]
-	o.Group = f.names % len(f.o.Zones)
+	o := f.options.Cache
+	o.Zone = f.options.Zones[f.created%len(f.options.Zones)]
+	o.Group = f.created % len(f.options.Zones)
 	if old != nil {
-		o.Zone, o.Group = old.o.Zone, old.o.Group
+		o.Zone, o.Group = old.options.Zone, old.options.Group
 	}
-	f.names++
-	o.Name = fmt.Sprintf("s-%08x", uint32(mix(uint64(f.names))))
+	f.created++
+	o.Name = fmt.Sprintf("s-%08x", uint32(mix(uint64(f.created))))
 	var m machine.Machine
 	if sameAddress {
 		m = old.m
 	} else {
-		m = f.p.Cache(o.Name, o.Zone)
+		m = f.places.Cache(o.Name, o.Zone)
 	}
-	c := NewCache(m, o, CacheParts{f.Workload, f.Store, f.Repeats, f.obs}, f.part())
+	c := NewCache(m, o, CacheParts{f.Workload, f.Store, f.Repeats, f.observer}, f.newRand())
 	e := Entry{Name: o.Name, Zone: o.Zone, Type: "std-6", Group: o.Group, Weight: 1, Addresses: map[string]string{}}
-	routers := f.o.Routers
+	routers := f.options.Routers
 	if o.RouterOf != nil {
 		routers = append([]string{""}, routers...) // an address for all of them, as a registry tells
 	}
@@ -233,19 +233,19 @@
 }
 
 func (f *Fleet) addClient(i int) {
-	o := f.o.Client
-	o.Zone = f.o.Zones[i%len(f.o.Zones)]
-	o.Classes, o.Keys, o.Rate = f.o.Classes, f.Keys, o.Rate/float64(f.o.Clients)
+	o := f.options.Client
+	o.Zone = f.options.Zones[i%len(f.options.Zones)]
+	o.Classes, o.Keys, o.Rate = f.options.Classes, f.Keys, o.Rate/float64(f.options.Clients)
 	if o.Routers == nil {
 		zone := o.Zone
-		o.Routers = func() []Target { return f.p.Routers(zone) }
+		o.Routers = func() []Target { return f.places.Routers(zone) }
 	}
-	m := f.p.Client(fmt.Sprintf("c-%d", i+1), o.Zone)
-	f.Clients = append(f.Clients, NewClient(m, o, f.Workload, f.part(), f.obs))
+	m := f.places.Client(fmt.Sprintf("c-%d", i+1), o.Zone)
+	f.Clients = append(f.Clients, NewClient(m, o, f.Workload, f.newRand(), f.observer))
 }
 
 // Routers are the names of the routers.
-func (f *Fleet) Routers() []string { return f.o.Routers }
+func (f *Fleet) Routers() []string { return f.options.Routers }
 
 // Start has the clients begin.
 func (f *Fleet) Start() {
@@ -273,7 +273,7 @@
 // Tallies are the counts of all clients, by class.
 func (f *Fleet) Tallies() []*Tally {
 	var all []*Tally
-	for i, class := range f.o.Classes {
+	for i, class := range f.options.Classes {
 		sum := &Tally{Class: class.Name}
 		for _, c := range f.Clients {
 			sum.Add(c.Tallies()[i])
--- a/internal/testbench/standin/fleet_test.go
+++ b/internal/testbench/standin/fleet_test.go
@@ -26,10 +26,10 @@
 
 func (h *half) Writable() { h.flush() }
 func (h *half) Readable() {
-	err := h.fill(mostCommand)
+	err := h.fill(maxCommandBytes)
 	if h.other.conn != nil {
-		h.other.send(h.in)
-		h.in = nil
+		h.other.send(h.received)
+		h.received = nil
 	}
 	if err != nil {
 		h.close()
@@ -46,7 +46,7 @@
 	p.next++
 	c := p.fleet.Caches[p.next%len(p.fleet.Caches)]
 	addr := ""
-	for _, d := range c.doors {
+	for _, d := range c.listeners {
 		if d.router == p.name {
 			addr = d.addr
 		}
@@ -60,8 +60,8 @@
 			return b
 		}
 		b.conn = conn
-		b.send(a.in)
-		a.in = nil
+		b.send(a.received)
+		a.received = nil
 		return b
 	})
 	return a
@@ -195,7 +195,7 @@
 		t.Fatal(err)
 	}
 	l.run(t, 3*Second)
-	if line := f.Discovery.line(warm.Name()); line.Since != restarted || !warm.WarmingUp() {
+	if line := f.Discovery.entry(warm.Name()); line.Since != restarted || !warm.WarmingUp() {
 		t.Errorf("discovery says that it started at %d, which was at %d", line.Since, restarted)
 	}
 }
--- a/internal/testbench/standin/hostile.go
+++ b/internal/testbench/standin/hostile.go
@@ -36,22 +36,22 @@
 
 // Hostile is a client that means harm.
 type Hostile struct {
-	m     machine.Machine
-	o     HostileOptions
-	rng   *rand.Rand
-	obs   rules.Observer
-	timer machine.Timer
-	conns []*hostileConn
-	next  int
+	m          machine.Machine
+	options    HostileOptions
+	rng        *rand.Rand
+	observer   rules.Observer
+	timer      machine.Timer
+	conns      []*hostileConn
+	nextRouter int
 	// Ended is the number of connections that the routers have ended.
 	Ended int
 }
 
 type hostileConn struct {
 	stream
-	h     *Hostile
-	timer machine.Timer
-	sent  int
+	client *Hostile
+	timer  machine.Timer
+	sent   int
 }
 
 // NewHostile is a hostile client that does nothing yet.
@@ -59,32 +59,32 @@
 	if o.MaxConnections == 0 {
 		o.MaxConnections = 64
 	}
-	return &Hostile{m: m, o: o, rng: rng, obs: seen(obs)}
+	return &Hostile{m: m, options: o, rng: rng, observer: observerOrBlind(obs)}
 }
 
 // Start has it begin.
 func (h *Hostile) Start() {
-	h.timer = h.m.At(h.m.Now()+h.o.Every, h.Start)
-	routers := h.o.Routers()
-	if len(h.conns) >= h.o.MaxConnections || len(routers) == 0 {
+	h.timer = h.m.At(h.m.Now()+h.options.Every, h.Start)
+	routers := h.options.Routers()
+	if len(h.conns) >= h.options.MaxConnections || len(routers) == 0 {
 		return
 	}
-	h.next++
-	to := routers[h.next%len(routers)]
+	h.nextRouter++
+	to := routers[h.nextRouter%len(routers)]
 	h.m.Dial(to.Addr, Second, func(conn machine.Conn, err error) machine.Handler {
 		if err != nil {
 			return nil
 		}
-		c := &hostileConn{stream: stream{conn: conn}, h: h}
+		c := &hostileConn{stream: stream{conn: conn}, client: h}
 		if h.timer == nil {
 			c.close()
 			return c
 		}
 		h.conns = append(h.conns, c)
-		if h.o.HoldFor > 0 {
-			c.timer = h.m.At(h.m.Now()+h.o.HoldFor, c.drop)
+		if h.options.HoldFor > 0 {
+			c.timer = h.m.At(h.m.Now()+h.options.HoldFor, c.drop)
 		}
-		c.harm(to.Name)
+		c.start(to.Name)
 		return c
 	})
 }
@@ -105,64 +105,64 @@
 
 // Bounds of what a connection is sent.
 const (
-	mostHarm  = 4 << 20
-	abandoned = 40
-	deafReads = 200
+	maxLineBytes   = 4 << 20
+	abandonedReads = 40
+	unreadReads    = 200
 )
 
-func (c *hostileConn) harm(router string) {
-	switch c.h.o.Harm {
+func (c *hostileConn) start(router string) {
+	switch c.client.options.Harm {
 	case BadBytes:
 		b := make([]byte, 256)
 		for i := range b {
-			b[i] = byte(c.h.rng.Uint32())
+			b[i] = byte(c.client.rng.Uint32())
 		}
 		c.send(b)
 	case EndlessLine:
-		c.more()
+		c.sendEndlessLine()
 	case HalfCommand:
-		b, _ := c.read()
+		b, _ := c.encodeRead()
 		c.send(b[:len(b)-3])
 	case Abandons:
-		c.reads(router, abandoned, false)
+		c.sendReads(router, abandonedReads, false)
 		c.drop()
 	case NeverReads:
-		c.reads(router, deafReads, true)
+		c.sendReads(router, unreadReads, true)
 	}
 }
 
-// read is one read as a client writes it.
-func (c *hostileConn) read() (b []byte, t *try) {
-	h := c.h
-	client := &Client{m: h.m, o: ClientOptions{Tenant: "hostile"}}
-	t = &try{id: fmt.Sprintf("%016x", h.rng.Uint64()), deadline: h.m.Now() + h.o.Class.ClientTimeout}
-	t.req = &request{c: client, class: &h.o.Class, key: h.o.Keys.Draw(h.rng)}
-	return t.words(h.m.Now()), t
+// encodeRead is one read as a client writes it.
+func (c *hostileConn) encodeRead() (b []byte, t *clientAttempt) {
+	h := c.client
+	client := &Client{m: h.m, options: ClientOptions{Tenant: "hostile"}}
+	t = &clientAttempt{id: fmt.Sprintf("%016x", h.rng.Uint64()), deadline: h.m.Now() + h.options.Class.ClientTimeout}
+	t.request = &request{client: client, class: &h.options.Class, key: h.options.Keys.Draw(h.rng)}
+	return t.encode(h.m.Now()), t
 }
 
-// reads writes whole reads, one behind the other. It waits for none of them: nothing is owed for them.
-func (c *hostileConn) reads(router string, n int, stays bool) {
-	now := c.h.m.Now()
+// sendReads writes whole reads, one behind the other. It waits for none of them: nothing is owed for them.
+func (c *hostileConn) sendReads(router string, n int, stays bool) {
+	now := c.client.m.Now()
 	for range n {
-		b, t := c.read()
-		if c.send(b) != nil || len(c.out) > 0 {
+		b, t := c.encodeRead()
+		if c.send(b) != nil || len(c.unsent) > 0 {
 			return // it did not go out whole
 		}
-		c.h.obs.Asked(now, rules.Ask{ID: t.id, Router: router, Class: c.h.o.Class.Name, Key: t.req.key, Sent: now,
+		c.client.observer.Asked(now, rules.Ask{ID: t.id, Router: router, Class: c.client.options.Class.Name, Key: t.request.key, Sent: now,
 			Deadline: t.deadline, Forgone: stays})
 		if !stays {
-			c.h.obs.Left(now, t.id)
+			c.client.observer.Left(now, t.id)
 		}
 	}
 }
 
-// more sends more of a line without an end.
-func (c *hostileConn) more() {
+// sendEndlessLine sends more of a line without an end.
+func (c *hostileConn) sendEndlessLine() {
 	piece := []byte(strings.Repeat("x", 1024))
-	for c.sent < mostHarm && len(c.out) == 0 && !c.closed {
+	for c.sent < maxLineBytes && len(c.unsent) == 0 && !c.closed {
 		c.sent += len(piece)
 		if c.send(piece) != nil {
-			c.ended()
+			c.routerEnded()
 		}
 	}
 }
@@ -173,30 +173,30 @@
 		return
 	}
 	if c.flush() != nil {
-		c.ended()
+		c.routerEnded()
 		return
 	}
-	if c.h.o.Harm == EndlessLine {
-		c.more()
+	if c.client.options.Harm == EndlessLine {
+		c.sendEndlessLine()
 	}
 }
 
 // Readable takes no notice of what comes, but for the end.
 func (c *hostileConn) Readable() {
-	if c.closed || c.h.o.Harm == NeverReads {
+	if c.closed || c.client.options.Harm == NeverReads {
 		return
 	}
-	for c.left = true; c.left; {
-		c.in = c.in[:0]
-		if c.fill(mostCommand) != nil {
-			c.ended()
+	for c.moreToRead = true; c.moreToRead; {
+		c.received = c.received[:0]
+		if c.fill(maxCommandBytes) != nil {
+			c.routerEnded()
 			return
 		}
 	}
 }
 
-func (c *hostileConn) ended() {
-	c.h.Ended++
+func (c *hostileConn) routerEnded() {
+	c.client.Ended++
 	c.drop()
 }
 
@@ -208,5 +208,5 @@
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	c.h.conns = without(c.h.conns, c)
+	c.client.conns = removeFirst(c.client.conns, c)
 }
--- a/internal/testbench/standin/keys.go
+++ b/internal/testbench/standin/keys.go
@@ -10,33 +10,33 @@
 // Keys is a space of keys of which few are popular: the one of rank i is asked for in proportion to
 // 1/(i+offset)^exponent.
 type Keys struct {
-	sums []float64
-	salt uint64
-	hot  int     // keys that draw more than their part for now
-	more float64 // and the share that they draw
+	cumulative  []float64
+	salt        uint64
+	hotKeys     int     // keys that draw more than their part for now
+	hotFraction float64 // and the share that they draw
 }
 
 // NewKeys is a space of n keys.
 func NewKeys(n int, exponent, offset float64, rng *rand.Rand) *Keys {
-	k := &Keys{sums: make([]float64, n), salt: rng.Uint64()}
+	k := &Keys{cumulative: make([]float64, n), salt: rng.Uint64()}
 	sum := 0.0
-	for i := range k.sums {
+	for i := range k.cumulative {
 		sum += math.Pow(float64(i)+max(offset, 1), -exponent)
-		k.sums[i] = sum
+		k.cumulative[i] = sum
 	}
 	return k
 }
 
 // Heat has so many keys draw a share of all requests besides; 0 ends that.
-func (k *Keys) Heat(keys int, share float64) { k.hot, k.more = keys, share }
+func (k *Keys) Heat(keys int, share float64) { k.hotKeys, k.hotFraction = keys, share }
 
 // Draw is the key of a request.
 func (k *Keys) Draw(rng *rand.Rand) string {
-	if k.hot > 0 && chance(rng, k.more) {
-		return k.Name(len(k.sums) + rng.IntN(k.hot)) // unknown to any cache so far
+	if k.hotKeys > 0 && chance(rng, k.hotFraction) {
+		return k.Name(len(k.cumulative) + rng.IntN(k.hotKeys)) // unknown to any cache so far
 	}
-	at, _ := slices.BinarySearch(k.sums, rng.Float64()*k.sums[len(k.sums)-1])
-	return k.Name(min(at, len(k.sums)-1))
+	at, _ := slices.BinarySearch(k.cumulative, rng.Float64()*k.cumulative[len(k.cumulative)-1])
+	return k.Name(min(at, len(k.cumulative)-1))
 }
 
 // Name is the key of that rank, 16 hexadecimal digits.
@@ -46,9 +46,9 @@
 func (k *Keys) Fraction(rank int) float64 {
 	before := 0.0
 	if rank > 0 {
-		before = k.sums[rank-1]
+		before = k.cumulative[rank-1]
 	}
-	return (k.sums[rank] - before) / k.sums[len(k.sums)-1]
+	return (k.cumulative[rank] - before) / k.cumulative[len(k.cumulative)-1]
 }
 
 // Mass is the part of all requests that the first n keys draw together.
@@ -56,13 +56,13 @@
 	if n <= 0 {
 		return 0
 	}
-	return k.sums[min(n, len(k.sums))-1] / k.sums[len(k.sums)-1]
+	return k.cumulative[min(n, len(k.cumulative))-1] / k.cumulative[len(k.cumulative)-1]
 }
 
 // Popular is the names of the first n keys, the most popular last.
 func (k *Keys) Popular(n int) []string {
 	var names []string
-	for i := min(n, len(k.sums)) - 1; i >= 0; i-- {
+	for i := min(n, len(k.cumulative)) - 1; i >= 0; i-- {
 		names = append(names, k.Name(i))
 	}
 	return names
--- /dev/null
+++ b/internal/testbench/standin/lru_memory.go
@@ -0,0 +1,40 @@
+package standin
+
+import "container/list"
+
+// lruMemory is the keys that a cache holds; the one used longest ago goes first.
+type lruMemory struct {
+	capacity int
+	order    *list.List // of keys, the latest first
+	at       map[string]*list.Element
+}
+
+func newLRUMemory(most int) *lruMemory {
+	return &lruMemory{capacity: most, order: list.New(), at: map[string]*list.Element{}}
+}
+
+// use reports whether the key is held, and counts as a use of it.
+func (m *lruMemory) use(key string) bool {
+	e := m.at[key]
+	if e != nil {
+		m.order.MoveToFront(e)
+	}
+	return e != nil
+}
+
+func (m *lruMemory) add(key string) {
+	if m.use(key) || m.capacity <= 0 {
+		return
+	}
+	m.at[key] = m.order.PushFront(key)
+	if len(m.at) > m.capacity {
+		m.remove(m.order.Back().Value.(string))
+	}
+}
+
+func (m *lruMemory) remove(key string) {
+	if e := m.at[key]; e != nil {
+		m.order.Remove(e)
+		delete(m.at, key)
+	}
+}
--- a/internal/testbench/standin/capacity.go
+++ b/internal/testbench/standin/processor.go
@@ -44,177 +44,179 @@
 	start func()  // it holds a slot: run, or leave it
 	done  func()  // the work is done, the slot is free again
 
-	state   jobState
-	slotted bool
-	finish  float64 // attained service at which it is done
-	seq     uint64
-	index   int // in the heap
+	state    jobState
+	usesSlot bool
+	finishAt float64 // attained service at which it is done
+	sequence uint64
+	index    int // in the heap
 }
 
 type jobState uint8
 
 const (
-	idle jobState = iota
-	queued
-	held // holds a slot, does no work
-	running
+	jobIdle jobState = iota
+	jobQueued
+	jobHoldingSlot // holds a slot, does no work
+	jobRunning
 )
 
 // processor shares its cores evenly among the running jobs, each of which gets one core at the most.
 // All running jobs go at one rate, so one count of attained service orders their ends.
 type processor struct {
-	m  machine.Machine
-	o  *Capacity
-	up Time
-	// coldFor is 0 for a start that is warm.
-	coldFor Time
-
-	jobs     jobHeap
-	queue    []*job
-	slots    int // in use
-	attained float64
-	last     Time
-	rateAt   float64 // service of each job in each µs since last
-	seq      uint64
-	timer    machine.Timer
-	slow     float64 // how many times slower a fault makes it
-	choked   float64 // and a choke; 1 without
-	halted   bool
-	tax      float64 // share of the connection table that is full
-	busy     bool    // dispatch is under way
-	crowd    *crowd
+	m         machine.Machine
+	capacity  *Capacity
+	startedAt Time
+	// slowStartWindow is 0 for a start that is warm.
+	slowStartWindow Time
+
+	jobs             jobHeap
+	queue            []*job
+	usedSlots        int // in use
+	attained         float64
+	advancedAt       Time
+	currentRate      float64 // service of each job in each µs since last
+	seq              uint64
+	timer            machine.Timer
+	slowFactor       float64 // how many times slower a fault makes it
+	congestionFactor float64 // and a choke; 1 without
+	halted           bool
+	tableOccupancy   float64 // share of the connection table that is full
+	dispatching      bool    // dispatch is under way
+	congestion       *congestionMonitor
 }
 
 func newProcessor(m machine.Machine, o *Capacity, cold bool) *processor {
-	p := &processor{m: m, o: o, up: m.Now(), last: m.Now(), slow: 1, choked: 1}
+	p := &processor{m: m, capacity: o, startedAt: m.Now(), advancedAt: m.Now(), slowFactor: 1, congestionFactor: 1}
 	if cold {
-		p.coldFor = o.SlowStartWindow
+		p.slowStartWindow = o.SlowStartWindow
 	}
 	if o.Congestion.Slowdown > 1 {
-		p.crowd = newCrowd(p)
+		p.congestion = newCongestionMonitor(p)
 	}
 	return p
 }
 
-// warmth is the share of its capacity that it has by now.
-func (p *processor) warmth() float64 {
-	age := p.m.Now() - p.up
-	if age >= p.coldFor {
+// capacityFraction is the share of its capacity that it has by now.
+func (p *processor) capacityFraction() float64 {
+	age := p.m.Now() - p.startedAt
+	if age >= p.slowStartWindow {
 		return 1
 	}
-	return p.o.SlowStartMinCapacity + (1-p.o.SlowStartMinCapacity)*float64(age)/float64(p.coldFor)
+	return p.capacity.SlowStartMinCapacity + (1-p.capacity.SlowStartMinCapacity)*float64(age)/float64(p.slowStartWindow)
 }
 
-// able is the work it can do in each µs now, faults and crowds aside.
-func (p *processor) able() float64 { return p.o.Cores * p.speed() * p.warmth() }
+// availableRate is the work it can do in each µs now, faults and crowds aside.
+func (p *processor) availableRate() float64 {
+	return p.capacity.Cores * p.speed() * p.capacityFraction()
+}
 
 func (p *processor) speed() float64 {
-	if p.o.Speed > 0 {
-		return p.o.Speed
+	if p.capacity.Speed > 0 {
+		return p.capacity.Speed
 	}
 	return 1
 }
 
-// holds is the number of requests that run or wait.
-func (p *processor) holds() int { return len(p.queue) + p.slots }
+// pending is the number of requests that run or wait.
+func (p *processor) pending() int { return len(p.queue) + p.usedSlots }
 
-func (p *processor) rate() float64 {
+func (p *processor) jobRate() float64 {
 	if p.halted || len(p.jobs) == 0 {
 		return 0
 	}
-	over := float64(p.holds())/p.o.Cores - p.o.ThrashAt
-	share := p.o.Cores * p.warmth() / float64(len(p.jobs))
+	over := float64(p.pending())/p.capacity.Cores - p.capacity.ThrashAt
+	share := p.capacity.Cores * p.capacityFraction() / float64(len(p.jobs))
 	if over > 0 {
-		share /= 1 + p.o.Thrash*over
+		share /= 1 + p.capacity.Thrash*over
 	}
-	share *= 1 - p.o.FullTableSlowdown*p.tax
-	return min(1, share) * p.speed() / (p.slow * p.choked)
+	share *= 1 - p.capacity.FullTableSlowdown*p.tableOccupancy
+	return min(1, share) * p.speed() / (p.slowFactor * p.congestionFactor)
 }
 
 // change makes a change to what the rate depends on.
 func (p *processor) change(f func()) {
 	p.advance()
 	f()
-	p.plan()
+	p.scheduleTick()
 }
 
 // advance books the service since the last call. The rate was constant meanwhile, or nearly so.
 func (p *processor) advance() {
 	now := p.m.Now()
-	p.attained += float64(now-p.last) * p.rateAt
-	p.last = now
+	p.attained += float64(now-p.advancedAt) * p.currentRate
+	p.advancedAt = now
 }
 
-// coldStep is how long the rate is held constant while it rises.
-const coldStep = 50 * Millisecond
+// slowStartStep is how long the rate is held constant while it rises.
+const slowStartStep = 50 * Millisecond
 
-// plan sets the timer to the next end, or to the next step of warmth.
-func (p *processor) plan() {
+// scheduleTick sets the timer to the next end, or to the next step of warmth.
+func (p *processor) scheduleTick() {
 	if p.timer != nil {
 		p.timer.Stop()
 		p.timer = nil
 	}
-	p.rateAt = p.rate()
-	if p.rateAt <= 0 {
+	p.currentRate = p.jobRate()
+	if p.currentRate <= 0 {
 		return
 	}
-	left := (p.jobs[0].finish - p.attained) / p.rateAt
+	left := (p.jobs[0].finishAt - p.attained) / p.currentRate
 	wait := Time(min(math.Ceil(max(left, 0)), float64(Second)*1e6))
-	if p.warmth() < 1 {
-		wait = min(wait, coldStep)
+	if p.capacityFraction() < 1 {
+		wait = min(wait, slowStartStep)
 	}
 	p.timer = p.m.At(p.m.Now()+wait, p.tick)
 }
 
-// nearly is the service that may be missing at a job's end, for the rounding of many additions.
-const nearly = 0.01
+// roundingTolerance is the service that may be missing at a job's end, for the rounding of many additions.
+const roundingTolerance = 0.01
 
 func (p *processor) tick() {
 	p.timer = nil
 	p.advance()
-	for len(p.jobs) > 0 && p.jobs[0].finish <= p.attained+nearly && !p.halted {
+	for len(p.jobs) > 0 && p.jobs[0].finishAt <= p.attained+roundingTolerance && !p.halted {
 		j := p.jobs[0]
 		p.remove(j)
 		j.done()
 		p.advance() // done may have stopped the process or begun new work
 	}
 	p.dispatch()
-	p.plan()
+	p.scheduleTick()
 }
 
-// admit takes a job into the queue, or reports that there is no room for it.
-func (p *processor) admit(j *job) bool {
-	if p.slots >= p.o.ConcurrentRequests && len(p.queue) >= p.o.Queue && !p.halted {
+// enqueue takes a job into the queue, or reports that there is no room for it.
+func (p *processor) enqueue(j *job) bool {
+	if p.usedSlots >= p.capacity.ConcurrentRequests && len(p.queue) >= p.capacity.Queue && !p.halted {
 		return false
 	}
-	j.state, j.slotted = queued, true
+	j.state, j.usesSlot = jobQueued, true
 	p.change(func() { p.queue = append(p.queue, j) })
 	p.dispatch()
 	return true
 }
 
-// readmit takes a job in again that was admitted before, ahead of those that wait.
-func (p *processor) readmit(j *job) {
-	j.state = queued
+// enqueueFirst takes a job in again that was admitted before, ahead of those that wait.
+func (p *processor) enqueueFirst(j *job) {
+	j.state = jobQueued
 	p.change(func() { p.queue = append([]*job{j}, p.queue...) })
 	p.dispatch()
 }
 
-// beside runs a job that takes no slot.
-func (p *processor) beside(j *job) { p.run(j) }
+// runWithoutSlot runs a job that takes no slot.
+func (p *processor) runWithoutSlot(j *job) { p.run(j) }
 
 // run begins the work of a job that holds its slot, or needs none.
 func (p *processor) run(j *job) {
 	p.change(func() {
 		p.seq++
-		j.state, j.seq, j.finish = running, p.seq, p.attained+j.work
+		j.state, j.sequence, j.finishAt = jobRunning, p.seq, p.attained+j.work
 		heap.Push(&p.jobs, j)
 	})
 }
 
-// leave takes a job out, whatever its state, and hands its slot on.
-func (p *processor) leave(j *job) {
-	if j.state == idle {
+// release takes a job out, whatever its state, and hands its slot on.
+func (p *processor) release(j *job) {
+	if j.state == jobIdle {
 		return
 	}
 	p.change(func() { p.remove(j) })
@@ -223,45 +225,45 @@
 
 func (p *processor) remove(j *job) {
 	switch j.state {
-	case queued:
+	case jobQueued:
 		for i, q := range p.queue {
 			if q == j {
 				p.queue = append(p.queue[:i], p.queue[i+1:]...)
 				break
 			}
 		}
-	case running:
+	case jobRunning:
 		heap.Remove(&p.jobs, j.index)
 		fallthrough
-	case held:
+	case jobHoldingSlot:
 		// The danger: a job that was held when the process ended comes back to one that has no slots in use.
-		if j.slotted && p.slots > 0 {
-			p.slots--
+		if j.usesSlot && p.usedSlots > 0 {
+			p.usedSlots--
 		}
 	}
-	j.state = idle
+	j.state = jobIdle
 }
 
 // dispatch gives free slots to those that wait.
 func (p *processor) dispatch() {
-	if p.busy {
+	if p.dispatching {
 		return
 	}
-	p.busy = true
-	for p.slots < p.o.ConcurrentRequests && len(p.queue) > 0 && !p.halted {
+	p.dispatching = true
+	for p.usedSlots < p.capacity.ConcurrentRequests && len(p.queue) > 0 && !p.halted {
 		j := p.queue[0]
 		p.advance()
 		p.queue = append(p.queue[:0], p.queue[1:]...)
-		j.state = held
-		p.slots++
-		p.plan()
+		j.state = jobHoldingSlot
+		p.usedSlots++
+		p.scheduleTick()
 		j.start()
 	}
-	p.busy = false
+	p.dispatching = false
 }
 
-// halt stops all work, or lets it go on.
-func (p *processor) halt(on bool) {
+// setHalted stops all work, or lets it go on.
+func (p *processor) setHalted(on bool) {
 	p.change(func() { p.halted = on })
 	p.dispatch()
 }
@@ -270,14 +272,14 @@
 func (p *processor) stop() {
 	p.halted = true
 	for _, j := range append(p.queue, p.jobs...) {
-		j.state = idle
+		j.state = jobIdle
 	}
-	p.jobs, p.queue, p.slots = nil, nil, 0
+	p.jobs, p.queue, p.usedSlots = nil, nil, 0
 	if p.timer != nil {
 		p.timer.Stop()
 		p.timer = nil
 	}
-	p.crowd.stop()
+	p.congestion.stop()
 }
 
 // jobHeap orders running jobs by their ends, and those of one end by their beginnings.
@@ -285,10 +287,10 @@
 
 func (h jobHeap) Len() int { return len(h) }
 func (h jobHeap) Less(i, k int) bool {
-	if h[i].finish != h[k].finish {
-		return h[i].finish < h[k].finish
+	if h[i].finishAt != h[k].finishAt {
+		return h[i].finishAt < h[k].finishAt
 	}
-	return h[i].seq < h[k].seq
+	return h[i].sequence < h[k].sequence
 }
 func (h jobHeap) Swap(i, k int) {
 	h[i], h[k] = h[k], h[i]
--- a/internal/testbench/standin/capacity_test.go
+++ b/internal/testbench/standin/processor_test.go
@@ -129,7 +129,7 @@
 		w.send(t, get("k", fmt.Sprint(i)))
 	}
 	s.run(t, 4*Second)
-	if s.c.proc.choked != 3 {
+	if s.c.processor.congestionFactor != 3 {
 		t.Fatal("a crowd of 300 for three seconds did not choke it")
 	}
 	for s.c.Holds() > 0 {
@@ -148,15 +148,15 @@
 }
 
 func TestMemoryDropsTheKeyUsedLongestAgo(t *testing.T) {
-	m := newMemory(2)
-	m.keep("a")
-	m.keep("b")
+	m := newLRUMemory(2)
+	m.add("a")
+	m.add("b")
 	m.use("a")
-	m.keep("c")
+	m.add("c")
 	if !m.use("a") || m.use("b") || !m.use("c") {
 		t.Error("b was used longest ago, and something else went")
 	}
-	m.void("a")
+	m.remove("a")
 	if m.use("a") {
 		t.Error("a is void and still held")
 	}
@@ -216,7 +216,7 @@
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "a"))
 	s.run(t, 10*Millisecond)
-	s.c.void("k")
+	s.c.invalidate("k")
 	s.run(t, Second)
 	w.send(t, get("k", "b"))
 	s.run(t, Second)
@@ -257,7 +257,7 @@
 
 func TestStoreFailsWhatItCannotQueue(t *testing.T) {
 	s := newStand(t, cacheOptions())
-	s.store.o.Concurrency, s.store.o.Queue = 1, 1
+	s.store.options.Concurrency, s.store.options.Queue = 1, 1
 	w := s.dial(t, s.addr)
 	w.send(t, get("a", "1")+get("b", "2")+get("c", "3"))
 	s.run(t, 2*Second)
@@ -273,7 +273,7 @@
 		ok, failed := 0, 0
 		gap := Time(float64(80*Millisecond) / (2 * multiple))
 		for at := Time(0); at < 4*Second && !s.Down(); at += gap {
-			s.call("k", false, "c", func(done bool) {
+			s.start("k", false, "c", func(done bool) {
 				if done {
 					ok++
 				} else {
@@ -293,7 +293,7 @@
 func TestStoreGoesOnWithAbandonedWorkWhereItDoes(t *testing.T) {
 	for _, goesOn := range []bool{false, true} {
 		s := newStand(t, cacheOptions())
-		s.store.o.KeepsAbandonedWork = goesOn
+		s.store.options.KeepsAbandonedWork = goesOn
 		w := s.dial(t, s.addr)
 		w.send(t, get("k", "i"))
 		s.run(t, Millisecond)
--- a/internal/testbench/standin/registry/evict.go
+++ b/internal/testbench/standin/registry/eviction.go
@@ -4,9 +4,9 @@
 
 const minute = 60 * Second
 
-// minute moves on to the minute that it is. The real server counts renewals by whole minutes too, from its start.
-func (r *Registry) minute() {
-	now := (r.m.Now() - r.start) / minute
+// updateMinute moves on to the minute that it is. The real server counts renewals by whole minutes too, from its start.
+func (r *Registry) updateMinute() {
+	now := (r.machine.Now() - r.start) / minute
 	if now == r.thisMinute {
 		return
 	}
@@ -20,28 +20,28 @@
 // Preserves reports whether too few renewals come for anything to be evicted: the registry takes it that
 // the network is at fault.
 func (r *Registry) Preserves() bool {
-	if r.o.NoPreservation {
+	if r.options.NoPreservation {
 		return false
 	}
-	r.minute()
-	expected := float64(len(r.leases)) * float64(minute) / float64(r.o.RenewEvery)
-	least := int64(expected * r.o.RenewalThreshold)
+	r.updateMinute()
+	expected := float64(len(r.leases)) * float64(minute) / float64(r.options.RenewEvery)
+	least := int64(expected * r.options.RenewalThreshold)
 	return least == 0 || r.lastRenewals <= least
 }
 
 // evict takes out instances whose leases are over, drawn by lot, so many at a time that the share of renewals is kept.
 func (r *Registry) evict() {
-	r.evicts = r.m.At(r.m.Now()+r.o.EvictEvery, r.evict)
+	r.evictTimer = r.machine.At(r.machine.Now()+r.options.EvictEvery, r.evict)
 	if r.Preserves() {
 		return
 	}
 	var over []*lease
 	for _, l := range r.leases {
-		if r.m.Now() > l.heard+l.time() {
+		if r.machine.Now() > l.renewedAt+l.duration() {
 			over = append(over, l)
 		}
 	}
-	most := len(r.leases) - int(float64(len(r.leases))*r.o.RenewalThreshold)
+	most := len(r.leases) - int(float64(len(r.leases))*r.options.RenewalThreshold)
 	r.rng.Shuffle(len(over), func(i, k int) { over[i], over[k] = over[k], over[i] })
 	for _, l := range over[:min(most, len(over))] {
 		// Each replica evicts by itself.
@@ -54,13 +54,13 @@
 
 // sweep drops the changes from the delta queue whose time is over.
 func (r *Registry) sweep() {
-	last := r.m.Now() - (r.m.Now()-r.start)%sweepEvery
-	over := slices.IndexFunc(r.queue, func(q queued) bool { return q.at >= last-r.o.DeltaTime })
+	last := r.machine.Now() - (r.machine.Now()-r.start)%sweepEvery
+	over := slices.IndexFunc(r.deltaQueue, func(q queuedChange) bool { return q.at >= last-r.options.DeltaTime })
 	if over < 0 {
-		over = len(r.queue)
+		over = len(r.deltaQueue)
 	}
 	if over > 0 {
-		r.queue = slices.Clone(r.queue[over:])
+		r.deltaQueue = slices.Clone(r.deltaQueue[over:])
 		r.version++
 	}
 }
--- a/internal/testbench/standin/registry/faults.go
+++ b/internal/testbench/standin/registry/faults.go
@@ -11,36 +11,36 @@
 
 // faults are what the registry does wrong.
 type faults struct {
-	silent    bool
-	status    int
-	slow      Time
-	truncate  bool
-	malform   bool
-	wrongHash bool
-	stale     *view
-	hidden    map[string]bool
-	lose      int
-	repeat    bool
-	old       *view
-	huge      int64
-	endless   bool
-
-	timers map[int64]machine.Timer // of slow answers, by the order in which they were asked for
-	asked  int64
+	silent       bool
+	status       int
+	delay        Time
+	truncate     bool
+	malform      bool
+	wrongHash    bool
+	stale        *view
+	hidden       map[string]bool
+	deltasToLose int
+	repeatDelta  bool
+	oldDelta     *view
+	hugeBytes    int64
+	endless      bool
+
+	delayTimers    map[int64]machine.Timer // of slow answers, by the order in which they were asked for
+	answersDelayed int64
 }
 
-func (f *faults) end() {
-	for _, t := range f.timers { // any order: all of them are stopped
+func (f *faults) stop() {
+	for _, t := range f.delayTimers { // any order: all of them are stopped
 		t.Stop()
 	}
-	f.timers = nil
+	f.delayTimers = nil
 }
 
 func (f *faults) losesDelta() bool {
-	if f.lose == 0 {
+	if f.deltasToLose == 0 {
 		return false
 	}
-	f.lose--
+	f.deltasToLose--
 	return true
 }
 
@@ -51,10 +51,10 @@
 func (r *Registry) Error(status int) { r.faults.status = status }
 
 // Refuse ends all connections, and each that comes from now on; or not any more. The state stays.
-func (r *Registry) Refuse(on bool) { r.http.Refuse(on) }
+func (r *Registry) Refuse(on bool) { r.server.Refuse(on) }
 
 // Slow has all answers come so much later; 0 ends that.
-func (r *Registry) Slow(d Time) { r.faults.slow = d }
+func (r *Registry) Slow(d Time) { r.faults.delay = d }
 
 // Truncate has answers with a body end in the middle, with the connection.
 func (r *Registry) Truncate(on bool) { r.faults.truncate = on }
@@ -65,36 +65,36 @@
 // WrongHash has lists carry a hash that is not theirs.
 func (r *Registry) WrongHash(on bool) {
 	r.faults.wrongHash = on
-	r.forget()
+	r.dropRendered()
 }
 
 // Stale has readers see the state of this moment from now on. Writers are served as ever.
 func (r *Registry) Stale(on bool) {
 	r.faults.stale = nil
 	if on {
-		r.faults.stale = r.shown()
+		r.faults.stale = r.visibleView()
 	}
 }
 
 // Empty loses all that was registered and all connections, as a server does that starts anew without replicas.
 func (r *Registry) Empty() {
-	r.http.DropAll()
-	marks := r.marks
+	r.server.DropAll()
+	marks := r.pendingMarks
 	for _, l := range r.leases {
 		marks = append(marks, mark{l.ID, Deleted})
 	}
-	r.marks = nil
-	r.leases, r.queue, r.overrides = nil, nil, map[string]string{}
-	r.start, r.thisMinute, r.renewals, r.lastRenewals = r.m.Now(), 0, 0, 0
+	r.pendingMarks = nil
+	r.leases, r.deltaQueue, r.overrides = nil, nil, map[string]string{}
+	r.start, r.thisMinute, r.renewals, r.lastRenewals = r.machine.Now(), 0, 0, 0
 	r.version++
-	if r.o.CacheTime > 0 {
-		r.cached = r.view()
+	if r.options.CacheTime > 0 {
+		r.cached = r.currentView()
 	}
-	if r.o.OnMark == nil {
+	if r.options.OnMark == nil {
 		return
 	}
 	for _, m := range marks {
-		r.tell(m)
+		r.reportMark(m)
 	}
 }
 
@@ -104,39 +104,39 @@
 	for _, id := range ids {
 		r.faults.hidden[id] = true
 	}
-	r.forget()
-	if r.o.CacheTime > 0 {
-		r.cached = r.view()
+	r.dropRendered()
+	if r.options.CacheTime > 0 {
+		r.cached = r.currentView()
 	}
 }
 
 // DeltaLost has the next n changes never stand in deltas. The hash is that of the whole all the same.
-func (r *Registry) DeltaLost(n int) { r.faults.lose = n }
+func (r *Registry) DeltaLost(n int) { r.faults.deltasToLose = n }
 
 // DeltaRepeat has each entry of a delta stand there twice.
 func (r *Registry) DeltaRepeat(on bool) {
-	r.faults.repeat = on
-	r.forget()
+	r.faults.repeatDelta = on
+	r.dropRendered()
 }
 
 // DeltaOld has deltas stay as they are at this moment, with their hash, while the whole list goes on.
 func (r *Registry) DeltaOld(on bool) {
-	r.faults.old = nil
+	r.faults.oldDelta = nil
 	if on {
-		r.faults.old = r.shown()
+		r.faults.oldDelta = r.visibleView()
 	}
 }
 
 // Huge has lists answered with so many bytes of deeply nested JSON; 0 ends that.
-func (r *Registry) Huge(size int64) { r.faults.huge = size }
+func (r *Registry) Huge(size int64) { r.faults.hugeBytes = size }
 
 // Endless has lists answered with good instances, one after the other, that never end.
 func (r *Registry) Endless(on bool) { r.faults.endless = on }
 
-// forget has answers made anew.
-func (r *Registry) forget() {
+// dropRendered has answers made anew.
+func (r *Registry) dropRendered() {
 	r.version++
-	for _, v := range []*view{r.cached, r.faults.stale, r.faults.old} {
+	for _, v := range []*view{r.cached, r.faults.stale, r.faults.oldDelta} {
 		if v != nil {
 			v.bodies = map[string]rendered{}
 		}
@@ -146,23 +146,23 @@
 // answer gives an answer, with what is wrong with it at present.
 func (r *Registry) answer(x *httpserver.Exchange, a httpserver.Answer) {
 	f := &r.faults
-	if f.slow <= 0 {
+	if f.delay <= 0 {
 		r.spoil(x, a)
 		return
 	}
-	if f.timers == nil {
-		f.timers = map[int64]machine.Timer{}
+	if f.delayTimers == nil {
+		f.delayTimers = map[int64]machine.Timer{}
 	}
-	f.asked++
-	n := f.asked
+	f.answersDelayed++
+	n := f.answersDelayed
 	x.Gone = func() {
-		if t := f.timers[n]; t != nil {
+		if t := f.delayTimers[n]; t != nil {
 			t.Stop()
-			delete(f.timers, n)
+			delete(f.delayTimers, n)
 		}
 	}
-	f.timers[n] = r.m.At(r.m.Now()+f.slow, func() {
-		delete(f.timers, n)
+	f.delayTimers[n] = r.machine.At(r.machine.Now()+f.delay, func() {
+		delete(f.delayTimers, n)
 		r.spoil(x, a)
 	})
 }
@@ -171,12 +171,12 @@
 	f := &r.faults
 	list := x.Request.Method == http.MethodGet && a.Status == http.StatusOK
 	switch {
-	case f.huge > 0 && list:
+	case f.hugeBytes > 0 && list:
 		a.Body, a.Header = nil, jsonHeader
-		x.Stream(a, nested(f.huge))
+		x.Stream(a, nestedList(f.hugeBytes))
 	case f.endless && list:
 		a.Body, a.Header = nil, jsonHeader
-		x.Stream(a, instances())
+		x.Stream(a, endlessInstances())
 	case f.truncate && len(a.Body) > 0:
 		b := []byte("HTTP/1.1 " + strconv.Itoa(a.Status) + " " + http.StatusText(a.Status) + "\r\n")
 		for _, h := range a.Header {
@@ -192,8 +192,8 @@
 // pieceSize is how much of an answer is made at a time.
 const pieceSize = 16 << 10
 
-// nested gives a list, as one level in the other, until size bytes are given.
-func nested(size int64) func() []byte {
+// nestedList gives a list, as one level in the other, until size bytes are given.
+func nestedList(size int64) func() []byte {
 	const begin, end = `{"applications":{"application":`, `}}`
 	const open, shut = `[`, `]`
 	levels := max(1, (size-int64(len(begin)+len(end)))/2)
@@ -220,8 +220,8 @@
 	}
 }
 
-// instances gives a list that goes on for ever.
-func instances() func() []byte {
+// endlessInstances gives a list that goes on for ever.
+func endlessInstances() func() []byte {
 	n := 0
 	return func() []byte {
 		var b []byte
--- a/internal/testbench/standin/registry/instance.go
+++ b/internal/testbench/standin/registry/instance.go
@@ -76,27 +76,27 @@
 	CountryID      number       `json:"countryId"`
 	DataCenter     *wireCenter  `json:"dataCenterInfo,omitempty"`
 	Lease          *wireLease   `json:"leaseInfo,omitempty"`
-	Metadata       words        `json:"metadata"`
+	Metadata       stringMap    `json:"metadata"`
 	HomePageURL    string       `json:"homePageUrl,omitempty"`
 	StatusPageURL  string       `json:"statusPageUrl,omitempty"`
 	HealthCheckURL string       `json:"healthCheckUrl,omitempty"`
 	VIPAddress     string       `json:"vipAddress,omitempty"`
 	SecureVIP      string       `json:"secureVipAddress,omitempty"`
-	Coordinating   truth        `json:"isCoordinatingDiscoveryServer"`
+	Coordinating   quotedBool   `json:"isCoordinatingDiscoveryServer"`
 	LastUpdated    quotedNumber `json:"lastUpdatedTimestamp"`
 	LastDirty      quotedNumber `json:"lastDirtyTimestamp"`
 	Action         string       `json:"actionType,omitempty"`
 }
 
 type wirePort struct {
-	Number number `json:"$"`
-	On     truth  `json:"@enabled"`
+	Number number     `json:"$"`
+	On     quotedBool `json:"@enabled"`
 }
 
 type wireCenter struct {
-	Class    string `json:"@class"`
-	Name     string `json:"name"`
-	Metadata words  `json:"metadata,omitempty"`
+	Class    string    `json:"@class"`
+	Name     string    `json:"name"`
+	Metadata stringMap `json:"metadata,omitempty"`
 }
 
 type wireLease struct {
@@ -138,10 +138,10 @@
 	return strconv.AppendQuote(nil, strconv.FormatInt(int64(n), 10)), nil
 }
 
-// truth is a boolean, which is written as a string and read as either.
-type truth bool
+// quotedBool is a boolean, which is written as a string and read as either.
+type quotedBool bool
 
-func (t *truth) UnmarshalJSON(b []byte) error {
+func (t *quotedBool) UnmarshalJSON(b []byte) error {
 	switch strings.ToLower(strings.Trim(string(b), `"`)) {
 	case "true":
 		*t = true
@@ -153,24 +153,24 @@
 	return nil
 }
 
-func (t truth) MarshalJSON() ([]byte, error) {
+func (t quotedBool) MarshalJSON() ([]byte, error) {
 	return strconv.AppendQuote(nil, strconv.FormatBool(bool(t))), nil
 }
 
-// words are names with values. Numbers and booleans become their text; what is nested is refused.
-type words map[string]string
+// stringMap are names with values. Numbers and booleans become their text; what is nested is refused.
+type stringMap map[string]string
 
 const (
-	classKey = "@class"
-	noWords  = `{"@class":"java.util.Collections$EmptyMap"}`
+	classKey       = "@class"
+	emptyStringMap = `{"@class":"java.util.Collections$EmptyMap"}`
 )
 
-func (w *words) UnmarshalJSON(b []byte) error {
+func (w *stringMap) UnmarshalJSON(b []byte) error {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(b, &raw); err != nil {
 		return err
 	}
-	*w = words{}
+	*w = stringMap{}
 	for _, name := range slices.Sorted(maps.Keys(raw)) { // an error names the first
 		value := raw[name]
 		text := string(value)
@@ -189,20 +189,20 @@
 	return nil
 }
 
-func (w words) MarshalJSON() ([]byte, error) {
+func (w stringMap) MarshalJSON() ([]byte, error) {
 	if len(w) == 0 {
-		return []byte(noWords), nil
+		return []byte(emptyStringMap), nil
 	}
 	return json.Marshal(map[string]string(w))
 }
 
 // Defaults of what a registration leaves out, as the Java client has them.
 const (
-	usualRenewEvery = 30
-	usualLeaseTime  = 90
-	usualPort       = 7001
-	usualSecurePort = 7002
-	usualClass      = "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo"
+	defaultRenewEvery      = 30
+	defaultLeaseTime       = 90
+	defaultPort            = 7001
+	defaultSecurePort      = 7002
+	defaultDataCenterClass = "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo"
 )
 
 // readInstance reads the body of a registration.
@@ -239,7 +239,7 @@
 	in := Instance{
 		ID: w.InstanceID, App: strings.ToUpper(w.App), HostName: w.HostName, IPAddr: w.IPAddr,
 		Status: strings.ToUpper(w.Status), Overridden: strings.ToUpper(w.Overridden),
-		Port: usualPort, PortOn: true, SecurePort: usualSecurePort,
+		Port: defaultPort, PortOn: true, SecurePort: defaultSecurePort,
 		VIPAddress: w.VIPAddress, SecureVIP: w.SecureVIP,
 		HomePageURL: w.HomePageURL, StatusPageURL: w.StatusPageURL, HealthCheckURL: w.HealthCheckURL,
 		AppGroup: w.AppGroup, CountryID: int(w.CountryID), Metadata: w.Metadata, LastDirty: int64(w.LastDirty),
@@ -271,21 +271,21 @@
 		in.Overridden = Unknown
 	}
 	if in.DataClass == "" {
-		in.DataClass = usualClass
+		in.DataClass = defaultDataCenterClass
 	}
 	if in.ID == "" {
 		in.ID = in.HostName // as old clients have it
 	}
 	if in.RenewEvery <= 0 {
-		in.RenewEvery = usualRenewEvery
+		in.RenewEvery = defaultRenewEvery
 	}
 	if in.LeaseTime <= 0 {
-		in.LeaseTime = usualLeaseTime
+		in.LeaseTime = defaultLeaseTime
 	}
 }
 
-// mostLease bounds a lease's time, in s.
-const mostLease = 30 * 24 * 3600
+// maxLeaseSeconds bounds a lease's time, in s.
+const maxLeaseSeconds = 30 * 24 * 3600
 
 func (in *Instance) check() error {
 	for _, f := range []struct{ name, value string }{
@@ -302,8 +302,8 @@
 		most  int
 	}{
 		{"port", in.Port, 65535}, {"securePort", in.SecurePort, 65535},
-		{"leaseInfo.renewalIntervalInSecs", in.RenewEvery, mostLease},
-		{"leaseInfo.durationInSecs", in.LeaseTime, mostLease},
+		{"leaseInfo.renewalIntervalInSecs", in.RenewEvery, maxLeaseSeconds},
+		{"leaseInfo.durationInSecs", in.LeaseTime, maxLeaseSeconds},
 	} {
 		if f.value < 0 || f.value > f.most {
 			return fmt.Errorf("instance.%s: %d is out of range (wanted 0 to %d)", f.name, f.value, f.most)
@@ -330,8 +330,8 @@
 	w := wireInstance{
 		InstanceID: in.ID, HostName: in.HostName, App: in.App, AppGroup: in.AppGroup, IPAddr: in.IPAddr,
 		Status: in.Status, Overridden: in.Overridden,
-		Port:       &wirePort{number(in.Port), truth(in.PortOn)},
-		SecurePort: &wirePort{number(in.SecurePort), truth(in.SecurePortOn)},
+		Port:       &wirePort{number(in.Port), quotedBool(in.PortOn)},
+		SecurePort: &wirePort{number(in.SecurePort), quotedBool(in.SecurePortOn)},
 		CountryID:  number(in.CountryID),
 		DataCenter: &wireCenter{in.DataClass, in.DataCenter, in.DataMetadata},
 		Lease: &wireLease{number(in.RenewEvery), number(in.LeaseTime), number(l.Registered), number(l.LastRenewal),
--- a/internal/testbench/standin/registry/registry.go
+++ b/internal/testbench/standin/registry/registry.go
@@ -90,27 +90,27 @@
 
 // Registry is one replica.
 type Registry struct {
-	m     machine.Machine
-	o     Options
-	http  *httpserver.Server
-	rng   *rand.Rand
-	start Time
-	peers []*Registry
-
-	leases    []*lease // by app and id
-	overrides map[string]string
-	queue     []queued // changes for deltas, oldest first
-	closed    bool
-	version   int64 // of the state
-	answers   int64 // deltas made, which the real server counts
+	machine machine.Machine
+	options Options
+	server  *httpserver.Server
+	rng     *rand.Rand
+	start   Time
+	peers   []*Registry
+
+	leases     []*lease // by app and id
+	overrides  map[string]string
+	deltaQueue []queuedChange // changes for deltas, oldest first
+	closed     bool
+	version    int64 // of the state
+	deltasMade int64 // deltas made, which the real server counts
 
 	thisMinute, renewals, lastRenewals int64 // the minute's number, its renewals, those of the one before
 
-	evicts machine.Timer
-	ticks  machine.Timer // of the response cache
-	marks  []mark        // to be told when the cache is brought up to date
-	cached *view         // as callers see it, where there is a response cache
-	latest *view
+	evictTimer   machine.Timer
+	cacheTimer   machine.Timer // of the response cache
+	pendingMarks []mark        // to be told when the cache is brought up to date
+	cached       *view         // as callers see it, where there is a response cache
+	latest       *view
 
 	faults faults
 }
@@ -119,13 +119,13 @@
 type lease struct {
 	*Instance
 	Lease
-	heard Time // as the real server counts: the time of the last renewal, and a lease's time on top of it
+	renewedAt Time // as the real server counts: the time of the last renewal, and a lease's time on top of it
 }
 
-func (l *lease) time() Time { return Time(l.LeaseTime) * Second }
+func (l *lease) duration() Time { return Time(l.LeaseTime) * Second }
 
-// queued is a change in the delta queue.
-type queued struct {
+// queuedChange is a change in the delta queue.
+type queuedChange struct {
 	at   Time
 	item item
 }
@@ -135,32 +135,32 @@
 // New returns an empty registry that listens nowhere yet.
 func New(m machine.Machine, o Options) *Registry {
 	o.fill()
-	r := &Registry{m: m, o: o, start: m.Now(), overrides: map[string]string{},
+	r := &Registry{machine: m, options: o, start: m.Now(), overrides: map[string]string{},
 		rng: rand.New(rand.NewPCG(m.Entropy(), 1))}
-	r.http = httpserver.New(m, o.HTTP, r.serve)
-	r.evicts = m.At(m.Now()+o.EvictEvery, r.evict)
+	r.server = httpserver.New(m, o.HTTP, r.serve)
+	r.evictTimer = m.At(m.Now()+o.EvictEvery, r.evict)
 	if o.CacheTime > 0 {
-		r.cached = r.view()
-		r.ticks = m.At(m.Now()+o.CacheTime, r.tick)
+		r.cached = r.currentView()
+		r.cacheTimer = m.At(m.Now()+o.CacheTime, r.refreshCache)
 	}
 	return r
 }
 
 // Open listens at an address and returns the one that it got.
-func (r *Registry) Open(addr string) (string, error) { return r.http.Open(addr) }
+func (r *Registry) Open(addr string) (string, error) { return r.server.Open(addr) }
 
 // Base is the path under which all others are.
-func (r *Registry) Base() string { return r.o.Base }
+func (r *Registry) Base() string { return r.options.Base }
 
 // Close ends the registry.
 func (r *Registry) Close() {
 	r.closed = true
-	r.http.Close()
-	r.evicts.Stop()
-	if r.ticks != nil {
-		r.ticks.Stop()
+	r.server.Close()
+	r.evictTimer.Stop()
+	if r.cacheTimer != nil {
+		r.cacheTimer.Stop()
 	}
-	r.faults.end()
+	r.faults.stop()
 }
 
 // Register takes an instance in, as a call does, and tells the replicas.
@@ -174,7 +174,7 @@
 		return err
 	}
 	if in.LastDirty == 0 {
-		in.LastDirty = r.wall()
+		in.LastDirty = r.wallMillis()
 	}
 	return r.register(in, false)
 }
@@ -194,7 +194,7 @@
 	if l == nil {
 		return ErrUnknownInstance
 	}
-	return r.override(l.App, id, status, 0, false)
+	return r.setOverride(l.App, id, status, 0, false)
 }
 
 // Cancel takes an instance out.
@@ -215,7 +215,7 @@
 	return all
 }
 
-func (r *Registry) wall() int64 { return r.m.Wall() / Millisecond }
+func (r *Registry) wallMillis() int64 { return r.machine.Wall() / Millisecond }
 
 // find is where an instance is, or would be.
 func (r *Registry) find(app, id string) (int, bool) {
@@ -246,8 +246,8 @@
 	for name, value := range in.Metadata { // any order: a sum
 		size += len(name) + len(value)
 	}
-	if size > r.o.MaxMetadataBytes {
-		return fmt.Errorf("instance.metadata: %d bytes (wanted up to %d)", size, r.o.MaxMetadataBytes)
+	if size > r.options.MaxMetadataBytes {
+		return fmt.Errorf("instance.metadata: %d bytes (wanted up to %d)", size, r.options.MaxMetadataBytes)
 	}
 	at, known := r.find(in.App, in.ID)
 	var old *lease
@@ -256,7 +256,7 @@
 		if old.LastDirty > in.LastDirty { // it comes late: what is known is newer
 			in = *old.Instance
 		}
-	} else if len(r.leases) >= r.o.MaxInstances {
+	} else if len(r.leases) >= r.options.MaxInstances {
 		return ErrRegistryFull
 	}
 	if in.Overridden != Unknown && r.overrides[in.ID] == "" {
@@ -266,8 +266,8 @@
 		in.Overridden = o
 	}
 	in.Status = r.statusOf(&in, old, replicated)
-	now := r.wall()
-	l := &lease{Instance: &in, Lease: Lease{Registered: now, LastRenewal: now}, heard: r.m.Now()}
+	now := r.wallMillis()
+	l := &lease{Instance: &in, Lease: Lease{Registered: now, LastRenewal: now}, renewedAt: r.machine.Now()}
 	if old != nil {
 		l.ServiceUp = old.ServiceUp
 		r.leases[at] = l
@@ -312,7 +312,7 @@
 		l.Instance = &in
 		r.version++
 	}
-	r.minute()
+	r.updateMinute()
 	r.renewals++
 	r.extend(l)
 	if !replicated {
@@ -329,14 +329,14 @@
 
 // extend renews a lease.
 func (r *Registry) extend(l *lease) {
-	l.LastRenewal = r.wall()
+	l.LastRenewal = r.wallMillis()
 	// The real server sets the time of the last renewal a lease's time too late, and so a lease that was
 	// renewed once lasts twice as long as it says.
-	l.heard = r.m.Now() + l.time()
+	l.renewedAt = r.machine.Now() + l.duration()
 }
 
-// override sets a status that goes before what the instance says itself.
-func (r *Registry) override(app, id, status string, dirty int64, replicated bool) error {
+// setOverride sets a status that goes before what the instance says itself.
+func (r *Registry) setOverride(app, id, status string, dirty int64, replicated bool) error {
 	l := r.lease(app, id)
 	if l == nil {
 		return ErrUnknownInstance
@@ -353,7 +353,7 @@
 		})
 	}
 	if !replicated {
-		r.replicate(func(p *Registry) { p.override(app, id, status, dirty, true) })
+		r.replicate(func(p *Registry) { p.setOverride(app, id, status, dirty, true) })
 	}
 	return nil
 }
@@ -390,7 +390,7 @@
 	l := r.leases[at]
 	r.leases = slices.Delete(r.leases, at, at+1)
 	delete(r.overrides, id)
-	l.Evicted = r.wall()
+	l.Evicted = r.wallMillis()
 	r.changed(l, Deleted)
 	if !replicated {
 		r.replicate(func(p *Registry) { p.cancel(app, id, true) })
@@ -409,46 +409,46 @@
 // changed takes a change to the callers, as far as they are shown it.
 func (r *Registry) changed(l *lease, action string) {
 	in := *l.Instance
-	in.Action, in.LastUpdated = action, r.wall()
+	in.Action, in.LastUpdated = action, r.wallMillis()
 	l.Instance = &in
 	if in.Status == Up && action != Deleted && l.ServiceUp == 0 {
-		l.ServiceUp = r.wall()
+		l.ServiceUp = r.wallMillis()
 	}
 	r.version++
 	if !r.faults.losesDelta() {
-		r.queue = append(r.queue, queued{r.m.Now(), item{&in, l.Lease}})
+		r.deltaQueue = append(r.deltaQueue, queuedChange{r.machine.Now(), item{&in, l.Lease}})
 	}
 	r.sweep()
 	// The danger: an instance that changes without a pause fills the memory. The real server has no bound here.
-	if most := changesEach * r.o.MaxInstances; len(r.queue) > most {
-		r.queue = slices.Clone(r.queue[len(r.queue)-most/2:])
+	if most := maxChangesPerInstance * r.options.MaxInstances; len(r.deltaQueue) > most {
+		r.deltaQueue = slices.Clone(r.deltaQueue[len(r.deltaQueue)-most/2:])
 	}
 	m := mark{in.ID, in.Status}
 	if action == Deleted {
 		m.status = Deleted
 	}
 	switch {
-	case r.o.OnMark == nil:
-	case r.o.CacheTime > 0:
-		r.marks = append(r.marks, m)
+	case r.options.OnMark == nil:
+	case r.options.CacheTime > 0:
+		r.pendingMarks = append(r.pendingMarks, m)
 	default:
-		r.tell(m)
+		r.reportMark(m)
 	}
 }
 
-// changesEach is how many changes the delta queue holds at the most, for each instance that there may be.
-const changesEach = 4
+// maxChangesPerInstance is how many changes the delta queue holds at the most, for each instance that there may be.
+const maxChangesPerInstance = 4
 
-func (r *Registry) tell(m mark) { r.o.OnMark(m.id, m.status, r.m.Now()) }
+func (r *Registry) reportMark(m mark) { r.options.OnMark(m.id, m.status, r.machine.Now()) }
 
-// tick brings the response cache up to date.
-func (r *Registry) tick() {
-	r.ticks = r.m.At(r.m.Now()+r.o.CacheTime, r.tick)
-	r.cached = r.view()
-	marks := r.marks
-	r.marks = nil
+// refreshCache brings the response cache up to date.
+func (r *Registry) refreshCache() {
+	r.cacheTimer = r.machine.At(r.machine.Now()+r.options.CacheTime, r.refreshCache)
+	r.cached = r.currentView()
+	marks := r.pendingMarks
+	r.pendingMarks = nil
 	for _, m := range marks {
-		r.tell(m)
+		r.reportMark(m)
 	}
 }
 
@@ -469,7 +469,7 @@
 	if len(r.peers) == 0 {
 		return
 	}
-	r.m.At(r.m.Now()+r.o.ReplicaDelay, func() {
+	r.machine.At(r.machine.Now()+r.options.ReplicaDelay, func() {
 		for _, p := range r.peers {
 			if !p.closed && !r.closed {
 				f(p)
--- a/internal/testbench/standin/registry/registry_test.go
+++ b/internal/testbench/standin/registry/registry_test.go
@@ -200,7 +200,7 @@
 	for i := range 100 {
 		f.r.SetStatus("a", []string{OutOfService, Up}[i%2])
 	}
-	if n := len(f.r.queue); n > 2*changesEach {
+	if n := len(f.r.deltaQueue); n > 2*maxChangesPerInstance {
 		t.Errorf("%d changes are kept", n)
 	}
 	f.shows("/apps/delta", "a UP MODIFIED", "UP_2_")
--- a/internal/testbench/standin/registry/rest.go
+++ b/internal/testbench/standin/registry/rest.go
@@ -21,7 +21,7 @@
 
 // call is a call with its path taken apart.
 type call struct {
-	x          *httpserver.Exchange
+	exchange   *httpserver.Exchange
 	method     string
 	path       []string // below the base
 	query      url.Values
@@ -46,18 +46,18 @@
 		a.Header = append(a.Header, httpserver.Header{Name: "WWW-Authenticate", Value: `Basic realm="eureka"`})
 		return a
 	}
-	c := call{x: x, method: x.Request.Method,
+	c := call{exchange: x, method: x.Request.Method,
 		replicated: strings.EqualFold(x.Request.Header.Get("x-netflix-discovery-replication"), "true")}
 	var err error
 	if c.query, err = url.ParseQuery(x.Request.URL.RawQuery); err != nil {
 		return httpserver.Text(http.StatusBadRequest, "the query can't be read")
 	}
-	rest, ok := strings.CutPrefix(x.Request.URL.EscapedPath(), r.o.Base)
-	if r.o.Base == "/" {
+	rest, ok := strings.CutPrefix(x.Request.URL.EscapedPath(), r.options.Base)
+	if r.options.Base == "/" {
 		rest, ok = x.Request.URL.EscapedPath(), true
 	}
 	if !ok || !strings.HasPrefix(rest, "/") {
-		return notFound("nothing is here but " + r.o.Base)
+		return notFound("nothing is here but " + r.options.Base)
 	}
 	for _, part := range strings.Split(strings.Trim(rest, "/"), "/") {
 		if part, err = url.PathUnescape(part); err != nil {
@@ -70,10 +70,10 @@
 
 // allowed checks the user and the password.
 func (r *Registry) allowed(q *http.Request) bool {
-	if r.o.User == "" && r.o.Password == "" {
+	if r.options.User == "" && r.options.Password == "" {
 		return true
 	}
-	want := "Basic " + base64.StdEncoding.EncodeToString([]byte(r.o.User+":"+r.o.Password))
+	want := "Basic " + base64.StdEncoding.EncodeToString([]byte(r.options.User+":"+r.options.Password))
 	return subtle.ConstantTimeCompare([]byte(q.Header.Get("Authorization")), []byte(want)) == 1
 }
 
@@ -88,11 +88,11 @@
 		case !reads:
 			return notAllowed("GET, HEAD")
 		}
-		return r.lookUp(c)
+		return r.getByAddress(c)
 	}
 	switch {
 	case n == 1 && reads, n == 2 && reads && c.path[1] == "delta":
-		return r.whole(c, n == 2)
+		return r.getApplications(c, n == 2)
 	case n == 1 || n == 2 && c.path[1] == "delta":
 		return notAllowed("GET, HEAD")
 	case n == 2 && reads:
@@ -143,7 +143,7 @@
 
 // post registers.
 func (r *Registry) post(c call) httpserver.Answer {
-	h := c.x.Request.Header
+	h := c.exchange.Request.Header
 	kind, _, err := mime.ParseMediaType(h.Get("Content-Type"))
 	if h.Get("Content-Type") != "" && (err != nil || kind != "application/json" && !strings.HasSuffix(kind, "+json")) {
 		return httpserver.Text(http.StatusUnsupportedMediaType, "only application/json is read here, no XML")
@@ -151,7 +151,7 @@
 	if coding := h.Get("Content-Encoding"); coding != "" && !strings.EqualFold(coding, "identity") {
 		return httpserver.Text(http.StatusUnsupportedMediaType, "a body with a content coding is not read here")
 	}
-	in, err := readInstance(c.x.Body)
+	in, err := readInstance(c.exchange.Body)
 	if err != nil {
 		return failed(err)
 	}
@@ -159,7 +159,7 @@
 		return failed(fmt.Errorf("instance.app: is %.80q, the path has %.80q", in.App, app))
 	}
 	if in.LastDirty == 0 {
-		in.LastDirty = r.wall()
+		in.LastDirty = r.wallMillis()
 	}
 	if err := r.register(in, c.replicated); err != nil {
 		return failed(err)
@@ -204,7 +204,7 @@
 	var err error
 	switch c.method {
 	case http.MethodPut:
-		err = r.override(app, id, value, dirty, c.replicated)
+		err = r.setOverride(app, id, value, dirty, c.replicated)
 	case http.MethodDelete:
 		if value == "" {
 			value = Unknown
@@ -239,13 +239,13 @@
 	return httpserver.Answer{Status: http.StatusOK}
 }
 
-// whole answers with all applications, or with what changed of late.
-func (r *Registry) whole(c call, delta bool) httpserver.Answer {
-	v, key := r.shown(), "apps"
+// getApplications answers with all applications, or with what changed of late.
+func (r *Registry) getApplications(c call, delta bool) httpserver.Answer {
+	v, key := r.visibleView(), "apps"
 	if delta {
 		key = "delta"
-		if r.faults.old != nil {
-			v = r.faults.old
+		if r.faults.oldDelta != nil {
+			v = r.faults.oldDelta
 		}
 	}
 	if _, ok := v.bodies[key]; !ok {
@@ -260,9 +260,9 @@
 		hash += "WRONG_1_"
 	}
 	if delta {
-		r.answers++
-		version, items = r.answers, v.delta
-		if r.faults.repeat {
+		r.deltasMade++
+		version, items = r.deltasMade, v.delta
+		if r.faults.repeatDelta {
 			items = append(slices.Clone(items), items...)
 		}
 	}
@@ -272,7 +272,7 @@
 func (r *Registry) getApp(c call) httpserver.Answer {
 	name := strings.ToUpper(c.path[1])
 	var items []item
-	for _, i := range r.shown().all {
+	for _, i := range r.visibleView().all {
 		if i.App == name {
 			items = append(items, i)
 		}
@@ -280,25 +280,25 @@
 	if len(items) == 0 {
 		return notFound("no such application")
 	}
-	return r.fresh(c, encode(map[string]any{"application": r.app(name, items)}))
+	return r.uncachedDocument(c, encode(map[string]any{"application": r.app(name, items)}))
 }
 
 func (r *Registry) getOne(c call, match func(*Instance) bool) httpserver.Answer {
-	i, ok := r.one(match)
+	i, ok := r.visibleInstance(match)
 	if !ok {
 		return notFound(ErrUnknownInstance.Error())
 	}
-	return r.fresh(c, encode(map[string]any{"instance": i.Instance.wire(i.Lease, r.o.OldNames)}))
+	return r.uncachedDocument(c, encode(map[string]any{"instance": i.Instance.wire(i.Lease, r.options.OldNames)}))
 }
 
-// lookUp answers with an instance, or with those of an address.
-func (r *Registry) lookUp(c call) httpserver.Answer {
+// getByAddress answers with an instance, or with those of an address.
+func (r *Registry) getByAddress(c call) httpserver.Answer {
 	name := c.path[1]
 	if c.path[0] == "instances" {
 		return r.getOne(c, func(in *Instance) bool { return in.ID == name })
 	}
 	var items []item
-	for _, i := range r.shown().all {
+	for _, i := range r.visibleView().all {
 		addresses := i.VIPAddress
 		if c.path[0] == "svips" {
 			addresses = i.SecureVIP
@@ -310,18 +310,18 @@
 	if len(items) == 0 {
 		return notFound("no instance has that address")
 	}
-	return r.fresh(c, r.applications(items, 1, hashOf(items)))
+	return r.uncachedDocument(c, r.applications(items, 1, hashOf(items)))
 }
 
-// fresh answers with a document that is made for this call.
-func (r *Registry) fresh(c call, plain []byte) httpserver.Answer {
+// uncachedDocument answers with a document that is made for this call.
+func (r *Registry) uncachedDocument(c call, plain []byte) httpserver.Answer {
 	const key = "fresh"
 	return r.document(c, &view{bodies: map[string]rendered{key: {plain: plain}}}, key)
 }
 
 // document answers with a document in JSON, compressed where the caller accepts that.
 func (r *Registry) document(c call, v *view, key string) httpserver.Answer {
-	h := c.x.Request.Header
+	h := c.exchange.Request.Header
 	if !accepts(h.Values("Accept"), "application/json", true) {
 		return httpserver.Text(http.StatusNotAcceptable, "only application/json is written here, no XML")
 	}
@@ -330,7 +330,7 @@
 	switch {
 	case r.faults.malform:
 		a.Body = malformed(b.plain)
-	case !r.o.NoGzip && accepts(h.Values("Accept-Encoding"), "gzip", false):
+	case !r.options.NoGzip && accepts(h.Values("Accept-Encoding"), "gzip", false):
 		if b.packed == nil {
 			b.packed = pack(b.plain)
 			v.bodies[key] = b
--- a/internal/testbench/standin/registry/rest_test.go
+++ b/internal/testbench/standin/registry/rest_test.go
@@ -72,7 +72,7 @@
 		}
 	}
 	f.does(204, "POST", "/apps/LOG-CACHE", body("b", ""))
-	if got := f.does(200, "GET", "/instances/b", "").body; !strings.Contains(got, `"metadata":`+noWords) {
+	if got := f.does(200, "GET", "/instances/b", "").body; !strings.Contains(got, `"metadata":`+emptyStringMap) {
 		t.Errorf("empty metadata: %s", got)
 	}
 }
--- a/internal/testbench/standin/registry/view.go
+++ b/internal/testbench/standin/registry/view.go
@@ -26,8 +26,8 @@
 // rendered is an answer's body; packed is nil until it is asked for.
 type rendered struct{ plain, packed []byte }
 
-// view is the state as it is now, without what this replica is to drop.
-func (r *Registry) view() *view {
+// currentView is the state as it is now, without what this replica is to drop.
+func (r *Registry) currentView() *view {
 	r.sweep()
 	if r.latest != nil && r.latest.version == r.version {
 		return r.latest
@@ -39,7 +39,7 @@
 		}
 	}
 	seen := map[string]bool{}
-	for _, q := range slices.Backward(r.queue) {
+	for _, q := range slices.Backward(r.deltaQueue) {
 		key := q.item.App + "/" + q.item.ID
 		if !seen[key] && !r.faults.hidden[q.item.ID] {
 			v.delta = append(v.delta, q.item)
@@ -51,20 +51,20 @@
 	return v
 }
 
-// shown is what callers see of lists.
-func (r *Registry) shown() *view {
+// visibleView is what callers see of lists.
+func (r *Registry) visibleView() *view {
 	switch {
 	case r.faults.stale != nil:
 		return r.faults.stale
 	case r.cached != nil:
 		return r.cached
 	}
-	return r.view()
+	return r.currentView()
 }
 
 // Shows is an instance as a whole list has it now; false where it does not stand there.
 func (r *Registry) Shows(id string) (Instance, bool) {
-	v := r.shown()
+	v := r.visibleView()
 	if v.byID == nil {
 		v.byID = make(map[string]*Instance, len(v.all))
 		for _, i := range v.all {
@@ -78,11 +78,11 @@
 	return *in, true
 }
 
-// one is what callers see of a single instance; the response cache does not hold those.
-func (r *Registry) one(match func(*Instance) bool) (item, bool) {
+// visibleInstance is what callers see of a single instance; the response cache does not hold those.
+func (r *Registry) visibleInstance(match func(*Instance) bool) (item, bool) {
 	v := r.faults.stale
 	if v == nil {
-		v = r.view()
+		v = r.currentView()
 	}
 	at := slices.IndexFunc(v.all, func(i item) bool { return match(i.Instance) })
 	if at < 0 {
@@ -132,7 +132,7 @@
 
 // listOf is a list as answers have it.
 func listOf[T any](r *Registry, list []T) any {
-	if r.o.UnwrapSingle && len(list) == 1 {
+	if r.options.UnwrapSingle && len(list) == 1 {
 		return list[0]
 	}
 	return list
@@ -141,7 +141,7 @@
 func (r *Registry) app(name string, items []item) wireApp {
 	list := make([]wireInstance, 0, len(items))
 	for _, i := range items {
-		list = append(list, i.Instance.wire(i.Lease, r.o.OldNames))
+		list = append(list, i.Instance.wire(i.Lease, r.options.OldNames))
 	}
 	return wireApp{name, listOf(r, list)}
 }
--- a/internal/testbench/standin/resp.go
+++ b/internal/testbench/standin/resp.go
@@ -9,38 +9,38 @@
 // Bounds of what comes from a socket. RESP's lengths are read here, strictly: a router that sends a
 // sign, a space or a leading zero in one is at fault and must be told so.
 const (
-	mostArgs  = 16
-	mostWord  = 1 << 10
-	mostValue = 64 << 10
-	mostLine  = 512
-	// mostCommand holds the longest legal command: its words, its value and their lengths.
-	mostCommand = mostValue + mostArgs*(mostWord+16)
+	maxArgs       = 16
+	maxWordBytes  = 1 << 10
+	maxValueBytes = 64 << 10
+	maxLineLength = 512
+	// maxCommandBytes holds the longest legal command: its words, its value and their lengths.
+	maxCommandBytes = maxValueBytes + maxArgs*(maxWordBytes+16)
 )
 
 var (
-	errLength = errors.New("bad length")
-	errForm   = errors.New("neither an answer nor a command")
+	errBadLength = errors.New("bad length")
+	errMalformed = errors.New("neither an answer nor a command")
 )
 
-// length reads a header such as "$12\r\n" at b[at:]. next is 0 while it is not whole. null is -1.
-func length(b []byte, at int, kind byte, most int) (n, next int, err error) {
+// readLength reads a header such as "$12\r\n" at b[at:]. next is 0 while it is not whole. null is -1.
+func readLength(b []byte, at int, kind byte, most int) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, nil
 	}
 	if b[at] != kind {
-		return 0, 0, errForm
+		return 0, 0, errMalformed
 	}
 	rest := b[at+1:]
 	end := bytes.IndexByte(rest, '\n')
 	digits := rest
 	if end >= 0 {
 		if end == 0 || rest[end-1] != '\r' {
-			return 0, 0, errLength
+			return 0, 0, errBadLength
 		}
 		digits = rest[:end-1]
 	}
 	if len(digits) > 8 {
-		return 0, 0, errLength
+		return 0, 0, errBadLength
 	}
 	if end < 0 {
 		return 0, 0, nil
@@ -48,15 +48,15 @@
 	if string(digits) == "-1" {
 		return -1, at + 1 + end + 1, nil
 	}
-	size, ok := number(digits)
+	size, ok := parseNumber(digits)
 	if !ok || size > int64(most) {
-		return 0, 0, errLength
+		return 0, 0, errBadLength
 	}
 	return int(size), at + 1 + end + 1, nil
 }
 
-// number reads decimal digits without a sign or a leading zero, nine of them at most.
-func number(b []byte) (int64, bool) {
+// parseNumber reads decimal digits without a sign or a leading zero, nine of them at most.
+func parseNumber(b []byte) (int64, bool) {
 	if len(b) == 0 || len(b) > 9 || b[0] == '0' && len(b) > 1 {
 		return 0, false
 	}
@@ -70,9 +70,9 @@
 	return n, true
 }
 
-// bulk reads a bulk string at b[at:]. next is 0 while it is not whole; null tells that it is null.
-func bulk(b []byte, at, most int) (data []byte, next int, null bool, err error) {
-	n, from, err := length(b, at, '$', most)
+// readBulk reads a bulk string at b[at:]. next is 0 while it is not whole; null tells that it is null.
+func readBulk(b []byte, at, most int) (data []byte, next int, null bool, err error) {
+	n, from, err := readLength(b, at, '$', most)
 	if err != nil || from == 0 {
 		return nil, 0, false, err
 	}
@@ -81,7 +81,7 @@
 	}
 	end := from + n
 	if end < len(b) && b[end] != '\r' || end+1 < len(b) && b[end+1] != '\n' {
-		return nil, 0, false, errLength
+		return nil, 0, false, errBadLength
 	}
 	if end+2 > len(b) {
 		return nil, 0, false, nil
@@ -91,21 +91,21 @@
 
 // readCommand takes one command, an array of bulk strings, off b. used is 0 while it is not whole.
 func readCommand(b []byte) (args [][]byte, used int, err error) {
-	n, at, err := length(b, 0, '*', mostArgs)
+	n, at, err := readLength(b, 0, '*', maxArgs)
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
 	if n <= 0 {
-		return nil, 0, errLength
+		return nil, 0, errBadLength
 	}
 	for i := range n {
-		most := mostWord
+		most := maxWordBytes
 		if i == valueArg {
-			most = mostValue
+			most = maxValueBytes
 		}
-		arg, next, null, err := bulk(b, at, most)
+		arg, next, null, err := readBulk(b, at, most)
 		if err != nil || null {
-			return nil, 0, errLength
+			return nil, 0, errBadLength
 		}
 		if next == 0 {
 			return nil, 0, nil
@@ -123,21 +123,21 @@
 	valueArg = 4
 )
 
-// ask is a request as it stands on the wire.
-type ask struct {
-	write         bool
-	key, id       string
-	class, tenant string
-	idem          string // k
-	wait          Time   // d
-	size          int
-	retry         bool
-	hint          Time // h
+// wireRequest is a request as it stands on the wire.
+type wireRequest struct {
+	write          bool
+	key, id        string
+	class, tenant  string
+	idempotencyKey string // k
+	timeLeft       Time   // d
+	size           int
+	retry          bool
+	workHint       Time // h
 }
 
-// parseAsk reads a request's words. The error says what no client sends.
-func parseAsk(args [][]byte) (ask, error) {
-	var a ask
+// parseRequest reads a request's words. The error says what no client sends.
+func parseRequest(args [][]byte) (wireRequest, error) {
+	var a wireRequest
 	a.write = string(args[0]) == "C.SET"
 	want := valueArg
 	if a.write {
@@ -153,7 +153,7 @@
 	return a, a.parseMeta(string(args[metaArg]))
 }
 
-func (a *ask) parseMeta(text string) error {
+func (a *wireRequest) parseMeta(text string) error {
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, ok := strings.Cut(pair, "=")
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (a *ask) setMeta(name, value string) error {
+func (a *wireRequest) setMeta(name, value string) error {
 	switch name {
 	case "c":
 		a.class = value
@@ -180,22 +180,22 @@
 		a.tenant = value
 		return nil
 	case "k":
-		a.idem = value
+		a.idempotencyKey = value
 		return nil
 	}
-	n, ok := number([]byte(value))
+	n, ok := parseNumber([]byte(value))
 	if !ok {
 		return errors.New(name + " is no number, or unknown")
 	}
 	switch name {
 	case "d":
-		a.wait = n * Millisecond
+		a.timeLeft = n * Millisecond
 	case "h":
-		a.hint = n
+		a.workHint = n
 	case "r":
 		a.retry = n == 1
 	case "size":
-		a.size = int(min(n, mostValue))
+		a.size = int(min(n, maxValueBytes))
 	default:
 		return errors.New("unknown name " + name)
 	}
--- a/internal/testbench/standin/standin.go
+++ b/internal/testbench/standin/standin.go
@@ -115,8 +115,8 @@
 // window is how long the caches drop repeats of a class.
 func (w *Workload) window(class string) Time { return w.classes[class].IdempotencyWindow }
 
-// longTail bounds a draw, in means. The danger: one in millions takes minutes, and pushes a cache over by itself.
-const longTail = 12
+// maxDrawFactor bounds a draw, in means. The danger: one in millions takes minutes, and pushes a cache over by itself.
+const maxDrawFactor = 12
 
 // lognormal draws from the lognormal distribution of that mean and coefficient of variation, cut at longTail.
 func lognormal(rng *rand.Rand, mean Time, cv float64) Time {
@@ -125,7 +125,7 @@
 	}
 	sigma2 := math.Log(1 + cv*cv)
 	mu := math.Log(float64(mean)) - sigma2/2
-	return Time(min(math.Exp(mu+math.Sqrt(sigma2)*rng.NormFloat64()), longTail*float64(mean)))
+	return Time(min(math.Exp(mu+math.Sqrt(sigma2)*rng.NormFloat64()), maxDrawFactor*float64(mean)))
 }
 
 // between draws a time evenly from lo to hi.
@@ -140,23 +140,23 @@
 // off changes no other draw.
 func chance(rng *rand.Rand, p float64) bool { return p > 0 && (p >= 1 || rng.Float64() < p) }
 
-// offeredOver is the work that something was sent within a sliding span of time.
-type offeredOver struct {
-	span Time
-	sum  Time
-	log  []offer
+// slidingWork is the work that something was sent within a sliding span of time.
+type slidingWork struct {
+	span    Time
+	sum     Time
+	samples []workSample
 }
 
-type offer struct{ at, work Time }
+type workSample struct{ at, work Time }
 
 // add takes in an offer and returns the sum over the span that ends now.
-func (o *offeredOver) add(now, work Time) Time {
+func (o *slidingWork) add(now, work Time) Time {
 	gone := 0
-	for gone < len(o.log) && o.log[gone].at <= now-o.span {
-		o.sum -= o.log[gone].work
+	for gone < len(o.samples) && o.samples[gone].at <= now-o.span {
+		o.sum -= o.samples[gone].work
 		gone++
 	}
-	o.log = append(o.log[gone:], offer{now, work})
+	o.samples = append(o.samples[gone:], workSample{now, work})
 	o.sum += work
 	return o.sum
 }
@@ -186,8 +186,8 @@
 func (Blind) Usage(Time, string, int, int)                       {}
 func (Blind) Leftover(Time, string, string, int)                 {}
 
-// seen is the observer, or one that takes no notice where there is none.
-func seen(o rules.Observer) rules.Observer {
+// observerOrBlind is the observer, or one that takes no notice where there is none.
+func observerOrBlind(o rules.Observer) rules.Observer {
 	if o == nil {
 		return Blind{}
 	}
--- a/internal/testbench/standin/store.go
+++ b/internal/testbench/standin/store.go
@@ -26,28 +26,28 @@
 
 // Store is the origin that all caches share. It tells them of each write.
 type Store struct {
-	m       machine.Machine
-	o       StoreOptions
-	rng     *rand.Rand
-	obs     rules.Observer
-	caches  []*Cache
-	busy    []*storeCall
-	queue   []*storeCall
-	offered offeredOver
-	down    bool
-	falls   int
+	m           machine.Machine
+	options     StoreOptions
+	rng         *rand.Rand
+	observer    rules.Observer
+	caches      []*Cache
+	running     []*storeCall
+	queue       []*storeCall
+	offeredWork slidingWork
+	down        bool
+	outages     int
 }
 
 // storeCall is one fetch or one write.
 type storeCall struct {
-	s        *Store
-	key      string
-	write    bool
-	work     Time
-	done     func(ok bool)
-	timer    machine.Timer
-	over     bool
-	deserted bool
+	store     *Store
+	key       string
+	write     bool
+	work      Time
+	done      func(ok bool)
+	timer     machine.Timer
+	finished  bool
+	abandoned bool
 }
 
 // NewStore is a store at work.
@@ -58,31 +58,31 @@
 	if o.WriteLatencyFactor == 0 {
 		o.WriteLatencyFactor = 1
 	}
-	return &Store{m: m, o: o, rng: rng, obs: seen(obs), offered: offeredOver{span: o.OverloadWindow}}
+	return &Store{m: m, options: o, rng: rng, observer: observerOrBlind(obs), offeredWork: slidingWork{span: o.OverloadWindow}}
 }
 
 // Down reports whether it has stopped under its load.
 func (s *Store) Down() bool { return s.down }
 
 // Busy is the number of fetches and writes that are out.
-func (s *Store) Busy() int { return len(s.busy) + len(s.queue) }
+func (s *Store) Busy() int { return len(s.running) + len(s.queue) }
 
-// call begins a fetch, for the cold cache that is named or for another one (""), or a write. done is called once, in a
+// start begins a fetch, for the cold cache that is named or for another one (""), or a write. done is called once, in a
 // later turn, unless the call is abandoned.
-func (s *Store) call(key string, write bool, cold string, done func(ok bool)) *storeCall {
-	c := &storeCall{s: s, key: key, write: write, done: done, work: max(1, lognormal(s.rng, s.o.Latency, s.o.CV))}
+func (s *Store) start(key string, write bool, cold string, done func(ok bool)) *storeCall {
+	c := &storeCall{store: s, key: key, write: write, done: done, work: max(1, lognormal(s.rng, s.options.Latency, s.options.CV))}
 	if write {
-		c.work = Time(float64(c.work) * s.o.WriteLatencyFactor)
+		c.work = Time(float64(c.work) * s.options.WriteLatencyFactor)
 	}
 	now := s.m.Now()
-	s.obs.StoreOffered(now, c.work, cold)
-	most := s.o.OverloadMultiple * float64(s.o.Concurrency) * float64(s.o.OverloadWindow)
-	sum := s.offered.add(now, c.work)
-	if most > 0 && float64(sum) > most && !s.down && s.falls < s.o.MaxOutages {
-		s.fall()
+	s.observer.StoreOffered(now, c.work, cold)
+	most := s.options.OverloadMultiple * float64(s.options.Concurrency) * float64(s.options.OverloadWindow)
+	sum := s.offeredWork.add(now, c.work)
+	if most > 0 && float64(sum) > most && !s.down && s.outages < s.options.MaxOutages {
+		s.startOutage()
 	}
 	switch {
-	case s.down || len(s.busy) >= s.o.Concurrency && len(s.queue) >= s.o.Queue:
+	case s.down || len(s.running) >= s.options.Concurrency && len(s.queue) >= s.options.Queue:
 		c.timer = s.m.At(now, func() { c.end(false) })
 	default:
 		s.queue = append(s.queue, c)
@@ -92,67 +92,67 @@
 }
 
 func (s *Store) dispatch() {
-	for len(s.busy) < s.o.Concurrency && len(s.queue) > 0 {
+	for len(s.running) < s.options.Concurrency && len(s.queue) > 0 {
 		c := s.queue[0]
 		s.queue = append(s.queue[:0], s.queue[1:]...)
-		s.busy = append(s.busy, c)
+		s.running = append(s.running, c)
 		c.timer = s.m.At(s.m.Now()+c.work, func() { c.finish() })
 	}
 }
 
 func (c *storeCall) finish() {
-	c.s.busy = without(c.s.busy, c)
+	c.store.running = removeFirst(c.store.running, c)
 	if c.write {
-		for _, cache := range c.s.caches {
-			cache.void(c.key)
+		for _, cache := range c.store.caches {
+			cache.invalidate(c.key)
 		}
 	}
 	c.end(true)
-	c.s.dispatch()
+	c.store.dispatch()
 }
 
 func (c *storeCall) end(ok bool) {
-	if c.over {
+	if c.finished {
 		return
 	}
-	c.over = true
-	if !c.deserted {
+	c.finished = true
+	if !c.abandoned {
 		c.done(ok)
 	}
 }
 
 // abandon says that nobody waits for a fetch any more.
 func (c *storeCall) abandon() {
-	c.deserted = true
-	if c.over || c.s.o.KeepsAbandonedWork || c.write {
+	c.abandoned = true
+	if c.finished || c.store.options.KeepsAbandonedWork || c.write {
 		return
 	}
-	c.over = true
+	c.finished = true
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	c.s.busy, c.s.queue = without(c.s.busy, c), without(c.s.queue, c)
-	c.s.dispatch()
+	c.store.running, c.store.queue = removeFirst(c.store.running, c), removeFirst(c.store.queue, c)
+	c.store.dispatch()
 }
 
-// fall stops the store for some seconds. All that is out fails.
-func (s *Store) fall() {
-	s.falls++
+// startOutage stops the store for some seconds. All that is out fails.
+func (s *Store) startOutage() {
+	s.outages++
 	s.down = true
-	s.obs.StoreFell(s.m.Now())
-	out := append(s.busy, s.queue...)
-	s.busy, s.queue = nil, nil
+	s.observer.StoreFell(s.m.Now())
+	out := append(s.running, s.queue...)
+	s.running, s.queue = nil, nil
 	for _, c := range out {
 		if c.timer != nil {
 			c.timer.Stop()
 		}
 		c.timer = s.m.At(s.m.Now(), func() { c.end(false) })
 	}
-	s.m.At(s.m.Now()+between(s.rng, s.o.MinDowntime, s.o.MaxDowntime), func() { s.down = false })
+	s.m.At(s.m.Now()+between(s.rng, s.options.MinDowntime, s.options.MaxDowntime), func() { s.down = false })
 }
 
-// without takes one element out, in place.
-func without[T comparable](all []T, x T) []T {
+// removeFirst takes one element out, in place.
+func removeFirst[T comparable](all []T, x T) []T {
 	for i, v := range all {
 		if v == x {
 			return append(all[:i], all[i+1:]...)
--- a/internal/testbench/standin/stream.go
+++ b/internal/testbench/standin/stream.go
@@ -9,29 +9,29 @@
 
 // stream is a connection with what has come and was not taken, and what is still to be written.
 type stream struct {
-	conn   machine.Conn
-	in     []byte
-	out    []byte
-	taken  uint64 // bytes before those in in
-	left   bool   // there may be more to read: fill stopped because in was full
-	closed bool
+	conn       machine.Conn
+	received   []byte
+	unsent     []byte
+	consumed   uint64 // bytes before those in in
+	moreToRead bool   // there may be more to read: fill stopped because in was full
+	closed     bool
 }
 
-// leastRoom is how much a read has room for at the least.
-const leastRoom = 512
+// minReadSpace is how much a read has room for at the least.
+const minReadSpace = 512
 
 // fill reads what has come, until in holds most bytes. The error says that nothing more will come.
 func (s *stream) fill(most int) error {
-	s.left = false
+	s.moreToRead = false
 	for !s.closed {
-		room := most - len(s.in)
+		room := most - len(s.received)
 		if room <= 0 {
-			s.left = true
+			s.moreToRead = true
 			return nil
 		}
-		s.in = slices.Grow(s.in, min(room, leastRoom))
-		n, err := s.conn.Read(s.in[len(s.in):min(cap(s.in), most)])
-		s.in = s.in[:len(s.in)+n]
+		s.received = slices.Grow(s.received, min(room, minReadSpace))
+		n, err := s.conn.Read(s.received[len(s.received):min(cap(s.received), most)])
+		s.received = s.received[:len(s.received)+n]
 		if errors.Is(err, machine.ErrWait) {
 			return nil
 		}
@@ -42,32 +42,32 @@
 	return machine.ErrClosed
 }
 
-// take drops the first n bytes of what has come.
-func (s *stream) take(n int) {
-	s.in = append(s.in[:0], s.in[n:]...)
-	s.taken += uint64(n)
+// consume drops the first n bytes of what has come.
+func (s *stream) consume(n int) {
+	s.received = append(s.received[:0], s.received[n:]...)
+	s.consumed += uint64(n)
 }
 
 // sentAt is when the other side has written the first byte of in, where the machine can tell; else it is came, when that
 // byte was read.
 func (s *stream) sentAt(came Time) Time {
 	if c, ok := s.conn.(interface{ SentAt(number uint64) Time }); ok {
-		return c.SentAt(s.taken)
+		return c.SentAt(s.consumed)
 	}
 	return came
 }
 
 // send writes b, now or once the connection takes it.
 func (s *stream) send(b []byte) error {
-	s.out = append(s.out, b...)
+	s.unsent = append(s.unsent, b...)
 	return s.flush()
 }
 
 // flush writes on. The error says that nothing can be sent any more.
 func (s *stream) flush() error {
-	for len(s.out) > 0 && !s.closed {
-		n, err := s.conn.Write(s.out)
-		s.out = append(s.out[:0], s.out[n:]...)
+	for len(s.unsent) > 0 && !s.closed {
+		n, err := s.conn.Write(s.unsent)
+		s.unsent = append(s.unsent[:0], s.unsent[n:]...)
 		if errors.Is(err, machine.ErrWait) || err == nil && n == 0 {
 			return nil
 		}
