--- a/cmd/lab/state.go
+++ b/cmd/lab/state.go
@@ -279,7 +279,7 @@
 			if err != nil {
 				return 0, err
 			}
-			return r.Counts.Broken[rules.ColdPushedOver] + r.Counts.Broken[rules.StorePushedOver], nil
+			return r.Counts.Broken[rules.WarmupOverload] + r.Counts.Broken[rules.StoreOverload], nil
 		})
 		if err != nil {
 			return "", false, err
--- a/cmd/lab/stormloop.go
+++ b/cmd/lab/stormloop.go
@@ -40,7 +40,7 @@
 			x.tell(o.Out, ignore)
 		}
 		books := with.books()
-		fell += with.Counts.Broken[rules.ColdPushedOver] + with.Counts.Broken[rules.StorePushedOver]
+		fell += with.Counts.Broken[rules.WarmupOverload] + with.Counts.Broken[rules.StoreOverload]
 		inTime, least = min(inTime, books.Share()), min(least, books.Least())
 		late, today = max(late, with.late, without.late), max(today, without.books().Share())
 		ok = ok && with.OK()
--- a/internal/testbench/lab/known.go
+++ b/internal/testbench/lab/known.go
@@ -222,7 +222,7 @@
 	}
 	if c.start > c.stated && now-c.since >= pollTime {
 		c.stated = c.start
-		k.r.w.eyes.Watcher.StartTold(now, l.name, name, c.start)
+		k.r.w.eyes.Watcher.StartNotified(now, l.name, name, c.start)
 	}
 	switch {
 	case v.works && c.out:
--- a/internal/testbench/lab/loopback/throng_test.go
+++ b/internal/testbench/lab/loopback/throng_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range r.Broken {
-		if f.Rule == rules.ColdPushedOver {
+		if f.Rule == rules.WarmupOverload {
 			t.Errorf("%v", f)
 		}
 	}
--- a/internal/testbench/lab/loopback/witness.go
+++ b/internal/testbench/lab/loopback/witness.go
@@ -30,7 +30,7 @@
 
 // ask is a request on the steady clock, and when it was sent by the machine's.
 type ask struct {
-	rules.Ask
+	rules.Request
 	sent Time
 }
 
@@ -43,7 +43,7 @@
 // foreign reports whether an attempt is for a request of a visitor.
 func (o *witness) foreign(id string) bool { return o.visitors && !o.known.has(id) }
 
-func (o *witness) Asked(now Time, a rules.Ask) {
+func (o *witness) Asked(now Time, a rules.Request) {
 	at := o.time(now)
 	if o.visitors {
 		o.known.add(now, a.ID)
@@ -62,7 +62,7 @@
 	if !open {
 		return
 	}
-	switch aim := o.classes[a.Class].Aim; {
+	switch aim := o.classes[a.Class].LatencyObjective; {
 	case kind != rules.Served:
 		o.missed(at, a, kind.String())
 	case at-a.Sent > aim:
@@ -174,8 +174,8 @@
 	o.w.Offered(o.time(now), cache, router, work)
 }
 
-func (o *witness) StartTold(now Time, router, cache string, start Time) {
-	o.w.StartTold(o.time(now), router, cache, start)
+func (o *witness) StartNotified(now Time, router, cache string, start Time) {
+	o.w.StartNotified(o.time(now), router, cache, start)
 }
 
 func (o *witness) StoreOffered(now Time, work Time, cold string) {
--- a/internal/testbench/lab/loopback/witness_test.go
+++ b/internal/testbench/lab/loopback/witness_test.go
@@ -9,8 +9,8 @@
 
 func newScene(visitors bool) (*witness, *[]rules.Violation) {
 	var got []rules.Violation
-	set := rules.Settings{Slack: 50 * millisecond, MaxAttempts: 3, Copies: true, Classes: map[string]rules.Class{
-		"read": {Effect: rules.Safe, Aim: 500 * millisecond, Deadline: 1200 * millisecond, Worth: 1}}}
+	set := rules.Settings{Slack: 50 * millisecond, MaxAttempts: 3, AllowHedging: true, Classes: map[string]rules.Class{
+		"read": {Semantics: rules.Idempotent, LatencyObjective: 500 * millisecond, ClientTimeout: 1200 * millisecond, PriorityWeight: 1}}}
 	return newWitness(set, visitors, func(v rules.Violation) { got = append(got, v) }), &got
 }
 
@@ -19,7 +19,7 @@
 		o, got := newScene(false)
 		at := 100 * second
 		o.clock.beaten(at)
-		o.Asked(at, rules.Ask{ID: "q", Router: "r", Class: "read", Sent: at, Deadline: at + 1200*millisecond})
+		o.Asked(at, rules.Request{ID: "q", Router: "r", Class: "read", Sent: at, Deadline: at + 1200*millisecond})
 		for past := Time(0); punctual && past < 1400*millisecond; past += beat {
 			o.clock.beaten(at + past)
 			o.w.Tick(o.clock.at(at + past))
@@ -42,7 +42,7 @@
 			t.Errorf("visitors %v: violations %v", visitors, *got)
 		}
 		*got = nil
-		o.Asked(2*second, rules.Ask{ID: "q", Router: "r", Class: "read", Sent: 2 * second, Deadline: 3 * second})
+		o.Asked(2*second, rules.Request{ID: "q", Router: "r", Class: "read", Sent: 2 * second, Deadline: 3 * second})
 		o.Answered(2*second+1, "q", rules.Served, "from nobody")
 		if len(*got) != 1 || (*got)[0].Rule != rules.WrongValue {
 			t.Errorf("visitors %v: violations %v of a client's request", visitors, *got)
@@ -54,7 +54,7 @@
 	o, _ := newScene(false)
 	for i, kind := range []rules.Answer{rules.Failed, rules.Refused, rules.Refused} {
 		at, id := second+Time(i), string(rune('a'+i))
-		o.Asked(at, rules.Ask{ID: id, Router: "r", Class: "read", Sent: at, Deadline: at + second})
+		o.Asked(at, rules.Request{ID: id, Router: "r", Class: "read", Sent: at, Deadline: at + second})
 		o.Answered(at+millisecond, id, kind, "")
 	}
 	var b strings.Builder
--- a/internal/testbench/lab/loopback/world.go
+++ b/internal/testbench/lab/loopback/world.go
@@ -84,15 +84,15 @@
 func ruleSettings(fleet *standin.Options, router *standin.RouterSettings) rules.Settings {
 	capacity := &fleet.Cache.Capacity
 	set := rules.Settings{
-		Classes: map[string]rules.Class{}, MaxAttempts: router.MaxAttempts, Copies: router.Copies,
-		Slack: slack, Flight: 50 * millisecond, DrainGrace: router.DrainGrace,
-		FallMultiple: capacity.FallMultiple, FallFor: capacity.FallFor, FallSlack: 0.1,
-		StoreFallFor: fleet.Store.FallFor, StoreColdShare: 0.5, MeanWork: capacity.MeanWork,
+		Classes: map[string]rules.Class{}, MaxAttempts: router.MaxAttempts, AllowHedging: router.Copies,
+		Slack: slack, MaxTransit: 50 * millisecond, DrainGrace: router.DrainGrace,
+		OverloadMultiple: capacity.FallMultiple, OverloadWindow: capacity.FallFor, OverloadTolerance: 0.1,
+		StoreOverloadWindow: fleet.Store.FallFor, MaxStoreWarmupFraction: 0.5, MeanWork: capacity.MeanWork,
 	}
-	effects := [...]rules.Effect{standin.Safe: rules.Safe, standin.Keyed: rules.Keyed, standin.Unsafe: rules.Unsafe}
+	effects := [...]rules.Semantics{standin.Safe: rules.Idempotent, standin.Keyed: rules.IdempotentByKey, standin.Unsafe: rules.NonIdempotent}
 	for _, c := range fleet.Classes {
-		set.Classes[c.Name] = rules.Class{Effect: effects[c.Effect], Scope: rules.ScopeAll, Window: c.Window,
-			Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
+		set.Classes[c.Name] = rules.Class{Semantics: effects[c.Effect], Scope: rules.ScopeAll, IdempotencyWindow: c.Window,
+			LatencyObjective: c.Aim, ClientTimeout: c.Deadline, PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth}
 	}
 	return set
 }
--- a/internal/testbench/lab/observer.go
+++ b/internal/testbench/lab/observer.go
@@ -62,12 +62,12 @@
 	e.Watcher.Listed(now, router, cache, takesWork)
 }
 
-// StartTold likewise.
-func (e *eyes) StartTold(now Time, router, cache string, start Time) {
+// StartNotified likewise.
+func (e *eyes) StartNotified(now Time, router, cache string, start Time) {
 	if r := e.w.registry; r != nil && !r.known.asksDiscovery() {
 		return
 	}
-	e.onceRead(now, router, func(now Time) { e.Watcher.StartTold(now, router, cache, start) })
+	e.onceRead(now, router, func(now Time) { e.Watcher.StartNotified(now, router, cache, start) })
 }
 
 // onceRead calls tell when a router can have read what is written to it now.
@@ -127,7 +127,7 @@
 }
 
 // Asked implements rules.Observer.
-func (e *eyes) Asked(now Time, a rules.Ask) {
+func (e *eyes) Asked(now Time, a rules.Request) {
 	if e.asked != nil {
 		e.asked[a.ID] = now
 	}
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -188,7 +188,7 @@
 // a router sends past its group is the rules' to find.
 var writes = map[string]struct {
 	effect standin.Effect
-	scope  rules.Scope
+	scope  rules.DeduplicationScope
 }{
 	"keyed": {standin.Keyed, rules.ScopeAll}, "keyed-zone": {standin.Keyed, rules.ScopeZone}, "keyed-cell": {standin.Keyed, rules.ScopeCell},
 	"unsafe": {standin.Unsafe, rules.ScopeAll}, "safe": {standin.Safe, rules.ScopeAll},
@@ -253,16 +253,16 @@
 // rules are the figures of the rules, those of the operators.
 func (w *world) rules() rules.Settings {
 	set := rules.Settings{
-		Classes: map[string]rules.Class{}, MaxAttempts: w.s.Fleet.MaxAttempts, Slack: slack, Flight: 50 * millisecond,
-		Copies: w.s.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.s.Fleet.DrainGrace),
-		Remember:     w.longestHeld(),
-		FallMultiple: 3, FallFor: 3 * second, FallSlack: 0.05, StoreFallFor: 3 * second, StoreColdShare: 0.5,
+		Classes: map[string]rules.Class{}, MaxAttempts: w.s.Fleet.MaxAttempts, Slack: slack, MaxTransit: 50 * millisecond,
+		AllowHedging: w.s.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.s.Fleet.DrainGrace),
+		ExtraRetention:   w.longestHeld(),
+		OverloadMultiple: 3, OverloadWindow: 3 * second, OverloadTolerance: 0.05, StoreOverloadWindow: 3 * second, MaxStoreWarmupFraction: 0.5,
 		MeanWork: meanWork(w.s, w.classes),
 	}
 	for _, c := range w.classes {
-		effect := [...]rules.Effect{standin.Safe: rules.Safe, standin.Keyed: rules.Keyed, standin.Unsafe: rules.Unsafe}
-		set.Classes[c.Name] = rules.Class{Effect: effect[c.Effect], Scope: c.Scope, Window: c.Window, Aim: c.Aim,
-			Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth}
+		effect := [...]rules.Semantics{standin.Safe: rules.Idempotent, standin.Keyed: rules.IdempotentByKey, standin.Unsafe: rules.NonIdempotent}
+		set.Classes[c.Name] = rules.Class{Semantics: effect[c.Effect], Scope: c.Scope, IdempotencyWindow: c.Window, LatencyObjective: c.Aim,
+			ClientTimeout: c.Deadline, PriorityWeight: c.Worth, LateWeightFraction: c.LateWorth}
 	}
 	return set
 }
--- a/internal/testbench/rules/answers.go
+++ b/internal/testbench/rules/answers.go
@@ -1,42 +1,42 @@
 package rules
 
-// checkAnswer judges a final answer by what the caches did.
+// checkAnswer checks a final answer against what the caches did.
 func (w *Watcher) checkAnswer(r *request, value string) {
 	v := Violation{At: r.finalAt}
 	switch r.final {
 	case Served:
 		if v.Text = w.wrongValue(r, value); v.Text != "" {
 			v.Rule = WrongValue
-			w.violate(r, v)
+			w.reportViolation(r, v)
 		}
 	case Refused:
-		if r.class.refusable() {
+		if r.class.allowsRejectAfterRun() {
 			return
 		}
 		for i := range r.attempts {
-			if a := &r.attempts[i]; !a.turnedAway(r.finalAt) {
+			if a := &r.attempts[i]; !a.wasRejectedBy(r.finalAt) {
 				v.Rule, v.Cache, v.Text = RefusedAfterRun, a.cache.name, "an attempt there may have run"
-				w.violate(r, v)
+				w.reportViolation(r, v)
 				return
 			}
 		}
 	case Cut:
-		// A value that its cache did not finish either is no fault of the router.
+		// The router is not responsible for a value that its cache did not finish either.
 		for i := range r.attempts {
 			if !r.attempts[i].replied {
 				return
 			}
 		}
-		if r.life.killed {
+		if r.process.killed {
 			return
 		}
 		r.class.tally.Lost++
 		v.Rule, v.Text = Lost, "its value was cut off, though the caches had given theirs whole"
-		w.violate(r, v)
+		w.reportViolation(r, v)
 	}
 }
 
-// wrongValue says what is wrong with a value that a request was served with; nothing where it is right.
+// wrongValue says what is wrong with a value that a request was served with, and returns "" for a right one.
 func (w *Watcher) wrongValue(r *request, value string) string {
 	served := false
 	for i := range r.attempts {
@@ -44,15 +44,15 @@
 		if !a.replied || a.reply != Served {
 			continue
 		}
-		if a.value == value || a.dropped && len(value) > longestKept {
+		if a.value == value || a.valueDropped && len(value) > maxRetainedValue {
 			return ""
 		}
 		served = true
 	}
-	owner := w.madeFor(value)
+	owner := w.requestServedWith(value)
 	switch {
 	case owner != nil:
-		return "the value was made for request " + owner.ask.ID
+		return "the value was made for request " + owner.sent.ID
 	case served:
 		return "no cache has made this value for it"
 	default:
@@ -60,10 +60,10 @@
 	}
 }
 
-// madeFor finds the request, the first asked, that a cache made a value for.
-func (w *Watcher) madeFor(value string) *request {
+// requestServedWith returns the first request, in the order of sending, that a cache made the value for.
+func (w *Watcher) requestServedWith(value string) *request {
 	var first *request
-	for _, r := range w.requests { // any order: the first one counts
+	for _, r := range w.requests { // any order: the first one sent counts
 		if first != nil && first.order < r.order {
 			continue
 		}
--- a/internal/testbench/rules/history.go
+++ b/internal/testbench/rules/history.go
@@ -2,87 +2,92 @@
 
 import "fmt"
 
-// mostMoments bounds the life that is kept of one request.
-const mostMoments = 64
+// maxHistoryEvents bounds the events that are recorded of one request.
+const maxHistoryEvents = 64
 
-type momentKind uint8
+// historyEventKind says what happened.
+type historyEventKind uint8
 
 const (
-	wasAsked momentKind = iota
-	wasAnswered
-	hasLeft
-	wasBroken
-	hasBegun
-	hasRun
-	hasDropped
-	hasReplied
-	hasEnded
-	brokeRule
+	eventSent historyEventKind = iota
+	eventAnswered
+	eventClientLeft
+	eventConnectionBroken
+	eventAttemptBegan
+	eventRan
+	eventDeduplicated
+	eventCacheReplied
+	eventAttemptEnded
+	eventViolation
 )
 
-// moment is one event in a request's life.
-type moment struct {
-	at, sent    Time
-	who, router string
-	kind        momentKind
-	answer      Answer
-	rule        Rule
+// historyEvent is one event in a request's life.
+type historyEvent struct {
+	at     Time
+	sent   Time   // eventAttemptBegan only: the latest instant at which the attempt can have been sent
+	peer   string // the router or the cache that it happened at
+	router string // eventAttemptBegan only: the sender
+	kind   historyEventKind
+	answer Answer
+	rule   Rule
 }
 
-func (r *request) note(m moment) {
-	if len(r.moments) < mostMoments {
-		r.moments = append(r.moments, m)
+// record adds an event to the request's history.
+func (r *request) record(event historyEvent) {
+	if len(r.history) < maxHistoryEvents {
+		r.history = append(r.history, event)
 	}
 }
 
-// History returns a line for each event of a request in the order in which they were told, its times counted from
-// when it was asked. It knows the requests in memory and the first ones that broke a rule; else it is nil.
+// History returns a line for each event of a request in the order in which they were reported, with times counted from
+// its sending. It knows the requests in memory and the first ones that broke a rule, and returns nil for others.
 func (w *Watcher) History(id string) []string {
 	r := w.requests[id]
 	if r == nil {
-		r = w.kept[id]
+		r = w.requestsWithViolation[id]
 	}
 	if r == nil {
 		return nil
 	}
-	zero := r.moments[0].at
-	lines := make([]string, 0, len(r.moments)+1)
-	for _, m := range r.moments {
-		lines = append(lines, fmt.Sprintf("%12s  %s", span(m.at-zero), m.words(r, zero)))
+	zero := r.history[0].at
+	lines := make([]string, 0, len(r.history)+1)
+	for _, event := range r.history {
+		lines = append(lines, fmt.Sprintf("%12s  %s", span(event.at-zero), event.describe(r, zero)))
 	}
-	if len(r.moments) == mostMoments {
+	if len(r.history) == maxHistoryEvents {
 		lines = append(lines, "... what came later was not kept")
 	}
 	return lines
 }
 
-func (m *moment) words(r *request, zero Time) string {
-	switch m.kind {
-	case wasAsked:
+// describe returns the event in words; zero is when its request was sent.
+func (event *historyEvent) describe(r *request, zero Time) string {
+	switch event.kind {
+	case eventSent:
 		return fmt.Sprintf("%s of %s asked of router %s, deadline %s",
-			r.ask.Class, r.ask.Key, m.who, span(r.ask.Deadline-zero))
-	case wasAnswered:
-		return "answered: " + m.answer.String()
-	case hasLeft:
+			r.sent.Class, r.sent.Key, event.peer, span(r.sent.Deadline-zero))
+	case eventAnswered:
+		return "answered: " + event.answer.String()
+	case eventClientLeft:
 		return "the client left"
-	case wasBroken:
+	case eventConnectionBroken:
 		return "the router's connection ended"
-	case hasBegun:
-		return fmt.Sprintf("began at cache %s, sent by router %s at %s", m.who, m.router, span(m.sent-zero))
-	case hasRun:
-		return "ran at cache " + m.who
-	case hasDropped:
-		return "dropped as a repeat at cache " + m.who
-	case hasReplied:
-		return fmt.Sprintf("cache %s replied: %s", m.who, m.answer)
-	case hasEnded:
-		return "the connection to cache " + m.who + " ended"
+	case eventAttemptBegan:
+		return fmt.Sprintf("began at cache %s, sent by router %s at %s", event.peer, event.router, span(event.sent-zero))
+	case eventRan:
+		return "ran at cache " + event.peer
+	case eventDeduplicated:
+		return "dropped as a repeat at cache " + event.peer
+	case eventCacheReplied:
+		return fmt.Sprintf("cache %s replied: %s", event.peer, event.answer)
+	case eventAttemptEnded:
+		return "the connection to cache " + event.peer + " ended"
 	default:
-		return "BROKEN: " + m.rule.String()
+		return "BROKEN: " + event.rule.String()
 	}
 }
 
-// span prints a span of time.
+// span formats a span of time in milliseconds.
 func span(t Time) string {
 	return fmt.Sprintf("%.3f ms", float64(t)/1e3)
 }
--- a/internal/testbench/rules/random_test.go
+++ b/internal/testbench/rules/random_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// step is one event of a stream to come.
+// step is one event of a drawn stream.
 type step struct {
-	at   Time
-	tell func(o Observer)
+	at     Time
+	report func(o Observer)
 }
 
-// weather says how often a drawn request goes wrong: nothing does where all is 0.
-type weather struct {
-	faults float64 // share of requests that break some rule
+// faultRate says how often a drawn request goes wrong: none does where it is 0.
+type faultRate struct {
+	faults float64 // fraction of requests that break some rule
 }
 
 var (
@@ -25,48 +25,48 @@
 )
 
 // draw makes the stream of n requests, one each 5 ms, with retries, refusals, drains, and kills.
-func draw(seed uint64, n int, sky weather) []step {
+func draw(seed uint64, n int, rate faultRate) []step {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var steps []step
-	tell := func(at Time, f func(o Observer)) { steps = append(steps, step{at, f}) }
-	set := figures()
+	report := func(at Time, f func(o Observer)) { steps = append(steps, step{at, f}) }
+	set := testSettings()
 	for i := range n {
-		drawRequest(rng, tell, set, fmt.Sprintf("q%d", i), Time(i)*5*ms, sky)
+		drawRequest(rng, report, set, fmt.Sprintf("q%d", i), Time(i)*5*ms, rate)
 	}
 	// Caches drain and come back, unknown to the requests: within the grace.
 	for at := Time(0); at < Time(n)*5*ms; at += 3000 * ms {
 		cache := drawnCaches[rng.IntN(len(drawnCaches))]
-		tell(at, func(o Observer) { o.Listed(at, "r0", cache, false) })
-		tell(at+900*ms, func(o Observer) { o.Listed(at+900*ms, "r0", cache, true) })
+		report(at, func(o Observer) { o.Listed(at, "r0", cache, false) })
+		report(at+900*ms, func(o Observer) { o.Listed(at+900*ms, "r0", cache, true) })
 	}
 	// One router is killed now and then: what it has is nobody's fault.
 	for at := 2000 * ms; at < Time(n)*5*ms; at += 7000 * ms {
-		tell(at, func(o Observer) { o.RouterDown(at, "r1", false) })
-		tell(at+100*ms, func(o Observer) { o.RouterUp(at+100*ms, "r1") })
+		report(at, func(o Observer) { o.RouterDown(at, "r1", false) })
+		report(at+100*ms, func(o Observer) { o.RouterUp(at+100*ms, "r1") })
 	}
 	sort.SliceStable(steps, func(i, j int) bool { return steps[i].at < steps[j].at })
 	return steps
 }
 
-// drawRequest tells of one request: up to three attempts, each after the end of the one before.
-func drawRequest(rng *rand.Rand, tell func(Time, func(Observer)), set Settings, id string, at Time, sky weather) {
+// drawRequest draws one request: up to three attempts, each after the end of the one before.
+func drawRequest(rng *rand.Rand, report func(Time, func(Observer)), set Settings, id string, at Time, rate faultRate) {
 	name := drawnClasses[rng.IntN(len(drawnClasses))]
 	class := set.Classes[name]
 	router := fmt.Sprintf("r%d", rng.IntN(3))
-	ask := Ask{ID: id, Router: router, Class: name, Key: "key", IdemKey: "k" + id, Sent: at, Deadline: at + class.Deadline}
-	tell(at, func(o Observer) { o.Asked(at, ask) })
-	faulty := rng.Float64() < sky.faults
+	ask := Request{ID: id, Router: router, Class: name, Key: "key", IdemKey: "k" + id, Sent: at, Deadline: at + class.ClientTimeout}
+	report(at, func(o Observer) { o.Asked(at, ask) })
+	faulty := rng.Float64() < rate.faults
 	now, mayHaveRun := at, false
 	cache := drawnCaches[rng.IntN(len(drawnCaches))]
 	answer := func(kind Answer, value string) {
 		now += 1 + rng.Int64N(10*ms)
 		end := now
 		if faulty && rng.IntN(4) == 0 {
-			end += class.Deadline // late
+			end += class.ClientTimeout // late
 		}
-		tell(end, func(o Observer) { o.Answered(end, id, kind, value) })
+		report(end, func(o Observer) { o.Answered(end, id, kind, value) })
 		if faulty && rng.IntN(4) == 0 {
-			tell(end+ms, func(o Observer) { o.Answered(end+ms, id, kind, value) })
+			report(end+ms, func(o Observer) { o.Answered(end+ms, id, kind, value) })
 		}
 	}
 	for try := range 3 {
@@ -76,20 +76,20 @@
 			Sent: sent, First: first, Last: first}
 		now = first + rng.Int64N(150*ms)
 		done := now
-		tell(first, func(o Observer) { o.Began(first, a) })
+		report(first, func(o Observer) { o.Began(first, a) })
 		value := fmt.Sprintf("%s by %d", id, try)
 		switch rng.IntN(5) {
-		case 0: // turned away
-			tell(done, func(o Observer) { o.Replied(done, a.Cache, id, Refused, "") })
+		case 0: // rejected
+			report(done, func(o Observer) { o.Replied(done, a.Cache, id, Refused, "") })
 		case 1: // failed
 			mayHaveRun = true
-			tell(done, func(o Observer) { o.Replied(done, a.Cache, id, Failed, "") })
+			report(done, func(o Observer) { o.Replied(done, a.Cache, id, Failed, "") })
 		case 2: // given up
 			mayHaveRun = true
-			tell(done+10*ms, func(o Observer) { o.Ended(done+10*ms, a.Cache, id) })
+			report(done+10*ms, func(o Observer) { o.Ended(done+10*ms, a.Cache, id) })
 		default:
 			repeat := mayHaveRun
-			tell(done, func(o Observer) {
+			report(done, func(o Observer) {
 				o.Ran(done, a, repeat)
 				o.Replied(done, a.Cache, id, Served, value)
 			})
@@ -99,20 +99,20 @@
 			answer(Served, value)
 			return
 		}
-		if mayHaveRun && class.Effect == Unsafe && !faulty {
+		if mayHaveRun && class.Semantics == NonIdempotent && !faulty {
 			break
 		}
-		if !mayHaveRun || class.Effect == Safe || class.Scope == ScopeAll || faulty {
+		if !mayHaveRun || class.Semantics == Idempotent || class.Scope == ScopeAll || faulty {
 			cache = drawnCaches[rng.IntN(len(drawnCaches))]
 		}
 	}
 	if rng.IntN(10) == 0 {
 		left := now + ms
-		tell(left, func(o Observer) { o.Left(left, id) })
+		report(left, func(o Observer) { o.Left(left, id) })
 		return
 	}
 	c := class
-	if mayHaveRun && c.Effect != Safe && c.Scope != ScopeAll && !faulty {
+	if mayHaveRun && c.Semantics != Idempotent && c.Scope != ScopeAll && !faulty {
 		answer(Failed, "")
 		return
 	}
@@ -129,17 +129,17 @@
 		for ; ticks && last < s.at; last += 7 * ms {
 			w.Tick(last)
 		}
-		s.tell(w)
+		s.report(w)
 		last = s.at
 	}
 	w.Close(last + 60_000*ms)
 }
 
-func TestValidStreamsBreakNoRule(t *testing.T) {
+func TestWatcherAcceptsValidStreams(t *testing.T) {
 	for seed := range uint64(20) {
 		var got []Violation
-		w := New(figures(), func(v Violation) { got = append(got, v) })
-		play(draw(seed, 3000, weather{}), w, false)
+		w := New(testSettings(), func(v Violation) { got = append(got, v) })
+		play(draw(seed, 3000, faultRate{}), w, false)
 		for _, v := range got[:min(len(got), 3)] {
 			t.Errorf("seed %d: %v\n%v", seed, v, w.History(v.Request))
 		}
@@ -150,12 +150,12 @@
 	}
 }
 
-// A verdict may depend neither on how often somebody looks nor on the order of a map.
-func TestFaultyStreamsGiveTheSameVerdictHoweverOftenOneTicks(t *testing.T) {
-	steps := draw(7, 3000, weather{faults: 0.3})
+// A verdict may depend neither on the frequency of Tick nor on the order of a map.
+func TestVerdictIsIndependentOfTicks(t *testing.T) {
+	steps := draw(7, 3000, faultRate{faults: 0.3})
 	run := func(ticks bool) ([]Violation, string) {
 		var got []Violation
-		w := New(figures(), func(v Violation) { got = append(got, v) })
+		w := New(testSettings(), func(v Violation) { got = append(got, v) })
 		play(steps, w, ticks)
 		return got, fmt.Sprintf("%+v", w.Counts())
 	}
@@ -177,7 +177,7 @@
 // one plays the whole life of one request at a rate of one in 100 µs.
 func one(w *Watcher, i int, id string) {
 	at := Time(i) * 100
-	ask := Ask{ID: id, Router: "r", Class: "read", Key: "key", Sent: at, Deadline: at + 1200*ms}
+	ask := Request{ID: id, Router: "r", Class: "read", Key: "key", Sent: at, Deadline: at + 1200*ms}
 	a := Attempt{ID: id, Key: "key", Class: "read", Router: "r", Cache: "a", Sent: at, First: at + 1, Last: at + 1}
 	w.Asked(at, ask)
 	w.Began(at+1, a)
@@ -186,19 +186,19 @@
 	w.Answered(at+4, id, Served, id)
 }
 
-func TestNothingOfARequestStaysForEver(t *testing.T) {
-	set := figures()
+func TestWatcherForgetsFinishedRequests(t *testing.T) {
+	set := testSettings()
 	w := New(set, nil)
 	n := 1_000_000
 	if testing.Short() {
 		n = 200_000
 	}
 	// A request is held for its deadline and slack, and for the longest window after that.
-	most := int((1250*ms + w.keep) / 100)
+	limit := int((1250*ms + w.retention) / 100)
 	for i := range n {
 		one(w, i, fmt.Sprintf("q%d", i))
-		if len(w.requests) > most+1 {
-			t.Fatalf("%d requests are held after %d, at most %d are due", len(w.requests), i, most)
+		if len(w.requests) > limit+1 {
+			t.Fatalf("%d requests are held after %d, at most %d are due", len(w.requests), i, limit)
 		}
 	}
 	if c := w.Counts(); c.Served != n || c.Violations() != 0 {
@@ -206,32 +206,32 @@
 	}
 	w.Tick(Time(n)*100 + 60_000*ms)
 	w.Tick(Time(n)*100 + 120_000*ms)
-	if len(w.requests) != 0 || len(w.due.items) != 0 || w.retired.len() != 0 || len(w.kept) != 0 {
+	if len(w.requests) != 0 || len(w.pendingChecks.items) != 0 || w.retired.len() != 0 || len(w.requestsWithViolation) != 0 {
 		t.Errorf("left: %d requests, %d checks, %d retired, %d kept",
-			len(w.requests), len(w.due.items), w.retired.len(), len(w.kept))
+			len(w.requests), len(w.pendingChecks.items), w.retired.len(), len(w.requestsWithViolation))
 	}
 	if len(w.caches) != 1 || len(w.routers) != 1 || len(w.classes) != len(set.Classes) {
 		t.Errorf("%d caches, %d routers, %d classes", len(w.caches), len(w.routers), len(w.classes))
 	}
 }
 
-func TestBrokenRequestsAreKeptUpToABound(t *testing.T) {
-	w := New(figures(), nil)
-	for i := range 10 * mostKept {
-		w.Asked(Time(i), Ask{ID: fmt.Sprintf("q%d", i), Router: "r", Class: fmt.Sprintf("class %d", i), Deadline: Time(i)})
+func TestRequestsWithViolationAreBounded(t *testing.T) {
+	w := New(testSettings(), nil)
+	for i := range 10 * maxRequestsWithViolation {
+		w.Asked(Time(i), Request{ID: fmt.Sprintf("q%d", i), Router: "r", Class: fmt.Sprintf("class %d", i), Deadline: Time(i)})
 	}
 	w.Close(600_000 * ms)
-	if len(w.kept) != mostKept || len(w.requests) != 0 || len(w.classes) > mostClasses+1 {
-		t.Errorf("%d kept, %d held, %d classes", len(w.kept), len(w.requests), len(w.classes))
+	if len(w.requestsWithViolation) != maxRequestsWithViolation || len(w.requests) != 0 || len(w.classes) > maxClasses+1 {
+		t.Errorf("%d kept, %d held, %d classes", len(w.requestsWithViolation), len(w.requests), len(w.classes))
 	}
-	if w.Counts().Lost != 10*mostKept || w.History("q0") == nil {
+	if w.Counts().Lost != 10*maxRequestsWithViolation || w.History("q0") == nil {
 		t.Errorf("%d lost, the first one's history %v", w.Counts().Lost, w.History("q0"))
 	}
 }
 
 // One request with one attempt: five events.
 func BenchmarkRequest(b *testing.B) {
-	w := New(figures(), nil)
+	w := New(testSettings(), nil)
 	ids := make([]string, 1<<18)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%016x", i)
--- a/internal/testbench/rules/watcher_test.go
+++ b/internal/testbench/rules/watcher_test.go
@@ -7,25 +7,25 @@
 	"testing"
 )
 
-func TestCountsByClassAndWorth(t *testing.T) {
-	s := newScene(figures())
+func TestCountsSumUpClasses(t *testing.T) {
+	s := newHarness(testSettings())
 	for i, late := range []Time{100 * ms, 600 * ms} {
 		id := string(rune('a' + i))
-		s.ask(0, id, "read")
+		s.send(0, id, "read")
 		s.begin(10*ms, "a", id, "read")
 		s.serve(20*ms, "a", id, "read")
 		s.Answered(late, id, Served, "value of "+id)
 	}
-	s.ask(600*ms, "c", "read")
-	s.ask(600*ms, "d", "once")
+	s.send(600*ms, "c", "read")
+	s.send(600*ms, "d", "once")
 	s.Answered(700*ms, "d", Refused, "")
 	s.Close(700 * ms)
 	c := s.Counts()
 	if c.Asked != 4 || c.Served != 2 || c.InTime != 1 || c.Refused != 1 || c.Unsettled != 1 || c.Attempts != 2 {
 		t.Errorf("%+v", c)
 	}
-	if want := (2 + 2*0.5) / (3*2 + 5); c.Share() != want {
-		t.Errorf("share %v, want %v", c.Share(), want)
+	if want := (2 + 2*0.5) / (3*2 + 5); c.EarnedFraction() != want {
+		t.Errorf("share %v, want %v", c.EarnedFraction(), want)
 	}
 	var names []string
 	for _, k := range c.Classes {
@@ -36,8 +36,8 @@
 	}
 }
 
-func TestOverloadOfAWarmCacheIsCountedByTheSpell(t *testing.T) {
-	s := newScene(figures())
+func TestCountsOverloadsOfWarmCacheBySpell(t *testing.T) {
+	s := newHarness(testSettings())
 	s.CacheUp(0, "a", 1e6, 1, 0)
 	for _, at := range []Time{0, 100 * ms, 10_000 * ms} {
 		s.Offered(at, "a", "", 9001*ms)
@@ -53,9 +53,9 @@
 	}
 }
 
-func TestRepeatThatCachesShouldHaveDroppedIsNoRoutersDoing(t *testing.T) {
-	s := newScene(figures())
-	s.ask(0, "q", "put")
+func TestUndroppedRepeatIsNoViolation(t *testing.T) {
+	s := newHarness(testSettings())
+	s.send(0, "q", "put")
 	s.begin(10*ms, "a", "q", "put")
 	s.ran(20*ms, "a", "q", "put", false)
 	s.Ended(20*ms, "a", "q")
@@ -67,31 +67,31 @@
 	}
 }
 
-func TestViolationIsOneReadableLine(t *testing.T) {
+func TestViolationString(t *testing.T) {
 	v := Violation{Rule: WrongValue, At: 12_345_678, Request: "q", Router: "r", Text: "no cache has served it"}
 	if got, want := v.String(), "12.345678 s: wrong value, request q, router r: no cache has served it"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
 
-func TestEndlessAttemptsOfOneRequestAreBounded(t *testing.T) {
-	set := figures()
+func TestAttemptsOfRequestAreBounded(t *testing.T) {
+	set := testSettings()
 	set.MaxAttempts = 0
-	s := newScene(set)
-	s.ask(0, "q", "read")
-	for i := range Time(mostAttempts + 2) {
+	s := newHarness(set)
+	s.send(0, "q", "read")
+	for i := range Time(maxAttemptsPerRequest + 2) {
 		s.begin(i, "a", "q", "read")
 		s.Replied(i, "a", "q", Refused, "")
 	}
 	held := len(s.requests["q"].attempts)
-	if !slices.Equal(s.rules(), []Rule{TooManyAttempts, TooManyAttempts}) || held != mostAttempts {
+	if !slices.Equal(s.rules(), []Rule{TooManyAttempts, TooManyAttempts}) || held != maxAttemptsPerRequest {
 		t.Errorf("%d held, violations %v", held, s.got)
 	}
 }
 
-func TestHistoryOfABrokenRequestIsKept(t *testing.T) {
-	s := newScene(figures())
-	s.ask(0, "q", "read")
+func TestHistoryOfRequestWithViolation(t *testing.T) {
+	s := newHarness(testSettings())
+	s.send(0, "q", "read")
 	s.begin(10*ms, "a", "q", "read")
 	s.Replied(20*ms, "a", "q", Failed, "")
 	s.Close(90_000 * ms)
@@ -110,14 +110,14 @@
 }
 
 // A late answer on a reused connection is the likeliest way to a wrong value: the report names its owner.
-func TestWrongValueNamesTheRequestItWasMadeFor(t *testing.T) {
-	s := newScene(figures())
+func TestWrongValueNamesRequestItWasMadeFor(t *testing.T) {
+	s := newHarness(testSettings())
 	owners := []string{"first"}
 	for i := range 50 {
 		owners = append(owners, fmt.Sprint("later", i))
 	}
 	for _, id := range append(owners, "q") {
-		s.ask(0, id, "read")
+		s.send(0, id, "read")
 		s.begin(10*ms, "a", id, "read")
 	}
 	s.Ended(20*ms, "a", "first")
@@ -130,12 +130,12 @@
 	}
 }
 
-func TestRequestsLostAtOneInstantAreReportedInTheirOrder(t *testing.T) {
-	s := newScene(figures())
+func TestRequestsLostAtOneInstantAreReportedInOrder(t *testing.T) {
+	s := newHarness(testSettings())
 	var want, got []string
 	for i := range 100 {
 		want = append(want, fmt.Sprint(i))
-		s.ask(0, want[i], "read")
+		s.send(0, want[i], "read")
 	}
 	s.Close(90_000 * ms)
 	for _, v := range s.got {
@@ -146,10 +146,10 @@
 	}
 }
 
-func TestRequestThatStandsBehindAnotherIsDueLater(t *testing.T) {
+func TestBehindMovesDeadline(t *testing.T) {
 	for _, answer := range []Time{1249 * ms, 2049 * ms, 2051 * ms} {
-		s := newScene(figures())
-		s.ask(0, "q", "read")
+		s := newHarness(testSettings())
+		s.send(0, "q", "read")
 		s.Behind(1200*ms, "q", 2000*ms)
 		s.Behind(1200*ms, "q", 1000*ms) // says nothing new
 		s.begin(10*ms, "a", "q", "read")
--- a/internal/testbench/standin/cache_test.go
+++ b/internal/testbench/standin/cache_test.go
@@ -35,7 +35,7 @@
 func (n *notes) Listed(_ Time, router, cache string, works bool) {
 	n.add("listed %s %s %t", router, cache, works)
 }
-func (n *notes) Asked(_ Time, a rules.Ask) {
+func (n *notes) Asked(_ Time, a rules.Request) {
 	if n.add("asked %s", a.Class); a.Forgone {
 		n.add("forgone")
 	}
--- a/internal/testbench/standin/clientconn.go
+++ b/internal/testbench/standin/clientconn.go
@@ -139,7 +139,7 @@
 	err := cc.send(t.words(now))
 	t.sent = now
 	r.tally.Tries++
-	ask := rules.Ask{ID: t.id, Router: cc.target.Name, Class: r.class.Name, Key: r.key, IdemKey: r.idem,
+	ask := rules.Request{ID: t.id, Router: cc.target.Name, Class: r.class.Name, Key: r.key, IdemKey: r.idem,
 		Sent: now, Deadline: t.deadline, Write: r.class.Write}
 	if conn, virtual := cc.conn.(interface{ Ended() bool }); virtual {
 		ask.Ended = conn.Ended
--- a/internal/testbench/standin/discoverytold.go
+++ b/internal/testbench/standin/discoverytold.go
@@ -57,7 +57,7 @@
 	is := said{l.Status == InService, l.Since}
 	told[l.Name] = is
 	if l.Since > 0 && was.since != l.Since {
-		d.obs.StartTold(d.m.Now(), router, l.Name, l.Since)
+		d.obs.StartNotified(d.m.Now(), router, l.Name, l.Since)
 	}
 	if !known || was.works != is.works {
 		d.obs.Listed(d.m.Now(), router, l.Name, is.works)
--- a/internal/testbench/standin/hostile.go
+++ b/internal/testbench/standin/hostile.go
@@ -148,7 +148,7 @@
 		if c.send(b) != nil || len(c.out) > 0 {
 			return // it did not go out whole
 		}
-		c.h.obs.Asked(now, rules.Ask{ID: t.id, Router: router, Class: c.h.o.Class.Name, Key: t.req.key, Sent: now,
+		c.h.obs.Asked(now, rules.Request{ID: t.id, Router: router, Class: c.h.o.Class.Name, Key: t.req.key, Sent: now,
 			Deadline: t.deadline, Forgone: stays})
 		if !stays {
 			c.h.obs.Left(now, t.id)
--- a/internal/testbench/standin/standin.go
+++ b/internal/testbench/standin/standin.go
@@ -29,15 +29,15 @@
 	Name      string
 	Share     float64 // of all requests
 	Effect    Effect
-	Write     bool        // goes on to the store
-	Aim       Time        // wanted within
-	Deadline  Time        // the client's whole patience
-	Window    Time        // for which the caches drop a repeat, of a Keyed class
-	Scope     rules.Scope // which caches do
-	Worth     float64     // of an answer within Aim
-	LateWorth float64     // share of Worth that a later one earns
-	Work      Time        // mean, on one core
-	CV        float64     // of the work: its standard deviation over its mean
+	Write     bool                     // goes on to the store
+	Aim       Time                     // wanted within
+	Deadline  Time                     // the client's whole patience
+	Window    Time                     // for which the caches drop a repeat, of a Keyed class
+	Scope     rules.DeduplicationScope // which caches do
+	Worth     float64                  // of an answer within Aim
+	LateWorth float64                  // share of Worth that a later one earns
+	Work      Time                     // mean, on one core
+	CV        float64                  // of the work: its standard deviation over its mean
 }
 
 // Effect says what may happen when a request runs twice.
@@ -145,7 +145,7 @@
 // Blind is an Observer that takes no notice.
 type Blind struct{}
 
-func (Blind) Asked(Time, rules.Ask)                              {}
+func (Blind) Asked(Time, rules.Request)                          {}
 func (Blind) Answered(Time, string, rules.Answer, string)        {}
 func (Blind) Left(Time, string)                                  {}
 func (Blind) Broken(Time, string)                                {}
@@ -159,7 +159,7 @@
 func (Blind) CacheUp(Time, string, float64, float64, Time)       {}
 func (Blind) CacheDown(Time, string, bool)                       {}
 func (Blind) Offered(Time, string, string, Time)                 {}
-func (Blind) StartTold(Time, string, string, Time)               {}
+func (Blind) StartNotified(Time, string, string, Time)           {}
 func (Blind) StoreOffered(Time, Time, string)                    {}
 func (Blind) StoreFell(Time)                                     {}
 func (Blind) RouterUp(Time, string)                              {}
