--- a/internal/testbench/lab/loopback/world.go
+++ b/internal/testbench/lab/loopback/world.go
@@ -84,15 +84,16 @@
 func ruleSettings(fleet *standin.Options, router *standin.RouterSettings) rules.Settings {
 	capacity := &fleet.Cache.Capacity
 	set := rules.Settings{
-		Classes: map[string]rules.Class{}, MaxAttempts: router.MaxAttempts, Copies: router.AllowHedging,
-		Slack: slack, Flight: 50 * millisecond, DrainGrace: router.DrainGrace,
-		FallMultiple: capacity.OverloadMultiple, FallFor: capacity.OverloadWindow, FallSlack: 0.1,
-		StoreFallFor: fleet.Store.OverloadWindow, StoreColdShare: 0.5, MeanWork: capacity.MeanWork,
+		Classes: map[string]rules.Class{}, MaxAttempts: router.MaxAttempts, AllowHedging: router.AllowHedging,
+		Slack: slack, MaxTransit: 50 * millisecond, DrainGrace: router.DrainGrace,
+		OverloadMultiple: capacity.OverloadMultiple, OverloadWindow: capacity.OverloadWindow, OverloadTolerance: 0.1,
+		StoreOverloadWindow: fleet.Store.OverloadWindow, MaxStoreWarmupFraction: 0.5, MeanWork: capacity.MeanWork,
 	}
-	effects := [...]rules.Effect{standin.Idempotent: rules.Safe, standin.IdempotentByKey: rules.Keyed, standin.NonIdempotent: rules.Unsafe}
+	effects := [...]rules.Semantics{standin.Idempotent: rules.Idempotent, standin.IdempotentByKey: rules.IdempotentByKey, standin.NonIdempotent: rules.NonIdempotent}
 	for _, c := range fleet.Classes {
-		set.Classes[c.Name] = rules.Class{Effect: effects[c.Semantics], Scope: rules.ScopeAll, Window: c.IdempotencyWindow,
-			Aim: c.LatencyObjective, Deadline: c.ClientTimeout, Worth: c.PriorityWeight, LateWorth: c.LateWeightFraction}
+		set.Classes[c.Name] = rules.Class{Semantics: effects[c.Semantics], Scope: rules.ScopeAll, IdempotencyWindow: c.IdempotencyWindow,
+			LatencyObjective: c.LatencyObjective, ClientTimeout: c.ClientTimeout, PriorityWeight: c.PriorityWeight,
+			LateWeightFraction: c.LateWeightFraction}
 	}
 	return set
 }
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -189,7 +189,7 @@
 // a router sends past its group is the rules' to find.
 var writes = map[string]struct {
 	effect standin.Semantics
-	scope  rules.Scope
+	scope  rules.DeduplicationScope
 }{
 	"keyed": {standin.IdempotentByKey, rules.ScopeAll}, "keyed-zone": {standin.IdempotentByKey, rules.ScopeZone},
 	"keyed-cell": {standin.IdempotentByKey, rules.ScopeCell},
@@ -255,16 +255,18 @@
 // rules are the figures of the rules, those of the operators.
 func (w *world) rules() rules.Settings {
 	set := rules.Settings{
-		Classes: map[string]rules.Class{}, MaxAttempts: w.s.Fleet.MaxAttempts, Slack: slack, Flight: 50 * millisecond,
-		Copies: w.s.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.s.Fleet.DrainGrace),
-		Remember:     w.longestHeld(),
-		FallMultiple: 3, FallFor: 3 * second, FallSlack: 0.05, StoreFallFor: 3 * second, StoreColdShare: 0.5,
+		Classes: map[string]rules.Class{}, MaxAttempts: w.s.Fleet.MaxAttempts, Slack: slack, MaxTransit: 50 * millisecond,
+		AllowHedging: w.s.Fleet.Copies || w.hidesCloses(), DrainGrace: microseconds(w.s.Fleet.DrainGrace),
+		ExtraRetention:   w.longestHeld(),
+		OverloadMultiple: 3, OverloadWindow: 3 * second, OverloadTolerance: 0.05,
+		StoreOverloadWindow: 3 * second, MaxStoreWarmupFraction: 0.5,
 		MeanWork: meanWork(w.s, w.classes),
 	}
 	for _, c := range w.classes {
-		effect := [...]rules.Effect{standin.Idempotent: rules.Safe, standin.IdempotentByKey: rules.Keyed, standin.NonIdempotent: rules.Unsafe}
-		set.Classes[c.Name] = rules.Class{Effect: effect[c.Semantics], Scope: c.Scope, Window: c.IdempotencyWindow, Aim: c.LatencyObjective,
-			Deadline: c.ClientTimeout, Worth: c.PriorityWeight, LateWorth: c.LateWeightFraction}
+		effect := [...]rules.Semantics{standin.Idempotent: rules.Idempotent, standin.IdempotentByKey: rules.IdempotentByKey, standin.NonIdempotent: rules.NonIdempotent}
+		set.Classes[c.Name] = rules.Class{Semantics: effect[c.Semantics], Scope: c.Scope, IdempotencyWindow: c.IdempotencyWindow,
+			LatencyObjective: c.LatencyObjective, ClientTimeout: c.ClientTimeout, PriorityWeight: c.PriorityWeight,
+			LateWeightFraction: c.LateWeightFraction}
 	}
 	return set
 }
--- a/internal/testbench/standin/discovery_notify.go
+++ b/internal/testbench/standin/discovery_notify.go
@@ -57,7 +57,7 @@
 	is := notifiedState{l.Status == InService, l.Since}
 	told[l.Name] = is
 	if l.Since > 0 && was.since != l.Since {
-		d.observer.StartTold(d.m.Now(), router, l.Name, l.Since)
+		d.observer.StartNotified(d.m.Now(), router, l.Name, l.Since)
 	}
 	if !known || was.serving != is.serving {
 		d.observer.Listed(d.m.Now(), router, l.Name, is.serving)
--- a/internal/testbench/standin/hostile.go
+++ b/internal/testbench/standin/hostile.go
@@ -148,7 +148,7 @@
 		if c.send(b) != nil || len(c.unsent) > 0 {
 			return // it did not go out whole
 		}
-		c.client.observer.Asked(now, rules.Ask{ID: t.id, Router: router, Class: c.client.options.Class.Name, Key: t.request.key, Sent: now,
+		c.client.observer.Asked(now, rules.Request{ID: t.id, Router: router, Class: c.client.options.Class.Name, Key: t.request.key, Sent: now,
 			Deadline: t.deadline, Forgone: stays})
 		if !stays {
 			c.client.observer.Left(now, t.id)
--- a/internal/testbench/standin/standin.go
+++ b/internal/testbench/standin/standin.go
@@ -29,15 +29,15 @@
 	Name               string
 	TrafficFraction    float64 // of all requests
 	Semantics          Semantics
-	Write              bool        // goes on to the store
-	LatencyObjective   Time        // wanted within
-	ClientTimeout      Time        // the client's whole patience
-	IdempotencyWindow  Time        // for which the caches drop a repeat, of an IdempotentByKey class
-	Scope              rules.Scope // which caches do
-	PriorityWeight     float64     // of an answer within LatencyObjective
-	LateWeightFraction float64     // fraction of PriorityWeight that a late answer earns
-	Work               Time        // mean, on one core
-	CV                 float64     // of the work: its standard deviation over its mean
+	Write              bool                     // goes on to the store
+	LatencyObjective   Time                     // wanted within
+	ClientTimeout      Time                     // the client's whole patience
+	IdempotencyWindow  Time                     // for which the caches drop a repeat, of an IdempotentByKey class
+	Scope              rules.DeduplicationScope // which caches do
+	PriorityWeight     float64                  // of an answer within LatencyObjective
+	LateWeightFraction float64                  // fraction of PriorityWeight that a late answer earns
+	Work               Time                     // mean, on one core
+	CV                 float64                  // of the work: its standard deviation over its mean
 }
 
 // Semantics says what may happen when a request runs twice.
@@ -164,7 +164,7 @@
 // Blind is an Observer that takes no notice.
 type Blind struct{}
 
-func (Blind) Asked(Time, rules.Ask)                              {}
+func (Blind) Asked(Time, rules.Request)                          {}
 func (Blind) Answered(Time, string, rules.Answer, string)        {}
 func (Blind) Left(Time, string)                                  {}
 func (Blind) Broken(Time, string)                                {}
@@ -178,7 +178,7 @@
 func (Blind) CacheUp(Time, string, float64, float64, Time)       {}
 func (Blind) CacheDown(Time, string, bool)                       {}
 func (Blind) Offered(Time, string, string, Time)                 {}
-func (Blind) StartTold(Time, string, string, Time)               {}
+func (Blind) StartNotified(Time, string, string, Time)           {}
 func (Blind) StoreOffered(Time, Time, string)                    {}
 func (Blind) StoreFell(Time)                                     {}
 func (Blind) RouterUp(Time, string)                              {}
