--- a/internal/hooks/process_test.go
+++ b/internal/hooks/process_test.go
@@ -236,6 +236,7 @@
 
 func TestReloadOfInvalidHookNamesItAndKeepsOldSet(t *testing.T) {
 	good := scriptHook("good", "def on_request(r):\n    return refuse(5)\n")
+	good.Time, good.Budget.Time = generousCallTime, generousCallTime
 	for want, code := range map[string]string{ // any order
 		`hook=bad cause="does not load: bad:2:5: got end of file, want primary expression`: "x = ",
 		`hook=bad cause="other contract: it was built for version 2`:                       "version = 2\n",
