--- a/decide/api.go
+++ b/decide/api.go
@@ -231,6 +231,9 @@
 	ErrorRate   float64 // fraction of errors among its answers
 }
 
+// UnknownLoad is the load report of results that no cache sent.
+var UnknownLoad = LoadReport{Utilization: -1}
+
 // Event is what a Router is fed: *EndpointList, *Request, *ResponseStarted,
 // *AttemptResult, *ClientGone, *Timer, *HealthCheckResult, *PeerMessage, *RouterCount or
 // *RetryStorm.
@@ -384,7 +387,7 @@
 	RetryBudgetExhausted
 	// NoEndpoint means that there is no cache that it may be sent to.
 	NoEndpoint
-	// DeadlineExceeded means that its deadline has come.
+	// WaitBeyondDeadline means that its deadline has come.
 	DeadlineExceeded
 )
 
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -48,7 +48,7 @@
 
 // send starts the next attempt of a request.
 func (r *Router) send(q *request, c *cache) {
-	if q.isRetry() || r.overflowCostsToken(q, c) {
+	if q.costsRetryToken() || r.overflowCostsToken(q, c) {
 		r.retryBudget.spend()
 	}
 	n := len(q.attempts)
--- a/decide/low_traffic.go
+++ b/decide/low_traffic.go
@@ -12,7 +12,7 @@
 //
 //   - concurrency limit: a result at one cache does not count for others (adjustFleetLimits)
 //   - origin limit: late likely misses count by how likely they are (originOverdue, learnOrigin)
-//   - overdue attempts: idempotent ones are cancelled past their latency objective (objectiveMissed)
+//   - overdue attempts: idempotent ones are cancelled past their latency objective (handleObjectiveReached)
 //   - outliers: a cache that kept a request waiting is ejected, and few requests may move (outlier.go)
 //   - admission: what all caches together don't serve in time is rejected at once (admission.go)
 //   - hot keys: keys are spread by their likely popularity, in the own zone first (hot_keys.go, rankCaches)
--- a/decide/request.go
+++ b/decide/request.go
@@ -91,7 +91,7 @@
 
 // forward sends a request on, queues it, or answers it if neither is possible.
 func (r *Router) forward(q *request) {
-	if q.isRetry() && !r.retryBudget.allows() {
+	if q.costsRetryToken() && !r.retryBudget.allows() {
 		q.reason = RetryBudgetExhausted
 		r.giveUp(q)
 		return
@@ -111,9 +111,9 @@
 	}
 }
 
-// isRetry reports whether a further attempt takes a token of the retry budget. An attempt whose connection
+// costsRetryToken reports whether a further attempt takes a token of the retry budget. One whose connection
 // broke at once has cost the caches nothing.
-func (q *request) isRetry() bool {
+func (q *request) costsRetryToken() bool {
 	return len(q.attempts) > 0 && !q.attempts[len(q.attempts)-1].connectionBroke
 }
 
--- a/decide/retry_budget.go
+++ b/decide/retry_budget.go
@@ -8,7 +8,8 @@
 )
 
 // retryBudget limits retries and hedged requests to a fraction of the requests, so that retries can't
-// multiply the overload that caused them. Requests earn tokens, and each retry takes one.
+// multiply the overload that caused them. Requests earn tokens. Each retry, each hedged request, and each
+// first attempt that overflows to a cache without its key takes one.
 type retryBudget struct {
 	tokens float64
 }
--- a/internal/endpoints/damping.go
+++ b/internal/endpoints/damping.go
@@ -20,7 +20,7 @@
 // One restart is one flap. The fleet is small, so that a suppression of a quarter of an hour, as in RFC 2439, would cost
 // more than the keys that move.
 func DefaultDamping() Damping {
-	return Damping{Penalty: 1000, Suppress: 2000, Reuse: 1000, HalfLife: 10e6, MaxSuppress: 60e6}
+	return Damping{Penalty: 1000, Suppress: 2000, Reuse: 1000, HalfLife: 10_000_000, MaxSuppress: 60_000_000}
 }
 
 // maxPenalty is the cap of a penalty: from there, the decay to Reuse takes MaxSuppress.
--- a/internal/endpoints/mass_removal.go
+++ b/internal/endpoints/mass_removal.go
@@ -16,7 +16,7 @@
 
 // DefaultMassRemoval leaves a fifth of the operators' drain grace of 1 s for the attempts that are already out.
 func DefaultMassRemoval() MassRemoval {
-	return MassRemoval{Fraction: 0.5, ConfirmWithin: 800e3, MinEndpoints: 4}
+	return MassRemoval{Fraction: 0.5, ConfirmWithin: 800_000, MinEndpoints: 4}
 }
 
 // exceededBy reports whether the loss of so many serving endpoints of a total must be confirmed.
--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -45,7 +45,7 @@
 	SourceOptions
 	answered         bool   // it has sent a list that is not stale
 	answeredAt       Time   // when it last did
-	unavailable      bool   // since unavailableSince, for unavailableReason
+	unavailable      bool   // since unavailableSince, for failureReason
 	unavailableSince Time   // the first failure after its last answer
 	failureReason    string // of the latest failure
 	known            int    // its claims that are not Removed
@@ -284,7 +284,7 @@
 }
 
 // minRemovedRetention is for how long, at least, a removed endpoint and the reason of its removal are remembered.
-const minRemovedRetention Time = 600e6
+const minRemovedRetention Time = 600_000_000 // microseconds
 
 // forgetRemoved drops endpoints that were removed so long ago that their penalty has decayed below half of Reuse, and the
 // oldest ones beyond MaxRemoved. Without a bound, endpoints that come and go under ever new ids would fill the memory.
--- a/internal/guard/overdue.go
+++ b/internal/guard/overdue.go
@@ -83,7 +83,7 @@
 			Result:  decide.TimedOut,
 			Elapsed: c.now - attempt.sentAt,
 			Last:    request.over,
-			Load:    unknownLoad,
+			Load:    decide.UnknownLoad,
 		})
 	}
 	if request.missesAnswer(c.now) {
@@ -107,7 +107,7 @@
 			Cache:   cache.name,
 			Result:  decide.TimedOut,
 			Elapsed: c.now - sentAt,
-			Load:    unknownLoad,
+			Load:    decide.UnknownLoad,
 		})
 	}
 	return events
--- a/internal/guard/rules.go
+++ b/internal/guard/rules.go
@@ -158,7 +158,8 @@
 	return Allowed
 }
 
-// sameDeduplicationScope reports whether two caches drop each other's repeats.
+// sameDeduplicationScope reports whether two caches drop each other's repeats. The decision module has a rule of its own for
+// that: the guard checks it, and so does not share its code.
 func sameDeduplicationScope(scope decide.DeduplicationScope, a, b Cache) bool {
 	switch scope {
 	case decide.DeduplicatedInZone:
@@ -178,7 +179,7 @@
 		reason = g.mayAttempt(now, request, cache)
 	}
 	if excess := now + wait - request.Deadline; reason == Allowed && excess > 0 {
-		reason, violation.Excess = DeadlineExceeded, excess
+		reason, violation.Excess = WaitBeyondDeadline, excess
 	}
 	g.recordViolation(reason, violation)
 	if request.attempts == nil {
--- a/internal/guard/rules_test.go
+++ b/internal/guard/rules_test.go
@@ -100,7 +100,7 @@
 
 func TestViolationsOtherThanSends(t *testing.T) {
 	for want, do := range map[Reason]func(*Guard, *Request){
-		DeadlineExceeded: func(g *Guard, q *Request) { g.WriteStarted(1, q, 0, here, window, true) },
+		WaitBeyondDeadline: func(g *Guard, q *Request) { g.WriteStarted(1, q, 0, here, window, true) },
 		Answered: func(g *Guard, q *Request) {
 			g.Answered(1, q)
 			g.Answered(2, q)
--- a/internal/guard/tracked.go
+++ b/internal/guard/tracked.go
@@ -133,13 +133,10 @@
 		Attempt: pending.attempt,
 		Result:  decide.NotSent,
 		Last:    last,
-		Load:    unknownLoad,
+		Load:    decide.UnknownLoad,
 	}
 }
 
-// unknownLoad is the load report of results that did not come from a cache.
-var unknownLoad = decide.LoadReport{Utilization: -1}
-
 // cacheNamed returns the record of a cache, and makes it where there is none.
 func (c *Contract) cacheNamed(name string) *trackedCache {
 	cache := c.caches[name]
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -21,7 +21,7 @@
 	NotIdempotent                           // an earlier attempt may have run, and no cache drops a repeat
 	OutsideDeduplicationScope               // an earlier attempt may have run, and this cache would not drop the repeat
 	IdempotencyWindowOver                   // an earlier attempt may have run, and caches may have forgotten it
-	DeadlineExceeded                        // the cache is told that the router waits longer than its client does
+	WaitBeyondDeadline                      // the cache is told that the router waits longer than its client does
 	RejectedAfterRun                        // a refusal says that another try does no harm, and an attempt may have run
 	ClosedUnanswered                        // the router closes a connection that still waits for an answer
 	reasonCount                             // the number of reasons
@@ -29,7 +29,7 @@
 
 // reasonNames are the names of the reasons in the log.
 var reasonNames = [reasonCount]string{"allowed", "answered", "client-gone", "cache-draining", "deadline-passed", "too-many-attempts",
-	"hedge-not-allowed", "not-idempotent", "outside-deduplication-scope", "idempotency-window-over", "deadline-exceeded",
+	"hedge-not-allowed", "not-idempotent", "outside-deduplication-scope", "idempotency-window-over", "wait-beyond-deadline",
 	"rejected-after-run",
 	"closed-unanswered"}
 
--- a/internal/retry/pacer.go
+++ b/internal/retry/pacer.go
@@ -30,11 +30,10 @@
 
 // Pacer decides when one client calls again. Use NewPacer.
 //
-// Delays neither grow with each failure nor shrink: their mean stays at a sixth of the bound. A service that can answer one call
+// The mean delay is a sixth of the bound, and grows, up to the bound, only after three bounds without an answer. A service that can answer one call
 // of each client within the bound then always has calls waiting, while those that it rejects cost it little. Exponential backoff
 // would leave it idle in the end, as the last clients call seldom; much shorter delays would have it spend its time on
-// rejections. Delays grow, up to the bound, only after several bounds without an answer, when the service is down for long or
-// can't answer all clients within the bound.
+// rejections. After several bounds without an answer, the service is down for long or can't answer all clients within the bound.
 type Pacer struct {
 	bound         Time // within which each client should be answered
 	maxFirstDelay Time // after the loss of a watch that worked
--- a/internal/retry/timeouts.go
+++ b/internal/retry/timeouts.go
@@ -15,7 +15,7 @@
 	// minDelay is the least delay or timeout, as an agent may take so long on its socket.
 	minDelay Time = 50_000
 
-	// CallPause is between calls of a watch that is answered at once. The protocol ends a watch after 200 ms without a call.
+	// CallPause is the time between calls of a watch that is answered at once, in microseconds. The protocol ends a watch after 200 ms without a call.
 	CallPause = 100_000
 )
 
--- a/internal/retrystorm/detector.go
+++ b/internal/retrystorm/detector.go
@@ -13,7 +13,11 @@
 // fair share is marked in the Verdict.
 package retrystorm
 
-import "time"
+import (
+	"time"
+
+	"starlingwinch/internal/rendezvous"
+)
 
 // Time is an instant or a span in microseconds.
 type Time = int64
@@ -185,15 +189,8 @@
 }
 
 // identity is a hash by which a retry is recognised.
-func identity(r Request) uint64 { return mix(r.Client*0x9e3779b97f4a7c15 + mix(r.Key)) }
-
-// mix is the finaliser of SplitMix64.
-func mix(x uint64) uint64 {
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
+func identity(r Request) uint64 {
+	return rendezvous.Mix(r.Client*0x9e3779b97f4a7c15 + rendezvous.Mix(r.Key))
 }
 
 const (
--- a/internal/retrystorm/detector_test.go
+++ b/internal/retrystorm/detector_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"starlingwinch/internal/rendezvous"
 	"starlingwinch/internal/structuredlog"
 )
 
@@ -348,7 +349,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	s := New(Default())
 	for c := range uint64(100_000) {
-		a := Request{Client: mix(c), Key: c, ClientTimeout: sec}
+		a := Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}
 		s.Unserved(zero, a, s.Requested(zero, a), zero)
 	}
 	most := Default().Remembered/associativity + 1
@@ -357,7 +358,7 @@
 	}
 	known := 0
 	for c := range uint64(100_000) {
-		if s.Requested(zero+ms, Request{Client: mix(c), Key: c, ClientTimeout: sec}).Retry {
+		if s.Requested(zero+ms, Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}).Retry {
 			known++
 		}
 	}
@@ -419,7 +420,7 @@
 	s := New(Default())
 	b.ReportAllocs()
 	for i := range b.N {
-		a := Request{Client: mix(uint64(i % 100_000)), Key: uint64(i % 100_000), ClientTimeout: sec}
+		a := Request{Client: rendezvous.Mix(uint64(i % 100_000)), Key: uint64(i % 100_000), ClientTimeout: sec}
 		now := zero + Time(i)
 		s.Unserved(now, a, s.Requested(now, a), now)
 	}
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -7,10 +7,7 @@
 	"starlingwinch/internal/upstream"
 )
 
-// unknownLoad is the load report of a cache that sent none.
-var unknownLoad = decide.LoadReport{Utilization: -1}
-
-// attempt is one sending of a request to one cache. It implements upstream.Work.
+// attempt is one sending of a request to one cache. It implements upstream.Request.
 type attempt struct {
 	upstream.Attempt
 	router  *Router
@@ -19,10 +16,10 @@
 	result  decide.AttemptResult // the event that the module receives
 }
 
-// Encode implements upstream.Work.
+// Encode implements upstream.Request.
 func (a *attempt) Encode(b []byte, wait Time) []byte { return a.request.command.Encode(b, wait) }
 
-// MaySend implements upstream.Work. The client's connection is checked again, as one turn may bring both what lets a request
+// MaySend implements upstream.Request. The client's connection is checked again, as one turn may bring both what lets a request
 // go out and, behind it, the end of its client.
 func (a *attempt) MaySend(now Time) bool {
 	q := a.request
@@ -30,18 +27,18 @@
 	return a.router.guard.MaySend(now, &q.guard, a.target, isOver) == guard.Allowed
 }
 
-// WriteStarted implements upstream.Work.
+// WriteStarted implements upstream.Request.
 func (a *attempt) WriteStarted(now, wait Time, whole bool) {
 	a.router.guard.WriteStarted(now, &a.request.guard, a.Number, a.target, wait, whole)
 }
 
-// WriteCompleted implements upstream.Work.
+// WriteCompleted implements upstream.Request.
 func (a *attempt) WriteCompleted() { a.request.guard.WriteCompleted(a.Number) }
 
-// KeyHash implements upstream.Work.
+// KeyHash implements upstream.Request.
 func (a *attempt) KeyHash() uint64 { return a.request.command.KeyHash }
 
-// NonIdempotent implements upstream.Work.
+// NonIdempotent implements upstream.Request.
 func (a *attempt) NonIdempotent() bool { return a.request.command.NonIdempotent }
 
 // startAttempt carries out a Send. An attempt that can't begin, as its cache or its client has gone, gets a result all the
@@ -66,7 +63,7 @@
 		Attempt: a.Number,
 		Result:  decide.NotSent,
 		Last:    q.finished,
-		Load:    unknownLoad,
+		Load:    decide.UnknownLoad,
 	})
 }
 
@@ -110,7 +107,7 @@
 	now := r.m.Now()
 	check := &upstream.Attempt{SentAt: now, Deadline: now + r.cfg.OperatorLimits.Caches.HealthCheckTimeout.Microseconds()}
 	if r.frontend == nil || !r.pool.Start(cache, check) {
-		r.queueEvent(&decide.HealthCheckResult{Cache: cache, Result: decide.NotSent, Load: unknownLoad})
+		r.queueEvent(&decide.HealthCheckResult{Cache: cache, Result: decide.NotSent, Load: decide.UnknownLoad})
 	}
 }
 
@@ -118,7 +115,7 @@
 // final answer of its request.
 func (r *Router) AttemptEnded(ended *upstream.Attempt, result decide.Result, reply *resp.Reply) {
 	elapsed := r.m.Now() - ended.SentAt
-	load := unknownLoad
+	load := decide.UnknownLoad
 	if reply != nil {
 		load = reply.LoadReport
 	}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -18,10 +18,11 @@
 const (
 	addressRetryInterval = 10_000    // between two tries to take an address that another process holds
 	addressLogInterval   = 1_000_000 // between two lines about it
-	predecessorKillDelay = 700_000   // SIGKILL follows the end of a drain's longest deadline after so long, at the earliest
+	predecessorKillDelay = 700_000   // from the longest request deadline of a drain until the platform's SIGKILL, at the earliest
 
 	drainAcceptGrace  = 500_000   // new connections may still come for so long after SIGTERM
-	drainAnswerMargin = 50_000    // before the drain's deadline, by which every request is answered
+	drainAnswerMargin = 50_000    // before the drain's deadline, by which the deadlines of requests end
+	drainFinalMargin  = 25_000    // before the drain's deadline, when requests that are still open are answered
 	maxDrainTimeout   = 3_000_000 // of the longest client timeout, the part that a drain waits for
 	drainSlack        = 650_000   // beyond that, until the drain's deadline: SIGKILL may follow 50 ms later
 )
@@ -236,7 +237,7 @@
 	}
 	r.drainDeadline = r.m.Now() + min(r.maxClientTimeout, maxDrainTimeout) + drainSlack
 	r.drainTimer = r.m.At(r.drainDeadline, r.Close)
-	r.m.At(r.drainDeadline-drainAnswerMargin/2, r.answerOpenRequests)
+	r.m.At(r.drainDeadline-drainFinalMargin, r.answerOpenRequests)
 	r.m.At(r.drainDeadline-finalWriteMargin, r.writeSnapshotBeforeDeadline)
 	r.m.At(r.m.Now()+r.acceptGrace, r.drainFrontend)
 }
--- a/internal/router/standstill_test.go
+++ b/internal/router/standstill_test.go
@@ -102,7 +102,7 @@
 	r.Do(func() {
 		r.r.sweepTimer.Stop()
 		r.r.sweepDue = r.Now() // before all that the request has set a time for
-		r.r.sweepTimer = r.At(r.r.sweepDue, r.r.periodicCheck)
+		r.r.sweepTimer = r.At(r.r.sweepDue, r.r.sweep)
 		for r.Late() < 4_500_000 { // past the attempt's end and the contract's slack: the time that passes is what the test is about
 		}
 	})
--- a/internal/testbench/recordedlog/reasons.go
+++ b/internal/testbench/recordedlog/reasons.go
@@ -40,5 +40,6 @@
 	"not-idempotent":              "effect-may-repeat",
 	"outside-deduplication-scope": "outside-group",
 	"idempotency-window-over":     "window-over",
+	"wait-beyond-deadline":        "deadline-exceeded",
 	"rejected-after-run":          "refused-after-run",
 }
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -8,9 +8,8 @@
 )
 
 const (
-	// maxTurnTime is how long a turn may have taken for its checks before a write to count, in microseconds. A router may
-	// stand still for up to 0.15 s between reading its clock and writing: deadlines and windows allow for that, and for no
-	// more.
+	// maxTurnTime is the age of a turn, in microseconds, from which a write is put off to a later turn, whose checks are
+	// current. It lies below decide.MaxSchedulingDelay, for which deadlines and windows allow.
 	maxTurnTime Time = 100_000
 	// writeRetryDelay is until an attempt of which the socket took no byte is tried again.
 	writeRetryDelay Time = 10_000
