--- a/internal/testbench/standin/cache.go
+++ b/internal/testbench/standin/cache.go
@@ -12,40 +12,50 @@
 type Cancel uint8
 
 const (
-	CancelNone   Cancel = iota // it goes on
-	CancelQueued               // it is dropped while it waits
-	CancelAll                  // it stops
+	// CancelNone lets the work go on.
+	CancelNone Cancel = iota
+	// CancelQueued drops a request that still waits for a slot.
+	CancelQueued
+	// CancelAll also stops a request that runs.
+	CancelAll
+)
+
+// Defaults of CacheOptions.
+const (
+	defaultConnections = 90
+	defaultStreams     = 100
 )
 
 // CacheOptions describe a cache server.
 type CacheOptions struct {
-	Name, Zone string
-	Group      int
-	Capacity   Capacity
-	Cancel     Cancel
-
-	MemoryKeys    int
-	Coalesce      bool // misses of one key share a fetch
-	MissKeepsSlot bool // a request that waits for a fetch holds its slot
-	FetchTimeout  Time // 0 for none
-
-	Connections     int  // 0 stands for 90
-	RejectsWhenFull bool // a connection too many is told -BUSY before its end
-	Streams         int  // requests of one connection that are begun at once; 0 stands for 100
+	Name     string   // as the endpoint list has it
+	Zone     string   // its data centre
+	Group    int      // its cell
+	Capacity Capacity // of its processor
+	Cancel   Cancel   // what becomes of the work for clients that have gone
+
+	MemoryKeys    int  // keys that its memory holds
+	Coalesce      bool // misses of one key wait for one fetch
+	MissKeepsSlot bool // a request that waits for a fetch occupies its slot
+	FetchTimeout  Time // a fetch fails after so long; 0 for never
+
+	Connections     int  // open at once; 0 stands for 90
+	RejectsWhenFull bool // a connection beyond that gets -BUSY before it is closed
+	Streams         int  // requests of one connection that are in work at once; 0 stands for 100
 	HandshakeWork   Time // work that a new connection costs
-	HandshakeTime   Time // the first request on it waits so long in any case
-	IdleFor         Time // a connection that stood idle so long is closed; 0 never
+	HandshakeTime   Time // the first request on a connection waits at least so long
+	IdleFor         Time // a connection without a request is closed after so long; 0 for never
 
-	Probes    bool // PING and INFO are answered with care and cost work
-	ProbeWork Time
+	Probes    bool // PING and INFO cost work, and INFO answers with a load report
+	ProbeWork Time // what one of them costs
 	Reports   bool // answers hold a load report
-	ValueSize int  // of a value whose request names no size
+	ValueSize int  // of a value whose request names no size, in bytes
 
 	// RouterOf names the router at a remote address, for the addresses that were opened for no router.
 	RouterOf func(remote string) string
 }
 
-// Cache is one cache server. It keeps its name and its addresses over restarts of its process.
+// Cache is one cache server. It keeps its name and its addresses when its process restarts.
 type Cache struct {
 	m        machine.Machine
 	options  CacheOptions
@@ -56,41 +66,41 @@
 	repeats  *Repeats
 
 	listeners     []*cacheListener
-	up            bool
-	processor     *processor
-	memory        *lruMemory
-	fetches       []*fetch // that are out, in the order in which they began
-	conns         []*cacheConn
-	commands      map[*command]struct{} // begun and not over
-	offeredWork   slidingWork
-	faults        faults
-	hits          int // reads that its memory held ...
-	misses        int // ... and those that it did not
-	dials         int // connections that came
-	rejectedDials int // ... and those for which there was no room
+	up            bool                  // the process runs
+	processor     *processor            // of the running process
+	memory        *lruMemory            // of the running process
+	fetches       []*fetch              // under way, in the order in which they began
+	conns         []*cacheConn          // open connections
+	commands      map[*command]struct{} // requests that run or wait
+	offeredWork   slidingWork           // work that it was sent over the overload window
+	faults        faults                // injected by scripts; they outlive the process
+	hits          int                   // reads whose key was in memory
+	misses        int                   // reads whose key was not
+	dials         int                   // connections that were accepted or rejected
+	rejectedDials int                   // connections rejected because the table was full
 }
 
-// cacheListener is an address that a cache listens on.
+// cacheListener is an address that a cache listens on; listener is nil while the process is down.
 type cacheListener struct {
 	addr, router string
 	listener     machine.Listener
 }
 
-// CacheParts are what a cache shares with others.
+// CacheParts are the objects that a cache shares with others.
 type CacheParts struct {
-	Workload *Workload
-	Store    *Store
-	Repeats  *Repeats
-	Observer rules.Observer
+	Workload *Workload      // the work of each request
+	Store    *Store         // the origin behind the caches
+	Repeats  *Repeats       // keyed writes that the caches of a group remember
+	Observer rules.Observer // told of each event; nil for none
 }
 
-// NewCache is a cache that is not started yet.
+// NewCache returns a cache that is not started yet. It adds itself to the caches that the store notifies of writes.
 func NewCache(m machine.Machine, o CacheOptions, parts CacheParts, rng *rand.Rand) *Cache {
 	if o.Connections == 0 {
-		o.Connections = 90
+		o.Connections = defaultConnections
 	}
 	if o.Streams == 0 {
-		o.Streams = 100
+		o.Streams = defaultStreams
 	}
 	c := &Cache{m: m, options: o, rng: rng, observer: observerOrBlind(parts.Observer), workload: parts.Workload, store: parts.Store,
 		repeats: parts.Repeats}
@@ -98,17 +108,17 @@
 	return c
 }
 
-// Name is the cache's name.
+// Name returns the cache's name.
 func (c *Cache) Name() string { return c.options.Name }
 
-// Zone is where it stands.
+// Zone returns the cache's zone.
 func (c *Cache) Zone() string { return c.options.Zone }
 
 // Up reports whether its process runs.
 func (c *Cache) Up() bool { return c.up }
 
-// Open listens at an address and returns the one that it got. Attempts that come in there are those of
-// the router; without a name, RouterOf tells.
+// Open listens at an address and returns the one that it got. Connections that arrive there belong to the named
+// router; for an empty name, CacheOptions.RouterOf names it.
 func (c *Cache) Open(addr, router string) (string, error) {
 	d := &cacheListener{addr: addr, router: router}
 	if err := c.listen(d); err != nil {
@@ -118,10 +128,10 @@
 	return d.addr, nil
 }
 
-// Group is the number of the group that it belongs to.
+// Group returns the number of the group that it belongs to.
 func (c *Cache) Group() int { return c.options.Group }
 
-// Address is the one that was opened for a router; "" stands for all routers.
+// Address returns the address that was opened for a router, or for all routers where router is "".
 func (c *Cache) Address(router string) string {
 	for _, d := range c.listeners {
 		if d.router == router {
@@ -143,8 +153,8 @@
 	return nil
 }
 
-// Start starts the process. A cold one holds no key and can do little at first; a warm one that runs
-// since long ago still begins with an empty memory, which Warm fills.
+// Start starts the process. A cold process begins slow start; a warm one has its whole capacity. Both begin with an
+// empty memory, which Warm can fill.
 func (c *Cache) Start(cold bool) error {
 	if c.up {
 		return nil
@@ -155,12 +165,12 @@
 	c.commands = map[*command]struct{}{}
 	c.offeredWork = slidingWork{span: c.options.Capacity.OverloadWindow}
 	c.faults.apply(c)
-	share := 1.0
+	capacityFraction := 1.0
 	if c.processor.slowStartWindow > 0 {
-		share = c.options.Capacity.SlowStartMinCapacity
+		capacityFraction = c.options.Capacity.SlowStartMinCapacity
 	}
 	warm := c.options.Capacity.Cores * c.processor.speed() * float64(Second)
-	c.observer.CacheUp(c.m.Now(), c.options.Name, warm, share, c.processor.slowStartWindow)
+	c.observer.CacheUp(c.m.Now(), c.options.Name, warm, capacityFraction, c.processor.slowStartWindow)
 	for _, d := range c.listeners {
 		if d.listener != nil {
 			continue
@@ -172,14 +182,14 @@
 	return nil
 }
 
-// Warm puts keys into the memory, the first as the one used longest ago.
+// Warm puts keys into the memory, from the least to the most recently used.
 func (c *Cache) Warm(keys []string) {
 	for _, k := range keys {
 		c.memory.add(k)
 	}
 }
 
-// Memory is the keys that it holds, as Warm takes them.
+// Memory returns the keys in memory, in the order that Warm expects.
 func (c *Cache) Memory() (keys []string) {
 	for e := c.memory.order.Back(); e != nil; e = e.Prev() {
 		keys = append(keys, e.Value.(string))
@@ -187,10 +197,11 @@
 	return keys
 }
 
-// WarmingUp reports whether its process has not reached its whole capacity yet.
+// WarmingUp reports whether the process is in slow start.
 func (c *Cache) WarmingUp() bool { return c.up && c.processor.capacityFraction() < 1 }
 
-// Able is the work that it can do in each second by now, faults and crowds aside; 0 where it does not run.
+// Able returns the work that it can do in a second at its present warmth, without faults and congestion; 0 while the
+// process is down.
 func (c *Cache) Able() float64 {
 	if !c.up {
 		return 0
@@ -198,22 +209,23 @@
 	return c.processor.availableRate() * float64(Second)
 }
 
-// HasKey reports whether its memory holds a key.
+// HasKey reports whether a key is in memory.
 func (c *Cache) HasKey(key string) bool { return c.up && c.memory.at[key] != nil }
 
-// Holds is the number of requests that run or wait.
+// Holds returns the number of requests that run or wait.
 func (c *Cache) Holds() int { return len(c.commands) }
 
-// Hits is the number of reads whose key it held, and of those that had to wait for the store, since it exists.
+// Hits returns how many reads found their key in memory and how many needed the store, over all processes.
 func (c *Cache) Hits() (hits, misses int) { return c.hits, c.misses }
 
-// Dials is the number of connections that came, and of those that were turned away for want of room, since it exists.
+// Dials returns how many connections arrived and how many of them were rejected because the table was full, over all
+// processes.
 func (c *Cache) Dials() (came, turnedAway int) { return c.dials, c.rejectedDials }
 
-// Connections is the number of those that are open.
+// Connections returns the number of open connections.
 func (c *Cache) Connections() int { return len(c.conns) }
 
-// Stop ends the process: its connections end, new ones are refused.
+// Stop ends the process: its connections are closed, and new ones are refused.
 func (c *Cache) Stop() { c.stop(false) }
 
 // Restart ends the process and starts a new one.
@@ -244,8 +256,8 @@
 	c.conns, c.commands, c.fetches = nil, nil, nil
 }
 
-// offer books work that it was sent, and falls over where that was too much. It reports whether the
-// process still runs.
+// offer records work that the cache was sent, and crashes the process where that exceeds the overload bound. It reports
+// whether the process still runs.
 func (c *Cache) offer(id, router string, work Time) bool {
 	now := c.m.Now()
 	c.observer.Offered(now, c.options.Name, router, work)
@@ -263,7 +275,7 @@
 	return c.up
 }
 
-// invalidate drops the copy of a key that was written.
+// invalidate drops a key that was written from memory, and keeps fetches under way from storing its old value.
 func (c *Cache) invalidate(key string) {
 	if !c.up {
 		return
--- a/internal/testbench/standin/cache_conn.go
+++ b/internal/testbench/standin/cache_conn.go
@@ -7,27 +7,27 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// cacheConn is a connection of a router to a cache. Its calls are answered in their order.
+// cacheConn is a connection of a router to a cache. Its commands are answered in their order.
 type cacheConn struct {
 	stream
 	cache            *Cache
-	router           string
-	commands         []*command // in order, from the first that is not answered
-	started          int        // of calls, the first so many
-	firstByteAt      Time       // arrival of the first byte of what was not read yet
-	earliestArrival  Time       // when that byte may have come at the earliest
-	handshakePaid    bool       // the handshake is paid for
-	handshakeElapsed bool       // ... and its time is over
-	handshake        job
-	handshakeTimer   machine.Timer // of the handshake's time
-	idleTimer        machine.Timer
-	advancing        bool // work is under way
-	peerEnded        bool // the router has ended its sending
-	forgotten        bool // the cache has forgotten it: what comes is answered by a reset
-	endlessLeft      int  // bytes of an endless value still to come
+	router           string        // name of the router that opened it
+	commands         []*command    // read and not answered, in order
+	started          int           // the first so many of commands are in work or done
+	firstByteAt      Time          // when the first byte of the next command was read
+	earliestArrival  Time          // when that byte may have arrived at the earliest
+	handshakePaid    bool          // the work of the handshake is done
+	handshakeElapsed bool          // the time of the handshake is over
+	handshake        job           // the work of the handshake
+	handshakeTimer   machine.Timer // ends the time of the handshake
+	idleTimer        machine.Timer // closes the connection; nil while a command is under way
+	advancing        bool          // advance is running, and is not entered again
+	peerEnded        bool          // the router has closed its side
+	forgotten        bool          // the next bytes are answered by a reset
+	endlessLeft      int           // bytes of an endless value to be written; -1 once they are
 }
 
-// accept takes a connection in.
+// accept handles a new connection, or closes it where the cache is down, full or told to reset connections.
 func (c *Cache) accept(conn machine.Conn, d *cacheListener) machine.Handler {
 	cc := &cacheConn{stream: stream{conn: conn}, cache: c, router: d.router}
 	if cc.router == "" && c.options.RouterOf != nil {
@@ -52,11 +52,12 @@
 	return cc
 }
 
+// updateTableOccupancy tells the processor how full the connection table is.
 func (c *Cache) updateTableOccupancy() {
 	c.processor.change(func() { c.processor.tableOccupancy = float64(len(c.conns)) / float64(c.options.Connections) })
 }
 
-// startHandshake has the connection cost what a handshake costs. The first request waits for it.
+// startHandshake charges the work and the time of a handshake. The first request waits for both.
 func (cc *cacheConn) startHandshake() {
 	c := cc.cache
 	cc.handshakePaid, cc.handshakeElapsed = c.options.HandshakeWork == 0, c.options.HandshakeTime == 0
@@ -69,16 +70,16 @@
 	}
 }
 
-// maxUnstarted bounds the commands that were read and not begun.
+// maxUnstarted bounds the commands of a connection that were read and not started.
 const maxUnstarted = 1024
 
-// Readable reads what has come.
+// Readable is called by the machine when there is something to read.
 func (cc *cacheConn) Readable() {
 	if cc.closed || cc.cache.faults.silent {
 		return
 	}
 	if cc.forgotten {
-		// What has come stays unread, so that the router sees a reset.
+		// The bytes stay unread, so that the router sees a reset.
 		cc.drop()
 		return
 	}
@@ -94,14 +95,14 @@
 	}
 }
 
-// markFirstByte books the first byte of a command.
+// markFirstByte records when the first byte of the next command was read.
 func (cc *cacheConn) markFirstByte() {
 	cc.firstByteAt = cc.cache.m.Now()
 	cc.earliestArrival = cc.cache.faults.earliestArrival(cc.firstByteAt)
 }
 
-// advance does what can be done now: it takes commands off what has come, begins them and writes answers.
-// An end of the router's sending comes after all that was sent before it, and ends what is under way.
+// advance parses commands, starts them and writes replies until nothing more can be done now. Once the router has closed
+// its side and all that it sent was taken, the connection is closed with what is under way on it.
 func (cc *cacheConn) advance() {
 	if cc.advancing {
 		return
@@ -120,7 +121,7 @@
 	cc.updateIdleTimer()
 }
 
-// Writable writes on.
+// Writable is called by the machine when the connection takes more bytes.
 func (cc *cacheConn) Writable() {
 	if cc.closed {
 		return
@@ -133,7 +134,7 @@
 	cc.advance()
 }
 
-// parseNext takes one whole command off what has come.
+// parseNext takes one whole command off the received bytes, and reports whether there was one.
 func (cc *cacheConn) parseNext() bool {
 	if len(cc.commands)-cc.started >= maxUnstarted {
 		return false
@@ -142,7 +143,7 @@
 	if err != nil {
 		cc.cache.observer.Bad(cc.cache.m.Now(), cc.cache.options.Name, err.Error())
 		cc.send(redcon.AppendError(nil, "SYNTAX "+err.Error()))
-		cc.drop() // where the next command begins can't be told
+		cc.drop() // the start of the next command is unknown
 		return false
 	}
 	if used == 0 {
@@ -157,16 +158,17 @@
 	return true
 }
 
-// errorReply is a call that is answered at once with an error.
+// errorReply returns a command that is answered at once with an error.
 func (cc *cacheConn) errorReply(text string) *command {
 	return &command{cache: cc.cache, conn: cc, finished: true, replyReady: true, reply: redcon.AppendError(nil, text)}
 }
 
+// okReply returns a command that is answered at once with a simple string.
 func (cc *cacheConn) okReply(text string) *command {
 	return &command{cache: cc.cache, conn: cc, finished: true, replyReady: true, reply: redcon.AppendString(nil, text)}
 }
 
-// newCommand makes a call of a command that has come whole.
+// newCommand makes a command of the words of one that was read whole.
 func (cc *cacheConn) newCommand(args [][]byte) *command {
 	c := cc.cache
 	switch string(args[0]) {
@@ -191,71 +193,71 @@
 		c.observer.Bad(c.m.Now(), c.options.Name, err.Error())
 		return cc.errorReply("SYNTAX " + err.Error())
 	}
-	k := &command{cache: c, conn: cc, request: a}
+	cmd := &command{cache: c, conn: cc, request: a}
 	now := c.m.Now()
-	k.attempt = rules.Attempt{ID: a.id, Key: a.key, IdemKey: a.idempotencyKey, Class: a.class, Router: cc.router,
+	cmd.attempt = rules.Attempt{ID: a.id, Key: a.key, IdemKey: a.idempotencyKey, Class: a.class, Router: cc.router,
 		Cache: c.options.Name, Write: a.write, First: cc.firstByteAt, Last: now, Sent: cc.sentAt(cc.earliestArrival)}
-	return k
+	return cmd
 }
 
-// newProbe is a call that costs a little work beside the queue.
+// newProbe returns a health check: it costs work, but waits for no slot.
 func (cc *cacheConn) newProbe(reply []byte) *command {
-	k := &command{cache: cc.cache, conn: cc}
-	k.job = job{work: float64(max(1, cc.cache.options.ProbeWork)), done: func() {
-		k.finished, k.replyReady, k.reply = true, true, reply
+	cmd := &command{cache: cc.cache, conn: cc}
+	cmd.job = job{work: float64(max(1, cc.cache.options.ProbeWork)), done: func() {
+		cmd.finished, cmd.replyReady, cmd.reply = true, true, reply
 		cc.advance()
 	}}
-	return k
+	return cmd
 }
 
-// startNext begins a call, up to the number for a connection.
+// startNext starts the next command where the handshake is over and the connection may have one more in work.
 func (cc *cacheConn) startNext() bool {
 	if !cc.handshakePaid || !cc.handshakeElapsed || cc.started >= len(cc.commands) || cc.started >= cc.cache.options.Streams {
 		return false
 	}
-	k := cc.commands[cc.started]
+	cmd := cc.commands[cc.started]
 	cc.started++
 	switch {
-	case k.replyReady:
-	case k.attempt.ID == "":
-		cc.cache.processor.runWithoutSlot(&k.job)
+	case cmd.replyReady:
+	case cmd.attempt.ID == "":
+		cc.cache.processor.runWithoutSlot(&cmd.job)
 	default:
-		k.handle()
+		cmd.handle()
 	}
 	return true
 }
 
-// maxUnsentBytes bounds the answers that a router does not take; the others wait for their turn.
+// maxUnsentBytes bounds the replies in the write buffer of a connection that does not take them.
 const maxUnsentBytes = 256 << 10
 
-// writeNext writes the answer whose turn it is.
+// writeNext writes the reply of the first command where it is ready, and reports whether it did.
 func (cc *cacheConn) writeNext() bool {
 	if cc.started == 0 || !cc.commands[0].replyReady || cc.cache.faults.stalled || cc.endlessLeft != 0 || len(cc.unsent) >= maxUnsentBytes {
 		return false
 	}
-	k := cc.commands[0]
+	cmd := cc.commands[0]
 	cc.commands = append(cc.commands[:0], cc.commands[1:]...)
 	cc.started--
-	cc.write(k)
+	cc.write(cmd)
 	return true
 }
 
-// write writes one answer, with what is to go wrong.
-func (cc *cacheConn) write(k *command) {
-	if k.fault != "" {
-		cc.writeFaulty(k)
+// write writes one reply, with the fault that was drawn for it.
+func (cc *cacheConn) write(cmd *command) {
+	if cmd.fault != "" {
+		cc.writeFaulty(cmd)
 		return
 	}
-	if cc.send(k.reply) != nil {
+	if cc.send(cmd.reply) != nil {
 		cc.drop()
 		return
 	}
-	if k.replyWritten != nil {
-		k.replyWritten()
+	if cmd.replyWritten != nil {
+		cmd.replyWritten()
 	}
 }
 
-// updateIdleTimer starts the idle time, or ends it.
+// updateIdleTimer restarts the idle timer, or stops it while commands are under way.
 func (cc *cacheConn) updateIdleTimer() {
 	if cc.idleTimer != nil {
 		cc.idleTimer.Stop()
@@ -267,7 +269,7 @@
 	cc.idleTimer = cc.cache.m.At(cc.cache.m.Now()+cc.cache.options.IdleFor, cc.drop)
 }
 
-// drop ends the connection from the cache's side, or after the router's.
+// drop closes the connection and cancels what is under way on it.
 func (cc *cacheConn) drop() {
 	if cc.closed {
 		return
@@ -283,11 +285,11 @@
 	calls := cc.commands
 	cc.commands, cc.started = nil, 0
 	c.processor.release(&cc.handshake)
-	for _, k := range calls {
-		if k.attempt.ID == "" {
-			c.processor.release(&k.job)
+	for _, cmd := range calls {
+		if cmd.attempt.ID == "" {
+			c.processor.release(&cmd.job)
 		}
-		k.connectionClosed()
+		cmd.connectionClosed()
 	}
 	if c.up {
 		c.updateTableOccupancy()
--- a/internal/testbench/standin/client.go
+++ b/internal/testbench/standin/client.go
@@ -12,56 +12,63 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// RetryWait says how long clients wait before they try again.
+// RetryWait says how long clients wait before they retry.
 type RetryWait uint8
 
 const (
+	// NoRetryWait retries at once.
 	NoRetryWait RetryWait = iota
-	FixedWait             // always the same
-	Exponential           // twice as long each time
+	// FixedWait waits for the same time before each retry.
+	FixedWait
+	// Exponential doubles the wait with each retry.
+	Exponential
 )
 
-// Target is a router as the front knows it.
-type Target struct{ Name, Addr string }
+// Target is a router that clients connect to.
+type Target struct {
+	Name string // of the router
+	Addr string // that it listens on
+}
 
-// ClientOptions describe a group of clients that share a pool of connections.
+// ClientOptions describe a load client: a group of users that share a pool of connections.
 type ClientOptions struct {
-	Zone, Tenant string
-	Classes      []Class
-	Keys         *Keys
-
-	Rate       float64 // requests a second, with the gaps of a Poisson process
-	BurstEvery Time    // from the beginning of one burst to that of the next; 0 for none
-	BurstFor   Time
-	BurstTimes float64 // the rate meanwhile, as a multiple
-
-	Connections     int     // open at most; 0 stands for 1024
-	Pipeline        float64 // share of requests that are put behind another on its connection
+	Zone    string  // of the clients
+	Tenant  string  // t of each request
+	Classes []Class // that requests are drawn from
+	Keys    *Keys   // that requests are drawn from
+
+	Rate       float64 // requests a second, of a Poisson process
+	BurstEvery Time    // from the beginning of one burst to that of the next; 0 for no bursts
+	BurstFor   Time    // length of a burst
+	BurstTimes float64 // rate in a burst, as a multiple of Rate
+
+	Connections     int     // open at once; 0 stands for 1024
+	Pipeline        float64 // fraction of requests that are pipelined behind another one
 	DialTimeout     Time    // 0 stands for 1 s
-	CloseRaceWindow Time    // so soon after a request its connection's end had been on its way before; 0 for 5 ms
-
-	Retries                int
-	RetryWait              RetryWait
-	RetryWaitTime          Time
-	RetryAfterCompliance   float64 // share of refusals whose advice is followed
-	MaxRetryAfter          Time    // of an advice; 0 stands for 1.5 s
-	AttemptTimeoutFraction float64 // a try is given up after this share of the deadline; 0 stands for 1
-	EarlyAbandonFraction   float64 // share of tries that are left early
-	Grace                  Time    // for which a client listens past the end of its patience; 0 stands for 50 ms
-	MarkRetry              bool
-	Hints                  bool
-	ValueSize              int // of a write's value
-	ReadSize               int // told as size, where above 0
-
-	// Routers is the routers that the front deals connections to, now.
+	CloseRaceWindow Time    // a connection that ends so soon after a request was closed before it was read; 0 stands for 5 ms
+
+	Retries                int       // after the first attempt
+	RetryWait              RetryWait // how the wait before a retry grows
+	RetryWaitTime          Time      // the first of these waits
+	RetryAfterCompliance   float64   // fraction of rejections whose retry-after is followed
+	MaxRetryAfter          Time      // longest retry-after that is followed; 0 stands for 1.5 s
+	AttemptTimeoutFraction float64   // of the client timeout, for one attempt; 0 stands for 1
+	EarlyAbandonFraction   float64   // fraction of attempts that the client leaves before their timeout
+	Grace                  Time      // a client listens so much longer than its timeout; 0 stands for 50 ms
+	MarkRetry              bool      // retries carry r=1
+	Hints                  bool      // requests carry h, their work
+	ValueSize              int       // of a write's value, in bytes
+	ReadSize               int       // size of each read, where above 0
+
+	// Routers returns the routers that take connections now.
 	Routers func() []Target
-	// Began, where it is not nil, is told of each request as it is made.
+	// Began, where it is not nil, is called for each request as it is made.
 	Began func(class *Class)
-	// Ended, where it is not nil, is told how each request ended: whether it was served within its aim.
-	Ended func(class *Class, asked Time, inAim bool)
+	// Ended, where it is not nil, is called as a request ends; inTime says whether it was served within its objective.
+	Ended func(class *Class, asked Time, inTime bool)
 }
 
-// Client is a group of clients. It makes requests until Stop, and sees each to its end.
+// Client is a load client. It makes requests until Stop, and sees each to its end.
 type Client struct {
 	m            machine.Machine
 	options      ClientOptions
@@ -69,20 +76,26 @@
 	observer     rules.Observer
 	workload     *Workload
 	tallies      []*Tally // by class
-	totalTraffic float64  // sum of the classes' shares
+	totalTraffic float64  // sum of the classes' traffic fractions
 
-	arrival      machine.Timer
+	arrival      machine.Timer // of the next request; nil while stopped
 	startedAt    Time
 	conns        []*clientConn
-	nextRouter   int // router that the front deals to
-	openRequests int // requests that are not over
+	nextRouter   int // connections are dealt to the routers in turn
+	openRequests int // requests that are not finished
 	closed       bool
 }
 
-// NewClient is a group of clients that asks for nothing yet.
+// Defaults of ClientOptions.
+const (
+	defaultClientConnections = 1024
+	defaultMaxRetryAfter     = 1500 * Millisecond
+)
+
+// NewClient returns a load client that is not started yet.
 func NewClient(m machine.Machine, o ClientOptions, load *Workload, rng *rand.Rand, obs rules.Observer) *Client {
 	if o.Connections == 0 {
-		o.Connections = 1024
+		o.Connections = defaultClientConnections
 	}
 	if o.DialTimeout == 0 {
 		o.DialTimeout = Second
@@ -97,7 +110,7 @@
 		o.Grace = defaultGrace
 	}
 	if o.MaxRetryAfter == 0 {
-		o.MaxRetryAfter = 1500 * Millisecond
+		o.MaxRetryAfter = defaultMaxRetryAfter
 	}
 	c := &Client{m: m, options: o, rng: rng, observer: observerOrBlind(obs), workload: load}
 	for _, class := range o.Classes {
@@ -107,13 +120,13 @@
 	return c
 }
 
-// Start begins to make requests.
+// Start begins to make requests at the configured rate.
 func (c *Client) Start() {
 	c.startedAt = c.m.Now()
 	c.scheduleArrival()
 }
 
-// Stop makes no more requests. Those under way go on.
+// Stop ends the arrivals. Requests under way go on.
 func (c *Client) Stop() {
 	if c.arrival != nil {
 		c.arrival.Stop()
@@ -121,7 +134,7 @@
 	}
 }
 
-// Close ends the connections, and leaves what is under way.
+// Close abandons all requests and closes the connections.
 func (c *Client) Close() {
 	c.Stop()
 	c.closed = true
@@ -134,7 +147,7 @@
 	}
 }
 
-// SetRate changes the rate.
+// SetRate changes the rate of arrivals from now on.
 func (c *Client) SetRate(rate float64) {
 	c.options.Rate = rate
 	if c.arrival != nil {
@@ -143,25 +156,29 @@
 	}
 }
 
-// Open is the number of requests that are under way.
+// Open returns the number of requests under way.
 func (c *Client) Open() int { return c.openRequests }
 
-// Tallies are the counts by class.
+// Tallies returns the counts by class.
 func (c *Client) Tallies() []*Tally { return c.tallies }
 
-// scheduleArrival draws the next arrival. Arrivals do not wait for answers.
+// minRate is the least rate of arrivals, in requests a second, so that the gap is finite.
+const minRate = 1e-6
+
+// scheduleArrival draws the next arrival. Arrivals do not wait for replies.
 func (c *Client) scheduleArrival() {
 	rate, now := c.options.Rate, c.m.Now()
 	if c.options.BurstEvery > 0 && (now-c.startedAt)%c.options.BurstEvery < c.options.BurstFor {
 		rate *= c.options.BurstTimes
 	}
-	gap := Time(c.rng.ExpFloat64() / max(rate, 1e-6) * float64(Second))
+	gap := Time(c.rng.ExpFloat64() / max(rate, minRate) * float64(Second))
 	c.arrival = c.m.At(now+gap, func() {
 		c.scheduleArrival()
 		c.Request(c.drawClass(), c.options.Keys.Draw(c.rng))
 	})
 }
 
+// drawClass draws the place of a class by the traffic fractions.
 func (c *Client) drawClass() int {
 	x := c.rng.Float64() * c.totalTraffic
 	for i, class := range c.options.Classes {
@@ -172,20 +189,20 @@
 	return len(c.options.Classes) - 1
 }
 
-// request is what a client wants, over all its tries.
+// request is a request of a client over all its attempts.
 type request struct {
 	client         *Client
 	class          *Class
-	tally          *Tally
+	tally          *Tally // of its class
 	key            string
-	idempotencyKey string
-	askedAt        Time
-	attempts       int
-	resends        int // times that the close of its connection has crossed it
+	idempotencyKey string // empty unless the class is IdempotentByKey
+	askedAt        Time   // when it was made
+	attempts       int    // so far, resent ones not counted
+	resends        int    // times that the router closed the connection before it read the request
 	finished       bool
 }
 
-// Request makes one request of a class, given by its place.
+// Request makes one request for a key, of the class at a place of ClientOptions.Classes.
 func (c *Client) Request(class int, key string) {
 	r := &request{client: c, class: &c.options.Classes[class], tally: c.tallies[class], key: key, askedAt: c.m.Now()}
 	if r.class.Semantics == IdempotentByKey {
@@ -200,27 +217,28 @@
 	r.startAttempt()
 }
 
-// minAttemptTime is the time that is left of a request's for which no client tries again.
+// minAttemptTime is how much of its timeout a request must have left for another attempt.
 const minAttemptTime = 50 * Millisecond
 
-// deadline is when the client stops waiting, whatever it has tried.
+// deadline returns when the client gives up, over all attempts.
 func (r *request) deadline() Time { return r.askedAt + r.class.ClientTimeout }
 
-// defaultGrace is how much longer than it says a client listens: on sockets each limit of time is as much longer.
+// defaultGrace is how much longer than its timeout a client listens, as timers on real sockets may be late.
 const defaultGrace = 50 * Millisecond
 
-// clientAttempt is one writing of a request.
+// clientAttempt is one sending of a request to one router.
 type clientAttempt struct {
 	request       *request
 	id            string
-	conn          *clientConn
-	sentAt        Time // 0 before
-	deadline      Time
-	abandonTimer  machine.Timer
-	deadlineTimer machine.Timer // nil where no request stands behind another
+	conn          *clientConn   // nil while it has none
+	sentAt        Time          // 0 before
+	deadline      Time          // as the router is told
+	abandonTimer  machine.Timer // ends the client's patience
+	deadlineTimer machine.Timer // extends the deadline of a pipelined attempt; nil without pipelining
 	finished      bool
 }
 
+// startAttempt makes an attempt under a new id and assigns it to a connection.
 func (r *request) startAttempt() {
 	c := r.client
 	if c.closed {
@@ -242,7 +260,7 @@
 	c.assign(t)
 }
 
-// retry tries once more after a wait, where tries and time are left. Else the request ends as outcome says.
+// retry makes another attempt after a wait. Without retries or time left the request ends, counted at outcome.
 func (r *request) retry(wait Time, outcome *int) {
 	c := r.client
 	at := c.m.Now() + max(wait, r.backoff())
@@ -253,6 +271,7 @@
 	c.m.At(at, r.startAttempt)
 }
 
+// backoff returns the wait before the next attempt.
 func (r *request) backoff() Time {
 	switch r.client.options.RetryWait {
 	case FixedWait:
@@ -263,6 +282,7 @@
 	return 0
 }
 
+// finish ends the request and counts it at outcome.
 func (r *request) finish(outcome *int) {
 	if r.finished {
 		return
@@ -275,7 +295,7 @@
 	}
 }
 
-// served ends a request with the answer it wanted.
+// served ends a request that has its value, and counts the points for it.
 func (r *request) served() {
 	took := r.client.m.Now() - r.askedAt
 	r.tally.Latency.Add(took)
@@ -288,29 +308,29 @@
 	r.finish(&r.tally.Late)
 }
 
-// encode are the request as it is written, with what the client will wait from now on.
+// encode returns the command as it is written at an instant, with the time that is left as d.
 func (t *clientAttempt) encode(now Time) []byte {
 	r, o := t.request, &t.request.client.options
 	verb, n := "C.GET", valueArg
 	if r.class.Write {
 		verb, n = "C.SET", valueArg+1
 	}
-	meta := "c=" + r.class.Name + ",t=" + o.Tenant + ",d=" + strconv.FormatInt(max(1, (t.deadline-now)/Millisecond), 10)
+	metadata := "c=" + r.class.Name + ",t=" + o.Tenant + ",d=" + strconv.FormatInt(max(1, (t.deadline-now)/Millisecond), 10)
 	if r.idempotencyKey != "" {
-		meta += ",k=" + r.idempotencyKey
+		metadata += ",k=" + r.idempotencyKey
 	}
 	if o.MarkRetry && r.attempts > 1 {
-		meta += ",r=1"
+		metadata += ",r=1"
 	}
 	if o.Hints {
-		meta += ",h=" + strconv.FormatInt(r.client.workload.Of(r.class.Name, t.id), 10)
+		metadata += ",h=" + strconv.FormatInt(r.client.workload.Of(r.class.Name, t.id), 10)
 	}
 	if o.ReadSize > 0 && !r.class.Write {
-		meta += ",size=" + strconv.Itoa(o.ReadSize)
+		metadata += ",size=" + strconv.Itoa(o.ReadSize)
 	}
 	b := redcon.AppendArray(nil, n)
-	for _, word := range []string{verb, r.key, t.id, meta} {
-		b = redcon.AppendBulkString(b, word)
+	for _, argument := range []string{verb, r.key, t.id, metadata} {
+		b = redcon.AppendBulkString(b, argument)
 	}
 	if r.class.Write {
 		b = redcon.AppendBulkString(b, Value("p", t.id, r.key, o.ValueSize))
@@ -318,7 +338,7 @@
 	return b
 }
 
-// stop takes the try off its connection's books.
+// stop ends the attempt and its timers.
 func (t *clientAttempt) stop() {
 	t.finished = true
 	t.abandonTimer.Stop()
@@ -327,12 +347,12 @@
 	}
 }
 
-// extendDeadline is called at the deadline. A request that stands behind others waits for as long as they may take.
+// extendDeadline is called at the deadline. A pipelined attempt waits for as long as those before it may take.
 func (t *clientAttempt) extendDeadline() {
 	if t.sentAt == 0 || t.conn == nil || t.conn.attempts[0] == t {
 		return
 	}
-	// All of them, not the last alone: where two are due at one instant, the other's time may not have been moved yet.
+	// The one before may be due at the same instant, with its deadline not extended yet, so that all are compared.
 	latest := t.deadline
 	for _, before := range t.conn.attempts[:slices.Index(t.conn.attempts, t)] {
 		latest = max(latest, before.deadline)
@@ -347,7 +367,7 @@
 	t.deadlineTimer = t.request.client.m.At(t.deadline, t.extendDeadline)
 }
 
-// leave reports that the client waits no more.
+// leave ends the attempt and reports that its client waits no more.
 func (t *clientAttempt) leave() {
 	t.stop()
 	if t.sentAt != 0 {
@@ -355,8 +375,8 @@
 	}
 }
 
-// abandon is called when the client has waited long enough. It closes the connection: what else is on
-// it is asked once more on another.
+// abandon is called when the client has waited long enough. It closes the connection and sends what else waits on it
+// once more on another one.
 func (t *clientAttempt) abandon() {
 	if t.finished {
 		return
@@ -378,8 +398,8 @@
 	r.retry(0, outcome)
 }
 
-// resend writes the request once more, on another connection and under another id: the client has closed
-// this one, or the router has before it read the request.
+// resend sends the request once more, on another connection and under another id, after the client has closed this
+// one, or the router has before it read the request. It does not count as a retry.
 func (t *clientAttempt) resend() {
 	t.leave()
 	if t.request.client.m.Now()+minAttemptTime >= t.deadline {
@@ -390,7 +410,7 @@
 	t.request.startAttempt()
 }
 
-// handleReply is called with the answer.
+// handleReply is called with the reply.
 func (t *clientAttempt) handleReply(a clientReply) {
 	r, c := t.request, t.request.client
 	t.stop()
--- a/internal/testbench/standin/client_conn.go
+++ b/internal/testbench/standin/client_conn.go
@@ -13,15 +13,14 @@
 	client         *Client
 	target         Target
 	connected      bool
-	dialing        machine.Dialing
-	attempts       []*clientAttempt // that wait for their answers, in order
-	answers        int              // that have come
-	pinging        bool             // a PING waits for its answer
-	lastAnsweredID string           // id of the request that was answered last
+	dialing        machine.Dialing  // nil once it is connected or has failed
+	attempts       []*clientAttempt // that wait for their replies, in order
+	answers        int              // replies so far
+	pinging        bool             // a PING waits for its reply
+	lastAnsweredID string           // id of the attempt that was answered last
 }
 
-// assign finds a connection for a try: one that rests, one that is busy where clients pipeline, or a
-// new one.
+// assign finds a connection for an attempt: an idle one, a busy one to pipeline on, or a new one.
 func (c *Client) assign(t *clientAttempt) {
 	for i := len(c.conns) - 1; i >= 0; i-- {
 		if cc := c.conns[i]; cc.connected && len(cc.attempts) == 0 && !cc.pinging {
@@ -42,9 +41,10 @@
 	c.dial(t)
 }
 
-// redialDelay is how long a client waits when no router takes its connection.
+// redialDelay is how long a client waits before it dials again.
 const redialDelay = 20 * Millisecond
 
+// dial opens a connection for an attempt.
 func (c *Client) dial(t *clientAttempt) {
 	routers := c.options.Routers()
 	if len(routers) == 0 {
@@ -58,7 +58,7 @@
 	cc.dialing = c.m.Dial(cc.target.Addr, c.options.DialTimeout, cc.dialed)
 }
 
-// Connect opens a connection before there is anything to ask, and asks PING on it, as client libraries do.
+// Connect opens a connection and sends PING on it, as client libraries do before the first request.
 func (c *Client) Connect() {
 	routers := c.options.Routers()
 	if len(routers) == 0 || c.closed {
@@ -70,8 +70,7 @@
 	cc.dialing = c.m.Dial(cc.target.Addr, c.options.DialTimeout, cc.dialed)
 }
 
-// Reconnect ends all connections, as a network does that is gone and back, and connects anew. What was asked on them
-// is asked once more.
+// Reconnect closes all connections, as after a network failure, opens a new one and resends what was under way.
 func (c *Client) Reconnect() {
 	for _, cc := range slices.Clone(c.conns) {
 		tries := cc.attempts
@@ -84,13 +83,14 @@
 	c.Connect()
 }
 
-// reassign places a try whose connection did not come up.
+// reassign assigns an attempt whose connection failed.
 func (c *Client) reassign(t *clientAttempt) {
 	if !t.finished {
 		c.assign(t)
 	}
 }
 
+// dialed is called by the machine when the connection is up or has failed.
 func (cc *clientConn) dialed(conn machine.Conn, err error) machine.Handler {
 	tries := cc.attempts
 	cc.attempts = nil
@@ -121,17 +121,18 @@
 	return cc
 }
 
+// enqueue adds an attempt behind those that wait on the connection.
 func (cc *clientConn) enqueue(t *clientAttempt) {
 	t.conn = cc
 	cc.attempts = append(cc.attempts, t)
 }
 
-// write writes a try. It counts as asked once its last byte is with the machine.
+// write sends an attempt, and reports it as asked once the machine has its last byte.
 func (cc *clientConn) write(t *clientAttempt) {
 	c := cc.client
 	now := c.m.Now()
 	if now+minAttemptTime >= t.deadline {
-		t.conn = nil // it was long in coming up; nobody waits long enough for an answer any more
+		t.conn = nil // the connection took too long: the time that is left is too short for an attempt
 		return
 	}
 	cc.enqueue(t)
@@ -150,14 +151,14 @@
 	}
 }
 
-// Writable writes on.
+// Writable is called by the machine when the connection takes more bytes.
 func (cc *clientConn) Writable() {
 	if !cc.closed && cc.flush() != nil {
 		cc.connectionLost()
 	}
 }
 
-// Readable takes the answers that have come.
+// Readable is called by the machine when there is something to read.
 func (cc *clientConn) Readable() {
 	for more := true; more && !cc.closed; {
 		err := cc.fill(2 * maxCommandBytes)
@@ -165,16 +166,16 @@
 		for !cc.closed && cc.nextReply() {
 		}
 		if err != nil || cc.moreToRead && len(cc.received) >= 2*maxCommandBytes {
-			cc.connectionLost() // at its end, or at an answer that is longer than any may be
+			cc.connectionLost() // closed by the router, or the reply is longer than any may be
 		}
 	}
 }
 
-// nextReply takes one answer.
+// nextReply takes one reply off the received bytes, and reports whether there was one.
 func (cc *clientConn) nextReply() bool {
 	a, used, err := readReply(cc.received)
 	if err != nil {
-		// What can't be read is an answer of the kind that promises nothing, and the last that counts.
+		// A malformed reply counts as one that promises nothing; what follows it is not read.
 		if len(cc.attempts) > 0 {
 			t := cc.attempts[0]
 			cc.attempts = cc.attempts[1:]
@@ -194,7 +195,8 @@
 	}
 	cc.answers++
 	if len(cc.attempts) == 0 {
-		// The danger: a second answer to a request would be taken for the next one's.
+		// A reply that nothing waits for is reported as a second one to the last attempt; the connection can't be used on,
+		// as further bytes would be taken for the replies of later attempts.
 		cc.client.observer.Answered(cc.client.m.Now(), cc.lastAnsweredID, a.kind, a.value)
 		cc.drop()
 		return false
@@ -206,14 +208,14 @@
 	return true
 }
 
-// defaultCloseRaceWindow is how soon after a request was written the end of a resting connection is taken to have
-// been on its way already, where the router is near.
+// defaultCloseRaceWindow fits routers that are near: within it after a request was written, the end of its connection
+// is taken to have been on its way before the request.
 const defaultCloseRaceWindow = 5 * Millisecond
 
-// maxResends is how often a request is sent once more. The danger: a router that closes whatever it gets.
+// maxResends bounds the resends of a request, as a router may close every connection at once.
 const maxResends = 3
 
-// connectionLost is called when the router has ended the connection.
+// connectionLost is called when the router has closed the connection. Each attempt on it is resent, or counts as lost.
 func (cc *clientConn) connectionLost() {
 	if cc.closed {
 		return
@@ -227,12 +229,12 @@
 		r := t.request
 		switch {
 		case partly && i == 0:
-			t.handleReply(clientReply{kind: rules.Failed}) // it is plain that the value is not whole
-		case now-t.sentAt <= c.options.CloseRaceWindow && r.resends < maxResends: // also the first on it: nothing was sent on
+			t.handleReply(clientReply{kind: rules.Failed}) // part of a reply has come
+		case now-t.sentAt <= c.options.CloseRaceWindow && r.resends < maxResends:
 			r.resends++
 			r.tally.Resent++
 			t.resend()
-		case now-t.sentAt <= c.options.CloseRaceWindow: // as before: a fleet that ends all at once is no fault of the last router
+		case now-t.sentAt <= c.options.CloseRaceWindow: // not read either, but resent too often
 			t.leave()
 			r.retry(0, &r.tally.Failed)
 		default:
@@ -243,7 +245,7 @@
 	}
 }
 
-// drop closes the connection.
+// drop closes the connection and takes it out of the pool.
 func (cc *clientConn) drop() {
 	if cc.closed {
 		return
--- a/internal/testbench/standin/client_reply.go
+++ b/internal/testbench/standin/client_reply.go
@@ -7,18 +7,18 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// clientReply is what a client makes of a router's answer.
+// clientReply is a reply of a router as a client reads it.
 type clientReply struct {
 	kind       rules.Answer
 	value      string
-	retryAfter Time // advice that came with -BUSY
+	retryAfter Time // that came with -BUSY; 0 for none
 }
 
-// maxDepth bounds arrays within arrays.
+// maxDepth bounds the nesting of arrays.
 const maxDepth = 4
 
-// readReply takes one answer off b. used is 0 while it is not whole. Served is a bulk string that is
-// not null, or an array that begins with one.
+// readReply takes one reply off b. used is 0 while it is not whole. A bulk string that is not null, or an array that
+// begins with one, counts as served.
 func readReply(b []byte) (a clientReply, used int, err error) {
 	if len(b) == 0 {
 		return a, 0, nil
@@ -44,6 +44,7 @@
 	return a, used, nil
 }
 
+// readValue reads a reply that is a bulk string or an array.
 func readValue(b []byte) (a clientReply, used int, err error) {
 	a.kind = rules.Failed
 	used, err = skipValue(b, 0, 0)
@@ -96,7 +97,7 @@
 	return at + used, nil
 }
 
-// readLine takes one line off b.
+// readLine takes one line off b. used is 0 while it is not whole.
 func readLine(b []byte) (text string, used int, err error) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 && len(b) > maxLineLength || end > maxLineLength {
--- a/internal/testbench/standin/command.go
+++ b/internal/testbench/standin/command.go
@@ -5,153 +5,153 @@
 
 	"github.com/tidwall/redcon"
 
-	"starlingwinch/internal/machine"
 	"starlingwinch/internal/testbench/rules"
 )
 
-// command is one command at a cache, from its last byte to its answer.
+// command is one command at a cache, from its last byte to its reply.
 type command struct {
 	cache           *Cache
 	conn            *cacheConn
 	request         wireRequest
-	attempt         rules.Attempt
-	job             job
-	work            Time
-	cacheResult     string // hit, miss or pending
-	fetched         bool
-	fetch           *fetch
-	write           *keyedWrite // that it carries out
-	failsAfterRun   bool        // it is to be answered with an error after it ran
-	connectionEnded bool        // its connection has ended
-	finished        bool
-	reply           []byte // in its turn on the connection
-	replyReady      bool   // reply is whole
-	replyWritten    func() // of the reply, once it is written
-	fault           string // what is to go wrong as it is written
+	attempt         rules.Attempt // as the observer is told; without an ID for what is no request
+	job             job           // its place at the processor
+	work            Time          // µs on one core
+	cacheResult     string        // hit, miss or pending; empty for a write
+	fetched         bool          // the fetch that it waited for has succeeded
+	fetch           *fetch        // that it waits for
+	write           *keyedWrite   // that it carries out
+	failsAfterRun   bool          // a fault has it answered with an error although it ran
+	connectionEnded bool          // nobody can get the reply
+	finished        bool          // it has a reply, or was cancelled
+	reply           []byte        // written when its turn on the connection has come
+	replyReady      bool          // reply is whole
+	replyWritten    func()        // called once the reply is written
+	fault           string        // drawn for its reply
 }
 
-// handle takes a request in, or turns it away.
-func (k *command) handle() {
-	c := k.cache
-	c.observer.Began(c.m.Now(), k.attempt)
-	k.work = c.workload.Of(k.request.class, k.request.id)
-	if !c.offer(k.request.id, k.attempt.Router, k.work) {
+// handle is called when the connection starts the request. It enqueues it, rejects it or fails it.
+func (cmd *command) handle() {
+	c := cmd.cache
+	c.observer.Began(c.m.Now(), cmd.attempt)
+	cmd.work = c.workload.Of(cmd.request.class, cmd.request.id)
+	if !c.offer(cmd.request.id, cmd.attempt.Router, cmd.work) {
 		return
 	}
-	c.commands[k] = struct{}{}
-	k.job = job{work: float64(k.work), start: k.slotGranted, done: k.workDone}
+	c.commands[cmd] = struct{}{}
+	cmd.job = job{work: float64(cmd.work), start: cmd.slotGranted, done: cmd.workDone}
 	fails := chance(c.rng, c.faults.errorRate)
 	if fails && chance(c.rng, 0.5) {
-		k.replyFailed()
+		cmd.replyFailed()
 		return
 	}
-	k.failsAfterRun = fails
-	if c.faults.draining || c.faults.busy || k.request.timeLeft == 0 || !c.processor.enqueue(&k.job) {
-		k.replyRejected()
+	cmd.failsAfterRun = fails
+	if c.faults.draining || c.faults.busy || cmd.request.timeLeft == 0 || !c.processor.enqueue(&cmd.job) {
+		cmd.replyRejected()
 	}
 }
 
-// slotGranted is called when it holds a slot.
-func (k *command) slotGranted() {
-	c := k.cache
+// slotGranted is called by the processor when the request gets a slot.
+func (cmd *command) slotGranted() {
+	c := cmd.cache
 	switch {
-	case k.request.write:
-		if k.answerRepeat() {
-			c.processor.release(&k.job)
+	case cmd.request.write:
+		if cmd.answerRepeat() {
+			c.processor.release(&cmd.job)
 			return
 		}
-		c.processor.run(&k.job)
-	case k.fetched:
-		c.processor.run(&k.job)
-	case c.memory.use(k.request.key):
-		k.cacheResult = "hit"
+		c.processor.run(&cmd.job)
+	case cmd.fetched:
+		c.processor.run(&cmd.job)
+	case c.memory.use(cmd.request.key):
+		cmd.cacheResult = "hit"
 		c.hits++
-		c.processor.run(&k.job)
+		c.processor.run(&cmd.job)
 	default:
-		k.miss()
+		cmd.miss()
 	}
 }
 
-// miss asks the store, or joins who has asked.
-func (k *command) miss() {
-	c := k.cache
+// miss starts a fetch from the store, or joins the one that is under way.
+func (cmd *command) miss() {
+	c := cmd.cache
 	c.misses++
-	k.cacheResult = "miss"
-	f := c.fetching(k.request.key)
+	cmd.cacheResult = "miss"
+	f := c.fetching(cmd.request.key)
 	if f != nil {
-		k.cacheResult = "pending"
+		cmd.cacheResult = "pending"
 	}
 	if f == nil || !c.options.Coalesce {
-		f = newFetch(c, k.request.key)
+		f = newFetch(c, cmd.request.key)
 	}
-	k.fetch = f
-	f.waiting = append(f.waiting, k)
+	cmd.fetch = f
+	f.waiting = append(f.waiting, cmd)
 	if !c.options.MissKeepsSlot {
-		c.processor.release(&k.job)
+		c.processor.release(&cmd.job)
 	}
 }
 
-// fetchDone is called when the fetch it waits for has ended.
-func (k *command) fetchDone(ok bool) {
-	k.fetch = nil
-	if k.finished {
+// fetchDone is called when the fetch that the request waits for has ended.
+func (cmd *command) fetchDone(ok bool) {
+	cmd.fetch = nil
+	if cmd.finished {
 		return
 	}
 	if !ok {
-		k.cache.processor.release(&k.job)
-		k.replyFailed()
+		cmd.cache.processor.release(&cmd.job)
+		cmd.replyFailed()
 		return
 	}
-	k.fetched = true
-	if k.job.state == jobHoldingSlot {
-		k.cache.processor.run(&k.job)
+	cmd.fetched = true
+	if cmd.job.state == jobHoldingSlot {
+		cmd.cache.processor.run(&cmd.job)
 		return
 	}
-	k.cache.processor.enqueueFirst(&k.job)
+	cmd.cache.processor.enqueueFirst(&cmd.job)
 }
 
-// workDone is called when its work is done. A write has its effect at the store only now.
-func (k *command) workDone() {
-	c := k.cache
-	if !k.request.write {
-		c.observer.Ran(c.m.Now(), k.attempt, false)
-		k.serve("v")
+// workDone is called by the processor when the work is done. A write goes on to the store only now.
+func (cmd *command) workDone() {
+	c := cmd.cache
+	if !cmd.request.write {
+		c.observer.Ran(c.m.Now(), cmd.attempt, false)
+		cmd.serve("v")
 		return
 	}
-	if k.answerRepeat() {
+	if cmd.answerRepeat() {
 		return
 	}
-	if k.deduplicated() {
-		k.write = c.repeats.begin(k.request.idempotencyKey, k.attempt.Last)
+	if cmd.deduplicated() {
+		cmd.write = c.repeats.begin(cmd.request.idempotencyKey, cmd.attempt.Last)
 	}
-	c.store.start(k.request.key, true, "", k.storeDone)
+	c.store.start(cmd.request.key, true, "", cmd.storeDone)
 }
 
-func (k *command) deduplicated() bool {
-	return k.request.idempotencyKey != "" && k.cache.workload.window(k.request.class) > 0
+// deduplicated reports whether the caches drop repeats of the request.
+func (cmd *command) deduplicated() bool {
+	return cmd.request.idempotencyKey != "" && cmd.cache.workload.window(cmd.request.class) > 0
 }
 
-// answerRepeat reports whether it repeats a write that the group remembers: then it is answered like that
-// one, and not carried out.
-func (k *command) answerRepeat() bool {
-	c := k.cache
-	if !k.deduplicated() {
+// answerRepeat reports whether the request repeats a write that the group remembers. Such a request is answered like
+// that write and is not carried out.
+func (cmd *command) answerRepeat() bool {
+	c := cmd.cache
+	if !cmd.deduplicated() {
 		return false
 	}
-	w := c.repeats.lookup(k.request.idempotencyKey, k.attempt.Last, c.workload.window(k.request.class))
+	w := c.repeats.lookup(cmd.request.idempotencyKey, cmd.attempt.Last, c.workload.window(cmd.request.class))
 	if w == nil {
 		return false
 	}
 	dropped := func(ok bool) {
-		if k.finished {
+		if cmd.finished {
 			return
 		}
 		if !ok {
-			k.replyFailed()
+			cmd.replyFailed()
 			return
 		}
-		c.observer.Ran(c.m.Now(), k.attempt, true)
-		k.serve("w")
+		c.observer.Ran(c.m.Now(), cmd.attempt, true)
+		cmd.serve("w")
 	}
 	if w.finished {
 		dropped(true)
@@ -161,55 +161,55 @@
 	return true
 }
 
-// storeDone is called when the store has carried the write out, or could not. It is carried out also
-// where nobody waits for it any more, and where the cache has ended meanwhile.
-func (k *command) storeDone(ok bool) {
-	c := k.cache
+// storeDone is called when the store has carried the write out, or could not. A write is carried out even if its client
+// has gone or the cache has stopped meanwhile.
+func (cmd *command) storeDone(ok bool) {
+	c := cmd.cache
 	if ok {
-		c.observer.Ran(c.m.Now(), k.attempt, false)
+		c.observer.Ran(c.m.Now(), cmd.attempt, false)
 	}
-	if k.write != nil {
-		c.repeats.finish(k.request.idempotencyKey, k.write, ok)
+	if cmd.write != nil {
+		c.repeats.finish(cmd.request.idempotencyKey, cmd.write, ok)
 	}
 	switch {
-	case k.finished:
+	case cmd.finished:
 	case ok:
-		k.serve("w")
+		cmd.serve("w")
 	default:
-		k.replyFailed()
+		cmd.replyFailed()
 	}
 }
 
-// serve answers with a value made for this request, or with the receipt of a write.
-func (k *command) serve(kind string) {
-	if k.failsAfterRun {
-		k.replyFailed()
+// serve answers with a value made for this request (kind v) or with the receipt of a write (kind w).
+func (cmd *command) serve(kind string) {
+	if cmd.failsAfterRun {
+		cmd.replyFailed()
 		return
 	}
-	c := k.cache
-	size := k.request.size
+	c := cmd.cache
+	size := cmd.request.size
 	if size == 0 && kind == "v" {
 		size = c.options.ValueSize
 	}
-	value := Value(kind, k.request.id, k.request.key, size)
+	value := Value(kind, cmd.request.id, cmd.request.key, size)
 	b := redcon.AppendArray(nil, 3)
 	b = redcon.AppendBulkString(b, value)
-	if k.cacheResult == "" {
+	if cmd.cacheResult == "" {
 		b = redcon.AppendNull(b)
 	} else {
-		b = redcon.AppendBulkString(b, k.cacheResult)
+		b = redcon.AppendBulkString(b, cmd.cacheResult)
 	}
 	if report := c.loadReport(); report == "" {
 		b = redcon.AppendNull(b)
 	} else {
 		b = redcon.AppendBulkString(b, report)
 	}
-	k.fault = c.faults.draw(c.rng)
-	k.setReply(b, rules.Served, value)
+	cmd.fault = c.faults.draw(c.rng)
+	cmd.setReply(b, rules.Served, value)
 }
 
-// Value is what a cache serves: it names the request that it was made for. kind is v for a read's
-// value and w for a write's receipt.
+// Value returns what a cache serves; it names the request that it was made for. kind is v for a read's value, w for a
+// write's receipt and p for what a client writes. It is padded to size.
 func Value(kind, id, key string, size int) string {
 	value := kind + ":" + id + ":" + key
 	pad := min(size, maxValueBytes) - len(value)
@@ -225,50 +225,58 @@
 	return string(b)
 }
 
-func (k *command) replyFailed()   { k.setReply(redcon.AppendError(nil, "ERR failed"), rules.Failed, "") }
-func (k *command) replyRejected() { k.setReply(redcon.AppendError(nil, "BUSY"), rules.Refused, "") }
+// replyFailed answers with an error that promises nothing.
+func (cmd *command) replyFailed() {
+	cmd.setReply(redcon.AppendError(nil, "ERR failed"), rules.Failed, "")
+}
+
+// replyRejected answers that the request was rejected and may be retried.
+func (cmd *command) replyRejected() { cmd.setReply(redcon.AppendError(nil, "BUSY"), rules.Refused, "") }
 
-// setReply ends the call. The answer is written when its turn on the connection has come.
-func (k *command) setReply(b []byte, kind rules.Answer, value string) {
-	if k.finished {
+// setReply finishes the command. The reply is written when its turn on the connection has come.
+func (cmd *command) setReply(b []byte, kind rules.Answer, value string) {
+	if cmd.finished {
 		return
 	}
-	k.finish()
-	k.reply, k.replyReady = b, true
-	k.replyWritten = func() { k.cache.observer.Replied(k.cache.m.Now(), k.cache.options.Name, k.request.id, kind, value) }
-	if !k.connectionEnded {
-		k.conn.advance()
+	cmd.finish()
+	cmd.reply, cmd.replyReady = b, true
+	cmd.replyWritten = func() {
+		cmd.cache.observer.Replied(cmd.cache.m.Now(), cmd.cache.options.Name, cmd.request.id, kind, value)
+	}
+	if !cmd.connectionEnded {
+		cmd.conn.advance()
 	}
 }
 
-func (k *command) finish() {
-	k.finished = true
-	k.cache.processor.release(&k.job)
-	delete(k.cache.commands, k)
+// finish releases what the command holds.
+func (cmd *command) finish() {
+	cmd.finished = true
+	cmd.cache.processor.release(&cmd.job)
+	delete(cmd.cache.commands, cmd)
 }
 
-// connectionClosed is called when its connection has ended.
-func (k *command) connectionClosed() {
-	k.connectionEnded = true
-	if k.finished || k.attempt.ID == "" {
+// connectionClosed is called when the connection has ended. Whether the work goes on is CacheOptions.Cancel's to say.
+func (cmd *command) connectionClosed() {
+	cmd.connectionEnded = true
+	if cmd.finished || cmd.attempt.ID == "" {
 		return
 	}
-	c := k.cache
+	c := cmd.cache
 	if c.up {
-		c.observer.Ended(c.m.Now(), c.options.Name, k.request.id)
+		c.observer.Ended(c.m.Now(), c.options.Name, cmd.request.id)
 	}
-	waits := k.job.state == jobQueued && !k.fetched
+	waits := cmd.job.state == jobQueued && !cmd.fetched
 	if c.up && (c.options.Cancel == CancelNone || c.options.Cancel == CancelQueued && !waits) {
 		return
 	}
-	f := k.fetch
-	k.finish()
+	f := cmd.fetch
+	cmd.finish()
 	if f != nil {
-		f.removeWaiter(k)
+		f.removeWaiter(cmd)
 	}
 }
 
-// loadReport is the load report, or nothing.
+// loadReport returns the load report, or "" where the cache gives none.
 func (c *Cache) loadReport() string {
 	if c.faults.badReport {
 		return "inflight=-7,,=,util=1e999,queue"
@@ -280,75 +288,3 @@
 	return "inflight=" + strconv.Itoa(c.processor.usedSlots) + ",queue=" + strconv.Itoa(len(c.processor.queue)) +
 		",util=" + strconv.FormatFloat(util, 'f', 2, 64)
 }
-
-// fetch is a call to the store for a key that the cache lacks.
-type fetch struct {
-	cache     *Cache
-	key       string
-	storeCall *storeCall
-	waiting   []*command
-	timer     machine.Timer
-	stale     bool // the key was written meanwhile: the copy is answered and not kept
-	finished  bool
-}
-
-// fetching is the first fetch that is out for a key.
-func (c *Cache) fetching(key string) *fetch {
-	for _, f := range c.fetches {
-		if f.key == key {
-			return f
-		}
-	}
-	return nil
-}
-
-func newFetch(c *Cache, key string) *fetch {
-	f := &fetch{cache: c, key: key}
-	c.fetches = append(c.fetches, f)
-	cold := ""
-	if c.WarmingUp() {
-		cold = c.options.Name
-	}
-	f.storeCall = c.store.start(key, false, cold, f.done)
-	if c.options.FetchTimeout > 0 {
-		f.timer = c.m.At(c.m.Now()+c.options.FetchTimeout, func() {
-			f.storeCall.abandon()
-			f.done(false)
-		})
-	}
-	return f
-}
-
-func (f *fetch) done(ok bool) {
-	if f.finished {
-		return
-	}
-	f.finish()
-	if ok && !f.stale {
-		f.cache.memory.add(f.key)
-	}
-	for _, k := range f.waiting {
-		k.fetchDone(ok)
-	}
-}
-
-func (f *fetch) finish() {
-	f.finished = true
-	if f.timer != nil {
-		f.timer.Stop()
-	}
-	f.cache.fetches = removeFirst(f.cache.fetches, f)
-}
-
-// removeWaiter takes out a request that waits no more. A fetch that nobody waits for is given up.
-func (f *fetch) removeWaiter(k *command) {
-	f.waiting = removeFirst(f.waiting, k)
-	if len(f.waiting) == 0 && !f.finished {
-		f.abandon()
-	}
-}
-
-func (f *fetch) abandon() {
-	f.finish()
-	f.storeCall.abandon()
-}
--- a/internal/testbench/standin/discovery.go
+++ b/internal/testbench/standin/discovery.go
@@ -9,105 +9,110 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// What discovery says of a cache.
+// Statuses of a cache in the endpoint list.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
-	Terminated  = "terminated" // among changes only
+	Terminated  = "terminated" // in deltas only
 )
 
-// Entry is a line of discovery's list.
+// Entry is an entry of the endpoint list.
 type Entry struct {
-	Name      string
-	Address   string
+	Name      string            // of the cache
+	Address   string            // for routers without one of their own
 	Addresses map[string]string // by router, where one has an address of its own
 	Zone      string
-	Type      string
-	Group     int
-	Status    string
-	Weight    float64
-	Since     Time // of the last start; 0 for long ago
+	Type      string  // of its machine
+	Group     int     // its cell
+	Status    string  // InService, Terminating or Terminated; empty stands for InService
+	Weight    float64 // capacity relative to the others
+	Since     Time    // of the last start; 0 for long ago
 }
 
 // DiscoveryOptions describe the service.
 type DiscoveryOptions struct {
-	Delay Time // from a change to its showing in the list
+	Delay Time // from a change to its appearance in the list
 
-	CallCost   Time // it works through calls in turn; each costs this ...
-	LineCost   Time // ... and this for each line of the answer
-	Timeout    Time // a call whose answer would take longer is turned away with 503 at once; 0 never
-	RejectCost Time // that one which is turned away costs
+	// Calls are worked through one after the other. Each costs CallCost, and LineCost for each entry of its answer. A
+	// call whose answer would take longer than Timeout is rejected with 503 at once, which costs RejectCost; 0 is never.
+	CallCost   Time
+	LineCost   Time
+	Timeout    Time
+	RejectCost Time
 
-	// Routers and PollInterval: a change counts as told to a router that has neither waited nor asked for so
-	// long. 0 leaves that out.
-	Routers      []string
+	Routers []string // names of the routers
+
+	// PollInterval: a router without an open call for so long counts as notified of a change. 0 leaves that out.
 	PollInterval Time
 
-	// NotifiedAfter: a change counts as told to every router so long after the list had it and could be reached, whatever became
-	// of the router's calls. 0 leaves that out. Reachable tells since when a router has had a way to the list, and whether
-	// it has one now; nil is always.
+	// NotifiedAfter: every router counts as notified of a change so long after the list had it and could be reached,
+	// whatever became of the router's calls. 0 leaves that out. Reachable returns since when a router has had a way to
+	// the list, and whether it has one now; nil stands for always.
 	NotifiedAfter Time
 	Reachable     func(router string) (since Time, now bool)
 
-	// Pushed: it stands for the agents beside the routers, to which the list is pushed. A change counts as told with its
-	// showing, and to a new process from its first moment on; calls cost nothing. While discovery is down the agents are
-	// silent and learn nothing, and what was asked of them meanwhile or before is never answered.
+	// Pushed has the service stand for agents beside the routers, to which the list is pushed. A router counts as
+	// notified of a change as it appears in the list, and a new process from its start; calls cost nothing. While
+	// discovery is down the agents are silent and learn nothing, and calls of that time are never answered.
 	Pushed bool
 
 	// RouterOf names the router at a remote address, for the addresses that were opened for no router.
 	RouterOf func(remote string) string
 }
 
-// Discovery is the service that names the caches.
+// Discovery is the service that lists the caches.
 type Discovery struct {
 	m        machine.Machine
 	options  DiscoveryOptions
 	observer rules.Observer
 
 	listeners     []*listListener
-	openCalls     []*listCall // that are out
-	deferredCalls []*listCall // that came while it was silent
-
-	pendingChanges  []listChange // changes that do not show yet, in order of time
-	timer           machine.Timer
-	entries         []*listEntry // by name
-	version         int64
-	minDeltaVersion int64 // versions up to here are answered with the whole list
-	busyUntil       Time  // when the calls before are done
-	notified        map[string]map[string]notifiedState
-	callers         map[string]*caller
-
-	extraDelay                  Time
-	silent, answersAtOnce, down bool
-	resetsConnections           bool
-	badEntry                    BadEntry
-
-	reachableSince Time
-	notifyTimer    machine.Timer
+	openCalls     []*listCall // that have no answer yet
+	deferredCalls []*listCall // that arrived while it was silent
+
+	pendingChanges  []listChange                        // not in the list yet, in order of time
+	timer           machine.Timer                       // of the next of them
+	entries         []*listEntry                        // by name, with the terminated ones
+	version         int64                               // of the list
+	minDeltaVersion int64                               // calls for changes after an older version get the whole list
+	busyUntil       Time                                // when the calls before are worked through
+	notified        map[string]map[string]notifiedState // by router and cache
+	callers         map[string]*caller                  // by router
+
+	// Faults that scripts switch.
+	extraDelay        Time     // added to the delay of changes
+	silent            bool     // calls are taken and not answered
+	answersAtOnce     bool     // watches do not wait
+	down              bool     // calls are rejected
+	resetsConnections bool     // connections are closed while it is down
+	badEntry          BadEntry // what every answer holds; empty for nothing
+
+	reachableSince Time          // when calls could be answered again
+	notifyTimer    machine.Timer // of the next notifyAll; nil while there is nothing to notify
 }
 
-// listChange is a change on its way into the list.
+// listChange is a change that will appear in the list.
 type listChange struct {
-	at    Time
+	at    Time // when it was made
 	apply func(d *Discovery)
 }
 
-// listEntry is an entry with the version of its last change.
+// listEntry is an entry with its last change.
 type listEntry struct {
 	Entry
-	version   int64
+	version   int64 // of the list, at its last change
 	changedAt Time
 }
 
-// caller is what discovery knows of a router's calls.
+// caller records the calls of a router.
 type caller struct {
-	lastCall   Time
-	answeredAt Time // when it was last answered with a list
-	openCalls  int
-	timer      machine.Timer
+	lastCall   Time          // when a call last came or ended
+	answeredAt Time          // when it was last answered with a list
+	openCalls  int           // calls that have no answer yet
+	timer      machine.Timer // of the poll interval
 }
 
-// NewDiscovery is a service with an empty list, of version 1.
+// NewDiscovery returns a service with an empty list, of version 1.
 func NewDiscovery(m machine.Machine, o DiscoveryOptions, obs rules.Observer) *Discovery {
 	d := &Discovery{m: m, options: o, observer: observerOrBlind(obs), version: 1, notified: map[string]map[string]notifiedState{},
 		callers: map[string]*caller{}}
@@ -117,8 +122,8 @@
 	return d
 }
 
-// Open listens at an address and returns the one that it got. Calls that come in there are those of the
-// router; without a name, RouterOf tells.
+// Open listens at an address and returns the one that it got. Calls that arrive there belong to the named router; for
+// an empty name, DiscoveryOptions.RouterOf names it.
 func (d *Discovery) Open(addr, router string) (string, error) {
 	door := &listListener{addr: addr, router: router}
 	if err := d.listen(door); err != nil {
@@ -128,10 +133,10 @@
 	return door.addr, nil
 }
 
-// Index is the version of the list as it shows.
+// Index returns the version of the list.
 func (d *Discovery) Index() int64 { return d.version }
 
-// Close ends the service.
+// Close closes the listeners and stops all timers.
 func (d *Discovery) Close() {
 	for _, door := range d.listeners {
 		door.server.Close()
@@ -148,10 +153,10 @@
 	}
 }
 
-// Add puts a cache on the list.
+// Add adds a cache to the list.
 func (d *Discovery) Add(e Entry) { d.change(func(d *Discovery) { d.setEntry(e) }) }
 
-// SetStatus changes what the list says of a cache.
+// SetStatus changes the status of a cache in the list.
 func (d *Discovery) SetStatus(name, status string) {
 	d.change(func(d *Discovery) {
 		if l := d.entry(name); l != nil {
@@ -162,10 +167,10 @@
 	})
 }
 
-// Remove takes a cache off the list; watches are told that it is terminated.
+// Remove takes a cache off the list; deltas name it as terminated.
 func (d *Discovery) Remove(name string) { d.SetStatus(name, Terminated) }
 
-// Replace takes a cache off the list and puts another on, in one change.
+// Replace removes a cache and adds another, in one change.
 func (d *Discovery) Replace(name string, e Entry) {
 	d.change(func(d *Discovery) {
 		if l := d.entry(name); l != nil {
@@ -177,13 +182,13 @@
 	})
 }
 
-// change has a change show after the delay.
+// change has f applied to the list after the delay.
 func (d *Discovery) change(f func(*Discovery)) {
 	d.pendingChanges = append(d.pendingChanges, listChange{d.m.Now(), f})
 	d.publish()
 }
 
-// publish lets the changes show whose time has come, as one version.
+// publish applies the changes that are due, as one version, and sets the timer for the next.
 func (d *Discovery) publish() {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -210,7 +215,7 @@
 	}
 }
 
-// answerWatches answers the watches that have something to tell, and sees to routers that do not ask.
+// answerWatches answers the watches that wait for a change, and notifies the routers that have no open call in time.
 func (d *Discovery) answerWatches() {
 	for _, k := range slices.Clone(d.openCalls) {
 		if k.waiting && k.after != d.version {
@@ -227,6 +232,7 @@
 	}
 }
 
+// entry returns the entry of a cache, or nil.
 func (d *Discovery) entry(name string) *listEntry {
 	at, ok := slices.BinarySearchFunc(d.entries, name, func(l *listEntry, n string) int { return cmp.Compare(l.Name, n) })
 	if !ok {
@@ -235,9 +241,10 @@
 	return d.entries[at]
 }
 
-// maxEntries bounds the list together with the caches that have gone.
+// maxEntries bounds the list with the terminated caches, which are dropped when it is exceeded.
 const maxEntries = 4096
 
+// setEntry adds or replaces an entry at the present version.
 func (d *Discovery) setEntry(e Entry) {
 	if e.Status == "" {
 		e.Status = InService
@@ -254,7 +261,7 @@
 	}
 }
 
-// encodeList is the body of an answer: the changes after a version, or the whole list.
+// encodeList returns the body of an answer: the changes after a version, or the whole list.
 func (d *Discovery) encodeList(router string, after int64) (body []byte, whole bool) {
 	whole = after < 0 || after < d.minDeltaVersion || after > d.version
 	type endpoint struct {
@@ -287,7 +294,7 @@
 		out.Endpoints = append(out.Endpoints, badEntries[d.badEntry])
 	}
 	body, err := json.Marshal(out)
-	if err != nil { // a weight that is no number; the list's author is at fault
+	if err != nil { // a weight that is not finite, which is an error of the caller
 		panic(err)
 	}
 	if d.badEntry == BadJSON {
@@ -296,16 +303,16 @@
 	return body, whole
 }
 
-// Late has changes show so much later than they would; 0 ends that, and what was held back shows.
+// Late delays changes by so much more; 0 ends that, and delayed changes appear.
 func (d *Discovery) Late(more Time) {
 	d.extraDelay = more
 	d.publish()
 }
 
-// Stale is Late: the list shows the caches as they were that long ago.
+// Stale has the list show the caches as they were so long ago; it is Late by another name.
 func (d *Discovery) Stale(ago Time) { d.Late(ago) }
 
-// Down ends all watches. Calls are answered 503, or by the connection's end.
+// Down switches an outage, in which calls are answered 503, or their connections closed where resets is set.
 func (d *Discovery) Down(on, resets bool) {
 	if d.options.Pushed {
 		d.Silent(on)
@@ -326,7 +333,7 @@
 	}
 }
 
-// Silent has it take calls and answer none. Those that came meanwhile are answered afterwards.
+// Silent switches whether calls are taken without an answer. They are answered afterwards.
 func (d *Discovery) Silent(on bool) {
 	d.silent = on
 	if on {
@@ -348,7 +355,7 @@
 	d.answerWatches()
 }
 
-// LoseWatches has it forget the calls that wait: they are never answered, and their connections stay as they are.
+// LoseWatches forgets the watches that wait: they are never answered, and their connections stay open.
 func (d *Discovery) LoseWatches() {
 	var routers []string
 	for _, k := range d.openCalls {
@@ -363,7 +370,7 @@
 	}
 }
 
-// AnswerAtOnce has watches answered without a wait, with nothing new.
+// AnswerAtOnce switches whether watches are answered at once, with no change.
 func (d *Discovery) AnswerAtOnce(on bool) {
 	d.answersAtOnce = on
 	if !on {
@@ -376,7 +383,7 @@
 	}
 }
 
-// VersionBack sets the list's version back, as a service does that has lost its memory.
+// VersionBack sets the list's version back, as a service does that has lost its state.
 func (d *Discovery) VersionBack(n int64) {
 	d.version = max(1, d.version-n)
 	for _, l := range d.entries {
@@ -385,7 +392,7 @@
 	d.answerWatches()
 }
 
-// Move closes the addresses and every connection, and opens others, one for each of those before.
+// Move closes all listeners and connections and opens others, one for each before, at the given addresses.
 func (d *Discovery) Move(addrs []string) ([]string, error) {
 	var got []string
 	for i, door := range d.listeners {
@@ -403,19 +410,20 @@
 	return got, nil
 }
 
-// BadEntry is something that no list may hold.
+// BadEntry is a kind of invalid entry in a list.
 type BadEntry string
 
-// What can be wrong with a list.
+// Kinds of invalid entries.
 const (
 	BadName    BadEntry = "name"
 	BadAddress BadEntry = "address"
 	BadStatus  BadEntry = "status"
 	BadSince   BadEntry = "since"
 	BadShape   BadEntry = "shape"
-	BadJSON    BadEntry = "json" // it ends in the middle
+	BadJSON    BadEntry = "json" // the document ends in the middle
 )
 
+// badEntries are the invalid entries that answers hold.
 var badEntries = map[BadEntry]any{
 	BadName:    map[string]any{"name": "", "address": "127.0.0.1:1", "status": InService},
 	BadAddress: map[string]any{"name": "s-bad", "address": "nowhere", "status": InService},
@@ -425,7 +433,7 @@
 	BadJSON:    map[string]any{},
 }
 
-// Spoil has every answer hold something that no list may hold; the empty string ends that.
+// Spoil has every answer hold an invalid entry; the empty string ends that.
 func (d *Discovery) Spoil(how BadEntry) {
 	if d.badEntry = how; how != "" {
 		return
--- a/internal/testbench/standin/discovery_call.go
+++ b/internal/testbench/standin/discovery_call.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxWatchTime = 60 * Second  // a watch may wait so long
-	maxIdleTime  = 600 * Second // a router may keep a connection so long without a call
-	maxHeadBytes = 8 << 10      // bytes of a call's head
+	maxWatchTime = 60 * Second  // longest wait of a watch
+	maxIdleTime  = 600 * Second // a connection without a call is closed after so long
+	maxHeadBytes = 8 << 10      // bytes of a request's head
 )
 
 // listListener is an address at which discovery listens.
@@ -21,6 +21,7 @@
 	server       *httpserver.Server
 }
 
+// listen opens the server of a listener.
 func (d *Discovery) listen(door *listListener) error {
 	o := httpserver.Options{MaxHeadBytes: maxHeadBytes, IdleTime: maxIdleTime}
 	door.server = httpserver.New(d.m, o, func(x *httpserver.Exchange) {
@@ -41,40 +42,41 @@
 	discovery *Discovery
 	exchange  *httpserver.Exchange
 	router    string
-	after     int64 // -1 for the whole list
-	waiting   bool  // it is a watch that has nothing to tell yet
-	turnEnds  Time  // when the work for it is done
-	timer     machine.Timer
+	after     int64         // version that the router has; -1 for the whole list
+	waiting   bool          // it is a watch that waits for a change
+	turnEnds  Time          // when the work for it is done
+	timer     machine.Timer // of the end of the wait, or of the turn
 }
 
-// accept takes a call in.
-func (d *Discovery) accept(k *listCall) {
+// accept takes a call, or defers it while the service is silent.
+func (d *Discovery) accept(call *listCall) {
 	if d.silent {
-		d.deferredCalls = append(d.deferredCalls, k)
+		d.deferredCalls = append(d.deferredCalls, call)
 		return
 	}
-	if k.exchange.Open() {
-		k.handle()
+	if call.exchange.Open() {
+		call.handle()
 	}
 }
 
-// reject answers what is no call for the list, and ends the connection.
-func (k *listCall) reject(status int) {
-	k.exchange.Answer(httpserver.Answer{Status: status, Close: true})
+// reject answers an invalid call with a status and closes the connection.
+func (call *listCall) reject(status int) {
+	call.exchange.Answer(httpserver.Answer{Status: status, Close: true})
 }
 
-func (k *listCall) handle() {
-	d, q := k.discovery, k.exchange.Request
+// handle checks the call and answers it, now or once its turn or a change has come.
+func (call *listCall) handle() {
+	d, q := call.discovery, call.exchange.Request
 	query, err := url.ParseQuery(q.URL.RawQuery)
 	switch {
 	case q.Method != http.MethodGet:
-		k.reject(http.StatusMethodNotAllowed)
+		call.reject(http.StatusMethodNotAllowed)
 		return
-	case err != nil || len(k.exchange.Body) > 0:
-		k.reject(http.StatusBadRequest)
+	case err != nil || len(call.exchange.Body) > 0:
+		call.reject(http.StatusBadRequest)
 		return
 	case q.URL.Path != "/discovery/hosts":
-		k.reject(http.StatusNotFound)
+		call.reject(http.StatusNotFound)
 		return
 	}
 	wait := Time(0)
@@ -82,79 +84,80 @@
 		after, ok := parseNumber([]byte(query.Get("after")))
 		ms, ok2 := parseNumber([]byte(query.Get("wait_ms")))
 		if !ok || query.Has("wait_ms") && !ok2 {
-			k.reject(http.StatusBadRequest)
+			call.reject(http.StatusBadRequest)
 			return
 		}
-		k.after, wait = after, min(ms*Millisecond, maxWatchTime)
+		call.after, wait = after, min(ms*Millisecond, maxWatchTime)
 	}
-	who := d.callers[k.router]
-	goesOn := who != nil && who.openCalls == 0 && k.after >= 0 && d.m.Now() <= who.answeredAt+watchPause
-	d.openCalls = append(d.openCalls, k)
-	k.exchange.Gone, k.exchange.Ended = k.finish, k.drop
+	who := d.callers[call.router]
+	goesOn := who != nil && who.openCalls == 0 && call.after >= 0 && d.m.Now() <= who.answeredAt+watchPause
+	d.openCalls = append(d.openCalls, call)
+	call.exchange.Gone, call.exchange.Ended = call.finish, call.drop
 	if who != nil {
 		who.lastCall = d.m.Now()
 		who.openCalls++
 	}
 	if d.down {
-		k.refuse()
+		call.refuse()
 		return
 	}
-	if !goesOn && !k.admit() {
+	if !goesOn && !call.admit() {
 		return
 	}
-	if k.after == d.version && wait > 0 && !d.answersAtOnce {
-		k.waiting = true
-		k.timer = d.m.At(d.m.Now()+wait, k.answer)
+	if call.after == d.version && wait > 0 && !d.answersAtOnce {
+		call.waiting = true
+		call.timer = d.m.At(d.m.Now()+wait, call.answer)
 		return
 	}
-	k.answer()
+	call.answer()
 }
 
-// watchPause is for how long after an answer the next call goes on with the watch. It takes no turn of its own.
+// watchPause is how soon after an answer the next call counts as the same watch, which needs no admission.
 const watchPause = 200 * Millisecond
 
-// admit takes a new call in turn, or turns it away: with it the router's other calls end.
-func (k *listCall) admit() bool {
-	d, now := k.discovery, k.discovery.m.Now()
+// admit reserves the work of a new call. A call that would wait longer than the timeout is rejected, with all other
+// calls of its router.
+func (call *listCall) admit() bool {
+	d, now := call.discovery, call.discovery.m.Now()
 	cost := d.options.CallCost + Time(len(d.entries))*d.options.LineCost
 	if cost == 0 || d.options.Pushed {
 		return true
 	}
 	if done := max(now, d.busyUntil) + cost; d.options.Timeout == 0 || done-now <= d.options.Timeout {
-		d.busyUntil, k.turnEnds = done, done
+		d.busyUntil, call.turnEnds = done, done
 		return true
 	}
 	d.busyUntil = max(now, d.busyUntil) + d.options.RejectCost
 	for _, other := range slices.Clone(d.openCalls) {
-		if other.router == k.router {
+		if other.router == call.router {
 			other.refuse()
 		}
 	}
 	return false
 }
 
-// answer answers the call once its turn is over. What a watch has to tell costs by its lines.
-func (k *listCall) answer() {
-	d := k.discovery
-	if k.timer != nil {
-		k.timer.Stop()
+// answer answers the call once its turn is over. The changes that a watch is answered with cost by their number.
+func (call *listCall) answer() {
+	d := call.discovery
+	if call.timer != nil {
+		call.timer.Stop()
 	}
-	k.waiting = false
+	call.waiting = false
 	now := d.m.Now()
-	if k.turnEnds <= now && !d.options.Pushed {
-		if cost := Time(d.changedSince(k.after)) * d.options.LineCost; cost > 0 {
+	if call.turnEnds <= now && !d.options.Pushed {
+		if cost := Time(d.changedSince(call.after)) * d.options.LineCost; cost > 0 {
 			d.busyUntil = max(now, d.busyUntil) + cost
-			k.turnEnds = d.busyUntil
+			call.turnEnds = d.busyUntil
 		}
 	}
-	if k.turnEnds <= now {
-		k.reply()
+	if call.turnEnds <= now {
+		call.reply()
 		return
 	}
-	k.timer = d.m.At(k.turnEnds, k.reply)
+	call.timer = d.m.At(call.turnEnds, call.reply)
 }
 
-// changedSince is how many lines have changed since a version.
+// changedSince returns how many entries have changed since a version.
 func (d *Discovery) changedSince(after int64) (n int) {
 	for _, l := range d.entries {
 		if l.version > after {
@@ -164,54 +167,56 @@
 	return n
 }
 
-func (k *listCall) reply() {
-	d := k.discovery
+// reply writes the list.
+func (call *listCall) reply() {
+	d := call.discovery
 	if d.silent {
-		k.timer = d.m.At(d.m.Now()+slowStartStep, k.reply)
+		call.timer = d.m.At(d.m.Now()+slowStartStep, call.reply)
 		return
 	}
-	k.finish()
-	body, whole := d.encodeList(k.router, k.after)
-	if k.send(http.StatusOK, body) {
-		if who := d.callers[k.router]; who != nil {
+	call.finish()
+	body, whole := d.encodeList(call.router, call.after)
+	if call.send(http.StatusOK, body) {
+		if who := d.callers[call.router]; who != nil {
 			who.answeredAt = d.m.Now()
 		}
-		d.notifyAnswered(k.router, k.after, whole)
+		d.notifyAnswered(call.router, call.after, whole)
 	}
 }
 
 // refuse answers the call 503.
-func (k *listCall) refuse() {
-	k.finish()
-	k.send(http.StatusServiceUnavailable, nil)
+func (call *listCall) refuse() {
+	call.finish()
+	call.send(http.StatusServiceUnavailable, nil)
 }
 
-func (k *listCall) send(status int, body []byte) bool {
-	return k.exchange.Answer(httpserver.Answer{
+// send answers the exchange, and reports whether the answer is on its way.
+func (call *listCall) send(status int, body []byte) bool {
+	return call.exchange.Answer(httpserver.Answer{
 		Status: status,
 		Header: []httpserver.Header{{Name: "Content-Type", Value: "application/json"}},
 		Body:   body,
 	})
 }
 
-// drop ends the connection of a router that waits no more.
-func (k *listCall) drop() {
-	k.finish()
-	k.exchange.Drop()
+// drop closes the connection of a router that has closed its side.
+func (call *listCall) drop() {
+	call.finish()
+	call.exchange.Drop()
 }
 
-// finish ends the call.
-func (k *listCall) finish() {
-	d := k.discovery
-	d.openCalls = removeFirst(d.openCalls, k)
-	if k.timer != nil {
-		k.timer.Stop()
+// finish takes the call off the open ones.
+func (call *listCall) finish() {
+	d := call.discovery
+	d.openCalls = removeFirst(d.openCalls, call)
+	if call.timer != nil {
+		call.timer.Stop()
 	}
-	if who := d.callers[k.router]; who != nil {
+	if who := d.callers[call.router]; who != nil {
 		who.lastCall = d.m.Now()
 		who.openCalls--
 		if who.openCalls == 0 && d.options.PollInterval > 0 {
-			d.notifyOverdue(k.router)
+			d.notifyOverdue(call.router)
 		}
 	}
 }
--- a/internal/testbench/standin/discovery_notify.go
+++ b/internal/testbench/standin/discovery_notify.go
@@ -1,10 +1,10 @@
 package standin
 
-// What routers count as told. An answer tells what it says as it is written. Beside that, a change counts as told to a router
-// that has neither waited nor asked for PollInterval, and to every router NotifiedAfter after the list had it and could be reached,
-// whatever became of their calls.
+// A router counts as notified of what an answer says as the answer is written. Beside that it counts as notified of a
+// change once it has had no open call for PollInterval, and NotifiedAfter after the list had the change and could be
+// reached, whatever became of its calls.
 
-// Forget forgets what a router was told: it has started anew, and knows nothing.
+// Forget drops what a router was notified of, as its process has started anew.
 func (d *Discovery) Forget(router string) {
 	delete(d.notified, router)
 	if c := d.callers[router]; c != nil {
@@ -15,21 +15,20 @@
 	}
 }
 
-// notifyPushed has an agent get the list.
+// notifyPushed notifies a router of the whole list, as its agent does.
 func (d *Discovery) notifyPushed(router string) {
 	if d.badEntry != "" {
-		return // what can't be read tells nothing
+		return // a malformed list notifies of nothing
 	}
 	for _, l := range d.entries {
 		d.notify(router, l)
 	}
 }
 
-// notifyAnswered reports what an answer has told a router: what is new to it, and in a whole list also what
-// is not on it any more.
+// notifyAnswered notifies a router of what an answer said: the changes after a version, or the whole list.
 func (d *Discovery) notifyAnswered(router string, after int64, whole bool) {
 	if d.badEntry != "" {
-		return // what can't be read tells nothing
+		return // a malformed list notifies of nothing
 	}
 	for _, l := range d.entries {
 		if whole || l.version > after {
@@ -38,24 +37,25 @@
 	}
 }
 
-// notifiedState is what a router was told of a cache.
+// notifiedState is the state of a cache that a router was last notified of.
 type notifiedState struct {
 	serving bool
 	since   Time
 }
 
+// notify tells the observer that a router now knows an entry, where that is new to it.
 func (d *Discovery) notify(router string, l *listEntry) {
-	told := d.notified[router]
-	if told == nil {
-		told = map[string]notifiedState{}
-		d.notified[router] = told
+	states := d.notified[router]
+	if states == nil {
+		states = map[string]notifiedState{}
+		d.notified[router] = states
 	}
-	was, known := told[l.Name]
+	was, known := states[l.Name]
 	if !known && l.Status == Terminated {
 		return
 	}
 	is := notifiedState{l.Status == InService, l.Since}
-	told[l.Name] = is
+	states[l.Name] = is
 	if l.Since > 0 && was.since != l.Since {
 		d.observer.StartTold(d.m.Now(), router, l.Name, l.Since)
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-// notifyOverdue tells the list to a router that neither waits nor asks, once it should have.
+// notifyOverdue notifies a router of the list once it has had no open call for the poll interval.
 func (d *Discovery) notifyOverdue(router string) {
 	c := d.callers[router]
 	if c.timer != nil {
@@ -83,11 +83,11 @@
 	}
 }
 
-// notifyAll tells each router what the list has had for NotifiedAfter while that router could reach it.
+// notifyAll notifies each router of the entries that it could have read for NotifiedAfter.
 func (d *Discovery) notifyAll() {
 	d.notifyTimer = nil
 	if d.down || d.silent || d.badEntry != "" {
-		return // begun anew with the return
+		return // markReachable schedules it again
 	}
 	now, next := d.m.Now(), Time(0)
 	for _, r := range d.options.Routers {
@@ -109,7 +109,7 @@
 	}
 }
 
-// notifyLostWatches tells routers whose watches fell silent NotifiedAfter ago all that the list has.
+// notifyLostWatches notifies routers whose watches were lost NotifiedAfter ago of the whole list.
 func (d *Discovery) notifyLostWatches(routers []string) {
 	for _, r := range routers {
 		if !d.reachedFor(r, d.options.NotifiedAfter) {
@@ -127,7 +127,7 @@
 	return reached && since+span <= d.m.Now()
 }
 
-// reachable tells since when a router can reach the list, and whether it can now.
+// reachable returns since when a router can reach the list, and whether it can now.
 func (d *Discovery) reachable(router string) (since Time, now bool) {
 	if d.down || d.silent || d.badEntry != "" {
 		return 0, false
@@ -139,7 +139,7 @@
 	return max(since, d.reachableSince), now
 }
 
-// earlierOf is the first of two instants, of which 0 is none.
+// earlierOf returns the earlier of two instants; a is none where it is 0.
 func earlierOf(a, b Time) Time {
 	if a == 0 || b < a {
 		return b
@@ -147,7 +147,7 @@
 	return a
 }
 
-// scheduleNotifyAll sees to it that what the list has now is told to all in time.
+// scheduleNotifyAll sets the timer of notifyAll, unless it is set.
 func (d *Discovery) scheduleNotifyAll() {
 	if d.options.NotifiedAfter == 0 || d.options.Pushed || d.notifyTimer != nil {
 		return
@@ -155,7 +155,7 @@
 	d.notifyTimer = d.m.At(d.m.Now()+d.options.NotifiedAfter, d.notifyAll)
 }
 
-// markReachable notes that calls can be answered again.
+// markReachable records that calls can be answered again.
 func (d *Discovery) markReachable() {
 	d.reachableSince = d.m.Now()
 	d.scheduleNotifyAll()
--- a/internal/testbench/standin/processor.go
+++ b/internal/testbench/standin/processor.go
@@ -7,86 +7,56 @@
 	"starlingwinch/internal/machine"
 )
 
-// Capacity is what a cache's processor can do.
-type Capacity struct {
-	Cores              float64
-	Speed              float64 // of a core; 0 stands for 1
-	ConcurrentRequests int     // requests in work at once
-	Queue              int     // requests that may wait for a slot
-
-	Thrash            float64 // share of capacity lost for each request a core held ...
-	ThrashAt          float64 // ... beyond so many a core
-	FullTableSlowdown float64 // share of capacity lost when the table of connections is full
-
-	SlowStartMinCapacity float64 // of the capacity at a cold start, rising evenly ...
-	SlowStartWindow      Time    // ... to the whole within this time
-
-	OverloadMultiple float64 // sent more than this multiple of what it can do ...
-	OverloadWindow   Time    // ... for this long, it falls over; 0 never
-	MeanWork         Time    // where it is not 0, rules.AllowedWork of that is borne
-
-	Congestion Congestion
-}
-
-// Congestion makes a cache that was crowded slow, long after the crowd has gone.
-type Congestion struct {
-	Threshold           float64 // more than Cores + At x the root of Cores held ...
-	Window              Time    // ... in the mean of this time
-	Slowdown            float64 // makes it so many times slower; 0 never
-	RecoveryUtilization float64 // until its cores were busy under this share ...
-	RecoveryWindow      Time    // ... for this long
-	MaxDuration         Time    // or this time is up
-}
-
-// job is a piece of work. Its zero value, with work and done, is ready for use.
+// job is a piece of work for a processor. A job with work and done is ready for use.
 type job struct {
 	work  float64 // µs on one core
-	start func()  // it holds a slot: run, or leave it
-	done  func()  // the work is done, the slot is free again
+	start func()  // called when it gets a slot; it calls run, or release
+	done  func()  // called when the work is done and the slot is free again
 
 	state    jobState
-	usesSlot bool
+	usesSlot bool    // it was enqueued for a slot
 	finishAt float64 // attained service at which it is done
-	sequence uint64
-	index    int // in the heap
+	sequence uint64  // order in which jobs began to run
+	index    int     // in the heap
 }
 
+// jobState is where a job is in its life.
 type jobState uint8
 
 const (
-	jobIdle jobState = iota
-	jobQueued
-	jobHoldingSlot // holds a slot, does no work
-	jobRunning
+	jobIdle        jobState = iota // not at the processor, or done
+	jobQueued                      // waits for a slot
+	jobHoldingSlot                 // occupies a slot without work, while it waits for a fetch
+	jobRunning                     // works
 )
 
 // processor shares its cores evenly among the running jobs, each of which gets one core at the most.
 // All running jobs go at one rate, so one count of attained service orders their ends.
 type processor struct {
-	m         machine.Machine
-	capacity  *Capacity
-	startedAt Time
-	// slowStartWindow is 0 for a start that is warm.
-	slowStartWindow Time
-
-	jobs             jobHeap
-	queue            []*job
-	usedSlots        int // in use
-	attained         float64
-	advancedAt       Time
-	currentRate      float64 // service of each job in each µs since last
-	seq              uint64
-	timer            machine.Timer
-	slowFactor       float64 // how many times slower a fault makes it
-	congestionFactor float64 // and a choke; 1 without
-	halted           bool
-	tableOccupancy   float64 // share of the connection table that is full
-	dispatching      bool    // dispatch is under way
-	congestion       *congestionMonitor
+	machine         machine.Machine
+	capacity        *Capacity
+	startedAt       Time
+	slowStartWindow Time // 0 for a warm start
+
+	jobs             jobHeap            // that run
+	queue            []*job             // that wait for a slot
+	usedSlots        int                // slots in use
+	attained         float64            // service that each running job has had since the start, in µs
+	advancedAt       Time               // when attained was last brought up to date
+	currentRate      float64            // service of each job in each µs since then
+	sequence         uint64             // of the job that began last
+	timer            machine.Timer      // of the next end of a job, or step of slow start
+	slowFactor       float64            // how many times slower a fault makes it; 1 without
+	congestionFactor float64            // how many times slower congestion makes it; 1 without
+	halted           bool               // a fault has stopped all work
+	tableOccupancy   float64            // fraction of the connection table that is full
+	dispatching      bool               // dispatch is running, and is not entered again
+	congestion       *congestionMonitor // nil where there is no congestion
 }
 
+// newProcessor returns the processor of a process that starts now.
 func newProcessor(m machine.Machine, o *Capacity, cold bool) *processor {
-	p := &processor{m: m, capacity: o, startedAt: m.Now(), advancedAt: m.Now(), slowFactor: 1, congestionFactor: 1}
+	p := &processor{machine: m, capacity: o, startedAt: m.Now(), advancedAt: m.Now(), slowFactor: 1, congestionFactor: 1}
 	if cold {
 		p.slowStartWindow = o.SlowStartWindow
 	}
@@ -96,20 +66,21 @@
 	return p
 }
 
-// capacityFraction is the share of its capacity that it has by now.
+// capacityFraction returns the fraction of its capacity that it has reached in slow start.
 func (p *processor) capacityFraction() float64 {
-	age := p.m.Now() - p.startedAt
+	age := p.machine.Now() - p.startedAt
 	if age >= p.slowStartWindow {
 		return 1
 	}
 	return p.capacity.SlowStartMinCapacity + (1-p.capacity.SlowStartMinCapacity)*float64(age)/float64(p.slowStartWindow)
 }
 
-// availableRate is the work it can do in each µs now, faults and crowds aside.
+// availableRate returns the work it can do in each µs now, without faults and congestion.
 func (p *processor) availableRate() float64 {
 	return p.capacity.Cores * p.speed() * p.capacityFraction()
 }
 
+// speed returns the speed of a core.
 func (p *processor) speed() float64 {
 	if p.capacity.Speed > 0 {
 		return p.capacity.Speed
@@ -117,9 +88,10 @@
 	return 1
 }
 
-// pending is the number of requests that run or wait.
+// pending returns the number of requests that run or wait.
 func (p *processor) pending() int { return len(p.queue) + p.usedSlots }
 
+// jobRate returns the service that each running job gets in each µs.
 func (p *processor) jobRate() float64 {
 	if p.halted || len(p.jobs) == 0 {
 		return 0
@@ -133,24 +105,24 @@
 	return min(1, share) * p.speed() / (p.slowFactor * p.congestionFactor)
 }
 
-// change makes a change to what the rate depends on.
+// change applies f, which changes what the rate depends on.
 func (p *processor) change(f func()) {
 	p.advance()
 	f()
 	p.scheduleTick()
 }
 
-// advance books the service since the last call. The rate was constant meanwhile, or nearly so.
+// advance adds the service since the last call. The rate was constant meanwhile, or nearly so in slow start.
 func (p *processor) advance() {
-	now := p.m.Now()
+	now := p.machine.Now()
 	p.attained += float64(now-p.advancedAt) * p.currentRate
 	p.advancedAt = now
 }
 
-// slowStartStep is how long the rate is held constant while it rises.
+// slowStartStep is how long the rate is taken as constant during slow start.
 const slowStartStep = 50 * Millisecond
 
-// scheduleTick sets the timer to the next end, or to the next step of warmth.
+// scheduleTick sets the timer to the next end of a job, or to the next step of slow start.
 func (p *processor) scheduleTick() {
 	if p.timer != nil {
 		p.timer.Stop()
@@ -165,12 +137,13 @@
 	if p.capacityFraction() < 1 {
 		wait = min(wait, slowStartStep)
 	}
-	p.timer = p.m.At(p.m.Now()+wait, p.tick)
+	p.timer = p.machine.At(p.machine.Now()+wait, p.tick)
 }
 
-// roundingTolerance is the service that may be missing at a job's end, for the rounding of many additions.
+// roundingTolerance is the service, in µs, that may be missing at a job's end after many rounded additions.
 const roundingTolerance = 0.01
 
+// tick ends the jobs that are done and starts the next ones.
 func (p *processor) tick() {
 	p.timer = nil
 	p.advance()
@@ -184,7 +157,7 @@
 	p.scheduleTick()
 }
 
-// enqueue takes a job into the queue, or reports that there is no room for it.
+// enqueue adds a job to the queue, and reports false where slots and queue are full.
 func (p *processor) enqueue(j *job) bool {
 	if p.usedSlots >= p.capacity.ConcurrentRequests && len(p.queue) >= p.capacity.Queue && !p.halted {
 		return false
@@ -195,26 +168,26 @@
 	return true
 }
 
-// enqueueFirst takes a job in again that was admitted before, ahead of those that wait.
+// enqueueFirst returns a job that had given up its slot to the front of the queue.
 func (p *processor) enqueueFirst(j *job) {
 	j.state = jobQueued
 	p.change(func() { p.queue = append([]*job{j}, p.queue...) })
 	p.dispatch()
 }
 
-// runWithoutSlot runs a job that takes no slot.
+// runWithoutSlot runs a job that takes no slot, such as a handshake.
 func (p *processor) runWithoutSlot(j *job) { p.run(j) }
 
-// run begins the work of a job that holds its slot, or needs none.
+// run starts the work of a job that holds its slot or needs none.
 func (p *processor) run(j *job) {
 	p.change(func() {
-		p.seq++
-		j.state, j.sequence, j.finishAt = jobRunning, p.seq, p.attained+j.work
+		p.sequence++
+		j.state, j.sequence, j.finishAt = jobRunning, p.sequence, p.attained+j.work
 		heap.Push(&p.jobs, j)
 	})
 }
 
-// release takes a job out, whatever its state, and hands its slot on.
+// release takes a job out, whatever its state, and passes its slot on.
 func (p *processor) release(j *job) {
 	if j.state == jobIdle {
 		return
@@ -223,6 +196,7 @@
 	p.dispatch()
 }
 
+// remove takes a job out and frees its slot.
 func (p *processor) remove(j *job) {
 	switch j.state {
 	case jobQueued:
@@ -236,7 +210,7 @@
 		heap.Remove(&p.jobs, j.index)
 		fallthrough
 	case jobHoldingSlot:
-		// The danger: a job that was held when the process ended comes back to one that has no slots in use.
+		// After stop no slot is in use, but a job of before may still be removed.
 		if j.usesSlot && p.usedSlots > 0 {
 			p.usedSlots--
 		}
@@ -244,7 +218,7 @@
 	j.state = jobIdle
 }
 
-// dispatch gives free slots to those that wait.
+// dispatch gives free slots to queued jobs.
 func (p *processor) dispatch() {
 	if p.dispatching {
 		return
@@ -262,13 +236,13 @@
 	p.dispatching = false
 }
 
-// setHalted stops all work, or lets it go on.
+// setHalted stops all work, or resumes it.
 func (p *processor) setHalted(on bool) {
 	p.change(func() { p.halted = on })
 	p.dispatch()
 }
 
-// stop ends it for good.
+// stop ends the processor with its process.
 func (p *processor) stop() {
 	p.halted = true
 	for _, j := range append(p.queue, p.jobs...) {
@@ -282,25 +256,34 @@
 	p.congestion.stop()
 }
 
-// jobHeap orders running jobs by their ends, and those of one end by their beginnings.
+// jobHeap is a heap.Interface that orders running jobs by their ends, and equal ends by the order of their starts.
 type jobHeap []*job
 
+// Len returns the number of running jobs.
 func (h jobHeap) Len() int { return len(h) }
+
+// Less reports whether job i ends before job k.
 func (h jobHeap) Less(i, k int) bool {
 	if h[i].finishAt != h[k].finishAt {
 		return h[i].finishAt < h[k].finishAt
 	}
 	return h[i].sequence < h[k].sequence
 }
+
+// Swap swaps two jobs.
 func (h jobHeap) Swap(i, k int) {
 	h[i], h[k] = h[k], h[i]
 	h[i].index, h[k].index = i, k
 }
+
+// Push adds a job; container/heap calls it.
 func (h *jobHeap) Push(x any) {
 	j := x.(*job)
 	j.index = len(*h)
 	*h = append(*h, j)
 }
+
+// Pop removes the last job; container/heap calls it.
 func (h *jobHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
