--- a/internal/testbench/httpserver/chunks.go
+++ b/internal/testbench/httpserver/chunked_reader.go
@@ -6,24 +6,24 @@
 	"strconv"
 )
 
-// Bounds of what surrounds the bytes of a body that comes in chunks.
+// Bounds of the framing of a chunked body, in bytes.
 const (
 	maxChunkLine    = 256     // of a chunk's size and extensions, or of one trailer
 	maxTrailerBytes = 4 << 10 // after the last chunk
 )
 
-// chunkedReader takes a body apart that comes in chunks (RFC 9112, 7.1). Extensions and trailers are skipped.
+// chunkedReader decodes a chunked body (RFC 9112, 7.1). Extensions and trailers are skipped.
 type chunkedReader struct {
-	maxBytes     int // bytes of the body
+	maxBytes     int // of the body
 	body         []byte
-	chunkLeft    int  // bytes of the chunk that have not come, with its CRLF; 0 before a chunk's first line
-	lastSeen     bool // the last chunk has come: trailers follow
-	trailerBytes int  // bytes of trailers so far
-	done         bool
+	chunkLeft    int  // bytes of the chunk that have not arrived, with its CRLF; 0 before a chunk's first line
+	lastSeen     bool // the last chunk has arrived: trailers follow
+	trailerBytes int  // so far
+	done         bool // the body is whole
 }
 
-// take reads on in b and tells how many bytes of it are done with. It is called again with what is left and
-// what has come since.
+// take decodes b and returns how many bytes of it were used. It is called again with the unused bytes and those that
+// arrived since, until done is set.
 func (c *chunkedReader) take(b []byte) (used int, err error) {
 	for !c.done {
 		if c.chunkLeft > 0 {
@@ -56,7 +56,7 @@
 	return used, nil
 }
 
-// data takes bytes of a chunk, and the CRLF behind them.
+// data takes bytes of a chunk and the CRLF after them.
 func (c *chunkedReader) data(b []byte) (used int, err error) {
 	const crlf = "\r\n"
 	if c.chunkLeft > len(crlf) {
@@ -74,7 +74,7 @@
 	return used, nil
 }
 
-// header takes a chunk's first line or a trailer.
+// header takes the first line of a chunk, or a trailer.
 func (c *chunkedReader) header(line []byte) error {
 	if c.lastSeen {
 		c.trailerBytes += len(line) + 2
--- a/internal/testbench/httpserver/conn.go
+++ b/internal/testbench/httpserver/conn.go
@@ -9,40 +9,40 @@
 	"starlingwinch/internal/machine"
 )
 
-// maxDiscardedBytes bounds what is read after the last answer.
+// maxDiscardedBytes bounds what is read after the last answer, as a client may send without end.
 const maxDiscardedBytes = 1 << 20
 
-// conn is a client's connection. What it does next follows from its fields: an answer that is not sent yet comes
-// first, then the exchange that is out, then what has come.
+// conn is a client's connection. What it does next follows from its fields: an unsent answer comes first, then the
+// exchange that waits for its answer, then received bytes.
 type conn struct {
 	server *Server
 	conn   machine.Conn
 
-	received   []byte         // has come and was not taken
-	moreToRead bool           // more may wait in the connection: in was full
-	scanned    int            // bytes of in that hold no end of a head
-	blank      bool           // an empty line before the next head was passed over
-	request    *request       // whose body has not come whole
-	chunks     *chunkedReader // of its body
-	exchange   *Exchange
+	received   []byte         // read and not consumed
+	moreToRead bool           // the last read stopped because received was full
+	scanned    int            // bytes of received that hold no end of a head
+	blank      bool           // an empty line before the next head was skipped
+	request    *request       // whose body is not whole; nil before its head
+	chunks     *chunkedReader // of that body; nil where it has a length
+	exchange   *Exchange      // that waits for its answer
 
-	unsent         []byte
-	nextBodyPiece  func() []byte // gives the next piece of a body
-	pieceScheduled bool          // a turn to send more is to come
+	unsent         []byte        // to be written
+	nextBodyPiece  func() []byte // gives the next piece of a streamed body
+	pieceScheduled bool          // a turn to send a piece is posted
 
-	peerEnded bool // the client has ended its side
-	ending    bool // no request is taken any more; the connection ends after what is unsent
-	lingering bool // this side has ended too
+	peerEnded bool // the client has closed its side
+	ending    bool // no request is read any more; the connection ends after what is unsent
+	lingering bool // this side is closed too, and what arrives is discarded
 	discarded int  // bytes read since
 	closed    bool
-	stepping  bool // step is under way
+	stepping  bool // step is running, and is not entered again
 
-	deadline Time // when the connection is given up; 0 never
-	timer    machine.Timer
-	timerAt  Time // when the timer is due; it may be before due
+	deadline Time          // when the connection is given up; 0 for never
+	timer    machine.Timer // of the deadline; nil where none is set
+	timerAt  Time          // when the timer is due; it may be before the deadline
 }
 
-// Readable reads what has come.
+// Readable is called by the machine when there is something to read.
 func (c *conn) Readable() {
 	if c.closed {
 		return
@@ -55,10 +55,10 @@
 	c.step()
 }
 
-// Writable writes on.
+// Writable is called by the machine when the connection takes more bytes.
 func (c *conn) Writable() { c.step() }
 
-// read takes what has come, as far as one request may be long.
+// read reads at most as many bytes as one request may have.
 func (c *conn) read() {
 	most := c.server.options.MaxHeadBytes + c.server.options.MaxBodyBytes
 	var buf [16 << 10]byte
@@ -83,11 +83,11 @@
 	}
 }
 
-// peerClosed takes the end of the client's side. It may still read the answer.
+// peerClosed is called when the client has closed its side. It may still read the answer.
 func (c *conn) peerClosed() {
 	c.peerEnded = true
 	if x := c.exchange; x != nil {
-		// The danger: an exchange that nobody ever answers holds the connection of a client that has left.
+		// Without a deadline an exchange that is never answered would keep the connection open.
 		c.setDeadline(c.server.options.IdleTime)
 		if x.Ended != nil {
 			x.Ended()
@@ -95,10 +95,11 @@
 	}
 }
 
-// maxStepsPerTurn is how many steps a connection takes in one turn of the loop.
+// maxStepsPerTurn bounds the steps of a connection in one turn of the loop, which a client that pipelines requests
+// would otherwise occupy.
 const maxStepsPerTurn = 128
 
-// step does what can be done now.
+// step does what can be done now, up to the bound of a turn.
 func (c *conn) step() {
 	if c.stepping || c.closed {
 		return
@@ -109,13 +110,12 @@
 		steps++
 	}
 	c.stepping = false
-	// The danger: a client that sends requests as fast as they are answered keeps the loop to itself.
 	if steps == maxStepsPerTurn {
 		c.server.machine.Post(c.step)
 	}
 }
 
-// stepOnce does one thing, and reports whether there may be another.
+// stepOnce does one thing, and reports whether there may be more to do.
 func (c *conn) stepOnce() bool {
 	switch {
 	case c.lingering:
@@ -139,7 +139,8 @@
 	return c.parse() || c.moreToRead && len(c.received) < c.server.options.MaxHeadBytes+c.server.options.MaxBodyBytes
 }
 
-// send has bytes written, and reports whether the connection took that. It is not called while others are unsent.
+// send writes bytes, now or once the connection takes them, and reports whether the connection is still open. It is not
+// called while there are unsent bytes.
 func (c *conn) send(b []byte) bool {
 	c.unsent = b
 	c.setDeadline(c.server.options.WriteTime)
@@ -149,7 +150,7 @@
 	return sent
 }
 
-// write sends what is unsent, and reports whether all of it went.
+// write writes unsent bytes, and reports whether all of them were written.
 func (c *conn) write() bool {
 	for len(c.unsent) > 0 {
 		n, err := c.conn.Write(c.unsent)
@@ -171,9 +172,9 @@
 	return true
 }
 
-// nextPiece has the next piece of a body sent. It takes a turn of its own.
+// nextPiece posts the sending of the next piece of a streamed body.
 func (c *conn) nextPiece() bool {
-	// The danger: a client that reads as fast as pieces are made keeps the loop to itself.
+	// Each piece takes a turn of its own, so that a fast reader does not occupy the loop.
 	if !c.pieceScheduled {
 		c.pieceScheduled = true
 		c.server.machine.Post(func() {
@@ -191,7 +192,7 @@
 	return false
 }
 
-// parse takes one request off what has come, and hands it on once it is whole.
+// parse takes one request off the received bytes and passes it to the handler, and reports whether it did anything.
 func (c *conn) parse() bool {
 	whole, err := c.readRequest()
 	var r *rejection
@@ -221,7 +222,7 @@
 	return true
 }
 
-// readRequest reports whether a request has come whole.
+// readRequest reads on in a request, and reports whether it is whole.
 func (c *conn) readRequest() (bool, error) {
 	if c.request == nil {
 		if head, err := c.readRequestHead(); head == nil || err != nil {
@@ -243,7 +244,7 @@
 	return c.chunks.done, err
 }
 
-// sendContinue tells a client that waits for a word before it sends the body.
+// sendContinue answers 100 to a client that waits for it before it sends the body.
 func (c *conn) sendContinue() {
 	if c.request.awaitsContinue && len(c.received) == 0 {
 		c.request.awaitsContinue = false
@@ -252,7 +253,7 @@
 	}
 }
 
-// readRequestHead takes a head off what has come; nil where it is not whole.
+// readRequestHead takes a head off the received bytes; nil where it is not whole.
 func (c *conn) readRequestHead() ([]byte, error) {
 	const end = "\r\n\r\n"
 	if !c.blank && bytes.HasPrefix(c.received, []byte("\r\n")) { // RFC 9112, 2.2
@@ -279,17 +280,17 @@
 	return head, nil
 }
 
-// reject answers what is no request that can be served, and ends the connection.
-func (c *conn) reject(status int, why string) {
-	a := Text(status, why)
+// reject answers an invalid request with a status and a reason, and ends the connection.
+func (c *conn) reject(status int, reason string) {
+	a := Text(status, reason)
 	a.Close = true
 	c.ending = true
 	c.send(append(a.head(len(a.Body)), a.Body...))
 }
 
-// linger ends this side and waits for the client to end its own.
+// linger closes this side and waits for the client to close its own. Closed with unread bytes, the connection would be
+// reset before the client has read the answer.
 func (c *conn) linger() {
-	// The danger: closed with bytes unread, the client sees a reset instead of the answer.
 	c.lingering = true
 	c.received = nil
 	if c.peerEnded || c.conn.CloseWrite() != nil {
@@ -300,7 +301,7 @@
 	c.discard()
 }
 
-// discard reads on without a use for it.
+// discard reads what still arrives, up to a bound.
 func (c *conn) discard() {
 	var buf [16 << 10]byte
 	for !c.closed {
@@ -308,14 +309,14 @@
 		if errors.Is(err, machine.ErrWait) {
 			return
 		}
-		// The danger: a client that sends without an end is read for ever.
-		if c.discarded += n; err != nil || c.discarded > maxDiscardedBytes {
+		c.discarded += n
+		if err != nil || c.discarded > maxDiscardedBytes {
 			c.drop()
 		}
 	}
 }
 
-// awaitRequest waits for the next request.
+// awaitRequest sets the deadline of the next request.
 func (c *conn) awaitRequest() {
 	if len(c.received) > 0 || c.request != nil {
 		c.setDeadline(c.server.options.RequestTime)
@@ -324,7 +325,7 @@
 	c.setDeadline(c.server.options.IdleTime)
 }
 
-// setDeadline has the connection given up after a span, in place of the one before; 0 for never.
+// setDeadline replaces the deadline by one after a span; 0 is none.
 func (c *conn) setDeadline(after Time) {
 	if c.closed {
 		return
@@ -343,7 +344,7 @@
 	}
 }
 
-// deadlineReached gives the connection up, where that was not put off since.
+// deadlineReached closes the connection, unless the deadline was put off since.
 func (c *conn) deadlineReached() {
 	c.timer = nil
 	now := c.server.machine.Now()
@@ -358,7 +359,7 @@
 	}
 }
 
-// drop ends the connection.
+// drop closes the connection.
 func (c *conn) drop() {
 	if c.closed {
 		return
--- a/internal/testbench/httpserver/exchange.go
+++ b/internal/testbench/httpserver/exchange.go
@@ -5,16 +5,17 @@
 	"strconv"
 )
 
-// Exchange is a request that has come whole and waits for its answer. One of Answer, Raw, Stream and Drop ends it;
-// what comes after that, or after the client has gone, does nothing.
+// Exchange is a request that waits for its answer. One of Answer, Raw, Stream and Drop ends it; calls after that, or
+// after the client has gone, do nothing.
 type Exchange struct {
 	Request *http.Request // without its body
 	Body    []byte
 	Remote  string // the client's address
 
-	// Ended is called, where it is set, when the client ends its side before the answer. It may still read.
-	// Gone is called when no answer can reach it any more.
-	Ended, Gone func()
+	// Ended is called, where it is set, when the client closes its side before the answer. It may still read.
+	Ended func()
+	// Gone is called, where it is set, when no answer can reach the client any more.
+	Gone func()
 
 	c *conn // nil once it is answered or the client has gone
 }
@@ -22,7 +23,7 @@
 // Open reports whether an answer can still be given.
 func (x *Exchange) Open() bool { return x.c != nil }
 
-// Answer answers, and reports whether the answer is on its way, as far as this side can tell.
+// Answer sends an answer, and reports whether it is on its way, as far as this side knows.
 func (x *Exchange) Answer(a Answer) bool {
 	c := x.detach()
 	if c == nil {
@@ -37,7 +38,7 @@
 	return c.send(out)
 }
 
-// Raw sends bytes in place of an answer, good or bad, and ends the connection after them.
+// Raw sends bytes in place of an answer and closes the connection after them.
 func (x *Exchange) Raw(b []byte) {
 	if c := x.detach(); c != nil {
 		c.ending = true
@@ -45,8 +46,8 @@
 	}
 }
 
-// Stream answers with a body in chunks. more is called for the next one whenever the client has taken what was
-// there, until it gives none.
+// Stream answers with a chunked body. more is called for the next piece whenever the client has taken the one before,
+// until it returns none.
 func (x *Exchange) Stream(a Answer, more func() []byte) {
 	c := x.detach()
 	if c == nil {
@@ -60,13 +61,14 @@
 	c.send(a.head(-1))
 }
 
-// Drop ends the connection without an answer.
+// Drop closes the connection without an answer.
 func (x *Exchange) Drop() {
 	if c := x.detach(); c != nil {
 		c.drop()
 	}
 }
 
+// detach ends the exchange and returns its connection; nil where it had ended before.
 func (x *Exchange) detach() *conn {
 	c := x.c
 	x.c = nil
@@ -76,7 +78,7 @@
 	return c
 }
 
-// encodeChunk is a piece of a body in chunks; an empty one ends it.
+// encodeChunk returns a piece of a chunked body; an empty one ends the body.
 func encodeChunk(piece []byte) []byte {
 	b := strconv.AppendInt(nil, int64(len(piece)), 16)
 	b = append(b, "\r\n"...)
--- a/internal/testbench/httpserver/request.go
+++ b/internal/testbench/httpserver/request.go
@@ -10,35 +10,37 @@
 	"strings"
 )
 
-// methods are those that are served.
+// methods are the methods that are served.
 var methods = []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodDelete}
 
-// rejection is a request that is not let through, with the status that it is answered.
+// rejection is the error of an invalid request, with the status that it is answered with.
 type rejection struct {
 	status int
 	reason string
 }
 
+// Error returns the reason, which is the body of the answer.
 func (r *rejection) Error() string { return r.reason }
 
-func rejectWith(status int, why string, args ...any) error {
-	return &rejection{status, fmt.Sprintf(why, args...)}
+// rejectWith returns a rejection with a status and a formatted reason.
+func rejectWith(status int, format string, args ...any) error {
+	return &rejection{status, fmt.Sprintf(format, args...)}
 }
 
 func badRequest(why string, args ...any) error {
 	return rejectWith(http.StatusBadRequest, why, args...)
 }
 
-// request is a head that was read, with how its body comes.
+// request is a head that was read, with the framing of its body.
 type request struct {
 	*http.Request
-	length         int  // of the body, where it does not come in chunks
-	chunked        bool // it does
-	awaitsContinue bool // the client waits for a word before it sends the body
+	length         int  // of the body, where it is not chunked
+	chunked        bool // the body is chunked
+	awaitsContinue bool // the client waits for status 100 before it sends the body
 }
 
-// readHead reads a head that is whole, with its empty line.
-func readHead(head []byte, mostBody int) (*request, error) {
+// readHead parses a whole head, with its empty line.
+func readHead(head []byte, maxBody int) (*request, error) {
 	if err := checkStrict(head); err != nil {
 		return nil, err
 	}
@@ -56,10 +58,10 @@
 	if !strings.HasPrefix(hr.URL.Path, "/") {
 		return nil, badRequest("the target names no path")
 	}
-	return r, r.parseFraming(head, mostBody)
+	return r, r.parseFraming(head, maxBody)
 }
 
-// checkStrict refuses what readers take differently.
+// checkStrict rejects heads that other readers may understand differently.
 func checkStrict(head []byte) error {
 	for i, b := range head {
 		switch {
@@ -76,11 +78,11 @@
 	return nil
 }
 
-// parseFraming finds out how the body comes (RFC 9112, 6.3).
-func (r *request) parseFraming(head []byte, mostBody int) error {
+// parseFraming finds out how the body is framed (RFC 9112, 6.3).
+func (r *request) parseFraming(head []byte, maxBody int) error {
 	_, lines, _ := bytes.Cut(head, []byte("\r\n"))
 	for line := range bytes.Lines(lines) {
-		// The danger: a proxy that drops the space in "Content-Length :" sees a length that we don't.
+		// A proxy that drops the space in "Content-Length :" would see a length that this server does not.
 		name, _, _ := bytes.Cut(line, []byte(":"))
 		if bytes.ContainsAny(name, " \t") {
 			return badRequest("a header's name holds a space")
@@ -95,7 +97,7 @@
 		return badRequest("the header holds %d Host lines", len(hosts))
 	}
 	if len(codings) > 0 {
-		// The danger: with both, a proxy in front may have gone by the other one.
+		// With both, a proxy in front may have used the other one.
 		if len(lengths) > 0 {
 			return badRequest("the body has a Content-Length and a Transfer-Encoding")
 		}
@@ -107,8 +109,8 @@
 	if len(lengths) > 1 {
 		return badRequest("the header holds %d Content-Length lines", len(lengths))
 	}
-	if r.ContentLength > int64(mostBody) {
-		return rejectWith(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", mostBody)
+	if r.ContentLength > int64(maxBody) {
+		return rejectWith(http.StatusRequestEntityTooLarge, "the body is longer than %d bytes", maxBody)
 	}
 	r.length = int(max(r.ContentLength, 0))
 	if expect := h.Get("Expect"); expect != "" {
--- a/internal/testbench/httpserver/server.go
+++ b/internal/testbench/httpserver/server.go
@@ -1,11 +1,10 @@
-// Package httpserver is a small HTTP/1.1 server (RFC 9112) on a machine's loop, for services that few call:
-// stand-ins, and what operators ask. Connections are kept, and calls that come one behind the other are
-// answered in their order, one at a time.
+// Package httpserver is a small HTTP/1.1 server (RFC 9112) on a machine's event loop, for stand-ins of services.
+// Connections are persistent, and pipelined requests are answered in their order, one at a time.
 //
 // It is strict where leniency would let two readers of the same bytes see different requests: a line ends
-// with CRLF, a body has one length, a header has one Host. Heads are read by net/http; the library's
-// own server starts goroutines, which the loop has no place for. Routes, names and meanings are for its
-// users: to it a request is a head and a body.
+// with CRLF, a body has one length, a header has one Host. Heads are parsed by net/http, whose
+// own server starts goroutines and can't run on a virtual network. Routes are for its users: to it a request is a head
+// and a body.
 package httpserver
 
 import (
@@ -19,19 +18,21 @@
 // Time is an instant or a span in microseconds.
 type Time = machine.Time
 
+// second is a second in microseconds.
 const second Time = 1_000_000
 
-// Options are the bounds of a server. The zero value of a field stands for its usual figure.
+// Options are the bounds of a server. The zero value of a field stands for its default, which its comment names.
 type Options struct {
 	MaxHeadBytes int  // bytes of a request's head; 16 KiB
-	MaxBodyBytes int  // ... of its body; 64 KiB
-	Connections  int  // open at once; 1024. One more is answered 503
-	RequestTime  Time // for a request to come whole, from its first byte; 10 s
+	MaxBodyBytes int  // bytes of a request's body; 64 KiB
+	Connections  int  // open at once; 1024. More are answered 503
+	RequestTime  Time // from the first byte of a request to its last; 10 s
 	IdleTime     Time // for the next request to begin; 60 s
 	WriteTime    Time // for a client to take some more of an answer; 10 s
-	LingerTime   Time // for a client to end its side after the last answer; 1 s
+	LingerTime   Time // for a client to close its side after the last answer; 1 s
 }
 
+// fill sets the defaults.
 func (o *Options) fill() {
 	if o.MaxHeadBytes == 0 {
 		o.MaxHeadBytes = 16 << 10
@@ -55,7 +56,7 @@
 	}
 }
 
-// Server answers calls at any number of addresses.
+// Server answers requests at any number of addresses.
 type Server struct {
 	machine   machine.Machine
 	options   Options
@@ -65,8 +66,8 @@
 	refusing  bool
 }
 
-// New returns a server that listens nowhere yet. handle is called with each request that has come whole,
-// and has it answered, at once or later.
+// New returns a server that listens nowhere yet. handle is called with each request that was read whole, and answers it
+// at once or later.
 func New(m machine.Machine, o Options, handle func(*Exchange)) *Server {
 	o.fill()
 	return &Server{machine: m, options: o, handle: handle}
@@ -82,7 +83,7 @@
 	return ln.Addr(), nil
 }
 
-// Close ends the server and all its connections.
+// Close closes all listeners and connections.
 func (s *Server) Close() {
 	for _, ln := range s.listeners {
 		ln.Close()
@@ -91,14 +92,14 @@
 	s.DropAll()
 }
 
-// DropAll ends all connections, whatever is under way on them.
+// DropAll closes all connections, whatever is under way on them.
 func (s *Server) DropAll() {
 	for _, c := range slices.Clone(s.conns) {
 		c.drop()
 	}
 }
 
-// Refuse ends all connections, and each that comes from now on, without a word; or not any more.
+// Refuse switches whether all connections, those there are and new ones, are closed without an answer.
 func (s *Server) Refuse(on bool) {
 	s.refusing = on
 	if on {
@@ -106,14 +107,18 @@
 	}
 }
 
-// Connections is how many are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int { return len(s.conns) }
 
+// rejectedPart is the part of Options.Connections that may be open beyond it to be answered 503. More are closed at once.
+const rejectedPart = 8
+
+// accept handles a new connection.
 func (s *Server) accept(mc machine.Conn) machine.Handler {
 	c := &conn{server: s, conn: mc}
 	full := len(s.conns) >= s.options.Connections
-	// The danger: those that are told to go away are more than those that are served.
-	if most := s.options.Connections + s.options.Connections/8; s.refusing || len(s.conns) > most {
+	limit := s.options.Connections + s.options.Connections/rejectedPart
+	if s.refusing || len(s.conns) > limit {
 		c.closed = true
 		mc.Close()
 		return c
@@ -128,17 +133,20 @@
 }
 
 // Header is one line of an answer's header.
-type Header struct{ Name, Value string }
+type Header struct {
+	Name  string
+	Value string
+}
 
-// Answer is an answer whose body is there.
+// Answer is an answer with its whole body.
 type Answer struct {
 	Status int
 	Header []Header // Content-Length and Connection are added
 	Body   []byte
-	Close  bool // the connection ends after it
+	Close  bool // the connection is closed after it
 }
 
-// Text is an answer of one line for a person.
+// Text returns an answer of one line of text.
 func Text(status int, line string) Answer {
 	return Answer{
 		Status: status,
@@ -147,7 +155,7 @@
 	}
 }
 
-// head is the answer's head up to and with the empty line. length is its body's, or below 0 for a body in chunks.
+// head returns the answer's head with the empty line. length is that of the body, or below 0 for a chunked one.
 func (a *Answer) head(length int) []byte {
 	b := []byte("HTTP/1.1 " + strconv.Itoa(a.Status) + " " + http.StatusText(a.Status) + "\r\n")
 	for _, h := range a.Header {
--- a/internal/testbench/standin/faults.go
+++ b/internal/testbench/standin/faults.go
@@ -9,40 +9,55 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// Spoil is a way in which an answer can't be read.
+// Spoil is a way in which an answer is malformed.
 type Spoil string
 
 const (
-	Noise       Spoil = "noise"       // bytes of no form
-	WrongLength Spoil = "length"      // a value shorter than it says
-	Endless     Spoil = "endless"     // a value that goes on and on
-	Unreadable  Spoil = "unreadable"  // a line that never ends, of bytes that no line holds
-	resetInside       = "inside"      // half an answer, then the end
-	resetAfter        = "after"       // an answer, then the end
-	doubleSame        = "double"      // an answer twice
-	doubleNoise       = "doublenoise" // an answer and noise
+	// Noise is bytes of no form.
+	Noise Spoil = "noise"
+	// WrongLength is a value shorter than its length says.
+	WrongLength Spoil = "length"
+	// Endless is a value that goes on and on.
+	Endless Spoil = "endless"
+	// Unreadable is a line that never ends, of bytes that no line holds.
+	Unreadable Spoil = "unreadable"
 )
 
-// faults are what is wrong with a cache at the moment. Scripts of faults switch them; they outlive a
-// restart of the process, but for the forgotten connections.
+// Other faults of a single answer, beside those of Spoil.
+const (
+	resetInside = "inside"      // half an answer, then the connection is closed
+	resetAfter  = "after"       // an answer, then the connection is closed
+	doubleSame  = "double"      // an answer twice
+	doubleNoise = "doublenoise" // an answer and noise
+)
+
+// faults are what is wrong with a cache at the moment. Scripts switch them. They outlive a restart of the process,
+// except forgotten connections.
 type faults struct {
-	stalled, silent, busy, draining bool
-	resetAccept, badReport          bool
-	slowFactor                      float64
-	errorRate                       float64
-	spoilRate, doubleRate           float64
-	resetInsideRate, resetAfterRate float64
-	spoilKind                       Spoil
-	doubleKind                      string
-	doubleDelay                     Time
-	silentFrom, silentUntil         Time // the last silence
+	stalled         bool    // takes requests and answers none
+	silent          bool    // reads nothing
+	busy            bool    // rejects every request
+	draining        bool    // rejects new requests
+	resetAccept     bool    // closes each connection as it is accepted
+	badReport       bool    // answers hold a malformed load report
+	slowFactor      float64 // how many times slower it is; 0 for no fault
+	errorRate       float64 // fraction of requests that fail
+	spoilRate       float64 // fraction of answers that are malformed
+	doubleRate      float64 // fraction of answers that are followed by more bytes
+	resetInsideRate float64 // fraction of answers that are cut off
+	resetAfterRate  float64 // fraction of answers after which the connection is closed
+	spoilKind       Spoil
+	doubleKind      string // doubleSame or doubleNoise
+	doubleDelay     Time   // from an answer to the bytes after it
+	silentFrom      Time   // when the last silence began
+	silentUntil     Time   // when it ended; 0 while it lasts
 }
 
-// catchUpTime is how long after a silence all that had come meanwhile is read.
+// catchUpTime is how long after a silence what arrived meanwhile has been read.
 const catchUpTime = 20 * Millisecond
 
-// earliestArrival is when something that is read at now may have come at the earliest. The danger: a router would be
-// blamed for sending late what it had sent while the cache read nothing.
+// earliestArrival returns when bytes that are read now may have arrived at the earliest. Without it a router would be
+// blamed for sending late what it had sent during a silence.
 func (f *faults) earliestArrival(now Time) Time {
 	if f.silentUntil != 0 && now <= f.silentUntil+catchUpTime {
 		return f.silentFrom
@@ -50,7 +65,7 @@
 	return now
 }
 
-// apply puts the faults that a processor feels on a new one.
+// apply sets the faults of a new process's processor.
 func (f *faults) apply(c *Cache) {
 	if f.slowFactor > 0 {
 		c.processor.slowFactor = f.slowFactor
@@ -58,7 +73,7 @@
 	c.processor.halted = f.stalled
 }
 
-// draw decides what goes wrong with a serving answer; nothing is the empty string.
+// draw draws the fault of a serving answer; "" is none.
 func (f *faults) draw(rng *rand.Rand) string {
 	switch {
 	case chance(rng, f.spoilRate):
@@ -73,7 +88,7 @@
 	return ""
 }
 
-// Hang has it take requests and answer none. Afterwards it goes on with those it still holds.
+// Hang switches whether the cache takes requests without answering. Afterwards it goes on with those it holds.
 func (c *Cache) Hang(on bool) {
 	c.faults.stalled = on
 	if !c.up {
@@ -85,7 +100,7 @@
 	}
 }
 
-// Silent has it not even read, like a machine that is cut off. New connections stay in the machine's queue.
+// Silent switches whether the cache reads nothing, like a machine that is cut off. New connections wait to be accepted.
 func (c *Cache) Silent(on bool) {
 	switch now := c.m.Now(); {
 	case on && !c.faults.silent:
@@ -112,7 +127,7 @@
 	}
 }
 
-// Slow makes it so many times slower than it was; 1 ends that.
+// Slow makes the cache so many times slower; 1 ends that.
 func (c *Cache) Slow(factor float64) {
 	c.faults.slowFactor = max(factor, 1e-3)
 	if c.up {
@@ -120,13 +135,13 @@
 	}
 }
 
-// ErrRate has this share of requests answered -ERR failed, half of them after they ran.
+// ErrRate has a fraction of requests answered -ERR failed, half of them after they ran.
 func (c *Cache) ErrRate(p float64) { c.faults.errorRate = p }
 
-// Spoil has this share of the serving answers come unreadable.
+// Spoil has a fraction of the serving answers malformed.
 func (c *Cache) Spoil(p float64, how Spoil) { c.faults.spoilRate, c.faults.spoilKind = p, how }
 
-// Double has this share of the serving answers followed, after a time, by a second copy or by noise.
+// Double has a fraction of the serving answers followed, after a time, by a second copy or by noise.
 func (c *Cache) Double(p float64, noise bool, after Time) {
 	c.faults.doubleRate, c.faults.doubleDelay, c.faults.doubleKind = p, after, doubleSame
 	if noise {
@@ -134,17 +149,17 @@
 	}
 }
 
-// ResetAccept has it end each connection as it comes in.
+// ResetAccept switches whether each connection is closed as it is accepted.
 func (c *Cache) ResetAccept(on bool) { c.faults.resetAccept = on }
 
-// ResetInside has it break this share of the serving answers off in the middle.
+// ResetInside has a fraction of the serving answers cut off in the middle.
 func (c *Cache) ResetInside(p float64) { c.faults.resetInsideRate = p }
 
-// ResetAfter has it end the connection right after this share of the serving answers.
+// ResetAfter has the connection closed right after a fraction of the serving answers.
 func (c *Cache) ResetAfter(p float64) { c.faults.resetAfterRate = p }
 
-// DropIdle ends the connections that stand idle now; silently, so that the router learns of it from the
-// reset of the next request.
+// DropIdle closes the connections that are idle now. Where silently is set, the router learns of it only by a reset of
+// its next request.
 func (c *Cache) DropIdle(silently bool) {
 	for _, cc := range slices.Clone(c.conns) {
 		switch {
@@ -157,33 +172,33 @@
 	}
 }
 
-// Busy has it turn every request away.
+// Busy switches whether every request is rejected.
 func (c *Cache) Busy(on bool) { c.faults.busy = on }
 
-// Refusing has it finish what it holds and turn new requests away, as a draining cache may.
+// Refusing switches whether new requests are rejected while those it holds are finished, as a draining cache may.
 func (c *Cache) Refusing(on bool) { c.faults.draining = on }
 
-// BadReport has answers hold a load report that can't be read.
+// BadReport switches whether answers hold a malformed load report.
 func (c *Cache) BadReport(on bool) { c.faults.badReport = on }
 
-// A spoiled answer's bytes. The endless ones end after mostEndless, long past what a router may read.
+// Bytes of malformed answers. Endless ones stop after endlessBytes, far more than a router may read.
 const (
 	noiseBytes   = "\x00\xffnoise\r\n:12\r\n"
 	endlessBytes = 1 << 20
 	endlessPiece = 16 << 10
 )
 
-// writeFaulty writes an answer and makes go wrong what was drawn for it. A copy that can't be read serves nobody.
-func (cc *cacheConn) writeFaulty(k *command) {
+// writeFaulty writes an answer with the fault that was drawn for it. A malformed answer counts as failed.
+func (cc *cacheConn) writeFaulty(cmd *command) {
 	c := cc.cache
-	failed := func() { c.observer.Replied(c.m.Now(), c.options.Name, k.request.id, rules.Failed, "") }
-	switch k.fault {
+	failed := func() { c.observer.Replied(c.m.Now(), c.options.Name, cmd.request.id, rules.Failed, "") }
+	switch cmd.fault {
 	case string(Noise):
 		failed()
 		cc.send([]byte(noiseBytes))
 	case string(WrongLength):
 		failed()
-		cc.send(append([]byte("*3\r\n$4000\r\nshort\r\n"), k.reply[4:]...))
+		cc.send(append([]byte("*3\r\n$4000\r\nshort\r\n"), cmd.reply[4:]...))
 	case string(Endless):
 		failed()
 		cc.endlessLeft = endlessBytes
@@ -196,22 +211,22 @@
 		cc.continueEndless()
 	case resetInside:
 		failed()
-		cc.send(k.reply[:len(k.reply)/2])
+		cc.send(cmd.reply[:len(cmd.reply)/2])
 		cc.drop()
 	case resetAfter:
-		k.replyWritten()
-		cc.send(k.reply)
+		cmd.replyWritten()
+		cc.send(cmd.reply)
 		cc.drop()
 	case doubleSame:
-		k.replyWritten()
-		cc.writeTwice(k.reply, k.reply)
+		cmd.replyWritten()
+		cc.writeTwice(cmd.reply, cmd.reply)
 	case doubleNoise:
-		k.replyWritten()
-		cc.writeTwice(k.reply, []byte(noiseBytes))
+		cmd.replyWritten()
+		cc.writeTwice(cmd.reply, []byte(noiseBytes))
 	}
 }
 
-// writeTwice writes an answer and something else after it.
+// writeTwice writes an answer and more bytes after it, at once or after the delay.
 func (cc *cacheConn) writeTwice(reply, more []byte) {
 	after := cc.cache.faults.doubleDelay
 	if after == 0 {
@@ -226,12 +241,12 @@
 	})
 }
 
-// continueEndless writes on at a value without an end, as fast as the connection takes it.
+// continueEndless writes more of an endless value, as fast as the connection takes it.
 func (cc *cacheConn) continueEndless() {
 	for cc.endlessLeft > 0 && len(cc.unsent) == 0 && !cc.closed {
 		n := min(endlessPiece, cc.endlessLeft)
 		if cc.endlessLeft -= n; cc.endlessLeft == 0 {
-			cc.endlessLeft = -1 // nothing more is ever written here
+			cc.endlessLeft = -1 // nothing more is written to this connection
 		}
 		b := make([]byte, n)
 		for i := range b {
--- a/internal/testbench/standin/fleet.go
+++ b/internal/testbench/standin/fleet.go
@@ -8,28 +8,28 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// Options describe a whole fleet with its clients. DefaultOptions holds the operators' figures.
+// Options describe a whole fleet with its load clients.
 type Options struct {
-	Caches  int
-	Zones   []string
+	Caches  int      // that run at the start
+	Zones   []string // dealt to caches and load clients in turn
 	Classes []Class
-	Keys    int
-	Zipf    float64
-	Offset  float64
+	Keys    int     // number of keys
+	Zipf    float64 // exponent of their popularity
+	Offset  float64 // added to the rank of a key, which flattens the most popular ones
 
 	Cache     CacheOptions // of each; names, zones and groups are given
 	Store     StoreOptions
 	Discovery DiscoveryOptions
-	Clients   int           // groups of clients, dealt to the zones in turn
-	Client    ClientOptions // of each; its rate is that of all groups together
+	Clients   int           // load clients
+	Client    ClientOptions // of each; its rate is that of all together
 	Routers   []string      // names; each has addresses of its own at every cache and at discovery
 
-	// Placement, given the caches' names, tells which of them routers send a key to. The caches that run at the start
-	// hold what they were asked for lately; nil stands for the most popular keys at each.
+	// Placement, given the caches' names, returns a function that names the cache of a key. The caches that run at the
+	// start hold the keys placed on them; nil stands for the most popular keys at each.
 	Placement func(caches []string) func(key string) string
 }
 
-// DefaultOptions are those of a usual day with nine caches and three routers.
+// DefaultOptions returns the options of a usual day with nine caches and three routers.
 func DefaultOptions() Options {
 	return Options{
 		Caches: 9, Zones: []string{"ahmedabad", "rajkot", "surat"}, Classes: DefaultClasses(),
@@ -52,21 +52,20 @@
 	}
 }
 
-// Places provide the machines that the stand-ins run on: one host for each on a virtual network, or
-// one for all.
+// Places provide the machines that the stand-ins run on: a host for each on a virtual network, or one for all. Each
+// function is called once for each stand-in.
 type Places struct {
 	Cache     func(name, zone string) machine.Machine
 	Store     func() machine.Machine
 	Discovery func() machine.Machine
 	Client    func(name, zone string) machine.Machine
-	// Listen is the address that a stand-in of that name listens on for a router; nil stands for a free
-	// port of 127.0.0.1.
+	// Listen returns the address that a stand-in listens on for a router; nil stands for a free port of 127.0.0.1.
 	Listen func(standin, router string) string
-	// Routers is the routers that the front of a zone deals connections to, now.
+	// Routers returns the routers that clients of a zone may connect to now.
 	Routers func(zone string) []Target
 }
 
-// Fleet is all that surrounds the routers.
+// Fleet is all stand-ins that surround the routers.
 type Fleet struct {
 	Workload  *Workload
 	Keys      *Keys
@@ -74,7 +73,7 @@
 	Repeats   *Repeats
 	Caches    []*Cache
 	Discovery *Discovery
-	// Lists is the address of discovery for each router.
+	// Lists is the address of discovery, by router.
 	Lists   map[string]string
 	Clients []*Client
 
@@ -82,11 +81,11 @@
 	places   Places
 	rng      *rand.Rand
 	observer rules.Observer
-	created  int
+	created  int // caches so far, which names, zones and groups follow from
 }
 
-// NewFleet sets a fleet up: its caches run, warm, and are on the list; the clients wait for Start. Each
-// part draws from a generator of its own, so that a change of one leaves the draws of the others.
+// NewFleet sets a fleet up: its caches run, are warm and on the endpoint list; the load clients wait for Start. Each
+// part draws from a generator of its own, so that a change of one leaves the draws of the others as they are.
 func NewFleet(o Options, p Places, rng *rand.Rand, obs rules.Observer) (*Fleet, error) {
 	f := &Fleet{options: o, places: p, rng: rng, observer: observerOrBlind(obs), Repeats: NewRepeats(), Lists: map[string]string{}}
 	f.Workload = NewWorkload(o.Classes, f.newRand())
@@ -106,7 +105,7 @@
 			return nil, err
 		}
 	}
-	f.Discovery.Late(-o.Discovery.Delay) // they have been on the list for long
+	f.Discovery.Late(-o.Discovery.Delay) // the caches of the start are on the list at once
 	f.Discovery.Late(0)
 	f.warm()
 	for i := range o.Clients {
@@ -115,7 +114,7 @@
 	return f, nil
 }
 
-// warm fills the memories of the caches that run at the start with what routers have asked them for.
+// warm fills the memories of the caches with the keys that are placed on them.
 func (f *Fleet) warm() {
 	if f.options.Placement == nil {
 		return
@@ -131,13 +130,14 @@
 		keys[name] = append(keys[name], key)
 	}
 	for _, c := range f.Caches {
-		c.Warm(keys[c.Name()]) // the most popular last: the others make room for them
+		c.Warm(keys[c.Name()]) // the most popular last, so that others are evicted first
 	}
 }
 
-// newRand is a generator for one part.
+// newRand returns a generator for one part.
 func (f *Fleet) newRand() *rand.Rand { return rand.New(rand.NewPCG(f.rng.Uint64(), f.rng.Uint64())) }
 
+// listen returns the address for a stand-in and a router.
 func (f *Fleet) listen(standin, router string) string {
 	if f.places.Listen == nil {
 		return "127.0.0.1:0"
@@ -145,7 +145,7 @@
 	return f.places.Listen(standin, router)
 }
 
-// AddCache starts one more cache and has discovery name it. A warm one holds the most popular keys.
+// AddCache starts one more cache and adds it to the list. A warm one holds the most popular keys.
 func (f *Fleet) AddCache(cold bool) (*Cache, error) {
 	c, e, err := f.newCache(cold, nil, false)
 	if err == nil {
@@ -154,12 +154,13 @@
 	return c, err
 }
 
-// Replace ends a cache and starts a cold one, under a new name, in its place and zone.
+// Replace stops a cache and starts a cold one under a new name, in its zone.
 func (f *Fleet) Replace(old *Cache) (*Cache, error) { return f.replace(old, false) }
 
-// TakeOver is Replace by one on the same machine and at the same addresses.
+// TakeOver replaces a cache by one on the same machine and at the same addresses.
 func (f *Fleet) TakeOver(old *Cache) (*Cache, error) { return f.replace(old, true) }
 
+// replace stops a cache and starts a cold one in its zone and, if so, at its addresses.
 func (f *Fleet) replace(old *Cache, sameAddress bool) (*Cache, error) {
 	old.Stop()
 	c, e, err := f.newCache(true, old, sameAddress)
@@ -169,7 +170,7 @@
 	return c, err
 }
 
-// Restart ends a cache's process and starts a cold one, of which discovery tells the time of its start.
+// Restart restarts a cache's process, cold; the list has the time of the start.
 func (f *Fleet) Restart(c *Cache) error {
 	now := c.m.Now()
 	if err := c.Restart(true); err != nil {
@@ -185,7 +186,8 @@
 	return nil
 }
 
-// newCache starts a cache, in the zone of an old one and, where it is to be, at its addresses.
+// newCache starts a cache, in the zone of an old one where that is not nil, and at its addresses where sameAddress is
+// set.
 func (f *Fleet) newCache(cold bool, old *Cache, sameAddress bool) (*Cache, Entry, error) {
 	o := f.options.Cache
 	o.Zone = f.options.Zones[f.created%len(f.options.Zones)]
@@ -205,7 +207,7 @@
 	e := Entry{Name: o.Name, Zone: o.Zone, Type: "std-6", Group: o.Group, Weight: 1, Addresses: map[string]string{}}
 	routers := f.options.Routers
 	if o.RouterOf != nil {
-		routers = append([]string{""}, routers...) // an address for all of them, as a registry tells
+		routers = append([]string{""}, routers...) // "": an address for all of them
 	}
 	for _, r := range routers {
 		at := ""
@@ -232,6 +234,7 @@
 	return c, e, nil
 }
 
+// addClient adds a load client in the next zone.
 func (f *Fleet) addClient(i int) {
 	o := f.options.Client
 	o.Zone = f.options.Zones[i%len(f.options.Zones)]
@@ -244,24 +247,24 @@
 	f.Clients = append(f.Clients, NewClient(m, o, f.Workload, f.newRand(), f.observer))
 }
 
-// Routers are the names of the routers.
+// Routers returns the names of the routers.
 func (f *Fleet) Routers() []string { return f.options.Routers }
 
-// Start has the clients begin.
+// Start starts the load clients.
 func (f *Fleet) Start() {
 	for _, c := range f.Clients {
 		c.Start()
 	}
 }
 
-// Stop has the clients make no more requests.
+// Stop ends the arrivals of all load clients.
 func (f *Fleet) Stop() {
 	for _, c := range f.Clients {
 		c.Stop()
 	}
 }
 
-// Open is the number of requests under way.
+// Open returns the number of requests under way.
 func (f *Fleet) Open() int {
 	n := 0
 	for _, c := range f.Clients {
@@ -270,7 +273,7 @@
 	return n
 }
 
-// Tallies are the counts of all clients, by class.
+// Tallies returns the counts of all load clients, by class.
 func (f *Fleet) Tallies() []*Tally {
 	var all []*Tally
 	for i, class := range f.options.Classes {
@@ -283,7 +286,7 @@
 	return all
 }
 
-// Close ends all of it.
+// Close stops all stand-ins.
 func (f *Fleet) Close() {
 	for _, c := range f.Clients {
 		c.Close()
--- a/internal/testbench/standin/hostile.go
+++ b/internal/testbench/standin/hostile.go
@@ -15,26 +15,26 @@
 
 // Kinds of harm.
 const (
-	BadBytes     Harm = "bytes"    // bytes of no form
-	EndlessLine  Harm = "line"     // a line without an end
-	HalfCommand  Harm = "half"     // a command without its last bytes
-	SilentClient Harm = "silent"   // nothing
-	Abandons     Harm = "abandons" // forty reads, and then the end at once
-	NeverReads   Harm = "deaf"     // reads on and on, whose answers it does not take
+	BadBytes     Harm = "bytes"    // BadBytes sends bytes of no form.
+	EndlessLine  Harm = "line"     // EndlessLine sends a line without an end.
+	HalfCommand  Harm = "half"     // HalfCommand sends a command without its last bytes.
+	SilentClient Harm = "silent"   // SilentClient sends nothing.
+	Abandons     Harm = "abandons" // Abandons sends forty reads and closes the connection at once.
+	NeverReads   Harm = "deaf"     // NeverReads sends reads without taking their replies.
 )
 
 // HostileOptions describe a hostile client.
 type HostileOptions struct {
 	Harm           Harm
-	Every          Time // from one connection to the next
-	HoldFor        Time // a connection is closed after this, if the router has not; 0 for never
-	MaxConnections int  // connections held at once; 0 stands for 64
-	Class          Class
-	Keys           *Keys
-	Routers        func() []Target
+	Every          Time            // from one connection to the next
+	HoldFor        Time            // a connection is closed after this, if the router has not; 0 for never
+	MaxConnections int             // open at once; 0 stands for 64
+	Class          Class           // of the reads that it sends
+	Keys           *Keys           // of the reads that it sends
+	Routers        func() []Target // that take connections now
 }
 
-// Hostile is a client that means harm.
+// Hostile is a client that tries to harm the routers.
 type Hostile struct {
 	m          machine.Machine
 	options    HostileOptions
@@ -54,15 +54,18 @@
 	sent   int
 }
 
-// NewHostile is a hostile client that does nothing yet.
+// defaultHostileConnections is the default of HostileOptions.MaxConnections.
+const defaultHostileConnections = 64
+
+// NewHostile returns a hostile client that is not started yet.
 func NewHostile(m machine.Machine, o HostileOptions, rng *rand.Rand, obs rules.Observer) *Hostile {
 	if o.MaxConnections == 0 {
-		o.MaxConnections = 64
+		o.MaxConnections = defaultHostileConnections
 	}
 	return &Hostile{m: m, options: o, rng: rng, observer: observerOrBlind(obs)}
 }
 
-// Start has it begin.
+// Start opens a connection, and another one after each interval.
 func (h *Hostile) Start() {
 	h.timer = h.m.At(h.m.Now()+h.options.Every, h.Start)
 	routers := h.options.Routers()
@@ -89,7 +92,7 @@
 	})
 }
 
-// Stop ends it and its connections.
+// Stop opens no more connections and closes those there are.
 func (h *Hostile) Stop() {
 	if h.timer != nil {
 		h.timer.Stop()
@@ -100,16 +103,17 @@
 	}
 }
 
-// Open is the number of connections that it holds.
+// Open returns the number of open connections.
 func (h *Hostile) Open() int { return len(h.conns) }
 
-// Bounds of what a connection is sent.
+// Bounds of what a connection is sent, in bytes or reads.
 const (
 	maxLineBytes   = 4 << 20
 	abandonedReads = 40
 	unreadReads    = 200
 )
 
+// start does the harm that can be done as the connection is up.
 func (c *hostileConn) start(router string) {
 	switch c.client.options.Harm {
 	case BadBytes:
@@ -131,7 +135,7 @@
 	}
 }
 
-// encodeRead is one read as a client writes it.
+// encodeRead returns one read as a client writes it, and its attempt.
 func (c *hostileConn) encodeRead() (b []byte, t *clientAttempt) {
 	h := c.client
 	client := &Client{m: h.m, options: ClientOptions{Tenant: "hostile"}}
@@ -140,13 +144,13 @@
 	return t.encode(h.m.Now()), t
 }
 
-// sendReads writes whole reads, one behind the other. It waits for none of them: nothing is owed for them.
+// sendReads sends n pipelined reads. The observer is told that nobody waits for their replies.
 func (c *hostileConn) sendReads(router string, n int, stays bool) {
 	now := c.client.m.Now()
 	for range n {
 		b, t := c.encodeRead()
 		if c.send(b) != nil || len(c.unsent) > 0 {
-			return // it did not go out whole
+			return // it was not written whole
 		}
 		c.client.observer.Asked(now, rules.Ask{ID: t.id, Router: router, Class: c.client.options.Class.Name, Key: t.request.key, Sent: now,
 			Deadline: t.deadline, Forgone: stays})
@@ -156,7 +160,7 @@
 	}
 }
 
-// sendEndlessLine sends more of a line without an end.
+// sendEndlessLine sends more of a line without an end, as fast as the connection takes it.
 func (c *hostileConn) sendEndlessLine() {
 	piece := []byte(strings.Repeat("x", 1024))
 	for c.sent < maxLineBytes && len(c.unsent) == 0 && !c.closed {
@@ -167,7 +171,7 @@
 	}
 }
 
-// Writable writes on.
+// Writable is called by the machine when the connection takes more bytes.
 func (c *hostileConn) Writable() {
 	if c.closed {
 		return
@@ -181,7 +185,7 @@
 	}
 }
 
-// Readable takes no notice of what comes, but for the end.
+// Readable discards what arrives, and notices the end of the connection.
 func (c *hostileConn) Readable() {
 	if c.closed || c.client.options.Harm == NeverReads {
 		return
@@ -195,11 +199,13 @@
 	}
 }
 
+// routerEnded counts a connection that the router has closed.
 func (c *hostileConn) routerEnded() {
 	c.client.Ended++
 	c.drop()
 }
 
+// drop closes the connection.
 func (c *hostileConn) drop() {
 	if c.closed {
 		return
--- a/internal/testbench/standin/idempotency.go
+++ b/internal/testbench/standin/idempotency.go
@@ -1,6 +1,6 @@
 package standin
 
-// Repeats is the memory of keyed writes that the caches of a group share.
+// Repeats is the memory of writes by idempotency key that the caches of a group share.
 type Repeats struct {
 	writes map[string]*keyedWrite
 	order  []string // of the keys in writes, the oldest first
@@ -13,13 +13,13 @@
 	waiting   []func(ok bool) // repeats that came while it was under way
 }
 
-// NewRepeats is an empty memory.
+// NewRepeats returns an empty memory.
 func NewRepeats() *Repeats { return &Repeats{writes: map[string]*keyedWrite{}} }
 
-// maxRepeats bounds the memory; the oldest write is forgotten first.
+// maxRepeats bounds the number of writes; the oldest is dropped first.
 const maxRepeats = 1 << 16
 
-// lookup is the write that an attempt of this key, arrived then, repeats; nil where it repeats none.
+// lookup returns the write that an attempt with this key repeats, or nil. arrived is when the attempt arrived.
 func (r *Repeats) lookup(idem string, arrived, window Time) *keyedWrite {
 	w := r.writes[idem]
 	if w == nil || arrived >= w.arrivedAt+window {
@@ -28,7 +28,7 @@
 	return w
 }
 
-// begin begins a write. What repeats it must wait for its end.
+// begin records a write that is carried out now. What repeats it must wait for its end.
 func (r *Repeats) begin(idem string, arrived Time) *keyedWrite {
 	if r.writes[idem] == nil {
 		r.order = append(r.order, idem)
@@ -42,11 +42,11 @@
 	return w
 }
 
-// finish closes a write: it was carried out, or it failed and is as if it had never come.
+// finish ends a write and resumes its repeats. A failed write is treated as if it had never arrived.
 func (r *Repeats) finish(idem string, w *keyedWrite, ok bool) {
 	w.finished = true
 	if !ok && r.writes[idem] == w {
-		w.arrivedAt = -1 << 62 // a place in order stays, and drops nothing
+		w.arrivedAt = -1 << 62 // its entry in order stays and drops nothing
 	}
 	for _, f := range w.waiting {
 		f(ok)
--- a/internal/testbench/standin/keys.go
+++ b/internal/testbench/standin/keys.go
@@ -7,16 +7,15 @@
 	"slices"
 )
 
-// Keys is a space of keys of which few are popular: the one of rank i is asked for in proportion to
-// 1/(i+offset)^exponent.
+// Keys is a set of keys with a Zipf distribution: the key of rank i is drawn in proportion to 1/(i+offset)^exponent.
 type Keys struct {
-	cumulative  []float64
-	salt        uint64
-	hotKeys     int     // keys that draw more than their part for now
-	hotFraction float64 // and the share that they draw
+	cumulative  []float64 // weights of the keys up to each rank, summed
+	salt        uint64    // of the names
+	hotKeys     int       // keys that Heat added
+	hotFraction float64   // fraction of all requests that they draw
 }
 
-// NewKeys is a space of n keys.
+// NewKeys returns a set of n keys; their names follow from a salt of rng.
 func NewKeys(n int, exponent, offset float64, rng *rand.Rand) *Keys {
 	k := &Keys{cumulative: make([]float64, n), salt: rng.Uint64()}
 	sum := 0.0
@@ -27,22 +26,22 @@
 	return k
 }
 
-// Heat has so many keys draw a share of all requests besides; 0 ends that.
+// Heat adds so many hot keys that draw a fraction of all requests; 0 ends that.
 func (k *Keys) Heat(keys int, share float64) { k.hotKeys, k.hotFraction = keys, share }
 
-// Draw is the key of a request.
+// Draw draws the key of a request.
 func (k *Keys) Draw(rng *rand.Rand) string {
 	if k.hotKeys > 0 && chance(rng, k.hotFraction) {
-		return k.Name(len(k.cumulative) + rng.IntN(k.hotKeys)) // unknown to any cache so far
+		return k.Name(len(k.cumulative) + rng.IntN(k.hotKeys)) // ranks past the others, so that no cache holds them
 	}
 	at, _ := slices.BinarySearch(k.cumulative, rng.Float64()*k.cumulative[len(k.cumulative)-1])
 	return k.Name(min(at, len(k.cumulative)-1))
 }
 
-// Name is the key of that rank, 16 hexadecimal digits.
+// Name returns the key of a rank, 16 hexadecimal digits.
 func (k *Keys) Name(rank int) string { return fmt.Sprintf("%016x", mix(k.salt+uint64(rank))) }
 
-// Fraction is the part of all requests that the key of a rank draws.
+// Fraction returns the fraction of all requests that are for the key of a rank.
 func (k *Keys) Fraction(rank int) float64 {
 	before := 0.0
 	if rank > 0 {
@@ -51,7 +50,7 @@
 	return (k.cumulative[rank] - before) / k.cumulative[len(k.cumulative)-1]
 }
 
-// Mass is the part of all requests that the first n keys draw together.
+// Mass returns the fraction of all requests that are for the first n keys.
 func (k *Keys) Mass(n int) float64 {
 	if n <= 0 {
 		return 0
@@ -59,7 +58,7 @@
 	return k.cumulative[min(n, len(k.cumulative))-1] / k.cumulative[len(k.cumulative)-1]
 }
 
-// Popular is the names of the first n keys, the most popular last.
+// Popular returns the first n keys, the most popular last.
 func (k *Keys) Popular(n int) []string {
 	var names []string
 	for i := min(n, len(k.cumulative)) - 1; i >= 0; i-- {
@@ -68,7 +67,7 @@
 	return names
 }
 
-// mix is the finisher of splitmix64: close numbers become far ones, and no two become one.
+// mix is the finisher of splitmix64, a bijection that spreads close numbers.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/testbench/standin/registry/instance.go
+++ b/internal/testbench/standin/registry/instance.go
@@ -111,6 +111,7 @@
 // number is a whole number, which clients also send as a string.
 type number int64
 
+// UnmarshalJSON reads a number or a string of digits.
 func (n *number) UnmarshalJSON(b []byte) error {
 	text := string(b)
 	if text == "null" {
@@ -132,8 +133,10 @@
 // quotedNumber is a number that is written as a string.
 type quotedNumber int64
 
+// UnmarshalJSON reads what a number is read from.
 func (n *quotedNumber) UnmarshalJSON(b []byte) error { return (*number)(n).UnmarshalJSON(b) }
 
+// MarshalJSON writes the number as a string.
 func (n quotedNumber) MarshalJSON() ([]byte, error) {
 	return strconv.AppendQuote(nil, strconv.FormatInt(int64(n), 10)), nil
 }
@@ -141,6 +144,7 @@
 // quotedBool is a boolean, which is written as a string and read as either.
 type quotedBool bool
 
+// UnmarshalJSON reads a boolean or a string that names one.
 func (t *quotedBool) UnmarshalJSON(b []byte) error {
 	switch strings.ToLower(strings.Trim(string(b), `"`)) {
 	case "true":
@@ -153,6 +157,7 @@
 	return nil
 }
 
+// MarshalJSON writes the boolean as a string.
 func (t quotedBool) MarshalJSON() ([]byte, error) {
 	return strconv.AppendQuote(nil, strconv.FormatBool(bool(t))), nil
 }
@@ -165,6 +170,7 @@
 	emptyStringMap = `{"@class":"java.util.Collections$EmptyMap"}`
 )
 
+// UnmarshalJSON reads an object of plain values, and rejects nested ones.
 func (w *stringMap) UnmarshalJSON(b []byte) error {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(b, &raw); err != nil {
@@ -189,6 +195,7 @@
 	return nil
 }
 
+// MarshalJSON writes an empty map as the Java server does.
 func (w stringMap) MarshalJSON() ([]byte, error) {
 	if len(w) == 0 {
 		return []byte(emptyStringMap), nil
--- a/internal/testbench/standin/registry/registry.go
+++ b/internal/testbench/standin/registry/registry.go
@@ -1,13 +1,13 @@
-// Package registry plays Netflix Eureka 1.x as Spring Cloud's server speaks it: a registry of instances with
-// leases, read over REST in JSON. Clients of the real one register, renew, set a status, fetch, fetch deltas
-// and cancel against it. It is written against machine.Machine alone, as the other stand-ins are.
+// Package registry is a stand-in for Netflix Eureka 1.x as Spring Cloud's server provides it: a registry of instances
+// with leases, with a REST interface in JSON. Clients of the real server can register, renew, set a status, fetch, fetch
+// deltas and cancel. It is written against machine.Machine alone, as the other stand-ins are.
 //
-// The real server's habits that its clients must live with are kept: leases that last twice as long as they
-// say, evictions in small parts, self-preservation, overrides of a status, a response cache that is behind,
-// deltas that carry the hash of the whole, replicas that agree only after a while. Left out are XML, regions,
-// and replication over HTTP: replicas are joined within one process.
+// It has the peculiarities of the real server that its clients must handle: leases that last twice as long as they say,
+// evictions in small parts, self-preservation, overrides of a status, a response cache that lags, deltas that carry the
+// hash of the whole list, and replicas that agree only after a while. It has no XML, no regions and no replication over
+// HTTP: replicas are joined within one process.
 //
-// It judges nobody who calls it, and can be made to misbehave: see faults.go.
+// It checks no rules, and can be made to misbehave: see faults.go.
 package registry
 
 import (
@@ -26,113 +26,134 @@
 type Time = machine.Time
 
 const (
-	Millisecond Time = 1000
-	Second      Time = 1000 * Millisecond
+	Millisecond Time = 1000               // Millisecond is a thousandth of a second.
+	Second      Time = 1000 * Millisecond // Second is a million microseconds.
 )
 
-// Options describe a registry. The zero value of a field stands for its usual figure, which is the real server's
-// unless another reason is given.
+// Options describe a registry. The zero value of a field stands for its default, which its comment names; it is that of
+// the real server unless the comment says otherwise.
 type Options struct {
-	Base           string // of all paths; "/eureka"
-	User, Password string // who may call; empty for anybody
+	Base           string // prefix of all paths; "/eureka"
+	User, Password string // for basic authentication; empty for none
 
 	EvictEvery       Time    // 60 s
-	NoPreservation   bool    // evict however few renewals come
-	RenewalThreshold float64 // of the renewals that are expected, below which nothing is evicted; 0.85
+	NoPreservation   bool    // instances are evicted however few renewals arrive
+	RenewalThreshold float64 // fraction of the expected renewals below which nothing is evicted; 0.85
 	RenewEvery       Time    // how often each instance is expected to renew; 30 s
-	DeltaTime        Time    // for which a change stands in deltas; 180 s, and up to 30 s longer
-	CacheTime        Time    // answers are brought up to date so often; 0 at once, where the real one has 30 s
+	DeltaTime        Time    // a change stays in deltas for so long and up to 30 s longer; 180 s
+	CacheTime        Time    // interval at which answers are brought up to date; 0 for at once, where the real server has 30 s
 	ReplicaDelay     Time    // until a change reaches the replicas
 
-	UnwrapSingle bool // a list of one is written as the one, as old servers do
+	UnwrapSingle bool // a list of one element is written as the element, as old servers do
 	OldNames     bool // overriddenstatus instead of overriddenStatus, as old servers do
-	NoGzip       bool // compress nothing, whatever a client accepts
+	NoGzip       bool // answers are not compressed, whatever a client accepts
 
 	MaxInstances     int // 10,000
-	MaxMetadataBytes int // bytes of an instance's metadata; 4 KiB
+	MaxMetadataBytes int // of an instance; 4 KiB
 	HTTP             httpserver.Options
 
-	// OnMark is told when a change became visible to callers: the status that shows, or Deleted.
+	// OnMark, where it is set, is called when a change becomes visible to callers, with the visible status or Deleted.
 	OnMark func(id, status string, at Time)
 }
 
+// Defaults of Options.
+const (
+	defaultBase             = "/eureka"
+	defaultEvictEvery       = 60 * Second
+	defaultRenewalThreshold = 0.85
+	defaultRenewals         = 30 * Second
+	defaultDeltaTime        = 180 * Second
+	defaultMaxInstances     = 10_000
+	defaultMaxMetadataBytes = 4 << 10
+)
+
+// fill sets the defaults.
 func (o *Options) fill() {
 	if o.Base == "" {
-		o.Base = "/eureka"
+		o.Base = defaultBase
 	}
 	o.Base = "/" + strings.Trim(o.Base, "/")
 	if o.EvictEvery == 0 {
-		o.EvictEvery = 60 * Second
+		o.EvictEvery = defaultEvictEvery
 	}
 	if o.RenewalThreshold == 0 {
-		o.RenewalThreshold = 0.85
+		o.RenewalThreshold = defaultRenewalThreshold
 	}
 	if o.RenewEvery == 0 {
-		o.RenewEvery = 30 * Second
+		o.RenewEvery = defaultRenewals
 	}
 	if o.DeltaTime == 0 {
-		o.DeltaTime = 180 * Second
+		o.DeltaTime = defaultDeltaTime
 	}
 	if o.MaxInstances == 0 {
-		o.MaxInstances = 10_000
+		o.MaxInstances = defaultMaxInstances
 	}
 	if o.MaxMetadataBytes == 0 {
-		o.MaxMetadataBytes = 4 << 10
+		o.MaxMetadataBytes = defaultMaxMetadataBytes
 	}
 }
 
-// What can be wrong with a call.
+// Errors of calls.
 var (
+	// ErrUnknownInstance means that the instance is not registered.
 	ErrUnknownInstance = errors.New("no such instance")
-	ErrRegistryFull    = errors.New("the registry is full")
-	ErrUnknownStatus   = errors.New("no such status")
+	// ErrRegistryFull means that Options.MaxInstances are registered.
+	ErrRegistryFull = errors.New("the registry is full")
+	// ErrUnknownStatus means that a status is none of those that an instance can have.
+	ErrUnknownStatus = errors.New("no such status")
 )
 
-// Registry is one replica.
+// Registry is one replica of a registry.
 type Registry struct {
 	machine machine.Machine
 	options Options
 	server  *httpserver.Server
-	rng     *rand.Rand
-	start   Time
+	rng     *rand.Rand // for the choice of evicted instances
+	start   Time       // when it started, or was emptied
 	peers   []*Registry
 
-	leases     []*lease // by app and id
-	overrides  map[string]string
-	deltaQueue []queuedChange // changes for deltas, oldest first
+	leases     []*lease          // by app and id
+	overrides  map[string]string // status by id
+	deltaQueue []queuedChange    // oldest first
 	closed     bool
-	version    int64 // of the state
-	deltasMade int64 // deltas made, which the real server counts
+	version    int64 // of the state, raised with each change
+	deltasMade int64 // answers with a delta, which the real server counts
 
-	thisMinute, renewals, lastRenewals int64 // the minute's number, its renewals, those of the one before
+	thisMinute   int64 // number of the present minute since start
+	renewals     int64 // in this minute
+	lastRenewals int64 // in the minute before
 
 	evictTimer   machine.Timer
-	cacheTimer   machine.Timer // of the response cache
-	pendingMarks []mark        // to be told when the cache is brought up to date
-	cached       *view         // as callers see it, where there is a response cache
-	latest       *view
+	cacheTimer   machine.Timer // of the response cache; nil without one
+	pendingMarks []mark        // not visible before the response cache is brought up to date
+	cached       *view         // the response cache; nil without one
+	latest       *view         // the newest view made
 
 	faults faults
 }
 
-// lease is an instance with its lease. The instance is replaced, never changed.
+// lease is an instance with its lease. The Instance it points to is replaced, never changed, as views share it.
 type lease struct {
 	*Instance
 	Lease
-	renewedAt Time // as the real server counts: the time of the last renewal, and a lease's time on top of it
+	renewedAt Time // last renewal as the real server counts it; see extend
 }
 
 func (l *lease) duration() Time { return Time(l.LeaseTime) * Second }
 
-// queuedChange is a change in the delta queue.
+// queuedChange is an instance in the delta queue, as it was after a change.
 type queuedChange struct {
 	at   Time
 	item item
 }
 
-type mark struct{ id, status string }
+// mark is a change that became visible: the status of an instance, or Deleted.
+type mark struct {
+	id     string
+	status string
+}
 
-// New returns an empty registry that listens nowhere yet.
+// New returns an empty registry that listens nowhere yet. Its timers run until Close.
 func New(m machine.Machine, o Options) *Registry {
 	o.fill()
 	r := &Registry{machine: m, options: o, start: m.Now(), overrides: map[string]string{},
@@ -149,10 +170,10 @@
 // Open listens at an address and returns the one that it got.
 func (r *Registry) Open(addr string) (string, error) { return r.server.Open(addr) }
 
-// Base is the path under which all others are.
+// Base returns the prefix of all paths.
 func (r *Registry) Base() string { return r.options.Base }
 
-// Close ends the registry.
+// Close closes the listeners and stops all timers.
 func (r *Registry) Close() {
 	r.closed = true
 	r.server.Close()
@@ -163,7 +184,7 @@
 	r.faults.stop()
 }
 
-// Register takes an instance in, as a call does, and tells the replicas.
+// Register registers an instance, as a call does, and replicates it.
 func (r *Registry) Register(in Instance) error {
 	in.App = strings.ToUpper(in.App)
 	if in.DataCenter == "" {
@@ -197,7 +218,7 @@
 	return r.setOverride(l.App, id, status, 0, false)
 }
 
-// Cancel takes an instance out.
+// Cancel removes an instance.
 func (r *Registry) Cancel(id string) error {
 	l := r.byID(id)
 	if l == nil || !r.cancel(l.App, id, false) {
@@ -206,7 +227,7 @@
 	return nil
 }
 
-// State is all that is registered, by app and id, whatever callers are shown.
+// State returns all registered instances, by app and id, whatever callers are shown.
 func (r *Registry) State() []Instance {
 	var all []Instance
 	for _, l := range r.leases {
@@ -215,15 +236,17 @@
 	return all
 }
 
+// wallMillis returns the wall clock in Unix ms.
 func (r *Registry) wallMillis() int64 { return r.machine.Wall() / Millisecond }
 
-// find is where an instance is, or would be.
+// find returns the place of an instance in leases, and whether it is there.
 func (r *Registry) find(app, id string) (int, bool) {
 	return slices.BinarySearchFunc(r.leases, id, func(l *lease, id string) int {
 		return cmp.Or(cmp.Compare(l.App, app), cmp.Compare(l.ID, id))
 	})
 }
 
+// lease returns the lease of an instance, or nil.
 func (r *Registry) lease(app, id string) *lease {
 	if at, ok := r.find(app, id); ok {
 		return r.leases[at]
@@ -231,6 +254,7 @@
 	return nil
 }
 
+// byID returns the first lease with an id, or nil.
 func (r *Registry) byID(id string) *lease {
 	for _, l := range r.leases {
 		if l.ID == id {
@@ -240,7 +264,7 @@
 	return nil
 }
 
-// register takes an instance in that was checked.
+// register registers an instance that was checked. replicated is set where another replica has sent it.
 func (r *Registry) register(in Instance, replicated bool) error {
 	size := 0
 	for name, value := range in.Metadata { // any order: a sum
@@ -253,7 +277,7 @@
 	var old *lease
 	if known {
 		old = r.leases[at]
-		if old.LastDirty > in.LastDirty { // it comes late: what is known is newer
+		if old.LastDirty > in.LastDirty { // the registration is older than the known instance
 			in = *old.Instance
 		}
 	} else if len(r.leases) >= r.options.MaxInstances {
@@ -281,8 +305,8 @@
 	return nil
 }
 
-// statusOf is the status that an instance shows: what it says itself where that is bad news; else its
-// override; else what it showed before, if it registers once more.
+// statusOf returns the visible status of an instance: its own where that is neither Up nor OutOfService; else its
+// override; else the one before where it registers again; else its own.
 func (r *Registry) statusOf(in *Instance, old *lease, replicated bool) string {
 	if in.Status != Up && in.Status != OutOfService {
 		return in.Status
@@ -296,14 +320,14 @@
 	return in.Status
 }
 
-// renew reports whether the instance is known; one that isn't has to register again.
+// renew renews a lease, and reports whether the instance is known; an unknown one has to register again.
 func (r *Registry) renew(app, id string, replicated bool) bool {
 	l := r.lease(app, id)
 	if l == nil {
 		return false
 	}
 	status := r.statusOf(l.Instance, l, replicated)
-	if status == Unknown { // its override was taken away without a word on what it is
+	if status == Unknown { // its override was removed without a status
 		return false
 	}
 	if status != l.Status {
@@ -330,8 +354,8 @@
 // extend renews a lease.
 func (r *Registry) extend(l *lease) {
 	l.LastRenewal = r.wallMillis()
-	// The real server sets the time of the last renewal a lease's time too late, and so a lease that was
-	// renewed once lasts twice as long as it says.
+	// The real server records the last renewal too late by the lease's duration, so that a renewed lease lasts twice
+	// as long as it says.
 	l.renewedAt = r.machine.Now() + l.duration()
 }
 
@@ -358,7 +382,7 @@
 	return nil
 }
 
-// endOverride takes an override away; status is what the instance shows until it says so itself.
+// endOverride removes an override; status is the visible one until the instance registers its own.
 func (r *Registry) endOverride(app, id, status string, dirty int64, replicated bool) error {
 	l := r.lease(app, id)
 	if l == nil {
@@ -381,7 +405,7 @@
 	return nil
 }
 
-// cancel reports whether there was such an instance.
+// cancel removes an instance, and reports whether there was one.
 func (r *Registry) cancel(app, id string, replicated bool) bool {
 	at, ok := r.find(app, id)
 	if !ok {
@@ -398,7 +422,7 @@
 	return true
 }
 
-// change has an instance changed by the registry.
+// change applies f to a copy of an instance and records the change.
 func (r *Registry) change(l *lease, f func(*Instance)) {
 	in := *l.Instance
 	f(&in)
@@ -406,7 +430,7 @@
 	r.changed(l, Modified)
 }
 
-// changed takes a change to the callers, as far as they are shown it.
+// changed records a change: in the delta queue, and as a mark once callers can see it.
 func (r *Registry) changed(l *lease, action string) {
 	in := *l.Instance
 	in.Action, in.LastUpdated = action, r.wallMillis()
@@ -419,9 +443,10 @@
 		r.deltaQueue = append(r.deltaQueue, queuedChange{r.machine.Now(), item{&in, l.Lease}})
 	}
 	r.sweep()
-	// The danger: an instance that changes without a pause fills the memory. The real server has no bound here.
-	if most := maxChangesPerInstance * r.options.MaxInstances; len(r.deltaQueue) > most {
-		r.deltaQueue = slices.Clone(r.deltaQueue[len(r.deltaQueue)-most/2:])
+	// The real server has no bound here; without one, an instance that keeps changing would fill the memory.
+	limit := maxChangesPerInstance * r.options.MaxInstances
+	if len(r.deltaQueue) > limit {
+		r.deltaQueue = slices.Clone(r.deltaQueue[len(r.deltaQueue)-limit/2:])
 	}
 	m := mark{in.ID, in.Status}
 	if action == Deleted {
@@ -436,12 +461,13 @@
 	}
 }
 
-// maxChangesPerInstance is how many changes the delta queue holds at the most, for each instance that there may be.
+// maxChangesPerInstance bounds the delta queue, as a multiple of Options.MaxInstances.
 const maxChangesPerInstance = 4
 
+// reportMark tells OnMark.
 func (r *Registry) reportMark(m mark) { r.options.OnMark(m.id, m.status, r.machine.Now()) }
 
-// refreshCache brings the response cache up to date.
+// refreshCache brings the response cache up to date and reports the changes that become visible with it.
 func (r *Registry) refreshCache() {
 	r.cacheTimer = r.machine.At(r.machine.Now()+r.options.CacheTime, r.refreshCache)
 	r.cached = r.currentView()
@@ -452,8 +478,7 @@
 	}
 }
 
-// Join makes registries replicas of each other: of one process, or of one virtual network. One that was closed is left
-// out from then on.
+// Join makes registries replicas of each other. A closed one is left out from then on.
 func Join(all ...*Registry) {
 	for _, r := range all {
 		for _, p := range all {
@@ -464,7 +489,7 @@
 	}
 }
 
-// replicate has a change made at the replicas.
+// replicate applies a change to the other replicas after the replica delay.
 func (r *Registry) replicate(f func(*Registry)) {
 	if len(r.peers) == 0 {
 		return
--- a/internal/testbench/standin/resp.go
+++ b/internal/testbench/standin/resp.go
@@ -6,23 +6,27 @@
 	"strings"
 )
 
-// Bounds of what comes from a socket. RESP's lengths are read here, strictly: a router that sends a
-// sign, a space or a leading zero in one is at fault and must be told so.
+// Bounds of what is read from a socket. Lengths are read strictly: one with a sign, a space or a leading zero is an
+// error.
 const (
 	maxArgs       = 16
 	maxWordBytes  = 1 << 10
 	maxValueBytes = 64 << 10
 	maxLineLength = 512
-	// maxCommandBytes holds the longest legal command: its words, its value and their lengths.
+	// maxCommandBytes is the longest legal command: its arguments, its value and their lengths.
 	maxCommandBytes = maxValueBytes + maxArgs*(maxWordBytes+16)
 )
 
 var (
-	errBadLength = errors.New("bad length")
-	errMalformed = errors.New("neither an answer nor a command")
+	errBadLength       = errors.New("bad length")
+	errArgumentCount   = errors.New("wrong number of words")
+	errNoKeyOrID       = errors.New("key or id is empty")
+	errBadMetadata     = errors.New("bad entry among the names and values")
+	errMetadataMissing = errors.New("c and d are needed")
+	errMalformed       = errors.New("neither an answer nor a command")
 )
 
-// readLength reads a header such as "$12\r\n" at b[at:]. next is 0 while it is not whole. null is -1.
+// readLength reads a header such as "$12\r\n" at b[at:]. next is 0 while it is not whole; n is -1 for null.
 func readLength(b []byte, at int, kind byte, most int) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, nil
@@ -55,7 +59,7 @@
 	return int(size), at + 1 + end + 1, nil
 }
 
-// parseNumber reads decimal digits without a sign or a leading zero, nine of them at most.
+// parseNumber reads at most nine decimal digits without a sign or a leading zero.
 func parseNumber(b []byte) (int64, bool) {
 	if len(b) == 0 || len(b) > 9 || b[0] == '0' && len(b) > 1 {
 		return 0, false
@@ -70,7 +74,7 @@
 	return n, true
 }
 
-// readBulk reads a bulk string at b[at:]. next is 0 while it is not whole; null tells that it is null.
+// readBulk reads a bulk string at b[at:]. next is 0 while it is not whole.
 func readBulk(b []byte, at, most int) (data []byte, next int, null bool, err error) {
 	n, from, err := readLength(b, at, '$', most)
 	if err != nil || from == 0 {
@@ -115,27 +119,43 @@
 	return args, at, nil
 }
 
-// Places of a request's words.
+// Places of a request's arguments.
 const (
 	keyArg   = 1
 	idArg    = 2
-	metaArg  = 3
-	valueArg = 4
+	metaArg  = 3 // metadata: names and values
+	valueArg = 4 // of a write
 )
 
+// metadataError is a value of the metadata that no request may hold.
+type metadataError struct {
+	name      string
+	notNumber bool // the value should be a number
+}
+
+// Error describes the value.
+func (e *metadataError) Error() string {
+	if e.notNumber {
+		return e.name + " is no number, or unknown"
+	}
+	return "unknown name " + e.name
+}
+
 // wireRequest is a request as it stands on the wire.
 type wireRequest struct {
 	write          bool
-	key, id        string
-	class, tenant  string
-	idempotencyKey string // k
-	timeLeft       Time   // d
-	size           int
-	retry          bool
-	workHint       Time // h
+	key            string
+	id             string
+	class          string // c
+	tenant         string // t
+	idempotencyKey string // k; empty for none
+	timeLeft       Time   // d, until the deadline
+	size           int    // size, of the value that is read
+	retry          bool   // r
+	workHint       Time   // h
 }
 
-// parseRequest reads a request's words. The error says what no client sends.
+// parseRequest reads a request's arguments. The error is an error of the router, as clients send valid requests.
 func parseRequest(args [][]byte) (wireRequest, error) {
 	var a wireRequest
 	a.write = string(args[0]) == "C.SET"
@@ -144,21 +164,22 @@
 		want++
 	}
 	if len(args) != want {
-		return a, errors.New("wrong number of words")
+		return a, errArgumentCount
 	}
 	a.key, a.id = string(args[keyArg]), string(args[idArg])
 	if a.key == "" || a.id == "" {
-		return a, errors.New("key or id is empty")
+		return a, errNoKeyOrID
 	}
 	return a, a.parseMeta(string(args[metaArg]))
 }
 
+// parseMeta reads the metadata.
 func (a *wireRequest) parseMeta(text string) error {
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok || value == "" || seen[name] {
-			return errors.New("bad entry among the names and values")
+			return errBadMetadata
 		}
 		seen[name] = true
 		if err := a.setMeta(name, value); err != nil {
@@ -166,11 +187,12 @@
 		}
 	}
 	if !seen["c"] || !seen["d"] {
-		return errors.New("c and d are needed")
+		return errMetadataMissing
 	}
 	return nil
 }
 
+// setMeta sets one value of the metadata.
 func (a *wireRequest) setMeta(name, value string) error {
 	switch name {
 	case "c":
@@ -185,7 +207,7 @@
 	}
 	n, ok := parseNumber([]byte(value))
 	if !ok {
-		return errors.New(name + " is no number, or unknown")
+		return &metadataError{name: name, notNumber: true}
 	}
 	switch name {
 	case "d":
@@ -197,7 +219,7 @@
 	case "size":
 		a.size = int(min(n, maxValueBytes))
 	default:
-		return errors.New("unknown name " + name)
+		return &metadataError{name: name}
 	}
 	return nil
 }
--- a/internal/testbench/standin/router_settings.go
+++ b/internal/testbench/standin/router_settings.go
@@ -6,41 +6,43 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// RouterSettings are what a router is told at its start. DefaultRouterSettings holds the operators' figures.
+// RouterSettings are the configuration of a router. DefaultRouterSettings returns the usual one.
 type RouterSettings struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      string // hexadecimal; empty for none
-	Cores     float64
-	MemoryMB  int64
-	Sockets   int
+	Name      string  // of the router
+	Listen    string  // address for clients
+	Discovery string  // address of discovery
+	Seed      string  // hexadecimal; empty for none
+	Cores     float64 // limit of the process
+	MemoryMB  int64   // limit of the process
+	Sockets   int     // limit of the process
 
-	Routers              int
-	Classes              []Class
-	MaxAttempts          int
+	Routers              int     // how many share the caches
+	Classes              []Class // of requests
+	MaxAttempts          int     // for one request
 	AllowHealthChecks    bool
 	AllowHedging         bool
 	AllowCancel          bool
-	RetryAfter           bool
-	MaxRetryAfter        Time // longest advice that clients follow
-	MaxOpen              int
+	RetryAfter           bool // rejections may carry a retry-after
+	MaxRetryAfter        Time // longest retry-after that clients follow
+	MaxOpen              int  // requests open at once
 	DialTimeout          Time
-	Keepalive            Time
-	PollInterval         Time
-	SlowStartWindow      Time
-	DrainGrace           Time
-	OverloadWindow       Time
-	SlowStartMinCapacity float64
-	Pushed               bool // lists are pushed; else discovery has to be asked
+	Keepalive            Time    // of an idle client connection
+	PollInterval         Time    // a router without a watch for so long counts as notified
+	SlowStartWindow      Time    // a started cache has its whole capacity after so long
+	DrainGrace           Time    // attempts to a draining cache must have ceased by then
+	OverloadWindow       Time    // a cache that is overloaded for so long crashes
+	SlowStartMinCapacity float64 // fraction of its capacity that a cache starts with
+	Pushed               bool    // endpoint lists are pushed by an agent, not asked for
 
-	HealthCheckCost, ConnectionCost, DialCost float64
+	HealthCheckCost float64 // points lost by one health check a request
+	ConnectionCost  float64 // points lost by 100 open connections a cache
+	DialCost        float64 // points lost by one new connection a request
 
-	PeerListen string   // where messages of other routers come to; empty where there are none
-	Peers      []string // of the routers, its own address among them
+	PeerListen string   // address for gossip; empty where there is none
+	Peers      []string // gossip addresses of all routers, its own among them
 }
 
-// DefaultRouterSettings are those of the operators' fleet.
+// DefaultRouterSettings returns the settings of a usual fleet with three routers.
 func DefaultRouterSettings() RouterSettings {
 	return RouterSettings{
 		Cores: 1, MemoryMB: 256, Sockets: 1024,
@@ -51,13 +53,13 @@
 	}
 }
 
-// The names that effects have in the settings.
+// semanticsNames are the names of Semantics in the configuration.
 var semanticsNames = [...]string{Idempotent: "read_like", IdempotentByKey: "idempotency_key", NonIdempotent: "non_idempotent"}
 
-// The names that groups have in the settings.
+// scopeNames are the names of deduplication scopes in the configuration.
 var scopeNames = [...]string{rules.ScopeCell: "cell", rules.ScopeZone: "zone", rules.ScopeAll: "all"}
 
-// JSON is the configuration as a router reads it. Times are in microseconds.
+// JSON returns the configuration as a router reads it. Times are in microseconds.
 func (s RouterSettings) JSON() []byte {
 	type object = map[string]any
 	categories := []object{}
@@ -89,7 +91,7 @@
 		config["seed"] = s.Seed
 	}
 	b, err := json.MarshalIndent(config, "", " ")
-	if err != nil { // a figure that is no number; whoever set it is at fault
+	if err != nil { // a setting that is not finite, which is an error of the caller
 		panic(err)
 	}
 	return b
--- a/internal/testbench/standin/store.go
+++ b/internal/testbench/standin/store.go
@@ -7,35 +7,37 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// StoreOptions say what the central store can do.
+// StoreOptions describe the store.
 type StoreOptions struct {
-	Concurrency        int     // fetches in work at once
-	Latency            Time    // mean of one
-	CV                 float64 // of the latency
-	Queue              int     // fetches that may wait
-	WriteLatencyFactor float64 // how many times the latency a write takes; 0 stands for 1
-
-	KeepsAbandonedWork bool // with work that nobody waits for
-
-	OverloadMultiple float64 // offered more than this multiple of its capacity ...
-	OverloadWindow   Time    // ... for this long, it stops; 0 never
-	MinDowntime      Time    // for this long at the least
+	Concurrency        int     // calls in work at once
+	Latency            Time    // mean of a fetch
+	CV                 float64 // coefficient of variation of the latency
+	Queue              int     // calls that may wait
+	WriteLatencyFactor float64 // latency of a write, as a multiple of a fetch's; 0 stands for 1
+
+	KeepsAbandonedWork bool // fetches that nobody waits for go on
+
+	// A store that is offered more than OverloadMultiple times its capacity, summed over OverloadWindow, is down for
+	// MinDowntime to MaxDowntime. 0 of either is never.
+	OverloadMultiple float64
+	OverloadWindow   Time
+	MinDowntime      Time
 	MaxDowntime      Time
-	MaxOutages       int // 0 stands for 2
+	MaxOutages       int // in the whole run; 0 stands for 2
 }
 
-// Store is the origin that all caches share. It tells them of each write.
+// Store is the origin behind all caches. It has them invalidate each key that is written.
 type Store struct {
 	m           machine.Machine
 	options     StoreOptions
 	rng         *rand.Rand
 	observer    rules.Observer
-	caches      []*Cache
-	running     []*storeCall
-	queue       []*storeCall
-	offeredWork slidingWork
+	caches      []*Cache     // that are notified of writes
+	running     []*storeCall // in work
+	queue       []*storeCall // that wait
+	offeredWork slidingWork  // over the overload window
 	down        bool
-	outages     int
+	outages     int // so far
 }
 
 // storeCall is one fetch or one write.
@@ -43,17 +45,20 @@
 	store     *Store
 	key       string
 	write     bool
-	work      Time
-	done      func(ok bool)
-	timer     machine.Timer
+	work      Time          // how long it takes
+	done      func(ok bool) // called with the result
+	timer     machine.Timer // of its end; nil while it waits
 	finished  bool
-	abandoned bool
+	abandoned bool // done is not called
 }
 
-// NewStore is a store at work.
+// defaultMaxOutages is the default of StoreOptions.MaxOutages.
+const defaultMaxOutages = 2
+
+// NewStore returns a store that is up.
 func NewStore(m machine.Machine, o StoreOptions, rng *rand.Rand, obs rules.Observer) *Store {
 	if o.MaxOutages == 0 {
-		o.MaxOutages = 2
+		o.MaxOutages = defaultMaxOutages
 	}
 	if o.WriteLatencyFactor == 0 {
 		o.WriteLatencyFactor = 1
@@ -61,14 +66,14 @@
 	return &Store{m: m, options: o, rng: rng, observer: observerOrBlind(obs), offeredWork: slidingWork{span: o.OverloadWindow}}
 }
 
-// Down reports whether it has stopped under its load.
+// Down reports whether the store is down after an overload.
 func (s *Store) Down() bool { return s.down }
 
-// Busy is the number of fetches and writes that are out.
+// Busy returns the number of fetches and writes under way.
 func (s *Store) Busy() int { return len(s.running) + len(s.queue) }
 
-// start begins a fetch, for the cold cache that is named or for another one (""), or a write. done is called once, in a
-// later turn, unless the call is abandoned.
+// start begins a fetch or a write. cold names the cache in slow start that it is for, or is "". done is called once, in
+// a later turn of the loop, unless the call is abandoned.
 func (s *Store) start(key string, write bool, cold string, done func(ok bool)) *storeCall {
 	c := &storeCall{store: s, key: key, write: write, done: done, work: max(1, lognormal(s.rng, s.options.Latency, s.options.CV))}
 	if write {
@@ -76,9 +81,9 @@
 	}
 	now := s.m.Now()
 	s.observer.StoreOffered(now, c.work, cold)
-	most := s.options.OverloadMultiple * float64(s.options.Concurrency) * float64(s.options.OverloadWindow)
+	allowed := s.options.OverloadMultiple * float64(s.options.Concurrency) * float64(s.options.OverloadWindow)
 	sum := s.offeredWork.add(now, c.work)
-	if most > 0 && float64(sum) > most && !s.down && s.outages < s.options.MaxOutages {
+	if allowed > 0 && float64(sum) > allowed && !s.down && s.outages < s.options.MaxOutages {
 		s.startOutage()
 	}
 	switch {
@@ -91,6 +96,7 @@
 	return c
 }
 
+// dispatch starts queued calls.
 func (s *Store) dispatch() {
 	for len(s.running) < s.options.Concurrency && len(s.queue) > 0 {
 		c := s.queue[0]
@@ -100,6 +106,7 @@
 	}
 }
 
+// finish is called when the work of a call is done.
 func (c *storeCall) finish() {
 	c.store.running = removeFirst(c.store.running, c)
 	if c.write {
@@ -111,6 +118,7 @@
 	c.store.dispatch()
 }
 
+// end reports the result of a call, unless it was abandoned.
 func (c *storeCall) end(ok bool) {
 	if c.finished {
 		return
@@ -121,7 +129,7 @@
 	}
 }
 
-// abandon says that nobody waits for a fetch any more.
+// abandon is called when nobody waits for a call any more. A fetch is cancelled; a write goes on.
 func (c *storeCall) abandon() {
 	c.abandoned = true
 	if c.finished || c.store.options.KeepsAbandonedWork || c.write {
@@ -135,7 +143,7 @@
 	c.store.dispatch()
 }
 
-// startOutage stops the store for some seconds. All that is out fails.
+// startOutage takes the store down for a while. All calls under way fail.
 func (s *Store) startOutage() {
 	s.outages++
 	s.down = true
@@ -151,7 +159,7 @@
 	s.m.At(s.m.Now()+between(s.rng, s.options.MinDowntime, s.options.MaxDowntime), func() { s.down = false })
 }
 
-// removeFirst takes one element out, in place.
+// removeFirst removes the first x from all, in place.
 func removeFirst[T comparable](all []T, x T) []T {
 	for i, v := range all {
 		if v == x {
--- a/internal/testbench/standin/stream.go
+++ b/internal/testbench/standin/stream.go
@@ -7,30 +7,30 @@
 	"starlingwinch/internal/machine"
 )
 
-// stream is a connection with what has come and was not taken, and what is still to be written.
+// stream is a connection with its read and write buffers.
 type stream struct {
 	conn       machine.Conn
-	received   []byte
-	unsent     []byte
-	consumed   uint64 // bytes before those in in
-	moreToRead bool   // there may be more to read: fill stopped because in was full
+	received   []byte // read and not consumed
+	unsent     []byte // to be written
+	consumed   uint64 // bytes before those in received
+	moreToRead bool   // fill stopped because received was full
 	closed     bool
 }
 
-// minReadSpace is how much a read has room for at the least.
+// minReadSpace is the least space that a read has, in bytes.
 const minReadSpace = 512
 
-// fill reads what has come, until in holds most bytes. The error says that nothing more will come.
-func (s *stream) fill(most int) error {
+// fill reads until received holds limit bytes or nothing more is there. An error means that nothing more will arrive.
+func (s *stream) fill(limit int) error {
 	s.moreToRead = false
 	for !s.closed {
-		room := most - len(s.received)
-		if room <= 0 {
+		space := limit - len(s.received)
+		if space <= 0 {
 			s.moreToRead = true
 			return nil
 		}
-		s.received = slices.Grow(s.received, min(room, minReadSpace))
-		n, err := s.conn.Read(s.received[len(s.received):min(cap(s.received), most)])
+		s.received = slices.Grow(s.received, min(space, minReadSpace))
+		n, err := s.conn.Read(s.received[len(s.received):min(cap(s.received), limit)])
 		s.received = s.received[:len(s.received)+n]
 		if errors.Is(err, machine.ErrWait) {
 			return nil
@@ -42,28 +42,28 @@
 	return machine.ErrClosed
 }
 
-// consume drops the first n bytes of what has come.
+// consume drops the first n received bytes.
 func (s *stream) consume(n int) {
 	s.received = append(s.received[:0], s.received[n:]...)
 	s.consumed += uint64(n)
 }
 
-// sentAt is when the other side has written the first byte of in, where the machine can tell; else it is came, when that
+// sentAt returns when the peer wrote the first byte of received, where the machine knows; else it is arrived, when that
 // byte was read.
-func (s *stream) sentAt(came Time) Time {
+func (s *stream) sentAt(arrived Time) Time {
 	if c, ok := s.conn.(interface{ SentAt(number uint64) Time }); ok {
 		return c.SentAt(s.consumed)
 	}
-	return came
+	return arrived
 }
 
-// send writes b, now or once the connection takes it.
+// send writes b, now or once the connection takes more bytes.
 func (s *stream) send(b []byte) error {
 	s.unsent = append(s.unsent, b...)
 	return s.flush()
 }
 
-// flush writes on. The error says that nothing can be sent any more.
+// flush writes what is unsent. An error means that nothing can be sent any more.
 func (s *stream) flush() error {
 	for len(s.unsent) > 0 && !s.closed {
 		n, err := s.conn.Write(s.unsent)
@@ -78,6 +78,7 @@
 	return nil
 }
 
+// close closes the connection.
 func (s *stream) close() {
 	s.closed = true
 	s.conn.Close()
--- a/internal/testbench/standin/tally.go
+++ b/internal/testbench/standin/tally.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// Tally counts how the requests of a class ended. A client's retries belong to its first try.
+// Tally counts how the requests of a class ended, each with all its attempts.
 type Tally struct {
 	Class    string
-	Requests int
-	OnTime   int // served within the aim
+	Requests int // that were made
+	OnTime   int // served within the latency objective
 	Late     int // served after it
 	Rejected int
 	Failed   int
-	Lost     int // the connection ended with no whole answer, or no answer came in time
+	Lost     int // the connection ended without a whole reply, or none came in time
 	Left     int // the client left early
 
-	Tries   int // written to a router
-	Resent  int // once more, because the router closed the connection before it read them
-	Latency Histogram
-	Earned  float64 // worth of the served
-	Offered float64 // worth of all
+	Tries   int       // attempts that were sent
+	Resent  int       // attempts sent once more, as the router closed the connection before it read them
+	Latency Histogram // of the served requests
+	Earned  float64   // points for the served requests
+	Offered float64   // points of all requests
 }
 
 // Histogram counts times in fixed buckets, each a fifth wider than the one before.
 type Histogram struct {
 	Counts [buckets]int
-	N      int
+	N      int // times counted
 }
 
 const (
@@ -42,7 +42,7 @@
 	h.N++
 }
 
-// Quantile is a bound that a share q of the times do not exceed; 0 where there are none.
+// Quantile returns a bound that a fraction q of the times does not exceed; 0 where there are none.
 func (h *Histogram) Quantile(q float64) Time {
 	need, have := int(math.Ceil(q*float64(h.N))), 0
 	for i, n := range h.Counts {
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// Service is the worth earned over the worth asked for, of several tallies; 1 where nothing was asked.
+// Service returns the points earned over the points offered, of several tallies; 1 without requests.
 func Service(all []*Tally) float64 {
 	earned, offered := 0.0, 0.0
 	for _, t := range all {
