--- a/internal/testbench/httpserver/conn.go
+++ b/internal/testbench/httpserver/conn.go
@@ -60,14 +60,15 @@
 
 // read reads at most as many bytes as one request may have.
 func (c *conn) read() {
-	most := c.server.options.MaxHeadBytes + c.server.options.MaxBodyBytes
+	limit := c.server.options.MaxHeadBytes + c.server.options.MaxBodyBytes
 	var buf [16 << 10]byte
 	for !c.peerEnded && !c.closed {
-		room := most - len(c.received)
-		if c.moreToRead = room <= 0; c.moreToRead {
+		space := limit - len(c.received)
+		c.moreToRead = space <= 0
+		if c.moreToRead {
 			return
 		}
-		n, err := c.conn.Read(buf[:min(room, len(buf))])
+		n, err := c.conn.Read(buf[:min(space, len(buf))])
 		if n > 0 && len(c.received) == 0 && c.request == nil && c.exchange == nil {
 			c.setDeadline(c.server.options.RequestTime)
 		}
@@ -161,7 +162,8 @@
 		if n > 0 {
 			c.setDeadline(c.server.options.WriteTime)
 		}
-		if c.unsent = c.unsent[n:]; n == 0 || len(c.unsent) > 0 {
+		c.unsent = c.unsent[n:]
+		if n == 0 || len(c.unsent) > 0 {
 			return false
 		}
 	}
@@ -207,9 +209,10 @@
 		return false
 	}
 	x := &Exchange{Request: c.request.Request, Remote: c.conn.Remote(), c: c}
-	if x.Body = c.received[:c.request.length:c.request.length]; c.chunks != nil {
+	if c.chunks != nil {
 		x.Body = c.chunks.body
 	} else {
+		x.Body = c.received[:c.request.length:c.request.length]
 		c.received = c.received[c.request.length:]
 	}
 	x.Request.Body = http.NoBody
--- a/internal/testbench/httpserver/server_test.go
+++ b/internal/testbench/httpserver/server_test.go
@@ -12,7 +12,7 @@
 
 const get = "GET /a?b=c HTTP/1.1\r\nHost: h\r\n\r\n"
 
-func TestRequestsOfOneConnectionAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequestsAnsweredInOrder(t *testing.T) {
 	f := newField(t, Options{})
 	f.handle = nil
 	c := f.dial()
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestManyRequestsAtOnceAreAllAnswered(t *testing.T) {
+func TestManyPipelinedRequestsAreAnswered(t *testing.T) {
 	f := newField(t, Options{})
 	c := f.dial()
 	const many = 5 * maxStepsPerTurn
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestBodiesInChunksComeWhole(t *testing.T) {
+func TestChunkedBodies(t *testing.T) {
 	f := newField(t, Options{RequestTime: 60 * second})
 	c := f.dial()
 	head := "POST /p HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -65,7 +65,7 @@
 	c.says("HTTP/1.1 200 OK\r\n", "POST /p abc0123456789\n", "GET /a?b=c")
 }
 
-func TestAClientThatWaitsForAWordGetsIt(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	f := newField(t, Options{})
 	c := f.dial()
 	c.send("POST /p HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -74,7 +74,7 @@
 	c.says("HTTP/1.1 200 OK\r\n", "POST /p ab")
 }
 
-func TestHeadHasTheLengthAndNoBody(t *testing.T) {
+func TestHeadRequest(t *testing.T) {
 	f := newField(t, Options{})
 	c := f.dial()
 	c.send("HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestTheLastAnswerIsReadBeforeTheConnectionEnds(t *testing.T) {
+func TestLastAnswerIsReadBeforeClose(t *testing.T) {
 	f := newField(t, Options{})
 	c := f.dial()
 	c.send("GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestAClientThatHasEndedItsSideIsStillAnswered(t *testing.T) {
+func TestHalfClosedClientIsAnswered(t *testing.T) {
 	f := newField(t, Options{})
 	f.handle = nil
 	c := f.dial()
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestAnExchangeWhoseClientHasGoneIsOver(t *testing.T) {
+func TestExchangeEndsWithItsClient(t *testing.T) {
 	f := newField(t, Options{IdleTime: second})
 	f.handle = nil
 	c := f.dial()
@@ -133,7 +133,7 @@
 	echo(f.calls[0]) // does nothing
 }
 
-func TestBadRequestsAreRefusedAndEndTheConnection(t *testing.T) {
+func TestBadRequestsAreRejected(t *testing.T) {
 	host := "Host: h\r\n"
 	for _, c := range []struct{ in, want string }{
 		{"GET /a HTTP/1.1\r\n\r\n", "400"},
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestSlowRequestsAndIdleConnectionsAreEnded(t *testing.T) {
+func TestRequestAndIdleTimeouts(t *testing.T) {
 	f := newField(t, Options{RequestTime: 2 * second, IdleTime: 5 * second})
 	slow, idle, kept := f.dial(), f.dial(), f.dial()
 	slow.send("GET")
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestOneConnectionMoreThanMayBeIsToldSo(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	f := newField(t, Options{Connections: 2})
 	first, _, third := f.dial(), f.dial(), f.dial()
 	third.says("HTTP/1.1 503 ")
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestAStreamGoesAsFastAsItIsReadAndNoFaster(t *testing.T) {
+func TestStreamFollowsReader(t *testing.T) {
 	f := newField(t, Options{WriteTime: 5 * second})
 	made := 0
 	f.handle = func(x *Exchange) {
@@ -245,7 +245,7 @@
 	c.says("HTTP/1.1 200 ")
 }
 
-func TestRawBytesEndTheConnection(t *testing.T) {
+func TestRawClosesConnection(t *testing.T) {
 	f := newField(t, Options{})
 	f.handle = func(x *Exchange) { x.Raw([]byte("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc")) }
 	c := f.dial()
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestAServerThatRefusesEndsConnectionsWithoutAWord(t *testing.T) {
+func TestRefuse(t *testing.T) {
 	f := newField(t, Options{})
 	old := f.dial()
 	f.server.Refuse(true)
@@ -268,7 +268,7 @@
 	f.dial().send(get).says("HTTP/1.1 200 ")
 }
 
-func TestCloseEndsAll(t *testing.T) {
+func TestServerClose(t *testing.T) {
 	f := newField(t, Options{})
 	f.handle = nil
 	idle, busy := f.dial(), f.dial()
--- a/internal/testbench/standin/cache_test.go
+++ b/internal/testbench/standin/cache_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestMissIsFetchedAndThenHit(t *testing.T) {
+func TestCacheMissIsFetchedThenHit(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, get("k1", "i1"))
@@ -134,7 +134,7 @@
 	s.notes.has(t, "replied i2 served", 1)
 }
 
-func TestValueIsPaddedToTheSizeThatTheRequestNames(t *testing.T) {
+func TestValuePaddedToRequestedSize(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, words("C.GET", "k1", "i1", "c=call-lookup,t=a,d=1200,size=500,h=12,r=1"))
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestAnswersComeInTheOrderOfTheCommands(t *testing.T) {
+func TestCacheRepliesInCommandOrder(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	s.c.Warm([]string{"k2"})
 	w := s.dial(t, s.addr)
@@ -156,7 +156,7 @@
 	expect(t, "all", w.take(), hit("k1", "slow", "miss")+hit("k2", "fast", "hit")+"+PONG\r\n")
 }
 
-func TestConnectionBeginsNoMoreThanItsStreams(t *testing.T) {
+func TestConnectionBoundsStreams(t *testing.T) {
 	o := cacheOptions()
 	o.Streams = 2
 	s := newStand(t, o)
@@ -171,7 +171,7 @@
 	s.notes.has(t, "replied c served", 1)
 }
 
-func TestCommandsOfOtherFormsAreAnsweredAsTheProtocolSays(t *testing.T) {
+func TestCacheAnswersOtherCommands(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	for _, c := range []struct{ in, want string }{
 		{words("PING"), "+PONG\r\n"},
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestCommandIsBegunWithItsLastByte(t *testing.T) {
+func TestCommandStartsWithItsLastByte(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	text := get("k", "i")
@@ -214,7 +214,7 @@
 	s.notes.has(t, "began i at s-1 from r-1", 1)
 }
 
-func TestClosedConnectionStopsTheWork(t *testing.T) {
+func TestCancelAllStopsWorkOfClosedConnection(t *testing.T) {
 	for _, c := range []struct {
 		cancel Cancel
 		ran    int
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestCancelQueuedDropsWhatWaitsForASlot(t *testing.T) {
+func TestCancelQueuedDropsQueuedRequests(t *testing.T) {
 	o := cacheOptions()
 	o.Cancel, o.Capacity.ConcurrentRequests = CancelQueued, 1
 	s := newStand(t, o)
@@ -268,7 +268,7 @@
 	}
 }
 
-func TestConnectionsBeyondTheLimitAreTurnedAway(t *testing.T) {
+func TestConnectionsBeyondLimitAreRejected(t *testing.T) {
 	for _, tells := range []bool{false, true} {
 		o := cacheOptions()
 		o.RejectsWhenFull = tells
@@ -286,7 +286,7 @@
 	}
 }
 
-func TestNewConnectionCostsWorkAndItsFirstRequestTime(t *testing.T) {
+func TestHandshakeCostsWorkAndTime(t *testing.T) {
 	o := cacheOptions()
 	o.HandshakeWork, o.HandshakeTime = 16*Millisecond, 5*Millisecond
 	s := newStand(t, o)
@@ -302,7 +302,7 @@
 	expect(t, "the second request", w.take(), hit("k", "b", "hit"))
 }
 
-func TestProbeCostsWorkWhereProbesAreAllowed(t *testing.T) {
+func TestHealthCheckCostsWork(t *testing.T) {
 	o := cacheOptions()
 	o.Probes, o.ProbeWork, o.Reports = true, 2*Millisecond, true
 	s := newStand(t, o)
@@ -317,7 +317,7 @@
 	expect(t, "the report", w.take(), "$28\r\ninflight=0,queue=0,util=0.00\r\n")
 }
 
-func TestAnswersThatARouterDoesNotTakeAreBounded(t *testing.T) {
+func TestUnsentRepliesAreBounded(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
@@ -337,7 +337,7 @@
 	}
 }
 
-func TestStoppedProcessResetsAndRefuses(t *testing.T) {
+func TestStoppedCacheResetsAndRefusesConnections(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "i"))
--- a/internal/testbench/standin/client.go
+++ b/internal/testbench/standin/client.go
@@ -182,7 +182,8 @@
 func (c *Client) drawClass() int {
 	x := c.rng.Float64() * c.totalTraffic
 	for i, class := range c.options.Classes {
-		if x -= class.TrafficFraction; x < 0 {
+		x -= class.TrafficFraction
+		if x < 0 {
 			return i
 		}
 	}
--- a/internal/testbench/standin/client_conn.go
+++ b/internal/testbench/standin/client_conn.go
@@ -23,7 +23,8 @@
 // assign finds a connection for an attempt: an idle one, a busy one to pipeline on, or a new one.
 func (c *Client) assign(t *clientAttempt) {
 	for i := len(c.conns) - 1; i >= 0; i-- {
-		if cc := c.conns[i]; cc.connected && len(cc.attempts) == 0 && !cc.pinging {
+		cc := c.conns[i]
+		if cc.connected && len(cc.attempts) == 0 && !cc.pinging {
 			cc.write(t)
 			return
 		}
--- a/internal/testbench/standin/client_reply.go
+++ b/internal/testbench/standin/client_reply.go
@@ -35,7 +35,8 @@
 	if err != nil || used == 0 {
 		return a, 0, err
 	}
-	if word, rest, _ := strings.Cut(text, " "); word == "-BUSY" {
+	code, rest, _ := strings.Cut(text, " ")
+	if code == "-BUSY" {
 		a.kind = rules.Refused
 		if ms, ok := parseNumber([]byte(rest)); ok {
 			a.retryAfter = ms * Millisecond
--- a/internal/testbench/standin/client_test.go
+++ b/internal/testbench/standin/client_test.go
@@ -88,7 +88,7 @@
 	add    = 2
 )
 
-func TestAnswerInTimeIsServedAndOneAfterItsAimIsLate(t *testing.T) {
+func TestReplyIsOnTimeOrLate(t *testing.T) {
 	s := newClients(t, ClientOptions{}, nil)
 	wait := 400 * Millisecond
 	s.router.f = func(c *routerConn, args []string) { s.At(s.now+wait, func() { serve(c, args) }) }
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestRequestsStandOnTheWireAsTheProtocolHasThem(t *testing.T) {
+func TestRequestWireFormat(t *testing.T) {
 	s := newClients(t, ClientOptions{ValueSize: 100}, serve)
 	s.c.Request(lookup, "k")
 	s.c.Request(add, "k")
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestRetryIsANewRequestWithTheKeyOfTheWrite(t *testing.T) {
+func TestRetryHasNewIDAndSameIdempotencyKey(t *testing.T) {
 	s := newClients(t, ClientOptions{Retries: 2, RetryWait: Exponential, RetryWaitTime: 100 * Millisecond, MarkRetry: true}, nil)
 	var at []Time
 	s.router.f = func(c *routerConn, _ []string) {
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestAdviceOfARefusalIsFollowedOrNot(t *testing.T) {
+func TestRetryAfterCompliance(t *testing.T) {
 	for _, honour := range []float64{0, 1} {
 		s := newClients(t, ClientOptions{Retries: 1, RetryAfterCompliance: honour}, nil)
 		var at []Time
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestTryIsGivenUpAfterItsShareOfTheDeadline(t *testing.T) {
+func TestAttemptTimeoutFraction(t *testing.T) {
 	s := newClients(t, ClientOptions{Retries: 1, AttemptTimeoutFraction: 0.5}, func(*routerConn, []string) {})
 	s.c.Request(lookup, "k")
 	s.run(t, 599*Millisecond+defaultGrace)
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestImpatientClientLeavesEarly(t *testing.T) {
+func TestEarlyAbandonFraction(t *testing.T) {
 	s := newClients(t, ClientOptions{EarlyAbandonFraction: 1}, func(*routerConn, []string) {})
 	for range 20 {
 		s.c.Request(lookup, "k")
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestRequestThatCrossesACloseIsSentOnceMore(t *testing.T) {
+func TestRequestResentWhenCloseCrossesIt(t *testing.T) {
 	s := newClients(t, ClientOptions{}, nil)
 	s.router.f = func(c *routerConn, args []string) {
 		if c.n == 2 {
@@ -231,7 +231,7 @@
 	s.notes.has(t, "left", 1)
 }
 
-func TestRequestThatTheRouterHeldIsLostWithItsConnection(t *testing.T) {
+func TestRequestLostWithConnection(t *testing.T) {
 	s := newClients(t, ClientOptions{}, nil)
 	s.router.f = func(c *routerConn, args []string) { s.At(s.now+100*Millisecond, c.close) }
 	s.c.Request(lookup, "k")
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestAnswerThatBreaksOffHasFailed(t *testing.T) {
+func TestTruncatedReplyFails(t *testing.T) {
 	s := newClients(t, ClientOptions{}, func(c *routerConn, _ []string) {
 		c.say("$10\r\nhalf")
 		c.close()
@@ -253,7 +253,7 @@
 	s.notes.has(t, "answered failed", 1)
 }
 
-func TestSecondAnswerIsReported(t *testing.T) {
+func TestSecondReplyIsReported(t *testing.T) {
 	s := newClients(t, ClientOptions{}, func(c *routerConn, _ []string) { c.say("$1\r\nx\r\n$1\r\nx\r\n") })
 	s.c.Request(lookup, "k")
 	s.run(t, Second)
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestConnectionsAreOpenedWhenAllAreBusyAndSharedWhereClientsPipeline(t *testing.T) {
+func TestClientConnectionsOpenedWhenBusyOrPipelined(t *testing.T) {
 	for _, c := range []struct {
 		pipeline float64
 		want     int
@@ -280,7 +280,7 @@
 	}
 }
 
-func TestGivingUpOneRequestAsksForTheOthersOnItsConnectionAgain(t *testing.T) {
+func TestAbandonResendsOtherRequestsOfConnection(t *testing.T) {
 	s := newClients(t, ClientOptions{Pipeline: 1}, nil)
 	s.router.f = func(c *routerConn, args []string) {
 		if len(s.router.conns) > 1 {
@@ -296,7 +296,7 @@
 	}
 }
 
-func TestRequestsFindNoRouterAndComeToTheirEnd(t *testing.T) {
+func TestRequestsEndWithoutRouters(t *testing.T) {
 	for _, routers := range [][]Target{nil, {{"r-9", "127.0.0.1:9"}}} {
 		s := newClients(t, ClientOptions{Routers: func() []Target { return routers }}, nil)
 		s.c.Request(lookup, "k")
@@ -308,7 +308,7 @@
 	}
 }
 
-func TestArrivalsComeAtTheirRateWithBurstsAndSharesOfTheClasses(t *testing.T) {
+func TestArrivalRateBurstsAndClassFractions(t *testing.T) {
 	s := newClients(t, ClientOptions{Rate: 200, BurstEvery: 10 * Second, BurstFor: Second, BurstTimes: 6}, serve)
 	s.c.Start()
 	s.run(t, 100*Second)
@@ -329,7 +329,7 @@
 	}
 }
 
-func TestFewKeysDrawMostRequests(t *testing.T) {
+func TestKeysDrawZipf(t *testing.T) {
 	rng := chanceOf(1)
 	k := NewKeys(1000, 1, 1, rng)
 	count := map[string]int{}
@@ -355,7 +355,7 @@
 	}
 }
 
-func TestHostileClientsDoTheirHarm(t *testing.T) {
+func TestHostileClientHarms(t *testing.T) {
 	for _, harm := range []Harm{BadBytes, EndlessLine, HalfCommand, SilentClient, Abandons, NeverReads} {
 		s := newClients(t, ClientOptions{}, serve)
 		h := NewHostile(s.lab, HostileOptions{Harm: harm, Every: Second, Class: steady()[0], Keys: s.c.options.Keys,
@@ -387,7 +387,7 @@
 	}
 }
 
-func TestAnswersAreReadAsTheProtocolHasThem(t *testing.T) {
+func TestReadReply(t *testing.T) {
 	for _, c := range []struct {
 		in   string
 		kind rules.Answer
@@ -435,7 +435,7 @@
 	})
 }
 
-func TestRouterSettingsHoldTheOperatorsFigures(t *testing.T) {
+func TestDefaultRouterSettings(t *testing.T) {
 	s := DefaultRouterSettings()
 	s.Name, s.Listen, s.Discovery = "r-1", "127.0.0.1:1", "127.0.0.1:2"
 	var got struct {
@@ -457,7 +457,7 @@
 	expect(t, "figures", text, "1.2e+06 1e+06 3 4")
 }
 
-func TestRequestBehindAnotherWaitsForAsLongAsThatMayTake(t *testing.T) {
+func TestPipelinedRequestDeadlineExtended(t *testing.T) {
 	s := newClients(t, ClientOptions{Pipeline: 1}, nil)
 	s.router.f = func(c *routerConn, args []string) { s.At(s.now+2500*Millisecond, func() { serve(c, args) }) }
 	const page = lookup + 1
--- a/internal/testbench/standin/discovery.go
+++ b/internal/testbench/standin/discovery.go
@@ -435,7 +435,8 @@
 
 // Spoil has every answer hold an invalid entry; the empty string ends that.
 func (d *Discovery) Spoil(how BadEntry) {
-	if d.badEntry = how; how != "" {
+	d.badEntry = how
+	if how != "" {
 		return
 	}
 	d.markReachable()
--- a/internal/testbench/standin/discovery_call.go
+++ b/internal/testbench/standin/discovery_call.go
@@ -123,7 +123,8 @@
 	if cost == 0 || d.options.Pushed {
 		return true
 	}
-	if done := max(now, d.busyUntil) + cost; d.options.Timeout == 0 || done-now <= d.options.Timeout {
+	done := max(now, d.busyUntil) + cost
+	if d.options.Timeout == 0 || done-now <= d.options.Timeout {
 		d.busyUntil, call.turnEnds = done, done
 		return true
 	}
@@ -145,7 +146,8 @@
 	call.waiting = false
 	now := d.m.Now()
 	if call.turnEnds <= now && !d.options.Pushed {
-		if cost := Time(d.changedSince(call.after)) * d.options.LineCost; cost > 0 {
+		cost := Time(d.changedSince(call.after)) * d.options.LineCost
+		if cost > 0 {
 			d.busyUntil = max(now, d.busyUntil) + cost
 			call.turnEnds = d.busyUntil
 		}
--- a/internal/testbench/standin/discovery_notify.go
+++ b/internal/testbench/standin/discovery_notify.go
@@ -74,7 +74,8 @@
 	if d.options.PollInterval == 0 || d.options.Pushed || c.openCalls > 0 {
 		return
 	}
-	if due := c.lastCall + d.options.PollInterval; d.m.Now() < due {
+	due := c.lastCall + d.options.PollInterval
+	if d.m.Now() < due {
 		c.timer = d.m.At(due, func() { d.notifyOverdue(router) })
 		return
 	}
@@ -97,7 +98,8 @@
 			continue
 		}
 		for _, l := range d.entries {
-			if due := max(since, l.changedAt) + d.options.NotifiedAfter; due <= now {
+			due := max(since, l.changedAt) + d.options.NotifiedAfter
+			if due <= now {
 				d.notify(r, l)
 			} else {
 				next = earlierOf(next, due)
--- a/internal/testbench/standin/discovery_test.go
+++ b/internal/testbench/standin/discovery_test.go
@@ -55,7 +55,7 @@
 
 var first = entry("s-1", "10.1.0.1:1", InService)
 
-func TestWholeListAndWatchOnChanges(t *testing.T) {
+func TestDiscoveryFullListThenWatch(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	w := r.dial(t, r.addr)
 	w.send(t, hosts(""))
@@ -85,7 +85,7 @@
 	expect(t, "and not on the whole list", body(t, w), listOf(4, true))
 }
 
-func TestReplacementIsOneChange(t *testing.T) {
+func TestReplaceIsOneVersion(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	r.d.Replace("s-1", Entry{Name: "s-0", Addresses: map[string]string{"r-1": "10.1.0.2:1"}, Address: "10.1.0.3:1",
 		Zone: "a", Type: "m", Group: 2, Weight: 1})
@@ -96,7 +96,7 @@
 		entry("s-1", "10.1.0.1:1", Terminated)))
 }
 
-func TestChangesShowLateAndStaleOnesLater(t *testing.T) {
+func TestChangesAppearAfterDelay(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{Delay: 2 * Second})
 	w := r.dial(t, r.addr)
 	w.send(t, hosts("?after=2&wait_ms=60000"))
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestVersionThatIsAheadOfTheListGetsTheWholeList(t *testing.T) {
+func TestVersionAheadGetsFullList(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	r.d.SetStatus("s-1", Terminating)
 	r.d.SetStatus("s-1", InService)
@@ -134,7 +134,7 @@
 	expect(t, "once the version went back", body(t, w), listOf(2, true, first))
 }
 
-func TestDiscoveryThatIsDownAnswers503OrResets(t *testing.T) {
+func TestDiscoveryDownRejectsOrResets(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	w := r.dial(t, r.addr)
 	w.send(t, hosts("?after=2&wait_ms=60000"))
@@ -161,7 +161,7 @@
 	expect(t, "afterwards", body(t, v), listOf(2, true, first))
 }
 
-func TestSilentDiscoveryAnswersOnlyAfterwards(t *testing.T) {
+func TestSilentDiscoveryAnswersAfterwards(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	w, v := r.dial(t, r.addr), r.dial(t, r.addr)
 	w.send(t, hosts("?after=2&wait_ms=60000"))
@@ -178,7 +178,7 @@
 	expect(t, "the call", body(t, v), listOf(3, true, gone))
 }
 
-func TestWatchIsAnsweredAtOnceWhereItIs(t *testing.T) {
+func TestWatchAnsweredAtOnce(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	r.d.AnswerAtOnce(true)
 	w := r.dial(t, r.addr)
@@ -187,7 +187,7 @@
 	expect(t, "at once", body(t, w), listOf(2, false))
 }
 
-func TestMovedDiscoveryIsFoundAtItsNewAddressAlone(t *testing.T) {
+func TestDiscoveryMove(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	w := r.dial(t, r.addr)
 	got, err := r.d.Move([]string{"127.0.0.1:0"})
@@ -216,8 +216,8 @@
 	return all
 }
 
-// TestCallsWaitInTurnAndAreTurnedAwayAtOnce: those whose answer would take longer than the time-out, and these cost work too.
-func TestCallsWaitInTurnAndAreTurnedAwayAtOnce(t *testing.T) {
+// TestCallsQueueAndAreRejectedAtOnce: those whose answer would take longer than the time-out, and these cost work too.
+func TestCallsQueueAndAreRejectedAtOnce(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, RejectCost: 100 * Millisecond, Timeout: Second})
 	all := r.callersOf(t, "r-1", "r-2", "r-3", "r-4")
 	r.run(t, 10*Millisecond)
@@ -243,8 +243,8 @@
 	}
 }
 
-// TestCallTurnedAwayEndsTheRoutersWatch, and leaves that of another router as it is.
-func TestCallTurnedAwayEndsTheRoutersWatch(t *testing.T) {
+// TestRejectedCallEndsWatchOfRouter, and leaves that of another router as it is.
+func TestRejectedCallEndsWatchOfRouter(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, Timeout: Second, Routers: []string{"r-1", "r-2"}})
 	other, err := r.d.Open("127.0.0.1:0", "r-2")
 	if err != nil {
@@ -265,8 +265,8 @@
 	expect(t, "another router's watch", kept.take(), "")
 }
 
-// TestWatchThatGoesOnTakesNoTurn, however much discovery has to do; a later call is a new one.
-func TestWatchThatGoesOnTakesNoTurn(t *testing.T) {
+// TestContinuedWatchNeedsNoAdmission, however much discovery has to do; a later call is a new one.
+func TestContinuedWatchNeedsNoAdmission(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, Timeout: 500 * Millisecond, Routers: []string{"r-1"}})
 	w := r.dial(t, r.addr)
 	w.send(t, hosts(""))
@@ -287,9 +287,9 @@
 	}
 }
 
-// TestChangeCountsAsToldAfterItsTime, also to a router whose calls all fail; from the return where discovery was down, and from
+// TestNotifiedAfter, also to a router whose calls all fail; from the return where discovery was down, and from
 // when a router has a way to it.
-func TestChangeCountsAsToldAfterItsTime(t *testing.T) {
+func TestNotifiedAfter(t *testing.T) {
 	cut := true
 	r := newRegistry(t, DiscoveryOptions{NotifiedAfter: 6 * Second, Routers: []string{"r-1", "r-2"},
 		Reachable: func(router string) (Time, bool) { return 0, router == "r-1" || !cut }})
@@ -316,7 +316,7 @@
 	r.notes.has(t, "listed r-1 s-1 true", 2)
 }
 
-func TestBadListsTellNothing(t *testing.T) {
+func TestMalformedListNotifiesNobody(t *testing.T) {
 	for _, how := range []BadEntry{BadName, BadAddress, BadStatus, BadSince, BadShape, BadJSON} {
 		r := newRegistry(t, DiscoveryOptions{})
 		good := listOf(2, true, first)
@@ -331,7 +331,7 @@
 	}
 }
 
-func TestRouterThatDoesNotAskCountsAsTold(t *testing.T) {
+func TestRouterWithoutCallsCountsAsNotified(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{Routers: []string{"r-1", "r-2"}, PollInterval: 6 * Second})
 	w := r.dial(t, r.addr)
 	w.send(t, hosts(""))
@@ -345,7 +345,7 @@
 	r.notes.has(t, "listed r-2 s-1 false", 1)
 }
 
-func TestBadCallsAreRejected(t *testing.T) {
+func TestInvalidCallsAreRejected(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{})
 	for _, c := range []struct{ in, want string }{
 		{"POST /discovery/hosts HTTP/1.1\r\nHost: d\r\n\r\n", "405"},
@@ -367,9 +367,9 @@
 	}
 }
 
-// TestPushedListsCountAsToldWithTheirShowing, also to a router that asks nothing and to a new process of one, and while the agent is
+// TestPushedListsNotifyAtOnce, also to a router that asks nothing and to a new process of one, and while the agent is
 // silent nothing is learned: what is asked of it meanwhile, or waits, is never answered.
-func TestPushedListsCountAsToldWithTheirShowing(t *testing.T) {
+func TestPushedListsNotifyAtOnce(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{Pushed: true, Routers: []string{"r-1"}, PollInterval: Second, CallCost: Second})
 	r.notes.has(t, "listed r-1 s-1 true", 1)
 	r.d.SetStatus("s-1", Terminating)
--- a/internal/testbench/standin/faults.go
+++ b/internal/testbench/standin/faults.go
@@ -245,7 +245,8 @@
 func (cc *cacheConn) continueEndless() {
 	for cc.endlessLeft > 0 && len(cc.unsent) == 0 && !cc.closed {
 		n := min(endlessPiece, cc.endlessLeft)
-		if cc.endlessLeft -= n; cc.endlessLeft == 0 {
+		cc.endlessLeft -= n
+		if cc.endlessLeft == 0 {
 			cc.endlessLeft = -1 // nothing more is written to this connection
 		}
 		b := make([]byte, n)
--- a/internal/testbench/standin/faults_test.go
+++ b/internal/testbench/standin/faults_test.go
@@ -16,7 +16,7 @@
 	return s, s.dial(t, s.addr)
 }
 
-func TestHungCacheTakesRequestsAndAnswersNone(t *testing.T) {
+func TestStalledCacheAnswersNothing(t *testing.T) {
 	s, w := warmStand(t)
 	s.c.Hang(true)
 	w.send(t, get("k", "i"))
@@ -32,7 +32,7 @@
 	expect(t, "PING, afterwards", v.take(), "+PONG\r\n")
 }
 
-func TestHungCacheForgetsWhatItsRouterGaveUp(t *testing.T) {
+func TestStalledCacheDropsCancelledRequests(t *testing.T) {
 	s, w := warmStand(t)
 	s.c.Hang(true)
 	w.send(t, get("k", "i"))
@@ -45,7 +45,7 @@
 	s.notes.has(t, "ran i repeat false", 0)
 }
 
-func TestSilentCacheDoesNotEvenRead(t *testing.T) {
+func TestSilentCacheReadsNothing(t *testing.T) {
 	s, w := warmStand(t)
 	s.c.Silent(true)
 	w.send(t, get("k", "i"))
@@ -61,7 +61,7 @@
 	expect(t, "afterwards", w.take()+v.take(), hit("k", "i", "hit")+hit("k", "j", "hit"))
 }
 
-func TestSlowCacheTakesSoManyTimesLonger(t *testing.T) {
+func TestSlowCacheFactor(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	s.c.Slow(4)
 	near(t, "a request of 60 ms", s.finish(t, 1), 240*Millisecond, 2*Millisecond)
@@ -69,7 +69,7 @@
 	near(t, "and then", s.finish(t, 1), 60*Millisecond, 2*Millisecond)
 }
 
-func TestErrorsComeBeforeAndAfterTheRequestRan(t *testing.T) {
+func TestErrorsBeforeAndAfterExecution(t *testing.T) {
 	s, w := warmStand(t)
 	s.c.ErrRate(1)
 	for i := range 40 {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestSpoiledAnswersCannotBeRead(t *testing.T) {
+func TestSpoiledRepliesAreMalformed(t *testing.T) {
 	for _, c := range []struct {
 		how  Spoil
 		want string
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestAnswerIsFollowedByACopyOrNoise(t *testing.T) {
+func TestDoubleReplyOrNoise(t *testing.T) {
 	good := hit("k", "i", "hit")
 	for _, c := range []struct {
 		noise bool
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestConnectionsAreResetAtAcceptInsideAndAfterAnAnswer(t *testing.T) {
+func TestConnectionResets(t *testing.T) {
 	s, w := warmStand(t)
 	s.c.ResetAfter(1)
 	w.send(t, get("k", "i"))
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestIdleConnectionsAreDroppedAloudOrSilently(t *testing.T) {
+func TestDropIdle(t *testing.T) {
 	s, w := warmStand(t)
 	busy := s.dial(t, s.addr)
 	busy.send(t, get("k", "i"))
@@ -180,7 +180,7 @@
 	s.notes.has(t, "began j at s-1 from r-1", 0)
 }
 
-func TestBusyAndDrainingCachesTurnNewRequestsAway(t *testing.T) {
+func TestBusyAndDrainingCachesReject(t *testing.T) {
 	for _, set := range []func(*Cache, bool){(*Cache).Busy, (*Cache).Refusing} {
 		s, w := warmStand(t)
 		w.send(t, get("k", "held"))
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestBadReportStandsInTheAnswer(t *testing.T) {
+func TestBadLoadReport(t *testing.T) {
 	s, w := warmStand(t)
 	s.c.BadReport(true)
 	w.send(t, get("k", "i"))
--- a/internal/testbench/standin/fleet_test.go
+++ b/internal/testbench/standin/fleet_test.go
@@ -103,7 +103,7 @@
 	return n.lines, f
 }
 
-func TestFleetServesItsClients(t *testing.T) {
+func TestFleetServesLoadClients(t *testing.T) {
 	lines, f := playFleet(t, 1)
 	total := &Tally{}
 	for _, one := range f.Tallies() {
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestReplacedCacheIsColdAndHasANameOfItsOwn(t *testing.T) {
+func TestReplaceStartsColdCacheUnderNewName(t *testing.T) {
 	_, f := playFleet(t, 4)
 	old := f.Caches[1]
 	c, err := f.Replace(old)
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestRouterReadsItsSettings(t *testing.T) {
+func TestRouterSettingsAreReadByRouter(t *testing.T) {
 	var config struct{ Settings json.RawMessage }
 	if err := json.Unmarshal(DefaultRouterSettings().JSON(), &config); err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestCacheStartedInAnothersPlaceStandsInItsZone(t *testing.T) {
+func TestReplaceKeepsZone(t *testing.T) {
 	l := newLab()
 	p := Places{
 		Cache: func(string, string) machine.Machine { return l }, Store: func() machine.Machine { return l },
--- a/internal/testbench/standin/processor_test.go
+++ b/internal/testbench/standin/processor_test.go
@@ -31,14 +31,14 @@
 	}
 }
 
-func TestRequestGetsOneCoreAtMostAndSharesWhenThereAreMore(t *testing.T) {
+func TestProcessorSharesCores(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	near(t, "one request of 60 ms", s.finish(t, 1), 60*Millisecond, 2*Millisecond)
 	near(t, "six on six cores", s.finish(t, 6), 60*Millisecond, 2*Millisecond)
 	near(t, "twelve on six cores", s.finish(t, 12), 120*Millisecond, 2*Millisecond)
 }
 
-func TestRequestsBeyondTheSlotsWaitAndBeyondTheQueueAreTurnedAway(t *testing.T) {
+func TestRequestsQueueForSlotsThenAreRejected(t *testing.T) {
 	o := cacheOptions()
 	o.Capacity.ConcurrentRequests, o.Capacity.Queue = 2, 3
 	s := newStand(t, o)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestColdCacheRisesEvenlyToItsWholeCapacity(t *testing.T) {
+func TestSlowStartRisesLinearly(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	if err := s.c.Restart(true); err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	near(t, "six when warm", s.finish(t, 6), 60*Millisecond, 2*Millisecond)
 }
 
-func TestCrowdedCacheThrashes(t *testing.T) {
+func TestLoadedCacheThrashes(t *testing.T) {
 	o := cacheOptions()
 	o.Capacity.Thrash, o.Capacity.ThrashAt = 0.5, 2
 	s := newStand(t, o)
@@ -105,7 +105,7 @@
 	return true
 }
 
-func TestCacheFallsOverAtMoreThanThreeTimesItsCapacityForThreeSeconds(t *testing.T) {
+func TestCacheCrashesUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		multiple float64
 		d        Time
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestChokedCacheStaysSlowUntilItHasRested(t *testing.T) {
+func TestCongestedCacheSlowUntilIdle(t *testing.T) {
 	o := cacheOptions()
 	o.Capacity.Congestion = Congestion{Threshold: 4, Window: Second, Slowdown: 3, RecoveryUtilization: 0.3,
 		RecoveryWindow: 3 * Second, MaxDuration: 30 * Second}
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestMemoryDropsTheKeyUsedLongestAgo(t *testing.T) {
+func TestMemoryEvictsLeastRecentlyUsed(t *testing.T) {
 	m := newLRUMemory(2)
 	m.add("a")
 	m.add("b")
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestWorkOfARequestIsTheSameAtEveryCacheAndHasItsMean(t *testing.T) {
+func TestWorkloadIsTheSameAtEveryCache(t *testing.T) {
 	classes := DefaultClasses()
 	w := NewWorkload(classes, chanceOf(5))
 	if first, again := w.Of("log-page", "x"), w.Of("log-page", "x"); first != again || first == w.Of("log-page", "y") {
@@ -176,7 +176,7 @@
 	near(t, "the mean", sum/n, classes[0].Work, classes[0].Work/20)
 }
 
-func TestConcurrentMissesShareAFetchWhereTheyMay(t *testing.T) {
+func TestConcurrentMissesCoalesce(t *testing.T) {
 	for _, joint := range []bool{true, false} {
 		o := cacheOptions()
 		o.Coalesce = joint
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestWriteVoidsTheCopiesOfAllCaches(t *testing.T) {
+func TestWriteInvalidatesAllCaches(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	o := cacheOptions()
 	o.Name = "s-2"
@@ -211,7 +211,7 @@
 	expect(t, "the read after it", v.take(), hit("k", "i2", "miss"))
 }
 
-func TestCopyThatWasWrittenWhileItWasFetchedIsNotKept(t *testing.T) {
+func TestFetchOfKeyWrittenMeanwhileIsNotStored(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "a"))
@@ -223,7 +223,7 @@
 	expect(t, "answers", w.take(), hit("k", "a", "miss")+hit("k", "b", "miss"))
 }
 
-func TestRepeatIsDroppedInsideItsWindowAndRunsAfterIt(t *testing.T) {
+func TestRepeatDroppedInsideIdempotencyWindow(t *testing.T) {
 	for _, c := range []struct {
 		after  Time
 		repeat bool
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestWriteStoppedBeforeItRanIsNotARepeat(t *testing.T) {
+func TestCancelledWriteIsNotARepeat(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	w, v := s.dial(t, s.addr), s.dial(t, s.addr)
 	w.send(t, put("k", "i1", "x"))
@@ -255,7 +255,7 @@
 	s.notes.has(t, "ran i2 repeat false", 1)
 }
 
-func TestStoreFailsWhatItCannotQueue(t *testing.T) {
+func TestStoreFailsCallsBeyondQueue(t *testing.T) {
 	s := newStand(t, cacheOptions())
 	s.store.options.Concurrency, s.store.options.Queue = 1, 1
 	w := s.dial(t, s.addr)
@@ -264,7 +264,7 @@
 	expect(t, "answers", w.take(), hit("a", "1", "miss")+hit("b", "2", "miss")+"-ERR failed\r\n")
 }
 
-func TestStoreStopsUnderMoreThanThreeTimesItsCapacity(t *testing.T) {
+func TestStoreOutageUnderOverload(t *testing.T) {
 	for _, multiple := range []float64{2.5, 3.2} {
 		l := newLab()
 		n := &notes{l: l}
@@ -290,7 +290,7 @@
 	}
 }
 
-func TestStoreGoesOnWithAbandonedWorkWhereItDoes(t *testing.T) {
+func TestStoreKeepsAbandonedWork(t *testing.T) {
 	for _, goesOn := range []bool{false, true} {
 		s := newStand(t, cacheOptions())
 		s.store.options.KeepsAbandonedWork = goesOn
@@ -305,7 +305,7 @@
 	}
 }
 
-func TestFetchRunsOutOfTime(t *testing.T) {
+func TestFetchTimeout(t *testing.T) {
 	o := cacheOptions()
 	o.FetchTimeout = 50 * Millisecond
 	s := newStand(t, o)
@@ -315,7 +315,7 @@
 	expect(t, "answer", w.take(), "-ERR failed\r\n")
 }
 
-func TestMissHoldsItsSlotWhereItDoes(t *testing.T) {
+func TestMissKeepsSlot(t *testing.T) {
 	for _, holds := range []bool{false, true} {
 		o := cacheOptions()
 		o.MissKeepsSlot, o.Capacity.ConcurrentRequests = holds, 1
--- a/internal/testbench/standin/registry/faults.go
+++ b/internal/testbench/standin/registry/faults.go
@@ -9,26 +9,27 @@
 	"starlingwinch/internal/testbench/httpserver"
 )
 
-// faults are what the registry does wrong.
+// faults are the faults that are on.
 type faults struct {
-	silent       bool
-	status       int
-	delay        Time
-	truncate     bool
-	malform      bool
-	wrongHash    bool
-	stale        *view
-	hidden       map[string]bool
-	deltasToLose int
-	repeatDelta  bool
-	oldDelta     *view
-	hugeBytes    int64
-	endless      bool
-
-	delayTimers    map[int64]machine.Timer // of slow answers, by the order in which they were asked for
-	answersDelayed int64
+	silent       bool            // calls are never answered
+	status       int             // of all answers; 0 for none
+	delay        Time            // of all answers
+	truncate     bool            // bodies end in the middle
+	malform      bool            // bodies are not JSON
+	wrongHash    bool            // lists carry a wrong hash
+	stale        *view           // that readers see; nil for the present one
+	hidden       map[string]bool // instances that this replica does not show, by id
+	deltasToLose int             // changes that will not be in deltas
+	repeatDelta  bool            // deltas hold each entry twice
+	oldDelta     *view           // that deltas are read from; nil for the present one
+	hugeBytes    int64           // size of lists of nested JSON; 0 for none
+	endless      bool            // lists never end
+
+	delayTimers    map[int64]machine.Timer // of delayed answers, by their number
+	answersDelayed int64                   // number of the last of them
 }
 
+// stop stops the timers of delayed answers.
 func (f *faults) stop() {
 	for _, t := range f.delayTimers { // any order: all of them are stopped
 		t.Stop()
@@ -36,6 +37,7 @@
 	f.delayTimers = nil
 }
 
+// losesDelta reports whether a change is to be left out of deltas, and counts it.
 func (f *faults) losesDelta() bool {
 	if f.deltasToLose == 0 {
 		return false
@@ -44,31 +46,31 @@
 	return true
 }
 
-// Silent has it take calls in and answer none; those are never answered.
+// Silent switches whether calls are taken without an answer; those of that time are never answered.
 func (r *Registry) Silent(on bool) { r.faults.silent = on }
 
-// Error has all calls answered with a status such as 503, and do nothing; 0 ends that.
+// Error has all calls answered with a status such as 503, without effect; 0 ends that.
 func (r *Registry) Error(status int) { r.faults.status = status }
 
-// Refuse ends all connections, and each that comes from now on; or not any more. The state stays.
+// Refuse switches whether all connections, those there are and new ones, are closed. The state stays.
 func (r *Registry) Refuse(on bool) { r.server.Refuse(on) }
 
-// Slow has all answers come so much later; 0 ends that.
+// Slow delays all answers; 0 ends that.
 func (r *Registry) Slow(d Time) { r.faults.delay = d }
 
-// Truncate has answers with a body end in the middle, with the connection.
+// Truncate switches whether answers with a body are cut off in the middle, with the connection closed.
 func (r *Registry) Truncate(on bool) { r.faults.truncate = on }
 
-// Malform has bodies hold bad JSON.
+// Malform switches whether bodies are malformed JSON.
 func (r *Registry) Malform(on bool) { r.faults.malform = on }
 
-// WrongHash has lists carry a hash that is not theirs.
+// WrongHash switches whether lists carry a hash that is not theirs.
 func (r *Registry) WrongHash(on bool) {
 	r.faults.wrongHash = on
 	r.dropRendered()
 }
 
-// Stale has readers see the state of this moment from now on. Writers are served as ever.
+// Stale switches whether readers see the present state from now on. Writes are carried out.
 func (r *Registry) Stale(on bool) {
 	r.faults.stale = nil
 	if on {
@@ -76,7 +78,7 @@
 	}
 }
 
-// Empty loses all that was registered and all connections, as a server does that starts anew without replicas.
+// Empty drops all instances and connections, as a server does that restarts without replicas.
 func (r *Registry) Empty() {
 	r.server.DropAll()
 	marks := r.pendingMarks
@@ -98,7 +100,7 @@
 	}
 }
 
-// Disagree has this replica show nothing of the instances; without any, that ends.
+// Disagree has this replica hide instances; without any, that ends.
 func (r *Registry) Disagree(ids ...string) {
 	r.faults.hidden = map[string]bool{}
 	for _, id := range ids {
@@ -110,16 +112,16 @@
 	}
 }
 
-// DeltaLost has the next n changes never stand in deltas. The hash is that of the whole all the same.
+// DeltaLost leaves the next n changes out of deltas. The hash is still that of the whole list.
 func (r *Registry) DeltaLost(n int) { r.faults.deltasToLose = n }
 
-// DeltaRepeat has each entry of a delta stand there twice.
+// DeltaRepeat switches whether deltas hold each entry twice.
 func (r *Registry) DeltaRepeat(on bool) {
 	r.faults.repeatDelta = on
 	r.dropRendered()
 }
 
-// DeltaOld has deltas stay as they are at this moment, with their hash, while the whole list goes on.
+// DeltaOld switches whether deltas stay as they are now, with their hash, while the whole list changes.
 func (r *Registry) DeltaOld(on bool) {
 	r.faults.oldDelta = nil
 	if on {
@@ -127,13 +129,13 @@
 	}
 }
 
-// Huge has lists answered with so many bytes of deeply nested JSON; 0 ends that.
+// Huge has lists answered by so many bytes of deeply nested JSON; 0 ends that.
 func (r *Registry) Huge(size int64) { r.faults.hugeBytes = size }
 
-// Endless has lists answered with good instances, one after the other, that never end.
+// Endless switches whether lists are answered by valid instances without end.
 func (r *Registry) Endless(on bool) { r.faults.endless = on }
 
-// dropRendered has answers made anew.
+// dropRendered drops the rendered bodies, as a fault changes them.
 func (r *Registry) dropRendered() {
 	r.version++
 	for _, v := range []*view{r.cached, r.faults.stale, r.faults.oldDelta} {
@@ -143,7 +145,7 @@
 	}
 }
 
-// answer gives an answer, with what is wrong with it at present.
+// answer sends an answer, with the faults that are on.
 func (r *Registry) answer(x *httpserver.Exchange, a httpserver.Answer) {
 	f := &r.faults
 	if f.delay <= 0 {
@@ -167,6 +169,7 @@
 	})
 }
 
+// spoil sends an answer with the faults of its body.
 func (r *Registry) spoil(x *httpserver.Exchange, a httpserver.Answer) {
 	f := &r.faults
 	list := x.Request.Method == http.MethodGet && a.Status == http.StatusOK
@@ -189,13 +192,17 @@
 	}
 }
 
-// pieceSize is how much of an answer is made at a time.
+// pieceSize is the size of a piece of a streamed answer, in bytes.
 const pieceSize = 16 << 10
 
-// nestedList gives a list, as one level in the other, until size bytes are given.
+// nestedList returns the pieces of a list nested in itself, size bytes in all.
 func nestedList(size int64) func() []byte {
-	const begin, end = `{"applications":{"application":`, `}}`
-	const open, shut = `[`, `]`
+	const (
+		begin = `{"applications":{"application":`
+		end   = `}}`
+		open  = `[`
+		shut  = `]`
+	)
 	levels := max(1, (size-int64(len(begin)+len(end)))/2)
 	opened, closed := int64(0), int64(0)
 	step := func(done *int64, text string) []byte {
@@ -220,7 +227,7 @@
 	}
 }
 
-// endlessInstances gives a list that goes on for ever.
+// endlessInstances returns the pieces of a list without end.
 func endlessInstances() func() []byte {
 	n := 0
 	return func() []byte {
--- a/internal/testbench/standin/registry/faults_test.go
+++ b/internal/testbench/standin/registry/faults_test.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/httpclient"
 )
 
-func TestASilentRegistryTakesCallsAndAnswersNone(t *testing.T) {
+func TestSilentRegistryAnswersNothing(t *testing.T) {
 	f := newField(t, Options{})
 	f.r.Silent(true)
 	if got := f.call("GET", "/apps", ""); got.err == nil || got.took < most {
@@ -19,7 +19,7 @@
 	f.shows("/apps", "", "")
 }
 
-func TestAFailingRegistryDoesNothing(t *testing.T) {
+func TestErrorRegistryDoesNothing(t *testing.T) {
 	f := newField(t, Options{})
 	f.r.Error(503)
 	f.does(503, "POST", "/apps/LOG-CACHE", body("a", ""))
@@ -28,7 +28,7 @@
 	f.shows("/apps", "", "")
 }
 
-func TestASlowRegistryAnswersLate(t *testing.T) {
+func TestSlowRegistryDelaysAnswers(t *testing.T) {
 	f := newField(t, Options{})
 	f.r.Slow(3 * Second)
 	if got := f.does(200, "GET", "/apps", ""); got.took < 3*Second || got.took > 4*Second {
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestTruncatedAnswersEndInTheMiddle(t *testing.T) {
+func TestTruncatedAnswers(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a")
 	f.r.Truncate(true)
@@ -55,7 +55,7 @@
 	f.shows("/apps", "a UP", "UP_1_")
 }
 
-func TestMalformedAnswersAreNoJSON(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a")
 	f.r.Malform(true)
@@ -68,7 +68,7 @@
 	f.shows("/apps", "a UP", "UP_1_")
 }
 
-func TestAWrongHashIsNotThatOfTheList(t *testing.T) {
+func TestWrongHash(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a")
 	f.shows("/apps", "a UP", "UP_1_")
@@ -79,7 +79,7 @@
 	f.shows("/apps", "a UP", "UP_1_")
 }
 
-func TestAStaleRegistryShowsAMomentForEver(t *testing.T) {
+func TestStaleRegistryShowsOldState(t *testing.T) {
 	for _, cache := range []Time{0, Second} {
 		f := newField(t, Options{CacheTime: cache})
 		f.register("a")
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestARegistryThatLostAllKnowsNobody(t *testing.T) {
+func TestEmptiedRegistry(t *testing.T) {
 	for _, cache := range []Time{0, Second} {
 		f := newField(t, Options{CacheTime: cache})
 		f.register("a", "b")
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestAReplicaThatDisagreesShowsNothingOfSomeInstances(t *testing.T) {
+func TestDisagreeingReplicaHidesInstances(t *testing.T) {
 	for _, cache := range []Time{0, Second} {
 		f := newField(t, Options{CacheTime: cache})
 		f.register("a", "b")
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestLostChangesStandInNoDelta(t *testing.T) {
+func TestDeltaLost(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a")
 	f.r.DeltaLost(2)
@@ -139,7 +139,7 @@
 	f.shows("/apps", "a UP, b UP, c UP, d UP", "UP_4_")
 }
 
-func TestRepeatedDeltasHoldEachEntryTwice(t *testing.T) {
+func TestDeltaRepeat(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a", "b")
 	f.r.DeltaRepeat(true)
@@ -148,7 +148,7 @@
 	f.shows("/apps/delta", "a UP ADDED, b UP ADDED", "UP_2_")
 }
 
-func TestOldDeltasStayWhileTheWholeGoesOn(t *testing.T) {
+func TestDeltaOld(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a")
 	f.r.DeltaOld(true)
@@ -159,7 +159,7 @@
 	f.shows("/apps/delta", "a UP ADDED, b UP ADDED", "UP_2_")
 }
 
-func TestAHugeAnswerIsAsLongAsAsked(t *testing.T) {
+func TestHugeAnswerSize(t *testing.T) {
 	f := newField(t, Options{})
 	f.r.Huge(1_000_000)
 	got := f.does(200, "GET", "/apps", "")
@@ -178,7 +178,7 @@
 	f.shows("/apps", "", "")
 }
 
-func TestAnEndlessAnswerNeverEnds(t *testing.T) {
+func TestEndlessAnswer(t *testing.T) {
 	f := newField(t, Options{})
 	f.r.Endless(true)
 	if got := f.call("GET", "/apps", ""); !errors.Is(got.err, httpclient.ErrTooLong) {
--- a/internal/testbench/standin/registry/instance.go
+++ b/internal/testbench/standin/registry/instance.go
@@ -4,42 +4,39 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
-	"strconv"
 	"strings"
 )
 
-// The statuses that an instance can have.
+// Statuses of an instance.
 const (
 	Up           = "UP"
 	Down         = "DOWN"
 	Starting     = "STARTING"
 	OutOfService = "OUT_OF_SERVICE"
-	Unknown      = "UNKNOWN" // as an override: none
+	Unknown      = "UNKNOWN" // as an override, it means none
 )
 
-// What a change did to an instance, as deltas have it.
+// Actions of a change, as deltas name them.
 const (
 	Added    = "ADDED"
 	Modified = "MODIFIED"
-	Deleted  = "DELETED" // also the status that a mark gives for an instance that has gone
+	Deleted  = "DELETED" // also the status of a mark for a removed instance
 )
 
-// Instance is one that was registered.
+// Instance is a registered instance.
 type Instance struct {
 	ID             string
 	App            string // in upper case
 	HostName       string
 	IPAddr         string
-	Status         string // as it shows, overrides taken in
+	Status         string // the visible one, with overrides applied
 	Overridden     string // Unknown for no override
 	Port           int
 	PortOn         bool
 	SecurePort     int
 	SecurePortOn   bool
-	VIPAddress     string
-	SecureVIP      string
+	VIPAddress     string // virtual addresses, separated by commas
+	SecureVIP      string // virtual addresses, separated by commas
 	HomePageURL    string
 	StatusPageURL  string
 	HealthCheckURL string
@@ -49,161 +46,22 @@
 	DataClass      string // its "@class"
 	DataMetadata   map[string]string
 	Metadata       map[string]string
-	RenewEvery     int    // s
-	LeaseTime      int    // s without a renewal, after which it is expired
-	LastDirty      int64  // ms; when the instance itself changed last
-	LastUpdated    int64  // ms; when the registry changed it last
-	Action         string // of the last change
+	RenewEvery     int    // seconds between renewals
+	LeaseTime      int    // seconds without a renewal after which the lease expires
+	LastDirty      int64  // Unix ms; when the instance itself changed last
+	LastUpdated    int64  // Unix ms; when the registry changed it last
+	Action         string // of the last change: Added, Modified or Deleted
 }
 
-// Lease is what the registry knows of an instance's renewals. Times are Unix ms.
+// Lease is the lease of an instance, as callers see it. Times are Unix ms; 0 is never.
 type Lease struct {
-	Registered, LastRenewal, Evicted, ServiceUp int64
+	Registered  int64
+	LastRenewal int64
+	Evicted     int64 // when it was removed
+	ServiceUp   int64 // when the instance first was Up
 }
 
-// wireInstance is an instance in JSON.
-type wireInstance struct {
-	InstanceID     string       `json:"instanceId"`
-	HostName       string       `json:"hostName"`
-	App            string       `json:"app"`
-	AppGroup       string       `json:"appGroupName,omitempty"`
-	IPAddr         string       `json:"ipAddr"`
-	Status         string       `json:"status"`
-	Overridden     string       `json:"overriddenStatus,omitempty"`
-	OldOverridden  string       `json:"overriddenstatus,omitempty"`
-	Port           *wirePort    `json:"port,omitempty"`
-	SecurePort     *wirePort    `json:"securePort,omitempty"`
-	CountryID      number       `json:"countryId"`
-	DataCenter     *wireCenter  `json:"dataCenterInfo,omitempty"`
-	Lease          *wireLease   `json:"leaseInfo,omitempty"`
-	Metadata       stringMap    `json:"metadata"`
-	HomePageURL    string       `json:"homePageUrl,omitempty"`
-	StatusPageURL  string       `json:"statusPageUrl,omitempty"`
-	HealthCheckURL string       `json:"healthCheckUrl,omitempty"`
-	VIPAddress     string       `json:"vipAddress,omitempty"`
-	SecureVIP      string       `json:"secureVipAddress,omitempty"`
-	Coordinating   quotedBool   `json:"isCoordinatingDiscoveryServer"`
-	LastUpdated    quotedNumber `json:"lastUpdatedTimestamp"`
-	LastDirty      quotedNumber `json:"lastDirtyTimestamp"`
-	Action         string       `json:"actionType,omitempty"`
-}
-
-type wirePort struct {
-	Number number     `json:"$"`
-	On     quotedBool `json:"@enabled"`
-}
-
-type wireCenter struct {
-	Class    string    `json:"@class"`
-	Name     string    `json:"name"`
-	Metadata stringMap `json:"metadata,omitempty"`
-}
-
-type wireLease struct {
-	RenewEvery  number `json:"renewalIntervalInSecs"`
-	LeaseTime   number `json:"durationInSecs"`
-	Registered  number `json:"registrationTimestamp"`
-	LastRenewal number `json:"lastRenewalTimestamp"`
-	Evicted     number `json:"evictionTimestamp"`
-	ServiceUp   number `json:"serviceUpTimestamp"`
-}
-
-// number is a whole number, which clients also send as a string.
-type number int64
-
-// UnmarshalJSON reads a number or a string of digits.
-func (n *number) UnmarshalJSON(b []byte) error {
-	text := string(b)
-	if text == "null" {
-		return nil
-	}
-	if len(b) > 0 && b[0] == '"' {
-		if err := json.Unmarshal(b, &text); err != nil {
-			return err
-		}
-	}
-	v, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
-	if err != nil {
-		return fmt.Errorf("%.40q is no whole number", text)
-	}
-	*n = number(v)
-	return nil
-}
-
-// quotedNumber is a number that is written as a string.
-type quotedNumber int64
-
-// UnmarshalJSON reads what a number is read from.
-func (n *quotedNumber) UnmarshalJSON(b []byte) error { return (*number)(n).UnmarshalJSON(b) }
-
-// MarshalJSON writes the number as a string.
-func (n quotedNumber) MarshalJSON() ([]byte, error) {
-	return strconv.AppendQuote(nil, strconv.FormatInt(int64(n), 10)), nil
-}
-
-// quotedBool is a boolean, which is written as a string and read as either.
-type quotedBool bool
-
-// UnmarshalJSON reads a boolean or a string that names one.
-func (t *quotedBool) UnmarshalJSON(b []byte) error {
-	switch strings.ToLower(strings.Trim(string(b), `"`)) {
-	case "true":
-		*t = true
-	case "false", "null", "":
-		*t = false
-	default:
-		return fmt.Errorf("%.40q is neither true nor false", b)
-	}
-	return nil
-}
-
-// MarshalJSON writes the boolean as a string.
-func (t quotedBool) MarshalJSON() ([]byte, error) {
-	return strconv.AppendQuote(nil, strconv.FormatBool(bool(t))), nil
-}
-
-// stringMap are names with values. Numbers and booleans become their text; what is nested is refused.
-type stringMap map[string]string
-
-const (
-	classKey       = "@class"
-	emptyStringMap = `{"@class":"java.util.Collections$EmptyMap"}`
-)
-
-// UnmarshalJSON reads an object of plain values, and rejects nested ones.
-func (w *stringMap) UnmarshalJSON(b []byte) error {
-	var raw map[string]json.RawMessage
-	if err := json.Unmarshal(b, &raw); err != nil {
-		return err
-	}
-	*w = stringMap{}
-	for _, name := range slices.Sorted(maps.Keys(raw)) { // an error names the first
-		value := raw[name]
-		text := string(value)
-		switch {
-		case name == classKey || text == "null":
-			continue
-		case value[0] == '{' || value[0] == '[':
-			return fmt.Errorf("%.40q holds more than one value", name)
-		case value[0] == '"':
-			if err := json.Unmarshal(value, &text); err != nil {
-				return err
-			}
-		}
-		(*w)[name] = text
-	}
-	return nil
-}
-
-// MarshalJSON writes an empty map as the Java server does.
-func (w stringMap) MarshalJSON() ([]byte, error) {
-	if len(w) == 0 {
-		return []byte(emptyStringMap), nil
-	}
-	return json.Marshal(map[string]string(w))
-}
-
-// Defaults of what a registration leaves out, as the Java client has them.
+// Defaults of a registration, as the Java client has them. Times are seconds.
 const (
 	defaultRenewEvery      = 30
 	defaultLeaseTime       = 90
@@ -212,7 +70,10 @@
 	defaultDataCenterClass = "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo"
 )
 
-// readInstance reads the body of a registration.
+// errMissingInstance means that the body of a registration has no instance.
+var errMissingInstance = errors.New("instance: missing")
+
+// readInstance reads the body of a registration: an instance, or a list of one.
 func readInstance(body []byte) (Instance, error) {
 	var root struct {
 		Instance json.RawMessage `json:"instance"`
@@ -232,7 +93,7 @@
 		raw = list[0]
 	}
 	if len(raw) == 0 || raw[0] != '{' {
-		return Instance{}, errors.New("instance: missing")
+		return Instance{}, errMissingInstance
 	}
 	var w wireInstance
 	if err := json.Unmarshal(raw, &w); err != nil {
@@ -241,7 +102,7 @@
 	return w.instance()
 }
 
-// instance is what a registration says, with what it leaves out filled in.
+// instance returns the instance of a registration, with defaults for what it leaves out.
 func (w *wireInstance) instance() (Instance, error) {
 	in := Instance{
 		ID: w.InstanceID, App: strings.ToUpper(w.App), HostName: w.HostName, IPAddr: w.IPAddr,
@@ -270,6 +131,7 @@
 	return in, in.check()
 }
 
+// fill sets the defaults.
 func (in *Instance) fill() {
 	if in.Status == "" {
 		in.Status = Up
@@ -281,7 +143,7 @@
 		in.DataClass = defaultDataCenterClass
 	}
 	if in.ID == "" {
-		in.ID = in.HostName // as old clients have it
+		in.ID = in.HostName // old clients send no id
 	}
 	if in.RenewEvery <= 0 {
 		in.RenewEvery = defaultRenewEvery
@@ -291,9 +153,10 @@
 	}
 }
 
-// maxLeaseSeconds bounds a lease's time, in s.
+// maxLeaseSeconds bounds the times of a lease: 30 days.
 const maxLeaseSeconds = 30 * 24 * 3600
 
+// check returns an error for a field that is missing or out of range.
 func (in *Instance) check() error {
 	for _, f := range []struct{ name, value string }{
 		{"instanceId", in.ID}, {"hostName", in.HostName}, {"ipAddr", in.IPAddr}, {"app", in.App},
@@ -306,14 +169,14 @@
 	for _, f := range []struct {
 		name  string
 		value int
-		most  int
+		limit int
 	}{
 		{"port", in.Port, 65535}, {"securePort", in.SecurePort, 65535},
 		{"leaseInfo.renewalIntervalInSecs", in.RenewEvery, maxLeaseSeconds},
 		{"leaseInfo.durationInSecs", in.LeaseTime, maxLeaseSeconds},
 	} {
-		if f.value < 0 || f.value > f.most {
-			return fmt.Errorf("instance.%s: %d is out of range (wanted 0 to %d)", f.name, f.value, f.most)
+		if f.value < 0 || f.value > f.limit {
+			return fmt.Errorf("instance.%s: %d is out of range (wanted 0 to %d)", f.name, f.value, f.limit)
 		}
 	}
 	for _, f := range []struct{ name, value string }{{"status", in.Status}, {"overriddenStatus", in.Overridden}} {
@@ -324,6 +187,7 @@
 	return nil
 }
 
+// isStatus reports whether s is a status of an instance.
 func isStatus(s string) bool {
 	switch s {
 	case Up, Down, Starting, OutOfService, Unknown:
@@ -332,7 +196,7 @@
 	return false
 }
 
-// wire is an instance as answers have it.
+// wire returns an instance as answers have it. oldNames uses the field name of old servers for overrides.
 func (in *Instance) wire(l Lease, oldNames bool) wireInstance {
 	w := wireInstance{
 		InstanceID: in.ID, HostName: in.HostName, App: in.App, AppGroup: in.AppGroup, IPAddr: in.IPAddr,
--- a/internal/testbench/standin/registry/registry_test.go
+++ b/internal/testbench/standin/registry/registry_test.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-func TestHashCodeCountsStatusesInOrderOfTheirNames(t *testing.T) {
+func TestHashCode(t *testing.T) {
 	for _, c := range []struct{ statuses, want string }{
 		{"", ""},
 		{"UP", "UP_1_"},
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestALeaseThatWasRenewedLastsTwiceAsLongAsItSays(t *testing.T) {
+func TestRenewedLeaseLastsTwiceItsDuration(t *testing.T) {
 	f := newField(t, Options{NoPreservation: true, EvictEvery: Second})
 	f.register("never", "once")
 	f.after(Second)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestOnlySomeInstancesAreEvictedAtATime(t *testing.T) {
+func TestEvictionInParts(t *testing.T) {
 	f := newField(t, Options{NoPreservation: true, EvictEvery: 100 * Second})
 	for i := range 20 {
 		f.register(fmt.Sprintf("i%02d", i))
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestNothingIsEvictedWhileTooFewRenewalsCome(t *testing.T) {
+func TestSelfPreservation(t *testing.T) {
 	f := newField(t, Options{})
 	var ids []string
 	for i := range 10 {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAnOverrideGoesBeforeWhatTheInstanceSays(t *testing.T) {
+func TestOverrideGoesBeforeOwnStatus(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a", "b")
 	f.does(200, "PUT", "/apps/LOG-CACHE/a/status?value=OUT_OF_SERVICE", "")
@@ -105,7 +105,7 @@
 	f.does(404, "DELETE", "/apps/LOG-CACHE/c/status", "")
 }
 
-func TestAnInstanceThatSaysItselfThatItIsNotUpIsBelieved(t *testing.T) {
+func TestOwnStatusDownGoesBeforeOverride(t *testing.T) {
 	f := newField(t, Options{})
 	f.does(204, "POST", "/apps/LOG-CACHE", body("a", `"lastDirtyTimestamp":"5",`))
 	f.does(204, "POST", "/apps/LOG-CACHE", body("a", `"lastDirtyTimestamp":"6","status":"DOWN",`))
@@ -117,7 +117,7 @@
 	f.does(200, "PUT", "/apps/LOG-CACHE/a?lastDirtyTimestamp=5", "")
 }
 
-func TestDeltasHoldWhatChangedOfLateAndTheHashOfTheWhole(t *testing.T) {
+func TestDeltaHoldsRecentChangesAndHashOfList(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("old")
 	f.after(215 * Second) // the lease goes on: too few renewals come
@@ -132,7 +132,7 @@
 	f.shows("/apps/delta", "", "OUT_OF_SERVICE_1_UP_2_")
 }
 
-func TestAnswersAreBehindWhereThereIsACache(t *testing.T) {
+func TestResponseCacheLags(t *testing.T) {
 	f := newField(t, Options{CacheTime: 30 * Second})
 	f.after(Second)
 	f.register("a")
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestReplicasAgreeAfterAWhile(t *testing.T) {
+func TestReplicasConverge(t *testing.T) {
 	world := sim.New(1)
 	a := newReplica(t, world, 1, Options{ReplicaDelay: 5 * Second})
 	b := newReplica(t, world, 2, Options{ReplicaDelay: 5 * Second})
@@ -178,7 +178,7 @@
 	b.shows("/apps", "x UP", "UP_1_")
 }
 
-func TestAReplicaThatIsClosedIsLeftOut(t *testing.T) {
+func TestClosedReplicaIsLeftOut(t *testing.T) {
 	world := sim.New(1)
 	a, b := newReplica(t, world, 1, Options{ReplicaDelay: Second}), newReplica(t, world, 2, Options{})
 	Join(a.r, b.r)
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestTheDeltaQueueIsBounded(t *testing.T) {
+func TestDeltaQueueIsBounded(t *testing.T) {
 	f := newField(t, Options{MaxInstances: 2})
 	f.register("a", "b")
 	for i := range 100 {
@@ -206,7 +206,7 @@
 	f.shows("/apps/delta", "a UP MODIFIED", "UP_2_")
 }
 
-func TestTestsChangeTheStateWithoutCalls(t *testing.T) {
+func TestStateChangedWithoutCalls(t *testing.T) {
 	f := newField(t, Options{})
 	in := Instance{ID: "a", App: "log-cache", HostName: "h", IPAddr: "10.9.0.1", Port: 1, PortOn: true}
 	if err := f.r.Register(in); err != nil {
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestAClosedRegistryHoldsNothing(t *testing.T) {
+func TestClosedRegistryHoldsNothing(t *testing.T) {
 	f := newField(t, Options{CacheTime: Second})
 	f.register("a")
 	f.r.Close()
--- a/internal/testbench/standin/registry/rest.go
+++ b/internal/testbench/standin/registry/rest.go
@@ -17,18 +17,19 @@
 	"starlingwinch/internal/testbench/httpserver"
 )
 
+// jsonHeader is the header of answers with a body.
 var jsonHeader = []httpserver.Header{{Name: "Content-Type", Value: "application/json"}}
 
-// call is a call with its path taken apart.
+// call is a request with its path split.
 type call struct {
 	exchange   *httpserver.Exchange
 	method     string
-	path       []string // below the base
+	path       []string // segments below the base
 	query      url.Values
-	replicated bool // it comes from another server, which tells the others itself
+	replicated bool // another replica has sent it, which replicates it itself
 }
 
-// serve answers a call.
+// serve is the handler of the HTTP server. It answers a request, with the faults that are on.
 func (r *Registry) serve(x *httpserver.Exchange) {
 	if r.faults.silent {
 		return
@@ -40,6 +41,7 @@
 	r.answer(x, r.reply(x))
 }
 
+// reply returns the answer to a request.
 func (r *Registry) reply(x *httpserver.Exchange) httpserver.Answer {
 	if !r.allowed(x.Request) {
 		a := httpserver.Text(http.StatusUnauthorized, "user and password are wanted")
@@ -68,7 +70,7 @@
 	return r.route(c)
 }
 
-// allowed checks the user and the password.
+// allowed reports whether a request has the user and the password that are wanted, if any.
 func (r *Registry) allowed(q *http.Request) bool {
 	if r.options.User == "" && r.options.Password == "" {
 		return true
@@ -77,7 +79,7 @@
 	return subtle.ConstantTimeCompare([]byte(q.Header.Get("Authorization")), []byte(want)) == 1
 }
 
-// route finds what a call is for.
+// route calls the handler of a path and method.
 func (r *Registry) route(c call) httpserver.Answer {
 	reads := c.method == http.MethodGet || c.method == http.MethodHead
 	n := len(c.path)
@@ -122,15 +124,17 @@
 	return notFound("no such resource")
 }
 
+// notFound returns an answer with status 404.
 func notFound(text string) httpserver.Answer { return httpserver.Text(http.StatusNotFound, text) }
 
+// notAllowed returns an answer with status 405 that names the allowed methods.
 func notAllowed(methods string) httpserver.Answer {
 	a := httpserver.Text(http.StatusMethodNotAllowed, "only "+methods+" here")
 	a.Header = append(a.Header, httpserver.Header{Name: "Allow", Value: methods})
 	return a
 }
 
-// failed is the answer for a call that did nothing.
+// failed returns the answer for an error.
 func failed(err error) httpserver.Answer {
 	switch {
 	case errors.Is(err, ErrUnknownInstance):
@@ -141,7 +145,7 @@
 	return httpserver.Text(http.StatusBadRequest, err.Error())
 }
 
-// post registers.
+// post registers an instance.
 func (r *Registry) post(c call) httpserver.Answer {
 	h := c.exchange.Request.Header
 	kind, _, err := mime.ParseMediaType(h.Get("Content-Type"))
@@ -167,7 +171,7 @@
 	return httpserver.Answer{Status: http.StatusNoContent}
 }
 
-// dirty is the time at which the caller has the instance changed last; 0 where it does not say.
+// dirty returns when the instance changed last as the caller says, 0 where it does not say, and whether that is valid.
 func (c *call) dirty() (int64, bool) {
 	text := c.query.Get("lastDirtyTimestamp")
 	if text == "" {
@@ -177,7 +181,7 @@
 	return v, err == nil && v >= 0
 }
 
-// putLease renews.
+// putLease renews a lease.
 func (r *Registry) putLease(c call) httpserver.Answer {
 	app, id := strings.ToUpper(c.path[1]), c.path[2]
 	dirty, ok := c.dirty()
@@ -187,13 +191,14 @@
 	if !r.renew(app, id, c.replicated) {
 		return notFound(ErrUnknownInstance.Error())
 	}
-	if l := r.lease(app, id); dirty > l.LastDirty {
+	l := r.lease(app, id)
+	if dirty > l.LastDirty {
 		return notFound("the instance has changed since it registered")
 	}
 	return httpserver.Answer{Status: http.StatusOK}
 }
 
-// status sets an override, or takes it away.
+// status sets or removes an override.
 func (r *Registry) status(c call) httpserver.Answer {
 	app, id := strings.ToUpper(c.path[1]), c.path[2]
 	value := strings.ToUpper(c.query.Get("value"))
@@ -219,7 +224,7 @@
 	return httpserver.Answer{Status: http.StatusOK}
 }
 
-// putMetadata adds to an instance's metadata.
+// putMetadata adds the values of the query to an instance's metadata.
 func (r *Registry) putMetadata(c call) httpserver.Answer {
 	l := r.lease(strings.ToUpper(c.path[1]), c.path[2])
 	if l == nil {
@@ -239,7 +244,7 @@
 	return httpserver.Answer{Status: http.StatusOK}
 }
 
-// getApplications answers with all applications, or with what changed of late.
+// getApplications answers with all applications, or with the recent changes.
 func (r *Registry) getApplications(c call, delta bool) httpserver.Answer {
 	v, key := r.visibleView(), "apps"
 	if delta {
@@ -254,6 +259,7 @@
 	return r.document(c, v, key)
 }
 
+// list returns the body of the whole list or of a delta.
 func (r *Registry) list(v *view, delta bool) []byte {
 	hash, version, items := hashOf(v.all), int64(1), v.all
 	if r.faults.wrongHash {
@@ -269,6 +275,7 @@
 	return r.applications(items, version, hash)
 }
 
+// getApp answers with one application.
 func (r *Registry) getApp(c call) httpserver.Answer {
 	name := strings.ToUpper(c.path[1])
 	var items []item
@@ -283,6 +290,7 @@
 	return r.uncachedDocument(c, encode(map[string]any{"application": r.app(name, items)}))
 }
 
+// getOne answers with the instance that matches.
 func (r *Registry) getOne(c call, match func(*Instance) bool) httpserver.Answer {
 	i, ok := r.visibleInstance(match)
 	if !ok {
@@ -291,7 +299,7 @@
 	return r.uncachedDocument(c, encode(map[string]any{"instance": i.Instance.wire(i.Lease, r.options.OldNames)}))
 }
 
-// getByAddress answers with an instance, or with those of an address.
+// getByAddress answers with the instance of an id, or with those of a virtual address.
 func (r *Registry) getByAddress(c call) httpserver.Answer {
 	name := c.path[1]
 	if c.path[0] == "instances" {
@@ -313,13 +321,13 @@
 	return r.uncachedDocument(c, r.applications(items, 1, hashOf(items)))
 }
 
-// uncachedDocument answers with a document that is made for this call.
+// uncachedDocument answers with a body that is made for this call.
 func (r *Registry) uncachedDocument(c call, plain []byte) httpserver.Answer {
 	const key = "fresh"
 	return r.document(c, &view{bodies: map[string]rendered{key: {plain: plain}}}, key)
 }
 
-// document answers with a document in JSON, compressed where the caller accepts that.
+// document answers with a body of a view, compressed where the client accepts that.
 func (r *Registry) document(c call, v *view, key string) httpserver.Answer {
 	h := c.exchange.Request.Header
 	if !accepts(h.Values("Accept"), "application/json", true) {
@@ -343,27 +351,28 @@
 	return a
 }
 
-// malformed is a document that no JSON reader takes.
+// malformed returns a document that is not JSON.
 func malformed(b []byte) []byte { return append(bytes.Clone(b[:len(b)*2/3]), `,"}`...) }
 
+// pack returns a document compressed by gzip.
 func pack(plain []byte) []byte {
 	var b bytes.Buffer
-	z, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // the level is a good one
-	z.Write(plain)                                  // to memory, which does not fail
+	z, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // the level is valid
+	z.Write(plain)                                  // writing to memory does not fail
 	z.Close()
 	return b.Bytes()
 }
 
-// accepts reports whether a header that lists what a client takes (RFC 9110, 12.4.2) holds what, or a pattern of
-// it. none is the verdict on an empty one.
-func accepts(lines []string, what string, none bool) bool {
+// accepts reports whether a header of preferences (RFC 9110, 12.4.2) accepts a value. none is the result without such a
+// header.
+func accepts(lines []string, value string, none bool) bool {
 	if len(lines) == 0 {
 		return none
 	}
-	kind, _, _ := strings.Cut(what, "/")
+	kind, _, _ := strings.Cut(value, "/")
 	for _, part := range strings.Split(strings.Join(lines, ","), ",") {
 		name, weight, _ := strings.Cut(part, ";")
-		if !slices.Contains([]string{what, kind + "/*", "*/*", "*"}, strings.ToLower(strings.TrimSpace(name))) {
+		if !slices.Contains([]string{value, kind + "/*", "*/*", "*"}, strings.ToLower(strings.TrimSpace(name))) {
 			continue
 		}
 		_, q, has := strings.Cut(strings.ReplaceAll(weight, " ", ""), "q=")
--- a/internal/testbench/standin/registry/rest_test.go
+++ b/internal/testbench/standin/registry/rest_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestAnInstanceRegistersRenewsAndCancels(t *testing.T) {
+func TestRegisterRenewCancel(t *testing.T) {
 	f := newField(t, Options{})
 	f.does(404, "PUT", "/apps/LOG-CACHE/a", "")
 	f.register("a", "b")
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestOneInstanceAppOrAddressIsFound(t *testing.T) {
+func TestGetInstanceAppAndAddress(t *testing.T) {
 	f := newField(t, Options{})
 	f.register("a")
 	f.does(204, "POST", "/apps/OTHER", strings.Replace(strings.Replace(body("b", `"secureVipAddress":"s1,s2",`),
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAnInstanceIsWrittenAsRealServersDo(t *testing.T) {
+func TestInstanceWireFormat(t *testing.T) {
 	f := newField(t, Options{})
 	f.does(204, "POST", "/apps/LOG-CACHE", body("a", `"lastDirtyTimestamp":"1700000000123","metadata":{"zone":"x","n":5},
 		"leaseInfo":{"renewalIntervalInSecs":7,"durationInSecs":"21"},`))
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestOldServersWriteAListOfOneAsTheOne(t *testing.T) {
+func TestUnwrapSingle(t *testing.T) {
 	f := newField(t, Options{UnwrapSingle: true, OldNames: true})
 	f.register("a")
 	got := f.does(200, "GET", "/apps", "").body
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestRegistrationsAreReadAsClientsWriteThem(t *testing.T) {
+func TestRegistrationForms(t *testing.T) {
 	for _, c := range []struct {
 		name, body string
 		check      func(Instance) bool
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestBadRegistrationsAreRefusedWithTheFieldsName(t *testing.T) {
+func TestInvalidRegistrationNamesField(t *testing.T) {
 	f := newField(t, Options{})
 	for _, c := range []struct {
 		status     int
@@ -158,14 +158,14 @@
 	}
 }
 
-func TestAFullRegistryTakesKnownInstancesOnly(t *testing.T) {
+func TestFullRegistryTakesKnownInstancesOnly(t *testing.T) {
 	f := newField(t, Options{MaxInstances: 2})
 	f.register("a", "b")
 	f.does(503, "POST", "/apps/LOG-CACHE", body("c", ""))
 	f.register("a")
 }
 
-func TestMetadataIsAddedTo(t *testing.T) {
+func TestPutMetadata(t *testing.T) {
 	f := newField(t, Options{})
 	f.does(204, "POST", "/apps/LOG-CACHE", body("a", `"metadata":{"zone":"x"},`))
 	f.does(200, "PUT", "/apps/LOG-CACHE/a/metadata?k=v&zone=y", "")
@@ -176,7 +176,7 @@
 	}
 }
 
-func TestOnlyThoseWithTheWordGetIn(t *testing.T) {
+func TestBasicAuthentication(t *testing.T) {
 	f := newField(t, Options{User: "u", Password: "p"})
 	if got := f.does(401, "GET", "/apps", ""); got.header["Www-Authenticate"] == nil {
 		t.Error("it is not said what is wanted")
@@ -185,7 +185,7 @@
 	f.does(200, "GET", "/apps", "", "Authorization", "Basic dTpw")
 }
 
-func TestAnswersAreJSONAndCompressedForThoseWhoTakeThat(t *testing.T) {
+func TestAnswersNegotiateJSONAndGzip(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		f := newField(t, Options{NoGzip: off})
 		f.register("a")
--- a/internal/testbench/standin/registry/view.go
+++ b/internal/testbench/standin/registry/view.go
@@ -8,25 +8,28 @@
 	"strings"
 )
 
-// item is an instance as it was at a moment.
+// item is an instance with its lease as it was at an instant.
 type item struct {
 	*Instance
 	Lease
 }
 
-// view is what callers are shown, at a moment. It does not change.
+// view is what callers are shown of the state at an instant. Only its rendered bodies are added later.
 type view struct {
-	version int64
-	all     []item // by app and id
-	delta   []item // what changed of late, each instance once, in the order of their last changes
-	bodies  map[string]rendered
-	byID    map[string]*Instance // nil until it is asked for
+	version int64                // of the state
+	all     []item               // by app and id
+	delta   []item               // recent changes, one for each instance, in order of their last changes
+	bodies  map[string]rendered  // by kind of answer
+	byID    map[string]*Instance // nil before the first call of Shows
 }
 
-// rendered is an answer's body; packed is nil until it is asked for.
-type rendered struct{ plain, packed []byte }
+// rendered is the body of an answer.
+type rendered struct {
+	plain  []byte
+	packed []byte // compressed; nil before the first client that accepts it
+}
 
-// currentView is the state as it is now, without what this replica is to drop.
+// currentView returns the present state, without the instances that a fault hides.
 func (r *Registry) currentView() *view {
 	r.sweep()
 	if r.latest != nil && r.latest.version == r.version {
@@ -51,7 +54,7 @@
 	return v
 }
 
-// visibleView is what callers see of lists.
+// visibleView returns the view that lists are read from.
 func (r *Registry) visibleView() *view {
 	switch {
 	case r.faults.stale != nil:
@@ -62,7 +65,7 @@
 	return r.currentView()
 }
 
-// Shows is an instance as a whole list has it now; false where it does not stand there.
+// Shows returns an instance as the whole list has it now, and whether it is in the list.
 func (r *Registry) Shows(id string) (Instance, bool) {
 	v := r.visibleView()
 	if v.byID == nil {
@@ -78,7 +81,7 @@
 	return *in, true
 }
 
-// visibleInstance is what callers see of a single instance; the response cache does not hold those.
+// visibleInstance returns the first instance that matches, as callers see single instances: past the response cache.
 func (r *Registry) visibleInstance(match func(*Instance) bool) (item, bool) {
 	v := r.faults.stale
 	if v == nil {
@@ -91,8 +94,7 @@
 	return v.all[at], true
 }
 
-// HashCode is the hash that goes with a list: how many instances have each status, in order of the
-// statuses' names.
+// HashCode returns the hash of a list: the number of instances with each status, in the order of the statuses' names.
 func HashCode(all []Instance) string {
 	count := map[string]int{}
 	for _, in := range all {
@@ -110,6 +112,7 @@
 	return b.String()
 }
 
+// hashOf returns the hash of items.
 func hashOf(items []item) string {
 	all := make([]Instance, 0, len(items))
 	for _, i := range items {
@@ -124,13 +127,14 @@
 	Instance any    `json:"instance"`
 }
 
+// wireApps is a list of applications in JSON.
 type wireApps struct {
 	Version string `json:"versions__delta"`
 	Hash    string `json:"apps__hashcode"`
 	App     any    `json:"application"`
 }
 
-// listOf is a list as answers have it.
+// listOf returns a list as answers have it; see Options.UnwrapSingle.
 func listOf[T any](r *Registry, list []T) any {
 	if r.options.UnwrapSingle && len(list) == 1 {
 		return list[0]
@@ -138,6 +142,7 @@
 	return list
 }
 
+// app returns an application with its instances.
 func (r *Registry) app(name string, items []item) wireApp {
 	list := make([]wireInstance, 0, len(items))
 	for _, i := range items {
@@ -146,7 +151,7 @@
 	return wireApp{name, listOf(r, list)}
 }
 
-// applications is the JSON of a list of instances, by their applications.
+// applications returns the JSON of a list of instances, grouped by application.
 func (r *Registry) applications(items []item, version int64, hash string) []byte {
 	items = slices.Clone(items)
 	slices.SortStableFunc(items, func(a, b item) int { return cmp.Compare(a.App, b.App) })
@@ -163,6 +168,7 @@
 	return encode(map[string]any{"applications": wireApps{strconv.FormatInt(version, 10), hash, listOf(r, apps)}})
 }
 
+// encode returns the JSON of a value that can always be encoded.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil { // of plain structures
--- a/internal/testbench/standin/silence_test.go
+++ b/internal/testbench/standin/silence_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWhatCameDuringASilenceMayHaveComeAtItsBeginning(t *testing.T) {
+func TestEarliestArrivalAfterSilence(t *testing.T) {
 	f := faults{}
 	if got := f.earliestArrival(5 * Second); got != 5*Second {
 		t.Errorf("without a silence: %d", got)
--- a/internal/testbench/standin/tally.go
+++ b/internal/testbench/standin/tally.go
@@ -44,9 +44,11 @@
 
 // Quantile returns a bound that a fraction q of the times does not exceed; 0 where there are none.
 func (h *Histogram) Quantile(q float64) Time {
-	need, have := int(math.Ceil(q*float64(h.N))), 0
+	need := int(math.Ceil(q * float64(h.N)))
+	have := 0
 	for i, n := range h.Counts {
-		if have += n; have >= need && have > 0 {
+		have += n
+		if have >= need && have > 0 {
 			return Time(firstBound * math.Pow(bucketStep, float64(i)))
 		}
 	}
