--- a/internal/testbench/standin/cache.go
+++ b/internal/testbench/standin/cache.go
@@ -34,10 +34,10 @@
 	Capacity Capacity // of its processor
 	Cancel   Cancel   // what becomes of the work for clients that have gone
 
-	MemoryKeys    int  // keys that its memory holds
-	Coalesce      bool // misses of one key wait for one fetch
-	MissKeepsSlot bool // a request that waits for a fetch occupies its slot
-	FetchTimeout  Time // a fetch fails after so long; 0 for never
+	MemoryKeys       int  // keys that its memory holds
+	Coalesce         bool // misses of one key wait for one fetch
+	MissOccupiesSlot bool // a request that waits for a fetch occupies its slot
+	FetchTimeout     Time // a fetch fails after so long; 0 for never
 
 	Connections     int  // open at once; 0 stands for 90
 	RejectsWhenFull bool // a connection beyond that gets -BUSY before it is closed
--- a/internal/testbench/standin/client.go
+++ b/internal/testbench/standin/client.go
@@ -197,7 +197,7 @@
 	tally          *Tally // of its class
 	key            string
 	idempotencyKey string // empty unless the class is IdempotentByKey
-	askedAt        Time   // when it was made
+	createdAt      Time   // when it was made
 	attempts       int    // so far, resent ones not counted
 	resends        int    // times that the router closed the connection before it read the request
 	finished       bool
@@ -205,7 +205,7 @@
 
 // Request makes one request for a key, of the class at a place of ClientOptions.Classes.
 func (c *Client) Request(class int, key string) {
-	r := &request{client: c, class: &c.options.Classes[class], tally: c.tallies[class], key: key, askedAt: c.m.Now()}
+	r := &request{client: c, class: &c.options.Classes[class], tally: c.tallies[class], key: key, createdAt: c.m.Now()}
 	if r.class.Semantics == IdempotentByKey {
 		r.idempotencyKey = fmt.Sprintf("%016x", c.rng.Uint64())
 	}
@@ -222,7 +222,7 @@
 const minAttemptTime = 50 * Millisecond
 
 // deadline returns when the client gives up, over all attempts.
-func (r *request) deadline() Time { return r.askedAt + r.class.ClientTimeout }
+func (r *request) deadline() Time { return r.createdAt + r.class.ClientTimeout }
 
 // defaultGrace is how much longer than its timeout a client listens, as timers on real sockets may be late.
 const defaultGrace = 50 * Millisecond
@@ -292,13 +292,13 @@
 	r.client.openRequests--
 	*outcome++
 	if r.client.options.Ended != nil {
-		r.client.options.Ended(r.class, r.askedAt, outcome == &r.tally.OnTime)
+		r.client.options.Ended(r.class, r.createdAt, outcome == &r.tally.OnTime)
 	}
 }
 
 // served ends a request that has its value, and counts the points for it.
 func (r *request) served() {
-	took := r.client.m.Now() - r.askedAt
+	took := r.client.m.Now() - r.createdAt
 	r.tally.Latency.Add(took)
 	if took <= r.class.LatencyObjective {
 		r.tally.Earned += r.class.PriorityWeight
--- a/internal/testbench/standin/command.go
+++ b/internal/testbench/standin/command.go
@@ -85,7 +85,7 @@
 	}
 	cmd.fetch = f
 	f.waiting = append(f.waiting, cmd)
-	if !c.options.MissKeepsSlot {
+	if !c.options.MissOccupiesSlot {
 		c.processor.release(&cmd.job)
 	}
 }
--- a/internal/testbench/standin/discovery_call.go
+++ b/internal/testbench/standin/discovery_call.go
@@ -66,42 +66,43 @@
 
 // handle checks the call and answers it, now or once its turn or a change has come.
 func (call *listCall) handle() {
-	d, q := call.discovery, call.exchange.Request
-	query, err := url.ParseQuery(q.URL.RawQuery)
+	d := call.discovery
+	request := call.exchange.Request
+	query, err := url.ParseQuery(request.URL.RawQuery)
 	switch {
-	case q.Method != http.MethodGet:
+	case request.Method != http.MethodGet:
 		call.reject(http.StatusMethodNotAllowed)
 		return
 	case err != nil || len(call.exchange.Body) > 0:
 		call.reject(http.StatusBadRequest)
 		return
-	case q.URL.Path != "/discovery/hosts":
+	case request.URL.Path != "/discovery/hosts":
 		call.reject(http.StatusNotFound)
 		return
 	}
 	wait := Time(0)
 	if query.Has("after") {
 		after, ok := parseNumber([]byte(query.Get("after")))
-		ms, ok2 := parseNumber([]byte(query.Get("wait_ms")))
-		if !ok || query.Has("wait_ms") && !ok2 {
+		ms, waitOK := parseNumber([]byte(query.Get("wait_ms")))
+		if !ok || query.Has("wait_ms") && !waitOK {
 			call.reject(http.StatusBadRequest)
 			return
 		}
 		call.after, wait = after, min(ms*Millisecond, maxWatchTime)
 	}
-	who := d.callers[call.router]
-	goesOn := who != nil && who.openCalls == 0 && call.after >= 0 && d.m.Now() <= who.answeredAt+watchPause
+	caller := d.callers[call.router]
+	continuesWatch := caller != nil && caller.openCalls == 0 && call.after >= 0 && d.m.Now() <= caller.answeredAt+watchPause
 	d.openCalls = append(d.openCalls, call)
 	call.exchange.Gone, call.exchange.Ended = call.finish, call.drop
-	if who != nil {
-		who.lastCall = d.m.Now()
-		who.openCalls++
+	if caller != nil {
+		caller.lastCall = d.m.Now()
+		caller.openCalls++
 	}
 	if d.down {
 		call.refuse()
 		return
 	}
-	if !goesOn && !call.admit() {
+	if !continuesWatch && !call.admit() {
 		return
 	}
 	if call.after == d.version && wait > 0 && !d.answersAtOnce {
@@ -118,7 +119,8 @@
 // admit reserves the work of a new call. A call that would wait longer than the timeout is rejected, with all other
 // calls of its router.
 func (call *listCall) admit() bool {
-	d, now := call.discovery, call.discovery.m.Now()
+	d := call.discovery
+	now := d.m.Now()
 	cost := d.options.CallCost + Time(len(d.entries))*d.options.LineCost
 	if cost == 0 || d.options.Pushed {
 		return true
@@ -169,24 +171,27 @@
 	return n
 }
 
-// reply writes the list.
+// silentRetryDelay is how often a call that is due checks whether the service still is silent.
+const silentRetryDelay = 50 * Millisecond
+
+// reply writes the list, once the service is not silent.
 func (call *listCall) reply() {
 	d := call.discovery
 	if d.silent {
-		call.timer = d.m.At(d.m.Now()+slowStartStep, call.reply)
+		call.timer = d.m.At(d.m.Now()+silentRetryDelay, call.reply)
 		return
 	}
 	call.finish()
 	body, whole := d.encodeList(call.router, call.after)
 	if call.send(http.StatusOK, body) {
-		if who := d.callers[call.router]; who != nil {
-			who.answeredAt = d.m.Now()
+		if caller := d.callers[call.router]; caller != nil {
+			caller.answeredAt = d.m.Now()
 		}
 		d.notifyAnswered(call.router, call.after, whole)
 	}
 }
 
-// refuse answers the call 503.
+// refuse answers the call with 503.
 func (call *listCall) refuse() {
 	call.finish()
 	call.send(http.StatusServiceUnavailable, nil)
@@ -207,17 +212,17 @@
 	call.exchange.Drop()
 }
 
-// finish takes the call off the open ones.
+// finish takes the call off the open ones, and starts the poll interval where it was the last of its router.
 func (call *listCall) finish() {
 	d := call.discovery
 	d.openCalls = removeFirst(d.openCalls, call)
 	if call.timer != nil {
 		call.timer.Stop()
 	}
-	if who := d.callers[call.router]; who != nil {
-		who.lastCall = d.m.Now()
-		who.openCalls--
-		if who.openCalls == 0 && d.options.PollInterval > 0 {
+	if caller := d.callers[call.router]; caller != nil {
+		caller.lastCall = d.m.Now()
+		caller.openCalls--
+		if caller.openCalls == 0 && d.options.PollInterval > 0 {
 			d.notifyOverdue(call.router)
 		}
 	}
--- a/internal/testbench/standin/processor.go
+++ b/internal/testbench/standin/processor.go
@@ -96,13 +96,13 @@
 	if p.halted || len(p.jobs) == 0 {
 		return 0
 	}
-	over := float64(p.pending())/p.capacity.Cores - p.capacity.ThrashAt
-	share := p.capacity.Cores * p.capacityFraction() / float64(len(p.jobs))
-	if over > 0 {
-		share /= 1 + p.capacity.Thrash*over
+	excess := float64(p.pending())/p.capacity.Cores - p.capacity.ThrashAt
+	coreFraction := p.capacity.Cores * p.capacityFraction() / float64(len(p.jobs))
+	if excess > 0 {
+		coreFraction /= 1 + p.capacity.Thrash*excess
 	}
-	share *= 1 - p.capacity.FullTableSlowdown*p.tableOccupancy
-	return min(1, share) * p.speed() / (p.slowFactor * p.congestionFactor)
+	coreFraction *= 1 - p.capacity.FullTableSlowdown*p.tableOccupancy
+	return min(1, coreFraction) * p.speed() / (p.slowFactor * p.congestionFactor)
 }
 
 // change applies f, which changes what the rate depends on.
--- a/internal/testbench/standin/processor_test.go
+++ b/internal/testbench/standin/processor_test.go
@@ -290,10 +290,10 @@
 	}
 }
 
-func TestStoreKeepsAbandonedWork(t *testing.T) {
+func TestStoreFinishesAbandonedWork(t *testing.T) {
 	for _, goesOn := range []bool{false, true} {
 		s := newStand(t, cacheOptions())
-		s.store.options.KeepsAbandonedWork = goesOn
+		s.store.options.FinishAbandonedWork = goesOn
 		w := s.dial(t, s.addr)
 		w.send(t, get("k", "i"))
 		s.run(t, Millisecond)
@@ -315,10 +315,10 @@
 	expect(t, "answer", w.take(), "-ERR failed\r\n")
 }
 
-func TestMissKeepsSlot(t *testing.T) {
+func TestMissOccupiesSlot(t *testing.T) {
 	for _, holds := range []bool{false, true} {
 		o := cacheOptions()
-		o.MissKeepsSlot, o.Capacity.ConcurrentRequests = holds, 1
+		o.MissOccupiesSlot, o.Capacity.ConcurrentRequests = holds, 1
 		s := newStand(t, o)
 		s.c.Warm([]string{"warm"})
 		w, v := s.dial(t, s.addr), s.dial(t, s.addr)
--- a/internal/testbench/standin/random.go
+++ b/internal/testbench/standin/random.go
@@ -8,7 +8,8 @@
 // maxDrawFactor bounds a draw, in means. Without it a rare request of minutes would overload a cache by itself.
 const maxDrawFactor = 12
 
-// lognormal draws from the lognormal distribution of that mean and coefficient of variation, cut at longTail.
+// lognormal draws from the lognormal distribution of that mean and coefficient of variation, cut off at maxDrawFactor
+// means.
 func lognormal(rng *rand.Rand, mean Time, cv float64) Time {
 	if cv <= 0 || mean <= 0 {
 		return mean
--- a/internal/testbench/standin/store.go
+++ b/internal/testbench/standin/store.go
@@ -15,7 +15,7 @@
 	Queue              int     // calls that may wait
 	WriteLatencyFactor float64 // latency of a write, as a multiple of a fetch's; 0 stands for 1
 
-	KeepsAbandonedWork bool // fetches that nobody waits for go on
+	FinishAbandonedWork bool // fetches that nobody waits for go on
 
 	// A store that is offered more than OverloadMultiple times its capacity, summed over OverloadWindow, is down for
 	// MinDowntime to MaxDowntime. 0 of either is never.
@@ -132,7 +132,7 @@
 // abandon is called when nobody waits for a call any more. A fetch is cancelled; a write goes on.
 func (c *storeCall) abandon() {
 	c.abandoned = true
-	if c.finished || c.store.options.KeepsAbandonedWork || c.write {
+	if c.finished || c.store.options.FinishAbandonedWork || c.write {
 		return
 	}
 	c.finished = true
--- a/internal/testbench/standin/workload.go
+++ b/internal/testbench/standin/workload.go
@@ -18,13 +18,18 @@
 	return w
 }
 
+// Constants of the 64-bit FNV-1a hash.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
 // Of returns the work of a request, in µs on one core.
 func (w *Workload) Of(class, id string) Time {
 	c := w.classes[class]
-	const prime = 1099511628211 // FNV-1a
-	hash := uint64(14695981039346656037)
+	hash := uint64(fnvOffset)
 	for i := range len(id) {
-		hash = (hash ^ uint64(id[i])) * prime
+		hash = (hash ^ uint64(id[i])) * fnvPrime
 	}
 	rng := rand.New(rand.NewPCG(w.salt, hash))
 	return max(1, lognormal(rng, c.Work, c.CV))
