--- a/internal/testbench/lab/faults.go
+++ b/internal/testbench/lab/faults.go
@@ -340,7 +340,7 @@
 	case script.Stall:
 		r.stall(microseconds(x.For))
 	case script.FailCalls:
-		r.host.FailCalls(sim.FailingCalls{Dials: x.Chance / dialsPart, ShortReads: x.Chance, ReadMost: shortRead})
+		r.host.FailCalls(sim.FailingCalls{Dials: x.Chance / dialsPart, ShortReads: x.Chance, MaxShortRead: shortRead})
 		f.until(x, func() { r.host.FailCalls(sim.FailingCalls{}) })
 	}
 }
--- a/internal/testbench/sim/conn.go
+++ b/internal/testbench/sim/conn.go
@@ -9,44 +9,44 @@
 
 // Conn is one end of a connection: a machine.Conn that can also be reset.
 //
-// Each direction has a window. What one end has written and the other has not read counts against it,
-// and room comes back as a credit, half a window at a time and a latency late.
+// Each direction has a window. Bytes that one end has written and the other has not read count against it, and space
+// returns as a credit, half a window at a time and a latency late.
 type Conn struct {
-	w       *World
-	host    *Host
-	p       *Process // nil until the process has it
-	peer    *Conn
-	link    *Link // to the peer
-	id      uint64
-	lane    uint64
-	at      netip.AddrPort // of the listener
-	local   string
-	remote  string
-	handler machine.Handler
-	slot    int // in the process's list
-
-	opened    bool // the kernel has it as open
-	closed    bool
-	ended     bool // the peer's end has come
-	broken    bool // its reset has
-	sentEnd   bool
-	sentReset bool
-	forgotten bool // what is between the hosts, or the other host, knows it no more
-	silent    bool // and does not say so
-	wantRoom  bool // a Write took less than it was given
-	noticed   bool // a Notice is on its way
-
-	in     []byte // come and not read, from head on
-	head   int
-	came   uint64 // bytes, in all
-	marks  []mark // of the pieces that have come, the latest of them
-	credit int    // that may be written
-	freed  int    // read here, and not told to the peer yet
-
-	last   *event // the last piece on its way, where more can join it
-	lastAt Time   // nothing sent later arrives before this
-	late   int    // pieces that a cut holds or has held, and that have not arrived
-	lateAt Time   // when the last of them arrives, where no cut holds it
+	world      *World
+	host       *Host
+	process    *Process // nil until a process accepted or dialled it
+	peer       *Conn
+	link       *Link // to the peer
+	id         uint64
+	lane       uint64
+	listenAddr netip.AddrPort // of the listener
+	local      string
+	remote     string
+	handler    machine.Handler
+	slot       int // in the process's list
+
+	opened         bool // the kernel has it as open
+	closed         bool
+	endReceived    bool // the end of the peer's sending has arrived
+	resetReceived  bool // a reset from the peer has arrived
+	endSent        bool
+	resetSent      bool
+	forgotten      bool // the network, or the other host, does not know it any more
+	silent         bool // a forgotten connection gets no resets
+	wantsWritable  bool // a Write took less than it was given
+	readableQueued bool // a ReadableQueued event is scheduled
+
+	received         []byte // unread from head on
+	head             int
+	receivedTotal    uint64     // bytes so far
+	sendTimes        []sendTime // of the latest pieces
+	credit           int        // bytes that may be written
+	unreportedCredit int        // bytes read here for which the peer has no credit yet
+
+	lastPiece     *event // the last piece in transit, nil where no more bytes can join it
+	lastArrival   Time   // earliest arrival of what is sent later
+	delayedPieces int    // pieces that a cut holds or has held and that have not arrived
+	delayedUntil  Time   // when the last of them arrives, where no cut holds it
 }
 
 var _ machine.Conn = (*Conn)(nil)
@@ -57,74 +57,79 @@
 	a, b := &ends[0], &ends[1]
 	w.conns += 2
 	*a = Conn{
-		w: w, host: from, peer: b, id: w.conns - 1, lane: w.lane(),
-		at: remote, local: local.String(), remote: remote.String(),
+		world: w, host: from, peer: b, id: w.conns - 1, lane: w.lane(),
+		listenAddr: remote, local: local.String(), remote: remote.String(),
 	}
 	*b = Conn{
-		w: w, host: to, peer: a, id: w.conns, lane: w.lane(),
-		at: remote, local: a.remote, remote: a.local,
+		world: w, host: to, peer: a, id: w.conns, lane: w.lane(),
+		listenAddr: remote, local: a.remote, remote: a.local,
 	}
 	if to != nil {
 		a.link, b.link = from.linkTo(to), to.linkTo(from)
-		a.credit, b.credit = to.opts.Window, from.opts.Window
+		a.credit, b.credit = to.options.Window, from.options.Window
 	}
 	return a
 }
 
-func (c *Conn) Local() string  { return c.local }
+// Local returns the address of this end.
+func (c *Conn) Local() string { return c.local }
+
+// Remote returns the address of the peer.
 func (c *Conn) Remote() string { return c.remote }
 
+// Read implements machine.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	if c.closed {
-		c.enterClosed()
+		c.enterIfAttached()
 		return 0, machine.ErrClosed
 	}
-	c.p.enter()
+	c.process.enter()
 	if len(b) == 0 {
 		return 0, nil
 	}
-	if n := copy(b[:c.host.readSize(len(b))], c.in[c.head:]); n > 0 {
+	if n := copy(b[:c.host.drawReadSize(len(b))], c.received[c.head:]); n > 0 {
 		c.head += n
-		c.free(n)
+		c.returnCredit(n)
 		return n, nil
 	}
 	switch {
-	case c.broken:
+	case c.resetReceived:
 		return 0, machine.ErrReset
-	case c.ended:
+	case c.endReceived:
 		return 0, io.EOF
 	}
 	return 0, machine.ErrWait
 }
 
-// free gives room back to the peer. The danger: with less than half a window told at a time, each
-// read would be an event; with more, a peer that waits for room might wait for ever.
-func (c *Conn) free(n int) {
-	c.freed += n
-	if c.freed < (c.host.opts.Window+1)/2 || c.ended || c.broken {
+// returnCredit returns window space to the peer once half a window was read: less would make each read an event, and with
+// more a peer that waits for credit could wait forever.
+func (c *Conn) returnCredit(n int) {
+	c.unreportedCredit += n
+	if c.unreportedCredit < (c.host.options.Window+1)/2 || c.endReceived || c.resetReceived {
 		return
 	}
-	if ev := c.send(CreditCame); ev != nil {
-		ev.n = c.freed
+	if ev := c.send(CreditArrived); ev != nil {
+		ev.n = c.unreportedCredit
 	}
-	c.freed = 0
+	c.unreportedCredit = 0
 }
 
+// Write implements machine.Conn. Bytes may be split into two pieces, as the link has it.
 func (c *Conn) Write(b []byte) (int, error) {
 	if c.closed {
-		c.enterClosed()
+		c.enterIfAttached()
 		return 0, machine.ErrClosed
 	}
-	c.p.enter()
+	c.process.enter()
 	switch {
-	case c.broken:
+	case c.resetReceived:
 		return 0, machine.ErrReset
-	case c.sentEnd:
+	case c.endSent:
 		return 0, machine.ErrClosed
 	}
 	n := min(len(b), c.credit)
 	if n < len(b) {
-		c.wantRoom = true
+		c.wantsWritable = true
 	}
 	if n == 0 {
 		return 0, nil
@@ -134,8 +139,8 @@
 	if n > 1 && l.Split > 0 && l.rand.Float64() < l.Split {
 		cut := 1 + l.rand.IntN(n-1)
 		c.sendBytes(b[:cut], true)
-		c.last = nil
-		c.lastAt += l.rand.Int64N(l.Latency/4 + 1)
+		c.lastPiece = nil
+		c.lastArrival += l.rand.Int64N(l.Latency/4 + 1)
 		c.sendBytes(b[cut:n], false)
 		return n, nil
 	}
@@ -145,126 +150,135 @@
 
 // sendBytes sends a piece, which joins the one before where it would arrive no later.
 func (c *Conn) sendBytes(b []byte, join bool) {
-	at := c.w.now + c.link.delay()
-	if join && c.last != nil && at <= c.lastAt {
-		c.last.data = append(c.last.data, b...)
+	at := c.world.now + c.link.delay()
+	if join && c.lastPiece != nil && at <= c.lastArrival {
+		c.lastPiece.data = append(c.lastPiece.data, b...)
 		return
 	}
-	ev := c.sendAt(BytesCame, at)
+	ev := c.sendAt(BytesArrived, at)
 	if ev == nil {
 		return
 	}
 	ev.data = append(ev.data, b...)
-	ev.sentAt = c.w.now
-	c.last = ev
+	ev.sentAt = c.world.now
+	c.lastPiece = ev
 }
 
 // send has something reach the peer after all that was sent before.
 func (c *Conn) send(k Kind) *event {
-	return c.sendAt(k, c.w.now+c.link.delay())
+	return c.sendAt(k, c.world.now+c.link.delay())
 }
 
+// sendAt has something arrive at the peer at an instant or after all that was sent before. It returns nil where this host has
+// vanished.
 func (c *Conn) sendAt(k Kind, at Time) *event {
-	c.last = nil
-	if c.host.gone && c.host != c.peer.host {
+	c.lastPiece = nil
+	if c.host.vanished && c.host != c.peer.host {
 		return nil
 	}
-	c.lastAt = max(c.lastAt, at)
-	ev := c.w.event(k)
+	c.lastArrival = max(c.lastArrival, at)
+	ev := c.world.event(k)
 	ev.conn = c.peer
-	c.w.schedule(ev, c.lastAt, c.lane)
+	c.world.schedule(ev, c.lastArrival, c.lane)
 	return ev
 }
 
 // sendReset breaks the connection off.
 func (c *Conn) sendReset() {
-	if c.sentReset || c.broken {
+	if c.resetSent || c.resetReceived {
 		return
 	}
-	c.sentReset = true
-	c.send(ResetCame)
+	c.resetSent = true
+	c.send(ResetArrived)
 }
 
+// Quiet implements machine.Conn.
 func (c *Conn) Quiet() bool {
-	return !c.closed && !c.ended && !c.broken && c.head == len(c.in)
+	return !c.closed && !c.endReceived && !c.resetReceived && c.head == len(c.received)
 }
 
+// End implements machine.Conn.
 func (c *Conn) End() error {
 	switch {
-	case c.broken:
+	case c.resetReceived:
 		return machine.ErrReset
-	case c.ended:
+	case c.endReceived:
 		return io.EOF
 	}
 	return nil
 }
 
+// CloseWrite implements machine.Conn.
 func (c *Conn) CloseWrite() error {
 	if c.closed {
-		c.enterClosed()
+		c.enterIfAttached()
 		return machine.ErrClosed
 	}
-	c.p.enter()
-	if c.broken {
+	c.process.enter()
+	if c.resetReceived {
 		return machine.ErrReset
 	}
 	c.end()
 	return nil
 }
 
+// end sends the end of this direction, once.
 func (c *Conn) end() {
-	if !c.sentEnd {
-		c.sentEnd = true
-		c.send(EndCame)
+	if !c.endSent {
+		c.endSent = true
+		c.send(EndArrived)
 	}
 }
 
-func (c *Conn) Close() { c.close(c.head < len(c.in)) }
+// Close implements machine.Conn. Unread bytes turn the close into a reset, as TCP does.
+func (c *Conn) Close() { c.close(c.head < len(c.received)) }
 
 // Reset closes the connection with a reset, whatever was read.
 func (c *Conn) Reset() { c.close(true) }
 
+// close closes the connection and returns its descriptor.
 func (c *Conn) close(reset bool) {
 	if c.closed {
 		return
 	}
-	c.p.enter()
+	c.process.enter()
 	switch {
 	case reset:
 		c.sendReset()
-	case !c.broken:
+	case !c.resetReceived:
 		c.end()
 	}
-	c.shut()
-	p := c.p
+	c.discard()
+	p := c.process
 	last := len(p.conns) - 1
 	p.conns[c.slot] = p.conns[last]
 	p.conns[c.slot].slot = c.slot
 	p.conns[last] = nil
 	p.conns = p.conns[:last]
-	p.giveBack()
+	p.releaseDescriptor()
 }
 
 // abandon resets a connection whose process is gone or never had it.
 func (c *Conn) abandon() {
 	c.sendReset()
-	c.shut()
+	c.discard()
 }
 
-func (c *Conn) shut() {
+// discard marks the connection as closed and releases its buffers.
+func (c *Conn) discard() {
 	c.closed = true
 	c.handler = nil
-	c.in, c.head = nil, 0
+	c.received, c.head = nil, 0
 }
 
-// enterClosed checks a call on a closed connection.
-func (c *Conn) enterClosed() {
-	if c.p != nil {
-		c.p.enter()
+// enterIfAttached checks a call on a closed connection, which may never have had a process.
+func (c *Conn) enterIfAttached() {
+	if c.process != nil {
+		c.process.enter()
 	}
 }
 
-// forget makes the connection unknown to all but its two ends.
+// forget makes the connection unknown to everything but its two ends.
 func (c *Conn) forget(silent bool) {
 	if c.host == c.peer.host {
 		return
@@ -275,14 +289,14 @@
 	}
 }
 
-// belong gives the connection to a process, which holds a descriptor for it.
-func (c *Conn) belong(p *Process) {
-	c.p = p
+// attach gives the connection to a process, which holds a descriptor for it.
+func (c *Conn) attach(p *Process) {
+	c.process = p
 	c.slot = len(p.conns)
 	p.conns = append(p.conns, c)
 }
 
-// start has the handler told from now on.
+// start sets the handler, which is called from now on.
 func (c *Conn) start(h machine.Handler) {
 	if c.closed {
 		return
@@ -292,143 +306,146 @@
 	}
 	c.handler = h
 	if !c.Quiet() {
-		c.noticeLater()
+		c.queueReadable()
 	}
 }
 
-// arrived takes in what the peer has sent.
+// arrived handles what the peer has sent.
 func (c *Conn) arrived(ev *event) {
-	if c.host.gone && c.host != c.peer.host {
+	if c.host.vanished && c.host != c.peer.host {
 		return
 	}
-	asks := ev.kind == BytesCame || ev.kind == EndCame
+	needsAnswer := ev.kind == BytesArrived || ev.kind == EndArrived
 	if c.forgotten && !ev.forced {
-		if asks && !c.silent {
-			c.disown()
+		if needsAnswer && !c.silent {
+			c.resetUnknown()
 		}
 		return
 	}
 	if c.closed || !c.opened {
-		if ev.kind == BytesCame || asks && !c.opened {
+		if ev.kind == BytesArrived || needsAnswer && !c.opened {
 			c.sendReset()
 		}
 		return
 	}
 	switch ev.kind {
-	case BytesCame:
-		c.takeIn(ev)
-	case EndCame:
-		c.ended = true
-	case ResetCame:
-		c.broken = true
-	case CreditCame:
+	case BytesArrived:
+		c.receive(ev)
+	case EndArrived:
+		c.endReceived = true
+	case ResetArrived:
+		c.resetReceived = true
+	case CreditArrived:
 		c.credit += ev.n
-		c.room()
+		c.writable()
 		return
 	}
 	c.readable()
 }
 
-// disown answers for a connection that is not known any more.
-func (c *Conn) disown() {
-	if ev := c.send(ResetCame); ev != nil {
+// resetUnknown answers on behalf of a network or a peer that does not know the connection any more.
+func (c *Conn) resetUnknown() {
+	if ev := c.send(ResetArrived); ev != nil {
 		ev.forced = true
 	}
 }
 
-// mark tells from which byte on what came was written when.
-type mark struct {
+// sendTime is when the bytes from one number on were written.
+type sendTime struct {
 	from uint64
 	sent Time
 }
 
-// mostMarks bounds the pieces whose time of writing is held.
-const mostMarks = 64
+// maxSendTimes bounds the pieces whose time of writing is recorded.
+const maxSendTimes = 64
 
-// SentAt is when the byte with that number, from 0, was written by the other side, as an onlooker between the two would
-// know it: a cut or a slow link delays bytes by any time. For one that came long ago it may be later than
-// that. It is for stand-ins that watch, not for the code under test.
+// SentAt is when the byte with that number, from 0, was written by the other side, as an observer of both hosts knows it: a
+// cut or a slow link delays bytes by any time. For a byte of long ago it may be later than that. It is for stand-ins that
+// observe, not for the code under test.
 func (c *Conn) SentAt(number uint64) Time {
-	i := len(c.marks) - 1
-	for i > 0 && c.marks[i].from > number {
+	i := len(c.sendTimes) - 1
+	for i > 0 && c.sendTimes[i].from > number {
 		i--
 	}
 	if i < 0 {
-		return c.w.now
+		return c.world.now
 	}
-	return c.marks[i].sent
+	return c.sendTimes[i].sent
 }
 
-// Ended reports whether the other side's machine has the end of the connection, as an onlooker there would know it: a cut or a
-// slow link delays it by any time. It is for stand-ins that watch, not for the code under test.
+// Ended reports whether the other side's machine has the end of the connection, as an observer there knows it: a cut or a
+// slow link delays it by any time. It is for stand-ins that observe, not for the code under test.
 func (c *Conn) Ended() bool {
 	o := c.peer
-	return o.ended || o.broken || o.closed || o.host.gone
+	return o.endReceived || o.resetReceived || o.closed || o.host.vanished
 }
 
-// takeIn adds bytes to those that wait.
-func (c *Conn) takeIn(ev *event) {
-	if len(c.marks) == mostMarks {
-		c.marks = c.marks[:copy(c.marks, c.marks[mostMarks/2:])]
+// receive adds bytes to the unread ones. An event's buffer is taken over where nothing is unread.
+func (c *Conn) receive(ev *event) {
+	if len(c.sendTimes) == maxSendTimes {
+		c.sendTimes = c.sendTimes[:copy(c.sendTimes, c.sendTimes[maxSendTimes/2:])]
 	}
-	c.marks = append(c.marks, mark{c.came, ev.sentAt})
-	c.came += uint64(len(ev.data))
-	if c.head == len(c.in) {
-		c.in, ev.data = ev.data, c.in[:0]
+	c.sendTimes = append(c.sendTimes, sendTime{c.receivedTotal, ev.sentAt})
+	c.receivedTotal += uint64(len(ev.data))
+	if c.head == len(c.received) {
+		c.received, ev.data = ev.data, c.received[:0]
 		c.head = 0
 		return
 	}
-	if len(c.in)+len(ev.data) > cap(c.in) && c.head > 0 {
-		c.in = c.in[:copy(c.in, c.in[c.head:])]
+	if len(c.received)+len(ev.data) > cap(c.received) && c.head > 0 {
+		c.received = c.received[:copy(c.received, c.received[c.head:])]
 		c.head = 0
 	}
-	c.in = append(c.in, ev.data...)
+	c.received = append(c.received, ev.data...)
 }
 
-// readable tells the handler, or has it told once its process runs.
+// readable calls the handler, or has it called once its process runs.
 func (c *Conn) readable() {
 	switch {
-	case c.handler == nil || c.noticed:
+	case c.handler == nil || c.readableQueued:
 	case c.host.stalled():
-		c.noticeLater()
+		c.queueReadable()
 	default:
 		c.handler.Readable()
 	}
 }
 
-func (c *Conn) noticeLater() {
-	if c.noticed {
+// queueReadable has the handler called in a later turn.
+func (c *Conn) queueReadable() {
+	if c.readableQueued {
 		return
 	}
-	c.noticed = true
-	ev := c.w.event(Notice)
-	ev.proc, ev.conn = c.p, c
-	c.w.schedule(ev, c.w.now, c.lane)
+	c.readableQueued = true
+	ev := c.world.event(ReadableQueued)
+	ev.target, ev.conn = c.process, c
+	c.world.schedule(ev, c.world.now, c.lane)
 }
 
-func (c *Conn) tellReadable() {
+// callReadable calls the handler, unless the connection was closed meanwhile.
+func (c *Conn) callReadable() {
 	if c.handler != nil {
 		c.handler.Readable()
 	}
 }
 
-// room tells the handler that it can write, where it waits for that.
-func (c *Conn) room() {
+// writable calls the handler that waits for it, or has it called once its process runs.
+func (c *Conn) writable() {
 	switch {
-	case !c.wantRoom || c.handler == nil:
+	case !c.wantsWritable || c.handler == nil:
 	case c.host.stalled():
-		ev := c.w.event(Room)
-		ev.proc, ev.conn = c.p, c
-		c.w.schedule(ev, c.w.now, c.lane)
+		ev := c.world.event(WritableQueued)
+		ev.target, ev.conn = c.process, c
+		c.world.schedule(ev, c.world.now, c.lane)
 	default:
-		c.tellWritable()
+		c.callWritable()
 	}
 }
 
-func (c *Conn) tellWritable() {
-	if !c.wantRoom || c.credit == 0 || c.handler == nil || c.broken || c.sentEnd {
+// callWritable calls the handler if it still waits and can write.
+func (c *Conn) callWritable() {
+	if !c.wantsWritable || c.credit == 0 || c.handler == nil || c.resetReceived || c.endSent {
 		return
 	}
-	c.wantRoom = false
+	c.wantsWritable = false
 	c.handler.Writable()
 }
--- a/internal/testbench/sim/contract_test.go
+++ b/internal/testbench/sim/contract_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestContractUnderFailingCalls(t *testing.T) {
-	for _, f := range []FailingCalls{{ShortReads: 0.3, ReadMost: 200}, {ShortReads: 1, ReadMost: 1}, {Dials: 0.5}} {
+	for _, f := range []FailingCalls{{ShortReads: 0.3, MaxShortRead: 200}, {ShortReads: 1, MaxShortRead: 1}, {Dials: 0.5}} {
 		for seed := range uint64(5) {
 			machinetest.Run(t, func(t *testing.T) machinetest.Rig { return rig(seed, false, f) })
 		}
--- a/internal/testbench/sim/dial.go
+++ b/internal/testbench/sim/dial.go
@@ -7,35 +7,36 @@
 	"starlingwinch/internal/machine"
 )
 
-// dialing is a connection that is coming up. A handshake that gets lost is tried again after 1, 3, 7 ... seconds
-// (RFC 6298), as long as the timeout allows.
-type dialing struct {
-	p        *Process
-	conn     *Conn // this end; nil where the address is bad
-	done     func(machine.Conn, error) machine.Handler
-	counted  bool // holds a descriptor
-	over     bool
-	up       bool // the kernel has it; the process may not know yet
-	blocked  bool // it has not begun, for a lack on this host
-	begun    Time
-	deadline Time
-	tries    int
-	timeout  timer
-}
-
+// dial is a connection that is being established. A lost handshake is tried again after 1, 3, 7 seconds and so on (RFC 6298),
+// as long as the timeout allows.
+type dial struct {
+	process       *Process
+	conn          *Conn // this end; nil where the address is bad
+	done          func(machine.Conn, error) machine.Handler
+	hasDescriptor bool // the process holds a descriptor for it
+	finished      bool
+	established   bool // the kernel has the connection; the process may not know yet
+	blocked       bool // it waits for a resource of this host
+	startedAt     Time
+	deadline      Time
+	retries       int
+	timeout       timer
+}
+
+// Dial implements machine.Machine.
 func (p *Process) Dial(addr string, timeout Time, done func(machine.Conn, error) machine.Handler) machine.Dialing {
 	p.enter()
-	d := &dialing{p: p, done: done, begun: p.w.now, deadline: p.w.now + timeout}
+	d := &dial{process: p, done: done, startedAt: p.world.now, deadline: p.world.now + timeout}
 	p.dials = append(p.dials, d)
-	if p.full() {
-		d.endLater(machine.ErrDescriptors, p.w.now)
+	if p.outOfDescriptors() {
+		d.completeAt(machine.ErrDescriptors, p.world.now)
 		return d
 	}
 	p.descriptors++
-	d.counted = true
+	d.hasDescriptor = true
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		d.endLater(fmt.Errorf("sim: dial %q: %w", addr, err), p.w.now)
+		d.completeAt(fmt.Errorf("sim: dial %q: %w", addr, err), p.world.now)
 		return d
 	}
 	here := p.host
@@ -44,177 +45,181 @@
 	if at.Addr().IsLoopback() {
 		ip = at.Addr()
 	}
-	there := here.reach(at.Addr())
-	d.conn = p.w.connect(here, there, netip.AddrPortFrom(ip, port), at)
-	d.endLater(machine.ErrTimeout, d.deadline)
+	there := here.hostAt(at.Addr())
+	d.conn = p.world.connect(here, there, netip.AddrPortFrom(ip, port), at)
+	d.completeAt(machine.ErrTimeout, d.deadline)
 	d.begin()
 	return d
 }
 
-// begin sends the first part of the handshake, now or once the host lacks nothing for it.
-func (d *dialing) begin() {
-	w := d.p.w
-	if d.blocked = d.p.host.lacks(); d.blocked {
-		d.timeout.ev.err = machine.ErrShortage
-		d.p.At(w.now+lackPause, func() {
-			if !d.over {
+// begin sends the first part of the handshake, now or once the host has the resources for it.
+func (d *dial) begin() {
+	w := d.process.world
+	if d.blocked = d.process.host.drawShortage(); d.blocked {
+		d.timeout.event.err = machine.ErrShortage
+		d.process.At(w.now+shortageRetryDelay, func() {
+			if !d.finished {
 				d.begin()
 			}
 		})
 		return
 	}
-	d.timeout.ev.err = machine.ErrTimeout
+	d.timeout.event.err = machine.ErrTimeout
 	if d.conn.peer.host != nil {
-		d.knock(w.now)
+		d.sendSyn(w.now)
 	}
 }
 
 // Blocked implements machine.Dialing.
-func (d *dialing) Blocked() bool { return d.blocked && !d.over }
+func (d *dial) Blocked() bool { return d.blocked && !d.finished }
 
-// Cancel gives it up.
-func (d *dialing) Cancel() {
-	if d.over {
+// Cancel implements machine.Dialing.
+func (d *dial) Cancel() {
+	if d.finished {
 		return
 	}
-	d.p.enter()
+	d.process.enter()
 	d.finish()
-	if d.up {
+	if d.established {
 		d.conn.abandon()
 	}
-	if d.counted {
-		d.p.giveBack()
+	if d.hasDescriptor {
+		d.process.releaseDescriptor()
 	}
 }
 
-// finish has nothing more come of it.
-func (d *dialing) finish() {
-	d.over = true
-	d.timeout.take()
-	d.p.dials = remove(d.p.dials, d)
+// finish ends the dial; no result follows.
+func (d *dial) finish() {
+	d.finished = true
+	d.timeout.cancel()
+	d.process.dials = remove(d.process.dials, d)
 }
 
-// endLater has it end at an instant, in a later turn.
-func (d *dialing) endLater(err error, at Time) {
-	w := d.p.w
-	ev := w.event(DialEnds)
-	ev.proc, ev.dial, ev.err = d.p, d, err
+// completeAt schedules the result for an instant, in a later turn.
+func (d *dial) completeAt(err error, at Time) {
+	w := d.process.world
+	ev := w.event(DialEnded)
+	ev.target, ev.dial, ev.err = d.process, d, err
 	w.schedule(ev, at, d.lane())
-	d.timeout = timer{w: w, ev: ev, id: ev.id}
+	d.timeout = timer{world: w, event: ev, id: ev.id}
 }
 
-func (d *dialing) lane() uint64 {
+// lane is that of the connection, or of the process where the address was bad.
+func (d *dial) lane() uint64 {
 	if d.conn == nil {
-		return d.p.postLane
+		return d.process.postLane
 	}
 	return d.conn.lane
 }
 
 // send has a part of the handshake arrive.
-func (d *dialing) send(k Kind, at Time) {
-	ev := d.p.w.event(k)
+func (d *dial) send(k Kind, at Time) {
+	ev := d.process.world.event(k)
 	ev.dial = d
-	d.p.w.schedule(ev, at, d.conn.lane)
+	d.process.world.schedule(ev, at, d.conn.lane)
 }
 
-// knock sends the first part of a handshake at t.
-func (d *dialing) knock(t Time) { d.send(SynCame, t+d.conn.link.delay()) }
+// sendSyn sends the first part of a handshake at t.
+func (d *dial) sendSyn(t Time) { d.send(SynArrived, t+d.conn.link.delay()) }
 
-// again is for a handshake that got lost.
-func (d *dialing) again() {
-	d.tries++
-	wait := Second<<min(d.tries, 7) - Second
-	t := max(d.begun+wait, d.p.w.now)
+// retryHandshake sends the first part again after a handshake was lost, unless the timeout comes first.
+func (d *dial) retryHandshake() {
+	d.retries++
+	wait := Second<<min(d.retries, 7) - Second
+	t := max(d.startedAt+wait, d.process.world.now)
 	if t < d.deadline {
-		d.knock(t)
+		d.sendSyn(t)
 	}
 }
 
-// synCame is on the other host.
-func (d *dialing) synCame() {
-	if d.over || d.up {
+// synArrived handles the first part of the handshake on the other host.
+func (d *dial) synArrived() {
+	if d.finished || d.established {
 		return
 	}
 	c, there := d.conn, d.conn.peer.host
-	if c.host.apart(there) || c.link.cut || there.swallow {
-		d.again()
+	if c.host.unreachable(there) || c.link.cut || there.dropsDials {
+		d.retryHandshake()
 		return
 	}
-	l := there.listenerAt(c.at)
+	l := there.listenerAt(c.listenAddr)
 	switch {
-	case l == nil || there.refuse:
-		d.answer(RefusalCame)
-	case len(l.queue) < there.opts.Backlog:
-		d.answer(SynAckCame)
-	case there.opts.RefuseFull:
-		d.answer(RefusalCame)
+	case l == nil || there.refusesDials:
+		d.answer(RefusalArrived)
+	case len(l.queue) < there.options.Backlog:
+		d.answer(SynAckArrived)
+	case there.options.RefuseFull:
+		d.answer(RefusalArrived)
 	default:
-		d.again()
+		d.retryHandshake()
 	}
 }
 
-func (d *dialing) answer(k Kind) { d.send(k, d.p.w.now+d.conn.peer.link.delay()) }
+// answer sends the other host's answer back.
+func (d *dial) answer(k Kind) { d.send(k, d.process.world.now+d.conn.peer.link.delay()) }
 
-// answered reports whether an answer got through and is still wanted.
-func (d *dialing) answered() bool {
-	if d.over || d.up {
+// answerArrived reports whether an answer got through and is still wanted.
+func (d *dial) answerArrived() bool {
+	if d.finished || d.established {
 		return false
 	}
 	back := d.conn.peer
-	if back.host.apart(d.conn.host) || back.link.cut {
-		d.again()
+	if back.host.unreachable(d.conn.host) || back.link.cut {
+		d.retryHandshake()
 		return false
 	}
 	return true
 }
 
-func (d *dialing) synAckCame() {
-	if !d.answered() {
+// synAckArrived opens this end.
+func (d *dial) synAckArrived() {
+	if !d.answerArrived() {
 		return
 	}
-	d.up = true
+	d.established = true
 	d.conn.opened = true
-	d.conn.send(OpenCame)
-	d.result(nil)
+	d.conn.send(OpenArrived)
+	d.completeNow(nil)
 }
 
-func (d *dialing) refusalCame() {
-	if d.answered() {
-		d.result(machine.ErrRefused)
+// refusalArrived ends the dial with machine.ErrRefused.
+func (d *dial) refusalArrived() {
+	if d.answerArrived() {
+		d.completeNow(machine.ErrRefused)
 	}
 }
 
-// result ends it now, or once the process runs.
-func (d *dialing) result(err error) {
-	d.timeout.take()
-	if d.p.host.stalled() {
-		d.endLater(err, d.p.w.now)
+// completeNow reports the result now, or once the process runs.
+func (d *dial) completeNow(err error) {
+	d.timeout.cancel()
+	if d.process.host.stalled() {
+		d.completeAt(err, d.process.world.now)
 		return
 	}
-	d.ends(err)
+	d.complete(err)
 }
 
-// ends tells the process how it ended.
-func (d *dialing) ends(err error) {
-	if d.over {
+// complete reports the result to the process.
+func (d *dial) complete(err error) {
+	if d.finished {
 		return
 	}
 	d.finish()
 	if err != nil {
-		if d.counted {
-			d.p.giveBack()
+		if d.hasDescriptor {
+			d.process.releaseDescriptor()
 		}
 		d.done(nil, err)
 		return
 	}
-	d.conn.belong(d.p)
+	d.conn.attach(d.process)
 	d.conn.start(d.done(d.conn, nil))
 }
 
-// at is the host on which a part of the handshake happens.
-func (d *dialing) at(k Kind) *Host {
-	if k == SynCame {
+// hostOf is the host on which a part of the handshake happens.
+func (d *dial) hostOf(k Kind) *Host {
+	if k == SynArrived {
 		return d.conn.peer.host
 	}
-	return d.p.host
+	return d.process.host
 }
--- a/internal/testbench/sim/disk.go
+++ b/internal/testbench/sim/disk.go
@@ -16,27 +16,27 @@
 // last flush of their folder. The model is that of ALICE (Pillai et al., OSDI 2014), at its harshest: of what was not
 // flushed each change may be there or not, by itself, and a content may end at any byte.
 type disk struct {
-	rand    *rand.Rand
-	slow    Time // that each work takes longer
-	err     error
-	folders map[string]bool
-	names   map[string]*inode // as processes see them
-	flushed map[string]*inode // as a loss of power leaves them
-	locks   map[*inode]*Process
-	steps   int // calls that change something, so far
-	cut     *Cut
-	dead    bool // the cut has come
+	rand       *rand.Rand
+	extraDelay Time // that each work takes in addition
+	err        error
+	folders    map[string]bool
+	names      map[string]*inode // as processes see them
+	flushed    map[string]*inode // as a loss of power leaves them
+	locks      map[*inode]*Process
+	steps      int // so far
+	cut        *Cut
+	ended      bool // the cut's step has been reached
 }
 
-// ErrFull is what FailDisk is to be told for a full disk.
+// ErrFull is the error of a full disk, for FailDisk.
 var ErrFull = errors.New("no space left on the disk")
 
 // inode is a file, whatever its names.
 type inode struct {
-	content []byte
-	flushed []byte // its content as a loss of power leaves it
-	err     error  // of its reads
-	odd     bool   // not a regular file
+	content   []byte
+	flushed   []byte // its content as a loss of power leaves it
+	err       error  // of each read
+	irregular bool   // not a regular file
 }
 
 // Cut ends all work on a disk at one of its steps: nothing has an effect from then on, until Host.Power. The steps are
@@ -51,7 +51,7 @@
 		locks: map[*inode]*Process{}}
 }
 
-// PutFile writes a file, which is safe at once; the folder comes with it.
+// PutFile writes a file and its folder, both flushed.
 func (h *Host) PutFile(name string, content []byte) { h.disk.put(name, content) }
 
 func (d *disk) put(name string, content []byte) {
@@ -61,10 +61,10 @@
 	d.names[name], d.flushed[name] = n, n
 }
 
-// PutOdd puts something under a name that is not a regular file.
+// PutOdd creates something that is not a regular file.
 func (h *Host) PutOdd(name string) {
 	h.PutFile(name, nil)
-	h.disk.names[name].odd = true
+	h.disk.names[name].irregular = true
 }
 
 // RemoveFile deletes a file.
@@ -73,7 +73,7 @@
 	delete(h.disk.flushed, name)
 }
 
-// FailFile has reads of a file fail, until it is put or removed.
+// FailFile makes reads of a file fail until it is put or removed.
 func (h *Host) FailFile(name string, err error) {
 	h.PutFile(name, nil)
 	h.disk.names[name].err = err
@@ -99,10 +99,10 @@
 	return slices.Clone(n.content), true
 }
 
-// MakeFolder makes a folder. RemoveFolder takes it away with all that is in it.
+// MakeFolder makes a folder.
 func (h *Host) MakeFolder(name string) { h.disk.folders[name] = true }
 
-// RemoveFolder takes a folder away with all that is in it.
+// RemoveFolder removes a folder and everything in it.
 func (h *Host) RemoveFolder(name string) {
 	delete(h.disk.folders, name)
 	for _, file := range h.Files(name) {
@@ -110,17 +110,16 @@
 	}
 }
 
-// FailDisk has all that would change something on the disk fail, as a full (ErrFull) or a read-only
-// one does; nil ends that.
+// FailDisk makes each change of the disk fail, as on a full (ErrFull) or a read-only disk; nil ends that.
 func (h *Host) FailDisk(err error) { h.disk.err = err }
 
-// SlowDisk has each work on the disk take so much longer.
-func (h *Host) SlowDisk(d Time) { h.disk.slow = d }
+// SlowDisk adds a delay to each work on the disk.
+func (h *Host) SlowDisk(d Time) { h.disk.extraDelay = d }
 
-// CutDisk ends all work on the disk at a step from now. The process goes on, and learns of nothing but errors.
+// CutDisk ends all work on the disk at a step from now. The process runs on, and sees errors only.
 func (h *Host) CutDisk(c Cut) {
 	c.Step += h.disk.steps
-	h.disk.cut, h.disk.dead = &c, false
+	h.disk.cut, h.disk.ended = &c, false
 }
 
 // DiskSteps is the number of steps that were done on the disk so far.
@@ -136,7 +135,7 @@
 func (h *Host) Power(leaves Leaves) {
 	h.Kill()
 	d := h.disk
-	d.cut, d.dead = nil, false
+	d.cut, d.ended = nil, false
 	if leaves == nil {
 		leaves = func(_ string, most int) int { return d.rand.IntN(most + 1) }
 	}
@@ -160,7 +159,7 @@
 	clear(d.locks)
 }
 
-// set gives a name to a file, or takes it away.
+// set gives a name to a file, or removes the name where n is nil.
 func set(names map[string]*inode, name string, n *inode) {
 	if n == nil {
 		delete(names, name)
@@ -169,17 +168,17 @@
 	names[name] = n
 }
 
-// killed ends what a process has on the disk. Its works that were under way were done up to some step.
+// killed ends the work of a killed process on the disk, of which a random number of steps has been done, and its locks.
 func (d *disk) killed(p *Process) {
-	if len(p.onDisk) > 0 && !d.dead {
+	if len(p.diskWork) > 0 && !d.ended {
 		kept := d.cut
 		d.cut = &Cut{Step: d.steps + d.rand.IntN(8), Part: d.rand.IntN(1 << 16)}
-		p.w.working = true
-		p.onDisk[0](onDisk{d, p})
-		p.w.working = false
-		d.cut, d.dead = kept, false
+		p.world.inWork = true
+		p.diskWork[0](diskSession{d, p})
+		p.world.inWork = false
+		d.cut, d.ended = kept, false
 	}
-	p.onDisk = nil
+	p.diskWork = nil
 	maps.DeleteFunc(d.locks, func(_ *inode, holder *Process) bool { return holder == p })
 }
 
@@ -190,7 +189,7 @@
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	case n.err != nil:
 		return nil, &fs.PathError{Op: "open", Path: name, Err: n.err}
-	case n.odd:
+	case n.irregular:
 		return nil, fmt.Errorf("%s: %w", name, machine.ErrIrregular)
 	case int64(len(n.content)) > most:
 		return nil, fmt.Errorf("%s: %w of %d", name, machine.ErrTooLong, most)
@@ -202,11 +201,11 @@
 
 // step begins a step; part is how many bytes of n are still written.
 func (d *disk) step(n int) (part int, err error) {
-	if d.dead {
+	if d.ended {
 		return 0, errCut
 	}
 	if d.cut != nil && d.steps == d.cut.Step {
-		d.dead = true
+		d.ended = true
 		return min(n, d.cut.Part), errCut
 	}
 	d.steps++
@@ -231,23 +230,23 @@
 	return nil
 }
 
-// onDisk is the disk as one work sees it.
-type onDisk struct {
-	d *disk
-	p *Process
+// diskSession is the disk as one work sees it.
+type diskSession struct {
+	disk    *disk
+	process *Process
 }
 
 // Read implements machine.Disk.
-func (o onDisk) Read(name string, most int64) ([]byte, error) {
-	if o.d.dead {
+func (o diskSession) Read(name string, most int64) ([]byte, error) {
+	if o.disk.ended {
 		return nil, errCut
 	}
-	return o.d.read(name, most)
+	return o.disk.read(name, most)
 }
 
 // Create implements machine.Disk. On a full disk there is room for the name and half of the content.
-func (o onDisk) Create(name string, content []byte) error {
-	d := o.d
+func (o diskSession) Create(name string, content []byte) error {
+	d := o.disk
 	if _, err := d.step(0); err != nil {
 		return err
 	}
@@ -276,8 +275,8 @@
 }
 
 // Rename implements machine.Disk.
-func (o onDisk) Rename(from, to string) error {
-	d := o.d
+func (o diskSession) Rename(from, to string) error {
+	d := o.disk
 	if err := d.change("rename", from); err != nil {
 		return err
 	}
@@ -291,20 +290,20 @@
 }
 
 // Remove implements machine.Disk.
-func (o onDisk) Remove(name string) error {
-	if err := o.d.change("remove", name); err != nil {
+func (o diskSession) Remove(name string) error {
+	if err := o.disk.change("remove", name); err != nil {
 		return err
 	}
-	if o.d.names[name] == nil {
+	if o.disk.names[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	delete(o.d.names, name)
+	delete(o.disk.names, name)
 	return nil
 }
 
 // SyncFolder implements machine.Disk.
-func (o onDisk) SyncFolder(folder string) error {
-	d := o.d
+func (o diskSession) SyncFolder(folder string) error {
+	d := o.disk
 	if err := d.change("sync", path.Join(folder, "x")); err != nil {
 		return err
 	}
@@ -322,8 +321,8 @@
 }
 
 // Lock implements machine.Disk.
-func (o onDisk) Lock(name string) (machine.Lock, error) {
-	d := o.d
+func (o diskSession) Lock(name string) (machine.Lock, error) {
+	d := o.disk
 	n := d.names[name]
 	if n == nil {
 		if err := d.change("open", name); err != nil {
@@ -335,33 +334,33 @@
 	if err := d.failing("open", name); err != nil {
 		return nil, err
 	}
-	if d.dead {
+	if d.ended {
 		return nil, errCut
 	}
-	if n.odd {
+	if n.irregular {
 		return nil, fmt.Errorf("%s: %w", name, machine.ErrIrregular)
 	}
 	if d.locks[n] != nil {
 		return nil, fmt.Errorf("%s: %w", name, machine.ErrLocked)
 	}
-	d.locks[n] = o.p
-	return &simLock{d, name, n}, nil
+	d.locks[n] = o.process
+	return &heldLock{d, name, n}, nil
 }
 
-// simLock is a lock that is held.
-type simLock struct {
-	d    *disk
+// heldLock is a machine.Lock.
+type heldLock struct {
+	disk *disk
 	name string
 	n    *inode
 }
 
 // Holds implements machine.Lock.
-func (l *simLock) Holds() bool { return l.n != nil && l.d.names[l.name] == l.n }
+func (l *heldLock) Holds() bool { return l.n != nil && l.disk.names[l.name] == l.n }
 
 // Release implements machine.Lock.
-func (l *simLock) Release() {
+func (l *heldLock) Release() {
 	if l.n != nil {
-		delete(l.d.locks, l.n)
+		delete(l.disk.locks, l.n)
 	}
 	l.n = nil
 }
--- a/internal/testbench/sim/event.go
+++ b/internal/testbench/sim/event.go
@@ -2,30 +2,31 @@
 
 import "net/netip"
 
-// Kind tells what an event is.
+// Kind says what an event is.
 type Kind uint8
 
+// Kinds of events.
 const (
-	Script       Kind = iota // a script's turn (World.At)
-	TimerFired               // a timer of a process
-	Posted                   // a Post of a process
-	WorkDone                 // the end of a Work
-	Signalled                // a signal
-	SynCame                  // a dial reaches the other host
-	SynAckCame               // its acceptance is back
-	RefusalCame              // its refusal is back
-	DialEnds                 // a dial has its result: up, timed out or out of descriptors
-	OpenCame                 // a connection reaches its listener
-	BytesCame                // bytes reach the other side
-	EndCame                  // the end of one side's sending does
-	ResetCame                // a reset does
-	CreditCame               // room in the other side's window does
-	Accepting                // a listener takes connections from its queue
-	Notice                   // a handler is told of what has come before
-	Room                     // a handler is told that it can write on
-	DatagramCame             // a datagram reaches the other host
-	DatagramRead             // a process takes in one that has waited
-	Resumes                  // a stalled host goes on
+	Script          Kind = iota // a function of World.At
+	TimerFired                  // a timer of a process
+	Posted                      // a Post of a process
+	WorkDone                    // the end of a Work
+	Signalled                   // a signal
+	SynArrived                  // a dial reaches the other host
+	SynAckArrived               // its acceptance is back
+	RefusalArrived              // its refusal is back
+	DialEnded                   // a dial has its result
+	OpenArrived                 // a connection reaches its listener
+	BytesArrived                // bytes reach the other side
+	EndArrived                  // the end of one side's sending reaches the other side
+	ResetArrived                // a reset reaches the other side
+	CreditArrived               // space in the window of the other side is reported to the writer
+	AcceptQueued                // a listener accepts from its queue
+	ReadableQueued              // a handler is called for what has arrived before
+	WritableQueued              // a handler is called because it can write again
+	DatagramArrived             // a datagram reaches the other host
+	DatagramQueued              // a process receives one that was queued
+	HostResumed                 // a stalled host runs again
 )
 
 var kindNames = [...]string{
@@ -33,28 +34,29 @@
 	"end", "reset", "credit", "accepting", "notice", "room", "datagram", "datagram read", "resumes",
 }
 
+// String returns the kind in the words of a timeline.
 func (k Kind) String() string { return kindNames[k] }
 
 // event is something that happens at an instant. Which fields are used depends on the kind.
 type event struct {
-	at      Time
-	id      uint64 // new with each use of the struct
-	lane    uint64 // events of one lane keep their order
-	kind    Kind
-	stopped bool // taken back
-	late    bool // was held by a cut
-	forced  bool // ResetCame: also where the connection is forgotten
-
-	proc     *Process // the process that it is for; nil where the kernel or a script handles it
+	at       Time
+	id       uint64 // new with each use of the struct
+	lane     uint64 // events of one lane keep their order
+	kind     Kind
+	stopped  bool // it must not happen
+	heldBack bool // a cut has held it back
+	forced   bool // ResetArrived: also on a forgotten connection
+
+	target   *Process // the process that it is for; nil where the kernel or a script handles it
 	host     *Host
 	conn     *Conn // the end that it reaches
-	dial     *dialing
+	dial     *dial
 	listener *listener
 	packets  *packetConn
 	fn       func()
 	err      error
 	n        int
-	sentAt   Time // BytesCame: when its first byte was written
+	sentAt   Time // BytesArrived: when its first byte was written
 	heldAt   Time
 	link     *Link
 	to       netip.AddrPort
@@ -62,10 +64,10 @@
 	data     []byte
 }
 
-// wire reports whether the event is a part of a connection that travels over a link.
-func (ev *event) wire() bool { return ev.kind >= OpenCame && ev.kind <= CreditCame }
+// crossesLink reports whether the event is a part of a connection that travels over a link.
+func (ev *event) crossesLink() bool { return ev.kind >= OpenArrived && ev.kind <= CreditArrived }
 
-// event takes one from the pool.
+// event takes an event from the pool.
 func (w *World) event(k Kind) *event {
 	w.lastID++
 	if n := len(w.free); n > 0 {
@@ -77,109 +79,108 @@
 	return &event{id: w.lastID, kind: k}
 }
 
-// release gives an event back to the pool; it holds nothing from then on.
+// release returns an event to the pool; it refers to nothing from then on.
 func (w *World) release(ev *event) {
 	data := ev.data
 	if cap(data) > 4096 || cap(data) > 0 && len(w.free) > 4096 {
-		data = nil // The danger: a pool that keeps the largest of everything that ever was.
+		data = nil // the pool must not retain the largest buffers of the whole run
 	}
 	*ev = event{data: data[:0]}
 	w.free = append(w.free, ev)
 }
 
-// ordBits of an order number are the event's place among all; those above are drawn where ties are shuffled.
-const ordBits = 40
+// orderBits of an order number are the event's number; the bits above are drawn where ties are shuffled.
+const orderBits = 40
 
-// schedule has the event carried out at t, or in a later turn of this instant where t has passed.
+// schedule has the event happen at t, or in a later turn of this instant where t has passed.
 func (w *World) schedule(ev *event, t Time, lane uint64) {
 	ev.at = max(t, w.now)
 	ev.lane = lane
-	w.lastOrd++
-	ord := w.lastOrd
+	w.lastOrder++
+	ord := w.lastOrder
 	if w.ShuffleTies {
 		draw := mix(mix(w.seed, uint64(ev.at)), lane)
-		ord = draw<<ordBits | ord&(1<<ordBits-1)
+		ord = draw<<orderBits | ord&(1<<orderBits-1)
 	}
-	w.heap.push(entry{ev.at, ord, ev})
+	w.queue.push(queueEntry{ev.at, ord, ev})
 }
 
-// timer takes an event back.
+// timer can stop a scheduled event.
 type timer struct {
-	w  *World
-	ev *event
-	id uint64 // The danger: the event may have been carried out and serve another purpose by now.
+	world *World
+	event *event
+	id    uint64 // of the event when it was scheduled: by now the struct may be in use for another one
 }
 
-// Stop is for the timers of processes and scripts.
+// Stop implements machine.Timer.
 func (t *timer) Stop() {
-	if p := t.take(); p != nil && !p.dead {
+	if p := t.cancel(); p != nil && !p.dead {
 		p.timers--
 	}
 }
 
-// take takes the event back and tells whose it was.
-func (t *timer) take() *Process {
-	ev := t.ev
-	t.ev = nil
+// cancel stops the event and returns the process that it was for, nil for none.
+func (t *timer) cancel() *Process {
+	ev := t.event
+	t.event = nil
 	if ev == nil || ev.id != t.id {
 		return nil
 	}
-	p := ev.proc
-	t.w.stop(ev)
+	p := ev.target
+	t.world.stop(ev)
 	return p
 }
 
-// stop takes an event in the heap back. It is dropped there in its time, or when many are.
+// stop cancels a queued event. It is dropped when it comes up, or by sweep when there are many.
 func (w *World) stop(ev *event) {
 	ev.stopped = true
 	ev.id = 0
-	ev.fn, ev.proc, ev.dial, ev.conn = nil, nil, nil, nil
-	w.dead++
-	if w.dead > 1024 && w.dead > len(w.heap)/2 {
+	ev.fn, ev.target, ev.dial, ev.conn = nil, nil, nil, nil
+	w.stoppedEvents++
+	if w.stoppedEvents > 1024 && w.stoppedEvents > len(w.queue)/2 {
 		w.sweep()
 	}
 }
 
-// drop is for an event that was taken back and has come up.
+// drop releases a stopped event that has come up.
 func (w *World) drop(ev *event) {
-	w.dead = max(0, w.dead-1)
+	w.stoppedEvents = max(0, w.stoppedEvents-1)
 	w.release(ev)
 }
 
-// sweep clears the heap of events that were taken back. The danger: deadlines far off, each
-// taken back soon, would fill the heap.
+// sweep removes stopped events from the queue, which far deadlines that are stopped soon would fill otherwise.
 func (w *World) sweep() {
-	kept := w.heap[:0]
-	for _, e := range w.heap {
-		if e.ev.stopped {
-			w.release(e.ev)
+	remaining := w.queue[:0]
+	for _, e := range w.queue {
+		if e.event.stopped {
+			w.release(e.event)
 		} else {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	clear(w.heap[len(kept):])
-	w.heap = kept
-	for i := len(kept)/4 + 1; i >= 0; i-- {
-		w.heap.down(i)
+	clear(w.queue[len(remaining):])
+	w.queue = remaining
+	for i := len(remaining)/4 + 1; i >= 0; i-- {
+		w.queue.down(i)
 	}
-	w.dead = 0
+	w.stoppedEvents = 0
 }
 
-// entry is an event's place in the heap, beside it for speed.
-type entry struct {
-	at  Time
-	ord uint64
-	ev  *event
+// queueEntry is an event's place in the queue; time and order stand beside the event for speed.
+type queueEntry struct {
+	at    Time
+	order uint64
+	event *event
 }
 
-func (e *entry) before(f *entry) bool {
-	return e.at < f.at || e.at == f.at && e.ord < f.ord
+func (e *queueEntry) before(f *queueEntry) bool {
+	return e.at < f.at || e.at == f.at && e.order < f.order
 }
 
-// eventHeap is a heap in which each entry has four children.
-type eventHeap []entry
+// eventQueue is a heap in which each entry has four children.
+type eventQueue []queueEntry
 
-func (h *eventHeap) push(e entry) {
+func (h *eventQueue) push(e queueEntry) {
 	s := append(*h, e)
 	*h = s
 	i := len(s) - 1
@@ -194,16 +195,16 @@
 	s[i] = e
 }
 
-func (h *eventHeap) pop() {
+func (h *eventQueue) pop() {
 	s := *h
 	n := len(s) - 1
 	s[0] = s[n]
-	s[n] = entry{}
+	s[n] = queueEntry{}
 	*h = s[:n]
 	h.down(0)
 }
 
-func (h *eventHeap) down(i int) {
+func (h *eventQueue) down(i int) {
 	s := *h
 	n := len(s)
 	if i >= n {
@@ -215,34 +216,34 @@
 		if first >= n {
 			break
 		}
-		least := first
+		smallest := first
 		for c := first + 1; c < min(first+4, n); c++ {
-			if s[c].before(&s[least]) {
-				least = c
+			if s[c].before(&s[smallest]) {
+				smallest = c
 			}
 		}
-		if !s[least].before(&e) {
+		if !s[smallest].before(&e) {
 			break
 		}
-		s[i] = s[least]
-		i = least
+		s[i] = s[smallest]
+		i = smallest
 	}
 	s[i] = e
 }
 
-// process is the one that the event reaches; nil for one of a script or a host.
+// process is the process that the event reaches, nil for an event of a script or a host.
 func (ev *event) process() *Process {
 	switch {
-	case ev.proc != nil:
-		return ev.proc
+	case ev.target != nil:
+		return ev.target
 	case ev.conn != nil:
-		return ev.conn.p
+		return ev.conn.process
 	case ev.dial != nil:
-		return ev.dial.p
+		return ev.dial.process
 	case ev.listener != nil:
-		return ev.listener.p
+		return ev.listener.process
 	case ev.packets != nil:
-		return ev.packets.p
+		return ev.packets.process
 	}
 	return nil
 }
--- a/internal/testbench/sim/faults_test.go
+++ b/internal/testbench/sim/faults_test.go
@@ -427,11 +427,11 @@
 	f.server.Machine().ListenPacket(serverAddr, func(string, []byte) { n++ })
 	pc, _ := f.client.Machine().ListenPacket("10.0.0.2:0", func(string, []byte) {})
 	f.server.Stall(Second)
-	for range 2 * mostWaiting {
+	for range 2 * maxQueuedDatagrams {
 		pc.Send(serverAddr, []byte("x"))
 	}
 	f.after(2 * Second)
-	if n != mostWaiting {
+	if n != maxQueuedDatagrams {
 		t.Errorf("%d datagrams were kept", n)
 	}
 }
@@ -486,15 +486,15 @@
 			t.Errorf("byte %d was written at %d, it tells %d", i, want-first, got-first)
 		}
 	}
-	for i := range 3 * mostMarks {
+	for i := range 3 * maxSendTimes {
 		near.write(t, "x")
 		f.after(10 * Millisecond)
 		if got, want := c.SentAt(uint64(4+i)), f.now-10*Millisecond; got != want {
 			t.Fatalf("byte %d was written at %d, it tells %d", 4+i, want, got)
 		}
 	}
-	if len(c.marks) > mostMarks || c.SentAt(0) > f.now {
-		t.Errorf("%d marks are held", len(c.marks))
+	if len(c.sendTimes) > maxSendTimes || c.SentAt(0) > f.now {
+		t.Errorf("%d marks are held", len(c.sendTimes))
 	}
 }
 
--- a/internal/testbench/sim/harness_test.go
+++ b/internal/testbench/sim/harness_test.go
@@ -18,7 +18,7 @@
 }
 
 func (p *party) Readable() {
-	p.told = p.conn.(*Conn).w.now
+	p.told = p.conn.(*Conn).world.now
 	if !p.deaf {
 		p.read()
 	}
--- a/internal/testbench/sim/host.go
+++ b/internal/testbench/sim/host.go
@@ -8,18 +8,18 @@
 	"starlingwinch/internal/machine"
 )
 
-// HostOptions are what a host is made of. The zero value of a field stands for its usual figure.
+// HostOptions describe a host. The zero value of a field stands for its default.
 type HostOptions struct {
 	Zone        string
-	Descriptors int  // that a process may hold; 1024
-	ClockOffset Time // by which the clock is wrong
-	Window      int  // bytes of a connection that wait here unread or are on their way; 64 KiB
-	Backlog     int  // connections that wait for a listener to take them; 128
-	RefuseFull  bool // where a backlog is full, refuse instead of saying nothing
+	Descriptors int  // a process may hold; default 1024
+	ClockOffset Time // of the host's clock from the true time
+	Window      int  // bytes of a connection that are unread here or in transit; default 64 KiB
+	Backlog     int  // connections that wait for a listener; default 128
+	RefuseFull  bool // a full backlog refuses dials instead of dropping them
 }
 
 // Host is one computer with a kernel and, at a time, one process. The kernel's part goes on while the
-// process hangs: connections come up and bytes are taken in as far as there is room.
+// process is stalled: connections are established and bytes received as far as there is space.
 type Host struct {
 	// Logged is called with each line of the log.
 	Logged func(line string)
@@ -28,30 +28,30 @@
 	// ended. Nil refuses all.
 	Worker func(args []string, c machine.Conn) machine.Handler
 
-	w         *World
-	id        uint64
-	name      string
-	ip        netip.Addr
-	opts      HostOptions
-	loopback  *Link
-	entropy   *rand.Rand
-	work      *rand.Rand
-	clock     Time // by which Wall is ahead of Now
-	proc      *Process
-	disk      *disk
-	listeners map[netip.AddrPort]*listener
-	packets   map[netip.AddrPort]*packetConn
-	lastPort  uint16
-
-	gone       bool
-	silent     bool
-	stallUntil Time
-	pile       []*event // what a process that hangs has before it
-	refuse     bool
-	swallow    bool
-	resetNew   bool
-	failing    FailingCalls
-	failures   *rand.Rand
+	world       *World
+	id          uint64
+	name        string
+	ip          netip.Addr
+	options     HostOptions
+	loopback    *Link
+	entropy     *rand.Rand
+	work        *rand.Rand
+	clockOffset Time // Wall minus Now
+	process     *Process
+	disk        *disk
+	listeners   map[netip.AddrPort]*listener
+	packets     map[netip.AddrPort]*packetConn
+	lastPort    uint16
+
+	vanished       bool
+	silent         bool
+	stallUntil     Time
+	deferred       []*event // events that wait for the stalled process
+	refusesDials   bool
+	dropsDials     bool
+	resetsAccepted bool
+	failing        FailingCalls
+	failures       *rand.Rand
 }
 
 // Host adds a host with a process that has just started. It panics where the name or the address is taken.
@@ -70,24 +70,24 @@
 		o.Backlog = 128
 	}
 	h := &Host{
-		w:         w,
-		id:        uint64(len(w.hosts) + 1),
-		name:      name,
-		ip:        addr,
-		opts:      o,
-		loopback:  &Link{Latency: 20, rand: w.Rand("loopback " + name)},
-		entropy:   w.Rand("entropy " + name),
-		work:      w.Rand("work " + name),
-		clock:     o.ClockOffset,
-		disk:      newDisk(w.Rand("disk " + name)),
-		listeners: map[netip.AddrPort]*listener{},
-		packets:   map[netip.AddrPort]*packetConn{},
-		lastPort:  firstPort - 1,
-		failures:  w.Rand("failing calls " + name),
+		world:       w,
+		id:          uint64(len(w.hosts) + 1),
+		name:        name,
+		ip:          addr,
+		options:     o,
+		loopback:    &Link{Latency: 20, rand: w.Rand("loopback " + name)},
+		entropy:     w.Rand("entropy " + name),
+		work:        w.Rand("work " + name),
+		clockOffset: o.ClockOffset,
+		disk:        newDisk(w.Rand("disk " + name)),
+		listeners:   map[netip.AddrPort]*listener{},
+		packets:     map[netip.AddrPort]*packetConn{},
+		lastPort:    firstPort - 1,
+		failures:    w.Rand("failing calls " + name),
 	}
 	w.hosts = append(w.hosts, h)
 	w.byIP[addr] = h
-	h.proc = newProcess(h)
+	h.process = newProcess(h)
 	return h
 }
 
@@ -98,21 +98,21 @@
 func (h *Host) IP() string { return h.ip.String() }
 
 // Machine is the host as its present process sees it.
-func (h *Host) Machine() machine.Machine { return h.proc }
+func (h *Host) Machine() machine.Machine { return h.process }
 
 // Descriptors is the number of descriptors that the process holds.
-func (h *Host) Descriptors() int { return h.proc.descriptors }
+func (h *Host) Descriptors() int { return h.process.descriptors }
 
 // Pending is the number of timers that the process has set and that neither fired nor were stopped.
-func (h *Host) Pending() int { return h.proc.timers }
+func (h *Host) Pending() int { return h.process.timers }
 
 // Alive reports whether a process runs.
-func (h *Host) Alive() bool { return !h.proc.dead }
+func (h *Host) Alive() bool { return !h.process.dead }
 
 // Kill ends the process at once: its connections are reset towards the peers, its timers, listeners and handlers are
 // gone. A machine call of it panics from then on, but for those that give something back.
 func (h *Host) Kill() {
-	p := h.proc
+	p := h.process
 	if p.dead {
 		return
 	}
@@ -122,13 +122,13 @@
 		c.abandon()
 	}
 	for _, d := range p.dials {
-		d.over = true
-		if d.up {
+		d.finished = true
+		if d.established {
 			d.conn.abandon()
 		}
 	}
 	for _, l := range p.listeners {
-		l.shut()
+		l.discard()
 	}
 	for _, pc := range p.packets {
 		pc.closed = true
@@ -136,10 +136,10 @@
 	}
 	p.conns, p.dials, p.listeners, p.packets = nil, nil, nil, nil
 	p.descriptors, p.timers, p.signals = 0, 0, nil
-	for _, ev := range h.pile {
-		h.w.release(ev)
+	for _, ev := range h.deferred {
+		h.world.release(ev)
 	}
-	h.pile = nil
+	h.deferred = nil
 	h.silent = false
 	h.stallUntil = 0
 }
@@ -147,19 +147,19 @@
 // Restart starts a process anew, and kills the one before it where it still runs. Files stay.
 func (h *Host) Restart() machine.Machine {
 	h.Kill()
-	h.proc = newProcess(h)
-	return h.proc
+	h.process = newProcess(h)
+	return h.process
 }
 
-// Vanish cuts the host off from all others: its connections stay open and silent, new ones do not come up. Its
-// process goes on.
+// Vanish disconnects the host from all others: its connections stay open and silent, and new ones are not established. Its
+// process runs on.
 func (h *Host) Vanish() {
-	h.gone = true
+	h.vanished = true
 	h.eachConn(func(c *Conn) { c.forget(false) })
 }
 
 // Return ends a Vanish. Connections from before it are reset when one side sends on them.
-func (h *Host) Return() { h.gone = false }
+func (h *Host) Return() { h.vanished = false }
 
 // DropIdleConns has everything between this host and others forget the connections that are open: both sides
 // believe in them, and get a reset when they send; or nothing, where silent is set.
@@ -167,85 +167,87 @@
 	h.eachConn(func(c *Conn) { c.forget(silent) })
 }
 
+// eachConn calls f with each connection that the kernel has as open.
 func (h *Host) eachConn(f func(*Conn)) {
-	for _, c := range h.proc.conns {
+	for _, c := range h.process.conns {
 		f(c)
 	}
-	for _, d := range h.proc.dials {
-		if d.up {
+	for _, d := range h.process.dials {
+		if d.established {
 			f(d.conn)
 		}
 	}
-	for _, l := range h.proc.listeners {
+	for _, l := range h.process.listeners {
 		for _, c := range l.queue {
 			f(c)
 		}
 	}
 }
 
-// RefuseAll has the host refuse all new connections, or not any more.
-func (h *Host) RefuseAll(on bool) { h.refuse = on }
+// RefuseAll sets whether the host refuses all new connections.
+func (h *Host) RefuseAll(on bool) { h.refusesDials = on }
 
-// SwallowDials has the host give no answer to new connections, or not any more.
-func (h *Host) SwallowDials(on bool) { h.swallow = on }
+// SwallowDials sets whether the host gives no answer to new connections.
+func (h *Host) SwallowDials(on bool) { h.dropsDials = on }
 
-// ResetOnAccept has each new connection come up and be reset at once, or not any more.
-func (h *Host) ResetOnAccept(on bool) { h.resetNew = on }
+// ResetOnAccept sets whether each new connection is established and reset at once.
+func (h *Host) ResetOnAccept(on bool) { h.resetsAccepted = on }
 
-// Stall keeps the process from running for a span, as a collection of garbage or a lack of CPU
-// does. What happens meanwhile waits, and comes in order afterwards.
+// Stall keeps the process from running for a span, as garbage collection or a lack of CPU does. Events of that time are
+// deferred, and happen in order afterwards.
 func (h *Host) Stall(d Time) {
-	h.stallUntil = max(h.stallUntil, h.w.now+d)
-	ev := h.w.event(Resumes)
+	h.stallUntil = max(h.stallUntil, h.world.now+d)
+	ev := h.world.event(HostResumed)
 	ev.host = h
-	h.w.schedule(ev, h.stallUntil, 0)
+	h.world.schedule(ev, h.stallUntil, 0)
 }
 
-// Silence hangs the process, or lets it go on: it is Stall without an end.
+// Silence stalls the process without an end, or lets it run again.
 func (h *Host) Silence(on bool) {
 	h.silent = on
 	h.resume()
 }
 
-func (h *Host) stalled() bool { return h.silent || h.w.now < h.stallUntil }
+// stalled reports whether the process does not run now.
+func (h *Host) stalled() bool { return h.silent || h.world.now < h.stallUntil }
 
-// resume has all that was put off happen at this instant, in order.
+// resume has all deferred events happen at this instant, in order.
 func (h *Host) resume() {
 	if h.stalled() {
 		return
 	}
-	pile := h.pile
-	h.pile = nil
+	pile := h.deferred
+	h.deferred = nil
 	for _, ev := range pile {
 		if ev.stopped {
-			h.w.drop(ev)
+			h.world.drop(ev)
 			continue
 		}
-		h.w.schedule(ev, h.w.now, ev.lane)
+		h.world.schedule(ev, h.world.now, ev.lane)
 	}
 }
 
 // Signal sends the process a signal.
 func (h *Host) Signal(s machine.Signal) {
-	p := h.proc
+	p := h.process
 	switch {
 	case p.dead:
 	case p.signals == nil:
-		p.kept = append(p.kept, s)
+		p.pendingSignals = append(p.pendingSignals, s)
 	default:
 		p.signal(s)
 	}
 }
 
 // StepClock moves the host's clock by d: Wall jumps, Now does not.
-func (h *Host) StepClock(d Time) { h.clock += d }
+func (h *Host) StepClock(d Time) { h.clockOffset += d }
 
-// linkTo is the way to another host.
+// linkTo is the link to another host.
 func (h *Host) linkTo(to *Host) *Link {
 	if h == to {
 		return h.loopback
 	}
-	return h.w.Link(h.opts.Zone, to.opts.Zone)
+	return h.world.Link(h.options.Zone, to.options.Zone)
 }
 
 // Ports that a host gives out by itself.
@@ -254,7 +256,7 @@
 	lastPort  = 60999
 )
 
-// freePort is the next port that free accepts.
+// freePort returns the next port for which free is true.
 func (h *Host) freePort(free func(port uint16) bool) (uint16, error) {
 	for range lastPort - firstPort + 1 {
 		h.lastPort++
@@ -268,7 +270,7 @@
 	return 0, fmt.Errorf("sim: %s has no port left", h.name)
 }
 
-// bind finds out the address to listen at.
+// bind resolves the address to listen on, with a free port where it names none.
 func (h *Host) bind(addr string, taken func(netip.AddrPort) bool) (netip.AddrPort, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -295,15 +297,15 @@
 	return netip.IPv6Unspecified()
 }
 
-// reach is the host that an address leads to from here, nil for none.
-func (h *Host) reach(ip netip.Addr) *Host {
+// hostAt is the host that an address leads to from here, nil for none.
+func (h *Host) hostAt(ip netip.Addr) *Host {
 	if ip.IsLoopback() || ip.IsUnspecified() {
 		return h
 	}
-	return h.w.byIP[ip]
+	return h.world.byIP[ip]
 }
 
-// apart reports whether nothing gets from one host to the other.
-func (h *Host) apart(to *Host) bool {
-	return h != to && (h.gone || to.gone)
+// unreachable reports whether one of two hosts has vanished from the other.
+func (h *Host) unreachable(to *Host) bool {
+	return h != to && (h.vanished || to.vanished)
 }
--- a/internal/testbench/sim/link.go
+++ b/internal/testbench/sim/link.go
@@ -2,26 +2,26 @@
 
 import "math/rand/v2"
 
-// Link is the way from the hosts of one zone to those of another, in that direction. Its figures may be set
-// at any time and hold for what is sent from then on. Chances run from 0 to 1.
+// Link connects the hosts of one zone to those of another, in that direction. Its fields may be set at any time and hold for
+// what is sent from then on. Probabilities run from 0 to 1.
 type Link struct {
 	Latency Time
-	Jitter  Time    // up to this much longer
-	Factor  float64 // times the latency; 0 stands for 1
-	Extra   Time    // and this much
-	Split   float64 // chance that what was written arrives in two pieces
+	Jitter  Time    // the largest random addition to the latency
+	Factor  float64 // multiplies the latency; 0 stands for 1
+	Extra   Time    // added to that
+	Split   float64 // probability that a write arrives in two pieces
 
-	Loss   float64 // chance that a datagram is lost
-	Twice  float64 // comes twice
-	Late   float64 // comes up to LateBy later than others
+	Loss   float64 // probability that a datagram is lost
+	Twice  float64 // probability that it arrives twice
+	Late   float64 // probability that it is delayed by up to LateBy
 	LateBy Time
 
 	cut  bool
-	held []*event // what connections have sent into the cut, in order
+	held []*event // pieces of connections that were sent into the cut, in order
 	rand *rand.Rand
 }
 
-// delay draws how long something takes.
+// delay draws the time of one transmission.
 func (l *Link) delay() Time {
 	d := l.Latency
 	if l.Factor != 0 {
@@ -39,12 +39,13 @@
 	return p > 0 && l.rand.Float64() < p
 }
 
-// zone is where hosts are.
+// zone is a data centre.
 type zone struct {
 	name  string
 	links map[string]*Link // to the other zones
 }
 
+// zone returns the zone of that name.
 func (w *World) zone(name string) *zone {
 	z := w.zones[name]
 	if z == nil {
@@ -54,7 +55,7 @@
 	return z
 }
 
-// Link is the way from one zone to another.
+// Link returns the link from one zone to another.
 func (w *World) Link(from, to string) *Link {
 	z := w.zone(from)
 	l := z.links[to]
@@ -70,18 +71,18 @@
 	return l
 }
 
-// Slow makes the way from one zone to another longer: factor times the latency, and extra.
+// Slow makes the link from one zone to another slower: factor times the latency, and extra.
 // Slow(from, to, 1, 0) ends it.
 func (w *World) Slow(from, to string, factor float64, extra Time) {
 	l := w.Link(from, to)
 	l.Factor, l.Extra = factor, extra
 }
 
-// Cut breaks the way from one zone to another, in this direction alone: what connections send waits for the Heal,
-// new ones do not come up, and datagrams are lost.
+// Cut interrupts the link from one zone to another, in this direction alone: what connections send waits for the Heal, new
+// connections are not established, and datagrams are lost.
 func (w *World) Cut(from, to string) { w.Link(from, to).cut = true }
 
-// Heal ends a Cut. What was held arrives in order, a latency later.
+// Heal ends a Cut. What was held back arrives in order, a latency later.
 func (w *World) Heal(from, to string) {
 	l := w.Link(from, to)
 	l.cut = false
@@ -92,44 +93,44 @@
 		if w.SilentAfter > 0 && w.now-ev.heldAt > w.SilentAfter {
 			sender.forget(true)
 		}
-		sender.lateAt = max(sender.lateAt, w.now+l.delay())
-		w.schedule(ev, sender.lateAt, ev.lane)
+		sender.delayedUntil = max(sender.delayedUntil, w.now+l.delay())
+		w.schedule(ev, sender.delayedUntil, ev.lane)
 	}
 }
 
-// held reports whether a part of a connection is kept back, by a cut or behind a part that is.
-func (w *World) held(ev *event) bool {
+// holdBack reports whether a piece of a connection is held back, by a cut or behind a piece that is.
+func (w *World) holdBack(ev *event) bool {
 	sender := ev.conn.peer
-	if sender.last == ev {
-		sender.last = nil
+	if sender.lastPiece == ev {
+		sender.lastPiece = nil
 	}
 	l := sender.link
 	if l.cut {
-		if !ev.late {
-			ev.late = true
+		if !ev.heldBack {
+			ev.heldBack = true
 			ev.heldAt = w.now
-			sender.late++
+			sender.delayedPieces++
 		}
 		l.held = append(l.held, ev)
 		return true
 	}
-	if ev.late {
-		sender.late--
+	if ev.heldBack {
+		sender.delayedPieces--
 		return false
 	}
-	if sender.late == 0 {
+	if sender.delayedPieces == 0 {
 		return false
 	}
-	// The danger: what was sent after the heal would overtake what the cut had held.
-	ev.late = true
+	// Pieces sent after the heal must not overtake those that the cut had held back.
+	ev.heldBack = true
 	ev.heldAt = w.now
-	sender.late++
-	sender.lateAt = max(sender.lateAt, w.now)
-	w.schedule(ev, sender.lateAt, ev.lane)
+	sender.delayedPieces++
+	sender.delayedUntil = max(sender.delayedUntil, w.now)
+	w.schedule(ev, sender.delayedUntil, ev.lane)
 	return true
 }
 
-// IsCut reports whether the way from one zone to another is cut.
+// IsCut reports whether the link from one zone to another is cut.
 func (w *World) IsCut(from, to string) bool {
 	z := w.zones[from]
 	return z != nil && z.links[to] != nil && z.links[to].cut
--- a/internal/testbench/sim/listener.go
+++ b/internal/testbench/sim/listener.go
@@ -6,22 +6,23 @@
 	"starlingwinch/internal/machine"
 )
 
-// listener takes connections from its queue, which the kernel fills.
+// listener is a machine.Listener. The kernel fills its queue.
 type listener struct {
-	p      *Process
-	addr   netip.AddrPort
-	accept func(machine.Conn) machine.Handler
-	queue  []*Conn // up, and not taken in; handshakes under way may carry it past the backlog
-	lane   uint64
-	queued bool // an Accepting is on its way
-	paused bool
-	closed bool
-	done   func() // to be called once the queue is empty; nil where it is not to end
+	process      *Process
+	addr         netip.AddrPort
+	accept       func(machine.Conn) machine.Handler
+	queue        []*Conn // established and not accepted; handshakes under way may carry it past the backlog
+	lane         uint64
+	acceptQueued bool // an AcceptQueued event is scheduled
+	paused       bool
+	closed       bool
+	done         func() // called once the queue is empty; nil before Finish
 }
 
+// Listen implements machine.Machine.
 func (p *Process) Listen(addr string, accept func(machine.Conn) machine.Handler) (machine.Listener, error) {
 	p.enter()
-	if p.full() {
+	if p.outOfDescriptors() {
 		return nil, machine.ErrDescriptors
 	}
 	h := p.host
@@ -29,13 +30,14 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &listener{p: p, addr: at, accept: accept, lane: p.w.lane()}
+	l := &listener{process: p, addr: at, accept: accept, lane: p.world.lane()}
 	p.descriptors++
 	p.listeners = append(p.listeners, l)
 	h.listeners[at] = l
 	return l, nil
 }
 
+// listenerAt is the listener of an address, or that of all addresses with its port; nil for none.
 func (h *Host) listenerAt(at netip.AddrPort) *listener {
 	if l := h.listeners[at]; l != nil {
 		return l
@@ -43,103 +45,108 @@
 	return h.listeners[netip.AddrPortFrom(anyAddr(at.Addr()), at.Port())]
 }
 
+// Addr implements machine.Listener.
 func (l *listener) Addr() string { return l.addr.String() }
 
+// Pause implements machine.Listener.
 func (l *listener) Pause() {
-	l.p.enter()
+	l.process.enter()
 	l.paused = true
 }
 
+// Resume implements machine.Listener.
 func (l *listener) Resume() {
-	l.p.enter()
+	l.process.enter()
 	l.paused = false
-	l.takeLater()
+	l.queueAccept()
 }
 
+// Finish implements machine.Listener.
 func (l *listener) Finish(done func()) {
-	l.p.enter()
+	l.process.enter()
 	if l.closed || l.done != nil {
 		return
 	}
 	l.done = done
-	l.p.Post(l.finish)
+	l.process.Post(l.finish)
 }
 
-// finish takes in what waits, and ends it once nothing does.
+// finish accepts the queued connections, and closes the listener once there are none.
 func (l *listener) finish() {
 	if l.closed || l.done == nil {
 		return
 	}
-	if l.take(); len(l.queue) == 0 {
+	if l.acceptAll(); len(l.queue) == 0 {
 		done := l.done
 		l.Close()
 		done()
 	}
 }
 
+// Close implements machine.Listener.
 func (l *listener) Close() {
 	if l.closed {
 		return
 	}
-	p := l.p
+	p := l.process
 	p.enter()
-	l.shut()
+	l.discard()
 	p.listeners = remove(p.listeners, l)
-	p.giveBack()
+	p.releaseDescriptor()
 }
 
-// shut closes it and resets the connections that wait.
-func (l *listener) shut() {
+// discard closes the listener and resets the queued connections.
+func (l *listener) discard() {
 	l.closed = true
-	delete(l.p.host.listeners, l.addr)
+	delete(l.process.host.listeners, l.addr)
 	for _, c := range l.queue {
 		c.abandon()
 	}
 	l.queue = nil
 }
 
-// takeLater has connections taken in by a later turn.
-func (l *listener) takeLater() {
-	if l.queued || l.closed || len(l.queue) == 0 {
+// queueAccept has connections accepted in a later turn.
+func (l *listener) queueAccept() {
+	if l.acceptQueued || l.closed || len(l.queue) == 0 {
 		return
 	}
-	l.queued = true
-	ev := l.p.w.event(Accepting)
-	ev.proc, ev.listener = l.p, l
-	l.p.w.schedule(ev, l.p.w.now, l.lane)
+	l.acceptQueued = true
+	ev := l.process.world.event(AcceptQueued)
+	ev.target, ev.listener = l.process, l
+	l.process.world.schedule(ev, l.process.world.now, l.lane)
 }
 
-// take takes connections in, as far as there are descriptors.
-func (l *listener) take() {
-	p := l.p
-	for len(l.queue) > 0 && !l.paused && !p.full() {
+// acceptAll accepts queued connections, as far as there are descriptors.
+func (l *listener) acceptAll() {
+	p := l.process
+	for len(l.queue) > 0 && !l.paused && !p.outOfDescriptors() {
 		c := l.queue[0]
 		l.queue[0] = nil
 		l.queue = l.queue[1:]
 		p.descriptors++
-		c.belong(p)
+		c.attach(p)
 		c.start(l.accept(c))
 	}
 	if len(l.queue) == 0 && l.done != nil {
-		l.p.Post(l.finish)
+		l.process.Post(l.finish)
 	}
 }
 
-// openCame has a connection come up on the listener's side.
-func (c *Conn) openCame() {
-	if c.host.gone && c.host != c.peer.host {
+// openArrived establishes a connection on the listener's side.
+func (c *Conn) openArrived() {
+	if c.host.vanished && c.host != c.peer.host {
 		return
 	}
-	l := c.host.listenerAt(c.at)
-	if l == nil || c.host.resetNew {
+	l := c.host.listenerAt(c.listenAddr)
+	if l == nil || c.host.resetsAccepted {
 		c.abandon()
 		return
 	}
 	c.opened = true
 	l.queue = append(l.queue, c)
-	if c.host.stalled() || l.queued {
-		l.takeLater()
+	if c.host.stalled() || l.acceptQueued {
+		l.queueAccept()
 		return
 	}
-	l.take()
+	l.acceptAll()
 }
--- a/internal/testbench/sim/packet.go
+++ b/internal/testbench/sim/packet.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	mostDatagram = 65507 // bytes that UDP over IPv4 carries
-	mostWaiting  = 256   // datagrams that wait for a process that hangs
+	maxDatagram        = 65507 // bytes that UDP over IPv4 carries
+	maxQueuedDatagrams = 256   // datagrams that wait for a stalled process
 )
 
 // packetConn is a machine.PacketConn.
 type packetConn struct {
-	p       *Process
+	process *Process
 	addr    netip.AddrPort
 	from    string // as others see it
-	got     func(from string, b []byte)
+	receive func(from string, b []byte)
 	lane    uint64
 	waiting int
 	closed  bool
 }
 
+// ListenPacket implements machine.Machine.
 func (p *Process) ListenPacket(addr string, got func(from string, b []byte)) (machine.PacketConn, error) {
 	p.enter()
-	if p.full() {
+	if p.outOfDescriptors() {
 		return nil, machine.ErrDescriptors
 	}
 	h := p.host
@@ -37,17 +38,19 @@
 	if at.Addr().IsUnspecified() {
 		from = netip.AddrPortFrom(h.ip, at.Port())
 	}
-	pc := &packetConn{p: p, addr: at, from: from.String(), got: got, lane: p.w.lane()}
+	pc := &packetConn{process: p, addr: at, from: from.String(), receive: got, lane: p.world.lane()}
 	p.descriptors++
 	p.packets = append(p.packets, pc)
 	h.packets[at] = pc
 	return pc, nil
 }
 
+// Addr implements machine.PacketConn.
 func (pc *packetConn) Addr() string { return pc.addr.String() }
 
+// Send implements machine.PacketConn. The link may lose, repeat and delay a datagram.
 func (pc *packetConn) Send(to string, b []byte) error {
-	pc.p.enter()
+	pc.process.enter()
 	if pc.closed {
 		return machine.ErrClosed
 	}
@@ -55,12 +58,12 @@
 	if err != nil {
 		return fmt.Errorf("sim: send to %q: %w", to, err)
 	}
-	if len(b) > mostDatagram {
+	if len(b) > maxDatagram {
 		return fmt.Errorf("sim: send to %s: %d bytes are more than a datagram holds", to, len(b))
 	}
-	here := pc.p.host
-	there := here.reach(at.Addr())
-	if there == nil || here.apart(there) {
+	here := pc.process.host
+	there := here.hostAt(at.Addr())
+	if there == nil || here.unreachable(there) {
 		return nil
 	}
 	l := here.linkTo(there)
@@ -76,37 +79,38 @@
 		if l.LateBy > 0 && l.chance(l.Late) {
 			delay += 1 + l.rand.Int64N(l.LateBy)
 		}
-		ev := pc.p.w.event(DatagramCame)
+		ev := pc.process.world.event(DatagramArrived)
 		ev.host, ev.link, ev.to, ev.from = there, l, at, pc.from
 		ev.data = append(ev.data, b...)
-		pc.p.w.schedule(ev, pc.p.w.now+delay, pc.lane)
+		pc.process.world.schedule(ev, pc.process.world.now+delay, pc.lane)
 	}
 	return nil
 }
 
+// Close implements machine.PacketConn.
 func (pc *packetConn) Close() {
 	if pc.closed {
 		return
 	}
-	p := pc.p
+	p := pc.process
 	p.enter()
 	pc.closed = true
 	delete(p.host.packets, pc.addr)
 	p.packets = remove(p.packets, pc)
-	p.giveBack()
+	p.releaseDescriptor()
 }
 
 // datagramCame hands a datagram to whoever listens, and reports whether the event is done with.
 func (w *World) datagramCame(ev *event) bool {
 	h := ev.host
-	if h.gone && ev.link != h.loopback || ev.link.cut {
+	if h.vanished && ev.link != h.loopback || ev.link.cut {
 		return true
 	}
 	pc := h.packets[ev.to]
 	if pc == nil {
 		pc = h.packets[netip.AddrPortFrom(anyAddr(ev.to.Addr()), ev.to.Port())]
 	}
-	if pc == nil || pc.waiting >= mostWaiting {
+	if pc == nil || pc.waiting >= maxQueuedDatagrams {
 		return true
 	}
 	pc.waiting++
@@ -114,7 +118,7 @@
 		pc.read(ev)
 		return true
 	}
-	ev.kind, ev.proc, ev.packets = DatagramRead, pc.p, pc
+	ev.kind, ev.target, ev.packets = DatagramQueued, pc.process, pc
 	w.schedule(ev, w.now, pc.lane)
 	return false
 }
@@ -125,8 +129,8 @@
 	if pc.closed {
 		return
 	}
-	pc.got(ev.from, ev.data)
+	pc.receive(ev.from, ev.data)
 	for i := range ev.data {
-		ev.data[i] = 0xdb // The danger: a user that keeps b, which it must not, would go unseen.
+		ev.data[i] = 0xdb // makes a receiver visible that still uses the bytes after the call
 	}
 }
--- a/internal/testbench/sim/process.go
+++ b/internal/testbench/sim/process.go
@@ -5,37 +5,37 @@
 	"starlingwinch/internal/testbench/recordedlog"
 )
 
-// Process is a host as one process sees it, from its start to its death: a machine.Machine. What
-// it is misused for is told by a panic, for that is a mistake in the code under test.
+// Process is a host as one process sees it, from its start to its end: a machine.Machine. Misuse panics, as it is a fault of
+// the code under test.
 type Process struct {
-	w           *World
-	host        *Host
-	dead        bool
-	timerLane   uint64
-	postLane    uint64
-	timers      int
-	descriptors int
-	conns       []*Conn
-	dials       []*dialing
-	listeners   []*listener
-	packets     []*packetConn
-	signals     func(machine.Signal)
-	diskLane    uint64
-	diskAt      Time                 // when the last of its works on the disk is over
-	onDisk      []func(machine.Disk) // works that are not done yet
-	kept        []machine.Signal
-	resumed     func() // to be called after a span without a call; nil for none
-	span        Time   // that span
-	called      Time   // when anybody was called last
+	world          *World
+	host           *Host
+	dead           bool
+	timerLane      uint64
+	postLane       uint64
+	timers         int
+	descriptors    int
+	conns          []*Conn
+	dials          []*dial
+	listeners      []*listener
+	packets        []*packetConn
+	signals        func(machine.Signal)
+	diskLane       uint64
+	diskBusyUntil  Time                 // when the last work on the disk is over
+	diskWork       []func(machine.Disk) // work that has not been done yet
+	pendingSignals []machine.Signal
+	resumed        func() // called after a pause of minPause or more; nil for none
+	minPause       Time
+	lastCall       Time // of the process
 }
 
 var _ machine.Machine = (*Process)(nil)
 
 func newProcess(h *Host) *Process {
-	return &Process{w: h.w, host: h, timerLane: h.w.lane(), postLane: h.w.lane()}
+	return &Process{world: h.world, host: h, timerLane: h.world.lane(), postLane: h.world.lane()}
 }
 
-// lane is a new one.
+// lane returns a new lane.
 func (w *World) lane() uint64 {
 	w.lanes++
 	return w.lanes
@@ -46,140 +46,150 @@
 	if p.dead {
 		panic("sim: " + p.host.name + ": a call to the machine by a process that was killed")
 	}
-	if p.w.working {
+	if p.world.inWork {
 		panic("sim: " + p.host.name + ": the work given to Work calls the machine")
 	}
 }
 
+// Now implements machine.Machine.
 func (p *Process) Now() Time {
 	p.enter()
-	return p.w.now
+	return p.world.now
 }
 
+// Wall implements machine.Machine.
 func (p *Process) Wall() Time {
 	p.enter()
-	return p.w.now + p.host.clock
+	return p.world.now + p.host.clockOffset
 }
 
 // Late is 0: a call takes no time here.
 func (p *Process) Late() Time { return 0 }
 
+// Resumed implements machine.Machine.
 func (p *Process) Resumed(after Time, f func()) {
 	p.enter()
-	p.resumed, p.span, p.called = f, after, p.w.now
+	p.resumed, p.minPause, p.lastCall = f, after, p.world.now
 }
 
-// goOn is called before the process is: it tells where there was no call for long.
-func (p *Process) goOn() {
-	before := p.called
-	p.called = p.w.now
-	if p.resumed != nil && !p.dead && p.called-before >= p.span {
+// reportPause is called before each call of the process, and reports where there was none for long.
+func (p *Process) reportPause() {
+	before := p.lastCall
+	p.lastCall = p.world.now
+	if p.resumed != nil && !p.dead && p.lastCall-before >= p.minPause {
 		p.resumed()
 	}
 }
 
+// Entropy implements machine.Machine.
 func (p *Process) Entropy() uint64 {
 	p.enter()
 	return p.host.entropy.Uint64()
 }
 
+// At implements machine.Machine.
 func (p *Process) At(t Time, f func()) machine.Timer {
 	p.enter()
-	ev := p.w.event(TimerFired)
-	ev.proc, ev.fn = p, f
+	ev := p.world.event(TimerFired)
+	ev.target, ev.fn = p, f
 	p.timers++
-	p.w.schedule(ev, t, p.timerLane)
-	return &timer{w: p.w, ev: ev, id: ev.id}
+	p.world.schedule(ev, t, p.timerLane)
+	return &timer{world: p.world, event: ev, id: ev.id}
 }
 
-// Post may be called by the work of a Work too.
+// Post implements machine.Machine. The work of a Work may call it too.
 func (p *Process) Post(f func()) {
 	if p.dead {
 		p.enter()
 	}
-	ev := p.w.event(Posted)
-	ev.proc, ev.fn = p, f
-	p.w.schedule(ev, p.w.now, p.postLane)
+	ev := p.world.event(Posted)
+	ev.target, ev.fn = p, f
+	p.world.schedule(ev, p.world.now, p.postLane)
 }
 
-// workTakes is how long a Work takes at the most.
-const workTakes = 500
+// maxWorkDuration is the longest time that a Work takes.
+const maxWorkDuration = 500 // µs
 
+// Work implements machine.Machine. It runs f at once and done up to maxWorkDuration later.
 func (p *Process) Work(f, done func()) {
 	p.enter()
-	p.w.working = true
+	p.world.inWork = true
 	f()
-	p.w.working = false
-	ev := p.w.event(WorkDone)
-	ev.proc, ev.fn = p, done
-	p.w.schedule(ev, p.w.now+1+p.host.work.Int64N(workTakes), p.w.lane())
+	p.world.inWork = false
+	ev := p.world.event(WorkDone)
+	ev.target, ev.fn = p, done
+	p.world.schedule(ev, p.world.now+1+p.host.work.Int64N(maxWorkDuration), p.world.lane())
 }
 
-// OnDisk does the work when its time is over. Where the process is killed before, a part of it has been done.
+// OnDisk implements machine.Machine. The work happens when its time is over; where the process is killed before, a part of it
+// has been done.
 func (p *Process) OnDisk(f func(machine.Disk), done func()) {
 	p.enter()
-	p.onDisk = append(p.onDisk, f)
-	p.diskAt = max(p.w.now, p.diskAt) + 1 + p.host.work.Int64N(workTakes) + p.host.disk.slow
-	ev := p.w.event(WorkDone)
-	ev.proc = p
+	p.diskWork = append(p.diskWork, f)
+	p.diskBusyUntil = max(p.world.now, p.diskBusyUntil) + 1 + p.host.work.Int64N(maxWorkDuration) + p.host.disk.extraDelay
+	ev := p.world.event(WorkDone)
+	ev.target = p
 	ev.fn = func() {
-		p.onDisk = p.onDisk[1:]
-		p.w.working = true
-		f(onDisk{p.host.disk, p})
-		p.w.working = false
+		p.diskWork = p.diskWork[1:]
+		p.world.inWork = true
+		f(diskSession{p.host.disk, p})
+		p.world.inWork = false
 		done()
 	}
-	p.w.schedule(ev, p.diskAt, p.diskLane)
+	p.world.schedule(ev, p.diskBusyUntil, p.diskLane)
 }
 
+// ReadFile implements machine.Machine.
 func (p *Process) ReadFile(name string, most int64) ([]byte, error) {
 	p.enter()
-	if p.full() {
+	if p.outOfDescriptors() {
 		return nil, machine.ErrDescriptors
 	}
 	return p.host.disk.read(name, most)
 }
 
+// Signals implements machine.Machine.
 func (p *Process) Signals(f func(machine.Signal)) {
 	p.enter()
 	p.signals = f
-	for _, s := range p.kept {
+	for _, s := range p.pendingSignals {
 		p.signal(s)
 	}
-	p.kept = nil
+	p.pendingSignals = nil
 }
 
+// signal schedules the call for a signal.
 func (p *Process) signal(s machine.Signal) {
-	ev := p.w.event(Signalled)
-	ev.proc, ev.n = p, int(s)
-	p.w.schedule(ev, p.w.now, p.postLane)
+	ev := p.world.event(Signalled)
+	ev.target, ev.n = p, int(s)
+	p.world.schedule(ev, p.world.now, p.postLane)
 }
 
-// Log may be called by the work of a Work too.
+// Log implements machine.Machine. The work of a Work may call it too.
 func (p *Process) Log(line string) {
 	if p.dead {
 		p.enter()
 	}
-	p.w.trace = mixBytes(p.w.trace, []byte(recordedlog.Wording(line)))
+	p.world.trace = mixBytes(p.world.trace, []byte(recordedlog.Wording(line)))
 	if p.host.Logged != nil {
 		p.host.Logged(line)
 	}
 }
 
-// full reports whether no descriptor is left.
-func (p *Process) full() bool { return p.descriptors >= p.host.opts.Descriptors }
+// outOfDescriptors reports whether no descriptor is left.
+func (p *Process) outOfDescriptors() bool { return p.descriptors >= p.host.options.Descriptors }
 
-// giveBack frees a descriptor. Listeners that waited for one take connections in again, in a later turn.
-func (p *Process) giveBack() {
+// releaseDescriptor frees a descriptor. Listeners that waited for one accept again in a later turn.
+func (p *Process) releaseDescriptor() {
 	p.descriptors--
 	for _, l := range p.listeners {
 		if len(l.queue) > 0 {
-			l.takeLater()
+			l.queueAccept()
 		}
 	}
 }
 
-// remove takes x out of a list in which the order of the others is no matter.
+// remove takes x out of a list whose order does not matter.
 func remove[T comparable](list []T, x T) []T {
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i] == x {
--- a/internal/testbench/sim/trace.go
+++ b/internal/testbench/sim/trace.go
@@ -12,11 +12,11 @@
 	Host string // on which it happens; empty for a script's
 	Conn uint64 // number of the connection's end; 0 where it is none
 	Peer string // address of the other side
-	Data []byte // what comes; it must not be kept
+	Data []byte // what arrives; valid during the call only
 	Err  error  // of a dial
 }
 
-// record adds an event to the trace and tells of it.
+// record adds an event to the trace and passes it to OnEvent.
 func (w *World) record(ev *event) {
 	w.steps++
 	host := ev.owner()
@@ -35,11 +35,12 @@
 	}
 	w.trace = h
 	if w.OnEvent != nil {
-		w.tell(ev, host)
+		w.notifyObserver(ev, host)
 	}
 }
 
-func (w *World) tell(ev *event, host *Host) {
+// notifyObserver calls OnEvent.
+func (w *World) notifyObserver(ev *event, host *Host) {
 	e := Event{At: ev.at, Kind: ev.kind, Data: ev.data, Err: ev.err, Peer: ev.from}
 	if host != nil {
 		e.Host = host.name
@@ -58,12 +59,12 @@
 // owner is the host on which the event happens.
 func (ev *event) owner() *Host {
 	switch {
-	case ev.proc != nil:
-		return ev.proc.host
+	case ev.target != nil:
+		return ev.target.host
 	case ev.conn != nil:
 		return ev.conn.host
 	case ev.dial != nil:
-		return ev.dial.at(ev.kind)
+		return ev.dial.hostOf(ev.kind)
 	}
 	return ev.host
 }
@@ -74,6 +75,7 @@
 	return hi ^ lo ^ bits.RotateLeft64(x, 29)
 }
 
+// mixBytes folds bytes into a hash.
 func mixBytes(h uint64, b []byte) uint64 {
 	h = mix(h, uint64(len(b)))
 	for len(b) >= 8 {
--- a/internal/testbench/sim/worker.go
+++ b/internal/testbench/sim/worker.go
@@ -7,38 +7,39 @@
 	"starlingwinch/internal/machine"
 )
 
-// A worker comes up within this time after its Spawn, and takes half of it at least.
-const workerTakes = 6 * Millisecond
+// maxSpawnDuration is the longest time from a Spawn until the worker is up; the shortest is half of it.
+const maxSpawnDuration = 6 * Millisecond
 
 // worker is a virtual process beside a host's one: its handler, and the two ends of a connection within the host.
 type worker struct {
-	p         *Process
-	done      func(machine.Conn, error) machine.Handler // nil once it was told, or is not to be
-	counted   bool                                      // holds two descriptors that no connection has yet
-	near, far *Conn                                     // nil until it is up
+	process        *Process
+	done           func(machine.Conn, error) machine.Handler // nil once it was called or must not be
+	hasDescriptors bool                                      // the process holds two descriptors for connections to come
+	near, far      *Conn                                     // nil until it is up
 }
 
 // Spawn has the host's Worker play the worker.
 func (p *Process) Spawn(spec machine.Worker, done func(machine.Conn, error) machine.Handler) machine.Process {
 	p.enter()
-	k := &worker{p: p, done: done}
-	ev := p.w.event(WorkDone)
-	ev.proc = p
+	k := &worker{process: p, done: done}
+	ev := p.world.event(WorkDone)
+	ev.target = p
 	switch play := p.host.Worker; {
 	case play == nil:
 		ev.fn = func() { k.fail(machine.ErrNoWorker) }
-	case p.descriptors+2 > p.host.opts.Descriptors:
+	case p.descriptors+2 > p.host.options.Descriptors:
 		ev.fn = func() { k.fail(machine.ErrDescriptors) }
 	default:
 		p.descriptors += 2
-		k.counted = true
+		k.hasDescriptors = true
 		args := append([]string(nil), spec.Args...)
 		ev.fn = func() { k.up(play, args) }
 	}
-	p.w.schedule(ev, p.w.now+workerTakes/2+p.host.work.Int64N(workerTakes/2), p.w.lane())
+	p.world.schedule(ev, p.world.now+maxSpawnDuration/2+p.host.work.Int64N(maxSpawnDuration/2), p.world.lane())
 	return k
 }
 
+// fail reports that the worker could not start.
 func (k *worker) fail(err error) {
 	if done := k.done; done != nil {
 		k.done = nil
@@ -46,19 +47,20 @@
 	}
 }
 
+// up connects the worker and starts the handlers of both ends.
 func (k *worker) up(play func([]string, machine.Conn) machine.Handler, args []string) {
 	done := k.done
 	if done == nil {
 		return
 	}
-	k.done, k.counted = nil, false
-	h := k.p.host
+	k.done, k.hasDescriptors = nil, false
+	h := k.process.host
 	nowhere := netip.AddrPortFrom(h.ip, 0)
-	k.near = k.p.w.connect(h, h, nowhere, nowhere)
+	k.near = k.process.world.connect(h, h, nowhere, nowhere)
 	k.far = k.near.peer
 	for _, c := range []*Conn{k.near, k.far} {
 		c.opened = true
-		c.belong(k.p)
+		c.attach(k.process)
 	}
 	if handler := done(k.near, nil); handler != nil {
 		k.near.start(handler)
@@ -77,15 +79,15 @@
 
 // Kill implements machine.Process.
 func (k *worker) Kill() {
-	k.p.enter()
+	k.process.enter()
 	switch {
 	case k.near != nil:
 		k.near.Close()
 		k.far.Close()
-	case k.counted:
-		k.counted = false
-		k.p.giveBack()
-		k.p.giveBack()
+	case k.hasDescriptors:
+		k.hasDescriptors = false
+		k.process.releaseDescriptor()
+		k.process.releaseDescriptor()
 	}
 	k.done = nil
 }
--- a/internal/testbench/sim/world.go
+++ b/internal/testbench/sim/world.go
@@ -1,15 +1,14 @@
-// Package sim is a virtual world to run the router and the stand-ins in: hosts with a clock, a
-// network and files, all behind package machine. Equal seeds give equal runs, to the byte; a run is
-// as long as its events take and no longer, for nothing ever waits.
+// Package sim is a discrete-event simulator for the router and the stand-ins: hosts with a clock, a network and files, all
+// behind package machine. Equal seeds give equal runs, to the byte, and no run ever waits for real time.
 //
 // One goroutine runs everything, in the order of a heap of events by time and then by the number
-// under which they were scheduled. The package starts no goroutine, reads no clock and ranges over no
-// map. All chance comes from named streams of the seed, so that one more draw here changes
-// nothing there. Time that code takes to run is not modelled: a callback takes none (see Host.Stall).
+// under which they were scheduled. The package starts no goroutine, reads no clock and depends on no order of a map. All
+// chance comes from named streams of the seed, so that a draw from one changes nothing in another. Time that code takes to
+// run is not modelled: a callback takes none (see Host.Stall).
 //
 // The models are FoundationDB's simulation (Zhou et al., SIGMOD 2021) and TigerBeetle's VOPR. TCP is
-// kept to what a process can see of RFC 9293: order, windows, half-open and half-closed
-// connections, resets and lost handshakes, and none of its segments' form.
+// modelled as far as a process can see RFC 9293: order, windows, half-open and half-closed connections, resets and lost
+// handshakes, but no segments.
 package sim
 
 import (
@@ -23,47 +22,47 @@
 // Time is an instant or a span in microseconds.
 type Time = machine.Time
 
-// Spans.
+// Spans of time.
 const (
 	Millisecond Time = 1000
 	Second      Time = 1000 * Millisecond
 )
 
-// Start is the instant at which every world begins, as Unix time.
+// Start is the instant at which every world begins, in Unix time.
 const Start Time = 1_750_000_000 * Second
 
 // World is the clock, the hosts and the links between them. It is not safe for use by more than one goroutine.
 type World struct {
-	// Near and Far are what links within a zone and between zones begin as; set them before the first Host.
+	// Near and Far are the initial links within a zone and between zones; set them before the first Host.
 	Near, Far Link
 	// ShuffleTies has the seed decide the order of what happens at one instant, instead of the order
 	// in which it was scheduled. What a machine promises holds all the same: timers fire as they
 	// were set, posts run as they were posted, and a connection's bytes stay in order.
 	ShuffleTies bool
 	// SilentAfter is how long a connection's bytes may be held by a Cut until TCP has given up: beyond it, the
-	// connection stays silent after the Heal. 0 stands for never.
+	// connection stays silent after the Heal. 0 stands for no limit.
 	SilentAfter Time
-	// OnEvent is told of each event before it is carried out. It must change nothing.
+	// OnEvent is called with each event before it happens. It must change nothing.
 	OnEvent func(Event)
 
-	seed    uint64
-	now     Time
-	heap    eventHeap
-	dead    int // events in the heap that were taken back
-	free    []*event
-	lastID  uint64 // of events
-	lastOrd uint64
-	lanes   uint64
-	conns   uint64
-	steps   int64
-	trace   uint64
-	streams map[string]*rand.Rand
-	hosts   []*Host
-	byIP    map[netip.Addr]*Host
-	zones   map[string]*zone
-	busy    bool // an event is being carried out
-	working bool // the work of a Work is being done
-	acting  *Host
+	seed          uint64
+	now           Time
+	queue         eventQueue
+	stoppedEvents int // stopped events in the queue
+	free          []*event
+	lastID        uint64 // of events
+	lastOrder     uint64
+	lanes         uint64
+	conns         uint64
+	steps         int64
+	trace         uint64
+	streams       map[string]*rand.Rand
+	hosts         []*Host
+	byIP          map[netip.Addr]*Host
+	zones         map[string]*zone
+	inEvent       bool // an event is happening
+	inWork        bool // the function of a Work runs
+	acting        *Host
 }
 
 // New makes a world without hosts.
@@ -80,7 +79,7 @@
 	}
 }
 
-// Now is the instant that the world has come to.
+// Now is the current instant.
 func (w *World) Now() Time { return w.now }
 
 // Steps is the number of events that were carried out.
@@ -90,7 +89,7 @@
 func (w *World) TraceHash() uint64 { return w.trace }
 
 // Acting is the host whose event is being carried out or was the last to be, nil where it was
-// a script's. It tells whose callback has panicked.
+// a script's: the host whose callback has panicked.
 func (w *World) Acting() *Host { return w.acting }
 
 // Hosts are all hosts in the order in which they were made.
@@ -110,35 +109,35 @@
 	return r
 }
 
-// At has f called at t, outside of all hosts: this is how a script brings trouble about.
+// At has f called at t, outside of all hosts: scripts inject faults with it.
 func (w *World) At(t Time, f func()) machine.Timer {
 	ev := w.event(Script)
 	ev.fn = f
 	w.schedule(ev, t, 0)
-	return &timer{w: w, ev: ev, id: ev.id}
+	return &timer{world: w, event: ev, id: ev.id}
 }
 
-// Step carries the next event out and reports whether there was one.
+// Step makes the next event happen and reports whether there was one.
 func (w *World) Step() bool {
-	if w.busy {
+	if w.inEvent {
 		panic("sim: Step or Run was called from within a callback")
 	}
 	ev := w.next()
 	if ev == nil {
 		return false
 	}
-	w.heap.pop()
+	w.queue.pop()
 	w.now = ev.at
-	w.carryOut(ev)
+	w.execute(ev)
 	return true
 }
 
-// Run carries out what happens up to and at the instant until, and stops the clock there.
+// Run makes all events up to and at the instant until happen, and stops the clock there.
 func (w *World) Run(until Time) {
 	w.RunUntil(until, func() bool { return false })
 }
 
-// RunUntil is Run that ends as soon as done is true, and reports whether that was so.
+// RunUntil is a Run that ends as soon as done is true, and reports whether it was.
 func (w *World) RunUntil(until Time, done func() bool) bool {
 	for {
 		if done() {
@@ -153,87 +152,94 @@
 	}
 }
 
-// next is the event that is due first, nil for none. Those before it that were taken back are dropped.
+// next is the event that is due first, nil for none. Stopped events before it are dropped.
 func (w *World) next() *event {
-	for len(w.heap) > 0 {
-		ev := w.heap[0].ev
+	for len(w.queue) > 0 {
+		ev := w.queue[0].event
 		if !ev.stopped {
 			return ev
 		}
-		w.heap.pop()
+		w.queue.pop()
 		w.drop(ev)
 	}
 	return nil
 }
 
-// carryOut runs one event. A panic of a callback goes through to the caller, who may go on with Step.
-func (w *World) carryOut(ev *event) {
-	w.busy = true
+// execute runs one event. A panic of a callback goes through to the caller, who may go on with Step.
+func (w *World) execute(ev *event) {
+	w.inEvent = true
 	defer w.idle()
 	if w.dispatch(ev) {
 		w.release(ev)
 	}
 }
 
-func (w *World) idle() { w.busy, w.working = false, false }
+// idle marks the end of an event, also after a panic.
+func (w *World) idle() { w.inEvent, w.inWork = false, false }
 
-// dispatch reports whether the event is done with; otherwise it waits somewhere for its time.
+// dispatch defers the event where its process is stalled or a cut holds it back, and delivers it otherwise. It reports
+// whether the event is done with.
 func (w *World) dispatch(ev *event) bool {
-	p := ev.proc
+	p := ev.target
 	if p != nil {
 		if p.dead {
 			return true
 		}
 		if p.host.stalled() {
-			p.host.pile = append(p.host.pile, ev)
+			p.host.deferred = append(p.host.deferred, ev)
 			return false
 		}
 	}
-	if ev.wire() && w.held(ev) {
+	if ev.crossesLink() && w.holdBack(ev) {
 		return false
 	}
 	if q := ev.process(); q != nil && !q.dead && !q.host.stalled() {
-		if q.goOn(); ev.stopped {
+		if q.reportPause(); ev.stopped {
 			return true
 		}
 	}
 	w.record(ev)
-	ev.id = 0 // it cannot be taken back any more
+	ev.id = 0 // it cannot be stopped any more
+	return w.deliver(ev)
+}
+
+// deliver carries an event out and reports whether it is done with.
+func (w *World) deliver(ev *event) bool {
 	switch ev.kind {
 	case Script:
 		ev.fn()
 	case TimerFired:
-		p.timers--
+		ev.target.timers--
 		ev.fn()
 	case Posted, WorkDone:
 		ev.fn()
 	case Signalled:
-		p.signals(machine.Signal(ev.n))
-	case SynCame:
-		ev.dial.synCame()
-	case SynAckCame:
-		ev.dial.synAckCame()
-	case RefusalCame:
-		ev.dial.refusalCame()
-	case DialEnds:
-		ev.dial.ends(ev.err)
-	case OpenCame:
-		ev.conn.openCame()
-	case BytesCame, EndCame, ResetCame, CreditCame:
+		ev.target.signals(machine.Signal(ev.n))
+	case SynArrived:
+		ev.dial.synArrived()
+	case SynAckArrived:
+		ev.dial.synAckArrived()
+	case RefusalArrived:
+		ev.dial.refusalArrived()
+	case DialEnded:
+		ev.dial.complete(ev.err)
+	case OpenArrived:
+		ev.conn.openArrived()
+	case BytesArrived, EndArrived, ResetArrived, CreditArrived:
 		ev.conn.arrived(ev)
-	case Accepting:
-		ev.listener.queued = false
-		ev.listener.take()
-	case Notice:
-		ev.conn.noticed = false
-		ev.conn.tellReadable()
-	case Room:
-		ev.conn.tellWritable()
-	case DatagramCame:
+	case AcceptQueued:
+		ev.listener.acceptQueued = false
+		ev.listener.acceptAll()
+	case ReadableQueued:
+		ev.conn.readableQueued = false
+		ev.conn.callReadable()
+	case WritableQueued:
+		ev.conn.callWritable()
+	case DatagramArrived:
 		return w.datagramCame(ev)
-	case DatagramRead:
+	case DatagramQueued:
 		ev.packets.read(ev)
-	case Resumes:
+	case HostResumed:
 		ev.host.resume()
 	default:
 		panic(fmt.Sprintf("sim: event of unknown kind %d", ev.kind))
--- a/internal/testbench/sim/world_test.go
+++ b/internal/testbench/sim/world_test.go
@@ -63,7 +63,7 @@
 	if n != w.Steps() || n < 1000 {
 		t.Errorf("%d events told of %d", n, w.Steps())
 	}
-	for k := range Resumes + 1 {
+	for k := range HostResumed + 1 {
 		if !kinds[k] {
 			t.Errorf("the busy run has no event of kind %q: it tries too little", k)
 		}
@@ -141,8 +141,8 @@
 		}
 		timer.Stop()
 	}
-	if h.Pending() != 100 || len(w.heap) > 3000 {
-		t.Errorf("%d timers pending, %d entries in the heap", h.Pending(), len(w.heap))
+	if h.Pending() != 100 || len(w.queue) > 3000 {
+		t.Errorf("%d timers pending, %d entries in the heap", h.Pending(), len(w.queue))
 	}
 	w.Run(w.Now() + 2*Second)
 	if h.Pending() != 0 || next != Start+Second/2+99_000 || w.Steps() != 100 {
@@ -277,14 +277,14 @@
 
 // checkDescriptors fails where a host counts other descriptors than those that are held.
 func checkDescriptors(t *testing.T, h *Host) {
-	p := h.proc
+	p := h.process
 	held := len(p.conns) + len(p.listeners) + len(p.packets)
 	for _, d := range p.dials {
-		if d.counted {
+		if d.hasDescriptor {
 			held++
 		}
 	}
-	if h.Descriptors() != held || held > h.opts.Descriptors {
+	if h.Descriptors() != held || held > h.options.Descriptors {
 		t.Errorf("%s counts %d descriptors and holds %d", h.Name(), h.Descriptors(), held)
 	}
 }
@@ -409,7 +409,7 @@
 // ask starts a client that dials, writes, and checks that what comes back is what it sent.
 func ask(t *testing.T, h *Host) {
 	m := h.Machine()
-	w := h.w
+	w := h.world
 	r := w.Rand("asks of " + h.Name())
 	pc, err := m.ListenPacket(h.IP()+":0", func(string, []byte) {})
 	if err != nil {
