--- a/cmd/lab/brokenhook.go
+++ b/cmd/lab/brokenhook.go
@@ -40,7 +40,7 @@
 	each := load.Options{Connections: 16, Keys: 20_000}
 	class := func(name string, rate float64, aim, wait load.Time, write bool) load.Options {
 		o := each
-		o.Class, o.Rate, o.Aim, o.Wait, o.Write = name, rate, aim, wait, write
+		o.Class, o.Rate, o.LatencyObjective, o.Wait, o.Write = name, rate, aim, wait, write
 		return o
 	}
 	return []load.Options{
--- a/cmd/lab/throughput.go
+++ b/cmd/lab/throughput.go
@@ -71,7 +71,7 @@
 			cases = append(cases, loadCase{fmt.Sprintf("closed, 64 connections, 100 B, %d caches", n), closed, 100, n})
 		}
 		hot := closed
-		hot.HotShare = .25
+		hot.HotFraction = .25
 		cases = append(cases, loadCase{"closed, 64 connections, a quarter on one key, 2000 caches", hot, 100, 2000})
 	}
 	if len(o.Args) > 0 { // those alone that the words name
--- a/internal/testbench/load/beside.go
+++ b/internal/testbench/load/beside.go
@@ -2,14 +2,22 @@
 
 import (
 	"io"
+	"slices"
 
 	"starlingwinch/internal/machine"
 )
 
-// Class is how the requests of one class did that came in a span.
+const (
+	// connectTime is the longest that clients take to connect.
+	connectTime Time = 200_000 // µs
+	// drainCheckInterval is the time between checks whether all requests are answered.
+	drainCheckInterval Time = 5_000 // µs
+)
+
+// Class is the result of one class of requests over a span.
 type Class struct {
 	Name                                  string
-	Asked, Done, InTime, Overdue, Surplus int64
+	Asked, Done, InTime, Overdue, Surplus int64 // as in Clients
 	Refused, Failed                       int64 // among those that are done
 	Latency                               Histogram
 }
@@ -17,62 +25,71 @@
 // Lost counts the requests that did not get exactly one answer in time.
 func (c *Class) Lost() int64 { return c.Asked - c.Done + c.Overdue + c.Surplus }
 
-// Beside puts targets under the same load at the same time, by clients of their own for each class, so that what the
-// machine does besides touches all of them alike. It gives for each target how its classes did.
-//
-// The danger: classes that share connections wait for each other's answers, which come in order.
+// besideRun is the load of one Beside.
+type besideRun struct {
+	machine   *machine.Real
+	clients   [][]*Clients // by target, and by class
+	running   int          // clients whose span has not ended
+	drainTime Time         // the longest that the last answers may take
+}
+
+// Beside puts targets under the same load at the same time, so that other work of the machine affects all of them alike. It
+// returns for each target the results of its classes. Each class has clients of its own, as answers on a shared connection
+// come in order and classes would wait for each other.
 func Beside(addrs []string, classes []Options, warm, span Time) ([][]Class, error) {
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
 		return nil, err
 	}
-	all := make([][]*Clients, len(addrs))
-	longest := Time(0)
-	for _, o := range classes {
-		longest = max(longest, o.Wait+slack)
+	run := &besideRun{machine: m, clients: make([][]*Clients, len(addrs)), running: len(addrs) * len(classes)}
+	for _, options := range classes {
+		run.drainTime = max(run.drainTime, options.Wait+overdueSlack)
 		for i, addr := range addrs {
-			all[i] = append(all[i], NewClients(m, addr, o))
+			run.clients[i] = append(run.clients[i], NewClients(m, addr, options))
 		}
 	}
-	ended := 0
-	var drain func(until Time)
-	drain = func(until Time) {
-		for _, clients := range all {
-			for _, c := range clients {
-				if c.Done < c.Asked && m.Now() < until {
-					m.At(m.Now()+5_000, func() { drain(until) })
-					return
-				}
-			}
-		}
-		for _, clients := range all {
-			for _, c := range clients {
-				c.Close()
+	m.At(m.Now()+connectTime, func() { run.start(warm, span) })
+	m.Run()
+	return run.results(), nil
+}
+
+// start has all clients send.
+func (r *besideRun) start(warm, span Time) {
+	for _, c := range r.all() {
+		c.Run(warm, span, func() {
+			r.running--
+			if r.running == 0 {
+				r.drain(r.machine.Now() + r.drainTime)
 			}
-		}
-		m.Stop()
+		})
 	}
-	m.At(m.Now()+connectTime, func() {
-		for _, clients := range all {
-			for _, c := range clients {
-				c.Run(warm, span, func() {
-					if ended++; ended == len(addrs)*len(classes) {
-						drain(m.Now() + longest)
-					}
-				})
-			}
+}
+
+// drain waits for the last answers, at most until an instant, and ends the run.
+func (r *besideRun) drain(until Time) {
+	for _, c := range r.all() {
+		if c.Done < c.Asked && r.machine.Now() < until {
+			r.machine.At(r.machine.Now()+drainCheckInterval, func() { r.drain(until) })
+			return
 		}
-	})
-	m.Run()
-	results := make([][]Class, len(addrs))
-	for i, clients := range all {
+	}
+	for _, c := range r.all() {
+		c.Close()
+	}
+	r.machine.Stop()
+}
+
+// all returns the clients of all targets.
+func (r *besideRun) all() []*Clients { return slices.Concat(r.clients...) }
+
+// results returns the results by target, and by class.
+func (r *besideRun) results() [][]Class {
+	results := make([][]Class, len(r.clients))
+	for i, clients := range r.clients {
 		for _, c := range clients {
-			results[i] = append(results[i], Class{Name: c.o.Class, Asked: c.Asked, Done: c.Done, InTime: c.InTime,
+			results[i] = append(results[i], Class{Name: c.options.Class, Asked: c.Asked, Done: c.Done, InTime: c.InTime,
 				Overdue: c.Overdue, Surplus: c.Surplus, Refused: c.Refused, Failed: c.Failed, Latency: c.Latency})
 		}
 	}
-	return results, nil
+	return results
 }
-
-// connectTime is how long clients take to connect, at most.
-const connectTime Time = 200_000
--- a/internal/testbench/load/beside_test.go
+++ b/internal/testbench/load/beside_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestBesideTellsOfEachTargetWhoGotAnAnswerInTime(t *testing.T) {
+func TestBesideReportsEachTarget(t *testing.T) {
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
 		t.Fatal(err)
@@ -58,9 +58,9 @@
 		m.Stop()
 		<-ended
 	}()
-	lax := Options{Class: "lax", Connections: 2, Rate: 200, Keys: 10, Plain: true, Aim: 60_000_000, Wait: 500_000}
+	lax := Options{Class: "lax", Connections: 2, Rate: 200, Keys: 10, Plain: true, LatencyObjective: 60_000_000, Wait: 500_000}
 	strict := lax
-	strict.Class, strict.Aim = "strict", 19_000
+	strict.Class, strict.LatencyObjective = "strict", 19_000
 	results, err := Beside([]string{slow.Addr(), silent.Addr()}, []Options{lax, strict}, 50_000, 250_000)
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAWriteNamesItsKey(t *testing.T) {
+func TestWriteCarriesIdempotencyKey(t *testing.T) {
 	s := &mute{}
 	w := sim.New(1)
 	m := w.Host("all", "10.0.0.1", sim.HostOptions{}).Machine()
--- /dev/null
+++ b/internal/testbench/load/cache.go
@@ -0,0 +1,149 @@
+package load
+
+import (
+	"errors"
+	"sync/atomic"
+
+	"github.com/tidwall/redcon"
+
+	"starlingwinch/internal/machine"
+	"starlingwinch/internal/resp"
+)
+
+// Cache is a cache server that holds every key. It answers at once, or after Delay.
+type Cache struct {
+	Delay            Time // set before the loop runs
+	machine          machine.Machine
+	listener         machine.Listener
+	setReply         []byte // to a C.SET
+	extendedGetReply []byte // to a C.GET
+	getReply         []byte // to a GET
+	served, taken    atomic.Int64
+}
+
+// Counts returns the connections that it has accepted and the commands that it has answered. Any goroutine may call it.
+func (c *Cache) Counts() (taken, served int64) { return c.taken.Load(), c.served.Load() }
+
+// NewCache listens on a free port of an address. Each value has so many bytes.
+func NewCache(m machine.Machine, addr string, value int) (*Cache, error) {
+	c := &Cache{machine: m}
+	c.setReply = redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(nil, 3), "OK"), "w")
+	c.setReply = append(c.setReply, "$-1\r\n"...)
+	c.extendedGetReply = redcon.AppendBulkString(redcon.AppendBulk(redcon.AppendArray(nil, 3), make([]byte, value)), "hit")
+	c.extendedGetReply = append(c.extendedGetReply, "$-1\r\n"...)
+	c.getReply = redcon.AppendBulk(nil, make([]byte, value))
+	var err error
+	c.listener, err = m.Listen(addr, func(nc machine.Conn) machine.Handler {
+		c.taken.Add(1)
+		return &cacheConn{cache: c, nc: nc, in: make([]byte, readSize)}
+	})
+	return c, err
+}
+
+// Addr is the address that it listens on.
+func (c *Cache) Addr() string { return c.listener.Addr() }
+
+// cacheConn is one connection of a Cache.
+type cacheConn struct {
+	cache          *Cache
+	nc             machine.Conn
+	in             []byte
+	unparsed, out  []byte
+	pendingAnswers []byte // answers to the commands of the present read
+	closed         bool
+}
+
+// Readable implements machine.Handler: it answers the commands that have arrived.
+func (c *cacheConn) Readable() {
+	for {
+		n, err := c.nc.Read(c.in)
+		if errors.Is(err, machine.ErrWait) {
+			break
+		}
+		if err != nil {
+			c.close()
+			return
+		}
+		c.unparsed = append(c.unparsed, c.in[:n]...)
+	}
+	if !c.answerCommands() {
+		c.close()
+		return
+	}
+	c.sendAnswers()
+}
+
+// answerCommands adds the answers to the whole commands that were read, and reports false for bytes that are no command.
+func (c *cacheConn) answerCommands() bool {
+	used := 0
+	for used < len(c.unparsed) {
+		args, n, err := resp.NextCommand(c.unparsed[used:])
+		if err != nil {
+			return false
+		}
+		if n == 0 {
+			break
+		}
+		used += n
+		c.answer(len(args))
+	}
+	c.unparsed = append(c.unparsed[:0], c.unparsed[used:]...)
+	return true
+}
+
+// Numbers of words by which the commands are told apart.
+const (
+	wordsPing        = 1
+	wordsGet         = 2 // GET
+	wordsExtendedGet = 4 // C.GET
+)
+
+// answer adds the answer to a command of so many words.
+func (c *cacheConn) answer(words int) {
+	switch words {
+	case wordsPing:
+		c.pendingAnswers = append(c.pendingAnswers, "+PONG\r\n"...)
+		return
+	case wordsGet:
+		c.pendingAnswers = append(c.pendingAnswers, c.cache.getReply...)
+	case wordsExtendedGet:
+		c.pendingAnswers = append(c.pendingAnswers, c.cache.extendedGetReply...)
+	default:
+		c.pendingAnswers = append(c.pendingAnswers, c.cache.setReply...)
+	}
+	c.cache.served.Add(1)
+}
+
+// sendAnswers sends the pending answers, now or after the cache's delay.
+func (c *cacheConn) sendAnswers() {
+	if c.cache.Delay == 0 {
+		c.out = append(c.out, c.pendingAnswers...)
+		c.pendingAnswers = c.pendingAnswers[:0]
+		c.Writable()
+		return
+	}
+	answers := c.pendingAnswers
+	c.pendingAnswers = nil
+	c.cache.machine.At(c.cache.machine.Now()+c.cache.Delay, func() {
+		c.out = append(c.out, answers...)
+		c.Writable()
+	})
+}
+
+func (c *cacheConn) close() {
+	c.closed = true
+	c.nc.Close()
+}
+
+// Writable implements machine.Handler: it sends the rest of the answers.
+func (c *cacheConn) Writable() {
+	if c.closed {
+		return
+	}
+	n, err := c.nc.Write(c.out)
+	if err != nil {
+		c.close()
+		return
+	}
+	c.out = append(c.out[:0], c.out[n:]...)
+}
--- a/internal/testbench/load/load_test.go
+++ b/internal/testbench/load/load_test.go
@@ -7,7 +7,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-func TestHistogramTellsQuantilesWithinASixteenth(t *testing.T) {
+func TestHistogramQuantilesWithinSixteenth(t *testing.T) {
 	var h Histogram
 	for v := Time(1); v <= 100_000; v++ {
 		h.Add(v)
@@ -74,7 +74,7 @@
 }
 func (chatter) Writable() {}
 
-func TestMoreAnswersThanRequestsDoNotGrowTheLoad(t *testing.T) {
+func TestSurplusAnswersDoNotGrowLoad(t *testing.T) {
 	c := ask(t, Options{Connections: 2, Keys: 1, Plain: true}, func(m machine.Machine) string {
 		ln, err := m.Listen("10.0.0.1:0", func(nc machine.Conn) machine.Handler { return chatter{nc} })
 		if err != nil {
@@ -82,7 +82,7 @@
 		}
 		return ln.Addr()
 	})
-	if c.Failed != 2 || c.asked > 10 {
-		t.Errorf("failed %d, asked %d: wanted one failure for each connection, and its end", c.Failed, c.asked)
+	if c.Failed != 2 || c.requestsSent > 10 {
+		t.Errorf("failed %d, asked %d: wanted one failure for each connection, and its end", c.Failed, c.requestsSent)
 	}
 }
--- a/internal/testbench/load/target.go
+++ b/internal/testbench/load/target.go
@@ -19,8 +19,14 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// startTime is how long a process may take until it serves.
-const startTime = 20 * time.Second
+// startTimeout is how long a process may take until it serves, and until it has ended after a signal.
+const startTimeout = 20 * time.Second
+
+// Errors of StartRouter.
+var (
+	errRouterEnded      = errors.New("the router ended before it served")
+	errRouterNotServing = errors.New("the router does not serve")
+)
 
 // Target is a process under load.
 type Target struct {
@@ -29,19 +35,19 @@
 	dir  string
 }
 
-// Limits are those that a router is told of its machine, and its place among so many routers.
+// Limits are the limits of its machine that a router is configured with, and its place among the routers.
 type Limits struct {
 	Cores    float64
 	MemoryMB int64
 	Sockets  int
 	Self     int // its number, from 0
-	Routers  int // of the tier; 0 where its place is not told
+	Routers  int // of the cluster; 0 to configure none
 }
 
-// Core is the processor that targets run on, where it is not below 0: one, so that their throughputs compare.
+// Core is the processor that targets run on, so that their throughputs compare; below 0 they run on any.
 var Core = -1
 
-// command is a program on its processor.
+// command returns a program that runs on Core.
 func command(ctx context.Context, program string, args ...string) *exec.Cmd {
 	if Core >= 0 {
 		if taskset, err := exec.LookPath("taskset"); err == nil {
@@ -51,8 +57,8 @@
 	return exec.CommandContext(ctx, program, args...)
 }
 
-// StartRouter starts a router program before caches that are listed for good, and waits until it serves. It ends
-// with ctx at the latest. What the command line is to say more stands in args.
+// StartRouter starts a router program with a fixed list of caches and further arguments, and waits until it serves. The
+// program ends with ctx at the latest.
 func StartRouter(ctx context.Context, program string, limits Limits, caches []string, args ...string) (*Target, error) {
 	t, path, err := prepare("config.json", routerConfig(limits, caches))
 	if err != nil {
@@ -76,7 +82,7 @@
 	return t, nil
 }
 
-// prepare makes a target's folder with a file in it.
+// prepare makes a target with a folder and a file in it.
 func prepare(name string, content []byte) (t *Target, path string, err error) {
 	dir, err := os.MkdirTemp("", "load")
 	if err != nil {
@@ -90,7 +96,7 @@
 	return t, path, nil
 }
 
-// serving reads the log up to the address, and has the rest read off.
+// serving reads the log up to the address, and discards the rest.
 func (t *Target) serving(log io.Reader) (string, error) {
 	addr := make(chan string, 1)
 	go func() {
@@ -108,11 +114,11 @@
 	select {
 	case a, ok := <-addr:
 		if !ok {
-			return "", errors.New("the router ended before it served")
+			return "", errRouterEnded
 		}
 		return a, nil
-	case <-time.After(startTime):
-		return "", errors.New("the router does not serve")
+	case <-time.After(startTimeout):
+		return "", errRouterNotServing
 	}
 }
 
@@ -120,20 +126,20 @@
 func (t *Target) Stop() {
 	if t.cmd != nil {
 		t.cmd.Process.Signal(syscall.SIGTERM)
-		kill := time.AfterFunc(startTime, func() { t.cmd.Process.Kill() })
+		kill := time.AfterFunc(startTimeout, func() { t.cmd.Process.Kill() })
 		t.cmd.Wait()
 		kill.Stop()
 	}
 	os.RemoveAll(t.dir)
 }
 
-// Usage is what a process has used so far.
+// Usage is the resources that a process has used so far.
 type Usage struct {
 	CPU        time.Duration // user and system
 	ResidentMB float64
 }
 
-// Usage reads it from the system.
+// Usage reads the usage of the process from the system.
 func (t *Target) Usage() (u Usage, err error) {
 	pid := t.cmd.Process.Pid
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -155,6 +161,7 @@
 	return u, err
 }
 
+// residentMB returns the resident memory of a process, 0 where it has ended.
 func residentMB(pid int) (float64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -169,7 +176,7 @@
 	return 0, nil // it has ended
 }
 
-// FamilyMB is the resident memory of the process and of those that it has started, together.
+// FamilyMB is the resident memory of the process and of its children, together.
 func (t *Target) FamilyMB() float64 {
 	sum, _ := residentMB(t.cmd.Process.Pid)
 	lists, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", t.cmd.Process.Pid))
@@ -185,7 +192,7 @@
 	return sum
 }
 
-// routerConfig is the platform's file for a router before these caches, warm and for good.
+// routerConfig is the platform's file for a router with a fixed list of warm caches.
 func routerConfig(limits Limits, caches []string) []byte {
 	type object = map[string]any
 	s := standin.DefaultRouterSettings()
@@ -194,7 +201,7 @@
 	s.Probes = false
 	var config object
 	if err := json.Unmarshal(s.JSON(), &config); err != nil {
-		panic(err) // it is what the stand-ins wrote
+		panic(err) // the stand-ins wrote it
 	}
 	var endpoints []object
 	for i, addr := range caches {
@@ -211,12 +218,12 @@
 	config["known"] = object{"index": 1, "snapshot": true, "endpoints": endpoints}
 	raw, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // it holds plain figures and names
+		panic(err) // it holds only numbers and strings
 	}
 	return raw
 }
 
-// Result is what one run measured.
+// Result is the measurement of one run.
 type Result struct {
 	Requests        int64
 	PerSecond       float64
@@ -226,7 +233,7 @@
 	Refused, Failed int64
 }
 
-// Against puts a target under load for a span, and measures it.
+// Against puts a target under load for a span and measures it.
 func Against(t *Target, o Options, warm, span Time) (Result, error) {
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
@@ -250,15 +257,15 @@
 	}
 	n := c.Served + c.Refused + c.Failed
 	if n == 0 {
-		return Result{}, fmt.Errorf("no request of %d was answered, %d connections broke", c.asked, c.Broken)
+		return Result{}, fmt.Errorf("no request of %d was answered, %d connections broke", c.requestsSent, c.Broken)
 	}
 	return Result{Requests: n, PerSecond: float64(n) * 1e6 / float64(span),
 		CPU: float64((after.CPU - before.CPU).Microseconds()) / float64(n), P50: c.Latency.Quantile(.5),
 		P99: c.Latency.Quantile(.99), ResidentMB: after.ResidentMB, Refused: c.Refused, Failed: c.Failed}, nil
 }
 
-// Hold keeps so many clients connected that ask once and then never, calls from after warm and to a span later.
-// It is an error where one of them is not connected, or not answered, through to the end.
+// Hold keeps clients connected that send one request and then none; it calls from after warm, and to a span later. It returns
+// an error unless each of them was answered and stayed connected to the end.
 func Hold(t *Target, idle int, warm, span Time, from, to func()) error {
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
@@ -276,8 +283,8 @@
 		})
 	})
 	m.Run()
-	if up != idle || c.answered != idle {
-		return fmt.Errorf("of %d idle clients %d came up, %d broke and %d were answered", idle, c.Up, c.Broken, c.answered)
+	if up != idle || c.idleAnswers != idle {
+		return fmt.Errorf("of %d idle clients %d came up, %d broke and %d were answered", idle, c.Up, c.Broken, c.idleAnswers)
 	}
 	return nil
 }
