--- a/internal/machine/conn_test.go
+++ b/internal/machine/conn_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestManyConnectionsEchoWholeThroughShortWritesUpToTheHalfClose(t *testing.T) {
+func TestConnEchoesThroughShortWritesUntilHalfClose(t *testing.T) {
 	r := newRig(t, Options{})
 	var once sync.Once
 	short := make(chan struct{})
@@ -91,7 +91,7 @@
 	all.Wait()
 }
 
-func TestWriteThatTookLessIsToldWhenItCanGoOn(t *testing.T) {
+func TestShortWriteIsFollowedByWritable(t *testing.T) {
 	r := newRig(t, Options{})
 	rest := make([]byte, 16<<20) // more than all buffers between hold
 	rand.New(rand.NewSource(1)).Read(rest)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestTwoMachinesConnectionsKnowTheirAddressesAndTheEndOfSending(t *testing.T) {
+func TestConnAddressesAndCloseWrite(t *testing.T) {
 	for _, at := range loopbacks() {
 		t.Run(at, func(t *testing.T) { halfClose(t, at) })
 	}
@@ -187,7 +187,7 @@
 	}
 }
 
-func TestConnectionThatThePeerResetsIsBrokenForReadAndWrite(t *testing.T) {
+func TestPeerResetFailsReadAndWrite(t *testing.T) {
 	for _, writeFirst := range []bool{false, true} {
 		r := newRig(t, Options{})
 		told := make(chan struct{}, 8)
@@ -217,7 +217,7 @@
 	}
 }
 
-func TestQuietTakesNothingOut(t *testing.T) {
+func TestQuietConsumesNothing(t *testing.T) {
 	r := newRig(t, Options{})
 	told := make(chan struct{}, 8)
 	c, other := r.pair(&hooks{readable: func() { told <- struct{}{} }})
@@ -268,8 +268,8 @@
 	})
 }
 
-// The danger that Read's saving of a call brings: an end that came with the last bytes has no event of its own.
-func TestEndThatComesWithTheLastBytesIsReadAfterThem(t *testing.T) {
+// An end that arrives with the last bytes has no event of its own, as Read saves the call that would find it.
+func TestEndIsReadAfterLastBytes(t *testing.T) {
 	r := newRig(t, Options{})
 	ended := make(chan string, 1)
 	var c Conn
@@ -291,7 +291,7 @@
 	}
 }
 
-func TestConnectionClosedByAnothersHandlerIsNotToldOfAnEventOfTheSameTurn(t *testing.T) {
+func TestClosedConnGetsNoEventOfSameTurn(t *testing.T) {
 	r := newRig(t, Options{})
 	var conns [2]Conn
 	calls := 0
@@ -318,7 +318,7 @@
 	})
 }
 
-func TestEventOfAClosedConnectionDoesNotReachTheOneThatGotItsDescriptor(t *testing.T) {
+func TestEventOfClosedConnDoesNotReachReusedDescriptor(t *testing.T) {
 	r := newRig(t, Options{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -383,9 +383,9 @@
 	}
 }
 
-// TestEndIsSeenInTurnThatStandsStill: the process is held up in a turn, and the other side leaves meanwhile. The kernel told
+// TestEndIsSeenWithinBlockedTurn: the process is held up in a turn, and the other side leaves meanwhile. The kernel told
 // of nothing when the turn began.
-func TestEndIsSeenInTurnThatStandsStill(t *testing.T) {
+func TestEndIsSeenWithinBlockedTurn(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
 		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
--- a/internal/machine/contract_test.go
+++ b/internal/machine/contract_test.go
@@ -11,11 +11,11 @@
 	"starlingwinch/internal/machine/machinetest"
 )
 
-func TestRealMachineKeepsTheContract(t *testing.T) {
+func TestRealMachineContract(t *testing.T) {
 	keepsTheContract(t, machinetest.ByCommand, machine.RealKernel, false)
 }
 
-func TestWorkersInsideKeepTheContractToo(t *testing.T) {
+func TestInProcessWorkersContract(t *testing.T) {
 	keepsTheContract(t, func(which string) machine.Worker {
 		return machine.Worker{Inside: func(c io.ReadWriteCloser) {
 			defer c.Close()
--- a/internal/machine/dial_test.go
+++ b/internal/machine/dial_test.go
@@ -32,7 +32,7 @@
 	return o.c, o.err
 }
 
-func TestFailedDialSaysWhyInALaterTurn(t *testing.T) {
+func TestFailedDialReportsErrorInLaterTurn(t *testing.T) {
 	for _, c := range []struct {
 		name, addr string
 		timeout    Time
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestCancelledDialIsNeverToldAndLeavesNoDescriptor(t *testing.T) {
+func TestCancelledDialReportsNothingAndLeavesNoDescriptor(t *testing.T) {
 	r := newRig(t, Options{})
 	full, closed := fullAddress(t), closedAddress(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,7 +123,7 @@
 	})
 }
 
-func TestBytesThatComeWithTheConnectionAreTold(t *testing.T) {
+func TestBytesArrivingWithConnectionCallReadable(t *testing.T) {
 	r := newRig(t, Options{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestDialsBeyondTheOptionsDescriptorsFailUntilOneCloses(t *testing.T) {
+func TestDialsBeyondDescriptorLimitFailUntilOneCloses(t *testing.T) {
 	r := newRig(t, Options{Descriptors: 1})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestSocketThatConnectedToItselfCountsAsRefused(t *testing.T) {
+func TestSelfConnectedSocketCountsAsRefused(t *testing.T) {
 	r := newRig(t, Options{})
 	out := make(chan error, 1)
 	r.do(func() {
--- a/internal/machine/listener_test.go
+++ b/internal/machine/listener_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestPausedListenerTakesNothingInUntilResumed(t *testing.T) {
+func TestPausedListenerAcceptsNothingUntilResumed(t *testing.T) {
 	r := newRig(t, Options{})
 	in := make(chan Conn, 8)
 	addr, l := r.listen(func(c Conn) Handler {
@@ -31,7 +31,7 @@
 	await(t, "a new one", in)
 }
 
-func TestListenerPausedByItsAcceptTakesOneInATime(t *testing.T) {
+func TestListenerPausedByAcceptAcceptsOneAtATime(t *testing.T) {
 	r := newRig(t, Options{})
 	in := make(chan Conn, 8)
 	var l Listener
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestClosedListenerResetsWhatWaitsAndKeepsWhatItTookIn(t *testing.T) {
+func TestListenerCloseResetsQueuedAndKeepsAccepted(t *testing.T) {
 	r := newRig(t, Options{})
 	in := make(chan Conn, 8)
 	addr, l := r.listen(func(c Conn) Handler {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestListenerOutOfDescriptorsGoesOnOnceThereAreSome(t *testing.T) {
+func TestListenerResumesOnceDescriptorsAreFree(t *testing.T) {
 	r := newRig(t, Options{Descriptors: 2})
 	in := make(chan Conn, 8)
 	addr, l := r.listen(func(c Conn) Handler {
@@ -126,7 +126,7 @@
 	await(t, "the third", in)
 }
 
-func TestListenerPausedWhileItWaitsForDescriptorsStaysPaused(t *testing.T) {
+func TestListenerPausedWithoutDescriptorsStaysPaused(t *testing.T) {
 	r := newRig(t, Options{Descriptors: 1})
 	in := make(chan Conn, 8)
 	paused := make(chan struct{})
@@ -169,7 +169,7 @@
 	await(t, "the second", in)
 }
 
-func TestProcessOutOfDescriptorsNeitherEndsNorSpinsAndTakesInLater(t *testing.T) {
+func TestProcessOutOfDescriptorsNeitherEndsNorSpinsAndAcceptsLater(t *testing.T) {
 	r := newRig(t, Options{})
 	in := make(chan Conn, 8)
 	addr, l := r.listen(func(c Conn) Handler {
@@ -220,7 +220,7 @@
 	await(t, "the connection, once there are descriptors", in)
 }
 
-func TestConnectionWithoutAHandlerIsClosed(t *testing.T) {
+func TestConnWithoutHandlerIsClosed(t *testing.T) {
 	r := newRig(t, Options{})
 	addr, _ := r.listen(func(Conn) Handler { return nil })
 	if n, err := r.connect(addr).Read(make([]byte, 1)); n != 0 || err == nil {
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestAddressInUseIsAnErrorThatNamesIt(t *testing.T) {
+func TestListenErrorNamesAddressInUse(t *testing.T) {
 	r := newRig(t, Options{})
 	addr, _ := r.listen(func(Conn) Handler { return nil })
 	r.do(func() {
--- a/internal/machine/packet_test.go
+++ b/internal/machine/packet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestDatagramsComeWholeWithTheirSender(t *testing.T) {
+func TestDatagramsArriveWholeWithSender(t *testing.T) {
 	r := newRig(t, Options{})
 	for _, at := range loopbacks() {
 		type datagram struct{ from, text string }
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestPacketConnClosedInItsCallIsNotToldOfTheNext(t *testing.T) {
+func TestPacketConnClosedInCallGetsNoNextDatagram(t *testing.T) {
 	r := newRig(t, Options{})
 	calls := 0
 	r.do(func() {
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestAddressOfAllInterfacesTakesBothFamilies(t *testing.T) {
+func TestUnspecifiedAddressReceivesBothFamilies(t *testing.T) {
 	if len(loopbacks()) < 2 {
 		t.Skip("this machine has no IPv6")
 	}
--- a/internal/machine/real_test.go
+++ b/internal/machine/real_test.go
@@ -24,7 +24,7 @@
 	return len(d) - 1 // without the one that lists them
 }
 
-func TestPostedFunctionsRunInTheOrderOfEachGoroutine(t *testing.T) {
+func TestPostKeepsOrderOfEachGoroutine(t *testing.T) {
 	r := newRig(t, Options{})
 	const goroutines, each = 8, 5000
 	var got [goroutines][]int
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestFunctionPostedByAPostedOneRunsInALaterTurn(t *testing.T) {
+func TestNestedPostRunsInLaterTurn(t *testing.T) {
 	r := newRig(t, Options{})
 	order := make(chan string, 3)
 	r.do(func() {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestWorkRunsTwoAtATimeBesideTheLoopAndEndsInIt(t *testing.T) {
+func TestWorkRunsTwoAtATimeAndEndsInLoop(t *testing.T) {
 	r := newRig(t, Options{})
 	const jobs = 20
 	var mu sync.Mutex
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestFilesAreReadWholeOrNotAtAll(t *testing.T) {
+func TestReadFileIsWholeOrFails(t *testing.T) {
 	r := newRig(t, Options{})
 	dir := t.TempDir()
 	file, fifo := filepath.Join(dir, "file"), filepath.Join(dir, "fifo")
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestSignalsAreKeptUntilAskedForAndThenToldInTheLoop(t *testing.T) {
+func TestSignalsAreQueuedUntilHandlerIsSet(t *testing.T) {
 	r := newRig(t, Options{})
 	kept := func() (n int) {
 		r.do(func() { n = len(r.signals.pending) })
@@ -181,7 +181,7 @@
 	return strings.Split(strings.TrimSuffix(g.text.String(), "\n"), "\n")
 }
 
-func TestLogThatNobodyReadsDropsLinesAndSaysHowMany(t *testing.T) {
+func TestUnreadLogDropsAndCountsLines(t *testing.T) {
 	g := &gate{open: make(chan struct{}), entered: make(chan struct{})}
 	r := newRig(t, Options{Log: g})
 	r.Log("first")
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestLogThatNobodyReadsDoesNotHoldTheEndUp(t *testing.T) {
+func TestUnreadLogDoesNotDelayStop(t *testing.T) {
 	g := &gate{open: make(chan struct{}), entered: make(chan struct{})}
 	defer close(g.open)
 	r := newRig(t, Options{Log: g})
@@ -213,7 +213,7 @@
 	r.end()
 }
 
-func TestNothingIsLeftAfterStop(t *testing.T) {
+func TestStopReleasesEverything(t *testing.T) {
 	// The runtime keeps a goroutine and descriptors of its own from the first use on.
 	if m, err := New(Options{Log: io.Discard}); err != nil {
 		t.Fatal(err)
@@ -276,7 +276,7 @@
 	}
 }
 
-func TestEntropyAndWallAreTheMachines(t *testing.T) {
+func TestEntropyAndWallClock(t *testing.T) {
 	r := newRig(t, Options{})
 	seen := map[uint64]bool{}
 	for range 1000 {
--- a/internal/machine/timers_test.go
+++ b/internal/machine/timers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestTimersFireByTimeAndThenAsTheyWereSet(t *testing.T) {
+func TestTimersFireByTimeThenInOrderOfSetting(t *testing.T) {
 	r := newRig(t, Options{})
 	type mark struct {
 		at Time
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestTenThousandTimersOfOneInstantFireAsTheyWereSet(t *testing.T) {
+func TestTimersOfOneInstantFireInOrderOfSetting(t *testing.T) {
 	r := newRig(t, Options{})
 	var got []int
 	done := make(chan struct{})
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestTimerForThePastFiresInALaterTurnAndHoldsNoOtherBack(t *testing.T) {
+func TestTimerInPastFiresInLaterTurn(t *testing.T) {
 	r := newRig(t, Options{})
 	again, posted := 0, 0
 	done := make(chan struct{})
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestTimerStoppedByAnotherOfTheSameInstantDoesNotFire(t *testing.T) {
+func TestTimerStoppedBySameInstantDoesNotFire(t *testing.T) {
 	r := newRig(t, Options{})
 	done := make(chan struct{})
 	r.do(func() {
@@ -109,7 +109,7 @@
 	await(t, "the third timer", done)
 }
 
-func TestTimerFiresNotBeforeItsTimeAndNowStandsStillMeanwhile(t *testing.T) {
+func TestTimerFiresNotEarlyAndNowIsFixedWithinTurn(t *testing.T) {
 	r := newRig(t, Options{})
 	done := make(chan struct{})
 	r.do(func() {
--- a/internal/machine/worker_test.go
+++ b/internal/machine/worker_test.go
@@ -69,7 +69,7 @@
 	return m
 }
 
-func TestKilledWorkerLeavesNoProcessNoZombieAndNoDescriptor(t *testing.T) {
+func TestKilledWorkerLeavesNothing(t *testing.T) {
 	m := newMachine(t, machine.Options{})
 	k, p := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "pid"}, Env: []string{"HOOK=1"}})
 	if !runUntil(m, func() bool { return strings.Count(string(k.got), "\n") == 2 }) {
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestWorkerThatSpinsIsKilledWithItsMachine(t *testing.T) {
+func TestSpinningWorkerIsKilledWithMachine(t *testing.T) {
 	m := newMachine(t, machine.Options{})
 	k, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "spin"}})
 	if !runUntil(m, func() bool { return k.c != nil }) {
@@ -101,7 +101,7 @@
 	m.Run() // which closes all
 }
 
-func TestNoWorkerComesUpWithoutADescriptor(t *testing.T) {
+func TestSpawnNeedsDescriptors(t *testing.T) {
 	m := newMachine(t, machine.Options{Descriptors: 1})
 	k, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "echo"}})
 	if !runUntil(m, func() bool { return k.err != nil }) || k.err != machine.ErrDescriptors {
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestWorkerInsideHasAGoroutineAndAConnection(t *testing.T) {
+func TestInProcessWorkerHasGoroutineAndConnection(t *testing.T) {
 	m := newMachine(t, machine.Options{})
 	ended := make(chan bool, 1)
 	k, p := spawn(m, machine.Worker{Inside: func(c io.ReadWriteCloser) {
--- a/internal/testbench/sim/contract_test.go
+++ b/internal/testbench/sim/contract_test.go
@@ -7,7 +7,7 @@
 	"starlingwinch/internal/machine/machinetest"
 )
 
-func TestMachineKeepsItsContract(t *testing.T) {
+func TestMachineContract(t *testing.T) {
 	for _, ties := range []bool{false, true} {
 		for seed := range uint64(5) {
 			machinetest.Run(t, func(t *testing.T) machinetest.Rig { return rig(seed, ties, FailingCalls{}) })
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestContractUnderFailingCalls(t *testing.T) {
+func TestMachineContractUnderFailingCalls(t *testing.T) {
 	for _, f := range []FailingCalls{{ShortReads: 0.3, MaxShortRead: 200}, {ShortReads: 1, MaxShortRead: 1}, {Dials: 0.5}} {
 		for seed := range uint64(5) {
 			machinetest.Run(t, func(t *testing.T) machinetest.Rig { return rig(seed, false, f) })
--- a/internal/testbench/sim/faults_test.go
+++ b/internal/testbench/sim/faults_test.go
@@ -9,20 +9,20 @@
 	"starlingwinch/internal/machine"
 )
 
-func TestAHandshakeTakesOneRoundTrip(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestDialTakesOneRoundTrip(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near := f.dial(Second)
 	f.after(Second)
-	if took := near.told - Start; took != 2*Millisecond {
+	if took := near.lastCall - Start; took != 2*Millisecond {
 		t.Errorf("the dial took %d µs", took)
 	}
 }
 
-func TestWhatIsWrittenIsSplitAndJoined(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestLinkSplitsAndJoinsWrites(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	pieces := 0
-	far.heard = func(*party) { pieces++ }
+	far.onReadable = func(*testConn) { pieces++ }
 	near.write(t, "ab")
 	near.write(t, "cd")
 	f.after(Second)
@@ -38,8 +38,8 @@
 	f.reads("the server", far, "abcdefgh", nil)
 }
 
-func TestAKilledProcessResetsItsConnectionsAndRefusesNewOnes(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestHostKillResetsConnectionsAndRefusesDials(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	fired := false
 	m := f.server.Machine()
@@ -48,8 +48,8 @@
 	died := f.now
 	f.after(10 * Millisecond)
 	f.reads("the client", near, "", machine.ErrReset)
-	if near.told != died+Millisecond {
-		t.Errorf("the reset came after %d µs", near.told-died)
+	if near.lastCall != died+Millisecond {
+		t.Errorf("the reset came after %d µs", near.lastCall-died)
 	}
 	if fired || f.server.Pending() != 0 || f.server.Descriptors() != 0 || f.server.Alive() {
 		t.Error("something of the process is left")
@@ -67,8 +67,8 @@
 	f.pair()
 }
 
-func TestAVanishedHostIsSilentAndResetsOldConnectionsOnItsReturn(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestHostReturnResetsConnectionsFromBeforeVanish(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.server.Vanish()
 	near.write(t, "lost")
@@ -92,8 +92,8 @@
 	f.pair()
 }
 
-func TestADialIntoACutComesUpOnceItsHandshakeIsTriedAgain(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestDialThroughCutRetriesHandshake(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	f.Cut("s", "c") // the answers are lost
 	near := f.dial(5 * Second)
 	f.after(500 * Millisecond)
@@ -102,13 +102,13 @@
 	}
 	f.Heal("s", "c")
 	f.after(5 * Second)
-	if near.conn == nil || near.told != Start+Second+2*Millisecond {
-		t.Errorf("came up after %d µs, %v", near.told-Start, near.err)
+	if near.conn == nil || near.lastCall != Start+Second+2*Millisecond {
+		t.Errorf("came up after %d µs, %v", near.lastCall-Start, near.err)
 	}
 }
 
-func TestACutHoldsOneDirectionAndHealsInOrder(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestCutHoldsOneDirectionAndHealsInOrder(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.Cut("c", "s")
 	near.write(t, "a")
@@ -130,8 +130,8 @@
 	f.reads("the server", far, "abc", io.EOF)
 }
 
-func TestAConnectionCutForTooLongStaysSilent(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestConnectionStaysSilentAfterLongCut(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	f.SilentAfter = 100 * Millisecond
 	near, far := f.pair()
 	f.Cut("c", "s")
@@ -144,25 +144,25 @@
 	f.reads("the client", near, "", nil)
 }
 
-func TestASlowLinkTakesAFactorAndAnExtra(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestSlowAppliesFactorAndExtra(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.Slow("c", "s", 4, 500)
 	sent := f.now
 	near.write(t, "x")
 	f.after(Second)
-	if took := far.told - sent; took != 4500 {
+	if took := far.lastCall - sent; took != 4500 {
 		t.Errorf("took %d µs", took)
 	}
 }
 
-func TestAStalledProcessDoesAllInOrderAfterwards(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestStallDefersEventsInOrder(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	m := f.server.Machine()
 	var order []string
 	m.At(f.now+2*Millisecond, func() { order = append(order, "timer") })
-	far.heard = func(*party) { order = append(order, "bytes") }
+	far.onReadable = func(*testConn) { order = append(order, "bytes") }
 	f.server.Stall(100 * Millisecond)
 	over := f.now + 100*Millisecond
 	near.write(t, "x")
@@ -174,17 +174,17 @@
 		t.Errorf("%v while stalled", order)
 	}
 	f.after(Second)
-	if len(order) != 2 || order[0] != "bytes" || order[1] != "timer" || far.told != over {
-		t.Errorf("%v, at %d", order, far.told-over)
+	if len(order) != 2 || order[0] != "bytes" || order[1] != "timer" || far.lastCall != over {
+		t.Errorf("%v, at %d", order, far.lastCall-over)
 	}
 	f.reads("the server", far, "xy", nil)
 }
 
-func TestAStalledProcessIsToldOnceOfAllThatCame(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestStalledHandlerIsCalledOnce(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	told := 0
-	far.heard = func(*party) { told++ }
+	far.onReadable = func(*testConn) { told++ }
 	f.server.Stall(100 * Millisecond)
 	near.write(t, "x")
 	f.after(99 * Millisecond)
@@ -196,16 +196,16 @@
 	}
 }
 
-func TestAConnectionThatItsProcessNeverSawIsReset(t *testing.T) {
+func TestUnacceptedConnectionIsReset(t *testing.T) {
 	for _, kill := range []bool{false, true} {
-		f := newField(t, HostOptions{}, HostOptions{})
+		f := newTestNetwork(t, HostOptions{}, HostOptions{})
 		f.client.Silence(true)
 		d := f.client.Machine().Dial(serverAddr, Second, func(machine.Conn, error) machine.Handler {
 			t.Error("a dial was told that was given up")
 			return nil
 		})
 		f.after(10 * Millisecond)
-		if len(f.in) != 1 {
+		if len(f.accepted) != 1 {
 			t.Fatal("the connection did not come up")
 		}
 		if kill {
@@ -215,15 +215,15 @@
 		}
 		f.client.Silence(false)
 		f.after(Second)
-		f.reads("the server", f.in[0], "", machine.ErrReset)
+		f.reads("the server", f.accepted[0], "", machine.ErrReset)
 		if f.client.Descriptors() != 0 {
 			t.Errorf("%d descriptors are held", f.client.Descriptors())
 		}
 	}
 }
 
-func TestASilentProcessStillTakesConnectionsAndBytesIn(t *testing.T) {
-	f := newField(t, HostOptions{Window: 1000}, HostOptions{})
+func TestSilencedHostEstablishesConnectionsAndReceivesBytes(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{Window: 1000}, HostOptions{})
 	f.server.Silence(true)
 	near := f.dial(Second)
 	f.after(10 * Millisecond)
@@ -234,18 +234,18 @@
 		t.Errorf("Write gave %d, %v, not the window", n, err)
 	}
 	f.after(Second)
-	if len(f.in) != 0 || near.room != 0 {
+	if len(f.accepted) != 0 || near.writableCalls != 0 {
 		t.Error("a silent process ran")
 	}
 	f.server.Silence(false)
 	f.after(Second)
-	if len(f.in) != 1 || len(f.in[0].got) != 1000 || near.room != 1 {
-		t.Errorf("%d connections taken in, %d calls of Writable", len(f.in), near.room)
+	if len(f.accepted) != 1 || len(f.accepted[0].got) != 1000 || near.writableCalls != 1 {
+		t.Errorf("%d connections taken in, %d calls of Writable", len(f.accepted), near.writableCalls)
 	}
 }
 
-func TestDialsCanBeRefusedSwallowedAndReset(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestHostRefusesSwallowsAndResetsDials(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	f.server.RefuseAll(true)
 	refused := f.dial(Second)
 	f.after(Second)
@@ -261,7 +261,7 @@
 	f.server.ResetOnAccept(true)
 	reset := f.dial(Second)
 	f.after(Second)
-	if reset.conn == nil || len(f.in) != 0 {
+	if reset.conn == nil || len(f.accepted) != 0 {
 		t.Error("the connection that is reset did not come up, or was taken in")
 	}
 	f.reads("a reset connection", reset, "", machine.ErrReset)
@@ -269,8 +269,8 @@
 	f.pair()
 }
 
-func TestAConnectionResetsItself(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestConnReset(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	far.write(t, "half an ans")
 	far.conn.(interface{ Reset() }).Reset()
@@ -281,10 +281,10 @@
 	}
 }
 
-func TestBytesLeftUnreadTurnACloseIntoAReset(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestCloseWithUnreadBytesResets(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
-	far.deaf = true
+	far.ignoresReadable = true
 	near.write(t, "unread")
 	f.after(10 * Millisecond)
 	far.conn.Close()
@@ -298,8 +298,8 @@
 	f.reads("the client whose bytes crossed the end", near, "", machine.ErrReset)
 }
 
-func TestForgottenConnectionsResetWhatIsSent(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestDropIdleConnsResetsLaterWrites(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.server.DropIdleConns(false)
 	f.after(Second)
@@ -319,9 +319,9 @@
 	f.reads("the server of one forgotten in silence", far, "", nil)
 }
 
-func TestAFullBacklogSwallowsOrRefuses(t *testing.T) {
+func TestFullBacklogDropsOrRefusesDials(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
-		f := newField(t, HostOptions{Backlog: 2, RefuseFull: refuse}, HostOptions{})
+		f := newTestNetwork(t, HostOptions{Backlog: 2, RefuseFull: refuse}, HostOptions{})
 		f.listener.Pause()
 		f.dial(Second)
 		f.dial(Second)
@@ -335,14 +335,14 @@
 		f.reads("the third dial", third, "", want)
 		f.listener.Resume()
 		f.after(Second)
-		if len(f.in) != 2 {
-			t.Errorf("%d connections taken in", len(f.in))
+		if len(f.accepted) != 2 {
+			t.Errorf("%d connections taken in", len(f.accepted))
 		}
 	}
 }
 
-func TestNoDescriptorLeftFailsDialsAndHoldsAcceptsBack(t *testing.T) {
-	f := newField(t, HostOptions{Descriptors: 2}, HostOptions{Descriptors: 3})
+func TestDescriptorLimitFailsDialsAndDelaysAccepts(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{Descriptors: 2}, HostOptions{Descriptors: 3})
 	a, b, c := f.dial(Second), f.dial(Second), f.dial(Second)
 	d := f.dial(Second)
 	if d.err != nil {
@@ -355,24 +355,24 @@
 	if a.conn == nil || b.conn == nil || c.conn == nil {
 		t.Fatal("the kernel took no connections in")
 	}
-	if len(f.in) != 1 || f.server.Descriptors() != 2 {
-		t.Fatalf("%d connections taken in, holding %d", len(f.in), f.server.Descriptors())
+	if len(f.accepted) != 1 || f.server.Descriptors() != 2 {
+		t.Fatalf("%d connections taken in, holding %d", len(f.accepted), f.server.Descriptors())
 	}
 	if _, err := f.server.Machine().ReadFile("x", 1); err != machine.ErrDescriptors {
 		t.Errorf("ReadFile gave %v", err)
 	}
-	f.in[0].conn.Close()
-	if len(f.in) != 1 {
+	f.accepted[0].conn.Close()
+	if len(f.accepted) != 1 {
 		t.Error("Close called accept")
 	}
 	f.after(Second)
-	if len(f.in) != 2 || f.server.Descriptors() != 2 {
-		t.Errorf("%d connections taken in, holding %d", len(f.in), f.server.Descriptors())
+	if len(f.accepted) != 2 || f.server.Descriptors() != 2 {
+		t.Errorf("%d connections taken in, holding %d", len(f.accepted), f.server.Descriptors())
 	}
 }
 
-func TestDatagramsGetLostDoubledAndOvertaken(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestLinkLosesRepeatsAndReordersDatagrams(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	var got []byte
 	_, err := f.server.Machine().ListenPacket(serverAddr, func(_ string, b []byte) { got = append(got, b...) })
 	if err != nil {
@@ -421,8 +421,8 @@
 	}
 }
 
-func TestAWaitingProcessKeepsABoundedNumberOfDatagrams(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestStalledProcessQueuesBoundedDatagrams(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	n := 0
 	f.server.Machine().ListenPacket(serverAddr, func(string, []byte) { n++ })
 	pc, _ := f.client.Machine().ListenPacket("10.0.0.2:0", func(string, []byte) {})
@@ -436,7 +436,7 @@
 	}
 }
 
-func TestTheClockStepsAndTimeDoesNot(t *testing.T) {
+func TestStepClockMovesWallOnly(t *testing.T) {
 	w := New(1)
 	h := w.Host("a", "10.0.0.1", HostOptions{ClockOffset: -5})
 	m := h.Machine()
@@ -449,7 +449,7 @@
 	}
 }
 
-func TestFilesSurviveARestartAndCanFail(t *testing.T) {
+func TestFilesSurviveRestartAndFail(t *testing.T) {
 	w := New(1)
 	h := w.Host("a", "10.0.0.1", HostOptions{})
 	h.PutFile("conf", []byte("x"))
@@ -467,8 +467,8 @@
 	}
 }
 
-func TestBytesThatACutHeldTellWhenTheyWereWritten(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestSentAtOfBytesHeldByCut(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.Cut("c", "s")
 	near.write(t, "ab")
@@ -498,9 +498,9 @@
 	}
 }
 
-// TestAnOnlookerKnowsWhenAnEndHasCome, whatever holds it up on its way.
-func TestAnOnlookerKnowsWhenAnEndHasCome(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+// TestConnEndedAfterEndArrives, whatever holds it up on its way.
+func TestConnEndedAfterEndArrives(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, _ := f.pair()
 	conn := near.conn.(*Conn)
 	f.Cut("c", "s")
--- a/internal/testbench/sim/world_test.go
+++ b/internal/testbench/sim/world_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestRunsEndInTheSamePlaceHoweverTheyAreStepped(t *testing.T) {
+func TestRunAndStepReachSameState(t *testing.T) {
 	whole, steps := busyWorld(t, 7), busyWorld(t, 7)
 	whole.Run(Start + Second)
 	for at := Start; at <= Start+Second; at += 777 {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestATimelineShowsEveryEventInOrder(t *testing.T) {
+func TestOnEventSeesEveryEventInOrder(t *testing.T) {
 	w := busyWorld(t, 3)
 	var n int64
 	last := w.Now()
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestStreamsOfChanceDoNotDependOnOneAnother(t *testing.T) {
+func TestRandStreamsAreIndependent(t *testing.T) {
 	a, b := New(1), New(1)
 	a.Rand("x").Uint64()
 	if a.Rand("y").Uint64() != b.Rand("y").Uint64() {
@@ -88,11 +88,11 @@
 	}
 }
 
-// TestShuffledTiesTryBothOrders has the server close in the very instant in which the client's bytes arrive.
-func TestShuffledTiesTryBothOrders(t *testing.T) {
+// TestShuffleTiesTriesBothOrders has the server close in the very instant in which the client's bytes arrive.
+func TestShuffleTiesTriesBothOrders(t *testing.T) {
 	orders := map[bool]int{}
 	for seed := range uint64(40) {
-		f := newField(t, HostOptions{}, HostOptions{})
+		f := newTestNetwork(t, HostOptions{}, HostOptions{})
 		f.World.seed = seed
 		f.ShuffleTies = true
 		near, far := f.pair()
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestShuffledTiesKeepWhatAMachinePromises(t *testing.T) {
+func TestShuffleTiesKeepsMachineOrder(t *testing.T) {
 	for seed := range uint64(20) {
 		w := New(seed)
 		w.ShuffleTies = true
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestTimersThatAreTakenBackLeaveNothing(t *testing.T) {
+func TestStoppedTimersAreSwept(t *testing.T) {
 	w := New(1)
 	h := w.Host("a", "10.0.0.1", HostOptions{})
 	m := h.Machine()
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestStoppingATimerThatFiredStopsNoOther(t *testing.T) {
+func TestStopAfterFiringStopsNoOtherTimer(t *testing.T) {
 	w := New(1)
 	m := w.Host("a", "10.0.0.1", HostOptions{}).Machine()
 	old := m.At(w.Now(), func() {})
@@ -164,8 +164,8 @@
 	}
 }
 
-func TestMisuseIsToldByAPanic(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestMisusePanics(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	m := f.client.Machine()
 	tells := func(what string, f func()) {
 		t.Helper()
@@ -184,13 +184,13 @@
 	})
 	tells("an open connection without a handler", func() {
 		f.server.Machine().Listen("10.0.0.1:81", func(machine.Conn) machine.Handler { return nil })
-		m.Dial("10.0.0.1:81", Second, func(machine.Conn, error) machine.Handler { return &party{} })
+		m.Dial("10.0.0.1:81", Second, func(machine.Conn, error) machine.Handler { return &testConn{} })
 		f.after(Second)
 	})
 }
 
-func TestACallByAKilledProcessPanicsUnlessItGivesBack(t *testing.T) {
-	f := newField(t, HostOptions{}, HostOptions{})
+func TestKilledProcessMayOnlyReleaseResources(t *testing.T) {
+	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, _ := f.pair()
 	m := f.client.Machine()
 	timer := m.At(f.now+Second, func() { t.Error("a timer fired after death") })
@@ -198,7 +198,7 @@
 		t.Error("a dial was told after death")
 		return nil
 	})
-	l, err := m.Listen("10.0.0.2:1", func(machine.Conn) machine.Handler { return &party{} })
+	l, err := m.Listen("10.0.0.2:1", func(machine.Conn) machine.Handler { return &testConn{} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,7 +245,7 @@
 	}
 }
 
-func TestAWorldGoesOnAfterAPanicOfACallback(t *testing.T) {
+func TestWorldContinuesAfterCallbackPanic(t *testing.T) {
 	w := New(1)
 	h := w.Host("a", "10.0.0.1", HostOptions{})
 	h.Machine().Post(func() { panic("a mistake") })
