--- a/internal/testbench/routertest/cache.go
+++ b/internal/testbench/routertest/cache.go
@@ -12,10 +12,10 @@
 	"github.com/tidwall/redcon"
 )
 
-// Served is an answer that serves.
+// Served is an answer that serves a request.
 const Served = "*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 
-// Cache is a cache server on loopback. Each command that comes whole is handed to the test.
+// Cache is a cache server on loopback. It hands each whole command to the test.
 type Cache struct {
 	Commands chan Command
 	Ended    chan struct{} // one for each connection that the router has ended
@@ -23,7 +23,7 @@
 	ln net.Listener
 }
 
-// Command is one command that has come.
+// Command is one command that a Cache received.
 type Command struct {
 	Args []string
 	Conn net.Conn
@@ -45,9 +45,10 @@
 	return c
 }
 
-// Addr is where it listens.
+// Addr is the address that it listens on.
 func (c *Cache) Addr() string { return c.ln.Addr().String() }
 
+// serve reads the commands of a connection up to its end.
 func (c *Cache) serve(nc net.Conn) {
 	r := redcon.NewReader(nc)
 	for {
@@ -64,7 +65,7 @@
 	}
 }
 
-// Answering has the cache serve the requests that the test names, and tells of all others.
+// Answering has the cache serve the requests for which serves is true, and sends the ids of all others.
 func (c *Cache) Answering(t testing.TB, serves func(id string) bool, others chan<- string) {
 	c.Saying(t, func(id string) string {
 		if serves(id) {
@@ -75,7 +76,7 @@
 	})
 }
 
-// Saying has the cache answer with what the test says to each id, until the test is over.
+// Saying has the cache answer each request with answer(id), until the end of the test.
 func (c *Cache) Saying(t testing.TB, answer func(id string) (wire string)) {
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
@@ -91,7 +92,7 @@
 	}()
 }
 
-// listen takes connections in, until the test is over.
+// listen accepts connections until the end of the test.
 func listen(t testing.TB, accept func(net.Conn)) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,7 +113,7 @@
 	return ln
 }
 
-// DeafCache takes connections, hands them to the test and reads nothing.
+// DeafCache accepts connections, hands them to the test and reads nothing.
 func DeafCache(t testing.TB) (addr string, conns <-chan net.Conn) {
 	t.Helper()
 	in := make(chan net.Conn, 100)
@@ -120,7 +121,7 @@
 	return ln.Addr().String(), in
 }
 
-// Refusing is an address at which nobody listens.
+// Refusing returns an address on which no process listens.
 func Refusing(t testing.TB) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -131,15 +132,15 @@
 	return ln.Addr().String()
 }
 
-// Unreachable is an address at which connections never come up: its queue is full.
+// Unreachable returns an address at which no connection is established, as its queue is full.
 func Unreachable(t testing.TB) string {
 	t.Helper()
 	addr, _ := fullQueue(t)
 	return addr
 }
 
-// Late is an address at which connections do not come up until release is called. Then they do, as their handshakes are tried
-// again (which takes a second, and then two), and each is handed to the test.
+// Late returns an address at which no connection is established until release is called. Then they are, as their handshakes
+// are tried again after a second and then two, and each is handed to the test.
 func Late(t testing.TB) (addr string, release func() <-chan net.Conn) {
 	t.Helper()
 	addr, fd := fullQueue(t)
@@ -169,7 +170,7 @@
 	}
 }
 
-// fullQueue is an address whose queue is full, and its descriptor, which is closed at the end.
+// fullQueue returns an address whose queue is full, and its descriptor, which is closed at the end of the test.
 func fullQueue(t testing.TB) (string, int) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/testbench/routertest/client.go
+++ b/internal/testbench/routertest/client.go
@@ -28,7 +28,7 @@
 	return &Client{nc.(*net.TCPConn), t, bufio.NewReader(nc)}
 }
 
-// Send writes bytes.
+// Send writes bytes to the router.
 func (c *Client) Send(wire string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.TCPConn, wire); err != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// Line reads a line of an answer; a bulk string comes as its content.
+// Line reads a line of an answer; of a bulk string it returns the content.
 func (c *Client) Line() string {
 	c.t.Helper()
 	s, err := c.r.ReadString('\n')
@@ -49,7 +49,7 @@
 	return s
 }
 
-// Want reads a line and compares it.
+// Want reads a line and fails the test unless it is answer.
 func (c *Client) Want(answer string) {
 	c.t.Helper()
 	if got := c.Line(); got != answer {
@@ -57,7 +57,7 @@
 	}
 }
 
-// WantClosed wants the end of the connection next.
+// WantClosed fails the test unless the end of the connection comes next.
 func (c *Client) WantClosed() {
 	c.t.Helper()
 	if b, err := c.r.ReadByte(); err == nil {
--- a/internal/testbench/routertest/discovery.go
+++ b/internal/testbench/routertest/discovery.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// Call is one call of discovery.
+// Call is one call of discovery by a router.
 type Call struct {
 	Query   string
-	Reply   chan string     // takes a body, or "" for 503
+	Reply   chan string     // receives a body from the test, or "" for 503
 	Written chan struct{}   // closed when the answer is on its way, whole
 	Gone    <-chan struct{} // closed when the caller's connection has ended, or the call is over
 }
 
-// Discovery is a discovery that hands each call to the test.
+// Discovery starts a discovery server that hands each call to the test.
 func Discovery(t testing.TB) (addr string, calls <-chan Call) {
 	t.Helper()
 	handed := make(chan Call)
@@ -49,7 +49,7 @@
 	return srv.Listener.Addr().String(), handed
 }
 
-// SilentDiscovery holds every watch until the test is over.
+// SilentDiscovery starts a discovery server that answers no watch until the end of the test.
 func SilentDiscovery(t testing.TB) string {
 	t.Helper()
 	over := make(chan struct{})
--- a/internal/testbench/routertest/routertest.go
+++ b/internal/testbench/routertest/routertest.go
@@ -1,9 +1,9 @@
-// Package routertest holds what the tests of the router's packages share: a machine whose loop runs
-// beside the test, and fakes of what surrounds a router (clients, caches, discovery), each in
-// goroutines of its own on loopback. A fake hands all it sees to the test and does nothing by itself.
+// Package routertest provides what the tests of the router's packages share: a machine whose loop runs beside the test, and
+// fakes of clients, caches and discovery, each in goroutines of its own on loopback. A fake hands everything that it
+// receives to the test and does nothing by itself.
 //
-// It is imported by tests alone. The stand-ins (package standin) are another thing: they behave as
-// the platform does, for whole days; a fake here does what one test wants at one moment.
+// Only tests import it. The stand-ins of package standin behave as the platform does, for whole days; a fake does what one
+// test wants at one moment.
 package routertest
 
 import (
@@ -18,11 +18,10 @@
 	"starlingwinch/internal/machine"
 )
 
-// Patience is how long a test waits for an event that has to come. It is generous: only a failing
-// test ever waits so long.
+// Patience is how long a test waits for an event that must come. Only a failing test waits so long.
 const Patience = 30 * time.Second
 
-// Receive takes the next value, which must come.
+// Receive returns the next value of a channel, and fails the test if none comes.
 func Receive[T any](t testing.TB, c <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -34,14 +33,14 @@
 	}
 }
 
-// Loop is a real machine whose loop runs until the test's end.
+// Loop is a real machine whose loop runs until the end of the test.
 type Loop struct {
 	*machine.Real
 	t     testing.TB
 	ended chan struct{}
 }
 
-// NewLoop starts a machine. What it logs goes to log, or nowhere where that is nil.
+// NewLoop starts a machine that logs to log, or nowhere where log is nil.
 func NewLoop(t testing.TB, log io.Writer) *Loop {
 	t.Helper()
 	return NewLoopOf(t, machine.Options{Log: log})
@@ -80,7 +79,7 @@
 	Receive(l.t, ran, "turn of the loop")
 }
 
-// Until waits until a turn of the loop sees something.
+// Until waits until seen returns true in a turn of the loop.
 func (l *Loop) Until(what string, seen func() bool) {
 	l.t.Helper()
 	for end := time.Now().Add(Patience); ; {
@@ -106,7 +105,7 @@
 	Receive(l.t, passed, "end of the span")
 }
 
-// Lines is a log that the test reads. What does not fit is dropped.
+// Lines is a log that the test reads. Lines that do not fit are dropped.
 type Lines chan string
 
 // Write implements io.Writer.
@@ -118,17 +117,17 @@
 	return len(b), nil
 }
 
-// Want skips to the line that holds a text.
+// Want skips to the next line that contains a text.
 func (l Lines) Want(t testing.TB, text string) {
 	t.Helper()
 	for !strings.Contains(Receive(t, l, "line: "+text), text) {
 	}
 }
 
-// Stuck is a log that nobody reads, until the test's end.
+// Stuck is a log whose writes block until the end of the test.
 type Stuck chan struct{}
 
-// NewStuck returns a log that takes nothing.
+// NewStuck returns a log whose writes block.
 func NewStuck(t testing.TB) Stuck {
 	s := make(Stuck)
 	t.Cleanup(func() { close(s) })
@@ -141,7 +140,7 @@
 	return len(b), nil
 }
 
-// Words is a command as it goes over the wire.
+// Words returns a command as it is sent.
 func Words(args ...string) string {
 	b := redcon.AppendArray(nil, len(args))
 	for _, a := range args {
@@ -150,16 +149,16 @@
 	return string(b)
 }
 
-// Get is a read of one key whose client is patient.
+// Get returns a read of one key with a long client timeout.
 func Get(id string) string { return Words("C.GET", "k1", id, "c=read,d=20000") }
 
-// Host is a line of discovery's list.
+// Host returns an entry of discovery's list.
 func Host(name, addr, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":%q,"weight":1,"since_ms":0}`,
 		name, addr, status)
 }
 
-// Hosts is a list as discovery words it.
+// Hosts returns a list as discovery sends it.
 func Hosts(index int, full bool, lines ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[%s]}`, index, full, strings.Join(lines, ","))
 }
