--- a/internal/testbench/load/cache.go
+++ b/internal/testbench/load/cache.go
@@ -91,7 +91,7 @@
 	return true
 }
 
-// Numbers of words by which the commands are told apart.
+// Numbers of words that distinguish the commands.
 const (
 	wordsPing        = 1
 	wordsGet         = 2 // GET
--- a/internal/testbench/rules/observer.go
+++ b/internal/testbench/rules/observer.go
@@ -37,7 +37,7 @@
 	Sent     Time   // when its last byte was written to a connection that the router's machine accepted
 	Deadline Time   // when the client stops waiting
 	Write    bool
-	Forgone  bool // nobody waits for its answer, though the connection stays open
+	Forgone  bool // no client waits for its answer, though the connection stays open
 
 	// Ended, where it is not nil, reports whether the router's machine has received the end of the connection.
 	Ended func() bool
--- a/internal/testbench/rules/random_test.go
+++ b/internal/testbench/rules/random_test.go
@@ -39,7 +39,7 @@
 		report(at, func(o Observer) { o.Listed(at, "r0", cache, false) })
 		report(at+900*ms, func(o Observer) { o.Listed(at+900*ms, "r0", cache, true) })
 	}
-	// One router is killed now and then: what it has is nobody's fault.
+	// One router is killed now and then: its open requests break no rule.
 	for at := 2000 * ms; at < Time(n)*5*ms; at += 7000 * ms {
 		report(at, func(o Observer) { o.RouterDown(at, "r1", false) })
 		report(at+100*ms, func(o Observer) { o.RouterUp(at+100*ms, "r1") })
--- a/internal/testbench/rules/rules_test.go
+++ b/internal/testbench/rules/rules_test.go
@@ -285,7 +285,7 @@
 		s.CacheUp(0, "a", 0, 0, 0)
 		s.send(0, "q", "read")
 		s.begin(10*ms, "a", "q", "read")
-		s.CacheUp(20*ms, "a", 0, 0, 0) // the first attempt ends with the process, and nobody sees its connection
+		s.CacheUp(20*ms, "a", 0, 0, 0) // the first attempt ends with the process, and no end of its connection is seen
 		s.begin(30*ms, "a", "q", "read")
 		s.Ended(40*ms, "a", "q")
 		s.begin(50*ms, "b", "q", "read")
@@ -355,7 +355,7 @@
 		second := s.attempt(2310*ms, "b", "q", "put")
 		s.Began(2310*ms, second)
 		first := s.attempt(2400*ms, "a", "q", "put")
-		first.Sent = 400 * ms // what the cache tells is a bound of its own
+		first.Sent = 400 * ms // the cache reports a bound of its own
 		s.Began(2400*ms, first)
 		s.Replied(2500*ms, "b", "q", Served, "x")
 		s.Answered(2500*ms, "q", Served, "x")
--- a/internal/testbench/rules/watcher.go
+++ b/internal/testbench/rules/watcher.go
@@ -36,9 +36,9 @@
 var _ Observer = (*Watcher)(nil)
 
 // New returns a Watcher that reports each broken rule as it finds it.
-func New(set Settings, report func(Violation)) *Watcher {
+func New(settings Settings, report func(Violation)) *Watcher {
 	w := &Watcher{
-		settings:              set,
+		settings:              settings,
 		report:                report,
 		requests:              map[string]*request{},
 		requestsWithViolation: map[string]*request{},
@@ -46,12 +46,12 @@
 		routers:               map[string]*router{},
 		caches:                map[string]*cache{},
 	}
-	for name, c := range set.Classes { // any order: each by itself
+	for name, c := range settings.Classes { // any order: each by itself
 		w.classes[name] = &class{Class: c, tally: Tally{Class: name}}
 		w.retention = max(w.retention, c.IdempotencyWindow, c.ClientTimeout)
 	}
-	w.retention += retentionMargin + set.Slack + set.MaxTransit + set.ExtraRetention
-	w.store.init(set.StoreOverloadWindow)
+	w.retention += retentionMargin + settings.Slack + settings.MaxTransit + settings.ExtraRetention
+	w.store.init(settings.StoreOverloadWindow)
 	return w
 }
 
@@ -67,12 +67,19 @@
 	}
 	w.closed = true
 	for len(w.pendingChecks.items) > 0 {
-		check := w.pendingChecks.pop()
-		switch {
-		case check.kind == checkBrokenConnection:
-			w.runCheck(check)
-		case check.kind == checkDeadline && check.at < check.request.sent.Deadline+w.settings.Slack:
-		case check.kind == checkDeadline && check.request.state == stateOpen && !check.request.connectionBroken:
+		w.closeCheck(w.pendingChecks.pop())
+	}
+}
+
+// closeCheck handles a check that is not due at the end of the run.
+func (w *Watcher) closeCheck(check pendingCheck) {
+	r := check.request
+	switch check.kind {
+	case checkBrokenConnection:
+		w.runCheck(check)
+	case checkDeadline:
+		superseded := check.at < r.sent.Deadline+w.settings.Slack
+		if !superseded && r.state == stateOpen && !r.connectionBroken {
 			w.counts.Unsettled++
 		}
 	}
@@ -108,22 +115,23 @@
 
 // runCheck makes one check whose time has passed.
 func (w *Watcher) runCheck(check pendingCheck) {
+	r := check.request
 	switch check.kind {
 	case checkDeadline:
-		if check.at < check.request.sent.Deadline+w.settings.Slack {
+		if check.at < r.sent.Deadline+w.settings.Slack {
 			return // the deadline was moved by Behind, which has queued a later check
 		}
-		if check.request.state == stateOpen && !check.request.connectionBroken {
-			w.markLost(check.request, check.request.sent.Deadline, "no answer by its deadline")
+		if r.state == stateOpen && !r.connectionBroken {
+			w.markLost(r, r.sent.Deadline, "no answer by its deadline")
 		}
-		check.request.dropLongValues()
-		w.retired.push(check.at+w.retention, check.request)
+		r.dropLongValues()
+		w.retired.push(check.at+w.retention, r)
 	case checkBrokenConnection:
-		if check.request.state == stateOpen && check.request.connectionBroken && check.request.brokenAt+killNoticeDelay == check.at {
-			w.markLost(check.request, check.request.brokenAt, "the connection ended with no whole answer")
+		if r.state == stateOpen && r.connectionBroken && r.brokenAt+killNoticeDelay == check.at {
+			w.markLost(r, r.brokenAt, "the connection ended with no whole answer")
 		}
 	case checkOverlap:
-		w.reportOverlap(check.request, check.earlier, check.later, check.at)
+		w.reportOverlap(r, check.earlier, check.later, check.at)
 	}
 }
 
--- a/internal/testbench/sim/event.go
+++ b/internal/testbench/sim/event.go
@@ -131,7 +131,7 @@
 	return p
 }
 
-// stop cancels a queued event. It is dropped when it comes up, or by sweep when there are many.
+// stop cancels a queued event. It is dropped when it is due, or by sweep when there are many.
 func (w *World) stop(ev *event) {
 	ev.stopped = true
 	ev.id = 0
@@ -142,7 +142,7 @@
 	}
 }
 
-// drop releases a stopped event that has come up.
+// drop releases a stopped event that was due.
 func (w *World) drop(ev *event) {
 	w.stoppedEvents = max(0, w.stoppedEvents-1)
 	w.release(ev)
--- a/internal/testbench/sim/harness_test.go
+++ b/internal/testbench/sim/harness_test.go
@@ -6,12 +6,12 @@
 	"starlingwinch/internal/machine"
 )
 
-// testConn is one end of a connection in a test; it reads all that comes.
+// testConn is one end of a connection in a test; it reads all that arrives.
 type testConn struct {
 	conn            machine.Conn
 	err             error // of the dial, or of the last read
 	got             []byte
-	lastCall        Time // when it was last told of something
+	lastCall        Time // time of the last call
 	ignoresReadable bool // does not read
 	writableCalls   int  // calls of Writable
 	onReadable      func(p *testConn)
@@ -111,7 +111,7 @@
 	return near, f.accepted[len(f.accepted)-1]
 }
 
-// reads fails where a party has not got these bytes and this error.
+// reads fails where a connection has not got these bytes and this error.
 func (f *testNetwork) reads(who string, p *testConn, got string, err error) {
 	f.Helper()
 	if string(p.got) != got || p.err != err {
