--- a/decide/low_traffic.go
+++ b/decide/low_traffic.go
@@ -10,9 +10,9 @@
 // Limits on attempts that are out then have nothing to learn from, and what one router does all of them do.
 // So a router uses what it needs no second answer for. These rules differ, and each says how:
 //
-//   - concurrency limit: a result at one cache does not count for others (spreadResult)
+//   - concurrency limit: a result at one cache does not count for others (adjustFleetLimits)
 //   - origin limit: late likely misses count by how likely they are (originOverdue, learnOrigin)
-//   - overdue attempts: idempotent ones are cancelled past their latency objective (objectiveMissed)
+//   - overdue attempts: idempotent ones are cancelled past their latency objective (handleObjectiveReached)
 //   - outliers: a cache that kept a request waiting is ejected, and few requests may move (outlier.go)
 //   - admission: what all caches together don't serve in time is rejected at once (admission.go)
 //   - hot keys: keys are spread by their likely popularity, in the own zone first (hot_keys.go, rankCaches)
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -18,10 +18,11 @@
 const (
 	addressRetryInterval = 10_000    // between two tries to take an address that another process holds
 	addressLogInterval   = 1_000_000 // between two lines about it
-	predecessorKillDelay = 700_000   // SIGKILL follows the end of a drain's longest deadline after so long, at the earliest
+	predecessorKillDelay = 700_000   // from the longest request deadline of a drain until the platform's SIGKILL, at the earliest
 
 	drainAcceptGrace  = 500_000   // new connections may still come for so long after SIGTERM
-	drainAnswerMargin = 50_000    // before the drain's deadline, by which every request is answered
+	drainAnswerMargin = 50_000    // before the drain's deadline, by which the deadlines of requests end
+	drainFinalMargin  = 25_000    // before the drain's deadline, when requests that are still open are answered
 	maxDrainTimeout   = 3_000_000 // of the longest client timeout, the part that a drain waits for
 	drainSlack        = 650_000   // beyond that, until the drain's deadline: SIGKILL may follow 50 ms later
 )
@@ -57,7 +58,7 @@
 	addressDeadline Time          // the start fails when the address is still in use then; 0 until the first try found it in use
 	addressLoggedAt Time          // when the log last said that the router waits; 0 for never
 	addressTimer    machine.Timer // for the next try
-	onFailure       func(error)   // set by FailureMode
+	onFailure       func(error)   // set by OnFailure
 
 	acceptGrace   Time          // for how long a drain still takes connections
 	drainDeadline Time          // the router stops then at the latest; 0 while it does not drain
@@ -92,7 +93,7 @@
 	return r, nil
 }
 
-// FailureMode sets the function that is called when a start that waits for its address gives up. The router has stopped by
+// OnFailure sets the function that is called when a start that waits for its address gives up. The router has stopped by
 // then.
 func (r *Router) OnFailure(f func(error)) { r.onFailure = f }
 
@@ -184,7 +185,7 @@
 	if r.addressDeadline > 0 {
 		r.logStartProgress("has-address", slog.String("address", r.frontend.Addr()))
 	}
-	if r.hooks, err = hooks.New(r.m, r.cfg.Hooks, r.logSentence); err != nil {
+	if r.hooks, err = hooks.New(r.m, r.cfg.Hooks, r.logger); err != nil {
 		return err
 	}
 	r.ProcessEvents()
@@ -236,7 +237,7 @@
 	}
 	r.drainDeadline = r.m.Now() + min(r.maxClientTimeout, maxDrainTimeout) + drainSlack
 	r.drainTimer = r.m.At(r.drainDeadline, r.Close)
-	r.m.At(r.drainDeadline-drainAnswerMargin/2, r.answerOpenRequests)
+	r.m.At(r.drainDeadline-drainFinalMargin, r.answerOpenRequests)
 	r.m.At(r.drainDeadline-finalWriteMargin, r.writeSnapshotBeforeDeadline)
 	r.m.At(r.m.Now()+r.acceptGrace, r.drainFrontend)
 }
--- a/internal/testbench/load/beside_test.go
+++ b/internal/testbench/load/beside_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestBesideTellsOfEachTargetWhoGotAnAnswerInTime(t *testing.T) {
+func TestBesideReportsEachTarget(t *testing.T) {
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAWriteNamesItsKey(t *testing.T) {
+func TestWriteCarriesIdempotencyKey(t *testing.T) {
 	s := &mute{}
 	w := sim.New(1)
 	m := w.Host("all", "10.0.0.1", sim.HostOptions{}).Machine()
--- a/internal/testbench/rules/answers.go
+++ b/internal/testbench/rules/answers.go
@@ -1,6 +1,6 @@
 package rules
 
-// checkAnswer judges a final answer by what the caches did.
+// checkAnswer checks a final answer against what the caches did.
 func (w *Watcher) checkAnswer(r *request, value string) {
 	v := Violation{At: r.finalAt}
 	switch r.final {
@@ -10,7 +10,7 @@
 			w.reportViolation(r, v)
 		}
 	case Refused:
-		if r.class.refusable() {
+		if r.class.allowsRejectAfterRun() {
 			return
 		}
 		for i := range r.attempts {
@@ -21,7 +21,7 @@
 			}
 		}
 	case Cut:
-		// A value that its cache did not finish either is no fault of the router.
+		// The router is not responsible for a value that its cache did not finish either.
 		for i := range r.attempts {
 			if !r.attempts[i].replied {
 				return
@@ -36,7 +36,7 @@
 	}
 }
 
-// wrongValue says what is wrong with a value that a request was served with; nothing where it is right.
+// wrongValue says what is wrong with a value that a request was served with, and returns "" for a right one.
 func (w *Watcher) wrongValue(r *request, value string) string {
 	served := false
 	for i := range r.attempts {
@@ -60,10 +60,10 @@
 	}
 }
 
-// requestServedWith finds the request, the first asked, that a cache made a value for.
+// requestServedWith returns the first request, in the order of sending, that a cache made the value for.
 func (w *Watcher) requestServedWith(value string) *request {
 	var first *request
-	for _, r := range w.requests { // any order: the first one counts
+	for _, r := range w.requests { // any order: the first one sent counts
 		if first != nil && first.order < r.order {
 			continue
 		}
--- a/internal/testbench/rules/history.go
+++ b/internal/testbench/rules/history.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// maxHistoryEvents bounds the life that is kept of one request.
+// maxHistoryEvents bounds the events that are recorded of one request.
 const maxHistoryEvents = 64
 
+// historyEventKind says what happened.
 type historyEventKind uint8
 
 const (
@@ -22,21 +23,24 @@
 
 // historyEvent is one event in a request's life.
 type historyEvent struct {
-	at, sent     Time
-	peer, router string
-	kind         historyEventKind
-	answer       Answer
-	rule         Rule
+	at     Time
+	sent   Time   // eventAttemptBegan only: the latest instant at which the attempt can have been sent
+	peer   string // the router or the cache that it happened at
+	router string // eventAttemptBegan only: the sender
+	kind   historyEventKind
+	answer Answer
+	rule   Rule
 }
 
-func (r *request) record(m historyEvent) {
+// record adds an event to the request's history.
+func (r *request) record(event historyEvent) {
 	if len(r.history) < maxHistoryEvents {
-		r.history = append(r.history, m)
+		r.history = append(r.history, event)
 	}
 }
 
-// History returns a line for each event of a request in the order in which they were told, its times counted from
-// when it was asked. It knows the requests in memory and the first ones that broke a rule; else it is nil.
+// History returns a line for each event of a request in the order in which they were reported, with times counted from
+// its sending. It knows the requests in memory and the first ones that broke a rule, and returns nil for others.
 func (w *Watcher) History(id string) []string {
 	r := w.requests[id]
 	if r == nil {
@@ -47,8 +51,8 @@
 	}
 	zero := r.history[0].at
 	lines := make([]string, 0, len(r.history)+1)
-	for _, m := range r.history {
-		lines = append(lines, fmt.Sprintf("%12s  %s", span(m.at-zero), m.describe(r, zero)))
+	for _, event := range r.history {
+		lines = append(lines, fmt.Sprintf("%12s  %s", span(event.at-zero), event.describe(r, zero)))
 	}
 	if len(r.history) == maxHistoryEvents {
 		lines = append(lines, "... what came later was not kept")
@@ -56,33 +60,34 @@
 	return lines
 }
 
-func (m *historyEvent) describe(r *request, zero Time) string {
-	switch m.kind {
+// describe returns the event in words; zero is when its request was sent.
+func (event *historyEvent) describe(r *request, zero Time) string {
+	switch event.kind {
 	case eventSent:
 		return fmt.Sprintf("%s of %s asked of router %s, deadline %s",
-			r.sent.Class, r.sent.Key, m.peer, span(r.sent.Deadline-zero))
+			r.sent.Class, r.sent.Key, event.peer, span(r.sent.Deadline-zero))
 	case eventAnswered:
-		return "answered: " + m.answer.String()
+		return "answered: " + event.answer.String()
 	case eventClientLeft:
 		return "the client left"
 	case eventConnectionBroken:
 		return "the router's connection ended"
 	case eventAttemptBegan:
-		return fmt.Sprintf("began at cache %s, sent by router %s at %s", m.peer, m.router, span(m.sent-zero))
+		return fmt.Sprintf("began at cache %s, sent by router %s at %s", event.peer, event.router, span(event.sent-zero))
 	case eventRan:
-		return "ran at cache " + m.peer
+		return "ran at cache " + event.peer
 	case eventDeduplicated:
-		return "dropped as a repeat at cache " + m.peer
+		return "dropped as a repeat at cache " + event.peer
 	case eventCacheReplied:
-		return fmt.Sprintf("cache %s replied: %s", m.peer, m.answer)
+		return fmt.Sprintf("cache %s replied: %s", event.peer, event.answer)
 	case eventAttemptEnded:
-		return "the connection to cache " + m.peer + " ended"
+		return "the connection to cache " + event.peer + " ended"
 	default:
-		return "BROKEN: " + m.rule.String()
+		return "BROKEN: " + event.rule.String()
 	}
 }
 
-// span prints a span of time.
+// span formats a span of time in milliseconds.
 func span(t Time) string {
 	return fmt.Sprintf("%.3f ms", float64(t)/1e3)
 }
--- a/internal/testbench/sim/calls.go
+++ b/internal/testbench/sim/calls.go
@@ -1,13 +1,13 @@
 package sim
 
-// shortageRetryDelay is until a dial that lacked something is begun again, as on the real machine.
+// shortageRetryDelay is the wait before a dial that lacked a resource is tried again, as on the real machine.
 const shortageRetryDelay = 10 * Millisecond
 
-// FailingCalls say which calls of a host's kernel fail, and how often: each is the probability for one call.
+// FailingCalls say how often calls of a host's kernel fail: each is the probability for one call.
 type FailingCalls struct {
-	Dials        float64 // a connection can't be begun: no descriptor, port, memory or route for the moment
-	ShortReads   float64 // a read takes fewer bytes than have come
-	MaxShortRead int     // ... this many at most
+	Dials        float64 // a dial lacks a descriptor, port, memory or route for the moment
+	ShortReads   float64 // a read returns fewer bytes than have arrived
+	MaxShortRead int     // bytes that a short read returns at most
 }
 
 // FailCalls has calls of the host's kernel fail from now on.
--- a/internal/testbench/sim/conn.go
+++ b/internal/testbench/sim/conn.go
@@ -9,12 +9,12 @@
 
 // Conn is one end of a connection: a machine.Conn that can also be reset.
 //
-// Each direction has a window. What one end has written and the other has not read counts against it,
-// and room comes back as a credit, half a window at a time and a latency late.
+// Each direction has a window. Bytes that one end has written and the other has not read count against it, and space
+// returns as a credit, half a window at a time and a latency late.
 type Conn struct {
 	world      *World
 	host       *Host
-	process    *Process // nil until the process has it
+	process    *Process // nil until a process accepted or dialled it
 	peer       *Conn
 	link       *Link // to the peer
 	id         uint64
@@ -27,25 +27,25 @@
 
 	opened         bool // the kernel has it as open
 	closed         bool
-	endReceived    bool // the peer's end has come
-	resetReceived  bool // its reset has
+	endReceived    bool // the end of the peer's sending has arrived
+	resetReceived  bool // a reset from the peer has arrived
 	endSent        bool
 	resetSent      bool
-	forgotten      bool // what is between the hosts, or the other host, knows it no more
-	silent         bool // and does not say so
+	forgotten      bool // the network, or the other host, does not know it any more
+	silent         bool // a forgotten connection gets no resets
 	wantsWritable  bool // a Write took less than it was given
-	readableQueued bool // a Notice is on its way
+	readableQueued bool // a ReadableQueued event is scheduled
 
-	received         []byte // come and not read, from head on
+	received         []byte // unread from head on
 	head             int
-	receivedTotal    uint64     // bytes, in all
-	sendTimes        []sendTime // of the pieces that have come, the latest of them
-	credit           int        // that may be written
-	unreportedCredit int        // read here, and not told to the peer yet
-
-	lastPiece     *event // the last piece on its way, where more can join it
-	lastArrival   Time   // nothing sent later arrives before this
-	delayedPieces int    // pieces that a cut holds or has held, and that have not arrived
+	receivedTotal    uint64     // bytes so far
+	sendTimes        []sendTime // of the latest pieces
+	credit           int        // bytes that may be written
+	unreportedCredit int        // bytes read here for which the peer has no credit yet
+
+	lastPiece     *event // the last piece in transit, nil where no more bytes can join it
+	lastArrival   Time   // earliest arrival of what is sent later
+	delayedPieces int    // pieces that a cut holds or has held and that have not arrived
 	delayedUntil  Time   // when the last of them arrives, where no cut holds it
 }
 
@@ -71,9 +71,13 @@
 	return a
 }
 
-func (c *Conn) Local() string  { return c.local }
+// Local returns the address of this end.
+func (c *Conn) Local() string { return c.local }
+
+// Remote returns the address of the peer.
 func (c *Conn) Remote() string { return c.remote }
 
+// Read implements machine.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	if c.closed {
 		c.enterIfAttached()
@@ -97,8 +101,8 @@
 	return 0, machine.ErrWait
 }
 
-// returnCredit gives room back to the peer. The danger: with less than half a window told at a time, each
-// read would be an event; with more, a peer that waits for room might wait for ever.
+// returnCredit returns window space to the peer once half a window was read: less would make each read an event, and with
+// more a peer that waits for credit could wait forever.
 func (c *Conn) returnCredit(n int) {
 	c.unreportedCredit += n
 	if c.unreportedCredit < (c.host.options.Window+1)/2 || c.endReceived || c.resetReceived {
@@ -110,6 +114,7 @@
 	c.unreportedCredit = 0
 }
 
+// Write implements machine.Conn. Bytes may be split into two pieces, as the link has it.
 func (c *Conn) Write(b []byte) (int, error) {
 	if c.closed {
 		c.enterIfAttached()
@@ -164,6 +169,8 @@
 	return c.sendAt(k, c.world.now+c.link.delay())
 }
 
+// sendAt has something arrive at the peer at an instant or after all that was sent before. It returns nil where this host has
+// vanished.
 func (c *Conn) sendAt(k Kind, at Time) *event {
 	c.lastPiece = nil
 	if c.host.vanished && c.host != c.peer.host {
@@ -185,10 +192,12 @@
 	c.send(ResetArrived)
 }
 
+// Quiet implements machine.Conn.
 func (c *Conn) Quiet() bool {
 	return !c.closed && !c.endReceived && !c.resetReceived && c.head == len(c.received)
 }
 
+// End implements machine.Conn.
 func (c *Conn) End() error {
 	switch {
 	case c.resetReceived:
@@ -199,6 +208,7 @@
 	return nil
 }
 
+// CloseWrite implements machine.Conn.
 func (c *Conn) CloseWrite() error {
 	if c.closed {
 		c.enterIfAttached()
@@ -212,6 +222,7 @@
 	return nil
 }
 
+// end sends the end of this direction, once.
 func (c *Conn) end() {
 	if !c.endSent {
 		c.endSent = true
@@ -219,11 +230,13 @@
 	}
 }
 
+// Close implements machine.Conn. Unread bytes turn the close into a reset, as TCP does.
 func (c *Conn) Close() { c.close(c.head < len(c.received)) }
 
 // Reset closes the connection with a reset, whatever was read.
 func (c *Conn) Reset() { c.close(true) }
 
+// close closes the connection and returns its descriptor.
 func (c *Conn) close(reset bool) {
 	if c.closed {
 		return
@@ -251,20 +264,21 @@
 	c.discard()
 }
 
+// discard marks the connection as closed and releases its buffers.
 func (c *Conn) discard() {
 	c.closed = true
 	c.handler = nil
 	c.received, c.head = nil, 0
 }
 
-// enterIfAttached checks a call on a closed connection.
+// enterIfAttached checks a call on a closed connection, which may never have had a process.
 func (c *Conn) enterIfAttached() {
 	if c.process != nil {
 		c.process.enter()
 	}
 }
 
-// forget makes the connection unknown to all but its two ends.
+// forget makes the connection unknown to everything but its two ends.
 func (c *Conn) forget(silent bool) {
 	if c.host == c.peer.host {
 		return
@@ -282,7 +296,7 @@
 	p.conns = append(p.conns, c)
 }
 
-// start has the handler told from now on.
+// start sets the handler, which is called from now on.
 func (c *Conn) start(h machine.Handler) {
 	if c.closed {
 		return
@@ -296,20 +310,20 @@
 	}
 }
 
-// arrived takes in what the peer has sent.
+// arrived handles what the peer has sent.
 func (c *Conn) arrived(ev *event) {
 	if c.host.vanished && c.host != c.peer.host {
 		return
 	}
-	asks := ev.kind == BytesArrived || ev.kind == EndArrived
+	needsAnswer := ev.kind == BytesArrived || ev.kind == EndArrived
 	if c.forgotten && !ev.forced {
-		if asks && !c.silent {
+		if needsAnswer && !c.silent {
 			c.resetUnknown()
 		}
 		return
 	}
 	if c.closed || !c.opened {
-		if ev.kind == BytesArrived || asks && !c.opened {
+		if ev.kind == BytesArrived || needsAnswer && !c.opened {
 			c.sendReset()
 		}
 		return
@@ -329,25 +343,25 @@
 	c.readable()
 }
 
-// resetUnknown answers for a connection that is not known any more.
+// resetUnknown answers on behalf of a network or a peer that does not know the connection any more.
 func (c *Conn) resetUnknown() {
 	if ev := c.send(ResetArrived); ev != nil {
 		ev.forced = true
 	}
 }
 
-// sendTime tells from which byte on what came was written when.
+// sendTime is when the bytes from one number on were written.
 type sendTime struct {
 	from uint64
 	sent Time
 }
 
-// maxSendTimes bounds the pieces whose time of writing is held.
+// maxSendTimes bounds the pieces whose time of writing is recorded.
 const maxSendTimes = 64
 
-// SentAt is when the byte with that number, from 0, was written by the other side, as an onlooker between the two would
-// know it: a cut or a slow link delays bytes by any time. For one that came long ago it may be later than
-// that. It is for stand-ins that watch, not for the code under test.
+// SentAt is when the byte with that number, from 0, was written by the other side, as an observer of both hosts knows it: a
+// cut or a slow link delays bytes by any time. For a byte of long ago it may be later than that. It is for stand-ins that
+// observe, not for the code under test.
 func (c *Conn) SentAt(number uint64) Time {
 	i := len(c.sendTimes) - 1
 	for i > 0 && c.sendTimes[i].from > number {
@@ -359,14 +373,14 @@
 	return c.sendTimes[i].sent
 }
 
-// Ended reports whether the other side's machine has the end of the connection, as an onlooker there would know it: a cut or a
-// slow link delays it by any time. It is for stand-ins that watch, not for the code under test.
+// Ended reports whether the other side's machine has the end of the connection, as an observer there knows it: a cut or a
+// slow link delays it by any time. It is for stand-ins that observe, not for the code under test.
 func (c *Conn) Ended() bool {
 	o := c.peer
 	return o.endReceived || o.resetReceived || o.closed || o.host.vanished
 }
 
-// receive adds bytes to those that wait.
+// receive adds bytes to the unread ones. An event's buffer is taken over where nothing is unread.
 func (c *Conn) receive(ev *event) {
 	if len(c.sendTimes) == maxSendTimes {
 		c.sendTimes = c.sendTimes[:copy(c.sendTimes, c.sendTimes[maxSendTimes/2:])]
@@ -385,7 +399,7 @@
 	c.received = append(c.received, ev.data...)
 }
 
-// readable tells the handler, or has it told once its process runs.
+// readable calls the handler, or has it called once its process runs.
 func (c *Conn) readable() {
 	switch {
 	case c.handler == nil || c.readableQueued:
@@ -396,6 +410,7 @@
 	}
 }
 
+// queueReadable has the handler called in a later turn.
 func (c *Conn) queueReadable() {
 	if c.readableQueued {
 		return
@@ -406,13 +421,14 @@
 	c.world.schedule(ev, c.world.now, c.lane)
 }
 
+// callReadable calls the handler, unless the connection was closed meanwhile.
 func (c *Conn) callReadable() {
 	if c.handler != nil {
 		c.handler.Readable()
 	}
 }
 
-// writable tells the handler that it can write, where it waits for that.
+// writable calls the handler that waits for it, or has it called once its process runs.
 func (c *Conn) writable() {
 	switch {
 	case !c.wantsWritable || c.handler == nil:
@@ -425,6 +441,7 @@
 	}
 }
 
+// callWritable calls the handler if it still waits and can write.
 func (c *Conn) callWritable() {
 	if !c.wantsWritable || c.credit == 0 || c.handler == nil || c.resetReceived || c.endSent {
 		return
--- a/internal/testbench/sim/dial.go
+++ b/internal/testbench/sim/dial.go
@@ -7,22 +7,23 @@
 	"starlingwinch/internal/machine"
 )
 
-// dial is a connection that is coming up. A handshake that gets lost is tried again after 1, 3, 7 ... seconds
-// (RFC 6298), as long as the timeout allows.
+// dial is a connection that is being established. A lost handshake is tried again after 1, 3, 7 seconds and so on (RFC 6298),
+// as long as the timeout allows.
 type dial struct {
 	process       *Process
 	conn          *Conn // this end; nil where the address is bad
 	done          func(machine.Conn, error) machine.Handler
-	hasDescriptor bool // holds a descriptor
+	hasDescriptor bool // the process holds a descriptor for it
 	finished      bool
-	established   bool // the kernel has it; the process may not know yet
-	blocked       bool // it has not begun, for a lack on this host
+	established   bool // the kernel has the connection; the process may not know yet
+	blocked       bool // it waits for a resource of this host
 	startedAt     Time
 	deadline      Time
 	retries       int
 	timeout       timer
 }
 
+// Dial implements machine.Machine.
 func (p *Process) Dial(addr string, timeout Time, done func(machine.Conn, error) machine.Handler) machine.Dialing {
 	p.enter()
 	d := &dial{process: p, done: done, startedAt: p.world.now, deadline: p.world.now + timeout}
@@ -51,7 +52,7 @@
 	return d
 }
 
-// begin sends the first part of the handshake, now or once the host lacks nothing for it.
+// begin sends the first part of the handshake, now or once the host has the resources for it.
 func (d *dial) begin() {
 	w := d.process.world
 	if d.blocked = d.process.host.drawShortage(); d.blocked {
@@ -72,7 +73,7 @@
 // Blocked implements machine.Dialing.
 func (d *dial) Blocked() bool { return d.blocked && !d.finished }
 
-// Cancel gives it up.
+// Cancel implements machine.Dialing.
 func (d *dial) Cancel() {
 	if d.finished {
 		return
@@ -87,14 +88,14 @@
 	}
 }
 
-// finish has nothing more come of it.
+// finish ends the dial; no result follows.
 func (d *dial) finish() {
 	d.finished = true
 	d.timeout.cancel()
 	d.process.dials = remove(d.process.dials, d)
 }
 
-// completeAt has it end at an instant, in a later turn.
+// completeAt schedules the result for an instant, in a later turn.
 func (d *dial) completeAt(err error, at Time) {
 	w := d.process.world
 	ev := w.event(DialEnded)
@@ -103,6 +104,7 @@
 	d.timeout = timer{world: w, event: ev, id: ev.id}
 }
 
+// lane is that of the connection, or of the process where the address was bad.
 func (d *dial) lane() uint64 {
 	if d.conn == nil {
 		return d.process.postLane
@@ -120,7 +122,7 @@
 // sendSyn sends the first part of a handshake at t.
 func (d *dial) sendSyn(t Time) { d.send(SynArrived, t+d.conn.link.delay()) }
 
-// retryHandshake is for a handshake that got lost.
+// retryHandshake sends the first part again after a handshake was lost, unless the timeout comes first.
 func (d *dial) retryHandshake() {
 	d.retries++
 	wait := Second<<min(d.retries, 7) - Second
@@ -130,7 +132,7 @@
 	}
 }
 
-// synArrived is on the other host.
+// synArrived handles the first part of the handshake on the other host.
 func (d *dial) synArrived() {
 	if d.finished || d.established {
 		return
@@ -153,6 +155,7 @@
 	}
 }
 
+// answer sends the other host's answer back.
 func (d *dial) answer(k Kind) { d.send(k, d.process.world.now+d.conn.peer.link.delay()) }
 
 // answerArrived reports whether an answer got through and is still wanted.
@@ -168,6 +171,7 @@
 	return true
 }
 
+// synAckArrived opens this end.
 func (d *dial) synAckArrived() {
 	if !d.answerArrived() {
 		return
@@ -178,13 +182,14 @@
 	d.completeNow(nil)
 }
 
+// refusalArrived ends the dial with machine.ErrRefused.
 func (d *dial) refusalArrived() {
 	if d.answerArrived() {
 		d.completeNow(machine.ErrRefused)
 	}
 }
 
-// completeNow ends it now, or once the process runs.
+// completeNow reports the result now, or once the process runs.
 func (d *dial) completeNow(err error) {
 	d.timeout.cancel()
 	if d.process.host.stalled() {
@@ -194,7 +199,7 @@
 	d.complete(err)
 }
 
-// complete tells the process how it ended.
+// complete reports the result to the process.
 func (d *dial) complete(err error) {
 	if d.finished {
 		return
--- a/internal/testbench/sim/disk.go
+++ b/internal/testbench/sim/disk.go
@@ -17,25 +17,25 @@
 // flushed each change may be there or not, by itself, and a content may end at any byte.
 type disk struct {
 	rand       *rand.Rand
-	extraDelay Time // that each work takes longer
+	extraDelay Time // that each work takes in addition
 	err        error
 	folders    map[string]bool
 	names      map[string]*inode // as processes see them
 	flushed    map[string]*inode // as a loss of power leaves them
 	locks      map[*inode]*Process
-	steps      int // calls that change something, so far
+	steps      int // so far
 	cut        *Cut
-	ended      bool // the cut has come
+	ended      bool // the cut's step has been reached
 }
 
-// ErrRegistryFull is what FailDisk is to be told for a full disk.
+// ErrFull is the error of a full disk, for FailDisk.
 var ErrFull = errors.New("no space left on the disk")
 
 // inode is a file, whatever its names.
 type inode struct {
 	content   []byte
 	flushed   []byte // its content as a loss of power leaves it
-	err       error  // of its reads
+	err       error  // of each read
 	irregular bool   // not a regular file
 }
 
@@ -51,7 +51,7 @@
 		locks: map[*inode]*Process{}}
 }
 
-// PutFile writes a file, which is safe at once; the folder comes with it.
+// PutFile writes a file and its folder, both flushed.
 func (h *Host) PutFile(name string, content []byte) { h.disk.put(name, content) }
 
 func (d *disk) put(name string, content []byte) {
@@ -61,7 +61,7 @@
 	d.names[name], d.flushed[name] = n, n
 }
 
-// PutOdd puts something under a name that is not a regular file.
+// PutOdd creates something that is not a regular file.
 func (h *Host) PutOdd(name string) {
 	h.PutFile(name, nil)
 	h.disk.names[name].irregular = true
@@ -73,7 +73,7 @@
 	delete(h.disk.flushed, name)
 }
 
-// FailFile has reads of a file fail, until it is put or removed.
+// FailFile makes reads of a file fail until it is put or removed.
 func (h *Host) FailFile(name string, err error) {
 	h.PutFile(name, nil)
 	h.disk.names[name].err = err
@@ -99,10 +99,10 @@
 	return slices.Clone(n.content), true
 }
 
-// MakeFolder makes a folder. RemoveFolder takes it away with all that is in it.
+// MakeFolder makes a folder.
 func (h *Host) MakeFolder(name string) { h.disk.folders[name] = true }
 
-// RemoveFolder takes a folder away with all that is in it.
+// RemoveFolder removes a folder and everything in it.
 func (h *Host) RemoveFolder(name string) {
 	delete(h.disk.folders, name)
 	for _, file := range h.Files(name) {
@@ -110,14 +110,13 @@
 	}
 }
 
-// FailDisk has all that would change something on the disk fail, as a full (ErrRegistryFull) or a read-only
-// one does; nil ends that.
+// FailDisk makes each change of the disk fail, as on a full (ErrFull) or a read-only disk; nil ends that.
 func (h *Host) FailDisk(err error) { h.disk.err = err }
 
-// SlowDisk has each work on the disk take so much longer.
+// SlowDisk adds a delay to each work on the disk.
 func (h *Host) SlowDisk(d Time) { h.disk.extraDelay = d }
 
-// CutDisk ends all work on the disk at a step from now. The process goes on, and learns of nothing but errors.
+// CutDisk ends all work on the disk at a step from now. The process runs on, and sees errors only.
 func (h *Host) CutDisk(c Cut) {
 	c.Step += h.disk.steps
 	h.disk.cut, h.disk.ended = &c, false
@@ -160,7 +159,7 @@
 	clear(d.locks)
 }
 
-// set gives a name to a file, or takes it away.
+// set gives a name to a file, or removes the name where n is nil.
 func set(names map[string]*inode, name string, n *inode) {
 	if n == nil {
 		delete(names, name)
@@ -169,7 +168,7 @@
 	names[name] = n
 }
 
-// killed ends what a process has on the disk. Its works that were under way were done up to some step.
+// killed ends the work of a killed process on the disk, of which a random number of steps has been done, and its locks.
 func (d *disk) killed(p *Process) {
 	if len(p.diskWork) > 0 && !d.ended {
 		kept := d.cut
@@ -348,7 +347,7 @@
 	return &heldLock{d, name, n}, nil
 }
 
-// heldLock is a lock that is held.
+// heldLock is a machine.Lock.
 type heldLock struct {
 	disk *disk
 	name string
--- a/internal/testbench/sim/faults_test.go
+++ b/internal/testbench/sim/faults_test.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/machine"
 )
 
-func TestAHandshakeTakesOneRoundTrip(t *testing.T) {
+func TestDialTakesOneRoundTrip(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near := f.dial(Second)
 	f.after(Second)
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestWhatIsWrittenIsSplitAndJoined(t *testing.T) {
+func TestLinkSplitsAndJoinsWrites(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	pieces := 0
@@ -38,7 +38,7 @@
 	f.reads("the server", far, "abcdefgh", nil)
 }
 
-func TestAKilledProcessResetsItsConnectionsAndRefusesNewOnes(t *testing.T) {
+func TestHostKillResetsConnectionsAndRefusesDials(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	fired := false
@@ -67,7 +67,7 @@
 	f.pair()
 }
 
-func TestAVanishedHostIsSilentAndResetsOldConnectionsOnItsReturn(t *testing.T) {
+func TestHostReturnResetsConnectionsFromBeforeVanish(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.server.Vanish()
@@ -92,7 +92,7 @@
 	f.pair()
 }
 
-func TestADialIntoACutComesUpOnceItsHandshakeIsTriedAgain(t *testing.T) {
+func TestDialThroughCutRetriesHandshake(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	f.Cut("s", "c") // the answers are lost
 	near := f.dial(5 * Second)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestACutHoldsOneDirectionAndHealsInOrder(t *testing.T) {
+func TestCutHoldsOneDirectionAndHealsInOrder(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.Cut("c", "s")
@@ -130,7 +130,7 @@
 	f.reads("the server", far, "abc", io.EOF)
 }
 
-func TestAConnectionCutForTooLongStaysSilent(t *testing.T) {
+func TestConnectionStaysSilentAfterLongCut(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	f.SilentAfter = 100 * Millisecond
 	near, far := f.pair()
@@ -144,7 +144,7 @@
 	f.reads("the client", near, "", nil)
 }
 
-func TestASlowLinkTakesAFactorAndAnExtra(t *testing.T) {
+func TestSlowAppliesFactorAndExtra(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.Slow("c", "s", 4, 500)
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestAStalledProcessDoesAllInOrderAfterwards(t *testing.T) {
+func TestStallDefersEventsInOrder(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	m := f.server.Machine()
@@ -180,7 +180,7 @@
 	f.reads("the server", far, "xy", nil)
 }
 
-func TestAStalledProcessIsToldOnceOfAllThatCame(t *testing.T) {
+func TestStalledHandlerIsCalledOnce(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	told := 0
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestAConnectionThatItsProcessNeverSawIsReset(t *testing.T) {
+func TestUnacceptedConnectionIsReset(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		f := newTestNetwork(t, HostOptions{}, HostOptions{})
 		f.client.Silence(true)
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestASilentProcessStillTakesConnectionsAndBytesIn(t *testing.T) {
+func TestSilencedHostEstablishesConnectionsAndReceivesBytes(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{Window: 1000}, HostOptions{})
 	f.server.Silence(true)
 	near := f.dial(Second)
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestDialsCanBeRefusedSwallowedAndReset(t *testing.T) {
+func TestHostRefusesSwallowsAndResetsDials(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	f.server.RefuseAll(true)
 	refused := f.dial(Second)
@@ -269,7 +269,7 @@
 	f.pair()
 }
 
-func TestAConnectionResetsItself(t *testing.T) {
+func TestConnReset(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	far.write(t, "half an ans")
@@ -281,7 +281,7 @@
 	}
 }
 
-func TestBytesLeftUnreadTurnACloseIntoAReset(t *testing.T) {
+func TestCloseWithUnreadBytesResets(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	far.ignoresReadable = true
@@ -298,7 +298,7 @@
 	f.reads("the client whose bytes crossed the end", near, "", machine.ErrReset)
 }
 
-func TestForgottenConnectionsResetWhatIsSent(t *testing.T) {
+func TestDropIdleConnsResetsLaterWrites(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.server.DropIdleConns(false)
@@ -319,7 +319,7 @@
 	f.reads("the server of one forgotten in silence", far, "", nil)
 }
 
-func TestAFullBacklogSwallowsOrRefuses(t *testing.T) {
+func TestFullBacklogDropsOrRefusesDials(t *testing.T) {
 	for _, refuse := range []bool{false, true} {
 		f := newTestNetwork(t, HostOptions{Backlog: 2, RefuseFull: refuse}, HostOptions{})
 		f.listener.Pause()
@@ -341,7 +341,7 @@
 	}
 }
 
-func TestNoDescriptorLeftFailsDialsAndHoldsAcceptsBack(t *testing.T) {
+func TestDescriptorLimitFailsDialsAndDelaysAccepts(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{Descriptors: 2}, HostOptions{Descriptors: 3})
 	a, b, c := f.dial(Second), f.dial(Second), f.dial(Second)
 	d := f.dial(Second)
@@ -371,7 +371,7 @@
 	}
 }
 
-func TestDatagramsGetLostDoubledAndOvertaken(t *testing.T) {
+func TestLinkLosesRepeatsAndReordersDatagrams(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	var got []byte
 	_, err := f.server.Machine().ListenPacket(serverAddr, func(_ string, b []byte) { got = append(got, b...) })
@@ -421,7 +421,7 @@
 	}
 }
 
-func TestAWaitingProcessKeepsABoundedNumberOfDatagrams(t *testing.T) {
+func TestStalledProcessQueuesBoundedDatagrams(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	n := 0
 	f.server.Machine().ListenPacket(serverAddr, func(string, []byte) { n++ })
@@ -436,7 +436,7 @@
 	}
 }
 
-func TestTheClockStepsAndTimeDoesNot(t *testing.T) {
+func TestStepClockMovesWallOnly(t *testing.T) {
 	w := New(1)
 	h := w.Host("a", "10.0.0.1", HostOptions{ClockOffset: -5})
 	m := h.Machine()
@@ -449,7 +449,7 @@
 	}
 }
 
-func TestFilesSurviveARestartAndCanFail(t *testing.T) {
+func TestFilesSurviveRestartAndFail(t *testing.T) {
 	w := New(1)
 	h := w.Host("a", "10.0.0.1", HostOptions{})
 	h.PutFile("conf", []byte("x"))
@@ -467,7 +467,7 @@
 	}
 }
 
-func TestBytesThatACutHeldTellWhenTheyWereWritten(t *testing.T) {
+func TestSentAtOfBytesHeldByCut(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, far := f.pair()
 	f.Cut("c", "s")
@@ -498,8 +498,8 @@
 	}
 }
 
-// TestAnOnlookerKnowsWhenAnEndHasCome, whatever holds it up on its way.
-func TestAnOnlookerKnowsWhenAnEndHasCome(t *testing.T) {
+// TestConnEndedAfterEndArrives, whatever holds it up on its way.
+func TestConnEndedAfterEndArrives(t *testing.T) {
 	f := newTestNetwork(t, HostOptions{}, HostOptions{})
 	near, _ := f.pair()
 	conn := near.conn.(*Conn)
--- a/internal/testbench/sim/host.go
+++ b/internal/testbench/sim/host.go
@@ -8,18 +8,18 @@
 	"starlingwinch/internal/machine"
 )
 
-// HostOptions are what a host is made of. The zero value of a field stands for its usual figure.
+// HostOptions describe a host. The zero value of a field stands for its default.
 type HostOptions struct {
 	Zone        string
-	Descriptors int  // that a process may hold; 1024
-	ClockOffset Time // by which the clock is wrong
-	Window      int  // bytes of a connection that wait here unread or are on their way; 64 KiB
-	Backlog     int  // connections that wait for a listener to take them; 128
-	RefuseFull  bool // where a backlog is full, refuse instead of saying nothing
+	Descriptors int  // a process may hold; default 1024
+	ClockOffset Time // of the host's clock from the true time
+	Window      int  // bytes of a connection that are unread here or in transit; default 64 KiB
+	Backlog     int  // connections that wait for a listener; default 128
+	RefuseFull  bool // a full backlog refuses dials instead of dropping them
 }
 
 // Host is one computer with a kernel and, at a time, one process. The kernel's part goes on while the
-// process hangs: connections come up and bytes are taken in as far as there is room.
+// process is stalled: connections are established and bytes received as far as there is space.
 type Host struct {
 	// Logged is called with each line of the log.
 	Logged func(line string)
@@ -36,7 +36,7 @@
 	loopback    *Link
 	entropy     *rand.Rand
 	work        *rand.Rand
-	clockOffset Time // by which Wall is ahead of Now
+	clockOffset Time // Wall minus Now
 	process     *Process
 	disk        *disk
 	listeners   map[netip.AddrPort]*listener
@@ -46,7 +46,7 @@
 	vanished       bool
 	silent         bool
 	stallUntil     Time
-	deferred       []*event // what a process that hangs has before it
+	deferred       []*event // events that wait for the stalled process
 	refusesDials   bool
 	dropsDials     bool
 	resetsAccepted bool
@@ -151,8 +151,8 @@
 	return h.process
 }
 
-// Vanish cuts the host off from all others: its connections stay open and silent, new ones do not come up. Its
-// process goes on.
+// Vanish disconnects the host from all others: its connections stay open and silent, and new ones are not established. Its
+// process runs on.
 func (h *Host) Vanish() {
 	h.vanished = true
 	h.eachConn(func(c *Conn) { c.forget(false) })
@@ -167,6 +167,7 @@
 	h.eachConn(func(c *Conn) { c.forget(silent) })
 }
 
+// eachConn calls f with each connection that the kernel has as open.
 func (h *Host) eachConn(f func(*Conn)) {
 	for _, c := range h.process.conns {
 		f(c)
@@ -183,17 +184,17 @@
 	}
 }
 
-// RefuseAll has the host refuse all new connections, or not any more.
+// RefuseAll sets whether the host refuses all new connections.
 func (h *Host) RefuseAll(on bool) { h.refusesDials = on }
 
-// SwallowDials has the host give no answer to new connections, or not any more.
+// SwallowDials sets whether the host gives no answer to new connections.
 func (h *Host) SwallowDials(on bool) { h.dropsDials = on }
 
-// ResetOnAccept has each new connection come up and be reset at once, or not any more.
+// ResetOnAccept sets whether each new connection is established and reset at once.
 func (h *Host) ResetOnAccept(on bool) { h.resetsAccepted = on }
 
-// Stall keeps the process from running for a span, as a collection of garbage or a lack of CPU
-// does. What happens meanwhile waits, and comes in order afterwards.
+// Stall keeps the process from running for a span, as garbage collection or a lack of CPU does. Events of that time are
+// deferred, and happen in order afterwards.
 func (h *Host) Stall(d Time) {
 	h.stallUntil = max(h.stallUntil, h.world.now+d)
 	ev := h.world.event(HostResumed)
@@ -201,15 +202,16 @@
 	h.world.schedule(ev, h.stallUntil, 0)
 }
 
-// Silence hangs the process, or lets it go on: it is Stall without an end.
+// Silence stalls the process without an end, or lets it run again.
 func (h *Host) Silence(on bool) {
 	h.silent = on
 	h.resume()
 }
 
+// stalled reports whether the process does not run now.
 func (h *Host) stalled() bool { return h.silent || h.world.now < h.stallUntil }
 
-// resume has all that was put off happen at this instant, in order.
+// resume has all deferred events happen at this instant, in order.
 func (h *Host) resume() {
 	if h.stalled() {
 		return
@@ -240,7 +242,7 @@
 // StepClock moves the host's clock by d: Wall jumps, Now does not.
 func (h *Host) StepClock(d Time) { h.clockOffset += d }
 
-// linkTo is the way to another host.
+// linkTo is the link to another host.
 func (h *Host) linkTo(to *Host) *Link {
 	if h == to {
 		return h.loopback
@@ -254,7 +256,7 @@
 	lastPort  = 60999
 )
 
-// freePort is the next port that free accepts.
+// freePort returns the next port for which free is true.
 func (h *Host) freePort(free func(port uint16) bool) (uint16, error) {
 	for range lastPort - firstPort + 1 {
 		h.lastPort++
@@ -268,7 +270,7 @@
 	return 0, fmt.Errorf("sim: %s has no port left", h.name)
 }
 
-// bind finds out the address to listen at.
+// bind resolves the address to listen on, with a free port where it names none.
 func (h *Host) bind(addr string, taken func(netip.AddrPort) bool) (netip.AddrPort, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -303,7 +305,7 @@
 	return h.world.byIP[ip]
 }
 
-// unreachable reports whether nothing gets from one host to the other.
+// unreachable reports whether one of two hosts has vanished from the other.
 func (h *Host) unreachable(to *Host) bool {
 	return h != to && (h.vanished || to.vanished)
 }
--- a/internal/testbench/sim/listener.go
+++ b/internal/testbench/sim/listener.go
@@ -6,19 +6,20 @@
 	"starlingwinch/internal/machine"
 )
 
-// listener takes connections from its queue, which the kernel fills.
+// listener is a machine.Listener. The kernel fills its queue.
 type listener struct {
 	process      *Process
 	addr         netip.AddrPort
 	accept       func(machine.Conn) machine.Handler
-	queue        []*Conn // up, and not taken in; handshakes under way may carry it past the backlog
+	queue        []*Conn // established and not accepted; handshakes under way may carry it past the backlog
 	lane         uint64
-	acceptQueued bool // an Accepting is on its way
+	acceptQueued bool // an AcceptQueued event is scheduled
 	paused       bool
 	closed       bool
-	done         func() // to be called once the queue is empty; nil where it is not to end
+	done         func() // called once the queue is empty; nil before Finish
 }
 
+// Listen implements machine.Machine.
 func (p *Process) Listen(addr string, accept func(machine.Conn) machine.Handler) (machine.Listener, error) {
 	p.enter()
 	if p.outOfDescriptors() {
@@ -36,6 +37,7 @@
 	return l, nil
 }
 
+// listenerAt is the listener of an address, or that of all addresses with its port; nil for none.
 func (h *Host) listenerAt(at netip.AddrPort) *listener {
 	if l := h.listeners[at]; l != nil {
 		return l
@@ -43,19 +45,23 @@
 	return h.listeners[netip.AddrPortFrom(anyAddr(at.Addr()), at.Port())]
 }
 
+// Addr implements machine.Listener.
 func (l *listener) Addr() string { return l.addr.String() }
 
+// Pause implements machine.Listener.
 func (l *listener) Pause() {
 	l.process.enter()
 	l.paused = true
 }
 
+// Resume implements machine.Listener.
 func (l *listener) Resume() {
 	l.process.enter()
 	l.paused = false
 	l.queueAccept()
 }
 
+// Finish implements machine.Listener.
 func (l *listener) Finish(done func()) {
 	l.process.enter()
 	if l.closed || l.done != nil {
@@ -65,7 +71,7 @@
 	l.process.Post(l.finish)
 }
 
-// finish takes in what waits, and ends it once nothing does.
+// finish accepts the queued connections, and closes the listener once there are none.
 func (l *listener) finish() {
 	if l.closed || l.done == nil {
 		return
@@ -77,6 +83,7 @@
 	}
 }
 
+// Close implements machine.Listener.
 func (l *listener) Close() {
 	if l.closed {
 		return
@@ -88,7 +95,7 @@
 	p.releaseDescriptor()
 }
 
-// discard closes it and resets the connections that wait.
+// discard closes the listener and resets the queued connections.
 func (l *listener) discard() {
 	l.closed = true
 	delete(l.process.host.listeners, l.addr)
@@ -98,7 +105,7 @@
 	l.queue = nil
 }
 
-// queueAccept has connections taken in by a later turn.
+// queueAccept has connections accepted in a later turn.
 func (l *listener) queueAccept() {
 	if l.acceptQueued || l.closed || len(l.queue) == 0 {
 		return
@@ -109,7 +116,7 @@
 	l.process.world.schedule(ev, l.process.world.now, l.lane)
 }
 
-// acceptAll takes connections in, as far as there are descriptors.
+// acceptAll accepts queued connections, as far as there are descriptors.
 func (l *listener) acceptAll() {
 	p := l.process
 	for len(l.queue) > 0 && !l.paused && !p.outOfDescriptors() {
@@ -125,7 +132,7 @@
 	}
 }
 
-// openArrived has a connection come up on the listener's side.
+// openArrived establishes a connection on the listener's side.
 func (c *Conn) openArrived() {
 	if c.host.vanished && c.host != c.peer.host {
 		return
--- a/internal/testbench/sim/packet.go
+++ b/internal/testbench/sim/packet.go
@@ -9,7 +9,7 @@
 
 const (
 	maxDatagram        = 65507 // bytes that UDP over IPv4 carries
-	maxQueuedDatagrams = 256   // datagrams that wait for a process that hangs
+	maxQueuedDatagrams = 256   // datagrams that wait for a stalled process
 )
 
 // packetConn is a machine.PacketConn.
@@ -23,6 +23,7 @@
 	closed  bool
 }
 
+// ListenPacket implements machine.Machine.
 func (p *Process) ListenPacket(addr string, got func(from string, b []byte)) (machine.PacketConn, error) {
 	p.enter()
 	if p.outOfDescriptors() {
@@ -44,8 +45,10 @@
 	return pc, nil
 }
 
+// Addr implements machine.PacketConn.
 func (pc *packetConn) Addr() string { return pc.addr.String() }
 
+// Send implements machine.PacketConn. The link may lose, repeat and delay a datagram.
 func (pc *packetConn) Send(to string, b []byte) error {
 	pc.process.enter()
 	if pc.closed {
@@ -84,6 +87,7 @@
 	return nil
 }
 
+// Close implements machine.PacketConn.
 func (pc *packetConn) Close() {
 	if pc.closed {
 		return
@@ -127,6 +131,6 @@
 	}
 	pc.receive(ev.from, ev.data)
 	for i := range ev.data {
-		ev.data[i] = 0xdb // The danger: a user that keeps b, which it must not, would go unseen.
+		ev.data[i] = 0xdb // makes a receiver visible that still uses the bytes after the call
 	}
 }
--- a/internal/testbench/sim/process.go
+++ b/internal/testbench/sim/process.go
@@ -5,8 +5,8 @@
 	"starlingwinch/internal/testbench/recordedlog"
 )
 
-// Process is a host as one process sees it, from its start to its death: a machine.Machine. What
-// it is misused for is told by a panic, for that is a mistake in the code under test.
+// Process is a host as one process sees it, from its start to its end: a machine.Machine. Misuse panics, as it is a fault of
+// the code under test.
 type Process struct {
 	world          *World
 	host           *Host
@@ -21,12 +21,12 @@
 	packets        []*packetConn
 	signals        func(machine.Signal)
 	diskLane       uint64
-	diskBusyUntil  Time                 // when the last of its works on the disk is over
-	diskWork       []func(machine.Disk) // works that are not done yet
+	diskBusyUntil  Time                 // when the last work on the disk is over
+	diskWork       []func(machine.Disk) // work that has not been done yet
 	pendingSignals []machine.Signal
-	resumed        func() // to be called after a span without a call; nil for none
-	minPause       Time   // that span
-	lastCall       Time   // when anybody was called last
+	resumed        func() // called after a pause of minPause or more; nil for none
+	minPause       Time
+	lastCall       Time // of the process
 }
 
 var _ machine.Machine = (*Process)(nil)
@@ -35,7 +35,7 @@
 	return &Process{world: h.world, host: h, timerLane: h.world.lane(), postLane: h.world.lane()}
 }
 
-// lane is a new one.
+// lane returns a new lane.
 func (w *World) lane() uint64 {
 	w.lanes++
 	return w.lanes
@@ -51,11 +51,13 @@
 	}
 }
 
+// Now implements machine.Machine.
 func (p *Process) Now() Time {
 	p.enter()
 	return p.world.now
 }
 
+// Wall implements machine.Machine.
 func (p *Process) Wall() Time {
 	p.enter()
 	return p.world.now + p.host.clockOffset
@@ -64,12 +66,13 @@
 // Late is 0: a call takes no time here.
 func (p *Process) Late() Time { return 0 }
 
+// Resumed implements machine.Machine.
 func (p *Process) Resumed(after Time, f func()) {
 	p.enter()
 	p.resumed, p.minPause, p.lastCall = f, after, p.world.now
 }
 
-// reportPause is called before the process is: it tells where there was no call for long.
+// reportPause is called before each call of the process, and reports where there was none for long.
 func (p *Process) reportPause() {
 	before := p.lastCall
 	p.lastCall = p.world.now
@@ -78,11 +81,13 @@
 	}
 }
 
+// Entropy implements machine.Machine.
 func (p *Process) Entropy() uint64 {
 	p.enter()
 	return p.host.entropy.Uint64()
 }
 
+// At implements machine.Machine.
 func (p *Process) At(t Time, f func()) machine.Timer {
 	p.enter()
 	ev := p.world.event(TimerFired)
@@ -92,7 +97,7 @@
 	return &timer{world: p.world, event: ev, id: ev.id}
 }
 
-// Post may be called by the work of a Work too.
+// Post implements machine.Machine. The work of a Work may call it too.
 func (p *Process) Post(f func()) {
 	if p.dead {
 		p.enter()
@@ -102,9 +107,10 @@
 	p.world.schedule(ev, p.world.now, p.postLane)
 }
 
-// maxWorkDuration is how long a Work takes at the most.
-const maxWorkDuration = 500
+// maxWorkDuration is the longest time that a Work takes.
+const maxWorkDuration = 500 // µs
 
+// Work implements machine.Machine. It runs f at once and done up to maxWorkDuration later.
 func (p *Process) Work(f, done func()) {
 	p.enter()
 	p.world.inWork = true
@@ -115,7 +121,8 @@
 	p.world.schedule(ev, p.world.now+1+p.host.work.Int64N(maxWorkDuration), p.world.lane())
 }
 
-// OnDisk does the work when its time is over. Where the process is killed before, a part of it has been done.
+// OnDisk implements machine.Machine. The work happens when its time is over; where the process is killed before, a part of it
+// has been done.
 func (p *Process) OnDisk(f func(machine.Disk), done func()) {
 	p.enter()
 	p.diskWork = append(p.diskWork, f)
@@ -132,6 +139,7 @@
 	p.world.schedule(ev, p.diskBusyUntil, p.diskLane)
 }
 
+// ReadFile implements machine.Machine.
 func (p *Process) ReadFile(name string, most int64) ([]byte, error) {
 	p.enter()
 	if p.outOfDescriptors() {
@@ -140,6 +148,7 @@
 	return p.host.disk.read(name, most)
 }
 
+// Signals implements machine.Machine.
 func (p *Process) Signals(f func(machine.Signal)) {
 	p.enter()
 	p.signals = f
@@ -149,13 +158,14 @@
 	p.pendingSignals = nil
 }
 
+// signal schedules the call for a signal.
 func (p *Process) signal(s machine.Signal) {
 	ev := p.world.event(Signalled)
 	ev.target, ev.n = p, int(s)
 	p.world.schedule(ev, p.world.now, p.postLane)
 }
 
-// Log may be called by the work of a Work too.
+// Log implements machine.Machine. The work of a Work may call it too.
 func (p *Process) Log(line string) {
 	if p.dead {
 		p.enter()
@@ -169,7 +179,7 @@
 // outOfDescriptors reports whether no descriptor is left.
 func (p *Process) outOfDescriptors() bool { return p.descriptors >= p.host.options.Descriptors }
 
-// releaseDescriptor frees a descriptor. Listeners that waited for one take connections in again, in a later turn.
+// releaseDescriptor frees a descriptor. Listeners that waited for one accept again in a later turn.
 func (p *Process) releaseDescriptor() {
 	p.descriptors--
 	for _, l := range p.listeners {
@@ -179,7 +189,7 @@
 	}
 }
 
-// remove takes x out of a list in which the order of the others is no matter.
+// remove takes x out of a list whose order does not matter.
 func remove[T comparable](list []T, x T) []T {
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i] == x {
--- a/internal/testbench/sim/worker.go
+++ b/internal/testbench/sim/worker.go
@@ -7,14 +7,14 @@
 	"starlingwinch/internal/machine"
 )
 
-// A worker comes up within this time after its Spawn, and takes half of it at least.
+// maxSpawnDuration is the longest time from a Spawn until the worker is up; the shortest is half of it.
 const maxSpawnDuration = 6 * Millisecond
 
 // worker is a virtual process beside a host's one: its handler, and the two ends of a connection within the host.
 type worker struct {
 	process        *Process
-	done           func(machine.Conn, error) machine.Handler // nil once it was told, or is not to be
-	hasDescriptors bool                                      // holds two descriptors that no connection has yet
+	done           func(machine.Conn, error) machine.Handler // nil once it was called or must not be
+	hasDescriptors bool                                      // the process holds two descriptors for connections to come
 	near, far      *Conn                                     // nil until it is up
 }
 
@@ -39,6 +39,7 @@
 	return k
 }
 
+// fail reports that the worker could not start.
 func (k *worker) fail(err error) {
 	if done := k.done; done != nil {
 		k.done = nil
@@ -46,6 +47,7 @@
 	}
 }
 
+// up connects the worker and starts the handlers of both ends.
 func (k *worker) up(play func([]string, machine.Conn) machine.Handler, args []string) {
 	done := k.done
 	if done == nil {
--- /dev/null
+++ b/internal/testbench/standin/command.go
@@ -0,0 +1,290 @@
+package standin
+
+import (
+	"strconv"
+
+	"github.com/tidwall/redcon"
+
+	"starlingwinch/internal/testbench/rules"
+)
+
+// command is one command at a cache, from its last byte to its reply.
+type command struct {
+	cache           *Cache
+	conn            *cacheConn
+	request         wireRequest
+	attempt         rules.Attempt // as the observer is told; without an ID for what is no request
+	job             job           // its place at the processor
+	work            Time          // µs on one core
+	cacheResult     string        // hit, miss or pending; empty for a write
+	fetched         bool          // the fetch that it waited for has succeeded
+	fetch           *fetch        // that it waits for
+	write           *keyedWrite   // that it carries out
+	failsAfterRun   bool          // a fault has it answered with an error although it ran
+	connectionEnded bool          // nobody can get the reply
+	finished        bool          // it has a reply, or was cancelled
+	reply           []byte        // written when its turn on the connection has come
+	replyReady      bool          // reply is whole
+	replyWritten    func()        // called once the reply is written
+	fault           string        // drawn for its reply
+}
+
+// handle is called when the connection starts the request. It enqueues it, rejects it or fails it.
+func (cmd *command) handle() {
+	c := cmd.cache
+	c.observer.Began(c.m.Now(), cmd.attempt)
+	cmd.work = c.workload.Of(cmd.request.class, cmd.request.id)
+	if !c.offer(cmd.request.id, cmd.attempt.Router, cmd.work) {
+		return
+	}
+	c.commands[cmd] = struct{}{}
+	cmd.job = job{work: float64(cmd.work), start: cmd.slotGranted, done: cmd.workDone}
+	fails := chance(c.rng, c.faults.errorRate)
+	if fails && chance(c.rng, 0.5) {
+		cmd.replyFailed()
+		return
+	}
+	cmd.failsAfterRun = fails
+	if c.faults.draining || c.faults.busy || cmd.request.timeLeft == 0 || !c.processor.enqueue(&cmd.job) {
+		cmd.replyRejected()
+	}
+}
+
+// slotGranted is called by the processor when the request gets a slot.
+func (cmd *command) slotGranted() {
+	c := cmd.cache
+	switch {
+	case cmd.request.write:
+		if cmd.answerRepeat() {
+			c.processor.release(&cmd.job)
+			return
+		}
+		c.processor.run(&cmd.job)
+	case cmd.fetched:
+		c.processor.run(&cmd.job)
+	case c.memory.use(cmd.request.key):
+		cmd.cacheResult = "hit"
+		c.hits++
+		c.processor.run(&cmd.job)
+	default:
+		cmd.miss()
+	}
+}
+
+// miss starts a fetch from the store, or joins the one that is under way.
+func (cmd *command) miss() {
+	c := cmd.cache
+	c.misses++
+	cmd.cacheResult = "miss"
+	f := c.fetching(cmd.request.key)
+	if f != nil {
+		cmd.cacheResult = "pending"
+	}
+	if f == nil || !c.options.Coalesce {
+		f = newFetch(c, cmd.request.key)
+	}
+	cmd.fetch = f
+	f.waiting = append(f.waiting, cmd)
+	if !c.options.MissOccupiesSlot {
+		c.processor.release(&cmd.job)
+	}
+}
+
+// fetchDone is called when the fetch that the request waits for has ended.
+func (cmd *command) fetchDone(ok bool) {
+	cmd.fetch = nil
+	if cmd.finished {
+		return
+	}
+	if !ok {
+		cmd.cache.processor.release(&cmd.job)
+		cmd.replyFailed()
+		return
+	}
+	cmd.fetched = true
+	if cmd.job.state == jobHoldingSlot {
+		cmd.cache.processor.run(&cmd.job)
+		return
+	}
+	cmd.cache.processor.enqueueFirst(&cmd.job)
+}
+
+// workDone is called by the processor when the work is done. A write goes on to the store only now.
+func (cmd *command) workDone() {
+	c := cmd.cache
+	if !cmd.request.write {
+		c.observer.Ran(c.m.Now(), cmd.attempt, false)
+		cmd.serve("v")
+		return
+	}
+	if cmd.answerRepeat() {
+		return
+	}
+	if cmd.deduplicated() {
+		cmd.write = c.repeats.begin(cmd.request.idempotencyKey, cmd.attempt.Last)
+	}
+	c.store.start(cmd.request.key, true, "", cmd.storeDone)
+}
+
+// deduplicated reports whether the caches drop repeats of the request.
+func (cmd *command) deduplicated() bool {
+	return cmd.request.idempotencyKey != "" && cmd.cache.workload.window(cmd.request.class) > 0
+}
+
+// answerRepeat reports whether the request repeats a write that the group remembers. Such a request is answered like
+// that write and is not carried out.
+func (cmd *command) answerRepeat() bool {
+	c := cmd.cache
+	if !cmd.deduplicated() {
+		return false
+	}
+	w := c.repeats.lookup(cmd.request.idempotencyKey, cmd.attempt.Last, c.workload.window(cmd.request.class))
+	if w == nil {
+		return false
+	}
+	dropped := func(ok bool) {
+		if cmd.finished {
+			return
+		}
+		if !ok {
+			cmd.replyFailed()
+			return
+		}
+		c.observer.Ran(c.m.Now(), cmd.attempt, true)
+		cmd.serve("w")
+	}
+	if w.finished {
+		dropped(true)
+	} else {
+		w.waiting = append(w.waiting, dropped)
+	}
+	return true
+}
+
+// storeDone is called when the store has carried the write out, or could not. A write is carried out even if its client
+// has gone or the cache has stopped meanwhile.
+func (cmd *command) storeDone(ok bool) {
+	c := cmd.cache
+	if ok {
+		c.observer.Ran(c.m.Now(), cmd.attempt, false)
+	}
+	if cmd.write != nil {
+		c.repeats.finish(cmd.request.idempotencyKey, cmd.write, ok)
+	}
+	switch {
+	case cmd.finished:
+	case ok:
+		cmd.serve("w")
+	default:
+		cmd.replyFailed()
+	}
+}
+
+// serve answers with a value made for this request (kind v) or with the receipt of a write (kind w).
+func (cmd *command) serve(kind string) {
+	if cmd.failsAfterRun {
+		cmd.replyFailed()
+		return
+	}
+	c := cmd.cache
+	size := cmd.request.size
+	if size == 0 && kind == "v" {
+		size = c.options.ValueSize
+	}
+	value := Value(kind, cmd.request.id, cmd.request.key, size)
+	b := redcon.AppendArray(nil, 3)
+	b = redcon.AppendBulkString(b, value)
+	if cmd.cacheResult == "" {
+		b = redcon.AppendNull(b)
+	} else {
+		b = redcon.AppendBulkString(b, cmd.cacheResult)
+	}
+	if report := c.loadReport(); report == "" {
+		b = redcon.AppendNull(b)
+	} else {
+		b = redcon.AppendBulkString(b, report)
+	}
+	cmd.fault = c.faults.draw(c.rng)
+	cmd.setReply(b, rules.Served, value)
+}
+
+// Value returns what a cache serves; it names the request that it was made for. kind is v for a read's value, w for a
+// write's receipt and p for what a client writes. It is padded to size.
+func Value(kind, id, key string, size int) string {
+	value := kind + ":" + id + ":" + key
+	pad := min(size, maxValueBytes) - len(value)
+	if pad <= 0 {
+		return value
+	}
+	b := make([]byte, len(value)+pad)
+	n := copy(b, value)
+	b[n] = ':'
+	for i := n + 1; i < len(b); i++ {
+		b[i] = '.'
+	}
+	return string(b)
+}
+
+// replyFailed answers with an error that promises nothing.
+func (cmd *command) replyFailed() {
+	cmd.setReply(redcon.AppendError(nil, "ERR failed"), rules.Failed, "")
+}
+
+// replyRejected answers that the request was rejected and may be retried.
+func (cmd *command) replyRejected() { cmd.setReply(redcon.AppendError(nil, "BUSY"), rules.Refused, "") }
+
+// setReply finishes the command. The reply is written when its turn on the connection has come.
+func (cmd *command) setReply(b []byte, kind rules.Answer, value string) {
+	if cmd.finished {
+		return
+	}
+	cmd.finish()
+	cmd.reply, cmd.replyReady = b, true
+	cmd.replyWritten = func() {
+		cmd.cache.observer.Replied(cmd.cache.m.Now(), cmd.cache.options.Name, cmd.request.id, kind, value)
+	}
+	if !cmd.connectionEnded {
+		cmd.conn.advance()
+	}
+}
+
+// finish releases what the command holds.
+func (cmd *command) finish() {
+	cmd.finished = true
+	cmd.cache.processor.release(&cmd.job)
+	delete(cmd.cache.commands, cmd)
+}
+
+// connectionClosed is called when the connection has ended. Whether the work goes on is CacheOptions.Cancel's to say.
+func (cmd *command) connectionClosed() {
+	cmd.connectionEnded = true
+	if cmd.finished || cmd.attempt.ID == "" {
+		return
+	}
+	c := cmd.cache
+	if c.up {
+		c.observer.Ended(c.m.Now(), c.options.Name, cmd.request.id)
+	}
+	waits := cmd.job.state == jobQueued && !cmd.fetched
+	if c.up && (c.options.Cancel == CancelNone || c.options.Cancel == CancelQueued && !waits) {
+		return
+	}
+	f := cmd.fetch
+	cmd.finish()
+	if f != nil {
+		f.removeWaiter(cmd)
+	}
+}
+
+// loadReport returns the load report, or "" where the cache gives none.
+func (c *Cache) loadReport() string {
+	if c.faults.badReport {
+		return "inflight=-7,,=,util=1e999,queue"
+	}
+	if !c.options.Reports {
+		return ""
+	}
+	util := min(1, float64(len(c.processor.jobs))/c.options.Capacity.Cores)
+	return "inflight=" + strconv.Itoa(c.processor.usedSlots) + ",queue=" + strconv.Itoa(len(c.processor.queue)) +
+		",util=" + strconv.FormatFloat(util, 'f', 2, 64)
+}
