--- a/internal/testbench/standin/observer.go
+++ b/internal/testbench/standin/observer.go
@@ -47,7 +47,7 @@
 // Offered ignores the event.
 func (Blind) Offered(Time, string, string, Time) {}
 
-// StartTold ignores the event.
+// StartNotified ignores the event.
 func (Blind) StartNotified(Time, string, string, Time) {}
 
 // StoreOffered ignores the event.
