--- a/cmd/lab/eurekacost.go
+++ b/cmd/lab/eurekacost.go
@@ -21,8 +21,8 @@
 	costAt1000 = 0.05
 	costFor    = time.Minute
 	costChange = 10 * time.Second // an instance goes out of service, or comes back
-	// costSettle is how long the registry has run before. The danger: deltas hold what has changed in the last three
-	// minutes and more, and so all instances at first.
+	// costSettle is how long the registry runs before the measurement: deltas hold the changes of the last three minutes and
+	// more, and so all instances at first.
 	costSettle   = 4 * time.Minute
 	costInstance = "10.1.%d.%d:cache:6379"
 )
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -23,7 +23,7 @@
 type usageError struct{ error }
 
 func main() {
-	// The danger: the reader of standard output ends, and this process with it before it has ended its routers.
+	// Without it, a reader of standard output that ends would end this process before it has ended its routers.
 	signal.Ignore(syscall.SIGPIPE)
 	err := root().Execute()
 	if err == nil {
--- a/cmd/lab/mass.go
+++ b/cmd/lab/mass.go
@@ -19,8 +19,8 @@
 const (
 	massServed     = 0.75 // worth earned, on the worst day
 	massRefused    = 0.16 // requests whose last try is refused, on the worst day
-	massProbes     = 0.30 // a request, on the worst day: they are paid for over the whole fleet
-	massHandshakes = 0.60 // likewise
+	massProbes     = 0.30 // a request, on the worst day, as health checks are paid for over the whole fleet
+	massHandshakes = 0.60 // a request, on the worst day
 )
 
 func init() {
--- a/cmd/lab/run.go
+++ b/cmd/lab/run.go
@@ -140,7 +140,7 @@
 
 // measure makes a measurement.
 func measure(s lab.Scenario, o lab.RunOptions) error {
-	// The danger: the measurement is interrupted, and the programs that it started run on.
+	// An interrupt must end the programs that the measurement has started too.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	line, ok, err := s.Run(ctx, o)
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -108,4 +108,5 @@
 // Lateness is for how long this process itself was late in a play, in microseconds.
 type Lateness int64
 
+// String implements fmt.Stringer.
 func (l Lateness) String() string { return (time.Duration(l) * time.Microsecond).String() }
--- a/internal/testbench/lab/baseline/baseline.go
+++ b/internal/testbench/lab/baseline/baseline.go
@@ -68,8 +68,10 @@
 	return n, nil
 }
 
+// Addr implements lab.Node.
 func (n *node) Addr() string { return n.listener.Addr() }
 
+// Holdings implements lab.Node.
 func (n *node) Holdings() map[string]int {
 	open := 0
 	for _, r := range n.requests {
@@ -80,6 +82,7 @@
 	return map[string]int{"requests": open, "attempts": n.attempts, "connections": n.conns}
 }
 
+// Reload implements lab.Node.
 func (n *node) Reload(raw []byte) error {
 	var c config
 	if err := json.Unmarshal(raw, &c); err != nil {
--- a/internal/testbench/lab/baseline/client.go
+++ b/internal/testbench/lab/baseline/client.go
@@ -24,6 +24,7 @@
 	answer  []byte
 }
 
+// Readable implements machine.Handler.
 func (c *client) Readable() {
 	if c.closed {
 		return
--- a/internal/testbench/lab/baseline/list.go
+++ b/internal/testbench/lab/baseline/list.go
@@ -69,6 +69,7 @@
 	l.timer = l.n.m.At(l.n.m.Now()+3_500_000, l.again)
 }
 
+// Readable implements machine.Handler.
 func (c *listConn) Readable() {
 	if c.closed {
 		return
--- a/internal/testbench/lab/baseline/request.go
+++ b/internal/testbench/lab/baseline/request.go
@@ -54,6 +54,7 @@
 	over    bool
 }
 
+// Readable implements machine.Handler.
 func (a *attempt) Readable() {
 	if a.over {
 		return
--- a/internal/testbench/lab/baseline/stream.go
+++ b/internal/testbench/lab/baseline/stream.go
@@ -40,6 +40,7 @@
 	c.out = c.out[k:]
 }
 
+// Writable implements machine.Handler.
 func (c *stream) Writable() { c.write(nil) }
 
 func (c *stream) close() {
--- a/internal/testbench/lab/clusterlab/hunt.go
+++ b/internal/testbench/lab/clusterlab/hunt.go
@@ -33,6 +33,7 @@
 
 var kinds = []string{Kill, Stall, Cut, Deaf, Parts, Lossy, Drain}
 
+// String implements fmt.Stringer.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%s@%.1fs+%.1fs", f.Kind, float64(f.At)/1e6, float64(f.For)/1e6)
 	if len(f.Who) > 0 {
@@ -95,6 +96,7 @@
 	Broken []string
 }
 
+// String implements fmt.Stringer.
 func (r *Result) String() string {
 	var text []string
 	for _, f := range r.Faults {
--- a/internal/testbench/lab/planted/hooks.go
+++ b/internal/testbench/lab/planted/hooks.go
@@ -88,8 +88,10 @@
 // immortal is a worker whose end nobody brings about.
 type immortal struct{ machine.Process }
 
+// Kill implements machine.Process.
 func (immortal) Kill() {}
 
+// Spawn implements machine.Machine.
 func (t *tamper) Spawn(w machine.Worker, done func(machine.Conn, error) machine.Handler) machine.Process {
 	p := t.Machine.Spawn(w, done)
 	if t.keepsWorkers {
--- a/internal/testbench/lab/planted/machine.go
+++ b/internal/testbench/lab/planted/machine.go
@@ -114,6 +114,7 @@
 	first func()
 }
 
+// Drain implements lab.Node.
 func (a atDrain) Drain(done func()) {
 	a.first()
 	a.Node.Drain(done)
@@ -151,6 +152,7 @@
 // abrupt is a router that ends at once when it is asked to drain.
 type abrupt struct{ lab.Node }
 
+// Drain implements lab.Node.
 func (a abrupt) Drain(done func()) {
 	if c, ok := a.Node.(interface{ Close() }); ok {
 		c.Close()
@@ -204,6 +206,7 @@
 	}}
 }
 
+// Listen implements machine.Machine.
 func (t *tamper) Listen(addr string, accept func(machine.Conn) machine.Handler) (machine.Listener, error) {
 	ln, err := t.Machine.Listen(addr, func(c machine.Conn) machine.Handler {
 		k := &wrongConn{Conn: c, write: t.clientWrite, blind: t.blindToEnd}
@@ -226,11 +229,13 @@
 	m machine.Machine
 }
 
+// Finish implements machine.Listener.
 func (d dropping) Finish(done func()) {
 	d.Close()
 	d.m.Post(done)
 }
 
+// Dial implements machine.Machine.
 func (t *tamper) Dial(addr string, timeout machine.Time, done func(machine.Conn, error) machine.Handler) machine.Dialing {
 	return t.Machine.Dial(addr, timeout, func(c machine.Conn, err error) machine.Handler {
 		if err != nil {
@@ -249,6 +254,7 @@
 	left int
 }
 
+// Readable implements machine.Handler.
 func (d *deaf) Readable() {
 	if d.left--; d.left >= 0 {
 		d.Handler.Readable()
@@ -267,6 +273,7 @@
 
 var callForList = []byte("GET /discovery")
 
+// Write implements machine.Conn.
 func (c *wrongConn) Write(b []byte) (int, error) {
 	if bytes.HasPrefix(b, callForList) {
 		if c.asked++; c.listOnce && c.asked > 1 {
@@ -280,6 +287,7 @@
 	return c.write(c.Conn, b)
 }
 
+// Read implements machine.Conn.
 func (c *wrongConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.blind && err != nil {
@@ -288,6 +296,7 @@
 	return n, err
 }
 
+// End implements machine.Conn.
 func (c *wrongConn) End() error {
 	if c.blind {
 		return nil
@@ -295,6 +304,7 @@
 	return c.Conn.End()
 }
 
+// Close implements machine.Conn.
 func (c *wrongConn) Close() {
 	if !c.keepsOpen || c.asked > 0 {
 		c.Conn.Close()
--- a/internal/testbench/lab/planted/planted.go
+++ b/internal/testbench/lab/planted/planted.go
@@ -200,6 +200,7 @@
 	module guard.Module
 }
 
+// Handle implements guard.Module.
 func (f *filtered) Handle(now decide.Time, ev decide.Event) []decide.Action {
 	if f.event != nil {
 		if ev = f.event(ev); ev == nil {
--- a/internal/testbench/lab/planted/registry.go
+++ b/internal/testbench/lab/planted/registry.go
@@ -112,10 +112,12 @@
 	t *tamper
 }
 
+// Write implements machine.Conn.
 func (c *wrongRegistry) Write(b []byte) (int, error) {
 	return c.Conn.Write(bytes.Replace(b, []byte("Accept-Encoding: gzip"), []byte("Accept-Encoding: nogz"), 1))
 }
 
+// Read implements machine.Conn.
 func (c *wrongRegistry) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.t.registryRead(c.t.Now(), b[:n])
