--- a/internal/testbench/layout/layout_test.go
+++ b/internal/testbench/layout/layout_test.go
@@ -78,6 +78,47 @@
 	}
 }
 
+// nodeKey is the deploy file's list of the files and folders of the real router.
+var nodeKey = regexp.MustCompile(`(?m)^node = \[(.*)\]$`)
+
+// nodeFolders returns the folders of the deploy file's node key.
+func nodeFolders(t *testing.T) []string {
+	t.Helper()
+	file, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	match := nodeKey.FindSubmatch(file)
+	if match == nil {
+		t.Fatal("deploy/balancer.toml has no node key")
+	}
+	var folders []string
+	for name := range strings.SplitSeq(string(match[1]), ",") {
+		folders = append(folders, strings.Trim(name, ` "`))
+	}
+	return folders
+}
+
+func TestDeployFileNamesTheDaemonsPackages(t *testing.T) {
+	folders := nodeFolders(t)
+	needed := imports(t, module+"/cmd/starlingwinch")
+	for pkg := range needed { // any order: each by itself
+		folder := strings.TrimPrefix(pkg, module+"/")
+		covered := folder == "decide" // its files are the policy key's
+		for _, name := range folders {
+			covered = covered || folder == name || strings.HasPrefix(folder, name+"/")
+		}
+		if !covered {
+			t.Errorf("node in deploy/balancer.toml does not name %s", folder)
+		}
+	}
+	for _, name := range folders {
+		if _, imported := needed[module+"/"+name]; !imported {
+			t.Errorf("node in deploy/balancer.toml names %s, which the daemon does not import", name)
+		}
+	}
+}
+
 // declared returns the names that a package declares: of objects, and of types' fields and methods as Type.Member.
 func declared(t *testing.T, folder string) map[string]bool {
 	t.Helper()
