--- a/decide/admission.go
+++ b/decide/admission.go
@@ -1,49 +1,50 @@
 package decide
 
 const (
-	// admittedPerTimelyAttempt is the number of requests admitted for each attempt lately served in time.
-	// Above 1, so that the ratio can recover.
+	// admittedPerTimelyAttempt is the number of requests admitted for each attempt recently served in time.
+	// It is above 1 so that the ratio can recover.
 	admittedPerTimelyAttempt = 1.2
-	// assumedTimelyAttempts is the number of attempts in time that count beside the observed ones.
+	// assumedTimelyAttempts is the number of attempts in time that are added to the observed ones.
 	assumedTimelyAttempts = 5
 )
 
-// timeliness counts attempts at all caches and those served in time; both fade within the overload window. It
-// is kept in low traffic per router only.
+// timeliness counts the attempts at all caches and the attempts served in time. Both counts decay within the
+// overload window and are maintained only in low traffic per router.
 type timeliness struct {
 	attempts  float64 // as of updatedAt
 	inTime    float64 // as of updatedAt
 	updatedAt Time
 }
 
-func (t *timeliness) observe(inTime bool, now, span Time) {
-	remaining := decay(now-t.updatedAt, span)
+func (t *timeliness) observe(inTime bool, now, timeConstant Time) {
+	remaining := decay(now-t.updatedAt, timeConstant)
 	t.attempts = t.attempts*remaining + 1
 	t.inTime = t.inTime*remaining + float64(boolToInt(inTime))
 	t.updatedAt = now
 }
 
-// correct counts the latest attempt as in time after all.
-func (t *timeliness) correct() { t.inTime = min(t.inTime+1, t.attempts) }
+// countLatestInTime counts the latest attempt as in time after all.
+func (t *timeliness) countLatestInTime() { t.inTime = min(t.inTime+1, t.attempts) }
 
-// ratio returns the ratio of attempts that were lately served in time.
+// ratio returns the ratio of recent attempts that were served in time.
 func (t *timeliness) ratio() float64 {
 	return (t.inTime + assumedTimelyAttempts) / (t.attempts + assumedTimelyAttempts)
 }
 
-// admits reports whether a new request is sent on at all.
+// admits reports whether a new request is admitted.
 //
-// Low traffic per router: requests beyond what all caches serve in time are rejected at once. What can't be
-// served in time still takes the caches' time, and its clients come back, so that next to nothing is served
-// long after a burst.
+// Low traffic per router: requests beyond the number that all caches serve in time are rejected at once.
+// Requests that cannot be served in time still use the caches' time, and their clients retry, so that almost
+// nothing would be served for long after a burst.
 func (r *Router) admits() bool {
 	return !r.lowTraffic() || r.random.next() < admittedPerTimelyAttempt*r.timeliness.ratio()
 }
 
-// learnTimeliness takes in whether an attempt was served within its response timeout.
+// recordTimeliness records whether an attempt was served within its response timeout.
 //
-// Low traffic per router: this is where caches are ejected; otherwise nothing is kept.
-func (r *Router) learnTimeliness(a *attempt, inTime bool) {
+// Low traffic per router: the attempt also counts for the ejection of its cache. Otherwise nothing is
+// recorded.
+func (r *Router) recordTimeliness(a *attempt, inTime bool) {
 	if !r.lowTraffic() {
 		return
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,13 +1,10 @@
-// Package decide makes the decisions of one router in front of a fleet of cache
-// servers: which cache gets a request, when an attempt is given up or repeated, and
-// when a request is rejected.
+// Package decide makes the decisions of one router in front of a fleet of cache servers: which cache receives
+// a request, when an attempt is abandoned or retried, and when a request is rejected.
 //
-// A Router is fed events and returns actions. It performs no I/O, reads no clock and
-// starts no goroutines: the time comes in with each event, and equal events give equal
-// actions.
+// A Router consumes events and returns actions. It performs no I/O, reads no clock and starts no goroutines.
+// Each event carries the current time, and equal sequences of events produce equal actions.
 //
-// Each rule has a file of its own with its constants, its state and its methods;
-// router.go composes them.
+// Each rule has its own file with its constants, its state and its methods; router.go composes the rules.
 package decide
 
 import (
@@ -18,37 +15,36 @@
 	"strings"
 )
 
-// Time is an instant or a span in microseconds. The zero of the clock is arbitrary.
+// Time is an instant or a duration in microseconds. The zero of the clock is arbitrary.
 type Time = int64
 
-// MaxSchedulingDelay is for how long a router may stand still between reading its clock
-// and the write that follows; µs.
+// MaxSchedulingDelay is the longest time, in µs, that a router may be suspended between reading its clock and
+// the write that follows.
 const MaxSchedulingDelay Time = 150_000
 
-// Semantics says what may happen when a request is carried out twice.
+// Semantics says whether a request may be executed more than once.
 type Semantics uint8
 
 const (
-	// NonIdempotent requests must never run twice. Requests of a class that is not in the
-	// settings are taken for such.
+	// NonIdempotent requests must never run twice. Requests of a class that is missing from the settings
+	// count as non-idempotent.
 	NonIdempotent Semantics = iota
 	// Idempotent requests may be repeated freely.
 	Idempotent
-	// IdempotentByKey requests are dropped by the caches of the DeduplicationScope when
-	// they are repeated within the IdempotencyWindow.
+	// IdempotentByKey requests carry an idempotency key. The caches in the DeduplicationScope drop a repeat
+	// that arrives within the IdempotencyWindow.
 	IdempotentByKey
 )
 
-// DeduplicationScope names the caches that drop repeats of a request with an
-// idempotency key.
+// DeduplicationScope is the set of caches that drop repeats of a request with an idempotency key.
 type DeduplicationScope uint8
 
 const (
-	// DeduplicatedInCell means the caches in the cell of the first attempt.
+	// DeduplicatedInCell is the caches in the cell of the first attempt.
 	DeduplicatedInCell DeduplicationScope = iota
-	// DeduplicatedInZone means the caches in the zone of the first attempt.
+	// DeduplicatedInZone is the caches in the zone of the first attempt.
 	DeduplicatedInZone
-	// DeduplicatedEverywhere means all caches.
+	// DeduplicatedEverywhere is all caches.
 	DeduplicatedEverywhere
 )
 
@@ -56,81 +52,80 @@
 type Class struct {
 	Name      string
 	Semantics Semantics
-	// DeduplicationScope is for IdempotentByKey only.
+	// DeduplicationScope applies to IdempotentByKey only.
 	DeduplicationScope DeduplicationScope
-	// IdempotencyWindow is for IdempotentByKey only: for how long caches drop repeats, from
-	// the first attempt that may have run; µs.
+	// IdempotencyWindow applies to IdempotentByKey only. It is how long caches drop repeats, counted from the
+	// first attempt that may have run; µs.
 	IdempotencyWindow Time
-	// LatencyObjective is the latency up to which an answer earns the full weight; µs.
+	// LatencyObjective is the longest latency at which an answer earns the full PriorityWeight; µs.
 	LatencyObjective Time
-	// ClientTimeout is how long the client waits, over all its tries; µs.
+	// ClientTimeout is how long the client waits in total, including its own retries; µs.
 	ClientTimeout Time
-	// PriorityWeight is what an answer within the latency objective earns; points.
+	// PriorityWeight is the value of an answer within the latency objective; points.
 	PriorityWeight float64
-	// LateWeightFraction is the fraction of PriorityWeight that a later answer earns.
+	// LateWeightFraction is the fraction of PriorityWeight that an answer after the latency objective earns.
 	LateWeightFraction float64
 }
 
-// Settings are given to a router once, at its start.
+// Settings configure a router and are passed to New once.
 type Settings struct {
 	// Routers is the number of routers that share the load.
 	Routers int
-	// Zone is where this router is; "" if it is not known.
+	// Zone is the zone of this router; "" if the zone is unknown.
 	Zone string
-	// Classes are all kinds of requests; at least one.
+	// Classes lists all kinds of requests. At least one is required.
 	Classes []Class
-	// WatchRequired is set if the endpoint list is sent only after a Watch.
+	// WatchRequired is set if the endpoint list arrives only after a Watch action.
 	WatchRequired bool
-	// WeightsFollowLoad is set if Endpoint.Weight falls with the load of the moment.
+	// WeightsFollowLoad is set if Endpoint.Weight decreases with the current load of the cache.
 	WeightsFollowLoad bool
 
-	// MaxAttempts is the number of attempts of a request, at least 1.
+	// MaxAttempts is the maximum number of attempts of a request, at least 1.
 	MaxAttempts int
-	// AllowHedging allows two attempts of a request to be out at once.
+	// AllowHedging permits two attempts of a request to be in flight at once.
 	AllowHedging bool
-	// AllowCancel allows Cancel.
+	// AllowCancel permits the Cancel action.
 	AllowCancel bool
-	// AllowHealthChecks allows HealthCheck.
+	// AllowHealthChecks permits the HealthCheck action.
 	AllowHealthChecks bool
-	// MaxRetryAfter is the longest Reject.RetryAfter that clients honour; µs, 0 if it does
-	// not reach them.
+	// MaxRetryAfter is the longest Reject.RetryAfter that clients honour; µs. 0 means that RetryAfter does
+	// not reach the clients.
 	MaxRetryAfter Time
-	// DrainGrace is the time after which attempts to a draining or removed cache must have
-	// ceased; µs, 0 for a second.
+	// DrainGrace is the time after which no attempt to a draining or removed cache may still be in flight;
+	// µs. 0 selects one second.
 	DrainGrace Time
-	// SlowStartWindow is the time in which a started cache warms up; µs.
+	// SlowStartWindow is the time in which a newly started cache warms up; µs.
 	SlowStartWindow Time
-	// SlowStartMinCapacity is the fraction of its capacity that a cache starts with.
+	// SlowStartMinCapacity is the fraction of its capacity that a cache has when it starts.
 	SlowStartMinCapacity float64
-	// OverloadWindow is the time after which a cache falls over that is sent a multiple of
-	// its capacity; µs.
+	// OverloadWindow is the time after which a cache fails if it receives a multiple of its capacity; µs.
 	OverloadWindow Time
-	// PollInterval is the time after which a router without a watch counts as notified of
-	// changes to the list; µs.
+	// PollInterval is the time after which a router without a watch counts as notified of a change to the
+	// endpoint list; µs.
 	PollInterval Time
-	// HealthCheckCost is the cost of one health check a request; points.
+	// HealthCheckCost is the cost of one health check per request; points.
 	HealthCheckCost float64
-	// ConnectionCost is the cost of 100 open connections a cache; points.
+	// ConnectionCost is the cost of 100 open connections per cache; points.
 	ConnectionCost float64
-	// DialCost is the cost of one new connection a request; points.
+	// DialCost is the cost of one new connection per request; points.
 	DialCost float64
 }
 
-// ErrNoClasses is New's error for settings without a class.
+// ErrNoClasses is the error that New returns for settings without a class.
 var ErrNoClasses = errors.New("decide: Classes is empty")
 
-// FieldError is New's error for the first field of Settings that is out of range.
+// FieldError is the error that New returns for the first field of Settings that is out of range.
 type FieldError struct {
 	Field string // such as "Classes[0].LatencyObjective"
 	Value float64
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("decide: %s is %v, out of range", e.Field, e.Value)
 }
 
-// settingsField is a field of Settings with the range that check holds it to.
+// settingsField is a field of Settings with its permitted range.
 type settingsField struct {
 	name            string
 	value, min, max float64
@@ -173,15 +168,15 @@
 	return nil
 }
 
-// Status is what the endpoint list says of a cache.
+// Status is the state of a cache in the endpoint list.
 type Status uint8
 
 const (
-	// Serving caches take requests.
+	// Serving caches accept requests.
 	Serving Status = iota
-	// Draining caches finish what they have and take nothing new.
+	// Draining caches finish their pending requests and accept no new ones.
 	Draining
-	// Removed caches are gone.
+	// Removed caches no longer exist.
 	Removed
 )
 
@@ -189,67 +184,66 @@
 type Endpoint struct {
 	ID   string // unique in the list
 	Zone string // data centre
-	Cell int    // caches of one cell drop repeats together
+	Cell int    // the caches of a cell drop one another's repeats
 	// Weight is the capacity relative to other caches; 0 or less counts as 1.
 	Weight    float64
-	StartedAt Time // start of its process; 0 if that is long ago
+	StartedAt Time // when its process started; 0 if that is long ago
 	Status    Status
 }
 
-// Result is how an attempt or a health check ended.
+// Result is the outcome of an attempt or a health check.
 type Result uint8
 
 const (
 	// Served attempts were answered as requested.
 	Served Result = iota
-	// Errored attempts were answered with an error; they may have run.
+	// Errored attempts were answered with an error and may have run.
 	Errored
-	// Rejected attempts were turned down by the cache; they have not run.
+	// Rejected attempts were refused by the cache and have not run.
 	Rejected
-	// TimedOut attempts had no answer in time; they may have run, or may still run.
+	// TimedOut attempts received no answer in time and may have run or may still be running.
 	TimedOut
-	// ConnectFailed attempts found no connection; they have not run.
+	// ConnectFailed attempts could not establish a connection and have not run.
 	ConnectFailed
-	// ConnectionLost attempts lost their connection before the answer; they may have run.
+	// ConnectionLost attempts lost their connection before the answer arrived, and may have run.
 	ConnectionLost
-	// Cancelled attempts were ended by Cancel; they may have run.
+	// Cancelled attempts were ended by Cancel and may have run.
 	Cancelled
-	// NotSent attempts were never written, for reasons of this machine; they have not run.
+	// NotSent attempts were never written, because of a fault on the router's own machine, and have not run.
 	NotSent
-	// NotStored attempts were answered so by the cache; they have not run.
+	// NotStored attempts were answered by the cache as not stored and have not run.
 	NotStored
 )
 
-// NeverRan reports whether the result proves that the request was not carried out.
-func (s Result) NeverRan() bool {
-	return s == Rejected || s == ConnectFailed || s == NotSent || s == NotStored
+// NeverRan reports whether the result proves that the request was not executed.
+func (r Result) NeverRan() bool {
+	return r == Rejected || r == ConnectFailed || r == NotSent || r == NotStored
 }
 
-// LoadReport is what a cache says of its own load.
+// LoadReport is the load that a cache reports about itself.
 type LoadReport struct {
 	Utilization float64 // fraction of its capacity in use; below 0 if it was not reported
 	ErrorRate   float64 // fraction of errors among its answers
 }
 
-// UnknownLoad is the load report of results that no cache sent.
+// UnknownLoad is the load report of results that did not come from a cache.
 var UnknownLoad = LoadReport{Utilization: -1}
 
-// Event is what a Router is fed: *EndpointList, *Request, *ResponseStarted,
-// *AttemptResult, *ClientGone, *Timer, *HealthCheckResult, *PeerMessage, *RouterCount or
-// *RetryStorm.
+// Event is an input of a Router: *EndpointList, *Request, *ResponseStarted, *AttemptResult, *ClientGone,
+// *Timer, *HealthCheckResult, *PeerMessage, *RouterCount or *RetryStorm.
 type Event interface{ event() }
 
-// UpdateKind says what an EndpointList holds.
+// UpdateKind is the kind of content of an EndpointList.
 type UpdateKind uint8
 
 const (
-	// DeltaUpdate holds only the endpoints that changed.
+	// DeltaUpdate contains only the endpoints that changed.
 	DeltaUpdate UpdateKind = iota
-	// FullUpdate holds every endpoint there is.
+	// FullUpdate contains all endpoints.
 	FullUpdate
-	// StaleUpdate holds every endpoint as last known, which may be out of date.
+	// StaleUpdate contains all endpoints as last known, possibly out of date.
 	StaleUpdate
-	// FailedUpdate holds no endpoints: a call for the list failed, or the watch broke.
+	// FailedUpdate contains no endpoints: a call for the list failed, or the watch broke.
 	FailedUpdate
 )
 
@@ -257,63 +251,63 @@
 type EndpointList struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
-	// Rejected says of a FailedUpdate that discovery answered the call, but is down or has too much to do. Otherwise there
-	// was no answer, or it is not known.
+	// Rejected is set on a FailedUpdate if discovery answered the call but is down or overloaded. If it is
+	// unset, discovery did not answer, or the cause is unknown.
 	Rejected bool
 }
 
-// Request is a client's request. It gets one final answer (a result with Last set, Reject
-// or Fail) by its deadline.
+// Request is a client's request. It receives one final answer (a result with Last set, Reject or Fail) by its
+// deadline.
 type Request struct {
 	ID       int64  // unique among the requests of this router
 	Class    string // name of a Class
-	Tenant   string // for whom it is; no rule depends on it
+	Tenant   string // the tenant that sent the request; no rule depends on it
 	Key      uint64 // hash of the key
-	HasKey   bool   // otherwise it may go to any cache
-	Deadline Time   // when it wants its final answer, at the latest
-	// FirstRequestedAt is when its client first made the request, if this is known to be a
-	// retry; 0 if it is not.
+	HasKey   bool   // if unset, any cache may serve the request
+	Deadline Time   // latest time of the final answer
+	// FirstRequestedAt is when the client first made the request, if the request is known to be a retry; 0
+	// otherwise.
 	FirstRequestedAt Time
-	Cost             Time // expected work; µs, 0 if it is not known
-	Write            bool // it goes on to the origin
-	// IdempotencyKeyMissing is set for a request of an IdempotentByKey class without a key:
-	// no cache drops a repeat.
+	Cost             Time // expected work; µs, 0 if unknown
+	Write            bool // the cache passes the request to the origin
+	// IdempotencyKeyMissing is set for a request of an IdempotentByKey class that carries no key. No cache
+	// drops a repeat of such a request.
 	IdempotencyKeyMissing bool
 }
 
-// ResponseStarted says that the answer has begun to reach the client. The request can't
-// be sent again or answered otherwise from then on.
+// ResponseStarted reports that the answer has started to reach the client. The request can then no longer be
+// sent again or answered in any other way.
 type ResponseStarted struct {
 	ID      int64 // of the request
 	Attempt int   // number of the attempt, from 0
 }
 
-// AttemptResult is the end of an attempt. Each Send gets one, cancelled ones too.
+// AttemptResult is the outcome of an attempt. Every Send receives one, including cancelled attempts.
 type AttemptResult struct {
 	ID      int64 // of the request
 	Attempt int   // number of the attempt, from 0
 	Result  Result
 	Elapsed Time // since the attempt was sent; µs
-	Last    bool // the client has its final answer
+	Last    bool // the client has received its final answer
 	Miss    bool // the cache had to fetch from the origin
 	Load    LoadReport
 }
 
-// ClientGone says that the client of a request has gone: no answer is due any more.
+// ClientGone reports that the client of a request has disconnected and no answer is due any more.
 type ClientGone struct{ ID int64 }
 
-// Timer says that a timer has fired.
+// Timer reports that a timer has fired.
 type Timer struct{ Token int64 }
 
-// HealthCheckResult is the end of a health check.
+// HealthCheckResult is the outcome of a health check.
 type HealthCheckResult struct {
-	Cache   string // id
+	Cache   string // ID of the cache
 	Result  Result
 	Elapsed Time // since the health check was sent; µs
 	Load    LoadReport
 }
 
-// PeerMessage comes from another router. It is ignored: the rules share nothing.
+// PeerMessage comes from another router. It is ignored, because routers share no state.
 type PeerMessage struct {
 	From int
 	Data string
@@ -322,17 +316,16 @@
 // RouterCount changes Settings.Routers.
 type RouterCount struct{ Routers int }
 
-// RetryStorm says whether the load is made of clients' retries, and bounds them while it
-// is. It holds until the next one. Before the first one, and after one that is not
-// Active, the rules for retry storms change nothing.
+// RetryStorm reports whether the load consists of clients' retries, and limits these retries while it does. A
+// report holds until the next one. Before the first report, and after a report that is not Active, the rules
+// for retry storms have no effect.
 type RetryStorm struct {
 	Active bool
-	// Outage is set if the cause is an outage: caches are away, or have just come back.
+	// Outage is set if the cause is an outage: caches are down or have just recovered.
 	Outage bool
-	// RetryBudgetFraction is the fraction of the retry budget, and of what it earns, that
-	// is left.
+	// RetryBudgetFraction is the fraction of the retry budget, and of its earnings, that remains available.
 	RetryBudgetFraction float64
-	// RetryAfterJitter is by how much Reject.RetryAfter differs between requests; µs.
+	// RetryAfterJitter is the range over which Reject.RetryAfter varies between requests; µs.
 	RetryAfterJitter Time
 }
 
@@ -347,50 +340,50 @@
 func (*RouterCount) event()       {}
 func (*RetryStorm) event()        {}
 
-// Action is what a Router wants done: Send, Cancel, Reject, Fail, SetTimer, CancelTimer,
-// HealthCheck, CloseIdle, Watch or Log. The caller carries actions out in order.
+// Action is an output of a Router: Send, Cancel, Reject, Fail, SetTimer, CancelTimer, HealthCheck, CloseIdle,
+// Watch or Log. The caller executes the actions in order.
 type Action interface{ action() }
 
-// Send starts the next attempt of a request. Attempts are numbered from 0 in this order.
+// Send starts the next attempt of a request. Attempts are numbered from 0 in the order of the Sends.
 type Send struct {
 	ID    int64  // of the request
-	Cache string // id
-	// AttemptDeadline is when the attempt is given up.
+	Cache string // ID of the cache
+	// AttemptDeadline is when the attempt times out.
 	AttemptDeadline Time
-	// WriteDeadline is when the last byte must have been written, 0 for no limit: later the
-	// caches may not remember an earlier attempt that may have run.
+	// WriteDeadline is the latest time for writing the last byte; 0 means no limit. After it, the caches may
+	// have forgotten an earlier attempt that may have run.
 	WriteDeadline Time
 }
 
-// Cancel ends the wait on an attempt. Its AttemptResult is still due.
+// Cancel stops waiting for an attempt. The AttemptResult of the attempt still follows.
 type Cancel struct {
 	ID      int64 // of the request
 	Attempt int   // number of the attempt, from 0
 }
 
-// Reason is what kept a request from being served, for reports on lost requests.
+// Reason is why a request was not served, for reports on lost requests.
 type Reason uint8
 
 const (
-	// NoReason is that of requests that nothing has kept from being served.
+	// NoReason means that nothing has prevented the request from being served.
 	NoReason Reason = iota
-	// RetryTooLate is a client's retry, during a retry storm, that can't be served within
-	// its latency objective any more.
+	// RetryTooLate means that the request is a client's retry during a retry storm and can no longer be
+	// served within its latency objective.
 	RetryTooLate
-	// Overloaded means that the caches don't serve in time what they are sent.
+	// Overloaded means that the caches do not serve their current load in time.
 	Overloaded
-	// EndpointEjected means that the cache of its key is ejected, and the failover budget
-	// is exhausted.
+	// EndpointEjected means that the cache of the request's key is ejected and the failover budget is
+	// exhausted.
 	EndpointEjected
-	// NoCapacity means that no cache that it may be sent to had capacity in time.
+	// NoCapacity means that no eligible cache had capacity in time.
 	NoCapacity
-	// OriginProtected means that it is a likely miss and the origin limit was reached.
+	// OriginProtected means that the request is a likely miss and the origin limit was reached.
 	OriginProtected
-	// RetryBudgetExhausted means that its attempt failed and there is no token for a retry.
+	// RetryBudgetExhausted means that an attempt failed and the retry budget has no token for a retry.
 	RetryBudgetExhausted
-	// NoEndpoint means that there is no cache that it may be sent to.
+	// NoEndpoint means that there is no eligible cache.
 	NoEndpoint
-	// WaitBeyondDeadline means that its deadline has come.
+	// DeadlineExceeded means that the request's deadline has passed.
 	DeadlineExceeded
 )
 
@@ -406,33 +399,32 @@
 	DeadlineExceeded:     "deadline exceeded",
 }
 
-// String returns the text of the reason in the log.
-func (w Reason) String() string { return reasonTexts[w] }
+// String returns the text of the reason that appears in the log.
+func (r Reason) String() string { return reasonTexts[r] }
 
-// Reject is a final answer which promises that another try does no harm.
+// Reject is a final answer. It guarantees to the client that a retry is safe.
 type Reject struct {
 	ID         int64 // of the request
-	RetryAfter Time  // how long the client is asked to stay away; µs, 0 for no advice
+	RetryAfter Time  // how long the client should wait before it retries; µs, 0 for no advice
 	Reason     Reason
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer that gives no guarantee about a retry.
 type Fail struct {
 	ID     int64 // of the request
 	Reason Reason
 }
 
-// SetTimer wants a Timer event with the token at or after an instant.
+// SetTimer requests a Timer event with the token at or after the given instant.
 type SetTimer struct {
-	Token int64 // used once
+	Token int64 // never reused
 	At    Time
 }
 
-// CancelTimer takes a SetTimer back. If its Timer event comes all the same, it is ignored.
+// CancelTimer revokes a SetTimer. A Timer event that still arrives is ignored.
 type CancelTimer struct{ Token int64 }
 
-// HealthCheck wants a cache probed. Its HealthCheckResult is ignored after half of the
-// drain grace.
+// HealthCheck probes a cache. Its HealthCheckResult is ignored after half of the drain grace.
 type HealthCheck struct{ Cache string }
 
 // CloseIdle closes the router's idle connections to a cache.
@@ -441,11 +433,11 @@
 // Watch subscribes to changes of the endpoint list.
 type Watch struct{}
 
-// Log adds a line to the log.
+// Log writes a line to the log.
 type Log struct {
 	Level   slog.Level
-	Message string      // a constant text
-	Attrs   []slog.Attr // the values
+	Message string      // constant text
+	Attrs   []slog.Attr // variable values
 }
 
 // String returns the message, followed by the attributes as key=value.
--- a/decide/attempt_result.go
+++ b/decide/attempt_result.go
@@ -1,29 +1,29 @@
 package decide
 
-// finishedAttempt is an attempt with its result, as the rules learn from it.
+// finishedAttempt is an attempt with its result, as passed to the rules.
 type finishedAttempt struct {
 	*attempt
 	request *request
 	result  Result
 	miss    bool // the cache reported a miss
-	elapsed Time // since the attempt was sent, by this router's clock; µs
+	elapsed Time // time since the attempt was sent, by this router's clock; µs
 	onTime  bool // served within the response timeout
 }
 
-// handleAttemptResult takes in the result of an attempt: each rule learns from it, and the request goes on.
-// Results of unknown requests, and second results of an attempt, are ignored.
+// handleAttemptResult processes the result of an attempt: each rule updates its state, and the request is
+// retried, queued or answered. Results for unknown requests and repeated results of an attempt are ignored.
 func (r *Router) handleAttemptResult(ev *AttemptResult) {
 	q := r.requests[ev.ID]
-	if q == nil || ev.Attempt < 0 || ev.Attempt >= len(q.attempts) || !q.attempts[ev.Attempt].isOut() {
+	if q == nil || ev.Attempt < 0 || ev.Attempt >= len(q.attempts) || !q.attempts[ev.Attempt].inFlight() {
 		return
 	}
 	a := &q.attempts[ev.Attempt]
 	a.end(ev.Result)
-	r.cancelTimers(a.timers.overdue, a.timers.objective, a.timers.blame)
+	r.cancelTimers(a.timers.overdue, a.timers.objective, a.timers.attribution)
 	r.countEnded(a)
 
 	elapsed := r.now - a.sentAt
-	r.learn(&finishedAttempt{
+	r.recordResult(&finishedAttempt{
 		attempt: a,
 		request: q,
 		result:  ev.Result,
@@ -35,22 +35,23 @@
 	r.dispatchQueued()
 }
 
-// learn has each rule take in a result. learnErrors comes before learnOrigin, which uses the error ratios.
-func (r *Router) learn(result *finishedAttempt) {
-	r.learnConnection(result)
+// recordResult passes a result to each rule. recordErrors runs before updateOriginLimit, which uses the error
+// ratios.
+func (r *Router) recordResult(result *finishedAttempt) {
+	r.recordConnection(result)
 	r.closeIdleConnections(result.cache)
-	r.learnOutcome(result)
-	r.learnLoss(result)
-	r.learnResponsiveness(result)
-	r.learnZoneLatency(result)
-	r.learnErrors(result)
-	r.learnOrigin(result)
-	r.learnConcurrency(result)
-	r.learnServed(result)
+	r.recordOutcome(result)
+	r.updateLossDetector(result)
+	r.updateResponsiveness(result)
+	r.recordZoneLatency(result)
+	r.recordErrors(result)
+	r.updateOriginLimit(result)
+	r.updateConcurrencyLimit(result)
+	r.recordServed(result)
 }
 
-// learnConnection takes in whether an attempt reached its cache.
-func (r *Router) learnConnection(result *finishedAttempt) {
+// recordConnection records whether an attempt reached its cache.
+func (r *Router) recordConnection(result *finishedAttempt) {
 	switch result.result {
 	case Served, Errored, Rejected:
 		result.cache.lastAnswerAt = r.now
@@ -63,28 +64,29 @@
 	}
 }
 
-// learnOutcome takes in whether an attempt was served in time. One that is overdue was counted as late when
-// its response timeout passed. If it is served within its latency objective all the same, that is corrected:
-// where work takes long beside the objective, nearly everything would seem late.
-func (r *Router) learnOutcome(result *finishedAttempt) {
+// recordOutcome records whether an attempt was served in time. An overdue attempt was counted as late when
+// its response timeout passed. If the attempt is nevertheless served within its latency objective, the count
+// is corrected: with work that takes long relative to the objective, nearly every attempt would otherwise
+// count as late.
+func (r *Router) recordOutcome(result *finishedAttempt) {
 	overdue := result.elapsed >= result.request.class.responseTimeout()
 	if !overdue && result.result != Cancelled && result.result != NotSent {
-		r.learnTimeliness(result.attempt, result.onTime)
+		r.recordTimeliness(result.attempt, result.onTime)
 	}
 	if overdue && result.result == Served && result.elapsed < result.request.class.LatencyObjective {
-		r.timeliness.correct()
+		r.timeliness.countLatestInTime()
 	}
 }
 
-// learnResponsiveness notes that a cache serves its likely hits in time.
-func (r *Router) learnResponsiveness(result *finishedAttempt) {
+// updateResponsiveness sets responsive when a cache serves a likely hit in time.
+func (r *Router) updateResponsiveness(result *finishedAttempt) {
 	if result.onTime && !result.likelyMiss {
 		result.cache.responsive = true
 	}
 }
 
-// proceed sends a request on after one of its attempts has ended, or answers it. A last result is the final
-// answer.
+// proceed retries, queues or answers a request after one of its attempts has ended. If last is set, the
+// result was the final answer.
 func (r *Router) proceed(q *request, last bool) {
 	switch {
 	case last || q.finished:
--- a/decide/concurrency_limit.go
+++ b/decide/concurrency_limit.go
@@ -1,38 +1,39 @@
 package decide
 
 const (
-	// initialConcurrency is the number of attempts that all routers together keep out at a cache before
-	// anything is known of it.
+	// initialConcurrency is the number of attempts that all routers together keep in flight at a cache before
+	// they have observed the cache.
 	initialConcurrency = 8
-	// minInitialConcurrency is one router's part of initialConcurrency, at least.
+	// minInitialConcurrency is the minimum share of initialConcurrency for one router.
 	minInitialConcurrency = 1
-	// minConcurrency is where a limit stops falling. Below 1, a limit is the fraction of time in which an
-	// attempt is out.
+	// minConcurrency is the lower bound of a limit. A limit below 1 is the fraction of time in which an
+	// attempt is in flight.
 	minConcurrency = .1
-	// concurrencyStep is by how many attempts one late attempt lowers a limit. A limit below 1 falls by this
-	// fraction of itself.
+	// concurrencyStep is the number of attempts by which one late attempt lowers a limit. A limit below 1
+	// falls by this fraction of its value.
 	concurrencyStep = .5
-	// toleratedLateRatio is the ratio of late attempts at which a limit stays where it is: some requests are
-	// long by nature.
+	// toleratedLateRatio is the ratio of late attempts at which a limit stays constant. Some requests are
+	// inherently long.
 	toleratedLateRatio = .2
-	// otherCacheWeight is the weight of one router's result at one cache for its limits at all other
-	// caches, in units of caches.
+	// otherCacheWeight is the weight of one router's result at one cache in the limits of all other caches,
+	// in units of caches.
 	otherCacheWeight = .3
-	// minSpreadFraction is the fraction of a result from which the other limits are adjusted at all. In
-	// fleets of thousands, each result would otherwise visit every cache for a thousandth of an adjustment.
+	// minSpreadFraction is the smallest fraction of a result that is applied to the limits of other caches.
+	// In fleets of thousands of caches, every result would otherwise visit each cache for a thousandth of an
+	// adjustment.
 	minSpreadFraction = .002
-	// minConcurrencyInOutage is the lowest limit during an outage: a cache that comes back is slow even with
-	// one attempt out, and nobody would notice that it is back if nothing were sent.
+	// minConcurrencyInOutage is the lowest limit during an outage. A cache that recovers is slow even with
+	// one attempt in flight, and no router would detect the recovery if it sent nothing.
 	minConcurrencyInOutage = 1
 )
 
-// concurrencyLimit is the number of attempts that may be out at once. It is adapted by additive increase and
-// multiplicative decrease: an attempt in time raises it, a late one lowers it.
+// concurrencyLimit is the number of attempts that may be in flight at once. It adapts by additive increase
+// and multiplicative decrease: an attempt in time raises the limit, and a late attempt lowers it.
 type concurrencyLimit struct {
 	value float64
 }
 
-// adjust takes in one attempt. In equilibrium the tolerated ratio of attempts is late.
+// adjust updates the limit with one attempt. In equilibrium, the tolerated ratio of attempts is late.
 func (l *concurrencyLimit) adjust(inTime bool, tolerated float64) {
 	if inTime {
 		l.value += concurrencyStep * tolerated / (1 - tolerated)
@@ -41,22 +42,22 @@
 	}
 }
 
-// initialLimit returns the limit of a cache that was just listed.
+// initialLimit returns the limit of a newly listed cache.
 func (r *Router) initialLimit() concurrencyLimit {
 	perRouter := initialConcurrency / float64(max(1, r.settings.Routers))
 	return concurrencyLimit{max(minInitialConcurrency, perRouter)}
 }
 
-// soleAttemptLimit returns the limit at which all routers together keep one attempt out at a cache.
+// soleAttemptLimit returns the limit at which all routers together keep one attempt in flight at a cache.
 func (r *Router) soleAttemptLimit() float64 { return 1 / float64(max(1, r.settings.Routers)) }
 
 // hasCapacity reports whether the concurrency limit of a cache admits one more attempt.
 //
-// A limit below 1 leaves gaps between attempts. A cache that is slow from overload recovers only when it has
-// been mostly idle, and one attempt of every router at all times is enough to keep it slow.
+// A limit below 1 leaves gaps between attempts. A cache that is slow from overload recovers only after it has
+// been mostly idle, and one attempt per router at all times is enough to keep the cache slow.
 func (r *Router) hasCapacity(c *cache) bool {
 	if r.storm.Active && r.now >= r.lastSendAt+r.settings.DrainGrace/4 {
-		return true // with all limits low and nothing sent, nobody would notice that the caches have recovered
+		return true // with low limits and no attempts, no recovery would be detected
 	}
 	limit := c.limit.value
 	if r.storm.Outage {
@@ -70,17 +71,18 @@
 	return r.now >= c.sent.updatedAt+gap
 }
 
-// adjustLimits takes one attempt into the limit of its cache, and in part into those of all others.
+// adjustLimits applies one attempt to the limit of its cache and, in part, to the limits of all other caches.
 func (r *Router) adjustLimits(c *cache, inTime bool) {
 	r.adjustFleetLimits(inTime)
 	c.limit.adjust(inTime, toleratedLateRatio)
 }
 
-// adjustFleetLimits takes a result at one cache into the limits of all caches, in part. Of many routers, each
-// sends a cache little, and would notice a surge or a lost zone at each cache separately, when it is over.
-// Limits of one attempt of all routers or less stay as they are.
+// adjustFleetLimits applies part of a result at one cache to the limits of all caches. With many routers,
+// each router sends few requests to a cache. From the results of each cache separately, the router would
+// detect a surge or the loss of a zone only after it is over. Limits at or below one attempt of all routers
+// together do not change.
 //
-// Low traffic per router: the limits stay, as all routers would lower them for one cache that
+// Low traffic per router: the limits do not change, because all routers would lower them for one cache that
 // hangs.
 func (r *Router) adjustFleetLimits(inTime bool) {
 	if r.lowTraffic() {
@@ -102,9 +104,9 @@
 	}
 }
 
-// learnConcurrency takes the result of an attempt into the limit of its cache. Results in time raise the
-// limit only where it is in use, so that it does not grow without bound while there is little to do.
-func (r *Router) learnConcurrency(result *finishedAttempt) {
+// updateConcurrencyLimit applies the result of an attempt to the limit of its cache. A result in time raises
+// the limit only if the limit is in use, so that the limit does not grow without bound at low load.
+func (r *Router) updateConcurrencyLimit(result *finishedAttempt) {
 	c := result.cache
 	refusedConnection := result.result == ConnectFailed && !r.storm.Outage
 	if result.result == Rejected || refusedConnection {
--- a/decide/concurrency_limit_test.go
+++ b/decide/concurrency_limit_test.go
@@ -64,7 +64,7 @@
 		last = int64(key)
 	}
 	b.r.caches[to].responsive = false // so that the origin is not blamed
-	b.r.blameOverdue(b.r.requests[last], 0)
+	b.r.attributeOverdue(b.r.requests[last], 0)
 	other, own := b.r.caches["c00"].limit.value, b.r.caches[to].limit.value
 	if before-other <= 0 || other <= own {
 		t.Errorf("an overdue write lowers the limit of its cache from %v to %v, of another to %v", before, own, other)
--- a/decide/endpoint_list.go
+++ b/decide/endpoint_list.go
@@ -2,17 +2,17 @@
 
 import "starlingwinch/internal/retry"
 
-// listWatch is the watch of the endpoint list.
+// listWatch is the state of the watch on the endpoint list.
 type listWatch struct {
-	received int          // lists received, failed updates not counted
-	pacer    *retry.Pacer // of calls for the list
-	// random is a stream of its own for the calls, so that other draws don't depend on how many calls there
-	// are.
+	received int          // number of lists received, without failed updates
+	pacer    *retry.Pacer // spaces out the calls for the list
+	// random is a separate stream for the calls, so that the number of calls does not affect other random
+	// draws.
 	random    randomSource
-	nextWatch int64 // timer of the next call
+	nextWatch int64 // timer token of the next call
 }
 
-// handleEndpointList takes in a list, or that a call for it failed.
+// handleEndpointList applies an endpoint list, or handles the failure of a call for the list.
 func (r *Router) handleEndpointList(ev *EndpointList) {
 	if ev.Kind == FailedUpdate {
 		r.handleFailedUpdate(ev.Rejected)
@@ -35,7 +35,7 @@
 	r.startHealthChecks()
 }
 
-// start begins what goes on for the life of the router. It is called with the first list.
+// start starts the watch, if one is required, and the periodic tasks. It is called with the first list.
 func (r *Router) start() {
 	if r.settings.WatchRequired {
 		r.watchAfter(r.list.pacer.Start(r.list.random.next()))
@@ -44,17 +44,17 @@
 	r.runAt(r.now, r.rotateKeyCounts)
 }
 
-// removeUnlisted removes the caches that the present list leaves out.
+// removeUnlisted removes the caches that are missing from the current list.
 func (r *Router) removeUnlisted() {
-	for _, c := range r.caches { // any order: each by itself
-		if c.listedBy != r.list.received {
+	for _, c := range r.caches { // any order: the caches are independent
+		if c.lastListNumber != r.list.received {
 			c.Status = Removed
 			r.updatePlacement(c)
 		}
 	}
 }
 
-// handleFailedUpdate calls for the list again, at a pace that discovery can serve to all routers.
+// handleFailedUpdate calls for the list again, at a rate that discovery can serve to all routers.
 func (r *Router) handleFailedUpdate(rejected bool) {
 	var failure retry.Failure
 	if rejected {
@@ -71,7 +71,7 @@
 	r.watchAfter(failure.Pause)
 }
 
-// watchAfter calls for the list after a pause, in place of a call that is scheduled.
+// watchAfter calls for the list after a pause, and replaces a call that is already scheduled.
 func (r *Router) watchAfter(pause Time) {
 	r.cancelTimers(r.list.nextWatch)
 	if pause == 0 {
@@ -81,7 +81,7 @@
 	r.list.nextWatch = r.schedule(r.now+pause, timer{run: func() { r.emit(Watch{}) }})
 }
 
-// updateEndpoint takes over one entry of a list.
+// updateEndpoint applies one entry of a list.
 func (r *Router) updateEndpoint(e Endpoint) {
 	c := r.caches[e.ID]
 	if c == nil {
@@ -91,8 +91,8 @@
 		r.processRestarted(c)
 	}
 	if r.settings.WeightsFollowLoad {
-		// A weight that falls with the load would move keys, and they would miss. The largest one seen is
-		// about the nominal one, which is the same for all routers.
+		// Weights that decrease with the load would move keys to other caches, where they miss. The largest
+		// weight seen is close to the nominal weight, which is the same for all routers.
 		e.Weight = max(e.Weight, c.Weight)
 	}
 	c.Endpoint = e
@@ -100,7 +100,7 @@
 	if e.Weight <= 0 {
 		c.Weight = defaultWeight
 	}
-	c.listedBy = r.list.received
+	c.lastListNumber = r.list.received
 	r.updatePlacement(c)
 	c.slowStart.begin(e.StartedAt, r.now, r.settings.SlowStartWindow)
 }
--- a/decide/health_check.go
+++ b/decide/health_check.go
@@ -1,36 +1,37 @@
 package decide
 
 const (
-	// maxFailedHealthChecks is the number of failed health checks in a row that make a cache unhealthy.
+	// maxFailedHealthChecks is the number of consecutive failed health checks that make a cache unhealthy.
 	maxFailedHealthChecks = 2
-	// healthCheckCostPerRequest is what health checks may cost for each request, in points. Checks grow with
-	// routers times caches, so a round is delayed until requests have paid for it.
+	// healthCheckCostPerRequest is the budget for health checks that each request earns, in points. The
+	// number of checks grows with routers times caches, so a round is delayed until requests have paid for
+	// it.
 	healthCheckCostPerRequest = .01
 	// lowTrafficHealthCheckFraction is the fraction of healthCheckCostPerRequest in low traffic per router,
-	// where requests have found out first what checks would.
+	// where requests detect failures before health checks do.
 	lowTrafficHealthCheckFraction = .25
-	// maxGracesBetweenRounds is the number of drain graces after which a round begins even if it is not paid
-	// for.
+	// maxGracesBetweenRounds is the number of drain graces after which a round starts even if the budget does
+	// not cover it.
 	maxGracesBetweenRounds = 64
 )
 
-// healthChecks are the rounds of health checks. One round checks every serving cache.
+// healthChecks is the state of the health check rounds. One round checks every serving cache.
 type healthChecks struct {
-	started         bool    // the first round is scheduled: caches are known
-	round           int     // number of the present round
+	started         bool    // the first round is scheduled, because caches are known
+	round           int     // number of the current round
 	gracesSinceLast int     // drain graces since the last round
-	budget          float64 // checks that requests have paid for
+	budget          float64 // number of checks that requests have paid for
 }
 
-// healthState is what health checks know of one cache.
+// healthState is the health check state of one cache.
 type healthState struct {
 	healthy      bool
-	failures     int // failed checks in a row
-	pendingRound int // round whose check is out; 0 if none is
+	failures     int // consecutive failed checks
+	pendingRound int // round of the check in flight; 0 if there is none
 }
 
-// startHealthChecks schedules the first round once caches are known. Routers that start together don't check
-// in step.
+// startHealthChecks schedules the first round once caches are known. Random delays keep routers that start
+// together from checking in step.
 func (r *Router) startHealthChecks() {
 	if !r.settings.AllowHealthChecks || r.healthChecks.started || len(r.serving) == 0 {
 		return
@@ -41,9 +42,9 @@
 	r.runAt(r.now+firstRound, r.beginHealthCheckRound)
 }
 
-// earnHealthChecks adds what one request pays for.
+// earnHealthChecks adds the budget that one request earns.
 //
-// Low traffic per router: a check opens a connection, which is paid for too.
+// Low traffic per router: a check opens a connection, and the cost of the connection is included.
 func (r *Router) earnHealthChecks() {
 	cost := r.settings.HealthCheckCost
 	if r.lowTraffic() {
@@ -52,7 +53,8 @@
 	r.healthChecks.budget += healthCheckCostPerRequest / max(cost, 1e-9)
 }
 
-// beginHealthCheckRound checks all serving caches if the round is paid for. It runs once in each drain grace.
+// beginHealthCheckRound checks all serving caches if the budget covers the round. It runs once per drain
+// grace.
 func (r *Router) beginHealthCheckRound() {
 	h := &r.healthChecks
 	r.runAt(r.now+r.settings.DrainGrace, r.beginHealthCheckRound)
@@ -70,8 +72,8 @@
 	r.runAt(r.now+r.healthCheckTimeout(), func() { r.endHealthCheckRound(round) })
 }
 
-// endHealthCheckRound counts the checks without a result as failed, and marks the caches that failed too
-// often.
+// endHealthCheckRound counts checks without a result as failed. A cache with too many consecutive failures
+// becomes unhealthy.
 func (r *Router) endHealthCheckRound(round int) {
 	for _, c := range r.serving {
 		if c.health.pendingRound == round {
@@ -85,12 +87,13 @@
 	}
 }
 
-// healthCheckTimeout is how long a health check may take; µs.
+// healthCheckTimeout returns the timeout of a health check; µs.
 func (r *Router) healthCheckTimeout() Time { return r.settings.DrainGrace / 2 }
 
-// handleHealthCheckResult takes in the result of a check whose round has not ended.
+// handleHealthCheckResult processes the result of a check whose round has not ended.
 //
-// Low traffic per router: the connection that the check has opened is closed, as few requests come soon.
+// Low traffic per router: the connection that the check has opened is closed, because few requests follow
+// soon.
 func (r *Router) handleHealthCheckResult(ev *HealthCheckResult) {
 	c := r.caches[ev.Cache]
 	if c == nil || c.health.pendingRound == 0 {
@@ -98,7 +101,7 @@
 	}
 	c.health.pendingRound = 0
 	if ev.Result == NotSent {
-		return // this says nothing of the cache
+		return // the result says nothing about the cache
 	}
 	if r.lowTraffic() {
 		r.closeIdleConnections(c)
--- a/decide/idempotency.go
+++ b/decide/idempotency.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// idempotencyWindowFraction is the fraction of the idempotency window in which a repeat may be written, as it
-// takes time to arrive.
+// idempotencyWindowFraction is the fraction of the idempotency window in which a repeat may be written. The
+// rest of the window is for its transit to the cache.
 const idempotencyWindowFraction = .95
 
-// maySend reports whether a request may be sent, or sent again, to a cache. No attempt starts without this
+// maySend reports whether a request may be sent, or sent again, to a cache. Every attempt must pass this
 // check.
 func (r *Router) maySend(q *request, c *cache) bool {
 	if q.finished || q.streaming || r.now >= q.Deadline || len(q.attempts) >= r.settings.MaxAttempts {
 		return false
 	}
 	if c.Status != Serving {
-		return false // from the moment the drain is known, not only after the grace
+		return false // applies as soon as the drain is known, not only after the grace
 	}
 	for i := range q.attempts {
 		a := &q.attempts[i]
-		if a.isOut() && !r.settings.AllowHedging {
+		if a.inFlight() && !r.settings.AllowHedging {
 			return false
 		}
 		if !a.provenNotRun() && !r.mayRunAgain(q.class, a, c) {
@@ -27,8 +27,8 @@
 	return true
 }
 
-// mayRunAgain reports whether a request may be sent to a cache after an attempt that may have run: its effect
-// must not happen twice.
+// mayRunAgain reports whether a request may be sent to a cache after an earlier attempt that may have run.
+// The effect of the request must not happen twice.
 func (r *Router) mayRunAgain(class *Class, earlier *attempt, c *cache) bool {
 	switch class.Semantics {
 	case Idempotent:
@@ -40,9 +40,9 @@
 	return dropped && r.now < class.repeatDeadline(earlier.sentAt)
 }
 
-// writeDeadline returns until when the n-th attempt of a request may be written. The caches remember the
-// earlier ones only for a time, and an attempt may have to wait for a connection. It is 0 if there is no
-// limit.
+// writeDeadline returns the latest time at which the n-th attempt of a request may be written; 0 means no
+// limit. The caches remember earlier attempts only for a limited time, and an attempt may have to wait for a
+// connection.
 func (q *request) writeDeadline(n int) Time {
 	if q.class.Semantics != IdempotentByKey {
 		return 0
@@ -60,15 +60,16 @@
 	return deadline
 }
 
-// repeatDeadline returns until when a repeat of an attempt may be written, by a clock that is read before the
-// write. The router may stand still for MaxSchedulingDelay in between.
+// repeatDeadline returns the latest time at which a repeat of an attempt may be written, according to a clock
+// reading before the write. The router may be suspended for MaxSchedulingDelay between the reading and the
+// write.
 func (c *Class) repeatDeadline(sentAt Time) Time {
-	arriving := Time(idempotencyWindowFraction * float64(c.IdempotencyWindow))
-	undelayed := c.IdempotencyWindow - MaxSchedulingDelay
-	return sentAt + max(0, min(arriving, undelayed))
+	transitLimit := Time(idempotencyWindowFraction * float64(c.IdempotencyWindow))
+	delayLimit := c.IdempotencyWindow - MaxSchedulingDelay
+	return sentAt + max(0, min(transitLimit, delayLimit))
 }
 
-// inDeduplicationScope reports whether two caches drop one another's repeats.
+// inDeduplicationScope reports whether two caches drop each other's repeats.
 func inDeduplicationScope(scope DeduplicationScope, a, b *cache) bool {
 	switch scope {
 	case DeduplicatedEverywhere:
@@ -81,8 +82,8 @@
 	return false
 }
 
-// mayReject reports whether a request may be rejected, and not only failed: a rejection tells the client that
-// another try does no harm.
+// mayReject reports whether a request may be rejected instead of failed. A rejection guarantees to the client
+// that a retry is safe.
 func (r *Router) mayReject(q *request) bool {
 	if q.class.Semantics == Idempotent {
 		return true
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -1,14 +1,14 @@
 package decide
 
 const (
-	// connectionsPerCost is the number of open connections at a cache that ConnectionCost is the price of.
+	// connectionsPerCost is the number of open connections at a cache to which ConnectionCost refers.
 	connectionsPerCost = 100
-	// frequentUse is how many times the mean use a cache has from where its connection is kept open in low
-	// traffic per router.
+	// frequentUse is the multiple of the mean use from which a cache's connection stays open in low traffic
+	// per router.
 	frequentUse = 2
 )
 
-// closeIdleConnections closes the idle connections to a cache where they cost more than they save.
+// closeIdleConnections closes the idle connections to a cache if they cost more than they save.
 func (r *Router) closeIdleConnections(c *cache) {
 	if c.inFlight == 0 && r.caches[c.ID] == c && r.idleConnectionCostsMore(c) {
 		r.emit(CloseIdle{c.ID})
@@ -16,12 +16,13 @@
 }
 
 // idleConnectionCostsMore reports whether an idle connection to the cache costs more than the dial that it
-// saves. Every router keeps one, so that it costs Routers/100 times ConnectionCost. A cache that is used more
-// than others saves more dials. Where the connections fill the table of the cache, they take it more work
-// than dials do, and the cost rises with the cube.
+// saves. Every router keeps one connection, so that an idle connection costs Routers/100 times
+// ConnectionCost. A cache that is used more than others saves more dials. When the connections fill the
+// connection table of the cache, they cause the cache more work than dials do, and the cost rises with the
+// cube of the table's use.
 //
-// Low traffic per router: the connection is closed unless the cache is used much, whatever the costs, as a
-// cache's table is limited even where connections have no price.
+// Low traffic per router: the connection is closed unless the cache is used frequently, regardless of the
+// costs, because the connection table of a cache is limited even if connections have no cost.
 func (r *Router) idleConnectionCostsMore(c *cache) bool {
 	relativeUse := float64(c.attemptsSent-1) / float64(max(1, r.attemptsSent)) * float64(len(r.serving))
 	if r.lowTraffic() && relativeUse < frequentUse {
--- a/decide/inspect.go
+++ b/decide/inspect.go
@@ -1,7 +1,7 @@
 package decide
 
-// InFlight returns the number of attempts that are out at a cache by the router's own count, for a comparison
-// with what is on the sockets. It is 0 for a cache that is not listed, even while attempts are out there.
+// InFlight returns the router's own count of attempts in flight at a cache, for comparison with the state of
+// the sockets. It returns 0 for a cache that is not listed, even if attempts are still in flight there.
 func (r *Router) InFlight(cache string) int {
 	if c := r.caches[cache]; c != nil {
 		return c.inFlight
@@ -9,6 +9,6 @@
 	return 0
 }
 
-// Open returns the number of requests that the router holds: those without a final answer, and those that
-// still have an attempt out.
+// Open returns the number of requests that the router tracks: requests without a final answer, and requests
+// that still have an attempt in flight.
 func (r *Router) Open() int { return len(r.requests) }
--- a/decide/logs.go
+++ b/decide/logs.go
@@ -28,7 +28,7 @@
 	r.log(slog.LevelWarn, "endpoint list lost", slog.String("action", "calling again"))
 }
 
-// logListUnavailable says that discovery is down, or can't serve the calls of all routers.
+// logListUnavailable logs that discovery is down, or cannot serve the calls of all routers.
 func (r *Router) logListUnavailable(failure retry.Failure) {
 	r.log(slog.LevelWarn, "endpoint list unavailable",
 		slog.Int("attempts", failure.FailedCalls),
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -34,7 +34,7 @@
 	}
 	for range 5 {
 		c.lastAnswerAt = b.now
-		b.r.learnTimeliness(&attempt{cache: c, sentAt: b.now, state: attemptPending}, true)
+		b.r.recordTimeliness(&attempt{cache: c, sentAt: b.now, state: attemptPending}, true)
 	}
 	if c.outlier.ejections != 0 {
 		t.Errorf("%d doubts are left after as many answers in time", c.outlier.ejections)
--- a/decide/overdue.go
+++ b/decide/overdue.go
@@ -1,17 +1,17 @@
 package decide
 
 const (
-	// overdueChecksPerTimeout is how many times in a response timeout an overdue attempt is checked again.
+	// overdueChecksPerTimeout is the number of repeated checks of an overdue attempt per response timeout.
 	overdueChecksPerTimeout = 4
-	// reversedLateRatio makes one attempt in time raise a limit by what a late one lowers it.
+	// reversedLateRatio makes one attempt in time raise a limit by as much as a late attempt lowers it.
 	reversedLateRatio = .5
 )
 
-// handleAttemptOverdue looks after an attempt whose response timeout has passed: either later attempts have
-// overtaken it, and it is taken for lost, or it counts as late.
+// handleAttemptOverdue handles an attempt whose response timeout has passed. If later attempts have overtaken
+// the attempt, it is presumed lost; otherwise it counts as late.
 func (r *Router) handleAttemptOverdue(q *request, n int) {
 	a := &q.attempts[n]
-	if !a.isOut() {
+	if !a.inFlight() {
 		return
 	}
 	objectiveAt := a.sentAt + q.class.LatencyObjective
@@ -22,30 +22,31 @@
 	if r.lossDetector.detected() && r.wasOvertaken(q, a) {
 		r.markOvertaken(a)
 	} else {
-		r.learnTimeliness(a, false)
-		r.blameOverdue(q, n)
+		r.recordTimeliness(a, false)
+		r.attributeOverdue(q, n)
 	}
 	r.hedge(q, n)
 	r.checkOverdueAgain(q, n)
 }
 
-// handleAttemptStillOverdue looks after an overdue attempt again, as it may have been overtaken meanwhile.
+// handleAttemptStillOverdue checks an overdue attempt again, because later attempts may have overtaken it
+// since the previous check.
 func (r *Router) handleAttemptStillOverdue(q *request, n int) {
 	a := &q.attempts[n]
-	if !a.isOut() || q.finished {
+	if !a.inFlight() || q.finished {
 		return
 	}
 	if r.lossDetector.detected() && r.wasOvertaken(q, a) {
 		r.markOvertaken(a)
-		a.cache.limit.adjust(true, reversedLateRatio) // it had lowered the limit
+		a.cache.limit.adjust(true, reversedLateRatio) // reverses the decrease from when it counted as late
 		r.hedge(q, n)
 	}
 	r.checkOverdueAgain(q, n)
 }
 
-// checkOverdueAgain schedules the next check of an overdue attempt while attempts get lost.
+// checkOverdueAgain schedules the next check of an overdue attempt while loss of attempts is detected.
 func (r *Router) checkOverdueAgain(q *request, n int) {
-	a := &q.attempts[n] // a hedged request may have moved the record
+	a := &q.attempts[n] // read again: a hedged request may have reallocated q.attempts
 	if !r.lossDetector.detected() || a.overtaken {
 		return
 	}
@@ -53,15 +54,15 @@
 	a.timers.overdue = r.schedule(at, timer{kind: attemptStillOverdue, attempt: n, request: q})
 }
 
-// blameOverdue counts an overdue attempt against the origin if it is a likely miss and the cache served its
-// last likely hit in time, and otherwise against the cache. A cache that warms up is slow itself and has few
-// hits.
-func (r *Router) blameOverdue(q *request, n int) {
+// attributeOverdue counts an overdue attempt against the origin if the attempt is a likely miss and the cache
+// served its last likely hit in time, and against the cache otherwise. A cache that warms up is slow itself
+// and has few hits.
+func (r *Router) attributeOverdue(q *request, n int) {
 	a := &q.attempts[n]
 	c := a.cache
 	if a.likelyMiss && c.responsive && (!c.slowStart.warming(r.now) || r.storm.Outage) {
 		lateAt := a.sentAt + Time(originObjectiveFraction*float64(q.class.LatencyObjective))
-		a.timers.blame = r.schedule(lateAt, timer{kind: originOverdue, attempt: n, request: q})
+		a.timers.attribution = r.schedule(lateAt, timer{kind: originOverdue, attempt: n, request: q})
 		return
 	}
 	c.responsive = false
@@ -69,16 +70,16 @@
 		r.adjustLimits(c, false)
 		return
 	}
-	// Where all caches are slow by themselves, a lower limit makes none of them faster. A sole attempt may
+	// If all caches are inherently slow, lower limits make none of them faster. A sole attempt may therefore
 	// take its whole latency objective.
 	lateAt := a.sentAt + q.class.LatencyObjective
-	a.timers.blame = r.schedule(lateAt, timer{kind: soleAttemptOverdue, attempt: n, request: q})
+	a.timers.attribution = r.schedule(lateAt, timer{kind: soleAttemptOverdue, attempt: n, request: q})
 }
 
-// handleObjectiveReached looks after an attempt that is out past its latency objective.
+// handleObjectiveReached handles an attempt that is still in flight after its latency objective.
 //
-// Low traffic per router: an idempotent one is cancelled, as it keeps a cache overloaded and is worth little
-// by now.
+// Low traffic per router: an idempotent attempt is cancelled, because it keeps a cache overloaded and its
+// answer is worth little after the objective.
 func (r *Router) handleObjectiveReached(q *request, n int) {
 	a := &q.attempts[n]
 	if !a.overtaken && r.wasOvertaken(q, a) {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -7,14 +7,14 @@
 	"starlingwinch/internal/rendezvous"
 )
 
-// keyPlacement orders the serving caches for a key by weighted rendezvous hashing. Routers agree on the
-// order, as only the endpoint list decides it.
+// keyPlacement orders the serving caches for a key by weighted rendezvous hashing. All routers use the same
+// order, because it depends only on the endpoint list.
 type keyPlacement struct {
 	order rendezvous.Set[*cache]
-	first int // rank that is tried first; it changes places with rank 0
+	first int // rank that is tried first; it is swapped with rank 0
 }
 
-// ranked returns the cache of rank i for the key that was ranked last.
+// ranked returns the cache of rank i for the key of the latest call to order.Rank.
 func (p *keyPlacement) ranked(i int) *cache {
 	switch i {
 	case 0:
@@ -25,14 +25,14 @@
 	return p.order.Ranked(i)
 }
 
-// updatePlacement takes over the status and the weight of a cache after the list has named it, or left it
-// out.
+// updatePlacement applies the status and the weight of a cache after the cache was listed, or was missing
+// from the list.
 func (r *Router) updatePlacement(c *cache) {
 	weight := 0.0
 	if c.Status == Serving {
 		weight = c.Weight
 	} else if c.Status == Removed {
-		delete(r.caches, c.ID) // attempts that are out still refer to the cache
+		delete(r.caches, c.ID) // attempts in flight still refer to the cache
 	}
 	if weight == c.placedWeight {
 		return
@@ -51,11 +51,12 @@
 
 func compareID(c *cache, id string) int { return strings.Compare(c.ID, id) }
 
-// rankCaches orders the serving caches for a key; placement.ranked then returns them. A hot key is spread
-// over its first ranks, where it soon is a hit.
+// rankCaches orders the serving caches for a key; placement.ranked then returns them. Requests for a hot key
+// are spread over its first ranks, where the key soon is a hit.
 //
-// Low traffic per router: of the first ranks, one in the router's own zone is preferred. Connections can't be
-// kept open there, and one to another zone takes longer to come up than an answer may.
+// Low traffic per router: a cache in the router's own zone is preferred among the first ranks. Connections
+// cannot be kept open in this mode, and a connection to another zone takes longer to establish than an answer
+// may take.
 func (r *Router) rankCaches(key uint64) {
 	r.placement.first = 0
 	replicas := min(r.replicaCount(key), len(r.serving))
@@ -78,9 +79,9 @@
 	}
 }
 
-// NewPlacement returns a function that names the cache that a key goes to first, by the key's hash, while
-// every cache serves and none is hot, at its limit or unhealthy. There has to be at least one cache.
-// Stand-ins for a running fleet and plans for changes to one call it.
+// NewPlacement returns a function that maps the hash of a key to the ID of the first cache for the key, under
+// the condition that every cache serves and none is hot, at its limit or unhealthy. There must be at least
+// one cache. Stand-ins for a running fleet and plans for fleet changes use it.
 func NewPlacement(caches []Endpoint) func(key uint64) string {
 	var order rendezvous.Set[string]
 	for _, e := range caches {
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -6,12 +6,12 @@
 	// maxQueueFraction is the fraction of the latency objective that a request may wait for capacity.
 	maxQueueFraction = .4
 	// maxDispatchFailures is the number of queued requests without capacity that are tried after one result.
-	// With thousands queued, trying all of them after each result takes seconds.
+	// With thousands of queued requests, trying all of them after each result takes seconds.
 	maxDispatchFailures = 32
 )
 
-// requestQueue holds the requests that wait for capacity, by arrival. A cache above its limit would serve
-// everything late.
+// requestQueue holds the requests that wait for capacity, in order of arrival. A cache above its limit would
+// serve all requests late.
 type requestQueue struct {
 	waiting []*request
 }
@@ -24,13 +24,14 @@
 	}
 }
 
-// queueDeadline is when a queued request can no longer be served within its latency objective.
+// queueDeadline returns the time after which a queued request can no longer be served within its latency
+// objective.
 func (q *request) queueDeadline() Time {
 	available := min(q.class.LatencyObjective, q.Deadline-q.arrivedAt)
 	return q.arrivedAt + Time(maxQueueFraction*float64(available))
 }
 
-// enqueue has a request wait until a cache has capacity. One that waits already goes on doing so.
+// enqueue queues a request until a cache has capacity. A request that is already queued keeps its place.
 func (r *Router) enqueue(q *request) {
 	if q.queued {
 		return
@@ -40,15 +41,15 @@
 	q.queueTimer = r.schedule(q.queueDeadline(), timer{kind: queueDeadlineReached, request: q})
 }
 
-// dequeue ends the wait of a request.
+// dequeue removes a request from the queue.
 func (r *Router) dequeue(q *request) {
 	q.queued = false
 	r.cancelTimers(q.queueTimer)
 	r.queue.remove(q)
 }
 
-// dispatchQueued sends queued requests to caches that have capacity again, the latest request first. In the
-// order of arrival, each one would wait in an overload until it is too late.
+// dispatchQueued sends queued requests to caches that have capacity again, in last-in, first-out order. In
+// order of arrival, every request would wait in an overload until it is too late.
 func (r *Router) dispatchQueued() {
 	failures := 0
 	for i := len(r.queue.waiting) - 1; i >= 0 && failures < maxDispatchFailures; i-- {
@@ -63,7 +64,7 @@
 	}
 }
 
-// handleQueueDeadline gives up a request that has waited too long for capacity.
+// handleQueueDeadline gives up on a request that has waited too long for capacity.
 func (r *Router) handleQueueDeadline(q *request) {
 	if !q.queued || q.finished {
 		return
@@ -74,7 +75,7 @@
 	r.giveUp(q)
 }
 
-// capacityReason is what a request waits for, or has waited for.
+// capacityReason returns the kind of capacity that a request waits for or has waited for.
 func (q *request) capacityReason() Reason {
 	if q.originLimited {
 		return OriginProtected
@@ -82,11 +83,11 @@
 	return NoCapacity
 }
 
-// sheddingReport counts the requests that were given up after their wait in the queue, for the log.
+// sheddingReport counts the requests that were given up after waiting in the queue, for the log.
 type sheddingReport struct {
-	active      bool // some were given up in the window before
-	forCapacity int  // in the present window, for want of capacity at caches
-	forOrigin   int  // in the present window, to protect the origin
+	active      bool // requests were given up in the previous window
+	forCapacity int  // in the current window, for lack of capacity at caches
+	forOrigin   int  // in the current window, to protect the origin
 }
 
 func (s *sheddingReport) count(reason Reason) {
@@ -97,7 +98,7 @@
 	}
 }
 
-// reportShedding logs when load shedding begins and ends. It is called once in each window of key counts.
+// reportShedding logs when load shedding starts and ends. It is called once per window of key counts.
 func (r *Router) reportShedding() {
 	s := &r.shedding
 	active := s.forCapacity+s.forOrigin > 0
--- a/decide/random.go
+++ b/decide/random.go
@@ -11,7 +11,7 @@
 	return unitInterval(mix(uint64(*s)))
 }
 
-// mix hashes a number.
+// mix returns a hash of a number.
 func mix(x uint64) uint64 { return rendezvous.Mix(x) }
 
 // unitInterval maps a hash to [0, 1).
--- a/decide/request.go
+++ b/decide/request.go
@@ -5,32 +5,32 @@
 // unknownClass is the class of requests whose class is not in the settings.
 var unknownClass = Class{Semantics: NonIdempotent}
 
-// request is what this router knows of one request.
+// request is the router's state for one request.
 type request struct {
 	*Request
 	class       *Class
-	arrivedAt   Time // during a retry storm, when its client first requested it
+	arrivedAt   Time // arrival; during a retry storm, the time of the client's first try
 	attempts    []attempt
 	firstRecord [1]attempt // backing array for the one attempt that most requests need
 
-	// The next three are independent of one another, but for a finished request, which is not queued.
+	// The next three fields are independent, except that a finished request is not queued.
 
-	finished  bool // set with the final answer, or when the client has gone
-	queued    bool // set while it waits for capacity
-	streaming bool // set when the answer has begun to reach the client; it is not unset
+	finished  bool // set with the final answer, or when the client has disconnected
+	queued    bool // set while the request waits for capacity
+	streaming bool // set when the answer has started to reach the client; never cleared
 
-	originLimited bool   // set when the origin limit has kept it from a cache; it is not unset
-	overflowed    bool   // as of the last selection: a cache ahead of the selected one lacked capacity
-	reason        Reason // what last kept it from being served
+	originLimited bool   // set when the origin limit has excluded a cache; never cleared
+	overflowed    bool   // in the latest selection, a healthy cache of a higher rank lacked capacity
+	reason        Reason // latest reason why the request was not served
 
-	deadlineTimer int64 // token of the timer of its deadline; 0 for none
-	queueTimer    int64 // token of the timer of its queue deadline; 0 for none
+	deadlineTimer int64 // timer token of the deadline; 0 for none
+	queueTimer    int64 // timer token of the queue deadline; 0 for none
 }
 
-// responseTimeout is how long an attempt may take before it counts as overdue; µs.
+// responseTimeout returns the time after which an attempt counts as overdue; µs.
 func (c *Class) responseTimeout() Time { return max(c.LatencyObjective/2, 1) }
 
-// classOf returns the class whose rules hold for a request.
+// classOf returns the class whose rules apply to a request.
 func (r *Router) classOf(ev *Request) *Class {
 	class := r.classes[ev.Class]
 	if class == nil {
@@ -44,7 +44,7 @@
 	return class
 }
 
-// handleRequest takes in a new request and sends it on, queues it, or answers it.
+// handleRequest admits a new request and sends, queues or answers it.
 func (r *Router) handleRequest(ev *Request) {
 	q := &request{Request: ev, class: r.classOf(ev), arrivedAt: r.now}
 	if r.storm.Active && ev.FirstRequestedAt > 0 {
@@ -61,7 +61,7 @@
 	}
 	r.requests[q.ID] = q
 	if r.now < q.Deadline {
-		// Whatever else happens, this timer gives the final answer.
+		// This timer guarantees a final answer in every case.
 		q.deadlineTimer = r.schedule(q.Deadline, timer{kind: requestDeadlineReached, request: q})
 	}
 	r.countRequest(q)
@@ -73,15 +73,15 @@
 	r.forward(q)
 }
 
-// withRandomKey returns a copy of a request without a key that has one, so that such requests spread over the
-// caches.
+// withRandomKey returns a copy of a request without a key, with a random key that spreads such requests over
+// the caches.
 func (r *Router) withRandomKey(ev *Request) *Request {
 	keyed := *ev
 	keyed.Key = mix(uint64(ev.ID) ^ uint64(r.random))
 	return &keyed
 }
 
-// countRequest takes a new request into the budgets that requests pay for, and into the counts of its key.
+// countRequest adds the earnings of a new request to the budgets, and counts the request for its key.
 func (r *Router) countRequest(q *request) {
 	r.retryBudget.earn(r.storm.budgetFraction())
 	r.earnHealthChecks()
@@ -89,7 +89,7 @@
 	r.failover.earn(r.timeliness.ratio())
 }
 
-// forward sends a request on, queues it, or answers it if neither is possible.
+// forward sends or queues a request, or answers it if neither is possible.
 func (r *Router) forward(q *request) {
 	if q.costsRetryToken() && !r.retryBudget.allows() {
 		q.reason = RetryBudgetExhausted
@@ -111,26 +111,27 @@
 	}
 }
 
-// costsRetryToken reports whether a further attempt takes a token of the retry budget. One whose connection
-// broke at once has cost the caches nothing.
+// costsRetryToken reports whether a further attempt uses a token of the retry budget. After an attempt whose
+// connection broke at once, the retry is free, because that attempt cost the caches nothing.
 func (q *request) costsRetryToken() bool {
 	return len(q.attempts) > 0 && !q.attempts[len(q.attempts)-1].connectionBroke
 }
 
-// giveUp answers a request unless an attempt is still out that may do so.
+// giveUp answers a request unless an attempt in flight may still serve it.
 func (r *Router) giveUp(q *request) {
-	if !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.isOut() }) {
+	if !slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.inFlight() }) {
 		r.answer(q)
 	}
 }
 
-// answer gives the final answer, once.
+// answer gives the final answer: Reject if a retry is safe, and Fail otherwise. It has no effect on a request
+// that is finished or streaming.
 func (r *Router) answer(q *request) {
 	if q.finished || q.streaming {
 		return
 	}
 	if r.mayReject(q) {
-		if q.FirstRequestedAt == 0 && len(r.serving) > 0 { // without caches it says nothing of their capacity
+		if q.FirstRequestedAt == 0 && len(r.serving) > 0 { // without caches, it says nothing of capacity
 			r.storm.lastFirstTryRejectedAt = r.now
 		}
 		r.reject(q)
@@ -140,45 +141,46 @@
 	r.finish(q)
 }
 
-// handleRequestDeadline answers a request whose deadline has come.
+// handleRequestDeadline answers a request whose deadline has passed.
 func (r *Router) handleRequestDeadline(q *request) {
 	q.reason = DeadlineExceeded
 	r.answer(q)
 }
 
-// handleResponseStarted notes that the answer has begun to reach the client.
+// handleResponseStarted records that the answer has started to reach the client.
 func (r *Router) handleResponseStarted(ev *ResponseStarted) {
 	if q := r.requests[ev.ID]; q != nil {
 		q.streaming = true
 	}
 }
 
-// handleClientGone ends a request that nobody waits for.
+// handleClientGone finishes a request whose client has disconnected.
 func (r *Router) handleClientGone(ev *ClientGone) {
 	if q := r.requests[ev.ID]; q != nil {
 		r.finish(q)
 	}
 }
 
-// finish stops what goes on for a request that has its final answer or needs none.
+// finish ends the work on a request that has its final answer or needs none. It removes the request from the
+// queue, cancels the deadline timer and, if permitted, cancels the attempts in flight.
 func (r *Router) finish(q *request) {
 	q.finished = true
 	if q.queued {
 		r.dequeue(q)
 	}
 	r.cancelTimers(q.deadlineTimer)
-	anyOut := false
+	anyInFlight := false
 	for n := range q.attempts {
 		a := &q.attempts[n]
-		if !a.isOut() {
+		if !a.inFlight() {
 			continue
 		}
-		anyOut = true
+		anyInFlight = true
 		if r.settings.AllowCancel && !q.streaming && a.state == attemptPending {
 			r.cancel(q, n)
 		}
 	}
-	if !anyOut {
+	if !anyInFlight {
 		delete(r.requests, q.ID)
 	}
 }
--- a/decide/router.go
+++ b/decide/router.go
@@ -2,25 +2,25 @@
 
 import "starlingwinch/internal/retry"
 
-// defaultDrainGrace is the drain grace where the settings name none; µs.
+// defaultDrainGrace is the drain grace if the settings specify none; µs.
 const defaultDrainGrace Time = 1_000_000
 
 // Router makes the decisions of one router process. It composes the rules of this package, each of which has
-// a file of its own, and is not safe for concurrent use. Use New.
+// its own file. A Router is not safe for concurrent use and must be created with New.
 type Router struct {
 	settings        Settings
 	classes         map[string]*Class
 	shortestTimeout Time // shortest response timeout of all classes
 
-	now     Time     // of the event that is handled
-	actions []Action // of the event that is handled
+	now     Time     // of the current event
+	actions []Action // of the current event
 	random  randomSource
 	timers  timerTable
 
-	caches   map[string]*cache  // listed caches that are not removed, by id
-	serving  []*cache           // those of them whose status is Serving, by id
-	zones    map[string]*zone   // every zone that the list has named, by name
-	requests map[int64]*request // without a final answer, or with an attempt out, by id
+	caches   map[string]*cache  // listed caches that are not removed, by ID
+	serving  []*cache           // listed caches whose status is Serving, sorted by ID
+	zones    map[string]*zone   // all zones that have appeared in the list, by name
+	requests map[int64]*request // requests without a final answer or with an attempt in flight, by ID
 
 	list         listWatch
 	placement    keyPlacement
@@ -37,12 +37,12 @@
 	errorRatio   movingAverage // ratio of errors among the answers of all caches
 	lossDetector lossDetector
 
-	attemptsSent int  // attempts ever sent
-	lastSendAt   Time // when the latest attempt was sent
+	attemptsSent int  // attempts sent since the start
+	lastSendAt   Time // send time of the latest attempt
 }
 
-// New returns a router for the settings. Equal seeds and events give equal actions. The error names the first
-// field that is out of range.
+// New returns a router with the given settings. Equal seeds and events produce equal actions. The error names
+// the first field that is out of range.
 func New(s Settings, seed uint64) (*Router, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -79,7 +79,8 @@
 	return r, nil
 }
 
-// Handle takes one event and returns what is to be done, in order. The slice is valid until the next call.
+// Handle processes one event and returns the resulting actions in order. The slice is valid until the next
+// call.
 func (r *Router) Handle(now Time, ev Event) []Action {
 	r.now, r.actions = now, r.actions[:0]
 	switch ev := ev.(type) {
@@ -105,10 +106,10 @@
 	return r.actions
 }
 
-// emit adds an action to those of the event that is handled.
+// emit appends an action to the actions of the current event.
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// handleTimer does what is due. Timers that were cancelled are ignored.
+// handleTimer runs the handler of a timer. Cancelled timers are ignored.
 func (r *Router) handleTimer(ev *Timer) {
 	t, pending := r.timers.take(ev.Token)
 	if !pending {
@@ -130,10 +131,10 @@
 	}
 }
 
-// handleLateAttempt does what is due for an attempt that is still out.
+// handleLateAttempt runs the handler of a timer for an attempt, if the attempt is still in flight.
 func (r *Router) handleLateAttempt(t timer) {
 	a := &t.request.attempts[t.attempt]
-	if !a.isOut() {
+	if !a.inFlight() {
 		return
 	}
 	switch t.kind {
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -6,47 +6,47 @@
 )
 
 const (
-	// maxRestoredLimit is the highest limit that Restore takes over.
+	// maxRestoredLimit is the highest limit that Restore accepts.
 	maxRestoredLimit = 1e9
-	// keySampleFactor and keySampleExtra make AppendCachedKeys select more keys than are wanted: chance may
-	// select too few.
+	// keySampleFactor and keySampleExtra make AppendCachedKeys select more keys than requested, because a
+	// random sample may be too small.
 	keySampleFactor = 1.25
 	keySampleExtra  = 16
 )
 
-// Snapshot is what a router has learned of its fleet, for a file that outlives the process. All values are as
-// of one instant; how they fade with time is up to the reader.
+// Snapshot is the learned state of a router, for a file that outlives the process. All values are as of one
+// instant; the reader accounts for their decay with time.
 type Snapshot struct {
-	OriginLimit     float64            // expected misses that may be out at the origin
-	OriginMissRatio float64            // ratio of likely misses that were true ones
+	OriginLimit     float64            // expected misses that may be in flight at the origin
+	OriginMissRatio float64            // ratio of likely misses that were true misses
 	RetryBudget     float64            // tokens for retries and hedged requests
 	ErrorRatio      float64            // ratio of errors among the answers of all caches
 	LostRatio       float64            // ratio of lost attempts
-	Zones           []ZoneSnapshot     // by name
-	Caches          []EndpointSnapshot // by id
+	Zones           []ZoneSnapshot     // sorted by name
+	Caches          []EndpointSnapshot // sorted by ID
 }
 
-// ZoneSnapshot is what a router has learned of the path to a zone.
+// ZoneSnapshot is the learned state of the path to a zone.
 type ZoneSnapshot struct {
-	Name              string // as the endpoint list names it
-	FailedConnections int    // failed connections in a row, to any cache of the zone
+	Name              string // name of the zone in the endpoint list
+	FailedConnections int    // consecutive failed connections, to any cache of the zone
 }
 
-// EndpointSnapshot is what a router has learned of one process of a cache, which ID and StartedAt identify.
+// EndpointSnapshot is the learned state of one process of a cache, identified by ID and StartedAt.
 type EndpointSnapshot struct {
 	ID                 string   // of the endpoint
 	StartedAt          Time     // of the endpoint
-	ConcurrencyLimit   float64  // attempts that may be out
+	ConcurrencyLimit   float64  // attempts that may be in flight
 	LateRatio          float64  // ratio of served attempts that exceeded the response timeout
 	ErrorRatio         float64  // ratio of errors among its answers
-	Healthy            bool     // by its health checks
-	FailedHealthChecks int      // failed health checks in a row
-	Responsive         bool     // it served its last likely hit in time
-	CachedKeys         []uint64 // keys that it likely holds, in order
+	Healthy            bool     // according to its health checks
+	FailedHealthChecks int      // consecutive failed health checks
+	Responsive         bool     // the cache served its last likely hit in time
+	CachedKeys         []uint64 // keys that the cache likely holds, sorted
 }
 
-// Snapshot returns what the router has learned, with at most so many keys of each cache. It takes time in
-// proportion to the fleet; the loop uses the methods below to do it in steps.
+// Snapshot returns the learned state of the router, with at most maxKeys keys per cache. The call takes time
+// proportional to the size of the fleet; the event loop takes the snapshot in steps with the methods below.
 func (r *Router) Snapshot(maxKeys int) Snapshot {
 	s := r.SharedSnapshot()
 	s.Caches = r.AppendEndpointSnapshots(nil, "", len(r.serving))
@@ -56,8 +56,8 @@
 	return s
 }
 
-// SharedSnapshot returns what the router has learned, without its caches. It may be called between any two
-// events, as may the other methods that return snapshots.
+// SharedSnapshot returns the learned state of the router without its caches. Like the other methods that
+// return snapshots, it may be called between any two events.
 func (r *Router) SharedSnapshot() Snapshot {
 	s := Snapshot{
 		OriginLimit:     r.origin.limit.value,
@@ -72,8 +72,8 @@
 	return s
 }
 
-// AppendEndpointSnapshots appends the snapshots of at most limit serving caches whose ids come after the
-// given one, by id and without their keys. Thousands of caches at once would hold up requests.
+// AppendEndpointSnapshots appends the snapshots of at most limit serving caches whose IDs follow the given
+// ID, sorted by ID and without their keys. Thousands of caches at once would delay requests.
 func (r *Router) AppendEndpointSnapshots(to []EndpointSnapshot, id string, limit int) []EndpointSnapshot {
 	first, found := slices.BinarySearchFunc(r.serving, id, compareID)
 	if found {
@@ -86,7 +86,7 @@
 	return to
 }
 
-// EndpointSnapshot returns the snapshot of one cache without its keys, and false if it is not listed.
+// EndpointSnapshot returns the snapshot of one cache without its keys, and false if the cache is not listed.
 func (r *Router) EndpointSnapshot(id string) (EndpointSnapshot, bool) {
 	c := r.caches[id]
 	if c == nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// CachedKeyCount returns how many keys AppendCachedKeys has to visit.
+// CachedKeyCount returns the number of keys that AppendCachedKeys visits.
 func (r *Router) CachedKeyCount(id string) int {
 	c := r.caches[id]
 	if c == nil {
@@ -117,9 +117,9 @@
 	return len(c.cachedKeys[0]) + len(c.cachedKeys[1])
 }
 
-// AppendCachedKeys appends about limit keys that a cache likely holds, in any order and some perhaps twice;
-// SortKeys puts them in order later. Hashes select the keys, as the order of a map would make equal runs
-// differ.
+// AppendCachedKeys appends about limit keys that a cache likely holds, in any order and possibly with
+// duplicates; SortKeys sorts them later. The keys are selected by hash, because the iteration order of a map
+// would make equal runs differ.
 func (r *Router) AppendCachedKeys(to []uint64, id string, limit int) []uint64 {
 	c, n := r.caches[id], r.CachedKeyCount(id)
 	if n == 0 || limit <= 0 {
@@ -136,7 +136,7 @@
 	return to
 }
 
-// SortKeys returns at most limit keys, in order and without repeats. It uses no router and may run in any
+// SortKeys returns at most limit keys, sorted and without duplicates. It uses no router and may run in any
 // goroutine.
 func SortKeys(keys []uint64, limit int) []uint64 {
 	slices.Sort(keys)
@@ -144,8 +144,8 @@
 	return keys[:min(limit, len(keys))]
 }
 
-// Restore takes over a snapshot. Nothing is taken of caches that are not listed, whose process is another
-// one, or that have been sent a request. Values out of range, such as NaN, are ignored.
+// Restore applies a snapshot. It skips caches that are not listed, that run another process, or that this
+// router has already sent a request. It ignores values out of range, such as NaN.
 func (r *Router) Restore(s Snapshot) {
 	restoreValue(&r.origin.limit.value, s.OriginLimit, minOriginConcurrency, maxRestoredLimit)
 	restoreValue(&r.origin.missRatio.value, s.OriginMissRatio, 0, 1)
@@ -181,14 +181,14 @@
 		c.health.failures = min(s.FailedHealthChecks, maxFailedHealthChecks)
 	}
 	if c.slowStart.warming(r.now) {
-		return // its process has started since, and has lost what it held
+		return // the process started recently and has lost the keys of the previous one
 	}
 	for _, key := range s.CachedKeys {
 		c.cachedKeys[1][key] = true
 	}
 }
 
-// restoreValue takes over a value that is in range.
+// restoreValue sets a value if it is in range.
 func restoreValue(to *float64, value, low, high float64) {
 	if value >= low && value <= high {
 		*to = value
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -1,34 +1,34 @@
 package decide
 
-// timerKind is what is due when a timer fires.
+// timerKind identifies the handler of a timer.
 type timerKind uint8
 
 const (
 	functionDue            timerKind = iota // call run
 	requestDeadlineReached                  // give the final answer
-	queueDeadlineReached                    // a queued request can't be served in time any more
+	queueDeadlineReached                    // a queued request can no longer be served in time
 	attemptOverdue                          // the response timeout of an attempt has passed
 	attemptStillOverdue                     // check an overdue attempt again
 	objectiveReached                        // the latency objective of an attempt has passed
-	originOverdue                           // a likely miss is out for longer than the origin should take
-	soleAttemptOverdue                      // a cache that gets one attempt at a time is late with it
+	originOverdue                           // a likely miss is in flight for longer than the origin should take
+	soleAttemptOverdue                      // a cache that receives one attempt at a time is late
 )
 
-// timer is what is to be done at an instant.
+// timer is an action that is due at an instant.
 type timer struct {
 	kind    timerKind
-	attempt int      // number of the attempt, for the kinds that are about one
+	attempt int      // number of the attempt, for kinds that concern an attempt
 	request *request // nil for functionDue
 	run     func()   // for functionDue only
 }
 
-// timerTable holds the timers that are set, by token.
+// timerTable holds the pending timers by token.
 type timerTable struct {
 	pending   map[int64]timer
 	lastToken int64
 }
 
-// take removes a timer that fires. It reports false if the timer was cancelled.
+// take removes and returns a timer that has fired. It reports false if the timer was cancelled.
 func (t *timerTable) take(token int64) (timer, bool) {
 	fired, pending := t.pending[token]
 	delete(t.pending, token)
@@ -43,11 +43,11 @@
 	return r.timers.lastToken
 }
 
-// runAt calls a function at an instant.
+// runAt schedules a call of a function.
 func (r *Router) runAt(at Time, run func()) { r.schedule(at, timer{run: run}) }
 
-// cancelTimers takes timers back. Token 0 and timers that have fired are ignored. Without this, the timers of
-// thousands of answered requests a second would hold their records.
+// cancelTimers cancels timers. It ignores token 0 and timers that have fired. If timers were not cancelled,
+// the timers of thousands of answered requests per second would keep their records in memory.
 func (r *Router) cancelTimers(tokens ...int64) {
 	for _, token := range tokens {
 		if _, pending := r.timers.pending[token]; pending {
--- a/decide/zone_latency.go
+++ b/decide/zone_latency.go
@@ -1,12 +1,12 @@
 package decide
 
-// zoneLatencyWindow is the number of hits over which the latency of a zone rises to longer ones.
+// zoneLatencyWindow is the number of hits over which the latency of a zone rises towards longer latencies.
 const zoneLatencyWindow = 48
 
 // zoneLatency estimates the shortest latency of hits in a zone.
 type zoneLatency struct {
-	min        Time // falls at once and rises slowly; 0 before the first hit
-	validUntil Time // paths may have been long for a while only, so that the zone is tried again then
+	min        Time // decreases at once and increases slowly; 0 before the first hit
+	validUntil Time // the zone is then tried again, as its latency may have been temporary
 }
 
 func (l *zoneLatency) observe(latency, now, validity Time) {
@@ -17,18 +17,18 @@
 	l.validUntil = now + validity
 }
 
-// learnZoneLatency takes a served hit into the latency of its zone.
-func (r *Router) learnZoneLatency(result *finishedAttempt) {
+// recordZoneLatency updates the latency of a zone with a served hit.
+func (r *Router) recordZoneLatency(result *finishedAttempt) {
 	if result.result == Served && !result.miss && !result.request.Write {
 		result.cache.zone.latency.observe(result.elapsed, r.now, r.settings.SlowStartWindow)
 	}
 }
 
-// tooDistant reports whether answers from a cache's zone, another one than the router's, are late even when
-// the cache has little to do.
+// tooDistant reports whether the cache is in a zone other than the router's whose answers are late even under
+// low load.
 //
-// Low traffic per router: it is never so otherwise. Connections can't be kept open there, and the time in
-// which one to another zone comes up would be taken for overload.
+// Low traffic per router: tooDistant is always false in other modes. In this mode connections cannot be kept
+// open, and the time to establish a connection to another zone would count as overload.
 func (r *Router) tooDistant(q *request, c *cache) bool {
 	late := c.zone.latency.min >= q.class.responseTimeout() && r.now < c.zone.latency.validUntil
 	return r.lowTraffic() && c.Zone != r.settings.Zone && late
--- a/decide/zone_outage_test.go
+++ b/decide/zone_outage_test.go
@@ -48,7 +48,7 @@
 	}
 	for id, q := range b.r.requests {
 		for i, a := range q.attempts {
-			if a.isOut() && a.cache.Zone == "a" {
+			if a.inFlight() && a.cache.Zone == "a" {
 				b.serve(id, i)
 			}
 		}
