--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -5,44 +5,45 @@
 	"testing"
 )
 
-// TestAdmissionFollowsTimeliness checks that requests are rejected at once while hardly any is served in
-// time, and admitted when most are.
+// TestAdmissionFollowsTimeliness checks that the router rejects requests immediately while few attempts are
+// served in time, and admits all of them while most attempts are.
 func TestAdmissionFollowsTimeliness(t *testing.T) {
-	b := newLowTrafficHarness(t, 20, nil)
+	h := newLowTrafficHarness(t, 20, nil)
 	rejected := func(from int64) (n int) {
 		for id := from; id < from+100; id++ {
-			b.feed(&Request{ID: id, Class: "read", Key: mix(uint64(id)), HasKey: true, Deadline: b.now + 800*ms})
-			if len(sends(b.acts)) == 0 {
-				n += finalAnswers(b.acts)
+			h.feed(&Request{ID: id, Class: "read", Key: mix(uint64(id)), HasKey: true, Deadline: h.now + 800*ms})
+			if len(sends(h.actions)) == 0 {
+				n += countFinalAnswers(h.actions)
 			} else {
-				b.serve(id, 0)
+				h.serve(id, 0)
 			}
 		}
 		return n
 	}
-	b.r.timeliness.attempts, b.r.timeliness.inTime, b.r.timeliness.updatedAt = 60, 3, b.now
+	h.router.timeliness.attempts, h.router.timeliness.inTime, h.router.timeliness.updatedAt = 60, 3, h.now
 	if n := rejected(1); n < 40 {
-		t.Errorf("%d of 100 were rejected with 3 of 60 served in time", n)
+		t.Errorf("with 3 of 60 attempts in time: got %d of 100 requests rejected, want at least 40", n)
 	}
-	b.r.timeliness.attempts, b.r.timeliness.inTime, b.r.timeliness.updatedAt = 60, 54, b.now
+	h.router.timeliness.attempts, h.router.timeliness.inTime, h.router.timeliness.updatedAt = 60, 54, h.now
 	if n := rejected(200); n > 0 {
-		t.Errorf("%d of 100 were rejected with nine of ten served in time", n)
+		t.Errorf("with 54 of 60 attempts in time: got %d of 100 requests rejected, want none", n)
 	}
 }
 
-// TestAnswersWithinObjectiveCountAsTimely checks that answers past the response timeout and within the
-// latency objective count as in time: where work takes so long, nearly all requests would be rejected.
+// TestAnswersWithinObjectiveCountAsTimely checks that answers after the response timeout but within the
+// latency objective count as in time. Otherwise, a fleet whose requests normally take that long would have
+// nearly all of them rejected.
 func TestAnswersWithinObjectiveCountAsTimely(t *testing.T) {
-	for after, lowest := range map[Time]float64{150 * ms: .9, 250 * ms: 0} { // the latency objective is 200 ms
-		t.Run(fmt.Sprint(after/ms, " ms"), func(t *testing.T) {
-			b := newHarnessWithoutHealthChecks(t, 20, func(s *Settings) { s.Routers = 300 })
+	for latency, minRatio := range map[Time]float64{150 * ms: .9, 250 * ms: 0} { // objective 200 ms; with 0, the ratio must be at most .7
+		t.Run(fmt.Sprint(latency/ms, " ms"), func(t *testing.T) {
+			h := newHarnessWithoutHealthChecks(t, 20, func(s *Settings) { s.Routers = 300 })
 			for id := range int64(100) {
-				b.request(id+1, "read", uint64(id))
-				b.advance(after)
-				b.serve(id+1, 0)
+				h.request(id+1, "read", uint64(id))
+				h.advance(latency)
+				h.serve(id+1, 0)
 			}
-			if got := b.r.timeliness.ratio(); got < lowest || lowest == 0 && got > .7 {
-				t.Errorf("answers after %d ms: %.2f in time", after/ms, got)
+			if got := h.router.timeliness.ratio(); got < minRatio || minRatio == 0 && got > .7 {
+				t.Errorf("answers after %d ms: got a ratio of %.2f in time, want at least %v (0: at most 0.7)", latency/ms, got, minRatio)
 			}
 		})
 	}
--- a/decide/api_test.go
+++ b/decide/api_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestSettingsCheckNamesTheField checks that the error of New names the field that is out of range.
+// TestSettingsCheckNamesTheField checks that the error that New returns names the field that is out of range.
 func TestSettingsCheckNamesTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"SlowStartWindow":      func(s *Settings) { s.SlowStartWindow = -1 },
 		"DrainGrace":           func(s *Settings) { s.DrainGrace = -1 },
 		"Classes":              func(s *Settings) { s.Classes = nil },
@@ -22,10 +22,10 @@
 		"LateWeightFraction":   func(s *Settings) { s.Classes[2].LateWeightFraction = 2 },
 	} {
 		t.Run(field, func(t *testing.T) {
-			s := settings()
-			spoil(&s)
+			s := testSettings()
+			invalidate(&s)
 			if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("%s: %v", field, err)
+				t.Errorf("got error %v, want one that names %s", err, field)
 			}
 		})
 	}
--- a/decide/benchmark_test.go
+++ b/decide/benchmark_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// newBenchmarkRouter returns a router before n caches without limits.
+// newBenchmarkRouter returns a router in front of n caches. The concurrency limits and the origin limit are too high to
+// take effect.
 func newBenchmarkRouter(b *testing.B, n int) *Router {
-	s := settings()
+	s := testSettings()
 	s.AllowHealthChecks, s.Routers = false, 3
 	r, err := New(s, 7)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Handle(1e9, &EndpointList{Kind: FullUpdate, Endpoints: sizedFleet(n, 1)})
+	r.Handle(1e9, &EndpointList{Kind: FullUpdate, Endpoints: weightedFleet(n, 1)})
 	for _, c := range r.caches {
 		c.limit.value = 1e9
 	}
@@ -21,20 +22,21 @@
 	return r
 }
 
-var fleets = []int{10, 100, 500, 2000}
+// fleetSizes are the numbers of caches that each benchmark runs with.
+var fleetSizes = []int{10, 100, 500, 2000}
 
-// BenchmarkRequest has requests of many keys sent and served.
+// BenchmarkRequest measures requests with many different keys, each sent and served.
 func BenchmarkRequest(b *testing.B) {
-	for _, n := range fleets {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			benchmarkRequests(b, newBenchmarkRouter(b, n), func(i int) uint64 { return mix(uint64(i)) })
 		})
 	}
 }
 
-// BenchmarkHotRequest has one key in a quarter of the requests.
+// BenchmarkHotRequest measures requests of which a quarter have the same key.
 func BenchmarkHotRequest(b *testing.B) {
-	for _, n := range fleets {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			benchmarkRequests(b, newBenchmarkRouter(b, n), func(i int) uint64 {
 				if i%4 == 0 {
@@ -57,13 +59,13 @@
 	}
 }
 
-// BenchmarkListChange has one cache of many drain and come back.
+// BenchmarkListChange measures list updates in which one cache drains and then serves again.
 func BenchmarkListChange(b *testing.B) {
-	for _, n := range fleets {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			r := newBenchmarkRouter(b, n)
-			e := sizedFleet(n, 1)[n/2]
+			e := weightedFleet(n, 1)[n/2]
 			for i := range b.N {
 				e.Status = Status(i % 2)
 				r.Handle(Time(2e9+i), &EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
--- a/decide/error_ratio_test.go
+++ b/decide/error_ratio_test.go
@@ -4,65 +4,65 @@
 	"testing"
 )
 
-// TestFailingCacheIsPassedOver checks that a cache that fails at once neither uses up the retry budget nor
-// has the origin blamed, and is tried again later.
-func TestFailingCacheIsPassedOver(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 4, nil)
-	bad := b.r.home(9)
-	fetches := b.r.origin.limit.value
+// TestFailingCacheIsSkipped checks that a cache that answers every attempt with an error is skipped, that it
+// neither exhausts the retry budget nor lowers the origin limit, and that it is tried again later.
+func TestFailingCacheIsSkipped(t *testing.T) {
+	h := newHarnessWithoutHealthChecks(t, 4, nil)
+	failing := h.router.preferredCache(9)
+	originLimit := h.router.origin.limit.value
 	for id := range int64(200) {
 		id++
-		s := b.request(id, "read", uint64(id))
-		for n := 0; s != nil && s.Cache == bad; n++ {
-			got := sends(b.end(id, n, Errored, false))
+		s := h.request(id, "read", uint64(id))
+		for n := 0; s != nil && s.Cache == failing; n++ {
+			got := sends(h.endAttempt(id, n, Errored, false))
 			if s = nil; len(got) > 0 {
 				s = &got[0]
 			}
 		}
 		if s == nil && id > 50 {
-			t.Fatalf("request %d was given up", id)
+			t.Fatalf("request %d got its final answer without being served", id)
 		}
 		if s != nil {
-			b.end(id, len(b.r.requests[id].attempts)-1, Served, true)
+			h.endAttempt(id, len(h.router.requests[id].attempts)-1, Served, true)
 		}
-		b.advance(5 * ms)
+		h.advance(5 * ms)
 	}
-	if got := b.r.caches[bad].attemptsSent; got > 60 {
-		t.Errorf("%d of 200 requests went to the failing cache", got)
+	if got := h.router.caches[failing].attemptsSent; got > 60 {
+		t.Errorf("got %d attempts at the failing cache for 200 requests, want at most 60", got)
 	}
-	if b.r.origin.limit.value < fetches/2 {
-		t.Errorf("the origin was blamed: %v -> %v", fetches, b.r.origin.limit.value)
+	if h.router.origin.limit.value < originLimit/2 {
+		t.Errorf("errors of one cache lowered the origin limit from %v to %v, want at least half of it left", originLimit, h.router.origin.limit.value)
 	}
-	b.advance(10 * b.r.settings.DrainGrace)
-	if b.r.answersErrors(b.r.caches[bad]) {
-		t.Error("it is never tried again")
+	h.advance(10 * h.router.settings.DrainGrace)
+	if h.router.answersErrors(h.router.caches[failing]) {
+		t.Error("the failing cache still counts as failing after 10 drain graces")
 	}
 }
 
-// TestLowTrafficCacheThatFailsEveryTenthKeepsItsTraffic checks that routers of a few requests a minute each
-// don't leave a cache that fails every tenth, nor overload it.
+// TestLowTrafficCacheThatFailsEveryTenthKeepsItsTraffic checks that routers with a few requests per minute each
+// still send a cache that fails every tenth attempt most of the requests for its keys.
 func TestLowTrafficCacheThatFailsEveryTenthKeepsItsTraffic(t *testing.T) {
-	sent, asked := 0, 0
+	sent, requested := 0, 0
 	for seed := range 60 {
-		b := newLowTrafficHarness(t, 20, nil)
-		b.r.random = randomSource(uint64(seed) * 1001)
+		h := newLowTrafficHarness(t, 20, nil)
+		h.router.random = randomSource(uint64(seed) * 1001)
 		for i := range int64(12) {
-			b.r.hotKeys.total[0] = 1000
-			asked++
-			s := b.request(i+1, "read", b.keyOf("c03", uint64(i)*999))
+			h.router.hotKeys.total[0] = 1000
+			requested++
+			s := h.request(i+1, "read", h.keyRankedFirstAt("c03", uint64(i)*999))
 			if s != nil && s.Cache == "c03" {
 				sent++
 				res := Served
 				if (int64(seed)*12+i)%10 == 0 {
 					res = Errored
 				}
-				b.feed(&AttemptResult{ID: i + 1, Result: res, Elapsed: 5 * ms, Last: res == Served, Load: LoadReport{Utilization: -1}})
-				b.serve(i+1, 1) // the second attempt, where there is one
+				h.feed(&AttemptResult{ID: i + 1, Result: res, Elapsed: 5 * ms, Last: res == Served, Load: LoadReport{Utilization: -1}})
+				h.serve(i+1, 1) // ends the second attempt if there is one
 			}
-			b.advance(5000 * ms)
+			h.advance(5000 * ms)
 		}
 	}
-	if share := float64(sent) / float64(asked); share < .75 || share > 1 {
-		t.Errorf("%.2f of what a cache is asked for that fails every tenth is sent to it", share)
+	if share := float64(sent) / float64(requested); share < .75 || share > 1 {
+		t.Errorf("a cache that fails every tenth attempt got %.2f of the requests for its keys, want 0.75 to 1", share)
 	}
 }
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -9,7 +9,7 @@
 
 const ms = 1000
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Routers: 2, MaxAttempts: 3, AllowHedging: true, AllowCancel: true, AllowHealthChecks: true,
 		DrainGrace: 1000 * ms, SlowStartWindow: 10000 * ms, SlowStartMinCapacity: 0.2,
@@ -24,13 +24,13 @@
 	}
 }
 
-// harness drives one router and keeps its timers.
+// harness feeds events to one router and fires the timers that the router sets.
 type harness struct {
-	t      *testing.T
-	r      *Router
-	now    Time
-	timers []SetTimer
-	acts   []Action // of the last step
+	t       *testing.T
+	router  *Router
+	now     Time
+	timers  []SetTimer
+	actions []Action // returned for the last event
 }
 
 func newHarness(t *testing.T, s Settings) *harness {
@@ -39,60 +39,62 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &harness{t: t, r: r, now: 1e9}
+	return &harness{t: t, router: r, now: 1e9}
 }
 
-func (b *harness) feed(ev Event) []Action {
-	b.acts = b.r.Handle(b.now, ev)
-	for _, a := range b.acts {
+// feed passes an event to the router, updates the set of timers and returns the actions.
+func (h *harness) feed(ev Event) []Action {
+	h.actions = h.router.Handle(h.now, ev)
+	for _, a := range h.actions {
 		switch a := a.(type) {
 		case SetTimer:
-			b.timers = append(b.timers, a)
+			h.timers = append(h.timers, a)
 		case CancelTimer:
-			at := slices.IndexFunc(b.timers, func(t SetTimer) bool { return t.Token == a.Token })
+			at := slices.IndexFunc(h.timers, func(t SetTimer) bool { return t.Token == a.Token })
 			if at < 0 {
-				b.t.Fatalf("timer %d is dropped and was not set", a.Token)
+				h.t.Fatalf("the router cancelled timer %d, which is not set", a.Token)
 			}
-			b.timers = slices.Delete(b.timers, at, at+1)
+			h.timers = slices.Delete(h.timers, at, at+1)
 		}
 	}
-	return b.acts
+	return h.actions
 }
 
-// advance fires the timers due until the clock has moved on by d.
-func (b *harness) advance(d Time) []Action {
+// advance moves the clock by d, fires the timers that come due and returns the actions of all of them.
+func (h *harness) advance(d Time) []Action {
 	var all []Action
-	end := b.now + d
+	end := h.now + d
 	for {
 		k := -1
-		for i, tm := range b.timers {
-			if tm.At <= end && (k < 0 || tm.At < b.timers[k].At) {
+		for i, tm := range h.timers {
+			if tm.At <= end && (k < 0 || tm.At < h.timers[k].At) {
 				k = i
 			}
 		}
 		if k < 0 {
 			break
 		}
-		tm := b.timers[k]
-		b.timers = append(b.timers[:k], b.timers[k+1:]...)
-		b.now = max(b.now, tm.At)
-		all = append(all, b.feed(&Timer{tm.Token})...)
+		tm := h.timers[k]
+		h.timers = append(h.timers[:k], h.timers[k+1:]...)
+		h.now = max(h.now, tm.At)
+		all = append(all, h.feed(&Timer{tm.Token})...)
 	}
-	b.now = end
+	h.now = end
 	return all
 }
 
+// fleet returns n caches of equal weight in the zones a and b and in four cells.
 func fleet(n int) []Endpoint {
-	var es []Endpoint
+	var endpoints []Endpoint
 	for i := range n {
-		es = append(es, Endpoint{ID: fmt.Sprintf("c%02d", i), Zone: string(rune('a' + i%2)), Cell: i % 4, Weight: 1})
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprintf("c%02d", i), Zone: string(rune('a' + i%2)), Cell: i % 4, Weight: 1})
 	}
-	return es
+	return endpoints
 }
 
-func sends(acts []Action) []Send {
+func sends(actions []Action) []Send {
 	var s []Send
-	for _, a := range acts {
+	for _, a := range actions {
 		if x, ok := a.(Send); ok {
 			s = append(s, x)
 		}
@@ -100,9 +102,9 @@
 	return s
 }
 
-func healthChecksOf(acts []Action) []string {
+func healthCheckedCaches(actions []Action) []string {
 	var s []string
-	for _, a := range acts {
+	for _, a := range actions {
 		if x, ok := a.(HealthCheck); ok {
 			s = append(s, x.Cache)
 		}
@@ -110,9 +112,9 @@
 	return s
 }
 
-func finalAnswers(acts []Action) int {
+func countFinalAnswers(actions []Action) int {
 	n := 0
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a.(type) {
 		case Reject, Fail:
 			n++
@@ -121,27 +123,29 @@
 	return n
 }
 
-func (b *harness) request(id int64, class string, key uint64) *Send {
-	s := sends(b.feed(&Request{ID: id, Class: class, Key: key, HasKey: true, Deadline: b.now + 800*ms}))
+// request feeds a request with a deadline in 800 ms and returns its first Send, or nil if the router sent nothing.
+func (h *harness) request(id int64, class string, key uint64) *Send {
+	s := sends(h.feed(&Request{ID: id, Class: class, Key: key, HasKey: true, Deadline: h.now + 800*ms}))
 	if len(s) == 0 {
 		return nil
 	}
 	return &s[0]
 }
 
-// serve ends an attempt as served, which is the final answer.
-func (b *harness) serve(id int64, attempt int) {
-	b.feed(&AttemptResult{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
+// serve ends an attempt with Served, which is the final answer.
+func (h *harness) serve(id int64, attempt int) {
+	h.feed(&AttemptResult{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
 }
 
-// end ends an attempt with a result; a last one is the final answer.
-func (b *harness) end(id int64, attempt int, res Result, last bool) []Action {
-	return b.feed(&AttemptResult{ID: id, Attempt: attempt, Result: res, Last: last, Load: LoadReport{Utilization: -1}})
+// endAttempt ends an attempt with a result. If last is set, the result is the final answer.
+func (h *harness) endAttempt(id int64, attempt int, res Result, last bool) []Action {
+	return h.feed(&AttemptResult{ID: id, Attempt: attempt, Result: res, Last: last, Load: LoadReport{Utilization: -1}})
 }
 
-func logs(acts []Action) string {
+// logText returns the log lines among the actions.
+func logText(actions []Action) string {
 	var s []string
-	for _, a := range acts {
+	for _, a := range actions {
 		if l, ok := a.(Log); ok {
 			s = append(s, l.String())
 		}
@@ -149,52 +153,54 @@
 	return strings.Join(s, "\n")
 }
 
-// newHarnessWithoutHealthChecks returns a router before so many caches that learns from attempts alone.
+// newHarnessWithoutHealthChecks returns a harness of a router in front of n caches. The router learns the state of the caches
+// from attempts alone.
 func newHarnessWithoutHealthChecks(t *testing.T, n int, change func(*Settings)) *harness {
 	t.Helper()
-	s := settings()
+	s := testSettings()
 	s.AllowHealthChecks = false
 	if change != nil {
 		change(&s)
 	}
-	b := newHarness(t, s)
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(n)})
-	return b
+	h := newHarness(t, s)
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(n)})
+	return h
 }
 
-// home returns the id of the cache that a key goes to first, hot keys included.
-func (r *Router) home(key uint64) string {
+// preferredCache returns the id of the cache that the router tries first for a key. For a hot key, this is one of several.
+func (r *Router) preferredCache(key uint64) string {
 	r.rankCaches(key)
 	return r.placement.ranked(0).ID
 }
 
-// sizedFleet returns n caches with so many different weights.
-func sizedFleet(n, sizes int) []Endpoint {
-	var es []Endpoint
+// weightedFleet returns n caches with the given number of different weights.
+func weightedFleet(n, weights int) []Endpoint {
+	var endpoints []Endpoint
 	for i := range n {
-		es = append(es, Endpoint{ID: fmt.Sprintf("s-%08x", uint32(mix(uint64(i)))), Zone: "a", Weight: 1 + float64(i%sizes)/2})
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprintf("s-%08x", uint32(mix(uint64(i)))), Zone: "a", Weight: 1 + float64(i%weights)/2})
 	}
-	return es
+	return endpoints
 }
 
-// keyOf returns the first key from a number on whose first rank is the cache.
-func (b *harness) keyOf(cache string, from uint64) uint64 {
+// keyRankedFirstAt returns the lowest key, not below from, that ranks the cache first.
+func (h *harness) keyRankedFirstAt(cache string, from uint64) uint64 {
 	for key := from; ; key++ {
-		if b.r.placement.order.Rank(key); b.r.placement.order.Ranked(0).ID == cache {
+		if h.router.placement.order.Rank(key); h.router.placement.order.Ranked(0).ID == cache {
 			return key
 		}
 	}
 }
 
-// timeOut lets the attempts of a request go unanswered until its deadline, past which they end as cancelled.
-func (b *harness) timeOut(id int64) {
-	b.advance(800 * ms)
+// timeOutRequest leaves the attempts of a request unanswered until its deadline and then ends them with Cancelled.
+func (h *harness) timeOutRequest(id int64) {
+	h.advance(800 * ms)
 	for n := range 3 {
-		b.feed(&AttemptResult{ID: id, Attempt: n, Result: Cancelled, Elapsed: 800 * ms, Last: true, Load: LoadReport{Utilization: -1}})
+		h.feed(&AttemptResult{ID: id, Attempt: n, Result: Cancelled, Elapsed: 800 * ms, Last: true, Load: LoadReport{Utilization: -1}})
 	}
 }
 
-func (b *harness) home(key uint64) string {
-	b.r.placement.order.Rank(key)
-	return b.r.placement.order.Ranked(0).ID
+// firstRanked returns the id of the cache that ranks first for a key, whether or not the key is hot.
+func (h *harness) firstRanked(key uint64) string {
+	h.router.placement.order.Rank(key)
+	return h.router.placement.order.Ranked(0).ID
 }
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -5,128 +5,128 @@
 	"testing"
 )
 
-// playHealthCheckRounds plays rounds in which the named cache gives res, or stays silent
-// where res is nil; all others answer.
-func (b *harness) playHealthCheckRounds(n int, bad string, res *Result) {
-	for played := 0; played < n; {
-		acts := b.advance(1 * ms)
-		ps := healthChecksOf(acts)
-		if len(ps) == 0 {
+// runHealthCheckRounds runs n rounds of health checks. The checks of the failing cache end with res, or have no result
+// if res is nil; all other checks succeed.
+func (h *harness) runHealthCheckRounds(n int, failing string, res *Result) {
+	for completed := 0; completed < n; {
+		actions := h.advance(1 * ms)
+		checked := healthCheckedCaches(actions)
+		if len(checked) == 0 {
 			continue
 		}
-		for _, id := range ps {
+		for _, id := range checked {
 			switch {
-			case id != bad:
-				b.feed(&HealthCheckResult{Cache: id, Result: Served, Load: LoadReport{Utilization: -1}})
+			case id != failing:
+				h.feed(&HealthCheckResult{Cache: id, Result: Served, Load: LoadReport{Utilization: -1}})
 			case res != nil:
-				b.feed(&HealthCheckResult{Cache: id, Result: *res, Load: LoadReport{Utilization: -1}})
+				h.feed(&HealthCheckResult{Cache: id, Result: *res, Load: LoadReport{Utilization: -1}})
 			}
 		}
-		played++
-		b.advance(b.r.healthCheckTimeout() + ms)
+		completed++
+		h.advance(h.router.healthCheckTimeout() + ms)
 	}
 }
 
 func result(r Result) *Result { return &r }
 
-func resultName(r *Result) string {
+func healthCheckResultName(r *Result) string {
 	if r == nil {
 		return "no result"
 	}
 	return fmt.Sprint("result ", *r)
 }
 
-// TestHealthCheckMarksAtThresholdAndRecovers checks that a cache is unhealthy after maxFailedHealthChecks
-// failures of any kind, and healthy after one success.
+// TestHealthCheckMarksAtThresholdAndRecovers checks that a cache counts as unhealthy after maxFailedHealthChecks
+// failures of any kind, and as healthy again after one success.
 func TestHealthCheckMarksAtThresholdAndRecovers(t *testing.T) {
 	for _, res := range []*Result{nil, result(ConnectFailed), result(Errored), result(Rejected), result(TimedOut)} {
-		t.Run(resultName(res), func(t *testing.T) {
-			b := newHarness(t, settings())
-			b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
-			b.playHealthCheckRounds(maxFailedHealthChecks-1, "c01", res)
-			if !b.r.caches["c01"].health.healthy {
-				t.Fatalf("%v: marked after %d failures", res, maxFailedHealthChecks-1)
+		t.Run(healthCheckResultName(res), func(t *testing.T) {
+			h := newHarness(t, testSettings())
+			h.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
+			h.runHealthCheckRounds(maxFailedHealthChecks-1, "c01", res)
+			if !h.router.caches["c01"].health.healthy {
+				t.Fatalf("%s: the cache is unhealthy after %d failures", healthCheckResultName(res), maxFailedHealthChecks-1)
 			}
-			b.playHealthCheckRounds(1, "c01", res)
-			if b.r.caches["c01"].health.healthy {
-				t.Fatalf("%v: not marked after %d failures", res, maxFailedHealthChecks)
+			h.runHealthCheckRounds(1, "c01", res)
+			if h.router.caches["c01"].health.healthy {
+				t.Fatalf("%s: the cache is healthy after %d failures", healthCheckResultName(res), maxFailedHealthChecks)
 			}
-			b.playHealthCheckRounds(1, "", nil)
-			if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
-				t.Fatalf("%v: not healthy after a success", res)
+			h.runHealthCheckRounds(1, "", nil)
+			if c := h.router.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
+				t.Fatalf("%s: the cache is unhealthy, or failures are counted, after a success", healthCheckResultName(res))
 			}
 		})
 	}
 }
 
-// TestHealthCheckNotSentIsNoFailure checks that a health check that this machine could not send says
-// nothing of the cache.
+// TestHealthCheckNotSentIsNoFailure checks that a health check that the router's host could not send does not
+// count as a failure of the cache.
 func TestHealthCheckNotSentIsNoFailure(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
-	b.playHealthCheckRounds(maxFailedHealthChecks+1, "c01", result(NotSent))
-	if c := b.r.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
-		t.Errorf("healthy %v after %d failures", c.health.healthy, c.health.failures)
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(4)})
+	h.runHealthCheckRounds(maxFailedHealthChecks+1, "c01", result(NotSent))
+	if c := h.router.caches["c01"]; !c.health.healthy || c.health.failures != 0 {
+		t.Errorf("got healthy %v and %d failures, want a healthy cache and no failures", c.health.healthy, c.health.failures)
 	}
 }
 
-// TestHealthCheckRoundMarksAtItsEnd checks that a count that reaches the threshold within a round is judged
-// when the round ends.
+// TestHealthCheckRoundMarksAtItsEnd checks that a cache whose failures reach the threshold within a round
+// counts as unhealthy only when the round ends.
 func TestHealthCheckRoundMarksAtItsEnd(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(3)})
-	b.playHealthCheckRounds(maxFailedHealthChecks-1, "c01", result(Errored))
-	for len(healthChecksOf(b.advance(1*ms))) == 0 {
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: StaleUpdate, Endpoints: fleet(3)})
+	h.runHealthCheckRounds(maxFailedHealthChecks-1, "c01", result(Errored))
+	for len(healthCheckedCaches(h.advance(1*ms))) == 0 {
 	}
-	b.feed(&HealthCheckResult{Cache: "c01", Result: Errored})
-	if !b.r.caches["c01"].health.healthy {
-		t.Fatal("marked before the round completed")
+	h.feed(&HealthCheckResult{Cache: "c01", Result: Errored})
+	if !h.router.caches["c01"].health.healthy {
+		t.Fatal("the cache is unhealthy before the end of the round")
 	}
-	b.advance(b.r.healthCheckTimeout() + ms)
-	if b.r.caches["c01"].health.healthy {
-		t.Fatal("not marked when the round completed")
+	h.advance(h.router.healthCheckTimeout() + ms)
+	if h.router.caches["c01"].health.healthy {
+		t.Fatal("the cache is healthy after the end of the round")
 	}
 }
 
-// TestHealthChecksArePaidByRequests checks that rounds are delayed until requests have paid for them:
-// checks grow with routers times caches, requests of one router do not.
+// TestHealthChecksArePaidByRequests checks that a round of health checks is delayed until enough requests have
+// paid for it. The number of checks grows with routers times caches, the requests of one router do not.
 func TestHealthChecksArePaidByRequests(t *testing.T) {
 	count := func(caches, requests int) (rounds float64) {
-		b := newHarness(t, settings())
-		b.feed(&EndpointList{Endpoints: fleet(caches)})
+		h := newHarness(t, testSettings())
+		h.feed(&EndpointList{Endpoints: fleet(caches)})
 		for id := range int64(requests) {
-			b.request(id+1, "read", uint64(id))
-			b.serve(id+1, 0)
-			rounds += float64(len(healthChecksOf(b.advance(128*b.r.settings.DrainGrace/Time(requests))))) / float64(caches)
+			h.request(id+1, "read", uint64(id))
+			h.serve(id+1, 0)
+			rounds += float64(len(healthCheckedCaches(h.advance(128*h.router.settings.DrainGrace/Time(requests))))) / float64(caches)
 		}
 		return rounds
 	}
-	often, thin, idle := count(5, 1280), count(50, 1280), count(5, 1)
-	if often < 125 || often > 129 {
-		t.Errorf("%v rounds in 128 graces with requests enough, want one each", often)
+	fewCaches, manyCaches, idle := count(5, 1280), count(50, 1280), count(5, 1)
+	if fewCaches < 125 || fewCaches > 129 {
+		t.Errorf("5 caches, 1280 requests in 128 drain graces: got %v rounds, want about one per drain grace", fewCaches)
 	}
-	if thin < 20 || thin > 30 {
-		t.Errorf("%v rounds of 50 health checks with 1280 requests, want about one for 50 requests", thin)
+	if manyCaches < 20 || manyCaches > 30 {
+		t.Errorf("50 caches, 1280 requests: got %v rounds, want about one per 50 requests", manyCaches)
 	}
 	if idle < 1 || idle > 3 {
-		t.Errorf("%v rounds of an idle router, want one in %d graces", idle, maxGracesBetweenRounds)
+		t.Errorf("one request in 128 drain graces: got %v rounds, want about one per %d drain graces", idle, maxGracesBetweenRounds)
 	}
 }
 
-// TestLowTrafficHealthChecksPayForTheirConnections checks that rounds are rarer where each check opens a
-// connection.
+// TestLowTrafficHealthChecksPayForTheirConnections checks that rounds are rarer in low traffic per router, as
+// each check then opens a connection, which requests pay for too.
 func TestLowTrafficHealthChecksPayForTheirConnections(t *testing.T) {
 	rounds := func(routers int) (n int) {
-		b := newHarnessWithoutHealthChecks(t, 10, func(s *Settings) { s.AllowHealthChecks, s.Routers, s.DialCost = true, routers, .03 })
-		b.r.healthChecks.budget = 0
+		h := newHarnessWithoutHealthChecks(t, 10, func(s *Settings) { s.AllowHealthChecks, s.Routers, s.DialCost = true, routers, .03 })
+		h.router.healthChecks.budget = 0
 		for id := range int64(400) {
-			b.request(id+1, "read", mix(uint64(id)))
-			b.serve(id+1, 0)
-			n += len(healthChecksOf(b.advance(100 * ms)))
+			h.request(id+1, "read", mix(uint64(id)))
+			h.serve(id+1, 0)
+			n += len(healthCheckedCaches(h.advance(100 * ms)))
 		}
 		return n / 10
 	}
 	if few, many := rounds(3), rounds(300); many*3 > few || many == 0 {
-		t.Errorf("%d rounds of one router of 300 in 400 requests, %d of one of three", many, few)
+		t.Errorf("in 400 requests: got %d rounds with 300 routers and %d with 3, want some with 300, and at most a third of those with 3", many, few)
 	}
 }
--- a/decide/hot_keys_test.go
+++ b/decide/hot_keys_test.go
@@ -4,97 +4,98 @@
 	"testing"
 )
 
-// TestHotKeyIsSpread checks that a hot key goes to several caches while it is hot.
+// TestHotKeyIsSpread checks that requests for a hot key are spread over several caches, and go to one cache again
+// when the key is no longer hot.
 func TestHotKeyIsSpread(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 10, nil)
+	h := newHarnessWithoutHealthChecks(t, 10, nil)
 	used := map[string]int{}
 	for id := range int64(400) {
 		key := uint64(id)
 		if id%3 == 0 {
 			key = 5
 		}
-		if s := b.request(id+1, "read", key); s != nil && key == 5 {
+		if s := h.request(id+1, "read", key); s != nil && key == 5 {
 			used[s.Cache]++
 		}
-		b.serve(id+1, 0)
+		h.serve(id+1, 0)
 	}
 	if len(used) < 4 {
-		t.Fatalf("a third of the traffic went to %v", used)
+		t.Fatalf("a key with a third of the requests was sent to %v, want at least 4 caches", used)
 	}
-	b.advance(5 * b.r.keyWindow())
-	if n := b.r.replicaCount(5); n != 1 {
-		t.Fatalf("still spread over %d when no longer hot", n)
+	h.advance(5 * h.router.keyWindow())
+	if n := h.router.replicaCount(5); n != 1 {
+		t.Fatalf("got %d replicas of a key that is no longer hot, want 1", n)
 	}
 }
 
-// TestHotKeyIsSpreadEvenlyOverItsFirstRanks checks that the caches of a hot key get about equal parts of
-// its requests.
+// TestHotKeyIsSpreadEvenlyOverItsFirstRanks checks that each of the replicas of a hot key gets about the same
+// number of its requests.
 func TestHotKeyIsSpreadEvenlyOverItsFirstRanks(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.AllowHealthChecks = false
-	b := newHarness(t, s)
-	es := sizedFleet(200, 1)
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
+	h := newHarness(t, s)
+	endpoints := weightedFleet(200, 1)
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: endpoints})
 	const key, share = 42, 0.25
-	b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 250, 1000
-	k := b.r.replicaCount(key)
-	if want := 1 + int(share*200/hotKeyCapacityFraction); k != want {
-		t.Fatalf("it goes to %d caches, want %d", k, want)
+	h.router.hotKeys.requests[0][key], h.router.hotKeys.total[0] = 250, 1000
+	replicas := h.router.replicaCount(key)
+	if want := 1 + int(share*200/hotKeyCapacityFraction); replicas != want {
+		t.Fatalf("got %d replicas, want %d", replicas, want)
 	}
-	order, used := plainOrder(es, key), map[string]int{}
-	for range 100 * k {
-		b.r.rankCaches(key)
-		used[b.r.placement.ranked(0).ID]++
-		if b.r.placement.ranked(b.r.placement.first).ID != order[0] && b.r.placement.first > 0 {
-			t.Fatal("the first rank has not taken the place of the one that stands first")
+	order, used := plainRendezvousOrder(endpoints, key), map[string]int{}
+	for range 100 * replicas {
+		h.router.rankCaches(key)
+		used[h.router.placement.ranked(0).ID]++
+		if h.router.placement.ranked(h.router.placement.first).ID != order[0] && h.router.placement.first > 0 {
+			t.Fatal("the cache of rank 0 is not in the position of the cache that is tried first")
 		}
 	}
 	for i, id := range order {
-		if n := used[id]; i < k && (n < 50 || n > 160) || i >= k && n > 0 {
-			t.Errorf("rank %d was first %d times of %d", i, n, 100*k)
+		if n := used[id]; i < replicas && (n < 50 || n > 160) || i >= replicas && n > 0 {
+			t.Errorf("the cache of rank %d was tried first %d times of %d, want 50 to 160 times for a replica and never otherwise", i, n, 100*replicas)
 		}
 	}
 }
 
-// TestLowTrafficSpreadsKeysBeforeAnythingIsKnown checks that three hundred routers that have just started
-// don't send a key to the same cache.
-func TestLowTrafficSpreadsKeysBeforeAnythingIsKnown(t *testing.T) {
-	home := 0
+// TestLowTrafficSpreadsKeysOfNewRouters checks that 300 routers that have just started, and know no hot keys, don't
+// all send a key to the same cache.
+func TestLowTrafficSpreadsKeysOfNewRouters(t *testing.T) {
+	toFirstRanked := 0
 	for seed := range 300 {
-		b := newLowTrafficHarness(t, 100, nil)
-		b.r.random = randomSource(uint64(seed) * 77)
-		if s := b.request(1, "read", 42); s == nil {
-			t.Fatal("nothing was sent")
-		} else if s.Cache == b.home(42) {
-			home++
+		h := newLowTrafficHarness(t, 100, nil)
+		h.router.random = randomSource(uint64(seed) * 77)
+		if s := h.request(1, "read", 42); s == nil {
+			t.Fatal("the request was not sent")
+		} else if s.Cache == h.firstRanked(42) {
+			toFirstRanked++
 		}
 	}
-	if home < 15 || home > 55 {
-		t.Errorf("%d of 300 routers sent the first request for a key to its first cache", home)
+	if toFirstRanked < 15 || toFirstRanked > 55 {
+		t.Errorf("%d of 300 routers sent the first request for a key to its first-ranked cache, want 15 to 55", toFirstRanked)
 	}
 }
 
-// TestLowTrafficReplicasFollowKeyFrequency checks over how many caches a key goes, of which each router
-// sees little.
+// TestLowTrafficReplicasFollowKeyFrequency checks the number of replicas of a key by its frequency, where each
+// router sees few requests for the key.
 func TestLowTrafficReplicasFollowKeyFrequency(t *testing.T) {
-	b := newLowTrafficHarness(t, 100, nil)
-	b.r.hotKeys.total[0] = 1000
+	h := newLowTrafficHarness(t, 100, nil)
+	h.router.hotKeys.total[0] = 1000
 	for _, c := range []struct {
-		n        int
+		requests int
 		min, max float64
 	}{{1, 1, 1.4}, {11, 32, 36}, {51, 160, 168}} {
-		b.r.hotKeys.requests[0][5] = c.n
-		if w := b.r.replicas(5); w < c.min || w > c.max {
-			t.Errorf("a key of %d requests in 1,000 goes to %.2f of 100 caches, want %v to %v", c.n, w, c.min, c.max)
+		h.router.hotKeys.requests[0][5] = c.requests
+		if got := h.router.replicas(5); got < c.min || got > c.max {
+			t.Errorf("%d of 1,000 requests, 100 caches: got %.2f replicas, want %v to %v", c.requests, got, c.min, c.max)
 		}
 	}
-	b.r.hotKeys.requests[0][5], b.r.origin.inFlight = 11, 100 // the origin has much to do: each further cache misses first
-	if w := b.r.replicas(5); w > 10 {
-		t.Errorf("a key of 11 requests in 1,000 goes to %.2f of 100 caches while the origin is busy", w)
+	h.router.hotKeys.requests[0][5], h.router.origin.inFlight = 11, 100 // the origin is busy, and each further cache would miss first
+	if got := h.router.replicas(5); got > 10 {
+		t.Errorf("11 of 1,000 requests, 100 caches, busy origin: got %.2f replicas, want at most 10", got)
 	}
-	few := newHarnessWithoutHealthChecks(t, 9, nil)
-	few.r.hotKeys.requests[0][5], few.r.hotKeys.total[0] = 1, 1000
-	if w := few.r.replicas(5); w != 1 {
-		t.Errorf("with two routers a key asked for once goes to %v caches", w)
+	usual := newHarnessWithoutHealthChecks(t, 9, nil)
+	usual.router.hotKeys.requests[0][5], usual.router.hotKeys.total[0] = 1, 1000
+	if got := usual.router.replicas(5); got != 1 {
+		t.Errorf("two routers, 1 of 1,000 requests: got %v replicas, want 1", got)
 	}
 }
--- a/decide/inspect_test.go
+++ b/decide/inspect_test.go
@@ -4,22 +4,23 @@
 	"testing"
 )
 
-// TestInspectionFollowsRequestToItsResult checks the counts of attempts and requests.
+// TestInspectionFollowsRequestToItsResult checks the counts that InFlight and Open return before, during and after a
+// request.
 func TestInspectionFollowsRequestToItsResult(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
-	if n := b.r.InFlight("nowhere"); n != 0 {
-		t.Errorf("%d attempts out at a cache never listed", n)
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
+	if n := h.router.InFlight("unlisted"); n != 0 {
+		t.Errorf("got %d attempts in flight at a cache that was never listed, want none", n)
 	}
-	s := b.request(1, "read", 7)
+	s := h.request(1, "read", 7)
 	if s == nil {
 		t.Fatal("the request was not sent")
 	}
-	if out, open := b.r.InFlight(s.Cache), b.r.Open(); out != 1 || open != 1 {
-		t.Errorf("once sent: %d attempts out, %d requests open, want 1 and 1", out, open)
+	if inFlight, open := h.router.InFlight(s.Cache), h.router.Open(); inFlight != 1 || open != 1 {
+		t.Errorf("after the send: got %d attempts in flight and %d open requests, want 1 and 1", inFlight, open)
 	}
-	b.feed(&AttemptResult{ID: 1, Result: Served, Last: true})
-	if out, open := b.r.InFlight(s.Cache), b.r.Open(); out != 0 || open != 0 {
-		t.Errorf("once served: %d attempts out, %d requests open, want none", out, open)
+	h.feed(&AttemptResult{ID: 1, Result: Served, Last: true})
+	if inFlight, open := h.router.InFlight(s.Cache), h.router.Open(); inFlight != 0 || open != 0 {
+		t.Errorf("after the result: got %d attempts in flight and %d open requests, want none", inFlight, open)
 	}
 }
--- a/decide/low_traffic_test.go
+++ b/decide/low_traffic_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newLowTrafficHarness returns one router of three hundred, before n caches.
+// newLowTrafficHarness returns a harness of one of 300 routers in front of n caches.
 func newLowTrafficHarness(t *testing.T, n int, change func(*Settings)) *harness {
 	return newHarnessWithoutHealthChecks(t, n, func(s *Settings) {
 		s.Routers, s.DialCost, s.ConnectionCost = 300, .03, .03
@@ -15,46 +15,49 @@
 	})
 }
 
-// TestRouterCountDecidesLowTraffic checks that a RouterCount changes the mode and the limits.
+// TestRouterCountDecidesLowTraffic checks that a RouterCount event decides whether the rules for low traffic per
+// router hold, and changes the limit of a sole attempt.
 func TestRouterCountDecidesLowTraffic(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 5, func(s *Settings) { s.Routers = 2 })
-	if b.r.lowTraffic() {
-		t.Fatal("two routers count as many")
+	h := newHarnessWithoutHealthChecks(t, 5, func(s *Settings) { s.Routers = 2 })
+	if h.router.lowTraffic() {
+		t.Fatal("two routers count as low traffic per router")
 	}
-	b.feed(&RouterCount{Routers: 40})
-	if !b.r.lowTraffic() || b.r.soleAttemptLimit() != 1.0/40 {
-		t.Errorf("after 40 routers were told it divides by %v", 1/b.r.soleAttemptLimit())
+	h.feed(&RouterCount{Routers: 40})
+	if !h.router.lowTraffic() || h.router.soleAttemptLimit() != 1.0/40 {
+		t.Errorf("after a RouterCount of 40: got low traffic %v and a sole-attempt limit of 1/%v, want true and 1/40",
+			h.router.lowTraffic(), 1/h.router.soleAttemptLimit())
 	}
 }
 
-// newZonedHarness returns one router of three hundred in zone z1, before n caches in three zones.
+// newZonedHarness returns a harness of one of 300 routers, in zone z1, in front of n caches in three zones.
 func newZonedHarness(t *testing.T, n int) *harness {
-	b := newLowTrafficHarness(t, n, func(s *Settings) { s.Zone = "z1" })
-	entries := fleet(n)
-	for i := range entries {
-		entries[i].Zone = []string{"z0", "z1", "z2"}[i%3]
+	h := newLowTrafficHarness(t, n, func(s *Settings) { s.Zone = "z1" })
+	endpoints := fleet(n)
+	for i := range endpoints {
+		endpoints[i].Zone = []string{"z0", "z1", "z2"}[i%3]
 	}
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: entries})
-	return b
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: endpoints})
+	return h
 }
 
-// TestAttemptIsCancelledOnce: with low traffic per router an idempotent attempt is cancelled at its latency objective too.
+// TestAttemptIsCancelledOnce checks that an attempt that was cancelled when its client went away is not cancelled
+// a second time. In low traffic per router, an idempotent attempt is also cancelled at its latency objective.
 func TestAttemptIsCancelledOnce(t *testing.T) {
-	b := newHarness(t, settings())
-	b.r.settings.Routers = maxRoutersWithUsualTraffic + 1
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(1)})
-	if b.request(1, "read", 1) == nil {
-		t.Fatal("not sent")
+	h := newHarness(t, testSettings())
+	h.router.settings.Routers = maxRoutersWithUsualTraffic + 1
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(1)})
+	if h.request(1, "read", 1) == nil {
+		t.Fatal("the request was not sent")
 	}
-	acts := b.feed(&ClientGone{ID: 1})
-	acts = append(slices.Clone(acts), b.advance(1000*ms)...)
+	actions := h.feed(&ClientGone{ID: 1})
+	actions = append(slices.Clone(actions), h.advance(1000*ms)...)
 	cancels := 0
-	for _, a := range acts {
+	for _, a := range actions {
 		if a == (Cancel{1, 0}) {
 			cancels++
 		}
 	}
 	if cancels != 1 {
-		t.Errorf("cancelled %d times, want once", cancels)
+		t.Errorf("got %d cancellations, want 1", cancels)
 	}
 }
--- a/decide/origin_limit_test.go
+++ b/decide/origin_limit_test.go
@@ -4,95 +4,95 @@
 	"testing"
 )
 
-// TestOriginLimitHoldsBackLikelyMisses checks that errors lower the origin limit, and that it holds back
-// likely misses only.
+// TestOriginLimitHoldsBackLikelyMisses checks that errors lower the origin limit, and that the limit delays only
+// likely misses, neither likely hits nor writes.
 func TestOriginLimitHoldsBackLikelyMisses(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 4, nil)
+	h := newHarnessWithoutHealthChecks(t, 4, nil)
 	for id := range int64(30) {
-		if b.request(id+1, "read", uint64(id)) != nil {
-			b.end(id+1, 0, Errored, true)
+		if h.request(id+1, "read", uint64(id)) != nil {
+			h.endAttempt(id+1, 0, Errored, true)
 		}
 	}
-	if b.r.origin.limit.value != 1 {
-		t.Fatalf("errors left the limit on misses at %v", b.r.origin.limit.value)
+	if h.router.origin.limit.value != 1 {
+		t.Fatalf("after errors: got an origin limit of %v, want 1", h.router.origin.limit.value)
 	}
-	b.request(100, "read", 1000)
-	if s := b.request(101, "read", 1001); s != nil {
-		t.Fatal("a second likely miss went out")
+	h.request(100, "read", 1000)
+	if s := h.request(101, "read", 1001); s != nil {
+		t.Fatal("a second likely miss was sent under an origin limit of 1")
 	}
-	for _, c := range b.r.caches {
+	for _, c := range h.router.caches {
 		c.cachedKeys[0][7] = true
 	}
-	if s := b.request(102, "read", 7); s == nil {
-		t.Fatal("a likely hit was held for the origin's sake")
+	if s := h.request(102, "read", 7); s == nil {
+		t.Fatal("a likely hit was not sent")
 	}
-	b.feed(&Request{ID: 103, Class: "once", Key: 1003, HasKey: true, Deadline: b.now + 800*ms, Write: true})
-	if len(sends(b.acts)) == 0 {
-		t.Fatal("a write was held for the limit on misses")
+	h.feed(&Request{ID: 103, Class: "once", Key: 1003, HasKey: true, Deadline: h.now + 800*ms, Write: true})
+	if len(sends(h.actions)) == 0 {
+		t.Fatal("a write was not sent")
 	}
 }
 
-// TestOriginLimitCountsExpectedMisses checks that likely misses count by the ratio of true ones: one router
-// of many would hold back mostly hits.
+// TestOriginLimitCountsExpectedMisses checks that likely misses count in proportion to the ratio of true misses.
+// Otherwise, one router of many, which knows few keys, would delay mostly hits.
 func TestOriginLimitCountsExpectedMisses(t *testing.T) {
 	sent := func(miss bool) (n int) {
-		b := newHarnessWithoutHealthChecks(t, 8, nil)
+		h := newHarnessWithoutHealthChecks(t, 8, nil)
 		for id := range int64(400) {
-			if b.request(id+1, "read", uint64(id)) != nil {
-				b.feed(&AttemptResult{ID: id + 1, Result: Served, Last: true, Miss: miss, Load: LoadReport{Utilization: -1}})
+			if h.request(id+1, "read", uint64(id)) != nil {
+				h.feed(&AttemptResult{ID: id + 1, Result: Served, Last: true, Miss: miss, Load: LoadReport{Utilization: -1}})
 			}
 		}
-		b.r.origin.limit.value = 2
+		h.router.origin.limit.value = 2
 		for id := range int64(20) {
-			if b.request(id+1000, "read", uint64(id+1000)) != nil {
+			if h.request(id+1000, "read", uint64(id+1000)) != nil {
 				n++
 			}
 		}
 		return n
 	}
 	if hits, misses := sent(false), sent(true); misses != 2 || hits < 10 {
-		t.Errorf("under a limit of 2 likely misses %d are sent where all were misses, %d where none was", misses, hits)
+		t.Errorf("origin limit of 2: got %d likely misses sent where all were true misses and %d where none was, want 2 and at least 10", misses, hits)
 	}
 }
 
-// TestOriginLimitIsInitializedByFirstCaches checks that an empty first list does not leave the origin limit
-// at its minimum.
+// TestOriginLimitIsInitializedByFirstCaches checks that the first caches set the origin limit. An empty first list
+// must not set the limit to its minimum.
 func TestOriginLimitIsInitializedByFirstCaches(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.AllowHealthChecks = false
-	b := newHarness(t, s)
-	b.feed(&EndpointList{Kind: StaleUpdate})
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
-	if want := float64(initialConcurrency*8) / float64(s.Routers); b.r.origin.limit.value != want {
-		t.Errorf("%v likely misses may be out, want %v", b.r.origin.limit.value, want)
+	h := newHarness(t, s)
+	h.feed(&EndpointList{Kind: StaleUpdate})
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(8)})
+	if want := float64(initialConcurrency*8) / float64(s.Routers); h.router.origin.limit.value != want {
+		t.Errorf("got an origin limit of %v, want %v", h.router.origin.limit.value, want)
 	}
 }
 
-// TestLowTrafficOriginIsNotBlamedForHangingCaches checks that likely misses at caches that hang leave the
-// origin limit, and that true ones that are late lower it.
+// TestLowTrafficOriginIsNotBlamedForHangingCaches checks that likely misses at hanging caches don't lower the origin
+// limit, and that late true misses do.
 func TestLowTrafficOriginIsNotBlamedForHangingCaches(t *testing.T) {
-	b := newLowTrafficHarness(t, 100, nil)
-	before := b.r.origin.limit.value
+	h := newLowTrafficHarness(t, 100, nil)
+	before := h.router.origin.limit.value
 	for id := int64(1); id <= 8; id++ {
-		b.request(id, "read", mix(uint64(id)))
-		b.timeOut(id)
+		h.request(id, "read", mix(uint64(id)))
+		h.timeOutRequest(id)
 	}
-	if b.r.origin.limit.value < before {
-		t.Errorf("%v likely misses may be out after eight requests to caches that hung, %v before", b.r.origin.limit.value, before)
+	if h.router.origin.limit.value < before {
+		t.Errorf("after eight requests to hanging caches: got an origin limit of %v, want at least the %v of before", h.router.origin.limit.value, before)
 	}
-	b.r.timeliness.attempts, b.r.timeliness.inTime = 0, 0
-	b.r.hotKeys.total[0] = 1000
-	b.r.origin.limit.value = 5
+	h.router.timeliness.attempts, h.router.timeliness.inTime = 0, 0
+	h.router.hotKeys.total[0] = 1000
+	h.router.origin.limit.value = 5
 	for id := int64(100); id < 104; id++ {
-		if b.request(id, "read", mix(uint64(id))) == nil {
-			t.Fatal("nothing was sent")
+		if h.request(id, "read", mix(uint64(id))) == nil {
+			t.Fatal("the request was not sent")
 		}
-		b.advance(150 * ms)
+		h.advance(150 * ms)
 		for n := range 2 {
-			b.feed(&AttemptResult{ID: id, Attempt: n, Result: Served, Elapsed: 150 * ms, Miss: true, Last: true, Load: LoadReport{Utilization: -1}})
+			h.feed(&AttemptResult{ID: id, Attempt: n, Result: Served, Elapsed: 150 * ms, Miss: true, Last: true, Load: LoadReport{Utilization: -1}})
 		}
 	}
-	if b.r.origin.limit.value >= 5 {
-		t.Error("true misses that were late leave the origin's limit as it was")
+	if h.router.origin.limit.value >= 5 {
+		t.Errorf("after late true misses: got an origin limit of %v, want less than 5", h.router.origin.limit.value)
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -10,55 +10,55 @@
 	"starlingwinch/internal/rendezvous"
 )
 
-// TestPlacementIsIndependentOfListOrder checks that routers agree however the list reached them.
+// TestPlacementIsIndependentOfListOrder checks that routers place keys alike whether the list arrives as one full update
+// or as one update per cache in another order.
 func TestPlacementIsIndependentOfListOrder(t *testing.T) {
-	es := fleet(9)
-	back := append([]Endpoint(nil), es...)
-	rand.New(rand.NewSource(1)).Shuffle(len(back), func(i, j int) { back[i], back[j] = back[j], back[i] })
-	a, b := newHarness(t, settings()), newHarness(t, settings())
-	a.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-	for _, e := range back {
-		b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
+	endpoints := fleet(9)
+	shuffled := append([]Endpoint(nil), endpoints...)
+	rand.New(rand.NewSource(1)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	first, second := newHarness(t, testSettings()), newHarness(t, testSettings())
+	first.feed(&EndpointList{Kind: FullUpdate, Endpoints: endpoints})
+	for _, e := range shuffled {
+		second.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: []Endpoint{e}})
 	}
 	for k := range uint64(300) {
-		x, y := a.request(int64(k), "read", k), b.request(int64(k), "read", k)
-		if x == nil || y == nil || x.Cache != y.Cache {
-			t.Fatalf("key %d: %v and %v", k, x, y)
+		sent, other := first.request(int64(k), "read", k), second.request(int64(k), "read", k)
+		if sent == nil || other == nil || sent.Cache != other.Cache {
+			t.Fatalf("key %d: got sends %v and %v, want the same cache", k, sent, other)
 		}
-		a.serve(int64(k), 0)
-		b.serve(int64(k), 0)
+		first.serve(int64(k), 0)
+		second.serve(int64(k), 0)
 	}
 }
 
-// TestNewPlacementAgreesWithRouter checks that a router sends each key to the cache that NewPlacement
-// names.
+// TestNewPlacementAgreesWithRouter checks that a router sends each key to the cache that NewPlacement returns.
 func TestNewPlacementAgreesWithRouter(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 9, nil)
-	var entries []Endpoint
-	for _, c := range b.r.serving {
-		entries = append(entries, c.Endpoint)
+	h := newHarnessWithoutHealthChecks(t, 9, nil)
+	var endpoints []Endpoint
+	for _, c := range h.router.serving {
+		endpoints = append(endpoints, c.Endpoint)
 	}
-	home := NewPlacement(entries)
+	preferred := NewPlacement(endpoints)
 	used := map[string]int{}
 	for id := range int64(200) {
 		key := mix(uint64(id))
-		s := b.request(id+1, "read", key)
+		s := h.request(id+1, "read", key)
 		if s == nil {
 			t.Fatalf("request %d was not sent", id+1)
 		}
-		if want := home(key); s.Cache != want {
-			t.Errorf("key %d went to %s, its first cache is %s", key, s.Cache, want)
+		if want := preferred(key); s.Cache != want {
+			t.Errorf("key %d was sent to %s, want %s", key, s.Cache, want)
 		}
 		used[s.Cache]++
-		b.serve(id+1, 0)
+		h.serve(id+1, 0)
 	}
 	if len(used) != 9 {
-		t.Errorf("%d of 9 caches were used", len(used))
+		t.Errorf("got requests at %d of 9 caches, want all", len(used))
 	}
 }
 
-// plainOrder ranks caches as rendezvous hashing is written down: a score for each, sorted.
-func plainOrder(caches []Endpoint, key uint64) []string {
+// plainRendezvousOrder ranks caches by textbook rendezvous hashing: it sorts them by a score for each.
+func plainRendezvousOrder(caches []Endpoint, key uint64) []string {
 	type scored struct {
 		id    string
 		score float64
@@ -67,14 +67,14 @@
 	for _, e := range caches {
 		all = append(all, scored{e.ID, -math.Log(unitInterval(mix(key^rendezvous.Hash(e.ID)))+1e-18) / e.Weight})
 	}
-	slices.SortFunc(all, func(a, b scored) int {
-		if a.score != b.score {
-			if a.score < b.score {
+	slices.SortFunc(all, func(x, y scored) int {
+		if x.score != y.score {
+			if x.score < y.score {
 				return -1
 			}
 			return 1
 		}
-		return strings.Compare(a.id, b.id)
+		return strings.Compare(x.id, y.id)
 	})
 	var ids []string
 	for _, s := range all {
@@ -83,67 +83,67 @@
 	return ids
 }
 
-// TestOrderIsThatOfPlainRendezvousHashing checks the order against the textbook form, at any size of fleet
-// and number of weights, and after caches have come, gone and changed their weight.
-func TestOrderIsThatOfPlainRendezvousHashing(t *testing.T) {
+// TestOrderMatchesPlainRendezvousHashing compares the order with that of textbook rendezvous hashing, for several sizes
+// of fleet and numbers of different weights, and after caches were added, removed or changed their weight.
+func TestOrderMatchesPlainRendezvousHashing(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	for _, c := range []struct{ n, sizes int }{{1, 1}, {3, 1}, {9, 1}, {14, 2}, {40, 3}, {40, 40}, {300, 1}, {300, 7}} {
-		s := settings()
+	for _, c := range []struct{ n, weights int }{{1, 1}, {3, 1}, {9, 1}, {14, 2}, {40, 3}, {40, 40}, {300, 1}, {300, 7}} {
+		s := testSettings()
 		s.AllowHealthChecks = false
-		b := newHarness(t, s)
-		es := sizedFleet(c.n, c.sizes)
-		b.feed(&EndpointList{Kind: FullUpdate, Endpoints: es})
-		var keys [50]uint64 // the same ones over all changes: what was remembered of them holds no more
+		h := newHarness(t, s)
+		endpoints := weightedFleet(c.n, c.weights)
+		h.feed(&EndpointList{Kind: FullUpdate, Endpoints: endpoints})
+		var keys [50]uint64 // the same keys after each change, which makes the orders cached for them invalid
 		for i := range keys {
 			keys[i] = rng.Uint64()
 		}
 		for change := range 4 {
-			up := slices.DeleteFunc(slices.Clone(es), func(e Endpoint) bool { return e.Status != Serving })
+			serving := slices.DeleteFunc(slices.Clone(endpoints), func(e Endpoint) bool { return e.Status != Serving })
 			for _, key := range keys {
-				want := plainOrder(up, key)
-				for range 2 { // worked out, and remembered
-					b.r.rankCaches(key)
-					for _, i := range rng.Perm(len(up)) {
-						if got := b.r.placement.ranked(i).ID; got != want[i] {
-							t.Fatalf("%+v, change %d: rank %d is %s, want %s", c, change, i, got, want[i])
+				want := plainRendezvousOrder(serving, key)
+				for range 2 { // computed, and then from the cached order
+					h.router.rankCaches(key)
+					for _, i := range rng.Perm(len(serving)) {
+						if got := h.router.placement.ranked(i).ID; got != want[i] {
+							t.Fatalf("%+v, change %d, rank %d: got %s, want %s", c, change, i, got, want[i])
 						}
 					}
 				}
 			}
-			i := rng.Intn(len(es))
-			es[i].Status = Status(rng.Intn(3))
-			j := rng.Intn(len(es))
-			es[j].Weight = 3.25
-			changed := []Endpoint{es[i]}
+			i := rng.Intn(len(endpoints))
+			endpoints[i].Status = Status(rng.Intn(3))
+			j := rng.Intn(len(endpoints))
+			endpoints[j].Weight = 3.25
+			changed := []Endpoint{endpoints[i]}
 			if j != i {
-				changed = append(changed, es[j])
+				changed = append(changed, endpoints[j])
 			}
-			b.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: changed})
-			es = slices.DeleteFunc(es, func(e Endpoint) bool { return e.Status == Removed })
-			if len(es) == 0 {
+			h.feed(&EndpointList{Kind: DeltaUpdate, Endpoints: changed})
+			endpoints = slices.DeleteFunc(endpoints, func(e Endpoint) bool { return e.Status == Removed })
+			if len(endpoints) == 0 {
 				break
 			}
 		}
 	}
 }
 
-// TestLowTrafficPrefersOwnZoneAmongReplicas checks that a hot key goes to a cache in the router's zone
-// first, and any other key to its first cache.
+// TestLowTrafficPrefersOwnZoneAmongReplicas checks that a hot key is sent to a replica in the router's zone first, and
+// any other key to its first-ranked cache.
 func TestLowTrafficPrefersOwnZoneAmongReplicas(t *testing.T) {
-	b := newZonedHarness(t, 90)
+	h := newZonedHarness(t, 90)
 	for key := range uint64(300) {
-		b.r.hotKeys.requests[0][key], b.r.hotKeys.total[0] = 30, 1000 // among 90 caches it goes to many
-		b.r.rankCaches(key)
-		if c := b.r.placement.ranked(0); c.Zone != "z1" {
-			t.Fatalf("key %d goes to %s in zone %s first", key, c.ID, c.Zone)
+		h.router.hotKeys.requests[0][key], h.router.hotKeys.total[0] = 30, 1000 // a hot key with many replicas among 90 caches
+		h.router.rankCaches(key)
+		if c := h.router.placement.ranked(0); c.Zone != "z1" {
+			t.Fatalf("hot key %d is sent to %s in zone %s first, want zone z1", key, c.ID, c.Zone)
 		}
 	}
-	// A key that goes to one cache goes to it, wherever it is.
-	b.r.hotKeys.requests, b.r.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
+	// A key with one replica is sent to its first-ranked cache in any zone.
+	h.router.hotKeys.requests, h.router.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
 	for key := range uint64(300) {
-		b.r.rankCaches(key)
-		if c, home := b.r.placement.ranked(0).ID, b.r.placement.order.Ranked(0).ID; c != home {
-			t.Fatalf("key %d goes to %s, not to its first cache %s", key, c, home)
+		h.router.rankCaches(key)
+		if c, preferred := h.router.placement.ranked(0).ID, h.router.placement.order.Ranked(0).ID; c != preferred {
+			t.Fatalf("key %d is sent to %s first, want %s", key, c, preferred)
 		}
 	}
 }
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -6,27 +6,29 @@
 	"testing"
 )
 
-// answerGrace is how long after the deadline an answer is still in time; µs.
+// answerGrace is the time after the deadline within which a final answer is not yet late; µs.
 const answerGrace = 20 * ms
 
-// ruleChecker checks each action of one router against the contract: no second run, no second answer, no request lost,
-// none to a cache that drains.
-type ruleChecker struct {
+// contractChecker checks each action of one router against the contract: a request that must not run twice is not sent or
+// rejected after it may have run, each request gets one final answer in time, and a draining cache gets no requests.
+type contractChecker struct {
 	t             *testing.T
-	set           Settings
+	settings      Settings
 	now           Time
-	reqs          map[int64]*checkedRequest
-	drainingSince map[string]Time // by cache: since when it is known to drain or be removed
-	known         map[string]Endpoint
+	requests      map[int64]*checkedRequest
+	drainingSince map[string]Time     // by cache: when the router was notified that the cache drains or is removed
+	known         map[string]Endpoint // every cache that was ever listed, by id
 }
 
+// checkedRequest is a request as the checker records it.
 type checkedRequest struct {
 	class    Class
 	deadline Time
-	done     bool
+	done     bool // it has its final answer or needs none
 	attempts []checkedAttempt
 }
 
+// checkedAttempt is an attempt as the checker records it.
 type checkedAttempt struct {
 	cache   Endpoint
 	sent    Time
@@ -34,76 +36,80 @@
 	result  Result
 }
 
-func (w *ruleChecker) check(acts []Action) {
-	t := w.t
+// check fails the test if an action breaks the contract.
+func (checker *contractChecker) check(actions []Action) {
+	t := checker.t
 	t.Helper()
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			q := w.reqs[a.ID]
+			q := checker.requests[a.ID]
 			if q == nil || q.done {
-				t.Fatalf("send for a request that is over: %v", a)
+				t.Fatalf("send of a request that was never received or has its final answer: %v", a)
 			}
-			if w.now >= q.deadline || len(q.attempts) >= w.set.MaxAttempts || a.AttemptDeadline <= w.now {
-				t.Fatalf("send after deadline or attempts: %v", a)
+			if checker.now >= q.deadline || len(q.attempts) >= checker.settings.MaxAttempts || a.AttemptDeadline <= checker.now {
+				t.Fatalf("send after the request's deadline, with an attempt deadline in the past or beyond MaxAttempts: %v", a)
 			}
-			to, ok := w.known[a.Cache]
+			to, ok := checker.known[a.Cache]
 			if !ok {
-				t.Fatalf("send to a cache never listed: %v", a)
+				t.Fatalf("send to a cache that was never listed: %v", a)
 			}
-			if since, ok := w.drainingSince[a.Cache]; ok && w.now > since+w.set.DrainGrace {
-				t.Fatalf("send to a draining or gone cache: %v", a)
+			if since, ok := checker.drainingSince[a.Cache]; ok && checker.now > since+checker.settings.DrainGrace {
+				t.Fatalf("send to a draining or removed cache after the drain grace: %v", a)
 			}
 			for _, p := range q.attempts {
-				if p.pending && !w.set.AllowHedging {
-					t.Fatalf("two pending at once: %v", a)
+				if p.pending && !checker.settings.AllowHedging {
+					t.Fatalf("second attempt in flight without AllowHedging: %v", a)
 				}
 				if q.class.Semantics == Idempotent || !p.pending && p.result.NeverRan() {
 					continue
 				}
-				if q.class.Semantics == NonIdempotent || w.now > p.sent+q.class.IdempotencyWindow ||
-					q.class.DeduplicationScope == DeduplicatedInZone && p.cache.Zone != to.Zone || q.class.DeduplicationScope == DeduplicatedInCell && p.cache.Cell != to.Cell {
-					t.Fatalf("%s could run twice: %v", q.class.Name, a)
+				if q.class.Semantics == NonIdempotent || checker.now > p.sent+q.class.IdempotencyWindow ||
+					q.class.DeduplicationScope == DeduplicatedInZone && p.cache.Zone != to.Zone ||
+					q.class.DeduplicationScope == DeduplicatedInCell && p.cache.Cell != to.Cell {
+					t.Fatalf("request of class %s could run twice: %v", q.class.Name, a)
 				}
 			}
-			q.attempts = append(q.attempts, checkedAttempt{cache: to, sent: w.now, pending: true})
+			q.attempts = append(q.attempts, checkedAttempt{cache: to, sent: checker.now, pending: true})
 		case Reject:
-			q := w.reqs[a.ID]
-			w.final(a.ID)
+			q := checker.requests[a.ID]
+			checker.final(a.ID)
 			for _, p := range q.attempts {
-				free := q.class.Semantics == Idempotent || q.class.Semantics == IdempotentByKey && q.class.DeduplicationScope == DeduplicatedEverywhere
-				if !free && (p.pending || !p.result.NeverRan()) {
-					t.Fatalf("%s rejected though it may have run", q.class.Name)
+				mayRunTwice := q.class.Semantics == Idempotent || q.class.Semantics == IdempotentByKey && q.class.DeduplicationScope == DeduplicatedEverywhere
+				if !mayRunTwice && (p.pending || !p.result.NeverRan()) {
+					t.Fatalf("request of class %s rejected after an attempt that may have run", q.class.Name)
 				}
 			}
 		case Fail:
-			w.final(a.ID)
+			checker.final(a.ID)
 		case Cancel:
-			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.attempts) || !w.set.AllowCancel {
-				t.Fatalf("cancel of an attempt never sent: %v", a)
+			if q := checker.requests[a.ID]; q == nil || a.Attempt >= len(q.attempts) || !checker.settings.AllowCancel {
+				t.Fatalf("cancel of an attempt that was never sent, or without AllowCancel: %v", a)
 			}
 		case HealthCheck:
-			if _, ok := w.known[a.Cache]; !ok || !w.set.AllowHealthChecks {
-				t.Fatalf("health check of %v", a)
+			if _, ok := checker.known[a.Cache]; !ok || !checker.settings.AllowHealthChecks {
+				t.Fatalf("health check of a cache that was never listed, or without AllowHealthChecks: %v", a)
 			}
 		}
 	}
 }
 
-func (w *ruleChecker) final(id int64) {
-	w.t.Helper()
-	q := w.reqs[id]
+// final records the final answer of a request and fails the test if it is late or a second one.
+func (checker *contractChecker) final(id int64) {
+	checker.t.Helper()
+	q := checker.requests[id]
 	if q == nil || q.done {
-		w.t.Fatalf("request %d: a second final answer", id)
+		checker.t.Fatalf("request %d: final answer to a request that was never received or already has one", id)
 	}
-	if w.now > q.deadline+answerGrace && len(q.attempts) > 0 {
-		w.t.Fatalf("request %d answered late", id)
+	if checker.now > q.deadline+answerGrace && len(q.attempts) > 0 {
+		checker.t.Fatalf("request %d: late final answer", id)
 	}
 	q.done = true
 }
 
+// randomSettings returns random valid settings.
 func randomSettings(rng *rand.Rand) Settings {
-	s := settings()
+	s := testSettings()
 	s.MaxAttempts = 1 + rng.Intn(5)
 	s.AllowHedging, s.AllowCancel, s.WatchRequired = rng.Intn(2) == 0, rng.Intn(3) > 0, rng.Intn(2) == 0
 	s.AllowHealthChecks = rng.Intn(4) > 0
@@ -113,7 +119,7 @@
 	if rng.Intn(2) == 0 {
 		return s
 	}
-	// Another customer's: what is legal, whatever it is.
+	// Any other valid settings.
 	s.Routers = []int{0, 1, 3, maxRoutersWithUsualTraffic, maxRoutersWithUsualTraffic + 1, 100, 300}[rng.Intn(7)]
 	s.DrainGrace = Time(100+rng.Intn(2000)) * ms
 	s.HealthCheckCost, s.ConnectionCost, s.DialCost = rng.Float64()/10, rng.Float64()/10, rng.Float64()/10
@@ -130,77 +136,79 @@
 	return s
 }
 
-// play feeds a random stream of events drawn from seed and returns all actions.
-func play(t *testing.T, seed int64, steps int) []Action { return playNamed(t, seed, steps, "") }
+// runRandomEvents feeds random events drawn from the seed to a router, checks each action and returns all of them.
+func runRandomEvents(t *testing.T, seed int64, steps int) []Action {
+	return runRandomEventsWithPrefix(t, seed, steps, "")
+}
 
-// playNamed is play where each class and tenant has another name, which begins so.
-func playNamed(t *testing.T, seed int64, steps int, prefix string) []Action {
+// runRandomEventsWithPrefix is runRandomEvents with a prefix to the names of all classes and tenants.
+func runRandomEventsWithPrefix(t *testing.T, seed int64, steps int, prefix string) []Action {
 	rng := rand.New(rand.NewSource(seed))
 	s := randomSettings(rng)
 	for i := range s.Classes {
 		s.Classes[i].Name = prefix + s.Classes[i].Name
 	}
-	b := newHarness(t, s)
-	w := &ruleChecker{t: t, set: s, reqs: map[int64]*checkedRequest{}, drainingSince: map[string]Time{}, known: map[string]Endpoint{}}
+	h := newHarness(t, s)
+	checker := &contractChecker{t: t, settings: s, requests: map[int64]*checkedRequest{}, drainingSince: map[string]Time{}, known: map[string]Endpoint{}}
 	classes := map[string]Class{}
 	for _, c := range s.Classes {
 		classes[c.Name] = c
 	}
-	names := []string{"read", "read", "read", "all", "zone", "cell", "once", "unheard-of"}
+	classNames := []string{"read", "read", "read", "all", "zone", "cell", "once", "unknown"}
 	var all []Action
 	feed := func(ev Event) {
-		w.now = b.now
-		acts := b.feed(ev)
-		w.check(acts)
-		all = append(all, acts...)
+		checker.now = h.now
+		actions := h.feed(ev)
+		checker.check(actions)
+		all = append(all, actions...)
 	}
-	list := func(kind UpdateKind, es []Endpoint) {
+	list := func(kind UpdateKind, endpoints []Endpoint) {
 		if kind != DeltaUpdate {
-			for id := range w.known {
-				if _, ok := w.drainingSince[id]; !ok {
-					w.drainingSince[id] = b.now
+			for id := range checker.known {
+				if _, ok := checker.drainingSince[id]; !ok {
+					checker.drainingSince[id] = h.now
 				}
 			}
 		}
-		for _, e := range es {
+		for _, e := range endpoints {
 			if e.Status == Serving {
-				delete(w.drainingSince, e.ID)
-			} else if _, ok := w.drainingSince[e.ID]; !ok {
-				w.drainingSince[e.ID] = b.now
+				delete(checker.drainingSince, e.ID)
+			} else if _, ok := checker.drainingSince[e.ID]; !ok {
+				checker.drainingSince[e.ID] = h.now
 			}
-			w.known[e.ID] = e
+			checker.known[e.ID] = e
 		}
-		feed(&EndpointList{Kind: kind, Endpoints: es})
+		feed(&EndpointList{Kind: kind, Endpoints: endpoints})
 	}
 	list(StaleUpdate, fleet(rng.Intn(8)))
 	for id := int64(1); id < int64(steps); id++ {
-		end := b.now + Time(rng.Intn(20*ms))
+		end := h.now + Time(rng.Intn(20*ms))
 		for {
 			k := -1
-			for i, tm := range b.timers {
-				if tm.At <= end && (k < 0 || tm.At < b.timers[k].At) {
+			for i, tm := range h.timers {
+				if tm.At <= end && (k < 0 || tm.At < h.timers[k].At) {
 					k = i
 				}
 			}
 			if k < 0 {
 				break
 			}
-			tm := b.timers[k]
-			b.timers = append(b.timers[:k], b.timers[k+1:]...)
-			b.now = max(b.now, tm.At)
+			tm := h.timers[k]
+			h.timers = append(h.timers[:k], h.timers[k+1:]...)
+			h.now = max(h.now, tm.At)
 			feed(&Timer{tm.Token})
 		}
-		b.now = end
+		h.now = end
 		switch x := rng.Intn(100); {
 		case x < 50:
-			name := prefix + names[rng.Intn(len(names))]
-			q := &checkedRequest{class: classes[name], deadline: b.now + Time(rng.Intn(900*ms)) - 20*ms}
-			w.reqs[id] = q
+			name := prefix + classNames[rng.Intn(len(classNames))]
+			q := &checkedRequest{class: classes[name], deadline: h.now + Time(rng.Intn(900*ms)) - 20*ms}
+			checker.requests[id] = q
 			feed(&Request{ID: id, Class: name, Tenant: prefix + []string{"x", "y", ""}[rng.Intn(3)], Key: uint64(rng.Intn(40)),
 				HasKey: rng.Intn(9) > 0, Deadline: q.deadline, Cost: Time(rng.Intn(60 * ms))})
 		case x < 53:
 			gone := id - 1 - int64(rng.Intn(20))
-			if q := w.reqs[gone]; q != nil {
+			if q := checker.requests[gone]; q != nil {
 				q.done = true
 			}
 			feed(&ClientGone{ID: gone})
@@ -208,7 +216,7 @@
 			e := fleet(10)[rng.Intn(10)]
 			e.Status = Status(rng.Intn(3))
 			if rng.Intn(2) == 0 {
-				e.Status, e.StartedAt = Serving, b.now-Time(rng.Intn(12000*ms))
+				e.Status, e.StartedAt = Serving, h.now-Time(rng.Intn(12000*ms))
 			}
 			list(DeltaUpdate, []Endpoint{e})
 		case x < 59:
@@ -218,21 +226,21 @@
 		case x < 66:
 			feed(&HealthCheckResult{Cache: fleet(10)[rng.Intn(10)].ID, Result: Result(rng.Intn(6)), Load: LoadReport{Utilization: rng.Float64()}})
 		default:
-			endTry(rng, b, w, id, feed)
+			endRandomAttempt(rng, h, checker, id, feed)
 		}
 	}
-	for id, q := range w.reqs {
-		if !q.done && b.now > q.deadline+answerGrace {
-			t.Fatalf("seed %d: request %d lost", seed, id)
+	for id, q := range checker.requests {
+		if !q.done && h.now > q.deadline+answerGrace {
+			t.Fatalf("seed %d: request %d has no final answer after its deadline", seed, id)
 		}
 	}
 	return all
 }
 
-// endTry ends a pending attempt of a recent request.
-func endTry(rng *rand.Rand, b *harness, w *ruleChecker, id int64, feed func(Event)) {
+// endRandomAttempt ends a pending attempt of a recent request with a random result.
+func endRandomAttempt(rng *rand.Rand, h *harness, checker *contractChecker, id int64, feed func(Event)) {
 	for back := int64(1); back < 60 && back < id; back++ {
-		q := w.reqs[id-back]
+		q := checker.requests[id-back]
 		if q == nil {
 			continue
 		}
@@ -246,35 +254,34 @@
 			}
 			q.attempts[i].pending, q.attempts[i].result = false, res
 			q.done = q.done || res == Served
-			feed(&AttemptResult{ID: id - back, Attempt: i, Result: res, Elapsed: b.now - q.attempts[i].sent, Last: q.done,
+			feed(&AttemptResult{ID: id - back, Attempt: i, Result: res, Elapsed: h.now - q.attempts[i].sent, Last: q.done,
 				Load: LoadReport{Utilization: rng.Float64()*2 - 1}})
 			return
 		}
 	}
 }
 
-// TestRandomEventsKeepTheRules plays random events and checks each action.
+// TestRandomEventsKeepTheRules checks each action of routers that get random events against the contract.
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range int64(150) {
-		play(t, seed, 1500)
+		runRandomEvents(t, seed, 1500)
 	}
 }
 
-// TestEqualEventsGiveEqualActions plays the same events twice.
+// TestEqualEventsGiveEqualActions checks that two routers with equal seeds and events return equal actions.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range int64(10) {
-		if !reflect.DeepEqual(play(t, seed, 1000), play(t, seed, 1000)) {
-			t.Fatalf("seed %d: two runs differ", seed)
+		if !reflect.DeepEqual(runRandomEvents(t, seed, 1000), runRandomEvents(t, seed, 1000)) {
+			t.Fatalf("seed %d: two runs with the same events returned different actions", seed)
 		}
 	}
 }
 
-// TestNamesOfClassesAndTenantsChangeNothing checks that no rule depends on what classes and tenants are
-// called.
+// TestNamesOfClassesAndTenantsChangeNothing checks that no rule depends on the names of classes and tenants.
 func TestNamesOfClassesAndTenantsChangeNothing(t *testing.T) {
 	for seed := range int64(40) {
-		if !reflect.DeepEqual(play(t, seed, 800), playNamed(t, seed, 800, "kiln-")) {
-			t.Fatalf("seed %d: other names, other actions", seed)
+		if !reflect.DeepEqual(runRandomEvents(t, seed, 800), runRandomEventsWithPrefix(t, seed, 800, "other-")) {
+			t.Fatalf("seed %d: other names of classes and tenants changed the actions", seed)
 		}
 	}
 }
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -5,62 +5,65 @@
 	"testing"
 )
 
-// TestRequestWithoutCachesIsAnsweredOnce checks that a request gets one final answer before any list, and
-// with an empty one.
+// TestRequestWithoutCachesIsAnsweredOnce checks that a request gets one final answer before the first endpoint list,
+// and with an empty list.
 func TestRequestWithoutCachesIsAnsweredOnce(t *testing.T) {
-	b := newHarness(t, settings())
-	if b.feed(&Request{ID: 1, Class: "once", Deadline: b.now + 100*ms}); finalAnswers(b.acts)+finalAnswers(b.advance(longAfterDeadline)) != 1 {
-		t.Fatal("before any list: want one final answer")
+	h := newHarness(t, testSettings())
+	if h.feed(&Request{ID: 1, Class: "once", Deadline: h.now + 100*ms}); countFinalAnswers(h.actions)+
+		countFinalAnswers(h.advance(longAfterDeadline)) != 1 {
+		t.Fatal("before the first list: the request did not get exactly one final answer")
 	}
-	b.feed(&EndpointList{Kind: FullUpdate})
-	if b.feed(&Request{ID: 2, Class: "read", Deadline: b.now + 100*ms}); finalAnswers(b.acts)+finalAnswers(b.advance(longAfterDeadline)) != 1 {
-		t.Fatal("empty fleet: want one final answer")
+	h.feed(&EndpointList{Kind: FullUpdate})
+	if h.feed(&Request{ID: 2, Class: "read", Deadline: h.now + 100*ms}); countFinalAnswers(h.actions)+
+		countFinalAnswers(h.advance(longAfterDeadline)) != 1 {
+		t.Fatal("empty list: the request did not get exactly one final answer")
 	}
 }
 
+// longAfterDeadline is a span after which every deadline in these tests has passed; µs.
 const longAfterDeadline = 1000 * ms
 
-// TestRequestPastItsDeadlineIsAnsweredAtOnce checks that a request that arrives after its deadline is
-// answered and not sent.
+// TestRequestPastItsDeadlineIsAnsweredAtOnce checks that a request that arrives after its deadline gets its final
+// answer immediately and is not sent.
 func TestRequestPastItsDeadlineIsAnsweredAtOnce(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
-	b.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: b.now - 1})
-	if finalAnswers(b.acts) != 1 || len(sends(b.acts)) != 0 {
-		t.Fatalf("want one final answer and nothing sent, got %v", b.acts)
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
+	h.feed(&Request{ID: 1, Class: "read", Key: 1, HasKey: true, Deadline: h.now - 1})
+	if countFinalAnswers(h.actions) != 1 || len(sends(h.actions)) != 0 {
+		t.Fatalf("got %v, want one final answer and no Send", h.actions)
 	}
 }
 
-// TestAttemptResultAtDeadlineIsNoFinalAnswer checks that a result at the deadline that is not the last one
-// is followed by a final answer, once.
+// TestAttemptResultAtDeadlineIsNoFinalAnswer checks that an attempt result without Last at the deadline is followed by
+// exactly one final answer.
 func TestAttemptResultAtDeadlineIsNoFinalAnswer(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
-	b.request(1, "once", 1)
-	b.now += 800 * ms
-	b.feed(&AttemptResult{ID: 1, Result: TimedOut})
-	if finalAnswers(b.acts) != 1 || !slices.Contains(b.acts, Action(Fail{ID: 1, Reason: DeadlineExceeded})) {
-		t.Fatalf("got %v", b.acts)
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
+	h.request(1, "once", 1)
+	h.now += 800 * ms
+	h.feed(&AttemptResult{ID: 1, Result: TimedOut})
+	if countFinalAnswers(h.actions) != 1 || !slices.Contains(h.actions, Action(Fail{ID: 1, Reason: DeadlineExceeded})) {
+		t.Fatalf("got %v, want one final answer, a Fail with reason %q", h.actions, DeadlineExceeded)
 	}
-	if acts := b.advance(longAfterDeadline); finalAnswers(acts) != 0 {
-		t.Fatalf("answered twice: %v", acts)
+	if actions := h.advance(longAfterDeadline); countFinalAnswers(actions) != 0 {
+		t.Fatalf("got a second final answer: %v", actions)
 	}
 }
 
-// TestRequestsWithoutKeySpreadOverCaches checks that requests without a key reach all caches.
+// TestRequestsWithoutKeySpreadOverCaches checks that requests without a key are spread over all caches.
 func TestRequestsWithoutKeySpreadOverCaches(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	used := map[string]bool{}
 	for id := range int64(60) {
-		s := sends(b.feed(&Request{ID: id + 1, Class: "read", Deadline: b.now + 800*ms}))
+		s := sends(h.feed(&Request{ID: id + 1, Class: "read", Deadline: h.now + 800*ms}))
 		if len(s) != 1 || s[0].ID != id+1 {
-			t.Fatalf("got %v", b.acts)
+			t.Fatalf("request %d: got %v, want one Send", id+1, h.actions)
 		}
 		used[s[0].Cache] = true
-		b.serve(id+1, 0)
+		h.serve(id+1, 0)
 	}
 	if len(used) != 3 {
-		t.Fatalf("keyless requests reach %v", used)
+		t.Fatalf("requests without a key were sent to %v, want all three caches", used)
 	}
 }
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -4,14 +4,15 @@
 	"testing"
 )
 
-// TestRouterIgnoresUnknownEvents checks that events about what a router does not know do nothing.
+// TestRouterIgnoresUnknownEvents checks that events for unknown requests, timers and caches, and messages of other
+// routers, cause no actions.
 func TestRouterIgnoresUnknownEvents(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
 	for _, ev := range []Event{&AttemptResult{ID: 9}, &AttemptResult{ID: 9, Attempt: -1}, &ClientGone{ID: 9}, &Timer{Token: 99999},
-		&HealthCheckResult{Cache: "nobody"}, &ResponseStarted{ID: 9}, &PeerMessage{From: 3, Data: "x"}} {
-		if acts := b.feed(ev); len(acts) != 0 {
-			t.Errorf("%T: %v", ev, acts)
+		&HealthCheckResult{Cache: "unlisted"}, &ResponseStarted{ID: 9}, &PeerMessage{From: 3, Data: "x"}} {
+		if actions := h.feed(ev); len(actions) != 0 {
+			t.Errorf("%T: got actions %v, want none", ev, actions)
 		}
 	}
 }
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -4,82 +4,82 @@
 	"testing"
 )
 
-// TestUnhealthyCacheIsSkippedThenUsedAsFallback checks that an unhealthy cache gets requests only where all
-// are unhealthy.
+// TestUnhealthyCacheIsSkippedThenUsedAsFallback checks that an unhealthy cache gets requests only if all caches are
+// unhealthy.
 func TestUnhealthyCacheIsSkippedThenUsedAsFallback(t *testing.T) {
-	b := newHarness(t, settings())
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(6)})
-	b.r.hotKeys.total[1] = 1000 // so that the key is not a hot one
-	home := b.request(1, "read", 42).Cache
-	b.serve(1, 0)
-	b.r.caches[home].health.healthy = false
-	if s := b.request(2, "read", 42); s == nil || s.Cache == home {
-		t.Fatalf("unhealthy cache not skipped: %v", s)
+	h := newHarness(t, testSettings())
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(6)})
+	h.router.hotKeys.total[1] = 1000 // so that the key does not count as hot
+	preferred := h.request(1, "read", 42).Cache
+	h.serve(1, 0)
+	h.router.caches[preferred].health.healthy = false
+	if s := h.request(2, "read", 42); s == nil || s.Cache == preferred {
+		t.Fatalf("one unhealthy cache: got %v, want another cache", s)
 	}
-	b.serve(2, 0)
-	for _, c := range b.r.caches {
+	h.serve(2, 0)
+	for _, c := range h.router.caches {
 		c.health.healthy = false
 	}
-	if s := b.request(3, "read", 42); s == nil || s.Cache != home {
-		t.Fatalf("with all unhealthy the first pick is used anyway: %v", s)
+	if s := h.request(3, "read", 42); s == nil || s.Cache != preferred {
+		t.Fatalf("all caches unhealthy: got %v, want %s", s, preferred)
 	}
 }
 
-// TestOverflowNeedsIdleOriginOrRetryBudget checks when a request may go past caches at their limits: its
-// key misses elsewhere and loads the origin.
+// TestOverflowNeedsIdleOriginOrRetryBudget checks that a request overflows from a cache at its limit only with a token
+// of the retry budget or while the origin is idle, as its key misses at other caches and loads the origin.
 func TestOverflowNeedsIdleOriginOrRetryBudget(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 4, nil)
-	home := b.request(1, "read", 42).Cache
-	b.serve(1, 0)
-	b.r.caches[home].limit.value = 0.2
-	b.r.retryBudget.tokens = 5
-	if s := b.request(2, "read", 42); s == nil || s.Cache == home {
-		t.Fatalf("no overflow with budget: %v", s)
+	h := newHarnessWithoutHealthChecks(t, 4, nil)
+	preferred := h.request(1, "read", 42).Cache
+	h.serve(1, 0)
+	h.router.caches[preferred].limit.value = 0.2
+	h.router.retryBudget.tokens = 5
+	if s := h.request(2, "read", 42); s == nil || s.Cache == preferred {
+		t.Fatalf("with retry budget: got %v, want another cache", s)
 	}
-	b.r.retryBudget.tokens = 0
-	for _, c := range b.r.caches {
+	h.router.retryBudget.tokens = 0
+	for _, c := range h.router.caches {
 		c.cachedKeys = [2]map[uint64]bool{{}, {}}
 	}
-	b.r.origin.limit.value, b.r.origin.inFlight = 9, 5 // over half used: the origin is not idle
-	if s := b.request(3, "read", 42); s != nil {
-		t.Fatalf("overflow without budget: %v", s)
+	h.router.origin.limit.value, h.router.origin.inFlight = 9, 5 // more than half of the limit in use: the origin is not idle
+	if s := h.request(3, "read", 42); s != nil {
+		t.Fatalf("without retry budget: got %v, want no Send", s)
 	}
-	b.r.origin.inFlight = 0
-	if s := b.request(4, "read", 42); s == nil {
-		t.Fatal("no overflow though the origin idles")
+	h.router.origin.inFlight = 0
+	if s := h.request(4, "read", 42); s == nil {
+		t.Fatal("idle origin: the request was not sent")
 	}
 }
 
-// TestUnhealthyCacheDoesNotCountAsOverloaded checks that the keys of an unhealthy cache go elsewhere
-// whatever the retry budget.
+// TestUnhealthyCacheDoesNotCountAsOverloaded checks that requests for the keys of an unhealthy cache are sent to other
+// caches even without retry budget.
 func TestUnhealthyCacheDoesNotCountAsOverloaded(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 4, nil)
-	home := b.request(1, "read", 42).Cache
-	b.serve(1, 0)
-	c := b.r.caches[home]
-	c.health.healthy, c.limit.value, c.sent.updatedAt = false, minConcurrency, b.now
-	b.r.retryBudget.tokens, b.r.origin.limit.value, b.r.origin.inFlight = 0, 9, 5
-	if s := b.request(2, "read", 42); s == nil || s.Cache == home {
+	h := newHarnessWithoutHealthChecks(t, 4, nil)
+	preferred := h.request(1, "read", 42).Cache
+	h.serve(1, 0)
+	c := h.router.caches[preferred]
+	c.health.healthy, c.limit.value, c.sent.updatedAt = false, minConcurrency, h.now
+	h.router.retryBudget.tokens, h.router.origin.limit.value, h.router.origin.inFlight = 0, 9, 5
+	if s := h.request(2, "read", 42); s == nil || s.Cache == preferred {
 		t.Fatalf("got %v, want another cache", s)
 	}
 }
 
-// TestConnectionBrokenAtOnceIsRetriedAtSameCache checks that a request whose connection breaks at once
-// tries the same cache again, once and without a token: elsewhere it would miss.
+// TestConnectionBrokenAtOnceIsRetriedAtSameCache checks that a request whose connection breaks immediately is retried at
+// the same cache, once and without a token of the retry budget. At another cache, the key would miss.
 func TestConnectionBrokenAtOnceIsRetriedAtSameCache(t *testing.T) {
-	b := newHarnessWithoutHealthChecks(t, 4, nil)
-	b.r.retryBudget.tokens = 0
-	first := b.request(1, "read", 9)
-	again := sends(b.end(1, 0, ConnectionLost, false))
-	if len(again) != 1 || again[0].Cache != first.Cache {
-		t.Fatalf("sent to %s, then %v", first.Cache, again)
+	h := newHarnessWithoutHealthChecks(t, 4, nil)
+	h.router.retryBudget.tokens = 0
+	first := h.request(1, "read", 9)
+	retries := sends(h.endAttempt(1, 0, ConnectionLost, false))
+	if len(retries) != 1 || retries[0].Cache != first.Cache {
+		t.Fatalf("second attempt: got %v, want one Send to %s", retries, first.Cache)
 	}
-	other := sends(b.end(1, 1, ConnectionLost, false))
-	if len(other) != 1 || other[0].Cache == first.Cache {
-		t.Errorf("the third attempt: %v", other)
+	retries = sends(h.endAttempt(1, 1, ConnectionLost, false))
+	if len(retries) != 1 || retries[0].Cache == first.Cache {
+		t.Errorf("third attempt: got %v, want one Send to another cache than %s", retries, first.Cache)
 	}
-	b.request(2, "once", 9)
-	if got := sends(b.end(2, 0, ConnectionLost, false)); len(got) != 0 {
-		t.Errorf("an unsafe request that may have run is sent again: %v", got)
+	h.request(2, "once", 9)
+	if got := sends(h.endAttempt(2, 0, ConnectionLost, false)); len(got) != 0 {
+		t.Errorf("non-idempotent request that may have run: got %v, want no Send", got)
 	}
 }
--- a/decide/timers_test.go
+++ b/decide/timers_test.go
@@ -4,24 +4,24 @@
 	"testing"
 )
 
-// TestRequestTimersAreCancelledAtItsEnd checks that the timers of a request are taken back when it is over:
-// thousands a second would hold their records otherwise.
+// TestRequestTimersAreCancelledAtItsEnd checks that the timers of a request are cancelled with its final answer.
+// Otherwise, the timers of thousands of requests per second would hold the records of these requests.
 func TestRequestTimersAreCancelledAtItsEnd(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.AllowHealthChecks = false
-	b := newHarness(t, s)
-	b.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
-	before := len(b.timers)
+	h := newHarness(t, s)
+	h.feed(&EndpointList{Kind: FullUpdate, Endpoints: fleet(3)})
+	before := len(h.timers)
 	for id := range int64(8) {
-		b.request(id+1, "read", uint64(id))
+		h.request(id+1, "read", uint64(id))
 	}
-	if len(b.timers) <= before {
-		t.Fatal("no request has set a timer")
+	if len(h.timers) <= before {
+		t.Fatal("the requests set no timers")
 	}
 	for id := range int64(8) {
-		b.serve(id+1, 0)
+		h.serve(id+1, 0)
 	}
-	if got := len(b.timers); got != before || len(b.r.timers.pending) != before {
-		t.Errorf("%d timers are set (%d in the module), %d before", got, len(b.r.timers.pending), before)
+	if got := len(h.timers); got != before || len(h.router.timers.pending) != before {
+		t.Errorf("got %d timers set (%d in the router) after all requests were served, want the %d of before", got, len(h.router.timers.pending), before)
 	}
 }
--- a/decide/zone_latency_test.go
+++ b/decide/zone_latency_test.go
@@ -4,59 +4,59 @@
 	"testing"
 )
 
-// TestDistantZoneIsLeftOutForAWhile checks that a zone whose answers always come too late gets no requests
-// until the estimate expires.
-func TestDistantZoneIsLeftOutForAWhile(t *testing.T) {
-	b := newZonedHarness(t, 30)
+// TestDistantZoneIsSkippedUntilEstimateExpires checks that a zone whose answers are always late gets no requests until
+// the latency estimate of the zone expires.
+func TestDistantZoneIsSkippedUntilEstimateExpires(t *testing.T) {
+	h := newZonedHarness(t, 30)
 	id := int64(0)
-	goesTo := func(took Time) string {
-		b.r.hotKeys.requests, b.r.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
-		b.r.timeliness.attempts, b.r.failover.tokens = 0, 0
-		for _, c := range b.r.caches {
+	zoneOfRequest := func(latency Time) string {
+		h.router.hotKeys.requests, h.router.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
+		h.router.timeliness.attempts, h.router.failover.tokens = 0, 0
+		for _, c := range h.router.caches {
 			c.outlier.ejectedUntil = 0
 		}
 		id++
-		s := b.request(id, "read", b.keyOf("c00", uint64(id)*1000)) // its home is in z0
+		s := h.request(id, "read", h.keyRankedFirstAt("c00", uint64(id)*1000)) // the cache of the key is in zone z0
 		if s == nil {
 			t.Fatalf("request %d was not sent", id)
 		}
-		b.advance(took)
-		b.serve(id, 0)
-		return b.r.caches[s.Cache].Zone
+		h.advance(latency)
+		h.serve(id, 0)
+		return h.router.caches[s.Cache].Zone
 	}
-	patience := b.r.classes["read"].responseTimeout()
-	if z := goesTo(patience - ms); z != "z0" {
-		t.Fatalf("before anything is known it goes to zone %s", z)
+	responseTimeout := h.router.classes["read"].responseTimeout()
+	if z := zoneOfRequest(responseTimeout - ms); z != "z0" {
+		t.Fatalf("before the first answer: the request was sent to zone %s, want z0", z)
 	}
-	if z := goesTo(patience * 2); z != "z0" {
-		t.Fatalf("after an answer in time it goes to zone %s", z)
+	if z := zoneOfRequest(responseTimeout * 2); z != "z0" {
+		t.Fatalf("after an answer in time: the request was sent to zone %s, want z0", z)
 	}
-	b.advance(b.r.settings.SlowStartWindow) // what is known is too old
-	b.r.zones["z0"].latency.min = 0
-	if z := goesTo(patience + ms); z != "z0" {
-		t.Fatalf("zone z0 is not tried: it goes to zone %s", z)
+	h.advance(h.router.settings.SlowStartWindow) // the estimate expires
+	h.router.zones["z0"].latency.min = 0
+	if z := zoneOfRequest(responseTimeout + ms); z != "z0" {
+		t.Fatalf("without an estimate: the request was sent to zone %s, want z0", z)
 	}
-	if z := goesTo(ms); z != "z1" {
-		t.Fatalf("after answers that are late whatever there is to do it goes to zone %s", z)
+	if z := zoneOfRequest(ms); z != "z1" {
+		t.Fatalf("after a late answer without a faster one: the request was sent to zone %s, want z1", z)
 	}
-	b.advance(b.r.settings.SlowStartWindow)
-	if z := goesTo(ms); z != "z0" {
-		t.Fatalf("it is not tried again: it goes to zone %s", z)
+	h.advance(h.router.settings.SlowStartWindow)
+	if z := zoneOfRequest(ms); z != "z0" {
+		t.Fatalf("after the estimate expired: the request was sent to zone %s, want z0", z)
 	}
-	if z := goesTo(ms); z != "z0" {
-		t.Fatalf("it answers in time again, and it goes to zone %s", z)
+	if z := zoneOfRequest(ms); z != "z0" {
+		t.Fatalf("after another answer in time: the request was sent to zone %s, want z0", z)
 	}
 }
 
-// TestDistantZoneIsUsedAsFallback checks that a distant zone is used where the own one is unreachable.
+// TestDistantZoneIsUsedAsFallback checks that requests are sent to a distant zone if the router's own zone is unreachable.
 func TestDistantZoneIsUsedAsFallback(t *testing.T) {
-	b := newZonedHarness(t, 30)
-	for name, z := range b.r.zones {
-		if z.latency.min, z.latency.validUntil = 1e9, b.now+1e6; name == "z1" {
-			z.failedConnections, z.trialAt = maxFailedConnections, b.now+1e6
+	h := newZonedHarness(t, 30)
+	for name, z := range h.router.zones {
+		if z.latency.min, z.latency.validUntil = 1e9, h.now+1e6; name == "z1" {
+			z.failedConnections, z.trialAt = maxFailedConnections, h.now+1e6
 		}
 	}
-	if s := b.request(1, "read", 42); s == nil {
-		t.Error("with its own zone cut off, and the others far, a request is not sent")
+	if s := h.request(1, "read", 42); s == nil {
+		t.Error("own zone unreachable, other zones distant: the request was not sent")
 	}
 }
