--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -7,20 +7,21 @@
 	"starlingwinch/internal/eventlog"
 )
 
-// maxRetainedEvents bounds the capacity of pendingEvents that is retained between two calls of ProcessEvents.
+// maxRetainedEvents is the largest capacity that pendingEvents retains between two calls of ProcessEvents.
 const maxRetainedEvents = 1024
 
-// queueEvent queues an event for the module. ProcessEvents delivers it.
+// queueEvent queues an event for the decision module. ProcessEvents delivers it.
 func (r *Router) queueEvent(event decide.Event) { r.pendingEvents = append(r.pendingEvents, event) }
 
-// queueRequestEvent queues an event that ends an attempt or a request, and keeps the request's record until the module has
-// received it. Otherwise the module could ask for one more attempt in between, whose result would never come.
+// queueRequestEvent queues an event that ends an attempt or a request, and retains the request's record until the module has
+// received the event. Without the record, an attempt that the module starts before then would never get a result.
 func (r *Router) queueRequestEvent(q *request, event decide.Event) {
 	q.undeliveredEvents++
 	r.queueEvent(event)
 }
 
-// requestEventDelivered notes that the module has received an event of queueRequestEvent.
+// requestEventDelivered records that the module has received an event that queueRequestEvent queued, and releases the request
+// if nothing else retains it.
 func (r *Router) requestEventDelivered(id int64) {
 	if q := r.requests[id]; q != nil {
 		q.undeliveredEvents--
@@ -28,12 +29,12 @@
 	}
 }
 
-// ProcessEvents delivers the pending events to the module, in order, and carries out its actions. Whoever queues events calls
-// it in the same turn, once its own state is consistent. It implements the method of this name of frontend.Handler,
-// upstream.Owner and endpointsource.Owner.
+// ProcessEvents implements frontend.Handler, upstream.Owner and endpointsource.Owner: it delivers the pending events to the
+// module, in order, and carries out the module's actions. Code that queues events calls ProcessEvents in the same turn, once its
+// own state is consistent.
 func (r *Router) ProcessEvents() {
 	if r.dispatching {
-		return // the call that is under way delivers what its actions have queued
+		return // the running call also delivers the events that its actions queue
 	}
 	if r.isStopped() {
 		r.pendingEvents = r.pendingEvents[:0]
@@ -43,7 +44,7 @@
 		r.pool.LendDescriptors(r.lendableDescriptors - r.frontend.Connections())
 	}
 	r.dispatching = true
-	for i := 0; i < len(r.pendingEvents); i++ { // actions append to it
+	for i := 0; i < len(r.pendingEvents); i++ { // actions may append events
 		event := r.pendingEvents[i]
 		r.pendingEvents[i] = nil
 		r.deliver(event)
@@ -55,7 +56,8 @@
 	r.dispatching = false
 }
 
-// deliver hands the module one event, carries out its actions, and does what follows from the module's knowing of it.
+// deliver passes one event to the module, carries out the resulting actions, and then runs the steps that require the module to
+// have received the event.
 func (r *Router) deliver(event decide.Event) {
 	for _, action := range r.module.Handle(r.m.Now(), event) {
 		r.perform(action)
@@ -73,7 +75,7 @@
 	}
 }
 
-// perform carries out one action of the module.
+// perform carries out one action that the module returned.
 func (r *Router) perform(action decide.Action) {
 	switch a := action.(type) {
 	case decide.Send:
@@ -99,19 +101,19 @@
 	}
 }
 
-// rejectRequest carries out a Reject.
+// rejectRequest carries out a Reject action.
 func (r *Router) rejectRequest(action decide.Reject) {
 	q := r.requests[action.ID]
 	if q == nil {
 		return
 	}
-	q.connectionLost = false // it ends for want of capacity, whatever broke before
-	r.finishRequest(q, r.rejection(q, action.RetryAfter).because(eventlog.RequestRejected, action.Reason))
+	q.connectionLost = false // the request ends for lack of capacity, even if a connection was lost earlier
+	r.finishRequest(q, r.rejection(q, action.RetryAfter).withModuleReason(eventlog.RequestRejected, action.Reason))
 }
 
-// failRequest carries out a Fail.
+// failRequest carries out a Fail action.
 func (r *Router) failRequest(action decide.Fail) {
 	if q := r.requests[action.ID]; q != nil {
-		r.finishRequest(q, failure.because(eventlog.RequestFailed, action.Reason))
+		r.finishRequest(q, failure.withModuleReason(eventlog.RequestFailed, action.Reason))
 	}
 }
--- a/internal/router/aperture.go
+++ b/internal/router/aperture.go
@@ -10,21 +10,21 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// endpointSubset restricts a fleet that has more caches than the router has descriptors to the part that its aperture
-// covers. Without it, nearly every request would open a connection.
+// endpointSubset restricts the endpoint list to the caches that the router's aperture covers, for a fleet with more caches than
+// the router has descriptors. Without this restriction, nearly every request would open a connection.
 type endpointSubset struct {
 	aperture *aperture.Aperture
-	all      map[string]subsetEntry // the whole list, by name
+	all      map[string]subsetEntry // the complete endpoint list, by name
 }
 
-// subsetEntry is an endpoint of the whole list.
+// subsetEntry is an endpoint of the complete list, with its address.
 type subsetEntry struct {
 	entry   decide.Endpoint
 	address string
 }
 
-// newEndpointSubset returns a subset for so many connections; nil where the router's number among its peers is not known or
-// its descriptors are enough for any fleet.
+// newEndpointSubset returns a subset for the given number of connections. It returns nil if the router's number among its peers
+// is unknown or its descriptors are enough for a fleet of any size.
 func newEndpointSubset(cfg *Config, connections int) *endpointSubset {
 	covered, err := aperture.New(cfg.RouterNumber, cfg.RouterCount, connections)
 	if err != nil {
@@ -33,14 +33,14 @@
 	return &endpointSubset{aperture: covered, all: map[string]subsetEntry{}}
 }
 
-// restrict takes in a change of the whole list, and returns the change of the part that the aperture covers.
+// restrict applies a change to the complete list, and returns the resulting change to the caches that the aperture covers.
 func (s *endpointSubset) restrict(list endpoints.Publish, logger *slog.Logger) endpoints.Publish {
 	for i, e := range list.Endpoints {
-		s.update(e, list.Addresses[i])
+		s.updateEntry(e, list.Addresses[i])
 	}
 	before := *s.aperture
 	if s.aperture.Resize(len(s.all)) {
-		return s.afterResize(list, &before, logger)
+		return s.changeAfterResize(list, &before, logger)
 	}
 	if s.aperture.CoversAll() {
 		return list
@@ -55,8 +55,8 @@
 	return restricted
 }
 
-// update takes one endpoint into the whole list. A drain may come without an address.
-func (s *endpointSubset) update(e decide.Endpoint, address string) {
+// updateEntry updates one endpoint of the complete list. An update that drains a cache may omit the address.
+func (s *endpointSubset) updateEntry(e decide.Endpoint, address string) {
 	if e.Status == decide.Removed {
 		delete(s.all, e.ID)
 		return
@@ -67,12 +67,12 @@
 	s.all[e.ID] = subsetEntry{e, address}
 }
 
-// subsetChange is a change of the covered part, in two halves: removals and drains come first.
+// subsetChange is a change to the covered caches. Removals and drains (leaving) are published before serving endpoints.
 type subsetChange struct {
 	leaving, serving []subsetEntry
 }
 
-// add adds an endpoint to its half of the change.
+// add adds an endpoint to serving or leaving, according to its status.
 func (c *subsetChange) add(e decide.Endpoint, address string) {
 	if e.Status == decide.Serving {
 		c.serving = append(c.serving, subsetEntry{e, address})
@@ -81,14 +81,15 @@
 	}
 }
 
-// remove adds the removal of an endpoint.
+// remove adds the removal of an endpoint to leaving.
 func (c *subsetChange) remove(id string) {
 	c.leaving = append(c.leaving, subsetEntry{entry: decide.Endpoint{ID: id, Status: decide.Removed}})
 }
 
-// afterResize returns the change that a resized aperture makes of a change of the whole list: endpoints that it covers no
-// more are removed, those that it covers now are added, beside those that have changed themselves.
-func (s *endpointSubset) afterResize(list endpoints.Publish, before *aperture.Aperture, logger *slog.Logger) endpoints.Publish {
+// changeAfterResize returns the change to the covered caches when a change to the complete list has resized the aperture. The
+// result removes endpoints that are no longer covered, adds endpoints that are newly covered, and includes the covered endpoints
+// of the list change itself.
+func (s *endpointSubset) changeAfterResize(list endpoints.Publish, before *aperture.Aperture, logger *slog.Logger) endpoints.Publish {
 	var change subsetChange
 	inList := map[string]bool{}
 	for i, e := range list.Endpoints {
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -7,20 +7,20 @@
 	"starlingwinch/internal/upstream"
 )
 
-// attempt is one sending of a request to one cache. It implements upstream.Request.
+// attempt is one attempt to serve a request at one cache. It implements upstream.Request.
 type attempt struct {
 	upstream.Attempt
 	router  *Router
 	request *request
-	target  guard.Cache          // the cache as it was listed when the attempt began
+	target  guard.Cache          // the cache as listed when the attempt began
 	result  decide.AttemptResult // the event that the module receives
 }
 
 // Encode implements upstream.Request.
 func (a *attempt) Encode(b []byte, wait Time) []byte { return a.request.command.Encode(b, wait) }
 
-// MaySend implements upstream.Request. The client's connection is checked again, as one turn may bring both what lets a request
-// go out and, behind it, the end of its client.
+// MaySend implements upstream.Request. It checks the client's connection again because, in a single turn, the client may
+// disconnect after the event that allows the request to be sent.
 func (a *attempt) MaySend(now Time) bool {
 	q := a.request
 	isOver := q.finished || q.slot.ClientGone()
@@ -41,21 +41,21 @@
 // NonIdempotent implements upstream.Request.
 func (a *attempt) NonIdempotent() bool { return a.request.command.NonIdempotent }
 
-// startAttempt carries out a Send. An attempt that can't begin, as its cache or its client has gone, gets a result all the
-// same.
+// startAttempt carries out a Send action. An attempt that cannot begin, because its cache was removed or its client has
+// disconnected, still gets a result.
 func (r *Router) startAttempt(action decide.Send) {
 	q := r.requests[action.ID]
 	if q == nil {
-		return // the contract has reported it and makes up a result
+		return // the contract has reported the unknown request and synthesizes a result
 	}
 	a := r.newAttempt(q, action)
 	q.attempts = append(q.attempts, a)
 	if !q.finished {
-		q.attemptsOut++
+		q.attemptsInFlight++
 		if r.pool.Start(action.Cache, &a.Attempt) {
 			return
 		}
-		q.attemptsOut--
+		q.attemptsInFlight--
 	}
 	a.Discard()
 	r.queueRequestEvent(q, &decide.AttemptResult{
@@ -67,7 +67,7 @@
 	})
 }
 
-// newAttempt makes the record of a request's next attempt.
+// newAttempt returns the record of a request's next attempt.
 func (r *Router) newAttempt(q *request, action decide.Send) *attempt {
 	now := r.m.Now()
 	a := &q.firstAttempt
@@ -94,7 +94,7 @@
 	return a
 }
 
-// cancelAttempt carries out a Cancel.
+// cancelAttempt carries out a Cancel action.
 func (r *Router) cancelAttempt(action decide.Cancel) {
 	q := r.requests[action.ID]
 	if q != nil && action.Attempt < len(q.attempts) {
@@ -102,7 +102,8 @@
 	}
 }
 
-// startHealthCheck carries out a HealthCheck. A router that waits for its address checks no cache.
+// startHealthCheck carries out a HealthCheck action. While the router waits for its address, it sends no health checks and
+// reports each as not sent.
 func (r *Router) startHealthCheck(cache string) {
 	now := r.m.Now()
 	check := &upstream.Attempt{SentAt: now, Deadline: now + r.cfg.OperatorLimits.Caches.HealthCheckTimeout.Microseconds()}
@@ -111,8 +112,8 @@
 	}
 }
 
-// AttemptEnded implements upstream.Owner: an attempt or a health check has its result. The first value that arrives is the
-// final answer of its request.
+// AttemptEnded implements upstream.Owner: it handles the result of an attempt or a health check. The first value that arrives is
+// the final answer to its request.
 func (r *Router) AttemptEnded(ended *upstream.Attempt, result decide.Result, reply *resp.Reply) {
 	elapsed := r.m.Now() - ended.SentAt
 	load := decide.UnknownLoad
@@ -127,7 +128,7 @@
 	q := a.request
 	q.guard.AttemptEnded(ended.Number, result)
 	r.logAttemptEnded(q, ended, result, elapsed)
-	q.attemptsOut--
+	q.attemptsInFlight--
 	q.connectionLost = q.connectionLost || result == decide.ConnectionLost
 	r.recordAttempt(result)
 	event := &a.result
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -23,20 +23,20 @@
 	"starlingwinch/internal/snapshotstore"
 )
 
-// Config is the configuration of a router: the platform's file, read by ParseConfig, and the operators' files.
+// Config is the configuration of a router. It combines the platform's file, which ParseConfig reads, with the operators' files.
 type Config struct {
 	Name         string
 	Listen       string   // address for clients
 	Discovery    string   // address of the discovery service
-	Seed         uint64   // of the random draws; 0 for one of the machine's
-	RouterNumber int      // the router's number among its peers, from 0; below 0 where it is not known
-	RouterCount  int      // routers of the cluster; 0 where the router's number is not known
+	Seed         uint64   // of the random number generators; 0 takes a seed from the machine's entropy source
+	RouterNumber int      // the router's index among its peers, from 0; negative if unknown
+	RouterCount  int      // number of routers in the cluster; 0 if RouterNumber is unknown
 	PeerListen   string   // address for gossip; empty for none
-	PeerAddrs    []string // gossip addresses of all routers of the cluster, this one's included
-	Digest       uint32   // of the settings, which are the same for all routers of the cluster
+	PeerAddrs    []string // gossip addresses of all routers of the cluster, including this router
+	Digest       uint32   // digest of the settings, which are the same for all routers of the cluster
 	Build        uint32   // digest of the program's version
 	Limits       Limits
-	LastKnown    discovery.List // the endpoint list as last known; may be old
+	LastKnown    discovery.List // the last known endpoint list; may be outdated
 	Settings     decide.Settings
 	Transport    settings.Transport
 
@@ -50,27 +50,27 @@
 	Events         eventlog.Config
 	Gossip         gossip.OperatorConfig
 
-	// Wrap puts something between the contract and the decision module; nil for nothing. It is there for
-	// tests that plant a defect.
+	// Wrap, if not nil, returns the module that the contract calls in place of the decision module. Tests use it to plant a
+	// defect.
 	Wrap func(guard.Module) guard.Module
-	// GuardObserveOnly has the guard count what is not allowed and prevent none of it. It is there for the same tests.
+	// GuardObserveOnly makes the guard count violations without preventing them. It serves the same tests.
 	GuardObserveOnly bool
 }
 
-// Limits are those of the router's machine.
+// Limits are the resource limits of the machine that the router runs on.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Defaults for what the configuration leaves out, in microseconds.
+// Defaults for settings that the configuration omits, in microseconds.
 const (
 	defaultDialTimeout = 250_000
 	defaultKeepalive   = 15_000_000
 )
 
-// configDocument is the platform's file as it is written.
+// configDocument is the JSON document in the platform's file.
 type configDocument struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -83,8 +83,8 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// ParseConfig reads the platform's file. The operators' files are left at their defaults. The error names the field that is
-// wrong.
+// ParseConfig parses the platform's file, and sets the configuration of the operators' files to its defaults. The error names the
+// invalid field.
 func ParseConfig(raw []byte) (*Config, error) {
 	document, err := decodeConfig(raw)
 	if err != nil {
@@ -142,12 +142,12 @@
 	}
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return document, fmt.Errorf("%s: a %s stands where %s is wanted", wrongType.Field, wrongType.Value, wrongType.Type.Kind())
+		return document, fmt.Errorf("%s: got a JSON %s, want %s", wrongType.Field, wrongType.Value, wrongType.Type.Kind())
 	}
 	return document, fmt.Errorf("not JSON: %w", err)
 }
 
-// checkAddresses names the first address that is not valid.
+// checkAddresses returns an error that names the first invalid address.
 func (c *Config) checkAddresses() error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -158,21 +158,21 @@
 	return nil
 }
 
-// parseSeed reads a seed; an empty text is 0.
+// parseSeed parses a hexadecimal seed. An empty text gives 0.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", text)
+		return 0, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", text)
 	}
 	return seed, nil
 }
 
-// check names the first limit that is out of range. 0 stands for the default.
+// check returns an error that names the first limit that is out of range. 0 selects the default.
 func (l Limits) check() error {
-	isCoresValid := l.Cores >= 0 && l.Cores <= settings.MaxCores // false also where it is not a number
+	isCoresValid := l.Cores >= 0 && l.Cores <= settings.MaxCores // false for NaN
 	switch {
 	case !isCoresValid:
 		return errors.New("limits.cores: out of range")
@@ -184,7 +184,8 @@
 	return nil
 }
 
-// checkTransport refuses times that would overflow into negative ones: every dial would fail, or every connection be closed.
+// checkTransport returns an error for durations that would overflow to negative values, with which every dial would fail or every
+// connection would be closed.
 func checkTransport(t settings.Transport) error {
 	if t.DialTimeout > settings.MaxTime {
 		return errors.New("settings.limits.dialTimeout: out of range")
@@ -195,7 +196,7 @@
 	return nil
 }
 
-// setDefaults fills in what the platform's file leaves out.
+// setDefaults sets the defaults for the transport settings and limits that the platform's file omits.
 func (c *Config) setDefaults() {
 	if c.Transport.DialTimeout <= 0 {
 		c.Transport.DialTimeout = defaultDialTimeout
@@ -211,7 +212,7 @@
 	}
 }
 
-// digestOf returns a digest of a part of the configuration.
+// digestOf returns the 32-bit FNV-1a hash of a part of the configuration.
 func digestOf(raw []byte) uint32 {
 	digest := fnv.New32a()
 	digest.Write(raw)
--- a/internal/router/endpoint_list.go
+++ b/internal/router/endpoint_list.go
@@ -8,12 +8,11 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// maxEndpointsPerTurn is how many endpoints of a list the loop applies in one turn, so that a large list does not hold up
+// maxEndpointsPerTurn is the number of endpoints of a list that the loop applies in one turn, so that a large list does not delay
 // requests.
 const maxEndpointsPerTurn = 500
 
-// Publish implements endpointsource.Owner: it applies what has changed in the merged endpoint list, removals and drains
-// first.
+// Publish implements endpointsource.Owner: it applies a change to the merged endpoint list. Removals and drains come first in it.
 func (r *Router) Publish(list endpoints.Publish) {
 	if r.subset != nil {
 		list = r.subset.restrict(list, r.logger)
@@ -24,7 +23,8 @@
 	}
 }
 
-// applyNextPiece applies the next piece of the oldest pending list, and leaves the rest to later turns.
+// applyNextPiece applies the next maxEndpointsPerTurn endpoints of the oldest pending list, and schedules the remaining ones for
+// later turns.
 func (r *Router) applyNextPiece() {
 	list := &r.pendingLists[0]
 	piece := *list
@@ -48,15 +48,15 @@
 	r.applyList(piece)
 }
 
-// applyList hands a list, or a piece of one, to the module and to the pool.
+// applyList applies a list, or a piece of one, to the module and the connection pool.
 func (r *Router) applyList(list endpoints.Publish) {
 	listedStarts := make([]Time, len(list.Endpoints))
 	for i := range list.Endpoints {
 		listedStarts[i] = list.Endpoints[i].StartedAt
 		r.convertStart(&list.Endpoints[i])
 	}
-	// The event is queued before the pool ends attempts: the module would otherwise receive their results first, and send
-	// them to the same cache again.
+	// The event is queued before the pool ends attempts. Otherwise the module would receive the results of these attempts first
+	// and retry at the same cache.
 	r.queueEvent(&decide.EndpointList{Kind: list.Kind, Endpoints: list.Endpoints})
 	wasServing := r.hasServingEndpoint()
 	for i, entry := range list.Endpoints {
@@ -72,7 +72,7 @@
 	}
 }
 
-// removeEndpoint takes a cache out of the list.
+// removeEndpoint removes a cache from the list and the pool.
 func (r *Router) removeEndpoint(id string) {
 	e := r.endpoints[id]
 	if e == nil {
@@ -82,7 +82,7 @@
 	r.pool.Update(id, e.address, false, true)
 }
 
-// updateEndpoint adds a cache to the list, or changes it there. A drain may come without an address.
+// updateEndpoint adds a cache to the list, or updates its entry. An update that drains a cache may omit the address.
 func (r *Router) updateEndpoint(entry decide.Endpoint, listedStart Time, address string) {
 	e := r.endpoints[entry.ID]
 	if e == nil {
@@ -99,9 +99,9 @@
 	r.pool.Update(entry.ID, e.address, entry.Status == decide.Serving, false)
 }
 
-// convertStart puts the start of a cache, which the list gives by the system's clock, on the loop's clock. It converts each
-// start once: when the system's clock steps, a start that is converted again would make a warm cache look as if it had just
-// started, or the other way round.
+// convertStart converts a cache's start time from the system clock, which the list uses, to the loop's clock. It converts each
+// start time only once: if the system clock stepped in between, a second conversion could make a warm cache look newly started,
+// or a newly started cache look warm.
 func (r *Router) convertStart(entry *decide.Endpoint) {
 	listedStart := entry.StartedAt
 	if listedStart <= 0 {
@@ -114,11 +114,11 @@
 	entry.StartedAt = max(1, r.m.Now()-r.age(listedStart))
 }
 
-// age returns how long ago something started that the list dates by another machine's clock.
+// age returns the time since a start that the list gives by another machine's clock.
 //
-// Two clocks of this machine may agree with that one: the system's as it is now, and the system's as it was when this process
-// began. Either may be wrong by a step. The smaller age counts, so that a cache that has just started is never taken for a
-// warm one, unless it is negative: nothing has started in the future.
+// Two clocks of this machine may agree with the other machine's clock: the current system clock, and the system clock as of the
+// start of this process, which the loop's clock continues. Either may be wrong by a clock step. The smaller age counts, so that a
+// newly started cache is never mistaken for a warm one. A negative age is ignored, because no start lies in the future.
 func (r *Router) age(start Time) Time {
 	bySystemClock, byProcessClock := r.m.Wall()-start, r.m.Now()-start
 	smaller, larger := min(bySystemClock, byProcessClock), max(bySystemClock, byProcessClock)
@@ -128,14 +128,13 @@
 	return max(0, larger)
 }
 
-// DiscoveryAnswered implements endpointsource.Owner: the module learns that discovery answers also where nothing has
-// changed.
+// DiscoveryAnswered implements endpointsource.Owner: it notifies the module that discovery has answered, even without a change.
 func (r *Router) DiscoveryAnswered() {
 	r.queueEvent(&decide.EndpointList{Kind: decide.DeltaUpdate})
 	r.resumeWhenCurrent()
 }
 
-// DiscoveryFailed implements endpointsource.Owner: the module says when to watch again.
+// DiscoveryFailed implements endpointsource.Owner: it notifies the module, which decides when to watch again.
 func (r *Router) DiscoveryFailed(err error) {
 	r.queueEvent(&decide.EndpointList{Kind: decide.FailedUpdate, Rejected: errors.Is(err, discovery.ErrOverloaded)})
 }
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -10,19 +10,19 @@
 	"starlingwinch/internal/upstream"
 )
 
-// Reasons of requests that end without the decision module.
+// Reasons that the event log gives for requests that end without a decision of the module.
 const (
-	reasonOpenRequests = "open requests" // there were as many as the settings allow
-	reasonFairShare    = "fair share"    // its client is beyond its share in a retry storm
-	reasonDuplicateID  = "duplicate id"  // its client gave it the name of one that is open
-	reasonHook         = "hook"          // a hook's verdict
-	reasonDrainOver    = "drain over"    // a drain came to its end before it was answered
+	reasonOpenRequests = "open requests" // the number of open requests has reached the limit in the settings
+	reasonFairShare    = "fair share"    // the client exceeds its fair share during a retry storm
+	reasonDuplicateID  = "duplicate id"  // the client sent the id of a request that is still open
+	reasonHook         = "hook"          // verdict of a hook
+	reasonDrainOver    = "drain over"    // the drain ended before the request was answered
 )
 
-// previousAttemptOut is the reason of a retry whose attempt before is still out: a hedged request.
-const previousAttemptOut = "out"
+// previousAttemptInFlight is the reason of a retry while the previous attempt is still in flight: a hedged request.
+const previousAttemptInFlight = "out"
 
-// logAttemptEnded logs an attempt that brought no value.
+// logAttemptEnded logs an attempt that ended without a value.
 func (r *Router) logAttemptEnded(q *request, a *upstream.Attempt, result decide.Result, elapsed Time) {
 	if result == decide.Served {
 		return
@@ -36,9 +36,9 @@
 		slog.Int("attempt", a.Number), slog.String("cache", a.Cache()), slog.Int64("took_us", elapsed))
 }
 
-// logRetry logs a further attempt of a request, with the result of the one before.
+// logRetry logs a retry of a request, with the result of the previous attempt as the reason.
 func (r *Router) logRetry(q *request, cache string) {
-	reason := previousAttemptOut
+	reason := previousAttemptInFlight
 	if previous := q.attempts[len(q.attempts)-1]; previous.Ended() {
 		reason = guard.ResultName(previous.result.Result)
 	}
@@ -50,12 +50,12 @@
 		slog.Int("attempt", len(q.attempts)), slog.String("cache", cache))
 }
 
-// RequestRejected implements frontend.Handler: it logs a request that the frontend has refused itself.
+// RequestRejected implements frontend.Handler: it logs a request that the frontend rejected.
 func (r *Router) RequestRejected(reason frontend.RejectReason, clientID string) {
 	r.logNotAccepted(eventlog.RequestRejected, string(reason), clientID)
 }
 
-// logNotAccepted logs a request that ends before it has a record.
+// logNotAccepted logs a request that ended before the router created its record.
 func (r *Router) logNotAccepted(event eventlog.Event, reason, clientID string) {
 	if !r.events.Enabled() {
 		r.events.Count(event, reason)
@@ -73,13 +73,13 @@
 	r.events.Add(event, reason, slog.Int64("request", q.id), slog.String("id", q.clientID), slog.Int("attempts", len(q.attempts)))
 }
 
-// logStartProgress logs how far the start has come, and how long it took up to there.
+// logStartProgress logs a step of the router's start, with the time since Start was called.
 func (r *Router) logStartProgress(reason string, fields ...slog.Attr) {
 	fields = append(fields, slog.Int64("after_us", r.m.Now()-r.startedAt))
 	r.events.Add(eventlog.StartProgress, reason, fields...)
 }
 
-// DiscoveryCallEnded implements endpointsource.Owner: it logs the result of a call of discovery.
+// DiscoveryCallEnded implements endpointsource.Owner: it logs the result of a call to discovery.
 func (r *Router) DiscoveryCallEnded(result string, version int64, caches int) {
 	r.events.Add(eventlog.DiscoveryCallEnded, result, slog.Int64("version", version), slog.Int("caches", caches))
 }
--- a/internal/router/gossip.go
+++ b/internal/router/gossip.go
@@ -11,16 +11,17 @@
 	"starlingwinch/internal/machine"
 )
 
-// gossipMember is this router as a member of the routers' gossip, and the router count that it derives from the others.
+// gossipMember is this router's membership in the gossip between the routers of the cluster, with the router count that is
+// derived from the members.
 type gossipMember struct {
 	transport        *transport.Transport
 	divisor          gossip.Divisor
-	dividesByMembers bool        // operators have the router count follow the members
-	routerCount      int         // the count that the module has
-	info             gossip.Info // what the others are sent about this router
+	dividesByMembers bool        // the router count follows the members, as operators have configured
+	routerCount      int         // the count that the module last received
+	info             gossip.Info // published to the other members
 }
 
-// joinGossip joins the gossip where operators have switched it on. beginServing calls it.
+// joinGossip joins the gossip if operators have enabled it.
 func (r *Router) joinGossip() error {
 	options := &r.cfg.Gossip
 	if !options.Enabled {
@@ -49,8 +50,9 @@
 	return r.startGossip(member, cfg, false)
 }
 
-// startGossip opens the gossip address, and tries again later while the process before still has it: the router serves
-// meanwhile as without gossip. isRetry is false for the first try. The error is one that waiting doesn't help.
+// startGossip opens the gossip address. While the predecessor process still holds the address, startGossip schedules a retry, and
+// the router serves without gossip. isRetry is false for the first try. startGossip returns only errors that waiting cannot
+// resolve.
 func (r *Router) startGossip(member *gossipMember, cfg gossip.Config, isRetry bool) (err error) {
 	member.transport, err = transport.Start(r.m, r.cfg.PeerListen, cfg, r.updateRouterCount)
 	if machine.IsTransientListenError(err) {
@@ -71,24 +73,25 @@
 	return nil
 }
 
-// retryGossip tries again to open the gossip address, each addressRetryInterval until it can be had or the router drains.
+// retryGossip retries opening the gossip address. It runs once per addressRetryInterval until the address is available or the
+// router drains.
 func (r *Router) retryGossip(member *gossipMember, cfg gossip.Config) {
 	if r.isEnding() {
 		return
 	}
-	cfg.Peers = r.cfg.peers() // a reload may have changed them
+	cfg.Peers = r.cfg.peers() // a reload may have changed the peers
 	if err := r.startGossip(member, cfg, true); err != nil {
 		r.logger.Error("gossip not started", "cause", err)
 	}
 }
 
-// peers returns the addresses of the other routers.
+// peers returns the gossip addresses of the other routers.
 func (c *Config) peers() []string {
 	return slices.DeleteFunc(slices.Clone(c.PeerAddrs), func(addr string) bool { return addr == c.PeerListen })
 }
 
-// updateRouterCount hands the module the number of routers among which common limits are divided, where it has changed. The
-// transport calls it when the members change, and the periodic check when a hold time may be over.
+// updateRouterCount notifies the module if the number of routers among which shared limits are divided has changed. The transport
+// calls updateRouterCount when the members change, and the periodic check calls it because a hold time may have expired.
 func (r *Router) updateRouterCount() {
 	if r.gossip == nil || !r.gossip.dividesByMembers || r.isStopped() {
 		return
@@ -102,7 +105,7 @@
 	r.ProcessEvents()
 }
 
-// publishListVersion sends the others the version and digest of the endpoint list that the module has.
+// publishListVersion publishes the version and digest of the router's endpoint list to the other members.
 func (r *Router) publishListVersion(version int64) {
 	if r.gossip == nil {
 		return
@@ -116,9 +119,9 @@
 	}
 }
 
-// listDigest returns a digest of the endpoint list; routers with the same list have the same digest.
+// listDigest returns a digest of the names and statuses in the endpoint list. Routers with the same list have the same digest.
 func (r *Router) listDigest() (sum uint32) {
-	for id, e := range r.endpoints { // any order: a sum
+	for id, e := range r.endpoints { // in any order, since addition is commutative
 		digest := fnv.New32a()
 		digest.Write([]byte(id))
 		digest.Write([]byte{byte(e.entry.Status)})
@@ -127,7 +130,7 @@
 	return sum
 }
 
-// Gossip returns the router's view of the others; nil where it takes no part in gossip.
+// Gossip returns the router's view of the gossip members, or nil if the router has not joined the gossip.
 func (r *Router) Gossip() *gossip.View {
 	if r.gossip == nil {
 		return nil
--- a/internal/router/hooks.go
+++ b/internal/router/hooks.go
@@ -11,17 +11,17 @@
 	"starlingwinch/internal/plugin/worker"
 )
 
-// What hooks take of the machine's limits. Each worker has two descriptors, and while a set of hooks is loaded, it stands
-// beside the one before.
+// Resources of the machine that hooks use. Each worker has two descriptors, and while a new set of hooks loads, the workers of
+// the previous set still run.
 const (
 	descriptorsPerHook = 4
 	hookSetsInMemory   = 2
-	minMemoryMB        = 16 // that hooks leave to the router
+	minMemoryMB        = 16 // that must remain for the router
 )
 
 const bytesPerMB = 1 << 20
 
-// hooksMB returns the memory that hooks may take, in MiB, rounded up.
+// hooksMB returns the memory that hooks may use, in MiB, rounded up.
 func hooksMB(c hooks.Config) int64 {
 	bytes := int64(0)
 	for _, h := range c.Hooks {
@@ -30,7 +30,8 @@
 	return (bytes*hookSetsInMemory + bytesPerMB - 1) / bytesPerMB
 }
 
-// Without returns the limits less what the hooks may use. The error says that too little is left for the router.
+// Without returns the limits minus the resources that the hooks may use. It returns an error if too little remains for the
+// router.
 func (l Limits) Without(c hooks.Config) (Limits, error) {
 	if len(c.Hooks) == 0 {
 		return l, nil
@@ -38,18 +39,18 @@
 	needed := hooksMB(c)
 	l.MemoryMB -= needed
 	if l.MemoryMB < minMemoryMB {
-		return l, fmt.Errorf("hooks: they may take %d MB while a set loads, which leaves %d MB of memory_mb (wanted at least %d)",
+		return l, fmt.Errorf("hooks: up to %d MB used while a set loads, which leaves %d MB of memory_mb (wanted at least %d)",
 			needed, l.MemoryMB, minMemoryMB)
 	}
 	l.Sockets -= descriptorsPerHook * len(c.Hooks)
 	if l.Sockets < minSockets {
-		return l, fmt.Errorf("hooks: their workers leave %d descriptors of sockets (wanted at least %d)", l.Sockets, minSockets)
+		return l, fmt.Errorf("hooks: workers leave %d descriptors of sockets (wanted at least %d)", l.Sockets, minSockets)
 	}
 	return l, nil
 }
 
-// limitsBeforeHooks returns the limits of the machine, before Without has taken off what the hooks may use. Another set of hooks
-// leaves them as they are.
+// limitsBeforeHooks returns the limits of the machine before Without subtracted the resources of the hooks. The result does not
+// depend on the set of hooks.
 func (c *Config) limitsBeforeHooks() Limits {
 	l := c.Limits
 	l.MemoryMB += hooksMB(c.Hooks)
@@ -57,8 +58,8 @@
 	return l
 }
 
-// reloadHooks loads a new set of hooks. The one before stays where the new one needs more memory than the limits were
-// reduced by at the start, or is not valid.
+// reloadHooks loads a new set of hooks. The previous set remains active if the new set is invalid or needs more memory than was
+// reserved for hooks at the start.
 func (r *Router) reloadHooks(c hooks.Config) {
 	if len(c.Hooks) == 0 && r.hooks.Idle() {
 		return
@@ -73,11 +74,11 @@
 	}
 }
 
-// Hooks returns the status of each hook, in the order in which they are consulted.
+// Hooks returns the status of each hook, in the order in which the hooks are called.
 func (r *Router) Hooks() []policy.HookStatus { return r.hooks.Status() }
 
-// consultHooks has the hooks look at a request before the module gets it. It reports whether the request waits for them:
-// applyVerdict goes on with it then.
+// consultHooks passes a request to the hooks before the module receives it. It reports whether the request waits for a verdict;
+// if so, applyVerdict continues with the request.
 func (r *Router) consultHooks(q *request) bool {
 	if r.hooks.Idle() {
 		return false
@@ -99,7 +100,8 @@
 	return q.awaitingHooks
 }
 
-// applyVerdict goes on with a request as the hooks say. One that they end never reaches the module, and was never sent.
+// applyVerdict continues with a request according to the verdict of the hooks. A request that the hooks reject or fail never
+// reaches the module, and is never sent to a cache.
 func (r *Router) applyVerdict(q *request, v hooks.Verdict) {
 	q.awaitingHooks = false
 	if q.finished {
@@ -107,9 +109,9 @@
 	}
 	switch v.Decision {
 	case plugin.Reject:
-		r.finishRequest(q, completion{reply: frontend.AppendBusy(nil, v.RetryAfter), outcome: plugin.OutcomeRejected}.logged(reasonHook))
+		r.finishRequest(q, completion{reply: frontend.AppendBusy(nil, v.RetryAfter), outcome: plugin.OutcomeRejected}.withReason(reasonHook))
 	case plugin.Fail:
-		r.finishRequest(q, completion{reply: frontend.AppendFailed(nil, v.Text), outcome: plugin.OutcomeFailed}.logged(reasonHook))
+		r.finishRequest(q, completion{reply: frontend.AppendFailed(nil, v.Text), outcome: plugin.OutcomeFailed}.withReason(reasonHook))
 	default:
 		if v.Tenant != "" {
 			q.command.Tenant = v.Tenant
@@ -118,7 +120,7 @@
 	}
 }
 
-// notifyHooksOfAnswer shows the hooks a final answer.
+// notifyHooksOfAnswer notifies the hooks of a request's final answer.
 func (r *Router) notifyHooksOfAnswer(q *request, outcome plugin.Outcome) {
 	if r.hooks.Idle() {
 		return
@@ -134,13 +136,13 @@
 	})
 }
 
-// notifyHooksOfList shows the hooks how many caches there are, and how many of them take requests.
+// notifyHooksOfList notifies the hooks of the number of listed caches and of serving caches.
 func (r *Router) notifyHooksOfList() {
 	if r.hooks == nil || r.hooks.Idle() {
 		return
 	}
 	serving := 0
-	for _, e := range r.endpoints { // any order: they are only counted
+	for _, e := range r.endpoints { // in any order, since the entries are only counted
 		if e.entry.Status == decide.Serving {
 			serving++
 		}
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -14,69 +14,70 @@
 	"starlingwinch/internal/machine"
 )
 
-// Bounds of the lifecycle, in microseconds.
+// Durations and limits of the lifecycle, in microseconds.
 const (
-	addressRetryInterval = 10_000    // between two tries to take an address that another process holds
-	addressLogInterval   = 1_000_000 // between two lines about it
-	predecessorKillDelay = 700_000   // from the longest request deadline of a drain until the platform's SIGKILL, at the earliest
+	addressRetryInterval = 10_000    // between two tries to listen on an address that another process holds
+	addressLogInterval   = 1_000_000 // between two log lines about such an address
+	predecessorKillDelay = 700_000   // minimum time from the longest request deadline of a drain to the platform's SIGKILL
 
-	drainAcceptGrace  = 500_000   // new connections may still come for so long after SIGTERM
-	drainAnswerMargin = 50_000    // before the drain's deadline, by which the deadlines of requests end
-	drainFinalMargin  = 25_000    // before the drain's deadline, when requests that are still open are answered
-	maxDrainTimeout   = 3_000_000 // of the longest client timeout, the part that a drain waits for
-	drainSlack        = 650_000   // beyond that, until the drain's deadline: SIGKILL may follow 50 ms later
+	drainAcceptGrace  = 500_000   // for which new connections are accepted after SIGTERM
+	drainAnswerMargin = 50_000    // between the latest request deadline and the drain's deadline
+	drainFinalMargin  = 25_000    // between the answers to requests that are still open and the drain's deadline
+	maxDrainTimeout   = 3_000_000 // the part of the longest client timeout that a drain waits for
+	drainSlack        = 650_000   // added to that wait for the drain's deadline; SIGKILL may follow 50 ms after the deadline
 )
 
-// maxOverflowRetryAfter bounds the retry-after time of a client that is rejected as there is no descriptor for it, in
-// microseconds.
+// maxOverflowRetryAfter is the longest retry-after time, in microseconds, for a client that is rejected because the router has no
+// descriptor left.
 const maxOverflowRetryAfter = 500_000
 
-// lifecycleState is a phase in the life of a router. The states follow one another in this order; those between the first
-// and the last may be skipped.
+// lifecycleState is a state of the router's lifecycle. The states follow one another in the order of the constants. Any state
+// between the first and the last may be skipped.
 type lifecycleState uint8
 
 const (
-	// stateStarting holds inside Start, until the address for clients is taken or found to be in use.
+	// stateStarting lasts within Start until the router listens on the address for clients or finds the address in use.
 	stateStarting lifecycleState = iota
-	// stateWaitingForAddress holds while another process has the address, up to addressDeadline. The router follows the
-	// endpoint list and takes Drain and Reload, but opens no connection to a cache.
+	// stateWaitingForAddress lasts while another process holds the address, at most until addressDeadline. The router follows
+	// the endpoint list and accepts Drain and Reload, but opens no connection to a cache.
 	stateWaitingForAddress
-	// stateServing holds while the router takes and answers requests, until Drain or Close.
+	// stateServing lasts while the router accepts and answers requests, until Drain or Close.
 	stateServing
-	// stateDraining holds from Drain until all is answered, up to drainDeadline.
+	// stateDraining lasts from Drain until all requests are answered and the steps of the drain are done, at most until
+	// drainDeadline.
 	stateDraining
-	// stateStopped is the last one: nothing is open, and no event has an effect.
+	// stateStopped is the final state: nothing is open, and events have no effect.
 	stateStopped
 )
 
-// lifecycle is the state of the process with what belongs to its transitions, which are the methods of Router in this
-// file and happen nowhere else.
+// lifecycle is the lifecycle state of the router and the data of its transitions. Only the methods of Router in this file change
+// the state.
 type lifecycle struct {
 	state     lifecycleState
 	startedAt Time // when Start was called
 
-	addressDeadline Time          // the start fails when the address is still in use then; 0 until the first try found it in use
-	addressLoggedAt Time          // when the log last said that the router waits; 0 for never
-	addressTimer    machine.Timer // for the next try
-	onFailure       func(error)   // set by OnFailure
+	addressDeadline Time          // the start fails if the address is still in use at this time; 0 until a try finds the address in use
+	addressLoggedAt Time          // when the wait was last logged; 0 for never
+	addressTimer    machine.Timer // for the next try to listen
+	onFailure       func(error)   // see OnFailure
 
-	acceptGrace   Time          // for how long a drain still takes connections
-	drainDeadline Time          // the router stops then at the latest; 0 while it does not drain
+	acceptGrace   Time          // for which a drain still accepts connections
+	drainDeadline Time          // when a draining router stops at the latest; 0 while the router does not drain
 	drainTimer    machine.Timer // stops the router at drainDeadline
-	onStopped     func()        // Drain's callback; nil while no drain was asked for
+	onStopped     func()        // callback of Drain; nil before Drain
 }
 
-// isEnding reports whether the router drains or has stopped: it opens nothing any more.
+// isEnding reports whether the router drains or has stopped. Such a router opens no further address or registration.
 func (l *lifecycle) isEnding() bool { return l.state >= stateDraining }
 
 // isStopped reports whether the router has stopped.
 func (l *lifecycle) isStopped() bool { return l.state == stateStopped }
 
-// Start makes a router that serves, or one that waits for its address where another process still has it. The error says
-// what in the configuration or on the machine keeps it from ever serving.
+// Start returns a router that serves, or that waits for its address if another process still holds it. It returns an error if the
+// configuration or the machine prevents the router from ever serving.
 //
-// The process before may still listen there: it drains, stands still or is about to be killed. A start that failed for that
-// would leave no router when that process ends.
+// The predecessor process may still listen on the address while it drains, is paused or is about to be killed. If Start failed in
+// that case, no router would be left once the predecessor ends.
 func Start(m machine.Machine, cfg *Config) (*Router, error) {
 	r, err := newRouter(m, cfg)
 	if err != nil {
@@ -93,11 +94,11 @@
 	return r, nil
 }
 
-// OnFailure sets the function that is called when a start that waits for its address gives up. The router has stopped by
-// then.
+// OnFailure sets the function that the router calls with the cause when it gives up waiting for its address, after it has
+// stopped.
 func (r *Router) OnFailure(f func(error)) { r.onFailure = f }
 
-// followEndpointSources begins to follow the endpoint list. Start calls it once.
+// followEndpointSources starts the sources of the endpoint list. Start calls it once.
 func (r *Router) followEndpointSources() (err error) {
 	sources := EndpointSources(r.cfg)
 	sources.Logger = r.logger
@@ -105,17 +106,17 @@
 		return err
 	}
 	if r.cfg.Settings.WatchRequired {
-		// The module asks for the first watch at its first list, so it is given one without caches.
+		// The module requests the first watch when it receives its first list, so the router sends a list without caches.
 		r.queueEvent(&decide.EndpointList{Kind: decide.StaleUpdate})
 	}
 	r.ProcessEvents()
-	r.watchPauses()
-	r.sources.Start() // also where lists are pushed: the agent that receives them has to be polled
+	r.checkListAfterPauses()
+	r.sources.Start() // also if lists are pushed, because the router polls the agent that receives them
 	return nil
 }
 
-// openAddress tries to take the address for clients, and goes on to serving or to waiting for it. The error is one that
-// waiting doesn't help.
+// openAddress tries to listen on the address for clients, and then begins to serve or to wait for the address. It returns an
+// error if waiting cannot resolve the failure or the wait has lasted too long.
 func (r *Router) openAddress() error {
 	clients, _ := r.limits().descriptorQuotas()
 	var err error
@@ -136,9 +137,8 @@
 	return err
 }
 
-// waitForAddress is the transition to stateWaitingForAddress. It happens when the address is in use, and again at each try
-// that finds it so. The error says that the wait has been longer than the process before may take to end and the
-// operators' address timeout together.
+// waitForAddress is the transition to stateWaitingForAddress. It runs each time that a try finds the address in use. It returns an
+// error once the wait exceeds the sum of the predecessor's maximum time to end and the operators' address timeout.
 func (r *Router) waitForAddress(cause error) error {
 	r.state = stateWaitingForAddress
 	now := r.m.Now()
@@ -157,13 +157,14 @@
 	return nil
 }
 
-// maxPredecessorTime returns how long the process before may take to end: it drains for no longer, and may be killed then.
+// maxPredecessorTime returns the time that the predecessor process may take to end. The platform may kill the predecessor after
+// that time, and its drain takes no longer.
 func (r *Router) maxPredecessorTime() Time {
 	return min(r.maxClientTimeout, maxDrainTimeout) + predecessorKillDelay
 }
 
-// retryAddress tries again to take the address, each addressRetryInterval while the router waits for it. What waiting
-// doesn't help stops the router.
+// retryAddress retries listening on the address. It runs once per addressRetryInterval while the router waits for the address. An
+// error of openAddress stops the router.
 func (r *Router) retryAddress() {
 	if r.isStopped() {
 		return
@@ -178,8 +179,8 @@
 	}
 }
 
-// beginServing is the transition to stateServing. It happens in the turn in which the router takes its address, and starts
-// all that needs the address. The error stops the router.
+// beginServing is the transition to stateServing. It runs in the turn in which the router begins to listen on its address, and
+// starts everything that needs the address. The caller stops the router on an error.
 func (r *Router) beginServing() (err error) {
 	r.state = stateServing
 	if r.addressDeadline > 0 {
@@ -189,7 +190,7 @@
 		return err
 	}
 	r.ProcessEvents()
-	r.snapshots = r.openSnapshots(r.cfg.SnapshotStore, false) // after the module has the caches that are known
+	r.snapshots = r.openSnapshots(r.cfg.SnapshotStore, false) // after the module has received the known caches
 	r.register()
 	if err := r.joinGossip(); err != nil {
 		return err
@@ -204,19 +205,19 @@
 	return nil
 }
 
-// register registers the router itself with a registry, where operators have switched that on.
+// register registers the router with a registry if operators have enabled registration.
 func (r *Router) register() {
 	if !r.cfg.Eureka.Register.Enabled {
 		return
 	}
 	options := r.cfg.Eureka.Registration()
-	options.Predecessor = r.maxPredecessorTime() + options.Timeout // its last call may take that long
+	options.Predecessor = r.maxPredecessorTime() + options.Timeout // the predecessor's last registry call may take up to the timeout
 	r.registration = eureka.Register(r.m, options)
 }
 
-// Drain is the transition to stateDraining. SIGTERM triggers it. The router takes connections for acceptGrace more, answers
-// all requests, and closes each connection between requests. It stops when none is left, or at drainDeadline; done is
-// called then. A router that has no address yet stops at once. A second call has no effect, done included.
+// Drain is the transition to stateDraining, which SIGTERM triggers. The router accepts connections for another acceptGrace,
+// answers all requests, and closes each connection between requests. It stops when no connection is left, or at drainDeadline, and
+// then calls done. A router that has no address yet stops at once. A second call has no effect, and its done is not called.
 func (r *Router) Drain(done func()) {
 	if r.isEnding() {
 		return
@@ -242,20 +243,20 @@
 	r.m.At(r.m.Now()+r.acceptGrace, r.drainFrontend)
 }
 
-// The steps of a drain follow one another as each is done: frontend, hooks, registration, snapshot. The drain's deadline
-// bounds them all.
+// The steps of a drain run one after another: frontend, hooks, registration, snapshot. Each step starts when the previous one is
+// complete, and the drain's deadline bounds all of them.
 
-// drainFrontend takes no more connections, and closes each one between requests.
+// drainFrontend stops accepting connections, and closes each connection between requests.
 func (r *Router) drainFrontend() {
 	if !r.isStopped() {
 		r.frontend.Drain(r.drainHooks)
 	}
 }
 
-// drainHooks ends the hooks, once no client is left.
+// drainHooks stops the hooks once no client is connected.
 func (r *Router) drainHooks() { r.hooks.Close(r.deregister) }
 
-// deregister takes the router out of the registry.
+// deregister removes the router from the registry.
 func (r *Router) deregister() {
 	if r.registration == nil {
 		r.endDrain()
@@ -272,15 +273,16 @@
 	})
 }
 
-// writeSnapshotBeforeDeadline writes the last snapshot while there is still time for it, where clients hold up the drain.
+// writeSnapshotBeforeDeadline writes the last snapshot while there is time before the drain's deadline, in case clients delay the
+// drain.
 func (r *Router) writeSnapshotBeforeDeadline() {
 	if !r.isStopped() {
 		r.snapshots.writeFinal(func() {})
 	}
 }
 
-// answerOpenRequests answers what is still open shortly before a drain's deadline. A class may allow more time than a drain
-// takes, and a request without an answer would be lost with the process.
+// answerOpenRequests rejects or fails the requests that are still open shortly before a drain's deadline. A class may allow more
+// time than a drain takes, and a request without an answer would be lost when the process ends.
 func (r *Router) answerOpenRequests() {
 	if r.isStopped() {
 		return
@@ -292,16 +294,16 @@
 		}
 		r.withdraw(q)
 		if len(q.attempts) == 0 {
-			r.finishRequest(q, r.rejection(q, r.cfg.Settings.MaxRetryAfter).logged(reasonDrainOver))
+			r.finishRequest(q, r.rejection(q, r.cfg.Settings.MaxRetryAfter).withReason(reasonDrainOver))
 		} else {
-			r.finishRequest(q, failure.logged(reasonDrainOver))
+			r.finishRequest(q, failure.withReason(reasonDrainOver))
 		}
 	}
 	r.ProcessEvents()
 }
 
-// Close is the transition to stateStopped, from any state. It happens at the end or the deadline of a drain, and where a
-// start fails. What is not answered is lost. Nothing of it waits.
+// Close is the transition to stateStopped, from any state. It runs at the end or the deadline of a drain, and when a start fails.
+// Unanswered requests are lost. Close does not block.
 func (r *Router) Close() {
 	if r.isStopped() {
 		return
@@ -332,7 +334,7 @@
 	}
 }
 
-// stopTimers stops what would call the router again.
+// stopTimers stops the timers that would call the router after it has stopped.
 func (r *Router) stopTimers() {
 	for _, timer := range []machine.Timer{r.sweepTimer, r.retryStormTimer, r.gossipRetryTimer, r.addressTimer} {
 		if timer != nil {
--- a/internal/router/reload.go
+++ b/internal/router/reload.go
@@ -7,16 +7,16 @@
 	"starlingwinch/internal/snapshotstore"
 )
 
-// Reload takes over a new configuration, at SIGHUP. The address of discovery, the file with the fixed endpoint list, the
-// hooks, the snapshot folder and the peers take effect at once, all else at the next start. A router that is ending takes
-// over nothing, so that it doesn't open again what it has closed.
+// Reload applies a new configuration, at SIGHUP. Changes to the discovery address, the file with the fixed endpoint list, the
+// hooks, the snapshot folder and the peers take effect at once; all other changes take effect at the next start. A router that is
+// ending ignores the new configuration, so that it does not reopen resources that it has closed.
 func (r *Router) Reload(cfg *Config) {
 	if r.isEnding() {
 		r.logger.Info("reload ignored: the router is ending", "trigger", "SIGHUP")
 		return
 	}
 	isServing := r.state == stateServing
-	if !isServing { // nothing of these is in use yet
+	if !isServing { // these settings are not in use yet
 		r.cfg.Listen, r.cfg.SnapshotStore, r.cfg.Hooks = cfg.Listen, cfg.SnapshotStore, cfg.Hooks
 	}
 	if r.needsRestart(cfg) {
@@ -31,7 +31,7 @@
 	r.reloadDiscovery(cfg.Discovery)
 }
 
-// needsRestart reports whether a configuration differs in what is read at a start alone.
+// needsRestart reports whether a configuration differs from the current one in settings that are read only at the start.
 func (r *Router) needsRestart(cfg *Config) bool {
 	return cfg.Name != r.cfg.Name ||
 		cfg.Seed != r.cfg.Seed ||
@@ -48,7 +48,7 @@
 		!reflect.DeepEqual(cfg.Eureka, r.cfg.Eureka)
 }
 
-// reloadSnapshotStore moves the snapshots to another folder, or switches them on or off.
+// reloadSnapshotStore switches the snapshots to another folder, or turns them on or off.
 func (r *Router) reloadSnapshotStore(cfg snapshotstore.Config) {
 	if cfg == r.cfg.SnapshotStore {
 		return
@@ -67,8 +67,8 @@
 	r.logger.Info("snapshot folder changed", "folder", cfg.Folder)
 }
 
-// reloadPeers takes over the addresses of the other routers, where the router takes part in gossip. While it waits for the
-// gossip address, they are used as it joins.
+// reloadPeers updates the gossip addresses of the other routers if gossip is enabled. A router that still waits for its gossip
+// address uses the new addresses when it joins.
 func (r *Router) reloadPeers(addrs []string) {
 	if !r.cfg.Gossip.Enabled || slices.Equal(addrs, r.cfg.PeerAddrs) {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// reloadDiscovery takes over the address of discovery.
+// reloadDiscovery updates the address of discovery.
 func (r *Router) reloadDiscovery(addr string) {
 	if addr == r.cfg.Discovery {
 		r.logger.Info("discovery address unchanged", "address", addr)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -9,59 +9,59 @@
 	"starlingwinch/internal/retrystorm"
 )
 
-// duplicateIDReply answers a request whose client gave it the name of one that is open.
+// duplicateIDReply is the answer to a request whose id, given by its client, is the id of an open request.
 const duplicateIDReply = "-ERR the id is that of an open request\r\n"
 
-// request is one command of a client, from HandleRequest until it is finished, its attempts have ended and the module has
-// received all events about it.
+// request is the record of a client's command. It exists from HandleRequest until the request is finished, its attempts have ended
+// and the module has received all events about the request.
 type request struct {
 	id       int64
-	clientID string            // its name, as its client gave it
-	command  *frontend.Command // the slot's
+	clientID string            // the id that the client gave the request
+	command  *frontend.Command // points into slot
 	slot     *frontend.ReplySlot
-	readAt   Time // when the command was read whole
-	deadline Time // its final answer is due by then
+	readAt   Time // when the last byte of the command was read
+	deadline Time // of the final answer
 
-	awaitingHooks  bool // hooks have it, and the module has not received it
-	finished       bool // the final answer is given, or its client has gone
-	connectionLost bool // a connection to a cache broke under one of its attempts
+	awaitingHooks  bool // the hooks evaluate the request, and the module has not received it
+	finished       bool // the final answer was given, or the client has gone
+	connectionLost bool // an attempt ended because its connection to a cache was lost
 
-	attempts          []*attempt // all of them, by number
-	attemptsOut       int        // of these, without a result
-	undeliveredEvents int        // events about it in Router.pendingEvents that keep its record
+	attempts          []*attempt // all attempts, indexed by number
+	attemptsInFlight  int        // attempts without a result
+	undeliveredEvents int        // events in Router.pendingEvents that retain the record
 
 	guard        guard.Request
-	stormRequest retrystorm.Request // as the retry storm detector sees it
-	stormVerdict retrystorm.Verdict // what the detector said of it
+	stormRequest retrystorm.Request // the request in the form that the retry storm detector uses
+	stormVerdict retrystorm.Verdict // the detector's verdict on stormRequest
 
-	// Memory for what nearly every request needs.
+	// Inline storage for objects that nearly every request needs, which saves allocations.
 	submitted      decide.Request // the event that the module receives
 	firstAttempt   attempt
 	inlineAttempts [1]*attempt
 }
 
-// completion says how a request ends: what its client gets, and what is recorded of it.
+// completion describes how a request ends: the client's answer, and the outcome to report and log.
 type completion struct {
-	reply    []byte         // the final answer; nil where its client has gone
-	outcome  plugin.Outcome // what hooks are told of that answer
-	unserved bool           // the retry storm detector counts it as a request that got no value
-	event    eventlog.Event // what the event log says; empty for nothing
-	reason   string         // of the event
+	reply    []byte         // the final answer; nil if the client has gone
+	outcome  plugin.Outcome // reported to hooks
+	unserved bool           // the retry storm detector counts the request as unserved
+	event    eventlog.Event // for the event log; empty to log nothing
+	reason   string         // of event
 }
 
-// failure ends a request with an answer that promises nothing.
+// failure ends a request with an answer that makes no promise about whether a cache has run the command.
 var failure = completion{reply: []byte(frontend.FailedReply), outcome: plugin.OutcomeFailed}
 
-// clientGone ends a request whose client doesn't wait any more.
+// clientGone ends a request whose client no longer waits for an answer.
 var clientGone = completion{outcome: plugin.OutcomeFailed, unserved: true}
 
-// servedWith ends a request with a value.
+// servedWith returns the completion of a request that is answered with a value.
 func servedWith(value []byte) completion {
 	return completion{reply: value, outcome: plugin.OutcomeServed}
 }
 
-// rejection ends a request with an answer that promises that another try does no harm; where it might do harm, with a
-// failure.
+// rejection returns the completion of a request whose answer promises that a retry by the client is safe. If a retry might not be
+// safe, rejection returns failure.
 func (r *Router) rejection(q *request, retryAfter Time) completion {
 	if r.guard.MayReject(&q.guard) != guard.Allowed {
 		return failure
@@ -69,16 +69,18 @@
 	return completion{reply: frontend.AppendBusy(nil, retryAfter), outcome: plugin.OutcomeRejected}
 }
 
-// because returns the completion of a request that the module gave up, with the event and the module's reason.
-func (c completion) because(event eventlog.Event, reason decide.Reason) completion {
+// withModuleReason returns the completion of a request that the module rejected or failed, with the event and the module's reason.
+// Such a request counts as unserved.
+func (c completion) withModuleReason(event eventlog.Event, reason decide.Reason) completion {
 	c.unserved = true
 	c.event = event
 	c.reason = reason.String()
 	return c
 }
 
-// logged returns the completion with what the event log says of it. What it answers decides between rejected and failed.
-func (c completion) logged(reason string) completion {
+// withReason returns the completion with a reason for the event log. The event is RequestRejected if the answer is a rejection,
+// and RequestFailed otherwise.
+func (c completion) withReason(reason string) completion {
 	c.event, c.reason = eventlog.RequestFailed, reason
 	if c.outcome == plugin.OutcomeRejected {
 		c.event = eventlog.RequestRejected
@@ -86,7 +88,7 @@
 	return c
 }
 
-// HandleRequest implements frontend.Handler: it takes a request from a client and hands it to the hooks or to the module.
+// HandleRequest implements frontend.Handler: it admits a client's request and passes it to the hooks or the module.
 func (r *Router) HandleRequest(slot *frontend.ReplySlot, readAt Time) {
 	if r.cfg.Transport.MaxOpenRequests > 0 && r.openRequests >= r.cfg.Transport.MaxOpenRequests {
 		slot.Answer([]byte(frontend.BusyReply))
@@ -111,10 +113,10 @@
 	}
 }
 
-// openRequest makes the record of a request.
+// openRequest creates and registers the record of a request.
 func (r *Router) openRequest(slot *frontend.ReplySlot, readAt Time) *request {
 	command := &slot.Command
-	if r.maxClientTimeout > 0 { // a class that is not in the settings has no timeout of its own
+	if r.maxClientTimeout > 0 { // the settings give no timeout for an unknown class
 		command.Timeout = min(command.Timeout, r.maxClientTimeout)
 	}
 	r.lastRequestID++
@@ -126,7 +128,7 @@
 		readAt:   readAt,
 		deadline: readAt + command.Timeout,
 	}
-	if r.drainDeadline > 0 { // a later answer would be lost with the process
+	if r.drainDeadline > 0 { // the process would end before a later answer
 		q.deadline = min(q.deadline, r.drainDeadline-drainAnswerMargin)
 	}
 	q.attempts = q.inlineAttempts[:0]
@@ -156,8 +158,8 @@
 	r.queueEvent(&q.submitted)
 }
 
-// ClientsGone implements frontend.Handler: the clients of these requests have gone, or the router has closed their
-// connection.
+// ClientsGone implements frontend.Handler: it ends the requests of a client that has disconnected or whose connection the router
+// has closed.
 func (r *Router) ClientsGone(slots []*frontend.ReplySlot, byRouter bool) {
 	var gone []*request
 	for _, slot := range slots {
@@ -171,12 +173,13 @@
 		gone = append(gone, q)
 		r.withdraw(q)
 	}
-	for _, q := range gone { // the module receives all of them before the results of their attempts
+	for _, q := range gone { // after all ClientGone events are queued: ending a request may queue results of attempts
 		r.finishRequest(q, clientGone)
 	}
 }
 
-// withdraw takes a request back from the hooks or the module, whichever has it.
+// withdraw cancels a request at the hooks if it waits for their verdict, and otherwise notifies the module that the client has
+// gone.
 func (r *Router) withdraw(q *request) {
 	if q.awaitingHooks {
 		r.hooks.Cancel(q.id)
@@ -186,9 +189,9 @@
 	r.queueRequestEvent(q, &decide.ClientGone{ID: q.id})
 }
 
-// finishRequest ends a request. Every request that was opened ends here, once: later calls only log their event, as the
-// module may still decide about a request whose end it has not received. Attempts that are not written whole end before
-// the answer leaves, as nothing may go out for a request after its answer.
+// finishRequest ends a request. Every opened request ends here exactly once. Later calls do nothing; they happen because the module
+// may decide about a request before it receives the event that the request has ended. finishRequest aborts attempts that are not
+// completely written before it sends the answer, because nothing may be sent to a cache for an answered request.
 func (r *Router) finishRequest(q *request, c completion) {
 	if q.finished {
 		return
@@ -214,10 +217,10 @@
 	r.releaseRequest(q)
 }
 
-// releaseRequest drops the record of a finished request once its attempts have ended and the module has received all
-// events about it.
+// releaseRequest deletes the record of a finished request once its attempts have ended and the module has received all events
+// about the request.
 func (r *Router) releaseRequest(q *request) {
-	if q.finished && q.attemptsOut == 0 && q.undeliveredEvents == 0 && r.requests[q.id] == q {
+	if q.finished && q.attemptsInFlight == 0 && q.undeliveredEvents == 0 && r.requests[q.id] == q {
 		delete(r.requests, q.id)
 		delete(r.openIDs, q.clientID)
 	}
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -218,7 +218,7 @@
 		s := &attempt{router: r.r, request: request}
 		s.Attempt = upstream.Attempt{Request: hugeWork{s}, SentAt: r.Now(), Deadline: request.deadline}
 		request.attempts = append(request.attempts, s)
-		request.attemptsOut++
+		request.attemptsInFlight++
 		r.r.pool.Start("c1", &s.Attempt)
 	})
 	if _, err := receive(t, conns, "connection").Read(make([]byte, 1)); err != nil {
--- a/internal/router/retry_storm.go
+++ b/internal/router/retry_storm.go
@@ -8,24 +8,24 @@
 	"starlingwinch/internal/retrystorm"
 )
 
-// retryAfterSteps is how many different times jitteredRetryAfter gives.
+// retryAfterSteps is the number of distinct times that jitteredRetryAfter returns.
 const retryAfterSteps = 1024
 
-// retryStormMonitor feeds the retry storm detector with what happens, and holds the bounds that follow.
+// retryStormMonitor holds the retry storm detector and the bounds that the detector has set.
 type retryStormMonitor struct {
 	detector        *retrystorm.Detector
 	classes         map[string]stormClass // by name; set at the start
-	bounds          retrystorm.Bounds     // those that the module has; changes with the detector's state
-	seenConnections int                   // clients' connections accepted up to the last check
+	bounds          retrystorm.Bounds     // last sent to the module; they change with the detector's state
+	seenConnections int                   // client connections accepted up to the last check
 }
 
-// stormClass is what the monitor needs to know of a class.
+// stormClass holds the properties of a class that the detector needs.
 type stormClass struct {
 	nameHash      uint64
 	clientTimeout Time
 }
 
-// newRetryStormMonitor returns the monitor; nil where operators have switched it off.
+// newRetryStormMonitor returns a monitor, or nil if operators have disabled the detector.
 func newRetryStormMonitor(cfg *Config) *retryStormMonitor {
 	if !cfg.RetryStorm.Enabled {
 		return nil
@@ -41,10 +41,10 @@
 	return monitor
 }
 
-// describe returns a command as the detector sees it.
-func (w *retryStormMonitor) describe(slot *frontend.ReplySlot) retrystorm.Request {
+// describe returns the detector's description of a request.
+func (m *retryStormMonitor) describe(slot *frontend.ReplySlot) retrystorm.Request {
 	command := &slot.Command
-	class := w.classes[command.Class]
+	class := m.classes[command.Class]
 	return retrystorm.Request{
 		Client:            slot.ClientAddressHash(),
 		Key:               command.KeyHash ^ class.nameHash,
@@ -54,8 +54,8 @@
 	}
 }
 
-// recordRequest records a request that has arrived, and returns what the detector says of it. A request over its client's
-// fair share is recorded as unserved, as its caller rejects it.
+// recordRequest records a received request, and returns the detector's description and verdict. It records a request over its
+// client's fair share as unserved, because the caller rejects such a request.
 func (r *Router) recordRequest(slot *frontend.ReplySlot, readAt Time) (retrystorm.Request, retrystorm.Verdict) {
 	if r.retryStorm == nil {
 		return retrystorm.Request{}, retrystorm.Verdict{}
@@ -68,7 +68,7 @@
 	return request, verdict
 }
 
-// recordUnserved records a request that ends without a value. finishRequest calls it.
+// recordUnserved records a request that ends without a value.
 func (r *Router) recordUnserved(q *request) {
 	if r.retryStorm == nil {
 		return
@@ -80,7 +80,7 @@
 	r.retryStorm.detector.Unserved(r.m.Now(), q.stormRequest, q.stormVerdict, q.readAt)
 }
 
-// recordAttempt records whether the cache of an attempt could be reached.
+// recordAttempt records whether an attempt reached its cache, if the result shows that.
 func (r *Router) recordAttempt(result decide.Result) {
 	if r.retryStorm == nil {
 		return
@@ -93,16 +93,16 @@
 	}
 }
 
-// jitteredRetryAfter returns a retry-after time between half of the longest one and the longest one, which differs from
-// request to request.
+// jitteredRetryAfter returns a retry-after time between half of MaxRetryAfter and MaxRetryAfter, derived from the request's id so
+// that it differs between requests.
 func (r *Router) jitteredRetryAfter(id string) Time {
 	longest := r.cfg.Settings.MaxRetryAfter
 	step := Time(frontend.KeyHash([]byte(id)) % retryAfterSteps)
 	return longest/2 + step*(longest-longest/2)/retryAfterSteps
 }
 
-// checkRetryStorm has the detector evaluate what happened since the last check, once in retrystorm.Step, and hands the
-// module the bounds where they have changed.
+// checkRetryStorm runs once per retrystorm.Step. The detector evaluates the records since the last check, and changed bounds take
+// effect.
 func (r *Router) checkRetryStorm() {
 	monitor := r.retryStorm
 	for accepted := r.frontend.Accepted(); monitor.seenConnections < accepted; monitor.seenConnections++ {
@@ -117,7 +117,7 @@
 	r.retryStormTimer = r.m.At(r.m.Now()+retrystorm.Step, r.checkRetryStorm)
 }
 
-// applyRetryStormBounds puts new bounds into effect at the pool and the module.
+// applyRetryStormBounds sends new bounds to the pool and the module.
 func (r *Router) applyRetryStormBounds(bounds retrystorm.Bounds) {
 	r.retryStorm.bounds = bounds
 	r.pool.LimitReconnects(bounds.Outage && r.cfg.RetryStorm.LimitReconnects)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,12 +1,12 @@
-// Package router is the event loop of one router. It connects the decision module (package decide) with the clients' side
-// (package frontend), the caches' side (package upstream) and the sources of the endpoint list (package endpointsource),
-// and carries out the module's actions.
+// Package router implements the event loop of one router. It connects the decision module (package decide) with the client
+// connections (package frontend), the cache connections (package upstream) and the sources of the endpoint list (package
+// endpointsource), and carries out the module's actions.
 //
-// All of it runs on the one loop of its machine (package machine), which may be real or virtual. Nothing runs between a
-// decision and the actions that carry it out, and nothing here blocks.
+// All code of this package runs on the single loop of its machine (package machine), which may be real or virtual. No other code
+// runs between a decision and the actions that carry it out, and no function here blocks.
 //
-// A request is followed through request.go (it arrives and it ends), actions.go (the module's decisions) and attempt.go
-// (its attempts at caches). The states of the process are in lifecycle.go.
+// The path of a request is in request.go (arrival and end), actions.go (the module's decisions) and attempt.go (attempts at
+// caches). The lifecycle of the process is in lifecycle.go.
 package router
 
 import (
@@ -28,86 +28,86 @@
 	"starlingwinch/internal/upstream"
 )
 
-// Time is an instant or a span in microseconds.
+// Time is an instant or a duration in microseconds.
 type Time = decide.Time
 
-// Router serves clients on a machine. Start makes one; all methods belong to the machine's loop.
+// Router serves clients on a machine. Start creates a Router. All methods must be called on the machine's loop.
 type Router struct {
 	lifecycle
 
-	// What the router is made of. Set at the start, and never replaced.
+	// Components. Set at the start, and never replaced.
 	m   machine.Machine
-	cfg *Config // Reload changes the fields that it takes over
-	// machineLimits are the limits of the machine, hooks included. Set at the start.
+	cfg *Config // Reload changes the fields that take effect without a restart
+	// machineLimits are the limits of the machine, including the part for hooks.
 	machineLimits Limits
 	logger        *slog.Logger
 	events        *eventlog.Log
-	timerQueue    *timerqueue.Queue // of the module's timers and the deadlines of attempts
+	timerQueue    *timerqueue.Queue // the module's timers and the deadlines of attempts
 	pool          *upstream.Pool    // connections to the caches
 
 	// The decision module and its checks. Set at the start.
-	decider  *decide.Router  // used directly for snapshots alone; all events go through module
-	module   guard.Module    // the contract, with the decision module behind it
-	contract *guard.Contract // checks that loop and module keep what they owe each other
-	guard    *guard.Guard    // prevents what the rules forbid, whatever the module decides
+	decider  *decide.Router  // called directly only for snapshots; all events go through module
+	module   guard.Module    // contract, which passes the events on to the decision module
+	contract *guard.Contract // checks that the loop and the module keep the rules of their interface
+	guard    *guard.Guard    // prevents violations of the rules, regardless of the module's decisions
 
-	// Events for the module. See ProcessEvents.
+	// Events for the module. See actions.go.
 	pendingEvents []decide.Event // in the order in which they happened
 	dispatching   bool           // ProcessEvents is running
 
 	// Timers of the module. See timer.go.
-	timers         map[int64]*policyTimer // those set, by token
-	freeTimers     *policyTimer           // records for reuse, a linked list
+	timers         map[int64]*policyTimer // set timers, by token
+	freeTimers     *policyTimer           // linked list of records for reuse
 	freeTimerCount int
 
 	// Requests. See request.go.
-	requests         map[int64]*request  // until releaseRequest
-	openIDs          map[string]struct{} // the clients' names of these requests
+	requests         map[int64]*request  // by id, from openRequest to releaseRequest
+	openIDs          map[string]struct{} // ids that clients gave these requests
 	lastRequestID    int64
 	openRequests     int  // requests without a final answer
 	maxClientTimeout Time // the longest client timeout of any class
 
-	// Clients. The frontend and what follows are nil until the router has its address.
+	// Clients. frontend and hooks are nil until the router has its address.
 	frontend            *frontend.Server
 	hooks               *hooks.Hooks
-	lendableDescriptors int                // descriptors that idle connections to caches may use while clients do not
-	retryStorm          *retryStormMonitor // nil where it is switched off
+	lendableDescriptors int                // descriptors that idle connections to caches may borrow from clients
+	retryStorm          *retryStormMonitor // nil if disabled
 	retryStormTimer     machine.Timer      // for the next checkRetryStorm
 
 	// The endpoint list. See endpoint_list.go, aperture.go and standstill.go.
 	sources      *endpointsource.Sources
 	endpoints    map[string]*listedEndpoint // the caches in use, by name
-	subset       *endpointSubset            // nil where all caches are used, whatever their number
-	pendingLists []endpoints.Publish        // lists that are still to be applied, the oldest first
+	subset       *endpointSubset            // nil if the router uses all caches of a fleet of any size
+	pendingLists []endpoints.Publish        // lists not applied yet, oldest first
 	listBehind   bool                       // attempts are paused until the list is current
 
-	// What is kept or published of this router. Set once it serves; nil where it is switched off.
+	// Snapshots, registration and gossip. Set when the router begins to serve; nil if disabled.
 	snapshots        *snapshotKeeper // replaced by a reload
 	registration     *eureka.Registration
-	gossip           *gossipMember // set later where its address is not free
-	gossipRetryTimer machine.Timer // for the next try to take that address
+	gossip           *gossipMember // set later if the gossip address is in use at first
+	gossipRetryTimer machine.Timer // for the next try to open the gossip address
 
-	// The periodic check. See contract.go.
+	// The periodic check. See sweep.go.
 	sweepTimer        machine.Timer
-	sweepDue          Time // when the next one is due
+	sweepDue          Time // when the next check is due
 	countersWrittenAt Time // when the event counters were last logged
 }
 
 // listedEndpoint is a cache as the endpoint list describes it.
 type listedEndpoint struct {
 	entry       decide.Endpoint
-	listedStart Time // its last start by the list's clock; entry.StartedAt is the same by the loop's clock
+	listedStart Time // the cache's last start by the list's clock; entry.StartedAt is the same instant by the loop's clock
 	address     string
 }
 
-// EndpointSources returns the configuration of the sources that a router with this configuration follows.
+// EndpointSources returns the configuration of the endpoint sources that a router with the given configuration follows.
 func EndpointSources(cfg *Config) endpointsource.Config {
 	options := discovery.Options{Discovery: cfg.OperatorLimits.Discovery, Pushed: !cfg.Settings.WatchRequired, Grace: cfg.Settings.DrainGrace}
 	return endpointsource.Config{Discovery: cfg.Discovery, DiscoveryOptions: options, LastKnown: cfg.LastKnown,
 		Endpoints: cfg.Endpoints, Eureka: cfg.Eureka}
 }
 
-// newRouter returns a router that knows no cache and has opened nothing.
+// newRouter returns a router without caches that has opened no sockets.
 func newRouter(m machine.Machine, cfg *Config) (*Router, error) {
 	seed := cfg.Seed
 	if seed == 0 {
@@ -140,7 +140,7 @@
 	return r, nil
 }
 
-// initModule puts the contract and the guard round the decision module.
+// initModule sets up the contract around the decision module, and the guard.
 func (r *Router) initModule() {
 	var checked guard.Module = r.decider
 	if r.cfg.Wrap != nil {
@@ -152,7 +152,7 @@
 	r.guard.ObserveOnly = r.cfg.GuardObserveOnly
 }
 
-// initPool makes the pool of connections to caches, within their quota of descriptors.
+// initPool creates the pool of connections to caches, within their quota of descriptors, and the subset of the endpoint list.
 func (r *Router) initPool() {
 	limits := r.limits()
 	_, upstreams := limits.descriptorQuotas()
@@ -170,7 +170,7 @@
 	r.subset = newEndpointSubset(r.cfg, upstreams)
 }
 
-// stalledAfter returns how long a cache may keep an attempt waiting before it counts as stalled: half of the shortest
+// stalledAfter returns the time that an attempt may wait for a cache before the cache counts as stalled: half of the shortest
 // latency objective.
 func stalledAfter(classes []decide.Class) (after Time) {
 	for i, class := range classes {
@@ -181,16 +181,16 @@
 	return after
 }
 
-// limits returns the machine's limits less what the router takes itself.
+// limits returns the limits for clients and caches: the configured limits minus the socket for gossip, if gossip is enabled.
 func (r *Router) limits() Limits {
 	limits := r.cfg.Limits
 	if r.cfg.Gossip.Enabled {
-		limits.Sockets-- // the gossip socket
+		limits.Sockets--
 	}
 	return limits
 }
 
-// Addr returns the address for clients; empty while the router waits for it.
+// Addr returns the address for clients, or an empty text while the router waits for the address.
 func (r *Router) Addr() string {
 	if r.frontend == nil {
 		return ""
@@ -198,15 +198,15 @@
 	return r.frontend.Addr()
 }
 
-// Serving implements frontend.Handler: it reports whether a cache takes requests, and the snapshot is restored or was
-// waited for long enough.
+// Serving implements frontend.Handler: it reports whether a serving cache is listed and the snapshot is restored or the time to
+// wait for it is over.
 func (r *Router) Serving() bool {
 	return (r.snapshots == nil || r.snapshots.ready) && r.hasServingEndpoint()
 }
 
-// hasServingEndpoint reports whether a cache is listed that takes requests.
+// hasServingEndpoint reports whether a serving cache is listed.
 func (r *Router) hasServingEndpoint() bool {
-	for _, e := range r.endpoints { // any order: one is enough
+	for _, e := range r.endpoints { // in any order, since one is enough
 		if e.entry.Status == decide.Serving {
 			return true
 		}
@@ -214,8 +214,8 @@
 	return false
 }
 
-// Holdings returns how many records of each kind the router holds. All but connections and periodic timers are 0 once no
-// request is open.
+// Holdings returns the number of records of each kind that the router holds. All numbers except connections and periodic timers
+// are 0 once no request is open.
 func (r *Router) Holdings() map[string]int {
 	return map[string]int{
 		"requests":    len(r.requests),
--- a/internal/router/snapshot.go
+++ b/internal/router/snapshot.go
@@ -13,49 +13,50 @@
 	"starlingwinch/internal/snapshotstore"
 )
 
-// Bounds of the work with snapshots, in microseconds.
+// Time limits for snapshots, in microseconds.
 const (
-	snapshotReadTimeout = 200_000   // for reading one at a start, before the router says that it serves
-	finalWriteTimeout   = 200_000   // for the last write, at the end of a drain
-	finalWriteMargin    = 300_000   // the last write begins so long before a drain's deadline at the latest
-	slowDiskThreshold   = 1_000_000 // disk work that takes longer is logged
+	snapshotReadTimeout = 200_000   // for reading a snapshot at the start, before the router reports that it serves
+	finalWriteTimeout   = 200_000   // for the final write, at the end of a drain
+	finalWriteMargin    = 300_000   // between the latest start of the final write and the drain's deadline
+	slowDiskThreshold   = 1_000_000 // longer disk work is logged
 )
 
-// snapshotKeeper restores a snapshot of what the router has learned at its start, and writes one regularly and at the end.
+// snapshotKeeper restores a snapshot of the router's learned state at the start, and writes snapshots periodically and at the end
+// of a drain.
 //
-// A disk may be full, slow, read-only or gone, and must hold up neither requests nor the end of the process: all disk work is
-// done beside the loop. Only two things wait for it, both with a bound: the first +PONG and the end of a drain.
+// A disk may be full, slow, read-only or missing, and must delay neither requests nor the end of the process. All disk work
+// therefore runs outside the loop. Only the first +PONG and the end of a drain wait for disk work, each for a bounded time.
 type snapshotKeeper struct {
 	router *Router
 	cfg    snapshotstore.Config
-	store  *snapshotstore.Store // used in the machine's disk work alone
+	store  *snapshotstore.Store // used only in disk work
 
 	// The disk.
-	diskBusy       bool   // disk work is under way
-	diskBusySince  Time   // when it began
-	storeError     string // why no snapshot is stored, as logged last; empty while they are
-	slowDiskLogged bool   // the log says that the disk is slow; unset when it is quick again
+	diskBusy       bool   // disk work is running
+	diskBusySince  Time   // when the disk work began
+	storeError     string // the logged reason why snapshots are not stored; empty while they are stored
+	slowDiskLogged bool   // a slow disk was logged; reset when the disk is fast again
 
 	// Restoring. See restore.
-	ready            bool                         // the snapshot is restored, there is none, or the time for it is over
-	restoreTimedOut  bool                         // the time for it was over first
-	restoreTimer     machine.Timer                // ends that time
-	unrestored       map[string]snapshot.Endpoint // caches that the snapshot has and no list named yet
-	unrestoredExpiry Time                         // when these are dropped
-	unrestoredShared *snapshot.Snapshot           // its figures that are no single cache's, until they are restored
+	ready            bool                         // a snapshot was restored or not found, or reading timed out
+	restoreTimedOut  bool                         // reading timed out, or snapshots were enabled by a reload
+	restoreTimer     machine.Timer                // for restoreTimeout
+	unrestored       map[string]snapshot.Endpoint // caches of the snapshot that no list has named yet
+	unrestoredExpiry Time                         // when unrestored is dropped
+	unrestoredShared *snapshot.Snapshot           // the snapshot, until its shared values are restored
 
 	// Writing. See startWrite.
 	snapshotWrite
 	writeTimer      machine.Timer // for the next write
 	completedWrites int
 	finalState      finalWriteState
-	onFinalWrite    []func() // called once the final write is done
+	onFinalWrite    []func() // called when the final write has ended
 
-	closed bool // close was called
+	closed bool // set by close
 }
 
-// openSnapshots begins to keep snapshots: at the router's start, where the latest one is restored, or on a reload. It
-// returns nil where no folder is configured.
+// openSnapshots returns a snapshotKeeper and opens its folder. At the router's start it restores the latest snapshot; on a reload
+// it does not. It returns nil if no folder is configured.
 func (r *Router) openSnapshots(cfg snapshotstore.Config, isReload bool) *snapshotKeeper {
 	if cfg.Folder == "" {
 		return nil
@@ -84,17 +85,17 @@
 				return
 			}
 			k.logNotes(notes)
-			k.noteStoreError(err)
+			k.logStoreError(err)
 			if found && !isReload {
 				k.restore(latest)
 			}
-			k.opened(isReload)
+			k.scheduleFirstWrite(isReload)
 		})
 	return k
 }
 
-// opened sets the time of the first write, once the folder was read.
-func (k *snapshotKeeper) opened(isReload bool) {
+// scheduleFirstWrite ends the wait for the snapshot and sets the timer for the first write, after the folder was read.
+func (k *snapshotKeeper) scheduleFirstWrite(isReload bool) {
 	if k.restoreTimer != nil {
 		k.restoreTimer.Stop()
 	}
@@ -106,21 +107,22 @@
 	k.writeTimer = k.router.m.At(k.router.m.Now()+wait, k.startWrite)
 }
 
-// restoreTimeout lets the router serve without what the disk has not read in time.
+// restoreTimeout lets the router serve before the snapshot is read.
 func (k *snapshotKeeper) restoreTimeout() {
 	k.ready, k.restoreTimedOut = true, true
 	k.router.logger.Warn("snapshot not read in time", "timeout", snapshotReadTimeout*time.Microsecond)
 }
 
-// logNotes logs what the store found in the folder and did not use.
+// logNotes logs the files in the folder that the store rejected.
 func (k *snapshotKeeper) logNotes(notes []string) {
 	for _, note := range notes {
 		k.router.logger.Warn("snapshot file rejected", "detail", note)
 	}
 }
 
-// noteStoreError logs, once, why no snapshot is stored, and once that they are stored again.
-func (k *snapshotKeeper) noteStoreError(err error) {
+// logStoreError logs when snapshots can no longer be stored, with the cause, and when they are stored again. It logs each change
+// once.
+func (k *snapshotKeeper) logStoreError(err error) {
 	switch {
 	case err != nil && k.storeError == "":
 		k.storeError = err.Error()
@@ -131,10 +133,10 @@
 	}
 }
 
-// markDiskBusy notes that disk work begins.
+// markDiskBusy records the start of disk work.
 func (k *snapshotKeeper) markDiskBusy() { k.diskBusy, k.diskBusySince = true, k.router.m.Now() }
 
-// restore restores a snapshot: at once for the caches that are listed, and later for those that a list names later.
+// restore restores a snapshot for the listed caches. restoreListed does so for caches that are listed later.
 func (k *snapshotKeeper) restore(s snapshot.Snapshot) {
 	age := k.router.m.Wall() - s.At
 	k.unrestoredExpiry = k.router.m.Now() + k.cfg.MaxAge.Microseconds()
@@ -149,7 +151,7 @@
 	k.router.ProcessEvents()
 }
 
-// restoreListed restores what the snapshot has of the caches that a list names, once the module has received the list.
+// restoreListed restores the snapshot's values for caches that a list names, after the module has received the list.
 func (k *snapshotKeeper) restoreListed(entries []decide.Endpoint) {
 	if len(k.unrestored) == 0 {
 		return
@@ -162,8 +164,8 @@
 	k.restoreEndpoints(ids)
 }
 
-// restoreShared restores the figures that are no single cache's, once. The module has none to decay them towards before its
-// first list, and after a timeout it has measured better ones.
+// restoreShared restores, once, the shared values, which belong to no single cache. Before its first list, the module has no
+// initial values towards which the restored ones could decay. After a timeout, the module has measured better values.
 func (k *snapshotKeeper) restoreShared() {
 	if k.unrestoredShared == nil || k.restoreTimedOut {
 		return
@@ -179,7 +181,8 @@
 	k.unrestoredShared = nil
 }
 
-// restoreEndpoints restores what the snapshot has of caches. Nothing is restored for a cache that was restarted since.
+// restoreEndpoints restores the snapshot's values for caches. It restores nothing for a cache that was restarted after the
+// snapshot.
 func (k *snapshotKeeper) restoreEndpoints(ids []string) {
 	restored := endpointsOnlySnapshot()
 	now := k.router.m.Wall()
@@ -193,12 +196,12 @@
 	}
 }
 
-// restoreEndpoint takes one cache out of the snapshot, and returns what is restored of it, if anything is. The start in the
-// list's own words identifies a process, as it is the same whatever the router's clock said.
+// restoreEndpoint removes a cache from unrestored and returns the values to restore; ok is false if there are none. The start time
+// as given in the list identifies a cache process, because it does not depend on the router's clock.
 func (k *snapshotKeeper) restoreEndpoint(id string, now Time) (e decide.EndpointSnapshot, ok bool) {
 	stored, isStored := k.unrestored[id]
 	listed := k.router.endpoints[id]
-	if !isStored || listed == nil || listed.listedStart < stored.StartedAt { // that list is older than the snapshot
+	if !isStored || listed == nil || listed.listedStart < stored.StartedAt { // an earlier start: the list is older than the snapshot
 		return e, false
 	}
 	delete(k.unrestored, id)
@@ -211,19 +214,19 @@
 		return e, false
 	}
 	e.StartedAt = initial.StartedAt
-	if !k.router.cfg.Settings.AllowHealthChecks { // no health check would ever clear the mark
+	if !k.router.cfg.Settings.AllowHealthChecks { // no health check would ever mark the cache healthy again
 		e.Healthy, e.FailedHealthChecks = initial.Healthy, initial.FailedHealthChecks
 	}
 	return e, true
 }
 
-// endpointsOnlySnapshot returns a snapshot that leaves the figures that are no single cache's as they are.
+// endpointsOnlySnapshot returns a snapshot that leaves the module's shared values unchanged. NaN marks a value as not set.
 func endpointsOnlySnapshot() decide.Snapshot {
 	nan := math.NaN()
 	return decide.Snapshot{OriginLimit: nan, OriginMissRatio: nan, RetryBudget: nan, ErrorRatio: nan, LostRatio: nan}
 }
 
-// close ends the keeping of snapshots and unlocks the folder. It does nothing where it is nil or closed.
+// close stops the timers and unlocks the folder. It does nothing if k is nil or closed.
 func (k *snapshotKeeper) close() {
 	if k == nil || k.closed {
 		return
--- a/internal/router/snapshot_write.go
+++ b/internal/router/snapshot_write.go
@@ -9,33 +9,34 @@
 	"starlingwinch/internal/snapshot"
 )
 
-// Bounds of one write.
+// Limits of one write.
 const (
-	maxCachesPerTurn = 200   // caches that are gathered in one turn of the loop
-	maxKeysPerWrite  = 8_000 // keys that are looked through for one write
+	maxCachesPerTurn = 200   // caches gathered in one turn of the loop
+	maxKeysPerWrite  = 8_000 // keys scanned for one write
 )
 
-// snapshotWrite is the state of gathering a snapshot. It takes several turns where there are many caches.
+// snapshotWrite is the state of gathering a snapshot, which takes several turns if there are many caches.
 type snapshotWrite struct {
-	gathering      *snapshot.Snapshot // what was gathered so far; nil between writes
-	gatheredUpTo   string             // the last cache that is in it
+	gathering      *snapshot.Snapshot // gathered so far; nil between writes
+	gatheredUpTo   string             // the last cache read for gathering
 	endpointBuffer []decide.EndpointSnapshot
 
-	keyScanBudget   int      // keys that may still be looked through for this write
-	keysScannedUpTo string   // the last cache whose keys were looked through, in this write or the one before
-	keyBuffer       []uint64 // holds the keys of this write
+	keyScanBudget   int      // keys that this write may still scan
+	keysScannedUpTo string   // the last cache whose keys were scanned, in this write or the previous one
+	keyBuffer       []uint64 // the keys of this write
 }
 
-// finalWriteState is how far the last write of a drain has come.
+// finalWriteState is the progress of the final write of a drain.
 type finalWriteState uint8
 
 const (
 	finalWriteNotStarted finalWriteState = iota
 	finalWriteRunning
-	finalWriteDone // or its time is over
+	finalWriteDone // or timed out
 )
 
-// startWrite begins a write and sets the time of the next, each WriteInterval. It writes nothing while a write is under way.
+// startWrite begins a write and sets the timer for the next one, after WriteInterval. It begins no write while gathering or disk
+// work is running.
 func (k *snapshotKeeper) startWrite() {
 	if k.finalState != finalWriteNotStarted || k.closed {
 		return
@@ -53,7 +54,7 @@
 	k.gatherNext()
 }
 
-// checkDiskSpeed logs, once, that the disk is slow.
+// checkDiskSpeed logs a slow disk, once until the disk is fast again.
 func (k *snapshotKeeper) checkDiskSpeed(now Time) {
 	if k.diskBusy && !k.slowDiskLogged && now-k.diskBusySince > slowDiskThreshold {
 		k.slowDiskLogged = true
@@ -61,7 +62,7 @@
 	}
 }
 
-// beginGathering begins to gather a snapshot.
+// beginGathering resets the state of gathering for a new snapshot.
 func (k *snapshotKeeper) beginGathering() {
 	k.gathering = &snapshot.Snapshot{At: k.router.m.Wall(), Router: k.router.decider.SharedSnapshot()}
 	k.gathering.Caches = make([]snapshot.Endpoint, 0, len(k.router.endpoints))
@@ -70,7 +71,7 @@
 	k.keyBuffer = make([]uint64, 0, maxKeysPerWrite)
 }
 
-// gatherNext gathers a part in this turn and the rest in later ones, and then writes the snapshot.
+// gatherNext gathers one part of the snapshot per turn, and writes the snapshot when all parts are gathered.
 func (k *snapshotKeeper) gatherNext() {
 	if k.closed || k.finalState != finalWriteNotStarted || k.gathering == nil {
 		k.gathering = nil
@@ -94,12 +95,12 @@
 		return true
 	}
 	if k.keyScanBudget > 0 {
-		k.keysScannedUpTo = "" // all keys were looked through: the next write begins with the first cache
+		k.keysScannedUpTo = "" // all keys were scanned, so the next write begins with the first cache
 	}
 	return false
 }
 
-// gatherEndpoint adds one cache to the snapshot, unless the list does not name it any more.
+// gatherEndpoint adds a cache to the snapshot if the cache is still listed.
 func (k *snapshotKeeper) gatherEndpoint(e *decide.EndpointSnapshot) {
 	k.gatheredUpTo = e.ID
 	listed := k.router.endpoints[e.ID]
@@ -115,14 +116,14 @@
 	k.gathering.Caches = append(k.gathering.Caches, entry)
 }
 
-// gatherKeys returns a cache's keys where this write still has the time to look through them. The store leaves the keys of
-// the other caches as an earlier write had them.
+// gatherKeys returns a cache's keys, if this write may still scan that many keys. For the other caches, the store retains the keys
+// of an earlier write.
 func (k *snapshotKeeper) gatherKeys(id string) (keys []uint64, ok bool) {
 	if id <= k.keysScannedUpTo || k.keyScanBudget <= 0 {
 		return nil, false
 	}
 	count := k.router.decider.CachedKeyCount(id)
-	if count > maxKeysPerWrite { // no single turn could look through them
+	if count > maxKeysPerWrite { // too many to scan in one turn
 		k.keysScannedUpTo = id
 		return nil, false
 	}
@@ -136,7 +137,7 @@
 	return k.keyBuffer[from:len(k.keyBuffer):len(k.keyBuffer)], true
 }
 
-// writeGathered writes the gathered snapshot beside the loop, and calls done after that, whatever came of it.
+// writeGathered writes the gathered snapshot outside the loop, and then calls done, also after an error.
 func (k *snapshotKeeper) writeGathered(done func()) {
 	gathered := *k.gathering
 	k.gathering = nil
@@ -152,10 +153,10 @@
 		})
 }
 
-// writeToDisk writes a snapshot. It runs beside the loop and uses nothing of the keeper but its store and configuration.
+// writeToDisk writes a snapshot. It runs outside the loop, and therefore uses only the store and the configuration of k.
 func (k *snapshotKeeper) writeToDisk(disk machine.Disk, gathered snapshot.Snapshot, now Time) (notes []string, err error) {
 	maxAge := k.cfg.MaxAge.Microseconds()
-	for i := range gathered.Caches { // sorted here, as that takes longer than a turn of the loop may
+	for i := range gathered.Caches { // sorted here because sorting takes too long for a turn of the loop
 		e := &gathered.Caches[i]
 		e.CachedKeys = decide.SortKeys(e.CachedKeys, k.cfg.KeysPerEndpoint)
 	}
@@ -166,12 +167,12 @@
 	}
 	err = k.store.Write(disk, gathered, now, maxAge)
 	if errors.Is(err, fs.ErrNotExist) {
-		k.store.Close() // the folder is gone: one that is made anew has to be locked again
+		k.store.Close() // the folder was deleted; a recreated folder must be locked again
 	}
 	return notes, err
 }
 
-// writeEnded takes the result of a write, on the loop.
+// writeEnded handles the result of a write, on the loop.
 func (k *snapshotKeeper) writeEnded(notes []string, err error) {
 	k.diskBusy = false
 	if k.router.m.Now()-k.diskBusySince < slowDiskThreshold {
@@ -182,12 +183,12 @@
 	}
 	if !k.closed {
 		k.logNotes(notes)
-		k.noteStoreError(err)
+		k.logStoreError(err)
 	}
 }
 
-// writeFinal writes a last snapshot at the end of a drain, and calls done then or after finalWriteTimeout. Further calls
-// share that write. Without snapshots, done is called at once; k may be nil.
+// writeFinal writes the final snapshot of a drain, and calls done when the write has ended or after finalWriteTimeout. Further
+// calls share the same write. If k is nil or no snapshot is written at the end, writeFinal calls done at once.
 func (k *snapshotKeeper) writeFinal(done func()) {
 	if k == nil || !k.cfg.WriteAtEnd || k.closed || k.finalState == finalWriteDone {
 		done()
@@ -200,7 +201,7 @@
 	k.finalState = finalWriteRunning
 	timeout := k.router.m.At(k.router.m.Now()+finalWriteTimeout, k.finalWriteEnded)
 	k.beginGathering()
-	for k.gatherPart() { // in one turn, as the loop has nothing else to do any more
+	for k.gatherPart() { // in one turn, as the loop has no other work left
 	}
 	k.writeGathered(func() {
 		timeout.Stop()
@@ -208,7 +209,7 @@
 	})
 }
 
-// finalWriteEnded calls all that wait for the last snapshot, once.
+// finalWriteEnded calls, once, the functions that wait for the final write.
 func (k *snapshotKeeper) finalWriteEnded() {
 	if k.finalState == finalWriteDone {
 		return
--- a/internal/router/standstill.go
+++ b/internal/router/standstill.go
@@ -6,21 +6,21 @@
 	"starlingwinch/internal/eventlog"
 )
 
-// Which pauses of the loop are long enough that the endpoint list may have become too old.
+// Minimum lengths of a pause of the loop after which the endpoint list may be too old.
 const (
-	watchPauseDivisor = 4      // of the drain grace, where lists are watched
-	pushPauseDivisor  = 2      // where lists are pushed, as half of the grace is for polling the agent: see retry.Timeouts
+	watchPauseDivisor = 4      // of the drain grace, if lists are watched
+	pushPauseDivisor  = 2      // if lists are pushed, since polling the agent may take half of the grace: see retry.Timeouts
 	minPause          = 10_000 // microseconds
 )
 
-// listBehindInterval is the time between two checks of whether the list is current, in microseconds.
+// listBehindInterval is the time between two checks whether the endpoint list is current, in microseconds.
 const listBehindInterval = 5_000
 
-// watchPauses has the router check for changes of the endpoint list first where its loop goes on after a pause.
+// checkListAfterPauses makes the router check for endpoint list changes before anything else when its loop resumes after a pause.
 //
-// A process that stood still finds requests and list changes side by side, and reads them in any order. Without the check,
-// requests that are read first would go to a cache that discovery removed long ago.
-func (r *Router) watchPauses() {
+// After a pause of the process, requests and list changes are both waiting to be read, in no defined order. Without the check,
+// requests that are read first would be sent to a cache that discovery removed long ago.
+func (r *Router) checkListAfterPauses() {
 	divisor := Time(watchPauseDivisor)
 	if !r.cfg.Settings.WatchRequired {
 		divisor = pushPauseDivisor
@@ -28,7 +28,7 @@
 	r.m.Resumed(max(r.cfg.Settings.DrainGrace/divisor, minPause), r.afterPause)
 }
 
-// afterPause pauses new attempts while there are list changes that were not read yet. The machine calls it after a pause.
+// afterPause pauses new attempts while there are unread list changes. The machine calls it after a pause of the loop.
 func (r *Router) afterPause() {
 	if r.isStopped() || r.listBehind {
 		return
@@ -43,7 +43,7 @@
 	r.resumeWhenCurrent()
 }
 
-// resumeWhenCurrent lets attempts begin again once the list is current, and otherwise checks again later.
+// resumeWhenCurrent resumes attempts if the list is current, and otherwise checks again after listBehindInterval.
 func (r *Router) resumeWhenCurrent() {
 	if r.isStopped() || !r.listBehind {
 		return
--- a/internal/router/timer.go
+++ b/internal/router/timer.go
@@ -5,19 +5,19 @@
 	"starlingwinch/internal/timerqueue"
 )
 
-// maxFreeTimers bounds the records of timers that are retained for reuse.
+// maxFreeTimers is the maximum number of timer records that are retained for reuse.
 const maxFreeTimers = 4096
 
-// policyTimer is a timer that the module has set. Its record is reused, as each request sets two or three and cancels nearly
-// all of them.
+// policyTimer is a timer that the module has set. Its record is reused, because each request sets two or three timers and nearly
+// all of them are cancelled.
 type policyTimer struct {
 	timerqueue.Entry
 	router   *Router
 	token    int64
-	nextFree *policyTimer // while it is in Router.freeTimers
+	nextFree *policyTimer // in Router.freeTimers
 }
 
-// setTimer carries out a SetTimer.
+// setTimer carries out a SetTimer action.
 func (r *Router) setTimer(action decide.SetTimer) {
 	t := r.freeTimers
 	if t == nil {
@@ -31,7 +31,7 @@
 	r.timerQueue.Add(&t.Entry, action.At, t)
 }
 
-// cancelTimer carries out a CancelTimer.
+// cancelTimer carries out a CancelTimer action.
 func (r *Router) cancelTimer(token int64) {
 	if t := r.timers[token]; t != nil {
 		r.timerQueue.Remove(&t.Entry)
@@ -39,7 +39,7 @@
 	}
 }
 
-// freeTimer retains the record of a timer that has fired or was cancelled, up to a bound.
+// freeTimer retains the record of a timer that has fired or was cancelled for reuse, up to maxFreeTimers records.
 func (r *Router) freeTimer(t *policyTimer) {
 	delete(r.timers, t.token)
 	if r.freeTimerCount < maxFreeTimers {
