--- a/internal/router/aperture_test.go
+++ b/internal/router/aperture_test.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// fleetOf returns a list of n serving caches.
+// fleetOf returns an endpoint list of n serving caches.
 func fleetOf(n int) endpoints.Publish {
 	p := endpoints.Publish{Kind: decide.StaleUpdate}
 	for i := range n {
@@ -19,73 +19,74 @@
 	return p
 }
 
-// used applies lists to a subset and records which caches the router uses.
-type used struct {
-	n     *endpointSubset
-	known map[string]bool
+// subsetRecorder applies endpoint lists to a subset and records which caches the router uses.
+type subsetRecorder struct {
+	subset *endpointSubset
+	used   map[string]bool
 }
 
-func (u *used) play(t *testing.T, p endpoints.Publish) {
+func (u *subsetRecorder) apply(t *testing.T, p endpoints.Publish) {
 	t.Helper()
-	out := u.n.restrict(p, structuredlog.Discard())
-	good := false
+	out := u.subset.restrict(p, structuredlog.Discard())
+	sawServing := false
 	for i, e := range out.Endpoints {
 		if e.Status != decide.Removed && out.Addresses[i] == "" {
-			t.Errorf("%s has no address", e.ID)
+			t.Errorf("%s is in the list without an address", e.ID)
 		}
-		if good && e.Status != decide.Serving {
-			t.Error("bad news stands behind good")
+		if sawServing && e.Status != decide.Serving {
+			t.Error("a drain or removal follows a serving endpoint, want drains and removals first")
 		}
-		good = good || e.Status == decide.Serving
+		sawServing = sawServing || e.Status == decide.Serving
 		if e.Status == decide.Removed {
-			delete(u.known, e.ID)
+			delete(u.used, e.ID)
 		} else {
-			u.known[e.ID] = true
+			u.used[e.ID] = true
 		}
 	}
 }
 
-// TestSubsetFollowsFleetSize uses no more caches than there are descriptors, and all of them again once the fleet is
-// smaller.
+// TestSubsetFollowsFleetSize grows a fleet beyond the router's descriptors and shrinks it again. The router uses no more
+// caches than it has descriptors for, and uses all caches again once the fleet is small enough.
 func TestSubsetFollowsFleetSize(t *testing.T) {
 	cfg := &Config{RouterNumber: 1, RouterCount: 3}
-	u := &used{newEndpointSubset(cfg, 390), map[string]bool{}}
-	u.play(t, fleetOf(300))
-	if len(u.known) != 300 {
-		t.Errorf("%d of 300 are used", len(u.known))
+	u := &subsetRecorder{newEndpointSubset(cfg, 390), map[string]bool{}}
+	u.apply(t, fleetOf(300))
+	if len(u.used) != 300 {
+		t.Errorf("%d of 300 caches are used, want all", len(u.used))
 	}
 	whole := fleetOf(500)
-	u.play(t, endpoints.Publish{Kind: decide.DeltaUpdate, Endpoints: whole.Endpoints[300:], Addresses: whole.Addresses[300:]})
-	if n := len(u.known); n > 390 || n < 280 {
-		t.Errorf("%d of 500 are used, there are descriptors for 390", n)
+	u.apply(t, endpoints.Publish{Kind: decide.DeltaUpdate, Endpoints: whole.Endpoints[300:], Addresses: whole.Addresses[300:]})
+	if n := len(u.used); n > 390 || n < 280 {
+		t.Errorf("%d of 500 caches are used, want 280 to 390, the number of descriptors", n)
 	}
-	for id := range u.known {
-		if !u.n.aperture.Covers(id) {
-			t.Errorf("%s is used, the aperture does not cover it", id)
+	for id := range u.used {
+		if !u.subset.aperture.Covers(id) {
+			t.Errorf("%s is used, but the aperture does not cover it", id)
 		}
 	}
-	// Drains inside the aperture are passed on, those outside it are not.
+	// The subset passes on drains of caches inside the aperture, and no others.
 	for _, e := range whole.Endpoints[:20] {
-		was := u.known[e.ID]
+		wasUsed := u.used[e.ID]
 		e.Status = decide.Draining
-		out := u.n.restrict(endpoints.Publish{Endpoints: []decide.Endpoint{e}, Addresses: []string{""}}, structuredlog.Discard())
-		if heard := len(out.Endpoints) == 1; heard != was {
-			t.Errorf("%s, used %v: its drain was heard %v", e.ID, was, heard)
+		out := u.subset.restrict(endpoints.Publish{Endpoints: []decide.Endpoint{e}, Addresses: []string{""}}, structuredlog.Discard())
+		if passedOn := len(out.Endpoints) == 1; passedOn != wasUsed {
+			t.Errorf("drain of %s: passed on %v, want %v", e.ID, passedOn, wasUsed)
 		}
 	}
-	gone := endpoints.Publish{}
+	removals := endpoints.Publish{}
 	for _, e := range whole.Endpoints[200:] {
-		gone.Endpoints, gone.Addresses = append(gone.Endpoints, decide.Endpoint{ID: e.ID, Status: decide.Removed}), append(gone.Addresses, "")
+		removals.Endpoints = append(removals.Endpoints, decide.Endpoint{ID: e.ID, Status: decide.Removed})
+		removals.Addresses = append(removals.Addresses, "")
 	}
-	u.play(t, gone)
-	if len(u.known) != 200 {
-		t.Errorf("%d of 200 are used", len(u.known))
+	u.apply(t, removals)
+	if len(u.used) != 200 {
+		t.Errorf("%d of 200 caches are used, want all", len(u.used))
 	}
 }
 
 func TestSubsetNeedsRouterNumber(t *testing.T) {
-	if n := newEndpointSubset(&Config{RouterNumber: -1}, 10); n != nil {
-		t.Error("it has an aperture")
+	if s := newEndpointSubset(&Config{RouterNumber: -1}, 10); s != nil {
+		t.Error("got a subset for an unknown router number, want nil")
 	}
 }
 
@@ -94,6 +95,6 @@
 		in["peers"], in["peer_listen"] = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, "10.0.0.2:1"
 	})
 	if cfg.RouterNumber != 1 || cfg.RouterCount != 3 {
-		t.Errorf("router %d of %d", cfg.RouterNumber, cfg.RouterCount)
+		t.Errorf("got router %d of %d, want 1 of 3", cfg.RouterNumber, cfg.RouterCount)
 	}
 }
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -9,23 +9,23 @@
 	"starlingwinch/internal/machine"
 )
 
-// benchMachine is a machine whose calls cost next to nothing, for benchmarks of what a router does between them: what a
-// connection is to read is put there by hand, what it writes is dropped, and time goes on as the benchmark says.
+// benchMachine is a machine whose calls cost almost nothing, so that a benchmark measures the router alone. The benchmark
+// supplies the bytes that a connection reads and advances the time; written bytes are dropped.
 type benchMachine struct {
-	machine.Machine // no other call comes
+	machine.Machine // nil: the router makes no other calls
 	now             machine.Time
-	timers          []*bareTimer
+	timers          []*benchTimer
 	accept          func(machine.Conn) machine.Handler
 	dialed          []func()
 }
 
-type bareTimer struct {
-	at  machine.Time
-	f   func()
-	off bool
+type benchTimer struct {
+	at      machine.Time
+	f       func()
+	stopped bool
 }
 
-func (t *bareTimer) Stop() { t.off = true }
+func (t *benchTimer) Stop() { t.stopped = true }
 
 func (m *benchMachine) Now() machine.Time    { return m.now }
 func (m *benchMachine) Wall() machine.Time   { return m.now }
@@ -36,36 +36,36 @@
 func (m *benchMachine) Post(f func())        { m.At(m.now, f) }
 
 func (m *benchMachine) At(at machine.Time, f func()) machine.Timer {
-	t := &bareTimer{at: at, f: f}
+	t := &benchTimer{at: at, f: f}
 	m.timers = append(m.timers, t)
 	return t
 }
 
 func (m *benchMachine) Listen(_ string, accept func(machine.Conn) machine.Handler) (machine.Listener, error) {
 	m.accept = accept
-	return bareListener{}, nil
+	return benchListener{}, nil
 }
 
 func (m *benchMachine) Dial(_ string, _ machine.Time, done func(machine.Conn, error) machine.Handler) machine.Dialing {
 	m.dialed = append(m.dialed, func() {
-		c := &bareConn{}
+		c := &benchConn{}
 		c.h = done(c, nil)
 	})
-	return bareDialing{}
+	return benchDialing{}
 }
 
-// turn lets time pass and calls what is due.
+// turn advances the time and runs the due timers and finished dials.
 func (m *benchMachine) turn(by machine.Time) {
 	m.now += by
 	due := m.timers[:0:0]
-	m.timers = slices.DeleteFunc(m.timers, func(t *bareTimer) bool {
-		if !t.off && t.at <= m.now {
+	m.timers = slices.DeleteFunc(m.timers, func(t *benchTimer) bool {
+		if !t.stopped && t.at <= m.now {
 			due = append(due, t)
 		}
-		return t.off || t.at <= m.now
+		return t.stopped || t.at <= m.now
 	})
 	for _, t := range due {
-		if !t.off {
+		if !t.stopped {
 			t.f()
 		}
 	}
@@ -76,54 +76,54 @@
 	}
 }
 
-type bareListener struct{}
+type benchListener struct{}
 
-func (bareListener) Addr() string  { return "127.0.0.1:1" }
-func (bareListener) Pause()        {}
-func (bareListener) Resume()       {}
-func (bareListener) Finish(func()) {}
-func (bareListener) Close()        {}
+func (benchListener) Addr() string  { return "127.0.0.1:1" }
+func (benchListener) Pause()        {}
+func (benchListener) Resume()       {}
+func (benchListener) Finish(func()) {}
+func (benchListener) Close()        {}
 
-type bareDialing struct{}
+type benchDialing struct{}
 
-func (bareDialing) Cancel()       {}
-func (bareDialing) Blocked() bool { return false }
+func (benchDialing) Cancel()       {}
+func (benchDialing) Blocked() bool { return false }
 
-type bareConn struct {
-	h     machine.Handler
-	in    []byte
-	wrote int
+type benchConn struct {
+	h       machine.Handler
+	unread  []byte
+	written int
 }
 
-func (c *bareConn) Read(b []byte) (int, error) {
-	if len(c.in) == 0 {
+func (c *benchConn) Read(b []byte) (int, error) {
+	if len(c.unread) == 0 {
 		return 0, machine.ErrWait
 	}
-	n := copy(b, c.in)
-	c.in = c.in[n:]
+	n := copy(b, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-func (c *bareConn) Write(b []byte) (int, error) {
-	c.wrote += len(b)
-	if b[0] == '*' && b[4] == '$' { // a command: it has four words
-		carrying = append(carrying, c)
+func (c *benchConn) Write(b []byte) (int, error) {
+	c.written += len(b)
+	if b[0] == '*' && b[4] == '$' { // a command of four words
+		awaitingAnswer = append(awaitingAnswer, c)
 	}
 	return len(b), nil
 }
 
-// carrying are the connections to caches that carry a request. Benchmarks run one at a time.
-var carrying []*bareConn
+// awaitingAnswer holds the cache connections that have an unanswered request. It is global because benchmarks run one at a time.
+var awaitingAnswer []*benchConn
 
-func (c *bareConn) Quiet() bool       { return len(c.in) == 0 }
-func (c *bareConn) End() error        { return nil }
-func (c *bareConn) CloseWrite() error { return nil }
-func (c *bareConn) Close()            {}
-func (c *bareConn) Local() string     { return "127.0.0.1:2" }
-func (c *bareConn) Remote() string    { return "127.0.0.1:3" }
+func (c *benchConn) Quiet() bool       { return len(c.unread) == 0 }
+func (c *benchConn) End() error        { return nil }
+func (c *benchConn) CloseWrite() error { return nil }
+func (c *benchConn) Close()            {}
+func (c *benchConn) Local() string     { return "127.0.0.1:2" }
+func (c *benchConn) Remote() string    { return "127.0.0.1:3" }
 
-// BenchmarkRouted is what a request costs from its bytes to its answer's, without the machine: 64 clients, one request
-// each at a time.
+// BenchmarkRouted measures the cost of a request in the router, from reading the command to writing the answer, without the
+// machine. 64 clients each have one request at a time.
 func BenchmarkRouted(b *testing.B) {
 	for _, caches := range []int{10, 500, 2000} {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) { benchmarkRouted(b, caches, 1) })
@@ -153,10 +153,10 @@
 	}
 	defer r.Close()
 	applyKnownList(r)
-	carrying = nil
-	var clients []*bareConn
+	awaitingAnswer = nil
+	var clients []*benchConn
 	for range 64 {
-		c := &bareConn{}
+		c := &benchConn{}
 		c.h = m.accept(c)
 		clients = append(clients, c)
 	}
@@ -169,25 +169,25 @@
 	round := func(n int) {
 		for i := range n {
 			c := clients[i/pipelined%len(clients)]
-			c.in = append(c.in, wire[next%len(wire)]...)
+			c.unread = append(c.unread, wire[next%len(wire)]...)
 			if next++; (i+1)%pipelined == 0 || i == n-1 {
 				c.h.Readable()
 			}
 		}
-		for len(carrying) > 0 {
-			was := carrying
-			carrying = nil
-			for _, c := range was {
-				c.in = answer
+		for len(awaitingAnswer) > 0 {
+			waiting := awaitingAnswer
+			awaitingAnswer = nil
+			for _, c := range waiting {
+				c.unread = answer
 				c.h.Readable()
 			}
-			if m.turn(1300); r.openRequests > 0 && len(carrying) == 0 {
+			if m.turn(1300); r.openRequests > 0 && len(awaitingAnswer) == 0 {
 				m.turn(5000)
 			}
 		}
 		m.turn(1300)
 	}
-	for range 400 { // connections come up, and keys get known
+	for range 400 { // opens the connections and teaches the router the keys
 		round(64 * pipelined)
 	}
 	b.ReportAllocs()
@@ -199,6 +199,6 @@
 	}
 	b.StopTimer()
 	if r.openRequests > 0 || r.contract.Breaches() > 0 {
-		b.Fatalf("%d requests are open, %d breaches", r.openRequests, r.contract.Breaches())
+		b.Fatalf("got %d open requests and %d contract breaches, want none", r.openRequests, r.contract.Breaches())
 	}
 }
--- a/internal/router/config_check_test.go
+++ b/internal/router/config_check_test.go
@@ -9,7 +9,8 @@
 	"starlingwinch/internal/settings"
 )
 
-func soundFile(t testing.TB) string {
+// validSettingsFile returns the text of a valid configuration file.
+func validSettingsFile(t testing.TB) string {
 	t.Helper()
 	raw, err := os.ReadFile("../settings/testdata/good.json")
 	if err != nil {
@@ -18,10 +19,10 @@
 	return string(raw)
 }
 
-// FuzzConfigCheckCoversRouter holds that a file which passes the check starts a router, so that no fault is first seen
-// at a start.
+// FuzzConfigCheckCoversRouter checks that the router accepts every file that settings.Check accepts, so that an operator
+// sees each fault in the check and not at the start of a router.
 func FuzzConfigCheckCoversRouter(f *testing.F) {
-	good := soundFile(f)
+	good := validSettingsFile(f)
 	f.Add(good)
 	for _, c := range [][2]string{{`"10.0.0.4:6379"`, `"10.0.0.4"`}, {`"cores":1`, `"cores":-1`}, {`"index":41`, `"index":-1`},
 		{`"keyTtl":1200000,`, ``}, {`"maxAttempts":3`, `"maxAttempts":0`}, {`"since_ms":17`, `"since_ms":-17`},
@@ -34,18 +35,18 @@
 			_, err = decide.New(cfg.Settings, cfg.Seed)
 		}
 		if faults := settings.Check([]byte(raw)); err != nil && faults.Empty() {
-			t.Errorf("the check passes what the router refuses with %q", err)
+			t.Errorf("settings.Check accepts a file that the router rejects with %q", err)
 		}
 	})
 }
 
-// TestKeyedClassWithoutWindowServedAndNotRetried serves a keyed class without an idempotency window, which the check
-// complains of, and never retries it.
+// TestKeyedClassWithoutWindowServedAndNotRetried configures a class with idempotency keys but without an idempotency
+// window. The check reports faults; the module serves the class and never retries its requests.
 func TestKeyedClassWithoutWindowServedAndNotRetried(t *testing.T) {
-	raw := strings.NewReplacer(`"dedupScope":"zone",`, ``, `"keyTtl":1200000,`, ``).Replace(soundFile(t))
+	raw := strings.NewReplacer(`"dedupScope":"zone",`, ``, `"keyTtl":1200000,`, ``).Replace(validSettingsFile(t))
 	faults := settings.Check([]byte(raw))
 	if len(faults.All()) != 2 {
-		t.Errorf("faults: %s", faults.Error())
+		t.Errorf("got faults %s, want 2", faults.Error())
 	}
 	cfg, err := ParseConfig([]byte(raw))
 	if err != nil {
@@ -69,27 +70,27 @@
 	request := &decide.Request{ID: 1, Class: "add-contact", Key: 7, HasKey: true, Deadline: now + 1_200_000, Write: true}
 	count(m.Handle(now, request))
 	if sends != 1 {
-		t.Fatalf("%d sends for a new request", sends)
+		t.Fatalf("a new request had %d sends, want 1", sends)
 	}
 	now += 1000
 	count(m.Handle(now, &decide.AttemptResult{ID: 1, Result: decide.ConnectionLost, Elapsed: 1000, Load: decide.LoadReport{Utilization: -1}}))
 	if sends != 1 {
-		t.Error("it was repeated though no cache is known to drop its repeat")
+		t.Errorf("got %d sends, want 1: no cache is known to deduplicate a retry", sends)
 	}
 }
 
-// TestConfigRefusesOverflowingTimes refuses times that would overflow: every dial would fail, or every connection be
-// closed.
-func TestConfigRefusesOverflowingTimes(t *testing.T) {
+// TestConfigRejectsOverflowingValues checks that values which would overflow are rejected. An overflowing dial timeout would
+// fail every dial, and an overflowing keepalive would close every connection.
+func TestConfigRejectsOverflowingValues(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"dialTimeout":200000`, `"dialTimeout":9223372036854775807`, "dialTimeout"},
 		{`"keepalive":60000000`, `"keepalive":9223372036854775807`, "keepalive"},
 		{`"memory_mb":192`, `"memory_mb":9223372036854775807`, "memory_mb"},
 		{`"cores":1`, `"cores":1e300`, "cores"},
 	} {
-		_, err := ParseConfig([]byte(strings.Replace(soundFile(t), c[0], c[1], 1)))
+		_, err := ParseConfig([]byte(strings.Replace(validSettingsFile(t), c[0], c[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[2]) {
-			t.Errorf("%s: error %v", c[1], err)
+			t.Errorf("%s: got error %v, want one that names %s", c[1], err, c[2])
 		}
 	}
 }
--- a/internal/router/config_test.go
+++ b/internal/router/config_test.go
@@ -15,7 +15,7 @@
 	}
 	if cfg.Seed != 0x8c1f30d27a5be964 || cfg.Limits.Sockets != defaultSockets || cfg.Transport.DialTimeout != 20_000_000 ||
 		cfg.Settings.Routers != 1 || cfg.LastKnown.Index != discovery.NoIndex {
-		t.Errorf("got %+v", cfg)
+		t.Errorf("got unexpected values in %+v", cfg)
 	}
 	for _, c := range []struct{ old, new, field string }{
 		{`"listen":"127.0.0.1:1"`, `"listen":"here"`, "listen"},
@@ -32,7 +32,7 @@
 	} {
 		_, err := ParseConfig([]byte(strings.Replace(good, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want a line that names %s", c.new, err, c.field)
+			t.Errorf("%s: got error %v, want one line that names %s", c.new, err, c.field)
 		}
 	}
 }
--- a/internal/router/contract_test.go
+++ b/internal/router/contract_test.go
@@ -9,31 +9,31 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// lossyModule is a module whose sends the loop loses: they never reach it.
+// lossyModule drops every Send of a module, so that the event loop never performs them.
 type lossyModule struct {
 	guard.Module
 	lost chan decide.Send
 }
 
-func (f lossyModule) Handle(now decide.Time, ev decide.Event) []decide.Action {
-	var kept []decide.Action
-	for _, a := range f.Module.Handle(now, ev) {
+func (m lossyModule) Handle(now decide.Time, ev decide.Event) []decide.Action {
+	var remaining []decide.Action
+	for _, a := range m.Module.Handle(now, ev) {
 		if s, ok := a.(decide.Send); ok {
-			f.lost <- s
+			m.lost <- s
 			continue
 		}
-		kept = append(kept, a)
+		remaining = append(remaining, a)
 	}
-	return kept
+	return remaining
 }
 
-// TestContractRepairsLostAttemptResult loses what the module sends: the request is answered, its place at the cache is
-// given back, and the breach is logged and counted.
+// TestContractRepairsLostAttemptResult drops every Send of the module, so that no attempt has a result. The request must still
+// be answered, the attempt must no longer count as in flight, and the breach must be logged and counted.
 func TestContractRepairsLostAttemptResult(t *testing.T) {
 	lines := make(routertest.Lines, 1000)
 	cache := newFakeCache(t)
 	lost := make(chan decide.Send, 100)
-	s := &running{Loop: routertest.NewLoop(t, lines)}
+	s := &runningRouter{Loop: routertest.NewLoop(t, lines)}
 	cfg := testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service"))
 	s.Do(func() {
 		var err error
@@ -42,7 +42,7 @@
 			return
 		}
 		applyKnownList(s.r)
-		// The loop loses what the contract has let pass.
+		// The contract has recorded a Send before the wrapper drops it.
 		s.r.module = lossyModule{s.r.module, lost}
 		s.addr = s.r.Addr()
 	})
@@ -54,15 +54,15 @@
 	c.Send(words("C.GET", "k1", "r1", "c=read,d=100"))
 	receive(t, lost, "send of the module")
 	if got := c.Line(); !strings.HasPrefix(got, "-") {
-		t.Errorf("answered %q", got)
+		t.Errorf("got answer %q, want an error", got)
 	}
 	lines.Want(t, `msg="contract breach" kind=outcome-missing`)
-	s.Until("the end of the request", func() bool {
+	s.Until("release of the request", func() bool {
 		return s.r.contract.Open() == 0 && len(s.r.requests) == 0
 	})
 	s.Do(func() {
 		if n := s.r.Holdings()["breaches"]; n == 0 {
-			t.Error("the loss is not counted")
+			t.Error("got 0 counted breaches, want at least 1")
 		}
 	})
 }
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -8,85 +8,87 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// askEvery edits the poll interval of a configuration.
-func askEvery(every decide.Time) func(map[string]any) {
+// withPollInterval returns an edit that sets the poll interval of a configuration.
+func withPollInterval(interval decide.Time) func(map[string]any) {
 	return func(in map[string]any) {
-		in["settings"].(map[string]any)["rules"].(map[string]any)["askEvery"] = every
+		in["settings"].(map[string]any)["rules"].(map[string]any)["askEvery"] = interval
 	}
 }
 
-// TestWatchContinuesAfterEachAnswer follows each answer with a call for the versions after it, and applies the answer.
+// TestWatchContinuesAfterEachAnswer checks that the router applies each answer of discovery and then watches for later
+// versions.
 func TestWatchContinuesAfterEachAnswer(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
 	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil), nil)
 	first := receive(t, calls, "call")
 	if want := "/discovery/hosts"; first.Query != want {
-		t.Errorf("call %s, want %s", first.Query, want)
+		t.Errorf("got call %s, want %s", first.Query, want)
 	}
 	first.Reply <- hosts(7, true, host("c1", cache.Addr(), "in_service"))
 	second := receive(t, calls, "call")
 	if want := "/discovery/hosts?after=7&wait_ms="; !strings.HasPrefix(second.Query, want) {
-		t.Errorf("call %s, want %s", second.Query, want)
+		t.Errorf("got call %s, want %s", second.Query, want)
 	}
 	c := dial(t, r.addr)
 	c.Send(get("r1"))
 	receive(t, cache.Commands, "command").Reply(t, served)
 	c.Want("value")
-	second.Reply <- hosts(9, true) // a whole list without the cache: it is gone
+	second.Reply <- hosts(9, true) // a full list that removes the cache
 	receive(t, calls, "call")
 	receive(t, cache.Ended, "end of the idle connection")
 	c.Send(get("r2"))
 	if got := c.Line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("answer %q", got)
+		t.Errorf("got answer %q without a cache, want -BUSY", got)
 	}
 }
 
-// TestWatchWithoutKnownListStartsWithFullList asks for the full list first.
+// TestWatchWithoutKnownListStartsWithFullList starts a router whose configuration has no list: its first call requests the
+// full list.
 func TestWatchWithoutKnownListStartsWithFullList(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) { delete(in, "known") }), nil)
 	if c := receive(t, calls, "call"); c.Query != "/discovery/hosts" {
-		t.Errorf("call %s", c.Query)
+		t.Errorf("got call %s, want the full list", c.Query)
 	}
 }
 
-// TestFailedWatchRetried retries when the module asks for a watch again.
+// TestFailedWatchRetried fails the first call: the router must call again when the module requests another watch.
 func TestFailedWatchRetried(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
-	startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, askEvery(1_000_000)), nil)
+	startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, withPollInterval(1_000_000)), nil)
 	receive(t, calls, "call").Reply <- ""
 	if c := receive(t, calls, "second call"); c.Query != "/discovery/hosts" {
-		t.Errorf("call %s", c.Query)
+		t.Errorf("got call %s, want the full list", c.Query)
 	}
 }
 
-// TestRestartedDiscoveryAskedForFullList restarts discovery with versions that begin again at a low number: the router
-// would otherwise wait for changes after a version that never comes.
+// TestRestartedDiscoveryAskedForFullList restarts discovery with versions that begin again at a low number. The router must
+// request the full list; otherwise it would watch for changes after a version that discovery never reaches.
 func TestRestartedDiscoveryAskedForFullList(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
-	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, askEvery(1_000_000)), nil)
+	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, withPollInterval(1_000_000)), nil)
 	receive(t, calls, "call").Reply <- hosts(41, true, host("c1", cache.Addr(), "in_service"))
 	receive(t, calls, "watch").Reply <- hosts(3, false)
-	again := receive(t, calls, "call after the answer that does not follow")
+	again := receive(t, calls, "call after the version went back")
 	if again.Query != "/discovery/hosts" {
-		t.Errorf("call %s, want the whole list", again.Query)
+		t.Errorf("got call %s, want the full list", again.Query)
 	}
 	again.Reply <- hosts(3, true, host("c1", cache.Addr(), "terminating"))
 	if c := receive(t, calls, "watch"); !strings.Contains(c.Query, "after=3&") {
-		t.Errorf("call %s", c.Query)
+		t.Errorf("got call %s, want a watch after version 3", c.Query)
 	}
-	r.Until("the drain", func() bool { return !r.r.Serving() })
+	r.Until("drain of the only cache", func() bool { return !r.r.Serving() })
 	c := dial(t, r.addr)
 	c.Send(get("r1"))
 	if got := c.Line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("after the drain: %q", got)
+		t.Errorf("got answer %q after the drain, want -BUSY", got)
 	}
 }
 
-// TestPushedListsPolledToo polls the agent that has the pushed lists, as it sends nothing by itself; also in a
-// discovery mode that is not known.
+// TestPushedListsPolledToo checks that the router polls where lists are pushed, because the agent that receives them sends
+// nothing by itself. An unknown discovery mode counts as push.
 func TestPushedListsPolledToo(t *testing.T) {
 	for _, mode := range []string{"automatic", "subscrbe", ""} {
 		addr, calls := routertest.Discovery(t)
@@ -97,25 +99,25 @@
 	}
 }
 
-// TestOldListNotUsedWhereListsArePushed sends nothing by the list as last known: a router counts as notified of the
-// list that the agent has from the start of its process on.
+// TestOldListNotUsedWhereListsArePushed checks that the router sends no request by the last known list. Where lists are
+// pushed, a router counts as notified of the agent's list from the start of its process.
 func TestOldListNotUsedWhereListsArePushed(t *testing.T) {
 	drained, fresh := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
 	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, func(in map[string]any) {
 		settings := in["settings"].(map[string]any)
 		settings["discovery"] = "automatic"
-		settings["rules"].(map[string]any)["drainGrace"] = 60_000_000 // so that the call is not given up
+		settings["rules"].(map[string]any)["drainGrace"] = 60_000_000 // so that the call does not time out
 	}, host("c1", drained.Addr(), "in_service")), nil)
 	call := receive(t, calls, "call")
 	c := dial(t, r.addr)
 	c.Send(words("PING"))
 	if got := c.Line(); !strings.HasPrefix(got, "-LOADING") {
-		t.Errorf("a router that knows nothing new says %q", got)
+		t.Errorf("got answer %q to PING before the first list, want -LOADING", got)
 	}
 	c.Send(get("r1"))
 	if got := c.Line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("and %q to a request", got)
+		t.Errorf("got answer %q to a request before the first list, want -BUSY", got)
 	}
 	call.Reply <- hosts(7, true, host("c1", drained.Addr(), "terminating"), host("c2", fresh.Addr(), "in_service"))
 	receive(t, calls, "watch")
@@ -124,64 +126,64 @@
 	c.Want("value")
 	select {
 	case <-drained.Commands:
-		t.Error("a command went to a cache that drains")
+		t.Error("the draining cache received a command")
 	default:
 	}
 }
 
-// moved is the configuration with discovery at another address.
-func moved(cfg *Config, addr string) *Config {
+// withDiscovery returns the configuration with another address of discovery.
+func withDiscovery(cfg *Config, addr string) *Config {
 	next := *cfg
 	next.Discovery = addr
 	return &next
 }
 
-// TestReloadAsksNewDiscoveryForFullList changes the address of discovery twice: the router asks the new one for the
-// full list and closes its connection to the old one.
+// TestReloadAsksNewDiscoveryForFullList changes the address of discovery twice. Each time, the router requests the full list
+// at the new address and closes its connection to the old one.
 func TestReloadAsksNewDiscoveryForFullList(t *testing.T) {
 	first, second := newFakeCache(t), newFakeCache(t)
 	oldAddr, oldCalls := routertest.Discovery(t)
 	newAddr, newCalls := routertest.Discovery(t)
 	cfg := testConfig(t, oldAddr, nil, host("c1", first.Addr(), "in_service"))
-	back := *cfg
+	original := *cfg
 	r := start(t, cfg, nil, nil)
 	receive(t, oldCalls, "call")
-	r.Do(func() { r.r.Reload(moved(cfg, newAddr)) })
+	r.Do(func() { r.r.Reload(withDiscovery(cfg, newAddr)) })
 	c := receive(t, newCalls, "call to the new discovery")
 	if c.Query != "/discovery/hosts" {
-		t.Errorf("call %s, want the whole list", c.Query)
+		t.Errorf("got call %s, want the full list", c.Query)
 	}
-	c.Reply <- hosts(0, true, host("c2", second.Addr(), "in_service")) // its versions are its own
+	c.Reply <- hosts(0, true, host("c2", second.Addr(), "in_service")) // versions of the two instances are unrelated
 	if c := receive(t, newCalls, "watch"); !strings.HasPrefix(c.Query, "/discovery/hosts?after=0&wait_ms=") {
-		t.Errorf("call %s", c.Query)
+		t.Errorf("got call %s, want a watch after version 0", c.Query)
 	}
-	cl := dial(t, r.addr)
-	cl.Send(get("r1"))
+	client := dial(t, r.addr)
+	client.Send(get("r1"))
 	receive(t, second.Commands, "command").Reply(t, served)
-	cl.Want("value")
-	r.Do(func() { r.r.Reload(&back) })
-	if c := receive(t, oldCalls, "call after the second SIGHUP"); c.Query != "/discovery/hosts" {
-		t.Errorf("call %s, want the whole list", c.Query)
+	client.Want("value")
+	r.Do(func() { r.r.Reload(&original) })
+	if c := receive(t, oldCalls, "call after the second reload"); c.Query != "/discovery/hosts" {
+		t.Errorf("got call %s, want the full list", c.Query)
 	}
 }
 
-// TestLateAnswerOfOldDiscoveryIgnored changes the address of discovery while an answer of the old one is on its way to
-// the loop.
+// TestLateAnswerOfOldDiscoveryIgnored changes the address of discovery while an answer from the old address waits to be read.
+// The router must not apply that answer.
 func TestLateAnswerOfOldDiscoveryIgnored(t *testing.T) {
 	cache := newFakeCache(t)
 	oldAddr, oldCalls := routertest.Discovery(t)
 	newAddr, newCalls := routertest.Discovery(t)
-	r := newRig(t, cache.Addr(), func(c *Config) { c.Discovery = oldAddr })
+	r := newScriptedRouter(t, cache.Addr(), func(c *Config) { c.Discovery = oldAddr })
 	late := receive(t, oldCalls, "call")
 	r.Do(func() {
 		late.Reply <- hosts(50, true)
-		receive(t, late.Written, "end of the answer") // this machine has all of it; the loop has not read it
-		r.r.Reload(moved(r.r.cfg, newAddr))
+		receive(t, late.Written, "end of the answer") // the kernel has all of it, and the loop has not read it
+		r.r.Reload(withDiscovery(r.r.cfg, newAddr))
 	})
 	receive(t, newCalls, "call to the new discovery")
 	r.Do(func() {
-		if !r.up("c1") {
-			t.Error("the old list was taken")
+		if !r.isServing("c1") {
+			t.Error("c1 is not serving: the answer of the old discovery was applied")
 		}
 	})
 }
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -9,12 +9,12 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestDrainAnswersRequestsAndNewConnections takes connections and requests for a moment after SIGTERM, answers all of
-// them, and ends.
+// TestDrainAnswersRequestsAndNewConnections checks that a draining router still accepts connections and requests for a short
+// time, answers all of them, and then stops.
 func TestDrainAnswersRequestsAndNewConnections(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
-		func(r *Router) { r.acceptGrace = 2_000_000 }) // a slow machine must not miss it, nor the drain's end come first
+		func(r *Router) { r.acceptGrace = 2_000_000 }) // so that a slow machine connects within the grace and before the drain ends
 	idle, busy := dial(t, r.addr), dial(t, r.addr)
 	idle.Send(words("PING"))
 	idle.Want("+PONG")
@@ -31,79 +31,79 @@
 	busy.WantClosed()
 	late.Want("value")
 	late.WantClosed()
-	receive(t, r.ended, "end of the router")
+	receive(t, r.drainEnded, "end of the drain")
 }
 
-// TestDrainEndsByDeadline ends with the longest client timeout at the latest, whether a request gets no answer or a
-// command never becomes complete.
+// TestDrainEndsByDeadline checks that a drain ends after the longest client timeout at the latest, even if a request gets no
+// answer or a command stays incomplete.
 func TestDrainEndsByDeadline(t *testing.T) {
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil), nil, func(r *Router) {
-		r.module = newScript() // answers nothing
+		r.module = newRecordingModule() // never answers
 		r.sweepTimer.Stop()
 		r.maxClientTimeout = 1000
 	})
-	stuck, half := dial(t, r.addr), dial(t, r.addr)
-	stuck.Send(words("PING") + get("r1"))
-	stuck.Line() // not ready: no cache is known
-	half.Send(words("PING") + "*4\r\n$5\r\nC.G")
-	half.Line()
+	unanswered, incomplete := dial(t, r.addr), dial(t, r.addr)
+	unanswered.Send(words("PING") + get("r1"))
+	unanswered.Line() // -LOADING: no cache is known
+	incomplete.Send(words("PING") + "*4\r\n$5\r\nC.G")
+	incomplete.Line()
 	r.drain()
-	receive(t, r.ended, "end of the router")
+	receive(t, r.drainEnded, "end of the drain")
 }
 
-// TestDrainEndsWithBlockedLog drains while nobody reads the log.
+// TestDrainEndsWithBlockedLog drains a router whose log blocks each write.
 func TestDrainEndsWithBlockedLog(t *testing.T) {
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil), routertest.NewStuck(t),
 		func(r *Router) { r.acceptGrace = 0 })
 	dial(t, r.addr).Close()
 	r.drain()
-	receive(t, r.ended, "end of the router")
+	receive(t, r.drainEnded, "end of the drain")
 }
 
-// TestBlockedLogDoesNotStopLoop serves while nobody reads the log.
+// TestBlockedLogDoesNotStopLoop logs from the event loop while the log blocks each write: the loop must not block.
 func TestBlockedLogDoesNotStopLoop(t *testing.T) {
-	r := newLoggedRig(t, "127.0.0.1:1", nil, routertest.NewStuck(t))
+	r := newLoggedScriptedRouter(t, "127.0.0.1:1", nil, routertest.NewStuck(t))
 	r.Do(func() {
-		for range 4096 { // more than any log keeps
+		for range 4096 { // more lines than the log buffers
 			r.r.perform(decide.Log{Message: "line"})
 		}
 	})
 }
 
-// TestDrainWaitsForSlowReader keeps a connection open until its client has read all answers: those that the socket did
-// not take yet are still owed.
+// TestDrainWaitsForSlowReader checks that a drain keeps a connection open until its client has read all answers, including
+// those that the socket has not accepted yet.
 func TestDrainWaitsForSlowReader(t *testing.T) {
-	const asked = 200
+	const requests = 200
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
 		func(r *Router) { r.acceptGrace = 1000 })
 	value := strings.Repeat("v", 60_000)
 	answer := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(value), value)
 	go func() {
-		for range asked {
+		for range requests {
 			(<-cache.Commands).Conn.Write([]byte(answer))
 		}
 	}()
 	c := dial(t, r.addr)
-	for i := range asked {
+	for i := range requests {
 		c.Send(get(fmt.Sprint("r", i)))
 	}
-	r.Until("answers that wait for their reader", func() bool {
+	r.Until("buffered answers of the slow reader", func() bool {
 		left := r.r.Holdings()
 		return left["attempts"] == 0 && left["requests"] == 0 && left["bytes"] > 1<<20
 	})
 	r.drain()
-	r.Until("a drain that waits for nothing else", func() bool { return r.r.frontend.Accepted() > 0 && r.r.isEnding() })
-	for i := range asked {
+	r.Until("draining router", func() bool { return r.r.frontend.Accepted() > 0 && r.r.isEnding() })
+	for i := range requests {
 		if got := c.Line(); got != value {
-			t.Fatalf("answer %d is not whole: %d bytes", i, len(got))
+			t.Fatalf("answer %d has %d bytes, want the value of %d bytes", i, len(got), len(value))
 		}
 	}
 	c.WantClosed()
-	receive(t, r.ended, "end of the router")
+	receive(t, r.drainEnded, "end of the drain")
 	r.Do(func() {
 		if left := r.r.Holdings(); left["bytes"] != 0 || left["connections"] != 0 {
-			t.Errorf("left: %v", left)
+			t.Errorf("stopped router still holds %v", left)
 		}
 	})
 }
--- a/internal/router/endpoint_list_test.go
+++ b/internal/router/endpoint_list_test.go
@@ -11,24 +11,24 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestUnreadableEntryKeepsEndpoint lists an entry that is not valid in a full list: its cache is not removed, as the
-// list names it.
+// TestUnreadableEntryKeepsEndpoint applies a full list with an invalid entry. The router must keep the cache of that entry,
+// because the list names it.
 func TestUnreadableEntryKeepsEndpoint(t *testing.T) {
 	cache := newFakeCache(t)
-	r := newRig(t, cache.Addr(), nil)
-	r.list(2, true, host("c1", "cache.example.org:1", "in_service"), host("c2", cache.Addr(), "terminating"))
+	r := newScriptedRouter(t, cache.Addr(), nil)
+	r.applyList(2, true, host("c1", "cache.example.org:1", "in_service"), host("c2", cache.Addr(), "terminating"))
 	r.Do(func() {
 		if h := r.r.endpoints["c1"]; h == nil || h.entry.Status != decide.Serving || h.address != cache.Addr() {
-			t.Errorf("c1 is %+v", h)
+			t.Errorf("got %+v for c1, want the serving endpoint of the first list", h)
 		}
 		if h := r.r.endpoints["c2"]; h == nil || h.entry.Status == decide.Serving {
-			t.Errorf("c2 is %+v", h)
+			t.Errorf("got %+v for c2, want a draining endpoint", h)
 		}
 	})
-	r.list(3, true, host("c2", cache.Addr(), "in_service"))
+	r.applyList(3, true, host("c2", cache.Addr(), "in_service"))
 	r.Do(func() {
 		if r.r.endpoints["c1"] != nil {
-			t.Error("c1, which the list leaves out, is still there")
+			t.Error("c1 is still listed after a full list without it")
 		}
 	})
 }
@@ -41,9 +41,9 @@
 
 func (m *steppingMachine) Wall() Time { return m.wall.Load() }
 
-// steppedRig is a rig whose system clock the test sets.
-func steppedRig(t *testing.T, addr string) (r *rig, wall *atomic.Int64) {
-	r = newRig(t, addr, nil)
+// newSteppedClockRouter returns a scripted router and the system clock of its machine, which the test sets.
+func newSteppedClockRouter(t *testing.T, addr string) (r *scriptedRouter, wall *atomic.Int64) {
+	r = newScriptedRouter(t, addr, nil)
 	m := &steppingMachine{Machine: r.Loop}
 	r.Do(func() {
 		m.wall.Store(r.Now())
@@ -52,80 +52,81 @@
 	return r, &m.wall
 }
 
-func since(line string, at decide.Time) string {
+// withStart returns the line of a cache with another start time.
+func withStart(line string, at decide.Time) string {
 	return strings.Replace(line, `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, at/1000), 1)
 }
 
-// TestClockStepKeepsEndpointAge steps the system clock: a known cache keeps its age, and a new one has the age that
-// the list and the new clock give together.
+// TestClockStepKeepsEndpointAge steps the system clock. A known cache must keep its age, and a new cache must have the age
+// between its listed start and the new clock.
 func TestClockStepKeepsEndpointAge(t *testing.T) {
 	cache := newFakeCache(t)
-	r, wall := steppedRig(t, cache.Addr())
+	r, wall := newSteppedClockRouter(t, cache.Addr())
 	const hour = 3600 * 1_000_000
 	started := wall.Load() - 5_000_000
-	start := func(name string) (at decide.Time) {
+	startOf := func(name string) (at decide.Time) {
 		r.Do(func() { at = r.r.endpoints[name].entry.StartedAt })
 		return at
 	}
-	r.list(2, false, since(host("c2", cache.Addr(), "in_service"), started))
-	before := start("c2")
+	r.applyList(2, false, withStart(host("c2", cache.Addr(), "in_service"), started))
+	before := startOf("c2")
 	for step, by := range []decide.Time{hour, -2 * hour} {
 		wall.Add(by)
-		r.list(3+step, false, since(host("c2", cache.Addr(), "in_service"), started))
-		if got := start("c2"); got != before {
-			t.Errorf("after a step of %d its start moved by %d", by, got-before)
+		r.applyList(3+step, false, withStart(host("c2", cache.Addr(), "in_service"), started))
+		if got := startOf("c2"); got != before {
+			t.Errorf("clock step of %d us moved the start of a known cache by %d us, want 0", by, got-before)
 		}
 		name := fmt.Sprint("n", step)
-		r.list(5+step, false, since(host(name, cache.Addr(), "in_service"), wall.Load()-2_000_000))
+		r.applyList(5+step, false, withStart(host(name, cache.Addr(), "in_service"), wall.Load()-2_000_000))
 		age := decide.Time(0)
 		r.Do(func() { age = r.Now() - r.r.endpoints[name].entry.StartedAt })
 		if age < 1_990_000 || age > 60_000_000 {
-			t.Errorf("after a step of %d a cache of 2 s is %d old", by, age)
+			t.Errorf("after a clock step of %d us, a cache that started 2 s ago has age %d us", by, age)
 		}
 	}
 }
 
-// TestClockStepKeepsStartedCacheInSlowStart steps the clock of this machine alone; a cache that starts after that is
-// in slow start.
+// TestClockStepKeepsStartedCacheInSlowStart steps the clock of the router's machine alone. A cache that starts after the step
+// must be young enough to be in slow start.
 func TestClockStepKeepsStartedCacheInSlowStart(t *testing.T) {
 	const hour = 3600 * 1_000_000
 	for _, by := range []decide.Time{hour, -hour, 5_000_000, -5_000_000} {
 		cache := newFakeCache(t)
-		r, wall := steppedRig(t, cache.Addr())
+		r, wall := newSteppedClockRouter(t, cache.Addr())
 		started := wall.Load() - 2_000_000
 		wall.Add(by)
-		r.list(2, false, since(host("c2", cache.Addr(), "in_service"), started))
+		r.applyList(2, false, withStart(host("c2", cache.Addr(), "in_service"), started))
 		r.Do(func() {
 			if age := r.Now() - r.r.endpoints["c2"].entry.StartedAt; age < 0 || age > 60_000_000 {
-				t.Errorf("after a step of %d a cache of 2 s is %d old", by, age)
+				t.Errorf("after a clock step of %d us, a cache that started 2 s ago has age %d us", by, age)
 			}
 		})
 	}
 }
 
-// TestFutureStartCountsAsNow lists a start in the future, which counts as now until the list corrects it.
+// TestFutureStartCountsAsNow lists a cache that starts in the future: the start counts as now until a list corrects it.
 func TestFutureStartCountsAsNow(t *testing.T) {
 	cache := newFakeCache(t)
-	r, wall := steppedRig(t, cache.Addr())
-	r.list(2, false, since(host("c2", cache.Addr(), "in_service"), wall.Load()+3600*1_000_000))
+	r, wall := newSteppedClockRouter(t, cache.Addr())
+	r.applyList(2, false, withStart(host("c2", cache.Addr(), "in_service"), wall.Load()+3600*1_000_000))
 	r.Do(func() {
 		if at := r.r.endpoints["c2"].entry.StartedAt; at > r.Now() {
-			t.Errorf("it starts in %d", at-r.Now())
+			t.Errorf("start is %d us in the future, want now at the latest", at-r.Now())
 		}
 	})
-	r.list(3, false, host("c2", cache.Addr(), "in_service"))
+	r.applyList(3, false, host("c2", cache.Addr(), "in_service"))
 	r.Do(func() {
 		if at := r.r.endpoints["c2"].entry.StartedAt; at != 0 {
-			t.Errorf("after the correction its start is %d", at)
+			t.Errorf("got start %d after the correction, want 0", at)
 		}
 	})
 }
 
-// TestLargeListAppliedInPieces applies a large list over several turns, with other work between them, removals and
-// drains first.
+// TestLargeListAppliedInPieces checks that the router applies a large list over several turns, with drains and removals first,
+// so that other work runs between the turns.
 func TestLargeListAppliedInPieces(t *testing.T) {
 	cache := newFakeCache(t)
-	r := newRig(t, cache.Addr(), nil)
+	r := newScriptedRouter(t, cache.Addr(), nil)
 	const caches = 4 * maxEndpointsPerTurn
 	var lines []string
 	for i := range caches {
@@ -135,33 +136,33 @@
 	h := parse(t, hosts(2, true, lines...))
 	r.Do(func() {
 		r.r.sources.ApplyDiscovery(h)
-		if r.up("c1") {
-			t.Error("the drain waits for the rest of the list")
+		if r.isServing("c1") {
+			t.Error("the drain of c1 was not applied in the first turn")
 		}
 		if n := len(r.r.endpoints); n > maxEndpointsPerTurn+1 {
-			t.Errorf("%d caches were taken in one turn", n)
+			t.Errorf("%d caches are known after one turn, want at most %d", n, maxEndpointsPerTurn+1)
 		}
 	})
-	// A newer list that comes meanwhile is not overtaken by the rest of the old one.
-	r.list(3, false, host("n1999", cache.Addr(), "terminating"))
-	r.Until("the whole list", func() bool { return len(r.r.pendingLists) == 0 })
+	// The pending rest of the older list must not undo a newer list.
+	r.applyList(3, false, host("n1999", cache.Addr(), "terminating"))
+	r.Until("end of the pending lists", func() bool { return len(r.r.pendingLists) == 0 })
 	r.Do(func() {
 		if n := len(r.r.endpoints); n != caches+1 {
-			t.Errorf("%d caches are known", n)
+			t.Errorf("%d caches are known, want %d", n, caches+1)
 		}
-		if r.up("n1999") {
-			t.Error("the newer list was overtaken")
+		if r.isServing("n1999") {
+			t.Error("the rest of the older list replaced the newer drain of n1999")
 		}
 	})
-	r.list(4, true, host("c1", cache.Addr(), "in_service"))
-	r.Until("the end of all others", func() bool { return len(r.r.endpoints) == 1 })
+	r.applyList(4, true, host("c1", cache.Addr(), "in_service"))
+	r.Until("removal of all other caches", func() bool { return len(r.r.endpoints) == 1 })
 }
 
-// TestEndpointChangesLogged logs each change of an endpoint with its cause.
+// TestEndpointChangesLogged checks that the router logs each change of an endpoint with its cause.
 func TestEndpointChangesLogged(t *testing.T) {
 	cache := newFakeCache(t)
 	lines := make(routertest.Lines, 1000)
-	r := newLoggedRig(t, cache.Addr(), nil, lines)
+	r := newLoggedScriptedRouter(t, cache.Addr(), nil, lines)
 	const noServingEndpoint = `msg="no serving endpoint left"`
 	want := func(text string) {
 		t.Helper()
@@ -172,7 +173,7 @@
 				got, ok = noServingEndpoint, true
 			}
 			if !ok || strings.HasPrefix(got, "source ") {
-				continue // of the calls, not of the endpoints
+				continue // the line is about a call of discovery
 			}
 			if got != text {
 				t.Errorf("logged %q, want %q", got, text)
@@ -184,22 +185,22 @@
 		return fmt.Sprintf("status changed\" endpoint=%s status=%s source=discovery reason=%s", endpoint, status, reason)
 	}
 	want(status("c1", "serving", "in_service"))
-	r.list(2, false, host("c2", cache.Addr(), "in_service"), host("c1", cache.Addr(), "terminating"))
+	r.applyList(2, false, host("c2", cache.Addr(), "in_service"), host("c1", cache.Addr(), "terminating"))
 	want(status("c1", "draining", "terminating")) // before c2, though c2 comes first in the list
 	want(status("c2", "serving", "in_service"))
-	r.list(3, true, host("c1", cache.Addr(), "terminating"))
+	r.applyList(3, true, host("c1", cache.Addr(), "terminating"))
 	want(noServingEndpoint)
 	want(status("c2", "removed", `"left out of its list"`))
-	r.list(4, true, host("c1", cache.Addr(), "in_service"))
+	r.applyList(4, true, host("c1", cache.Addr(), "in_service"))
 	want(status("c1", "serving", "in_service"))
 }
 
-// TestDrainAtEndOfLargeListAppliedInSameTurn lists a drain as the last of many entries: a send to that cache in the
-// same turn is not sent.
+// TestDrainAtEndOfLargeListAppliedInSameTurn lists a drain as the last of many entries. A Send to that cache in the same turn
+// must have the result NotSent.
 func TestDrainAtEndOfLargeListAppliedInSameTurn(t *testing.T) {
 	cache := newFakeCache(t)
-	r := newRig(t, cache.Addr(), nil)
-	q := r.request()
+	r := newScriptedRouter(t, cache.Addr(), nil)
+	q := r.sendRead()
 	var lines []string
 	for i := range 200 {
 		lines = append(lines, host(fmt.Sprintf("b%03d", i), "127.0.0.1:1", "in_service"))
@@ -210,15 +211,15 @@
 		r.r.perform(decide.Send{ID: q.id, Cache: "c1"})
 		r.r.ProcessEvents()
 	})
-	r.want(decide.NotSent)
+	r.wantResult(decide.NotSent)
 	select {
 	case <-cache.Commands:
-		t.Error("a command went to a cache that drains")
+		t.Error("the draining cache received a command")
 	default:
 	}
 	r.Do(func() {
 		if len(r.r.endpoints) != 201 {
-			t.Errorf("%d caches are known", len(r.r.endpoints))
+			t.Errorf("%d caches are known, want 201", len(r.r.endpoints))
 		}
 	})
 }
--- a/internal/router/gossip_test.go
+++ b/internal/router/gossip_test.go
@@ -11,7 +11,7 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// gossipConfig returns the configuration of one of several routers with gossip.
+// gossipConfig returns the configuration of a router that gossips with peers.
 func gossipConfig(t *testing.T, name, listen string, peers []string, edit func(map[string]any)) *Config {
 	cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) {
 		in["name"], in["peer_listen"], in["peers"] = name, listen, peers
@@ -24,8 +24,8 @@
 	return cfg
 }
 
-// packetPorts returns addresses for datagrams that were free a moment ago.
-func packetPorts(t *testing.T, n int) (addrs []string) {
+// freePacketAddresses returns UDP addresses that were free a moment ago.
+func freePacketAddresses(t *testing.T, n int) (addrs []string) {
 	l := routertest.NewLoop(t, nil)
 	l.Do(func() {
 		var held []machine.PacketConn
@@ -52,7 +52,7 @@
 		"peer_listen":  func(in map[string]any) { in["peer_listen"] = "" },
 		"a name of 33": func(in map[string]any) { in["name"] = strings.Repeat("n", gossip.MaxNameBytes+1) },
 	} {
-		addr := packetPorts(t, 1)
+		addr := freePacketAddresses(t, 1)
 		l := routertest.NewLoop(t, nil)
 		l.Do(func() {
 			r, err := Start(l, gossipConfig(t, "n0", addr[0], addr, edit))
@@ -60,61 +60,62 @@
 				r.Close()
 			}
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, want an error that names %s", err, want)
+				t.Errorf("got error %v, want one that names %s", err, want)
 			}
 		})
 	}
 }
 
-// TestGossipWaitsForItsAddress has the process before hold the gossip address. The router serves meanwhile, and joins
-// once the address is free.
-func TestGossipWaitsForItsAddress(t *testing.T) {
-	addr := packetPorts(t, 1)
+// TestGossipWaitsForHeldAddress starts a router while the previous process holds its gossip address. The router serves without
+// gossip, and joins once the address is free.
+func TestGossipWaitsForHeldAddress(t *testing.T) {
+	addr := freePacketAddresses(t, 1)
 	l := routertest.NewLoop(t, nil)
-	var before machine.PacketConn
+	var previous machine.PacketConn
 	l.Do(func() {
 		var err error
-		if before, err = l.ListenPacket(addr[0], func(string, []byte) {}); err != nil {
+		if previous, err = l.ListenPacket(addr[0], func(string, []byte) {}); err != nil {
 			t.Error(err)
 		}
 	})
 	r := startOn(t, l, gossipConfig(t, "n0", addr[0], addr, nil), nil)
 	if answer := ping(t, r.addr); answer != "+PONG" {
-		t.Errorf("PING: %q while the address for datagrams is held", answer)
+		t.Errorf("got answer %q to PING while the gossip address is held, want +PONG", answer)
 	}
 	l.Do(func() {
 		if r.r.Gossip() != nil {
-			t.Error("it has a view at an address that another holds")
+			t.Error("router has a member list while another process holds its gossip address")
 		}
-		before.Close()
+		previous.Close()
 	})
-	l.Until("a view", func() bool { return r.r.Gossip() != nil })
+	l.Until("member list", func() bool { return r.r.Gossip() != nil })
 }
 
-// TestReloadWhileGossipWaitsKeepsNewPeers reloads with another peer while the process before holds the gossip address.
+// TestReloadWhileGossipWaitsKeepsNewPeers reloads with an additional peer while the previous process holds the gossip address.
+// The router must contact that peer once it has the address.
 func TestReloadWhileGossipWaitsKeepsNewPeers(t *testing.T) {
-	addrs := packetPorts(t, 2)
+	addrs := freePacketAddresses(t, 2)
 	l := routertest.NewLoop(t, nil)
-	var before machine.PacketConn
-	heard := make(chan struct{}, 1000)
+	var previous machine.PacketConn
+	received := make(chan struct{}, 1000)
 	l.Do(func() {
 		var err error
-		if before, err = l.ListenPacket(addrs[0], func(string, []byte) {}); err != nil {
+		if previous, err = l.ListenPacket(addrs[0], func(string, []byte) {}); err != nil {
 			t.Error(err)
 		}
-		if _, err = l.ListenPacket(addrs[1], func(string, []byte) { heard <- struct{}{} }); err != nil {
+		if _, err = l.ListenPacket(addrs[1], func(string, []byte) { received <- struct{}{} }); err != nil {
 			t.Error(err)
 		}
 	})
 	r := startOn(t, l, gossipConfig(t, "n0", addrs[0], addrs[:1], nil), nil)
 	l.Do(func() {
 		r.r.Reload(gossipConfig(t, "n0", addrs[0], addrs, nil))
-		before.Close()
+		previous.Close()
 	})
-	routertest.Receive(t, heard, "a datagram at the new peer")
+	routertest.Receive(t, received, "datagram at the new peer")
 }
 
-// ping sends a router PING on a connection of its own, and returns the answer.
+// ping sends PING to a router on a new connection and returns the answer.
 func ping(t *testing.T, addr string) string {
 	t.Helper()
 	c := dial(t, addr)
@@ -122,23 +123,23 @@
 	return c.Line()
 }
 
-// routerCountRecorder is a module that records the router counts that it receives.
+// routerCountRecorder wraps a module and records the router counts that it receives.
 type routerCountRecorder struct {
 	guard.Module
-	routers []int
+	counts []int
 }
 
 func (m *routerCountRecorder) Handle(now decide.Time, ev decide.Event) []decide.Action {
 	if f, is := ev.(*decide.RouterCount); is {
-		m.routers = append(m.routers, f.Routers)
+		m.counts = append(m.counts, f.Routers)
 	}
 	return m.Module.Handle(now, ev)
 }
 
 func TestGossipUpdatesRouterCountAndAnnouncesDrain(t *testing.T) {
-	addrs := packetPorts(t, 3)
+	addrs := freePacketAddresses(t, 3)
 	var modules [3]*routerCountRecorder
-	var routers [3]*running
+	var routers [3]*runningRouter
 	for i := range routers {
 		cfg := gossipConfig(t, []string{"n0", "n1", "n2"}[i], addrs[i], addrs, nil)
 		cfg.Wrap = func(m guard.Module) guard.Module {
@@ -155,20 +156,20 @@
 		return all
 	}
 	for i := range routers {
-		routers[i].Until("all three here and settled", func() bool {
+		routers[i].Until("settled member list of three", func() bool {
 			settled, _, _ := routers[i].r.Gossip().Settled()
 			return settled && len(states(i)) == 3
 		})
-		routers[i].Until("the module divides by three, where the settings say one", func() bool {
-			n := modules[i].routers
-			return len(n) > 0 && n[len(n)-1] == 3
+		routers[i].Until("router count of three in place of the one in the settings", func() bool {
+			counts := modules[i].counts
+			return len(counts) > 0 && counts[len(counts)-1] == 3
 		})
 	}
 	routers[2].Do(func() { routers[2].r.Drain(func() {}) })
-	routers[0].Until("the one that drains said so", func() bool { s := states(0)["n2"]; return s == gossip.Leaving || s == gossip.Left })
-	routers[0].Until("the module divides by two", func() bool {
-		n := modules[0].routers
-		return n[len(n)-1] == 2
+	routers[0].Until("drain of n2 in the member list of n0", func() bool { s := states(0)["n2"]; return s == gossip.Leaving || s == gossip.Left })
+	routers[0].Until("router count of two", func() bool {
+		counts := modules[0].counts
+		return counts[len(counts)-1] == 2
 	})
 	next := gossipConfig(t, "n1", addrs[1], addrs[1:], nil)
 	next.Listen = routers[1].r.cfg.Listen
@@ -176,7 +177,7 @@
 	routers[1].Do(func() {
 		for _, m := range routers[1].r.Gossip().Members() {
 			if m.Name == "n0" && (m.Configured || m.Addr != "") {
-				t.Errorf("after its address was taken from the configuration: %+v", m)
+				t.Errorf("got member %+v after the configuration dropped its address", m)
 			}
 		}
 	})
@@ -188,7 +189,7 @@
 	s := start(t, cfg, nil, nil)
 	s.Do(func() {
 		if s.r.gossip != nil || s.r.Gossip() != nil {
-			t.Error("a view is kept that is switched off")
+			t.Error("router has a member list while gossip is disabled")
 		}
 	})
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -18,7 +18,7 @@
  "rules":{"askEvery":600000000,"cold":23000000,"drainGrace":1000000,"fall":3000000,"startCapacity":0.16},
  "penalties":{"probe":0.01,"connection":0.03,"handshake":0.03}}`
 
-// Short names for what nearly every test uses.
+// Short names for the routertest helpers that most tests use.
 var (
 	host         = routertest.Host
 	hosts        = routertest.Hosts
@@ -58,22 +58,22 @@
 	return cfg
 }
 
-// running is a router that serves on a running machine.
-type running struct {
+// runningRouter is a router on a machine whose event loop runs beside the test.
+type runningRouter struct {
 	*routertest.Loop
-	r     *Router
-	addr  string
-	ended chan struct{} // closed at the end of a drain
+	r          *Router
+	addr       string
+	drainEnded chan struct{} // closed when a drain has ended
 }
 
-// start starts a router. edit, which may be nil, changes it in the turn of its start; log may be nil.
-func start(t *testing.T, cfg *Config, log io.Writer, edit func(*Router)) *running {
+// start starts a router on a new machine. edit changes the router in the turn in which it starts. edit and log may be nil.
+func start(t *testing.T, cfg *Config, log io.Writer, edit func(*Router)) *runningRouter {
 	t.Helper()
 	return startOn(t, routertest.NewLoop(t, log), cfg, edit)
 }
 
-// startOn starts a router on a machine. Discovery has answered with the list of its configuration.
-func startOn(t *testing.T, loop *routertest.Loop, cfg *Config, edit func(*Router)) *running {
+// startOn starts a router on a machine and applies the endpoint list of its configuration as discovery's answer.
+func startOn(t *testing.T, loop *routertest.Loop, cfg *Config, edit func(*Router)) *runningRouter {
 	t.Helper()
 	return startWithoutList(t, loop, cfg, func(r *Router) {
 		applyKnownList(r)
@@ -83,13 +83,13 @@
 	})
 }
 
-// applyKnownList applies the list of the configuration as if discovery had answered with it.
+// applyKnownList applies the endpoint list of the router's configuration as if discovery had answered with it.
 func applyKnownList(r *Router) { r.sources.ApplyDiscovery(r.cfg.LastKnown) }
 
-// startWithoutList starts a router on a machine. Discovery has not answered.
-func startWithoutList(t *testing.T, loop *routertest.Loop, cfg *Config, edit func(*Router)) *running {
+// startWithoutList starts a router on a machine, before any answer of discovery.
+func startWithoutList(t *testing.T, loop *routertest.Loop, cfg *Config, edit func(*Router)) *runningRouter {
 	t.Helper()
-	s := &running{Loop: loop, ended: make(chan struct{})}
+	s := &runningRouter{Loop: loop, drainEnded: make(chan struct{})}
 	s.Do(func() {
 		var err error
 		if s.r, err = Start(s.Loop, cfg); err != nil {
@@ -109,43 +109,43 @@
 			s.r.Close()
 			left := s.r.Holdings()
 			if n := left["breaches"]; n > 0 {
-				t.Errorf("the contract has %d breaches", n)
+				t.Errorf("got %d contract breaches, want none", n)
 			}
 			if left["bytes"] != 0 || left["clients"] != 0 || left["connections"] != 0 {
-				t.Errorf("a closed router holds %v", left)
+				t.Errorf("closed router still holds %v", left)
 			}
 		})
 	})
 	return s
 }
 
-// drain begins what SIGTERM begins.
-func (s *running) drain() { s.Do(func() { s.r.Drain(func() { close(s.ended) }) }) }
+// drain starts a drain, as SIGTERM does.
+func (s *runningRouter) drain() { s.Do(func() { s.r.Drain(func() { close(s.drainEnded) }) }) }
 
-// idle waits until no request is open and the router holds no record of any.
-func (s *running) idle() {
-	s.Until("an idle router", func() bool {
+// waitIdle waits until the router has no open request and holds no record of a finished one.
+func (s *runningRouter) waitIdle() {
+	s.Until("idle router without request records", func() bool {
 		left := s.r.Holdings()
 		return left["requests"]+left["ids"]+left["open"]+left["attempts"]+left["bytes"]+left["events"] == 0
 	})
 }
 
-// script stands in for the module: it records results and requests, and tests
-// give the actions themselves.
-type script struct {
-	outcomes chan *decide.AttemptResult
+// recordingModule replaces the decision module. It records requests and attempt results, and returns no actions: the test
+// performs them.
+type recordingModule struct {
+	results  chan *decide.AttemptResult
 	requests chan *decide.Request
 }
 
-func newScript() *script {
-	return &script{make(chan *decide.AttemptResult, 1000), make(chan *decide.Request, 1000)}
+func newRecordingModule() *recordingModule {
+	return &recordingModule{make(chan *decide.AttemptResult, 1000), make(chan *decide.Request, 1000)}
 }
 
-func (s *script) Handle(_ decide.Time, ev decide.Event) []decide.Action {
+func (s *recordingModule) Handle(_ decide.Time, ev decide.Event) []decide.Action {
 	switch ev := ev.(type) {
 	case *decide.AttemptResult:
 		copied := *ev
-		s.outcomes <- &copied
+		s.results <- &copied
 	case *decide.Request:
 		copied := *ev
 		s.requests <- &copied
@@ -153,29 +153,29 @@
 	return nil
 }
 
-// rig is a router without a module, with one cache "c1".
-type rig struct {
-	*running
-	*script
+// scriptedRouter is a router with one cache, "c1", whose decision module is a recordingModule.
+type scriptedRouter struct {
+	*runningRouter
+	*recordingModule
 	t            *testing.T
-	requestCount int // requests so far
+	requestCount int // requests that sendRead has sent
 }
 
-func newRig(t *testing.T, addr string, edit func(*Config)) *rig {
+func newScriptedRouter(t *testing.T, addr string, edit func(*Config)) *scriptedRouter {
 	t.Helper()
-	return newLoggedRig(t, addr, edit, nil)
+	return newLoggedScriptedRouter(t, addr, edit, nil)
 }
 
-func newLoggedRig(t *testing.T, addr string, edit func(*Config), log io.Writer) *rig {
+func newLoggedScriptedRouter(t *testing.T, addr string, edit func(*Config), log io.Writer) *scriptedRouter {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1", nil, host("c1", addr, "in_service"))
 	if edit != nil {
 		edit(cfg)
 	}
-	r := &rig{script: newScript(), t: t}
-	r.running = start(t, cfg, log, func(router *Router) {
-		router.module = r.script
-		router.sweepTimer.Stop() // its look at the contract, which hears of nothing here
+	r := &scriptedRouter{recordingModule: newRecordingModule(), t: t}
+	r.runningRouter = start(t, cfg, log, func(router *Router) {
+		router.module = r.recordingModule
+		router.sweepTimer.Stop() // the sweep checks the contract, which the recording module bypasses
 	})
 	return r
 }
@@ -186,22 +186,23 @@
 	client *routertest.Client
 }
 
-// request sends a read on a connection of its own.
-func (r *rig) request() sentRequest {
+// sendRead sends a read on a new client connection.
+func (r *scriptedRouter) sendRead() sentRequest {
 	r.t.Helper()
 	r.requestCount++
 	return r.sendCommand(get(fmt.Sprint("r", r.requestCount)))
 }
 
-func (r *rig) sendCommand(wire string) sentRequest {
+// sendCommand sends a command on a new client connection and waits until the module receives the request.
+func (r *scriptedRouter) sendCommand(wire string) sentRequest {
 	r.t.Helper()
 	c := dial(r.t, r.addr)
 	c.Send(wire)
 	return sentRequest{receive(r.t, r.requests, "request at the module").ID, c}
 }
 
-// perform has the router carry actions out, in one turn.
-func (r *rig) perform(actions ...decide.Action) {
+// perform makes the router perform actions in one turn.
+func (r *scriptedRouter) perform(actions ...decide.Action) {
 	r.t.Helper()
 	r.Do(func() {
 		for _, a := range actions {
@@ -211,22 +212,23 @@
 	})
 }
 
-// send starts an attempt that is given up at the request's deadline.
-func (r *rig) send(q sentRequest) {
+// startAttempt starts an attempt at c1 with the deadline of the request.
+func (r *scriptedRouter) startAttempt(q sentRequest) {
 	r.t.Helper()
 	r.perform(decide.Send{ID: q.id, Cache: "c1"})
 }
 
-func (r *rig) want(result decide.Result) *decide.AttemptResult {
+// wantResult waits for the next attempt result and checks it.
+func (r *scriptedRouter) wantResult(result decide.Result) *decide.AttemptResult {
 	r.t.Helper()
-	o := receive(r.t, r.outcomes, "outcome")
-	if o.Result != result {
-		r.t.Fatalf("outcome %d, want %d", o.Result, result)
+	got := receive(r.t, r.results, "attempt result")
+	if got.Result != result {
+		r.t.Fatalf("got attempt result %d, want %d", got.Result, result)
 	}
-	return o
+	return got
 }
 
-// parse reads a list.
+// parse parses an answer of discovery.
 func parse(t *testing.T, raw string) discovery.List {
 	t.Helper()
 	h, err := discovery.Parse([]byte(raw))
@@ -236,15 +238,15 @@
 	return h
 }
 
-// list has discovery answer with a list.
-func (r *rig) list(index int, full bool, lines ...string) {
+// applyList applies an endpoint list as an answer of discovery.
+func (r *scriptedRouter) applyList(index int, full bool, lines ...string) {
 	r.t.Helper()
 	h := parse(r.t, hosts(index, full, lines...))
 	r.Do(func() { r.r.sources.ApplyDiscovery(h) })
 }
 
-// up reports whether a cache is listed as serving.
-func (r *rig) up(name string) bool {
+// isServing reports whether a cache is listed as serving.
+func (r *scriptedRouter) isServing(name string) bool {
 	h := r.r.endpoints[name]
 	return h != nil && h.entry.Status == decide.Serving
 }
--- a/internal/router/lifecycle_test.go
+++ b/internal/router/lifecycle_test.go
@@ -8,20 +8,20 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestStartAppliesNewerListThanKnown has discovery's list differ from the known one at the same version. A start that
-// asked only for later versions would send to a removed cache for as long as it lives.
+// TestStartAppliesNewerListThanKnown starts a router whose known list differs from discovery's list at the same version. If
+// the router requested only later versions, it would send requests to a removed cache for the rest of its life.
 func TestStartAppliesNewerListThanKnown(t *testing.T) {
 	leaving, staying := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
 	r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil, host("c1", leaving.Addr(), "in_service")), nil)
 	first := receive(t, calls, "call")
 	if first.Query != "/discovery/hosts" {
-		t.Errorf("call %s, want the whole list", first.Query)
+		t.Errorf("got call %s, want the full list", first.Query)
 	}
 	c := dial(t, r.addr)
 	c.Send("PING\r\n")
 	if got := c.Line(); !strings.HasPrefix(got, "-LOADING") {
-		t.Errorf("PING: %q before discovery has answered", got)
+		t.Errorf("got answer %q to PING before discovery has answered, want -LOADING", got)
 	}
 	first.Reply <- hosts(1, true, host("c1", leaving.Addr(), "terminating"), host("c2", staying.Addr(), "in_service"))
 	receive(t, calls, "watch")
@@ -31,26 +31,27 @@
 		c.Want("value")
 	}
 	if n := len(leaving.Commands); n > 0 {
-		t.Errorf("%d commands to the cache that leaves", n)
+		t.Errorf("draining cache received %d commands, want 0", n)
 	}
 }
 
-// TestStartUsesKnownListWhenDiscoveryFails starts while discovery rejects the call or does not answer.
+// TestStartUsesKnownListWhenDiscoveryFails starts a router while discovery rejects the call or does not answer. The router must
+// serve by its known list.
 func TestStartUsesKnownListWhenDiscoveryFails(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		fails bool
-	}{{"Refused", true}, {"Silent", false}} {
+		name       string
+		isRejected bool
+	}{{"rejected call", true}, {"no answer", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			cache := newFakeCache(t)
 			addr, calls := routertest.Discovery(t)
 			r := startWithoutList(t, routertest.NewLoop(t, nil), testConfig(t, addr, nil, host("c1", cache.Addr(), "in_service")), nil)
 			call := receive(t, calls, "call")
-			if c.fails {
+			if c.isRejected {
 				call.Reply <- ""
 			}
-			r.Until("a router that serves", func() bool { return r.r.Serving() })
+			r.Until("serving router", func() bool { return r.r.Serving() })
 			client := dial(t, r.addr)
 			client.Send(get("r1"))
 			receive(t, cache.Commands, "command").Reply(t, served)
@@ -59,15 +60,15 @@
 	}
 }
 
-// wantState checks the state of a router. It is called on the loop.
+// wantState checks the lifecycle state of a router. Tests call it on the loop.
 func wantState(t *testing.T, r *Router, want lifecycleState) {
 	t.Helper()
 	if r.state != want {
-		t.Errorf("state %d, want %d", r.state, want)
+		t.Errorf("got lifecycle state %d, want %d", r.state, want)
 	}
 }
 
-// startAtHeldAddress starts a router whose address another listener has, and returns both.
+// startAtHeldAddress starts a router whose address another listener holds, and returns both.
 func startAtHeldAddress(t *testing.T) (loop *routertest.Loop, r *Router, holder machine.Listener) {
 	t.Helper()
 	loop = routertest.NewLoop(t, nil)
@@ -91,22 +92,22 @@
 	return loop, r, holder
 }
 
-// TestLifecycleFromWaitingToStopped takes a router through all its states.
+// TestLifecycleFromWaitingToStopped leads a router from waiting for its address through all later states.
 func TestLifecycleFromWaitingToStopped(t *testing.T) {
 	loop, r, holder := startAtHeldAddress(t)
 	loop.Do(holder.Close)
-	loop.Until("a router that serves", func() bool { return r.state == stateServing })
+	loop.Until("serving router", func() bool { return r.state == stateServing })
 	stopped := make(chan struct{})
 	loop.Do(func() {
 		r.Drain(func() { close(stopped) })
 		wantState(t, r, stateDraining)
-		r.Drain(func() { t.Error("a second drain calls back") })
+		r.Drain(func() { t.Error("a second Drain called its callback") })
 	})
 	receive(t, stopped, "end of the drain")
 	loop.Do(func() { wantState(t, r, stateStopped) })
 }
 
-// TestLifecycleDrainWhileWaiting drains a router that has no address: it stops in the same turn.
+// TestLifecycleDrainWhileWaiting drains a router that waits for its address: the router must stop in the same turn.
 func TestLifecycleDrainWhileWaiting(t *testing.T) {
 	loop, r, holder := startAtHeldAddress(t)
 	defer loop.Do(holder.Close)
@@ -115,7 +116,7 @@
 		r.Drain(func() { isCalled = true })
 		wantState(t, r, stateStopped)
 		if !isCalled {
-			t.Error("the drain has not called back")
+			t.Error("Drain has not called its callback")
 		}
 	})
 }
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -7,13 +7,14 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestReloadNamesOnlyWhatWaitsForRestart changes one part of the configuration at a time.
-func TestReloadNamesOnlyWhatWaitsForRestart(t *testing.T) {
+// TestReloadReportsChangesThatNeedRestart changes one part of the configuration at a time and checks whether the change needs
+// a restart.
+func TestReloadReportsChangesThatNeedRestart(t *testing.T) {
 	for name, c := range map[string]struct {
-		edit  func(*Config)
-		waits bool
+		edit         func(*Config)
+		needsRestart bool
 	}{
-		"nothing":               {func(*Config) {}, false},
+		"no change":             {func(*Config) {}, false},
 		"address of discovery":  {func(c *Config) { c.Discovery = "127.0.0.1:3" }, false},
 		"name":                  {func(c *Config) { c.Name = "n9" }, true},
 		"seed":                  {func(c *Config) { c.Seed++ }, true},
@@ -28,15 +29,16 @@
 			next := withHooks(t, testConfig(t, discovery, nil), "a")
 			c.edit(next)
 			s.Do(func() {
-				if got := s.r.needsRestart(next); got != c.waits {
-					t.Errorf("waits for a restart: %t, want %t", got, c.waits)
+				if got := s.r.needsRestart(next); got != c.needsRestart {
+					t.Errorf("needsRestart: got %t, want %t", got, c.needsRestart)
 				}
 			})
 		})
 	}
 }
 
-// withHooks returns the configuration with these hooks in place of its own, and the limits less what they may use.
+// withHooks returns the configuration with its hooks replaced by the named ones, and with the limits reduced by the share of
+// the named hooks.
 func withHooks(t *testing.T, c *Config, names ...string) *Config {
 	t.Helper()
 	changed := *c
--- a/internal/router/request_end_test.go
+++ b/internal/router/request_end_test.go
@@ -10,18 +10,18 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestNothingSentForGoneClient has the client leave while its request waits: for a connection, for a cache to be
-// reconnected, behind QUIT, or behind as many answers as a connection may be owed. Nothing of the request remains
-// either.
+// TestNothingSentForGoneClient disconnects a client while its request waits for the only connection to the cache: alone, with a
+// QUIT or an invalid command behind it, or with as many requests as a connection may have unanswered. The router must not send
+// the request and must release its record.
 func TestNothingSentForGoneClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		pipelined int
 		wire      string
 	}{
-		"read on":              {64, get("r1")},
-		"behind QUIT":          {64, get("r1") + words("QUIT")},
-		"behind a bad command": {64, get("r1") + "*x\r\n"},
-		"too many are due":     {2, get("r1") + get("r2") + get("r3")},
+		"one request":                    {64, get("r1")},
+		"followed by QUIT":               {64, get("r1") + words("QUIT")},
+		"followed by an invalid command": {64, get("r1") + "*x\r\n"},
+		"more than MaxPipelined":         {2, get("r1") + get("r2") + get("r3")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cache := newFakeCache(t)
@@ -32,65 +32,65 @@
 			busy := dial(t, r.addr)
 			busy.Send(get("first"))
 			first := receive(t, cache.Commands, "command")
-			leaves := dial(t, r.addr)
-			leaves.Send(c.wire) // it waits for the one connection
-			r.Until("a request that waits", func() bool { return r.r.openRequests >= 2 })
-			leaves.Close()
-			r.Until("that nobody waits for", func() bool { return r.r.openRequests == 1 })
+			leaving := dial(t, r.addr)
+			leaving.Send(c.wire) // the request waits for the only connection
+			r.Until("waiting request", func() bool { return r.r.openRequests >= 2 })
+			leaving.Close()
+			r.Until("end of the disconnected client's requests", func() bool { return r.r.openRequests == 1 })
 			first.Reply(t, served)
 			busy.Want("value")
 			busy.Send(get("last"))
 			if cmd := receive(t, cache.Commands, "command"); cmd.Args[2] != "last" {
-				t.Errorf("%s was sent on though its client had left", cmd.Args[2])
+				t.Errorf("cache received request %s of a disconnected client", cmd.Args[2])
 			} else {
 				cmd.Reply(t, served)
 			}
 			busy.Want("value")
-			r.idle()
+			r.waitIdle()
 		})
 	}
 }
 
-// TestNothingSentForClientGoneInSameTurn has one turn bring the answer that frees a connection and, behind it, the
-// client's end.
+// TestNothingSentForClientGoneInSameTurn delivers, in one turn, the answer that frees a connection and then the disconnect of
+// the client whose request waits for that connection. The router must not send the request.
 func TestNothingSentForClientGoneInSameTurn(t *testing.T) {
 	for name, leave := range map[string]func(c *routertest.Client){
-		"by its end":      func(c *routertest.Client) { c.Close() },
-		"by a reset":      func(c *routertest.Client) { c.SetLinger(0); c.Close() },
-		"by a half close": func(c *routertest.Client) { c.CloseWrite() },
+		"close":      func(c *routertest.Client) { c.Close() },
+		"reset":      func(c *routertest.Client) { c.SetLinger(0); c.Close() },
+		"half close": func(c *routertest.Client) { c.CloseWrite() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cache := newFakeCache(t)
 			cfg := testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service"))
 			cfg.OperatorLimits.Caches.MinConnections, cfg.OperatorLimits.Caches.FleetConnections, cfg.OperatorLimits.Caches.MinRestTime = 1, 1, 0
 			r := start(t, cfg, nil, nil)
-			busy, leaves := dial(t, r.addr), dial(t, r.addr)
+			busy, leaving := dial(t, r.addr), dial(t, r.addr)
 			busy.Send(get("first"))
 			first := receive(t, cache.Commands, "command")
-			leaves.Send(get("leaves"))
-			r.Until("a request that waits", func() bool { return r.r.openRequests == 2 })
+			leaving.Send(get("leaving"))
+			r.Until("waiting request", func() bool { return r.r.openRequests == 2 })
 			r.Do(func() {
 				first.Reply(t, served)
-				leave(leaves)
+				leave(leaving)
 			})
 			busy.Want("value")
 			busy.Send(get("last"))
 			cmd := receive(t, cache.Commands, "command")
 			if cmd.Args[2] != "last" {
-				t.Errorf("%s was sent on", cmd.Args[2])
+				t.Errorf("cache received request %s, want last", cmd.Args[2])
 			}
 			cmd.Reply(t, served)
 			if cmd.Args[2] == "last" {
 				busy.Want("value")
-				r.idle()
+				r.waitIdle()
 			}
 		})
 	}
 }
 
-// TestDuplicateIDRefusedWhileAttemptOut refuses the name of a finished request while its attempt is out: the request
-// might run twice.
-func TestDuplicateIDRefusedWhileAttemptOut(t *testing.T) {
+// TestDuplicateIDRejectedWhileAttemptInFlight checks that the router rejects the id of a finished request while an attempt of
+// that request is in flight. Otherwise the request might run twice.
+func TestDuplicateIDRejectedWhileAttemptInFlight(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
 		in["settings"].(map[string]any)["limits"].(map[string]any)["cancel"] = false
@@ -99,44 +99,44 @@
 	first.Send(get("r1"))
 	cmd := receive(t, cache.Commands, "command")
 	first.Close()
-	r.Until("that nobody waits for it", func() bool { return r.r.openRequests == 0 })
+	r.Until("end of the disconnected client's request", func() bool { return r.r.openRequests == 0 })
 	second.Send(get("r1"))
 	if got := second.Line(); !strings.HasPrefix(got, "-ERR the id") {
-		t.Errorf("answer %q", got)
+		t.Errorf("got answer %q, want an error about the id", got)
 	}
 	cmd.Reply(t, served)
-	r.idle()
+	r.waitIdle()
 	second.Send(get("r1"))
 	receive(t, cache.Commands, "command").Reply(t, served)
 	second.Want("value")
-	r.idle()
+	r.waitIdle()
 }
 
-// TestDrainAnswersRequestsThatOutliveIt has a class allow more time than a drain takes. Requests that were sent fail,
-// others are rejected, and the process ends at the deadline.
-func TestDrainAnswersRequestsThatOutliveIt(t *testing.T) {
-	hangs, silent := newFakeCache(t), routertest.Unreachable(t)
-	for name, addr := range map[string]string{"at a cache that hangs": hangs.Addr(), "for a connection": silent} {
+// TestDrainAnswersRequestsWithLaterDeadlines drains a router whose requests have deadlines after the end of the drain. The
+// router must answer them and stop by the drain's deadline: requests that were sent fail, others are rejected.
+func TestDrainAnswersRequestsWithLaterDeadlines(t *testing.T) {
+	hanging, unreachable := newFakeCache(t), routertest.Unreachable(t)
+	for name, addr := range map[string]string{"hanging cache": hanging.Addr(), "unreachable cache": unreachable} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var endsIn Time
 			r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", addr, "in_service")), nil, nil)
 			c := dial(t, r.addr)
 			c.Send(get("r1") + words("C.SET", "k", "w1", "c=put,d=20000,k=1", "v"))
-			r.Until("requests in hand", func() bool { return r.r.openRequests == 2 && r.r.pool.Attempts() == 2 })
+			r.Until("two requests with attempts", func() bool { return r.r.openRequests == 2 && r.r.pool.Attempts() == 2 })
 			r.drain()
 			r.Do(func() { endsIn = r.r.drainDeadline - r.Now() })
 			if endsIn > maxDrainTimeout+drainSlack {
-				t.Errorf("the drain ends in %d µs, SIGKILL comes %d µs after SIGTERM", endsIn, maxDrainTimeout+700_000)
+				t.Errorf("drain ends in %d µs, but SIGKILL comes %d µs after SIGTERM", endsIn, maxDrainTimeout+700_000)
 			}
 			c.Want("-ERR failed")
 			c.Want("-ERR failed")
 			c.WantClosed()
-			receive(t, r.ended, "end of the router")
+			receive(t, r.drainEnded, "end of the drain")
 			r.Do(func() {
-				for what, n := range r.r.Holdings() {
-					if n > 0 && what != "timers" && what != "attempts" {
-						t.Errorf("%d %s are left", n, what)
+				for kind, n := range r.r.Holdings() {
+					if n > 0 && kind != "timers" && kind != "attempts" {
+						t.Errorf("%d %s remain, want 0", n, kind)
 					}
 				}
 			})
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestDrainAnswersLateRequests takes requests up to the end of a drain, on a connection that never pauses, also for a
-// cache that hangs: each is answered.
+// TestDrainAnswersLateRequests sends requests at a steady pace on one connection until the end of a drain, while the cache never
+// answers. The router must answer the requests and leave none open.
 func TestDrainAnswersLateRequests(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil,
@@ -154,30 +154,30 @@
 	c.Send(get("r0"))
 	receive(t, cache.Commands, "command")
 	r.drain()
-	asked := make(chan int)
+	sent := make(chan int)
 	stop := make(chan struct{})
 	go func() {
 		for n := 1; ; n++ {
 			select {
 			case <-stop:
-				asked <- n
+				sent <- n
 				return
-			case <-time.After(5 * time.Millisecond): // the pace of a client, not a wait for something
+			case <-time.After(5 * time.Millisecond): // the pace of the client; the test waits for nothing here
 			}
 			if _, err := fmt.Fprint(c.TCPConn, get(fmt.Sprint("r", n))); err != nil {
 				<-stop
-				asked <- n
+				sent <- n
 				return
 			}
 		}
 	}()
-	receive(t, r.ended, "end of the router")
+	receive(t, r.drainEnded, "end of the drain")
 	close(stop)
-	receive(t, asked, "end of the client")
+	receive(t, sent, "end of the client")
 	answers := 0
 	r.Do(func() {
 		if n := len(r.r.requests) - r.r.pool.Attempts(); r.r.openRequests != 0 || n > 0 {
-			t.Errorf("%d requests are open", r.r.openRequests)
+			t.Errorf("%d requests are open and %d records have no attempt, want none", r.r.openRequests, n)
 		}
 	})
 	for {
@@ -190,17 +190,17 @@
 		}
 	}
 	if answers == 0 {
-		t.Error("no answer came before the end")
+		t.Error("client received no answer before the end of the drain")
 	}
 }
 
-// TestReloadDuringDrainIgnored reloads during a drain: no watch and no folder that was closed is opened again.
+// TestReloadDuringDrainIgnored reloads during and after a drain: the router must not reopen a closed watch or folder.
 func TestReloadDuringDrainIgnored(t *testing.T) {
-	moved, calls := routertest.Discovery(t)
+	newAddr, calls := routertest.Discovery(t)
 	lines := make(routertest.Lines, 1000)
 	cfg := testConfig(t, routertest.SilentDiscovery(t), nil)
 	next := *cfg
-	next.Discovery = moved
+	next.Discovery = newAddr
 	r := start(t, cfg, lines, nil)
 	c := dial(t, r.addr)
 	c.Send(words("PING"))
@@ -209,51 +209,52 @@
 	r.Do(func() { r.r.Reload(&next) })
 	lines.Want(t, "reload ignored: the router is ending")
 	c.WantClosed()
-	receive(t, r.ended, "end of the router")
+	receive(t, r.drainEnded, "end of the drain")
 	r.Do(func() {
 		r.r.Reload(&next)
 		if n := r.r.Holdings()["connections"]; n != 0 {
-			t.Errorf("%d connections", n)
+			t.Errorf("stopped router has %d connections, want 0", n)
 		}
 	})
 	select {
 	case c := <-calls:
-		t.Errorf("the new discovery was asked %s", c.Query)
+		t.Errorf("the new discovery received call %s, want none", c.Query)
 	default:
 	}
 }
 
-// TestNothingSentToCacheDrainedInSameTurn has requests wait for a connection, for capacity or for a retry: none is
-// sent to a cache once the router knows that it drains, whatever else the same turn brings.
+// TestNothingSentToCacheDrainedInSameTurn drains a cache in the turn in which a connection to the cache becomes free and a new
+// request arrives. No request that waits for a connection, for capacity or for a retry may be sent to a cache once the router
+// is notified of its drain.
 func TestNothingSentToCacheDrainedInSameTurn(t *testing.T) {
 	cache := newFakeCache(t)
 	cfg := testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service"))
 	cfg.OperatorLimits.Caches.MinConnections, cfg.OperatorLimits.Caches.FleetConnections = 1, 1
 	r := start(t, cfg, nil, nil)
-	busy, waits, late := dial(t, r.addr), dial(t, r.addr), dial(t, r.addr)
+	busy, waiting, late := dial(t, r.addr), dial(t, r.addr), dial(t, r.addr)
 	busy.Send(get("first"))
 	first := receive(t, cache.Commands, "command")
-	waits.Send(get("waits"))
-	r.Until("a request that waits", func() bool { return r.r.openRequests == 2 })
-	drains := parse(t, hosts(2, false, host("c1", cache.Addr(), "terminating")))
-	r.Do(func() { // the list, the answer that frees the connection, and a new request come in one turn
+	waiting.Send(get("waiting"))
+	r.Until("waiting request", func() bool { return r.r.openRequests == 2 })
+	drain := parse(t, hosts(2, false, host("c1", cache.Addr(), "terminating")))
+	r.Do(func() { // one turn brings the list, the answer that frees the connection, and a new request
 		late.Send(get("late"))
 		first.Reply(t, served)
-		r.r.sources.ApplyDiscovery(drains)
+		r.r.sources.ApplyDiscovery(drain)
 	})
 	busy.Want("value")
-	for _, c := range []*routertest.Client{waits, late} {
+	for _, c := range []*routertest.Client{waiting, late} {
 		if got := c.Line(); !strings.HasPrefix(got, "-BUSY") {
-			t.Errorf("answer %q", got)
+			t.Errorf("got answer %q, want -BUSY", got)
 		}
 	}
-	r.idle()
+	r.waitIdle()
 	if n := len(cache.Commands); n > 0 {
-		t.Errorf("%d commands were sent to a cache that drains", n)
+		t.Errorf("draining cache received %d commands, want 0", n)
 	}
 	r.Do(func() {
 		if h := r.r.endpoints["c1"]; h.entry.Status != decide.Draining {
-			t.Error("the drain was not taken over")
+			t.Errorf("got status %d for c1, want draining", h.entry.Status)
 		}
 	})
 }
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -26,15 +26,15 @@
 	c.Send(get("r1"))
 	cmd := receive(t, cache.Commands, "command")
 	if cmd.Args[0] != "C.GET" || cmd.Args[1] != "k1" || cmd.Args[2] != "r1" {
-		t.Errorf("the cache was sent %q", cmd.Args)
+		t.Errorf("cache received %q, want C.GET k1 r1", cmd.Args)
 	}
 	cmd.Reply(t, served)
 	c.Want("value")
-	r.idle()
+	r.waitIdle()
 }
 
-// TestAnswersFollowCommandOrder has a quick answer wait for those before it on its connection, and not for those of
-// other connections.
+// TestAnswersFollowCommandOrder checks that answers on one connection keep the order of their commands, and that they do not wait
+// for answers on other connections.
 func TestAnswersFollowCommandOrder(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil, nil)
@@ -53,22 +53,22 @@
 	c.Want("one")
 	c.Want("two")
 	c.Want("+PONG")
-	r.idle()
+	r.waitIdle()
 }
 
-// TestPipelinedCommandsReadAtOnce reads all pipelined commands at once. One that was left unread behind slow ones
-// would be taken too late for its deadline.
+// TestPipelinedCommandsReadAtOnce checks that the router reads all pipelined commands at once. A command that stays unread behind
+// slow ones would be read too late for its deadline.
 func TestPipelinedCommandsReadAtOnce(t *testing.T) {
-	r := newRig(t, "127.0.0.1:1", nil) // answers nothing
+	r := newScriptedRouter(t, "127.0.0.1:1", nil) // never answers
 	c := dial(t, r.addr)
-	most := limits.Default().Clients.MaxPipelined / 2
-	for i := range most {
+	count := limits.Default().Clients.MaxPipelined / 2
+	for i := range count {
 		c.Send(get(fmt.Sprint("r", i)))
 	}
-	r.Until("all commands taken", func() bool { return r.r.openRequests == most })
+	r.Until("open requests of all commands", func() bool { return r.r.openRequests == count })
 }
 
-// TestClientGoneStopsAttempt stops the attempt of a request whose client has gone.
+// TestClientGoneStopsAttempt checks that the router ends the attempt of a request when its client disconnects.
 func TestClientGoneStopsAttempt(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", cache.Addr(), "in_service")), nil, nil)
@@ -77,22 +77,23 @@
 	receive(t, cache.Commands, "command")
 	c.Close()
 	receive(t, cache.Ended, "end of the attempt's connection")
-	r.idle()
+	r.waitIdle()
 }
 
-// TestSlowReaderDoesNotDelayOthers has one client read nothing of many large answers.
+// TestSlowReaderDoesNotDelayOthers lets one client request many large answers and read none of them: the router must still answer
+// other clients.
 func TestSlowReaderDoesNotDelayOthers(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
 		in["limits"].(map[string]any)["memory_mb"] = 4
 	}, host("c1", cache.Addr(), "in_service")), nil, nil)
 	large := "*3\r\n$65536\r\n" + strings.Repeat("v", resp.MaxValueBytes) + "\r\n$-1\r\n$-1\r\n"
-	var large64 atomic.Int64
+	var largeAnswers atomic.Int64
 	cache.Saying(t, func(id string) string {
 		if !strings.HasPrefix(id, "slow") {
 			return served
 		}
-		large64.Add(1)
+		largeAnswers.Add(1)
 		return large
 	})
 	slow := dial(t, r.addr)
@@ -104,11 +105,11 @@
 	for range 50 {
 		other.Send(get("quick"))
 		if got := other.Line(); got != "value" && !strings.HasPrefix(got, "-") {
-			t.Fatalf("answer %q", got)
+			t.Fatalf("got answer %q, want a value or an error", got)
 		}
 	}
-	if large64.Load() == 0 {
-		t.Error("the slow reader was not served at all")
+	if largeAnswers.Load() == 0 {
+		t.Error("cache received no request of the slow reader")
 	}
 }
 
@@ -117,15 +118,16 @@
 	c := dial(t, r.addr)
 	c.Send(words("PING"))
 	if got := c.Line(); !strings.HasPrefix(got, "-LOADING") {
-		t.Errorf("answer %q", got)
+		t.Errorf("got answer %q to PING, want -LOADING", got)
 	}
-	c.Send(get("r1")) // no cache: the module refuses
+	c.Send(get("r1")) // the module rejects the request, as there is no cache
 	if got := c.Line(); !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("answer %q", got)
+		t.Errorf("got answer %q to a request, want -BUSY", got)
 	}
 }
 
-// TestOpenRequestsBounded rejects requests over the settings' bound before they reach the module, and counts them.
+// TestOpenRequestsBounded checks that the router rejects and counts requests above the settings' bound of open requests, before
+// they reach the module.
 func TestOpenRequestsBounded(t *testing.T) {
 	cache := newFakeCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
@@ -142,43 +144,44 @@
 	c.Want("value")
 }
 
-// TestDuplicateIDRefusedWhileRequestOpen refuses the name of an open request until all attempts of that request have
-// ended.
-func TestDuplicateIDRefusedWhileRequestOpen(t *testing.T) {
+// TestDuplicateIDRejectedWhileRequestOpen checks that the router rejects the id of a request until the request is finished and
+// all its attempts have ended.
+func TestDuplicateIDRejectedWhileRequestOpen(t *testing.T) {
 	cache := newFakeCache(t)
-	r := newRig(t, cache.Addr(), nil)
+	r := newScriptedRouter(t, cache.Addr(), nil)
 	q := r.sendCommand(get("one"))
-	r.send(q)
+	r.startAttempt(q)
 	cmd := receive(t, cache.Commands, "command")
-	turnedAway := func(when string) {
+	wantDuplicateRejected := func(when string) {
 		t.Helper()
-		again := dial(t, r.addr)
-		again.Send(get("one"))
-		if got := again.Line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%s: %q", when, got)
+		duplicate := dial(t, r.addr)
+		duplicate.Send(get("one"))
+		if got := duplicate.Line(); !strings.HasPrefix(got, "-ERR ") {
+			t.Errorf("%s: got answer %q, want an error", when, got)
 		}
 	}
-	turnedAway("while it is open")
+	wantDuplicateRejected("request open")
 	r.perform(decide.Reject{ID: q.id})
 	q.client.Want("-BUSY")
-	turnedAway("while an attempt is out")
+	wantDuplicateRejected("attempt in flight")
 	cmd.Reply(t, served)
-	r.want(decide.Served)
-	r.sendCommand(get("one")) // after its end
+	r.wantResult(decide.Served)
+	r.sendCommand(get("one")) // accepted, as all attempts have ended
 }
 
-// TestFirstServedAttemptIsFinalAnswer answers with the first value alone.
+// TestFirstServedAttemptIsFinalAnswer checks that only a value is the final answer of a request; an error or a rejection by the
+// cache is not.
 func TestFirstServedAttemptIsFinalAnswer(t *testing.T) {
 	for wire, want := range map[string]decide.Result{served: decide.Served, "-ERR failed\r\n": decide.Errored,
 		"-BUSY\r\n": decide.Rejected} {
 		cache := newFakeCache(t)
-		r := newRig(t, cache.Addr(), nil)
-		q := r.request()
-		r.send(q)
+		r := newScriptedRouter(t, cache.Addr(), nil)
+		q := r.sendRead()
+		r.startAttempt(q)
 		receive(t, cache.Commands, "command").Reply(t, wire)
-		o := r.want(want)
+		o := r.wantResult(want)
 		if o.ID != q.id || o.Attempt != 0 || o.Last != (want == decide.Served) || o.Miss {
-			t.Errorf("%q: told %+v", wire, o)
+			t.Errorf("%q: got unexpected attempt result %+v", wire, o)
 		}
 		if o.Last {
 			q.client.Want("value")
@@ -186,37 +189,37 @@
 	}
 }
 
-// TestCommandForwardedUnchangedButDeadline forwards all options of a command but d as they came.
+// TestCommandForwardedUnchangedButDeadline checks that the router forwards a command unchanged, except for option d.
 func TestCommandForwardedUnchangedButDeadline(t *testing.T) {
 	cache := newFakeCache(t)
-	r := newRig(t, cache.Addr(), nil)
+	r := newScriptedRouter(t, cache.Addr(), nil)
 	q := r.sendCommand(words("C.SET", "key", "id", "c=put,t=acme,d=20000,k=5c0f,size=12", "\x00\r\nVALUE"))
 	r.Do(func() {
 		r.r.perform(decide.Send{ID: q.id, Cache: "c1", AttemptDeadline: r.Now() + 10_000_000})
 	})
 	got := receive(t, cache.Commands, "command").Args
 	if got[0] != "C.SET" || got[1] != "key" || got[2] != "id" || got[4] != "\x00\r\nVALUE" {
-		t.Errorf("the cache was sent %q", got)
+		t.Errorf("cache received %q, want the command of the client", got)
 	}
-	meta := strings.Split(got[3], ",")
-	d, err := strconv.Atoi(strings.TrimPrefix(meta[2], "d="))
-	meta[2] = "d"
-	if strings.Join(meta, ",") != "c=put,t=acme,d,k=5c0f,size=12" || err != nil || d < 1 || d > 10_000 {
-		t.Errorf("names and values %q", got[3])
+	options := strings.Split(got[3], ",")
+	d, err := strconv.Atoi(strings.TrimPrefix(options[2], "d="))
+	options[2] = "d"
+	if strings.Join(options, ",") != "c=put,t=acme,d,k=5c0f,size=12" || err != nil || d < 1 || d > 10_000 {
+		t.Errorf("got options %q, want those of the client with d from 1 to 10000", got[3])
 	}
 }
 
-// TestFinalAnswerStopsHalfWrittenAttempt sends no more of an attempt once its request has its final answer; the
-// attempt never ran.
+// TestFinalAnswerStopsHalfWrittenAttempt checks that the router stops writing an attempt once its request has its final answer.
+// The cache does not run a command that it has not received in full.
 func TestFinalAnswerStopsHalfWrittenAttempt(t *testing.T) {
 	addr, conns := routertest.DeafCache(t)
-	r := newRig(t, addr, nil)
-	q := r.request()
-	// The command on the wire is made huge: no socket takes it at once.
+	r := newScriptedRouter(t, addr, nil)
+	q := r.sendRead()
+	// The encoded command is larger than any socket accepts at once.
 	r.Do(func() {
 		request := r.r.requests[q.id]
 		s := &attempt{router: r.r, request: request}
-		s.Attempt = upstream.Attempt{Request: hugeWork{s}, SentAt: r.Now(), Deadline: request.deadline}
+		s.Attempt = upstream.Attempt{Request: hugeRequest{s}, SentAt: r.Now(), Deadline: request.deadline}
 		request.attempts = append(request.attempts, s)
 		request.attemptsInFlight++
 		r.r.pool.Start("c1", &s.Attempt)
@@ -227,66 +230,68 @@
 	r.Do(func() {
 		s := r.r.requests[q.id].attempts[0]
 		if !s.Unwritten() {
-			t.Error("it passes for written")
+			t.Error("the attempt counts as written")
 		}
 		r.r.perform(decide.Reject{ID: q.id})
 		if !s.Ended() {
-			t.Error("it goes on")
+			t.Error("the attempt has not ended")
 		}
 	})
 	q.client.Want(strings.TrimSuffix(frontend.BusyReply, "\r\n"))
 }
 
-// hugeWork is a sending whose command no socket takes at once.
-type hugeWork struct{ *attempt }
+// hugeRequest is an attempt whose encoded command is larger than any socket accepts at once.
+type hugeRequest struct{ *attempt }
 
-func (w hugeWork) Encode(b []byte, _ Time) []byte { return append(b, make([]byte, 64<<20)...) }
+func (w hugeRequest) Encode(b []byte, _ Time) []byte { return append(b, make([]byte, 64<<20)...) }
 
-// TestQueuedAttemptOfFinishedRequestNotSent checks a queued attempt once more before its first byte.
+// TestQueuedAttemptOfFinishedRequestNotSent ends a request while its attempt waits for a connection: the router must not send the
+// attempt once a connection is free.
 func TestQueuedAttemptOfFinishedRequestNotSent(t *testing.T) {
-	for name, end := range map[string]func(*rig, sentRequest){
-		"refused":   func(r *rig, q sentRequest) { r.perform(decide.Reject{ID: q.id}) },
-		"failed":    func(r *rig, q sentRequest) { r.perform(decide.Fail{ID: q.id}) },
-		"cancelled": func(r *rig, q sentRequest) { r.perform(decide.Cancel{ID: q.id, Attempt: 0}) },
-		"departed":  func(r *rig, q sentRequest) { q.client.Close() },
+	for name, end := range map[string]func(*scriptedRouter, sentRequest){
+		"rejected":    func(r *scriptedRouter, q sentRequest) { r.perform(decide.Reject{ID: q.id}) },
+		"failed":      func(r *scriptedRouter, q sentRequest) { r.perform(decide.Fail{ID: q.id}) },
+		"cancelled":   func(r *scriptedRouter, q sentRequest) { r.perform(decide.Cancel{ID: q.id, Attempt: 0}) },
+		"client gone": func(r *scriptedRouter, q sentRequest) { q.client.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cache := newFakeCache(t)
-			r := newRig(t, cache.Addr(), func(c *Config) { c.Settings.Routers = 1000 })
+			r := newScriptedRouter(t, cache.Addr(), func(c *Config) { c.Settings.Routers = 1000 })
 			var busy []routertest.Command
 			for range limits.Default().Caches.MinConnections {
-				r.send(r.request())
+				r.startAttempt(r.sendRead())
 				busy = append(busy, receive(t, cache.Commands, "command"))
 			}
-			q := r.request()
-			r.send(q)
+			q := r.sendRead()
+			r.startAttempt(q)
 			end(r, q)
-			r.want(decide.NotSent)
+			r.wantResult(decide.NotSent)
 			for _, cmd := range busy {
 				cmd.Reply(t, served)
-				r.want(decide.Served)
+				r.wantResult(decide.Served)
 			}
-			r.send(r.sendCommand(get("last")))
+			r.startAttempt(r.sendCommand(get("last")))
 			if got := receive(t, cache.Commands, "command"); got.Args[2] != "last" {
-				t.Errorf("the cache was sent %q", got.Args)
+				t.Errorf("cache received %q, want request last", got.Args)
 			}
 		})
 	}
 }
 
-// TestClientTimeoutBoundedBySettings bounds the timeout that a command claims by the longest client timeout of the
-// settings.
+// TestClientTimeoutBoundedBySettings checks that the longest client timeout of the settings bounds the timeout that a command
+// requests.
 func TestClientTimeoutBoundedBySettings(t *testing.T) {
-	r := newRig(t, "127.0.0.1:1", nil)
+	r := newScriptedRouter(t, "127.0.0.1:1", nil)
 	q := r.sendCommand(words("C.GET", "k", "id", "c=read,d=2000000000"))
 	r.Do(func() {
 		if d := r.r.requests[q.id].deadline; d > r.Now()+20_000_000 {
-			t.Errorf("deadline %d at %d", d, r.Now())
+			t.Errorf("got deadline %d at %d, want at most 20 s later", d, r.Now())
 		}
 	})
 }
 
-// TestIdleClientsClosedForNewOnes closes idle clients where new ones need their descriptors.
+// TestIdleClientsClosedForNewOnes connects more clients than the router has descriptors for: the router must close idle clients in
+// favour of new ones, and must not close a client with an open request.
 func TestIdleClientsClosedForNewOnes(t *testing.T) {
 	cache := newFakeCache(t)
 	cfg := testConfig(t, routertest.SilentDiscovery(t), func(in map[string]any) {
@@ -296,20 +301,21 @@
 	busy := dial(t, r.addr)
 	busy.Send(get("r1"))
 	cmd := receive(t, cache.Commands, "command")
-	most, _ := cfg.Limits.descriptorQuotas()
-	var all []*routertest.Client
-	for range 4 * most {
+	maxClients, _ := cfg.Limits.descriptorQuotas()
+	var clients []*routertest.Client
+	for range 4 * maxClients {
 		c := dial(t, r.addr)
 		c.Send(words("PING"))
 		c.Want("+PONG")
-		all = append(all, c)
+		clients = append(clients, c)
 	}
-	all[0].WantClosed()
-	cmd.Reply(t, served) // one with work in hand is left alone
+	clients[0].WantClosed()
+	cmd.Reply(t, served) // a client with an open request stays connected
 	busy.Want("value")
 }
 
-// TestOperatorLimitsApply applies the limits of the operators' file on both sides.
+// TestOperatorLimitsApply checks that the limits of the operators' file apply to client connections: consecutive errors and the
+// time for one command.
 func TestOperatorLimitsApply(t *testing.T) {
 	cfg := testConfig(t, routertest.SilentDiscovery(t), nil)
 	cfg.OperatorLimits.Clients.MaxConsecutiveErrors = 2
@@ -319,17 +325,17 @@
 	flood.Send(strings.Repeat("NOTHING\r\n", 3))
 	for range 2 {
 		if got := flood.Line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+			t.Errorf("got answer %q, want an error", got)
 		}
 	}
 	flood.WantClosed()
-	halting := dial(t, r.addr)
-	began := time.Now()
-	halting.Send("*1\r\n")
-	if got := halting.Line(); !strings.Contains(got, "does not go on") {
-		t.Errorf("answer %q", got)
+	incomplete := dial(t, r.addr)
+	startedAt := time.Now()
+	incomplete.Send("*1\r\n")
+	if got := incomplete.Line(); !strings.Contains(got, "does not go on") {
+		t.Errorf("got answer %q, want an error about the incomplete command", got)
 	}
-	if took := time.Since(began); took >= limits.Default().Clients.CommandTime {
-		t.Errorf("a command that stops was waited for %s", took)
+	if took := time.Since(startedAt); took >= limits.Default().Clients.CommandTime {
+		t.Errorf("router waited %s for an incomplete command, want less than the default %s", took, limits.Default().Clients.CommandTime)
 	}
 }
--- a/internal/router/retry_storm_test.go
+++ b/internal/router/retry_storm_test.go
@@ -8,75 +8,73 @@
 	"starlingwinch/internal/retrystorm"
 )
 
-// second returns a client's retry of the request of get.
-func second(id string) string { return words("C.GET", "k1", id, "c=read,d=20000") }
-
 func TestRetryKeepsFirstRequestTime(t *testing.T) {
-	r := newRig(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm = retrystorm.DefaultEnabled() })
-	one := dial(t, r.addr)
-	one.Send(second("try1"))
+	r := newScriptedRouter(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm = retrystorm.DefaultEnabled() })
+	client := dial(t, r.addr)
+	client.Send(get("try1"))
 	q := receive(t, r.requests, "request at the module")
 	if q.FirstRequestedAt != 0 {
-		t.Errorf("a first try is told as asked since %d", q.FirstRequestedAt)
+		t.Errorf("first request has FirstRequestedAt %d, want 0", q.FirstRequestedAt)
 	}
 	r.perform(decide.Reject{ID: q.ID})
-	one.Want("-BUSY")
-	one.Send(second("try2"))
+	client.Want("-BUSY")
+	client.Send(get("try2"))
 	again := receive(t, r.requests, "request at the module")
 	if again.FirstRequestedAt == 0 || again.FirstRequestedAt > again.Deadline-20_000_000 {
-		t.Errorf("the retry is told as asked since %d, with a deadline of %d", again.FirstRequestedAt, again.Deadline)
+		t.Errorf("retry has FirstRequestedAt %d and deadline %d, want the time of the first request", again.FirstRequestedAt, again.Deadline)
 	}
 	r.perform(decide.Fail{ID: again.ID})
-	one.Want("-ERR failed")
-	one.Send(second("try3"))
+	client.Want("-ERR failed")
+	client.Send(get("try3"))
 	if third := receive(t, r.requests, "request at the module"); third.FirstRequestedAt != again.FirstRequestedAt {
-		t.Errorf("the third try is told as asked since %d, the second since %d", third.FirstRequestedAt, again.FirstRequestedAt)
+		t.Errorf("second retry has FirstRequestedAt %d, want %d as in the first retry", third.FirstRequestedAt, again.FirstRequestedAt)
 	}
 }
 
-// TestReconnectAfterResetIsNoRetry counts a request after a reset connection as a first one, as a reset says nothing
-// about load, and the request of a client that left and comes again as a retry.
+// TestReconnectAfterResetIsNoRetry repeats a request on a new connection. After a reset of the old connection, the request
+// counts as a first one, because a reset says nothing about load. After a normal close, it counts as a retry.
 func TestReconnectAfterResetIsNoRetry(t *testing.T) {
-	for _, breaks := range []bool{true, false} {
-		r := newRig(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm = retrystorm.DefaultEnabled() })
-		one := dial(t, r.addr)
-		one.Send(second("try1"))
+	for _, isReset := range []bool{true, false} {
+		r := newScriptedRouter(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm = retrystorm.DefaultEnabled() })
+		client := dial(t, r.addr)
+		client.Send(get("try1"))
 		receive(t, r.requests, "request at the module")
-		if breaks {
-			one.SetLinger(0)
+		if isReset {
+			client.SetLinger(0)
 		}
-		one.Close()
-		r.Until("the end of the client", func() bool { return r.r.frontend.Connections() == 0 })
+		client.Close()
+		r.Until("end of the client connection", func() bool { return r.r.frontend.Connections() == 0 })
 		again := dial(t, r.addr)
-		again.Send(second("try2"))
-		if q := receive(t, r.requests, "request at the module"); (q.FirstRequestedAt == 0) != breaks {
-			t.Errorf("a reset %v: what comes back is told as asked since %d", breaks, q.FirstRequestedAt)
+		again.Send(get("try2"))
+		if q := receive(t, r.requests, "request at the module"); (q.FirstRequestedAt == 0) != isReset {
+			t.Errorf("reset %v: repeated request has FirstRequestedAt %d, want 0 only after a reset", isReset, q.FirstRequestedAt)
 		}
 	}
 }
 
 func TestRetryStormMonitorOff(t *testing.T) {
-	r := newRig(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm.Enabled = false })
+	r := newScriptedRouter(t, newFakeCache(t).Addr(), func(c *Config) { c.RetryStorm.Enabled = false })
 	c := dial(t, r.addr)
-	c.Send(second("try1"))
+	c.Send(get("try1"))
 	r.perform(decide.Reject{ID: receive(t, r.requests, "request at the module").ID})
 	c.Want("-BUSY")
-	c.Send(second("try2"))
+	c.Send(get("try2"))
 	if q := receive(t, r.requests, "request at the module"); q.FirstRequestedAt != 0 {
-		t.Errorf("the retry is told as asked since %d", q.FirstRequestedAt)
+		t.Errorf("retry has FirstRequestedAt %d with the monitor disabled, want 0", q.FirstRequestedAt)
 	}
 }
 
-// BenchmarkRefusedInAStorm and BenchmarkServed tell what a request costs without its sockets: the watch and the
-// decision module.
-func BenchmarkRefusedInAStorm(b *testing.B) { benchmarkAsk(b, true) }
+// BenchmarkRefusedInAStorm measures the cost of a rejected request during a retry storm, in the retry storm detector and the
+// decision module, without sockets.
+func BenchmarkRefusedInAStorm(b *testing.B) { benchmarkDecision(b, true) }
 
-func BenchmarkServed(b *testing.B) { benchmarkAsk(b, false) }
+// BenchmarkServed measures the same cost of a served request.
+func BenchmarkServed(b *testing.B) { benchmarkDecision(b, false) }
 
-func benchmarkAsk(b *testing.B, refused bool) {
-	set := decide.Settings{Routers: 3, MaxAttempts: 3, AllowCancel: true, MaxRetryAfter: 1_500_000, SlowStartWindow: 20_000_000,
+func benchmarkDecision(b *testing.B, rejected bool) {
+	settings := decide.Settings{Routers: 3, MaxAttempts: 3, AllowCancel: true, MaxRetryAfter: 1_500_000, SlowStartWindow: 20_000_000,
 		Classes: []decide.Class{{Name: "read", Semantics: decide.Idempotent, LatencyObjective: 500_000, ClientTimeout: 1_200_000, PriorityWeight: 2}}}
-	module, err := decide.New(set, 1)
+	module, err := decide.New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -86,10 +84,10 @@
 	}
 	now := Time(1e9)
 	module.Handle(now, list)
-	watch := retrystorm.New(retrystorm.Default())
-	if refused {
+	detector := retrystorm.New(retrystorm.Default())
+	if rejected {
 		module.Handle(now, &decide.RetryStorm{Active: true, RetryAfterJitter: 500_000})
-		// With all places taken, first tries are held and then turned away.
+		// At the concurrency limit, the module queues first requests and then rejects them.
 		for id := range int64(1000) {
 			module.Handle(now, &decide.Request{ID: 1 + id, Class: "read", Key: uint64(id), HasKey: true, Deadline: now + 1_200_000})
 		}
@@ -103,33 +101,33 @@
 	b.ResetTimer()
 	for i := range b.N {
 		key := uint64(i % 100_000)
-		a := retrystorm.Request{Client: frontend.KeyHash([]byte{byte(key), byte(key >> 8), byte(key >> 16)}), Key: key, ClientTimeout: 1_200_000}
-		told := watch.Requested(now, a)
+		request := retrystorm.Request{Client: frontend.KeyHash([]byte{byte(key), byte(key >> 8), byte(key >> 16)}), Key: key, ClientTimeout: 1_200_000}
+		verdict := detector.Requested(now, request)
 		q := &decide.Request{ID: 10_000 + int64(i), Class: "read", Key: key, HasKey: true, Deadline: now + 1_000_000}
-		if refused {
+		if rejected {
 			q.FirstRequestedAt = now - 400_000
 		} else {
 			now += 1000
 		}
-		answered := false
+		decided := false
 		for _, action := range module.Handle(now, q) {
 			switch action.(type) {
 			case decide.Send:
 				sent++
-				answered = true
+				decided = true
 			case decide.Reject:
-				answered = true
-				watch.Unserved(now, a, told, now)
+				decided = true
+				detector.Unserved(now, request, verdict, now)
 			}
 		}
-		if !answered {
-			b.Fatal("neither sent nor refused")
+		if !decided {
+			b.Fatal("request was neither sent nor rejected")
 		}
-		if !refused {
+		if !rejected {
 			module.Handle(now+500, &decide.AttemptResult{ID: q.ID, Result: decide.Served, Last: true, Elapsed: 500})
 		}
 	}
-	if refused && sent > 0 {
-		b.Fatalf("%d were sent", sent)
+	if rejected && sent > 0 {
+		b.Fatalf("%d requests were sent, want 0", sent)
 	}
 }
--- a/internal/router/standstill_test.go
+++ b/internal/router/standstill_test.go
@@ -8,8 +8,8 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestRemovalDuringPauseAppliedFirst has discovery write a removal, behind requests, while the loop stands still for
-// longer than the drain grace. The removed cache gets none of the requests once the loop goes on.
+// TestRemovalDuringPauseAppliedFirst pauses the event loop for longer than the drain grace. During the pause, clients send
+// requests and then discovery reports a drain. After the pause, the draining cache must receive none of the requests.
 func TestRemovalDuringPauseAppliedFirst(t *testing.T) {
 	const grace = 40 * time.Millisecond
 	leaving, staying := newFakeCache(t), newFakeCache(t)
@@ -20,40 +20,40 @@
 	}), nil)
 	receive(t, calls, "call").Reply <- hosts(1, true, listed...)
 	watch := receive(t, calls, "watch")
-	others := make(chan string, 100)
-	leaving.Saying(t, func(id string) string { others <- id; return served })
+	toLeaving := make(chan string, 100)
+	leaving.Saying(t, func(id string) string { toLeaving <- id; return served })
 	staying.Saying(t, func(string) string { return served })
 
 	var clients []*routertest.Client
-	for i := range 8 { // connections that are up and used before
+	for i := range 8 { // the router has used connections to the caches before the pause
 		c := dial(t, r.addr)
 		c.Send(words("C.GET", fmt.Sprint("key", i), fmt.Sprint("before", i), "c=read,d=20000"))
 		c.Want("value")
 		clients = append(clients, c)
 	}
-	for len(others) > 0 {
-		<-others
+	for len(toLeaving) > 0 {
+		<-toLeaving
 	}
-	resume, stands := make(chan struct{}), make(chan struct{})
-	r.Post(func() { close(stands); <-resume })
-	receive(t, stands, "stand")
+	resume, paused := make(chan struct{}), make(chan struct{})
+	r.Post(func() { close(paused); <-resume })
+	receive(t, paused, "pause of the event loop")
 	for i, c := range clients {
 		c.Send(words("C.GET", fmt.Sprint("key", i), fmt.Sprint("while", i), "c=read,d=20000"))
 	}
 	watch.Reply <- hosts(2, false, host("c1", leaving.Addr(), "terminating"))
-	receive(t, watch.Written, "answer of discovery")
-	<-time.After(2 * grace) // the time that passes is what the test is about
+	receive(t, watch.Written, "end of discovery's answer")
+	<-time.After(2 * grace) // the pause itself is under test: no event to wait for
 	close(resume)
 	for _, c := range clients {
 		c.Want("value")
 	}
-	if n := len(others); n > 0 {
-		t.Errorf("%d of %d requests went to the cache that leaves, %v after that was told", n, len(clients), 2*grace)
+	if n := len(toLeaving); n > 0 {
+		t.Errorf("draining cache received %d of %d requests %v after discovery reported the drain, want 0", n, len(clients), 2*grace)
 	}
 }
 
-// TestRemovalPushedDuringPauseAppliedFirst has the pending call answered with nothing and then a removal pushed to the
-// agent while the loop stands still. The router counts as notified, so it polls the agent before it sends anything.
+// TestRemovalPushedDuringPauseAppliedFirst pauses the event loop. During the pause, the pending poll is answered without a change,
+// and then a drain is pushed to the agent. The router counts as notified, so it must poll the agent before it sends a request.
 func TestRemovalPushedDuringPauseAppliedFirst(t *testing.T) {
 	const grace = 400 * time.Millisecond
 	leaving, staying := newFakeCache(t), newFakeCache(t)
@@ -65,19 +65,19 @@
 	}), nil)
 	receive(t, calls, "call").Reply <- hosts(1, true, host("c1", leaving.Addr(), "in_service"))
 	watch := receive(t, calls, "watch")
-	others := make(chan string, 100)
-	leaving.Saying(t, func(id string) string { others <- id; return served })
+	toLeaving := make(chan string, 100)
+	leaving.Saying(t, func(id string) string { toLeaving <- id; return served })
 	staying.Saying(t, func(string) string { return served })
 	client := dial(t, r.addr)
-	r.Until("a router that serves", func() bool { return r.r.Serving() })
+	r.Until("serving router", func() bool { return r.r.Serving() })
 
-	resume, stands := make(chan struct{}), make(chan struct{})
-	r.Post(func() { close(stands); <-resume })
-	receive(t, stands, "stand")
+	resume, paused := make(chan struct{}), make(chan struct{})
+	r.Post(func() { close(paused); <-resume })
+	receive(t, paused, "pause of the event loop")
 	watch.Reply <- hosts(1, false)
-	receive(t, watch.Written, "answer of discovery")
+	receive(t, watch.Written, "end of discovery's answer")
 	client.Send(get("while"))
-	<-time.After(grace) // the time that passes is what the test is about
+	<-time.After(grace) // the pause itself is under test: no event to wait for
 	close(resume)
 	for call := receive(t, calls, "call"); ; call = receive(t, calls, "call") {
 		if call.Query == "/discovery/hosts" {
@@ -86,32 +86,33 @@
 		}
 	}
 	client.Want("value")
-	if n := len(others); n > 0 {
-		t.Errorf("%d requests went to the cache that leaves", n)
+	if n := len(toLeaving); n > 0 {
+		t.Errorf("draining cache received %d requests, want 0", n)
 	}
 }
 
-// TestContractNotCheckedAfterPause has the contract check due before an attempt ends, and both late after a pause. The
-// attempt ends by its own timer, and nothing is reported missing.
+// TestContractNotCheckedAfterPause pauses the event loop past the time of the contract check and then past the deadline of an
+// attempt. After the pause, the attempt must end by its own timer, and the late check must report no missing result.
 func TestContractNotCheckedAfterPause(t *testing.T) {
 	addr, _ := routertest.DeafCache(t)
 	r := start(t, testConfig(t, routertest.SilentDiscovery(t), nil, host("c1", addr, "in_service")), nil, nil)
 	c := dial(t, r.addr)
 	c.Send(words("C.GET", "k1", "r1", "c=read,d=1500"))
-	r.Until("an attempt", func() bool { return r.r.pool.Attempts() > 0 })
+	r.Until("attempt in flight", func() bool { return r.r.pool.Attempts() > 0 })
 	r.Do(func() {
 		r.r.sweepTimer.Stop()
-		r.r.sweepDue = r.Now() // before all that the request has set a time for
+		r.r.sweepDue = r.Now() // before every timer of the request
 		r.r.sweepTimer = r.At(r.r.sweepDue, r.r.sweep)
-		for r.Late() < 4_500_000 { // past the attempt's end and the contract's slack: the time that passes is what the test is about
+		// Pauses the loop past the attempt's deadline and the contract's slack. The pause itself is under test.
+		for r.Late() < 4_500_000 {
 		}
 	})
 	if got := c.Line(); got == "" || got[0] != '-' {
-		t.Errorf("answer %q", got)
+		t.Errorf("got answer %q, want an error", got)
 	}
 	r.Do(func() {
 		if n := r.r.contract.Breaches(); n > 0 {
-			t.Errorf("%d breaches of the contract", n)
+			t.Errorf("got %d contract breaches, want 0", n)
 		}
 	})
 }
