--- a/internal/frontend/byte_budget.go
+++ b/internal/frontend/byte_budget.go
@@ -1,12 +1,12 @@
 package frontend
 
-// byteBudget bounds the bytes that are buffered for all connections.
+// byteBudget limits the total number of bytes buffered for all connections of a server.
 type byteBudget struct {
-	used  int64 // may exceed limit by replies of up to maxUncountedReplyBytes
+	used  int64 // may exceed limit, by replies of up to maxUncountedReplyBytes each
 	limit int64
 }
 
-// reserve takes n bytes, if there are so many left, and reports whether there are.
+// reserve reserves n bytes. It reports false and reserves nothing if fewer than n bytes are left.
 func (b *byteBudget) reserve(n int64) bool {
 	if b.used+n > b.limit {
 		return false
@@ -15,5 +15,5 @@
 	return true
 }
 
-// release gives back bytes that were reserved.
+// release returns n reserved bytes to the budget.
 func (b *byteBudget) release(n int64) { b.used -= n }
--- a/internal/frontend/client_end_test.go
+++ b/internal/frontend/client_end_test.go
@@ -9,52 +9,52 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// clientEnds are the ways in which a client can end its connection.
-var clientEnds = map[string]func(c *routertest.Client){
-	"by its end":      func(c *routertest.Client) { c.Close() },
+// disconnects are the ways in which a client can end its connection.
+var disconnects = map[string]func(c *routertest.Client){
+	"by a close":      func(c *routertest.Client) { c.Close() },
 	"by a reset":      func(c *routertest.Client) { c.SetLinger(0); c.Close() },
 	"by a half close": func(c *routertest.Client) { c.CloseWrite() },
 }
 
-// TestClientEndIsSeenWhileNotReading checks states in which the connection is not read. Requests of a client that has gone must
-// not be sent on.
+// TestClientEndIsSeenWhileNotReading covers states in which the server does not read the connection. It guards against
+// sending requests to caches after their client has gone.
 func TestClientEndIsSeenWhileNotReading(t *testing.T) {
 	for situation, prepare := range map[string]func(r *testServer, c *routertest.Client) (due int){
-		"too many answers are due": func(r *testServer, c *routertest.Client) int {
+		"pipeline limit reached": func(r *testServer, c *routertest.Client) int {
 			for i := range 10 {
 				c.Send(get(fmt.Sprint("r", i)))
 			}
 			for range 4 {
 				r.nextRequest()
 			}
-			r.Until("the pause of reading", func() bool { l := r.server.lists[stateAwaitingReplies].first; return l != nil && l.readPaused })
+			r.Until("a pause in reading", func() bool { l := r.server.lists[stateAwaitingReplies].first; return l != nil && l.readPaused })
 			return 4
 		},
-		"behind QUIT": func(r *testServer, c *routertest.Client) int {
+		"after QUIT": func(r *testServer, c *routertest.Client) int {
 			c.Send(get("r0") + get("r1") + words("QUIT") + get("r2"))
 			r.nextRequest()
 			r.nextRequest()
 			return 2
 		},
-		"behind bytes that are no command": func(r *testServer, c *routertest.Client) int {
+		"after invalid bytes": func(r *testServer, c *routertest.Client) int {
 			c.Send(get("r0") + "*x\r\n" + get("r1"))
 			r.nextRequest()
 			return 1
 		},
-		"half a command unread": func(r *testServer, c *routertest.Client) int {
+		"with a partial command": func(r *testServer, c *routertest.Client) int {
 			c.Send(get("r0") + get("r1")[:20])
 			r.nextRequest()
 			return 1
 		},
 	} {
-		for way, leave := range clientEnds {
+		for way, disconnect := range disconnects {
 			t.Run(situation+", "+way, func(t *testing.T) {
 				r := newTestServer(t, func(o *Options) { o.Limits.MaxPipelined = 4 })
 				c := r.dial()
 				due := prepare(r, c)
-				leave(c)
+				disconnect(c)
 				for range due {
-					routertest.Receive(t, r.gone, "client that has gone")
+					routertest.Receive(t, r.gone, "report of a client that has gone")
 				}
 				r.waitUntilEmpty()
 				r.wantNoRequest()
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestClientEndIsSeenWhileWriteBlocked checks a client that goes while the socket takes no more of its replies and the handler
-// has more of its requests.
+// TestClientEndIsSeenWhileWriteBlocked covers a client that disconnects while the socket accepts no more of its replies and
+// the handler holds another of its requests.
 func TestClientEndIsSeenWhileWriteBlocked(t *testing.T) {
-	for way, leave := range clientEnds {
+	for way, disconnect := range disconnects {
 		t.Run(way, func(t *testing.T) {
 			r := newTestServer(t, nil)
 			c := r.dial()
@@ -74,16 +74,16 @@
 			first := r.nextRequest()
 			r.nextRequest()
 			r.answer(first, "$"+fmt.Sprint(16<<20)+"\r\n"+strings.Repeat("v", 16<<20)+"\r\n")
-			r.Until("an answer that is not taken", func() bool { return r.server.lists[stateWriteBlocked].first != nil })
-			leave(c)
-			routertest.Receive(t, r.gone, "client that has gone")
+			r.Until("a write-blocked connection", func() bool { return r.server.lists[stateWriteBlocked].first != nil })
+			disconnect(c)
+			routertest.Receive(t, r.gone, "report of a client that has gone")
 			r.waitUntilEmpty()
 		})
 	}
 }
 
-// TestManyClientsEndAtOnce checks that each of many clients that go in one turn is reported once, and that no memory stays
-// reserved for them.
+// TestManyClientsEndAtOnce checks that each of many clients that disconnect in one turn is reported once, and that no memory
+// stays reserved for them.
 func TestManyClientsEndAtOnce(t *testing.T) {
 	const many = 500
 	r := newTestServer(t, func(o *Options) { o.MaxConnections = many })
@@ -96,26 +96,26 @@
 	for range many {
 		r.nextRequest()
 	}
-	r.Do(func() { // so that one turn has them all
+	r.Do(func() { // one turn handles all of them
 		for _, c := range all {
 			c.Close()
 		}
 	})
 	seen := map[*ReplySlot]bool{}
 	for range many {
-		seen[routertest.Receive(t, r.gone, "client that has gone")] = true
+		seen[routertest.Receive(t, r.gone, "report of a client that has gone")] = true
 	}
 	r.waitUntilEmpty()
 	if len(seen) != many || len(r.gone) > 0 {
-		t.Errorf("%d of %d clients are reported as gone, %d twice", len(seen), many, len(r.gone))
+		t.Errorf("%d of %d clients are reported as gone, and %d reports are repeated", len(seen), many, len(r.gone))
 	}
 }
 
-// TestDrainServesListenerBacklog checks connections that the kernel has accepted and the program has not when a drain begins.
-// Closing the listener would reset them, and lose requests already written to them.
+// TestDrainServesListenerBacklog covers connections that wait in the kernel's accept queue when a drain begins. Closing the
+// listener at once would reset these connections and lose the requests already written to them.
 func TestDrainServesListenerBacklog(t *testing.T) {
-	const many = 3 * 64 // more than one turn takes in
-	for name, pause := range map[string]bool{"in one turn": false, "while it is paused": true} {
+	const many = 3 * 64 // more connections than one turn accepts
+	for name, pause := range map[string]bool{"in one turn": false, "with the listener paused": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestServer(t, func(o *Options) { o.MaxConnections = 2 * many })
 			var all []*routertest.Client
@@ -147,7 +147,7 @@
 	}
 }
 
-// TestDrainCompletesAtConnectionLimit checks that a drain ends where more connections wait at the listener than may be open,
+// TestDrainCompletesAtConnectionLimit checks that a drain ends if more connections wait at the listener than may be open,
 // and that each client gets a reply.
 func TestDrainCompletesAtConnectionLimit(t *testing.T) {
 	const limit, many = 4, 40
@@ -169,7 +169,7 @@
 	}()
 	for _, c := range all {
 		if got := c.Line(); got != "value" && !strings.HasPrefix(got, "-BUSY") {
-			t.Errorf("answer %q", got)
+			t.Errorf("got reply %q, want value or -BUSY", got)
 		}
 		c.WantClosed()
 	}
@@ -178,38 +178,39 @@
 	close(r.requests)
 }
 
-// TestDrainGivesNewConnectionsGrace checks that a client that has just connected as a drain begins can send its first command.
+// TestDrainGivesNewConnectionsGrace checks that a client that has connected just before a drain can still send its first
+// command.
 func TestDrainGivesNewConnectionsGrace(t *testing.T) {
 	r := newTestServer(t, nil)
-	asks, silent := r.dial(), r.dial()
-	r.Until("both connections", func() bool { return r.server.Connections() == 2 })
+	active, silent := r.dial(), r.dial()
+	r.Until("both accepted connections", func() bool { return r.server.Connections() == 2 })
 	drained := make(chan struct{})
 	r.Do(func() {
 		for c := r.server.lists[stateNew].first; c != nil; c = c.next {
-			c.stateSince = r.Now() // however slow the machine is
+			c.stateSince = r.Now() // restarts the time in the state, in case the test runs slowly
 		}
 		r.server.Drain(func() { close(drained) })
 	})
-	asks.Send(get("r1"))
+	active.Send(get("r1"))
 	r.answer(r.nextRequest(), value)
-	asks.Want("value")
-	asks.WantClosed()
+	active.Want("value")
+	active.WantClosed()
 	silent.WantClosed()
 	routertest.Receive(t, drained, "end of the drain")
 	r.waitUntilEmpty()
 }
 
-// stallLoop makes a turn of the loop that lasts until the span has passed, with play at its beginning. The commands of the
-// other clients come first and are more than one turn has events for, so that what play sends is still unread when the timers
-// of the turn fire.
-func (r *testServer) stallLoop(span time.Duration, others []*routertest.Client, play func()) {
+// stallLoop runs a turn of the loop that lasts for the given duration and calls during at its start. The commands of the
+// other clients arrive first and are more than one turn has events for, so that bytes sent by during are still unread when
+// the timers of the turn fire.
+func (r *testServer) stallLoop(duration time.Duration, others []*routertest.Client, during func()) {
 	r.t.Helper()
 	r.Do(func() {
 		for _, c := range others {
 			c.Send(words("PING"))
 		}
-		play()
-		time.Sleep(span) // the stall is what is tested
+		during()
+		time.Sleep(duration) // the test needs a stalled turn
 	})
 }
 
@@ -224,19 +225,20 @@
 	return all
 }
 
-// TestExpiryReadsArrivedBytesFirst checks bytes that arrive in time in a turn that takes so long that the time limit is over
-// before they are read: the rest of a partial command, with and without a drain, and a request on an idle connection.
+// TestExpiryReadsArrivedBytesFirst covers bytes that arrive in time, in a turn so long that the time limit passes before the
+// bytes are read: the rest of a partial command and a request on a new connection, with and without a drain, and a request
+// on an idle connection. The connection must not be closed before these bytes are read.
 func TestExpiryReadsArrivedBytesFirst(t *testing.T) {
 	const span = time.Duration(2*commandGrace) * time.Microsecond
 	wire := get("r1")
 	for name, c := range map[string]struct{ first, rest string }{
-		"half a command": {wire[:20], wire[20:]}, "an idle connection": {words("PING"), wire}, "a new connection": {"", wire},
+		"partial command": {wire[:20], wire[20:]}, "idle connection": {words("PING"), wire}, "new connection": {"", wire},
 	} {
 		for _, drains := range []bool{false, true} {
-			if drains && name == "an idle connection" {
-				continue // it is closed at once
+			if drains && name == "idle connection" {
+				continue // a drain closes an idle connection at once
 			}
-			t.Run(fmt.Sprintf("%s, drains %t", name, drains), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, drain %t", name, drains), func(t *testing.T) {
 				r := newTestServer(t, func(o *Options) {
 					o.MaxConnections = 1000
 					if !drains {
@@ -251,12 +253,12 @@
 					one.Want("+PONG")
 				}
 				before := r.server.Accepted
-				r.Until("the connection", func() bool { return before() == len(others)+1 })
+				r.Until("the accepted connection", func() bool { return before() == len(others)+1 })
 				drained := make(chan struct{})
 				r.stallLoop(span, others, func() {
 					for s := range r.server.lists {
 						for c := r.server.lists[s].first; c != nil; c = c.next {
-							c.stateSince = r.Now() // however slow the machine was so far
+							c.stateSince = r.Now() // restarts the time in the state, in case the test runs slowly
 						}
 					}
 					one.Send(c.rest)
--- a/internal/frontend/command.go
+++ b/internal/frontend/command.go
@@ -14,7 +14,7 @@
 	"starlingwinch/internal/resp"
 )
 
-// Places of arguments in a request. The metadata stands at resp.MetaArg, and the value of a write behind it.
+// Indexes of a request's arguments. The metadata is at resp.MetaArg, and the value of a write follows the metadata.
 const (
 	keyArg   = 1
 	idArg    = 2
@@ -28,16 +28,16 @@
 	equalsSign         = []byte("=")
 )
 
-// Errors of Command.Parse. Clients receive their texts.
+// Errors of Command.Parse. Their texts are sent to clients.
 var (
 	errArgumentLength     = errors.New("an argument is empty or too long")
 	errUnknownClass       = errors.New("unknown class")
-	errClassTwice         = errors.New("c stands twice")
+	errDuplicateClass     = errors.New("c stands twice")
 	errInvalidTimeout     = errors.New("d is not a number of milliseconds")
 	errMetadataIncomplete = errors.New("c and d are needed")
 )
 
-// argumentCountError says that a request has too few or too many arguments. Clients receive its text.
+// argumentCountError reports a request with too few or too many arguments. Its text is sent to the client.
 type argumentCountError struct{ verb string }
 
 // Error implements error.
@@ -45,26 +45,26 @@
 	return fmt.Sprintf("wrong number of arguments for %s", e.verb)
 }
 
-// Command is a client's request as it was read.
+// Command is a parsed request of a client.
 type Command struct {
 	Class                 string
 	Tenant                string
-	KeyHash               uint64 // places the key among the caches
-	Timeout               Time   // how long the client waits, at most what its class allows
-	Cost                  Time   // the client's estimate of the work; 0 where it sends none
-	Write                 bool   // C.SET
-	Retry                 bool   // the client marks it as a retry
-	NonIdempotent         bool   // it must never run twice, and no cache drops a repeat
-	IdempotencyKeyMissing bool   // it is NonIdempotent because its class requires a key and it has none
+	KeyHash               uint64 // selects the caches that are responsible for the key
+	Timeout               Time   // time for which the client waits, bounded by the client timeout of the request's class
+	Cost                  Time   // client's estimate of the work that the request costs; 0 if the client sent no estimate
+	Write                 bool   // whether the verb is C.SET
+	Retry                 bool   // whether the client flagged the request as a retry
+	NonIdempotent         bool   // whether the request must not be executed twice, as no cache drops a repeat
+	IdempotencyKeyMissing bool   // whether the request is NonIdempotent because its class requires an idempotency key and the request has none
 
 	args         [maxArgs][]byte // verb, key, id, metadata, and the value of a write
 	argCount     int
-	timeoutStart int // where the number of the client's timeout begins in the metadata
-	timeoutEnd   int // where it ends; 0 until it is found
+	timeoutStart int // offset in the metadata at which the number of the client's timeout starts
+	timeoutEnd   int // offset at which that number ends; 0 until the timeout is parsed
 }
 
-// KeyHash returns the number that places a key: its 64-bit FNV-1a hash. All routers must agree on it, as another one would
-// move all keys.
+// KeyHash returns the 64-bit FNV-1a hash of a key, which determines the caches that are responsible for the key. All routers
+// must use the same function: another hash would move all keys to other caches.
 func KeyHash(key []byte) uint64 {
 	const offsetBasis, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offsetBasis)
@@ -77,7 +77,7 @@
 // ID returns the id that the client gave the request.
 func (c *Command) ID() string { return string(c.args[idArg]) }
 
-// Verb returns C.GET or C.SET.
+// Verb returns the request's verb, C.GET or C.SET.
 func (c *Command) Verb() string {
 	if c.Write {
 		return string(setVerb)
@@ -88,7 +88,7 @@
 // Key returns the requested key.
 func (c *Command) Key() string { return string(c.args[keyArg]) }
 
-// Value returns what a write sets, and nil for a read.
+// Value returns the value that a write sets, and nil for a read.
 func (c *Command) Value() []byte {
 	if !c.Write {
 		return nil
@@ -96,8 +96,8 @@
 	return c.args[valueArg]
 }
 
-// Parse reads a C.GET or C.SET of one of the classes. It refers to the arguments
-// afterwards, but not to the slice that lists them. The text of its error goes to the client.
+// Parse parses the arguments of a C.GET or C.SET whose class must be one of classes. The command retains the arguments but
+// not the args slice itself. The error's text is sent to the client.
 func (c *Command) Parse(args [][]byte, classes []decide.Class) error {
 	*c = Command{Write: bytes.EqualFold(args[0], setVerb)}
 	want := maxArgs - 1
@@ -126,26 +126,26 @@
 	return nil
 }
 
-// applyClass sets what follows from the request's class. Its semantics hold whichever the verb: the settings may call a read
-// not idempotent, and a write idempotent.
+// applyClass sets the fields that depend on the request's class. The semantics come from the class and not from the verb:
+// the settings may declare a read as not idempotent, and a write as idempotent.
 func (c *Command) applyClass(class *decide.Class, hasIdempotencyKey bool) {
 	c.Class = class.Name
-	// No cache can drop a repeat of a request that lacks the key.
+	// Without the idempotency key, no cache can drop a repeat of the request.
 	c.IdempotencyKeyMissing = class.Semantics == decide.IdempotentByKey && !hasIdempotencyKey
 	c.NonIdempotent = class.Semantics == decide.NonIdempotent || c.IdempotencyKeyMissing
 	if class.ClientTimeout > 0 {
-		// Without this bound, timers and the request would last for as long as the client claims to wait.
+		// Without this bound, the request and its timers would last for as long as the client claims to wait.
 		c.Timeout = min(c.Timeout, class.ClientTimeout)
 	}
 }
 
-// metadata is what Parse needs of a request's metadata beside the fields of Command.
+// metadata holds the parts of the metadata that Parse needs and that are not fields of Command.
 type metadata struct {
-	class             []byte // part of the argument
+	class             []byte // slice of the metadata argument
 	hasIdempotencyKey bool
 }
 
-// parseMetadata reads the comma-separated list of names and values.
+// parseMetadata parses the comma-separated list of name=value pairs.
 func (c *Command) parseMetadata(list []byte) (metadata, error) {
 	var found metadata
 	for start := 0; start < len(list); {
@@ -157,7 +157,7 @@
 		switch string(name) {
 		case "c":
 			if len(found.class) > 0 {
-				return metadata{}, errClassTwice
+				return metadata{}, errDuplicateClass
 			}
 			found.class = value
 		case "t":
@@ -184,7 +184,7 @@
 	return found, nil
 }
 
-// parseTimeout reads the client's timeout, whose number ends at the given place of the metadata.
+// parseTimeout parses the client's timeout. end is the offset in the metadata at which its number ends.
 func (c *Command) parseTimeout(value []byte, end int) error {
 	milliseconds, err := strconv.ParseUint(string(value), 10, 31)
 	if err != nil || c.timeoutEnd > 0 {
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// Encode appends the request as it goes on to a cache: as the client sent it, with the time for which the router waits in
-// place of the client's timeout.
+// Encode appends the request in the form that the router forwards to a cache: the client's arguments, with wait, the time
+// for which the router waits, in place of the client's timeout.
 func (c *Command) Encode(b []byte, wait Time) []byte {
 	b = redcon.AppendArray(b, c.argCount)
 	for i, arg := range c.args[:c.argCount] {
@@ -209,7 +209,8 @@
 	return b
 }
 
-// appendMetadata appends the metadata as a bulk string, with another timeout. A timeout of 0 would be invalid.
+// appendMetadata appends the metadata as a bulk string, with wait in place of the timeout. The timeout is at least 1 ms,
+// since 0 would be invalid.
 func (c *Command) appendMetadata(b []byte, wait Time) []byte {
 	const maxDigits = 20
 	var digits [maxDigits]byte
@@ -226,7 +227,7 @@
 
 // looksLikeHTTP reports whether the arguments of an inline command are a line of an HTTP request.
 func looksLikeHTTP(args [][]byte) bool {
-	const maxMethodBytes = 32 // no method or header name compared here is longer
+	const maxMethodBytes = 32 // covers the longest method or header name compared here
 	first := strings.ToUpper(string(args[0][:min(len(args[0]), maxMethodBytes)]))
 	return first == "POST" || first == "HOST:" || bytes.Contains(args[len(args)-1], []byte("HTTP/"))
 }
--- a/internal/frontend/command_test.go
+++ b/internal/frontend/command_test.go
@@ -9,8 +9,8 @@
 	"starlingwinch/internal/resp"
 )
 
-// TestMalformedCommands checks that malformed commands are answered and never sent on, and that the connection closes where the
-// end of a command can not be found.
+// TestMalformedCommands checks that malformed commands get an error reply and are never passed to the handler, and that the
+// connection closes if the end of a command cannot be determined.
 func TestMalformedCommands(t *testing.T) {
 	r := newTestServer(t, nil)
 	for _, c := range []struct {
@@ -54,7 +54,7 @@
 			cl := r.dial()
 			cl.Send(c.wire)
 			if got := cl.Line(); !strings.HasPrefix(got, "-ERR ") {
-				t.Errorf("reply %q", got)
+				t.Errorf("got reply %q, want an error", got)
 			}
 			if c.ends {
 				cl.WantClosed()
@@ -69,8 +69,8 @@
 	r.waitUntilEmpty()
 }
 
-// TestParseTakesSemanticsFromClass checks that semantics do not follow from the verb, and that a request of a keyed class
-// without its key is not idempotent.
+// TestParseTakesSemanticsFromClass checks that a request's semantics do not depend on its verb, and that a request without
+// the idempotency key that its class requires is not idempotent.
 func TestParseTakesSemanticsFromClass(t *testing.T) {
 	classes := []decide.Class{{Name: "safe", Semantics: decide.Idempotent}, {Name: "keyed", Semantics: decide.IdempotentByKey}, {Name: "once"}}
 	for _, c := range []struct {
@@ -90,13 +90,14 @@
 				t.Errorf("%v: %v", args, err)
 			}
 			if cmd.NonIdempotent != c.nonIdempotent || cmd.IdempotencyKeyMissing != c.keyMissing || cmd.Write != (args[0] == "C.SET") {
-				t.Errorf("%v: not idempotent %t, key missing %t, write %t", args, cmd.NonIdempotent, cmd.IdempotencyKeyMissing, cmd.Write)
+				t.Errorf("%v: got NonIdempotent %t, IdempotencyKeyMissing %t, Write %t; want %t, %t, %t",
+					args, cmd.NonIdempotent, cmd.IdempotencyKeyMissing, cmd.Write, c.nonIdempotent, c.keyMissing, args[0] == "C.SET")
 			}
 		}
 	}
 }
 
-// TestParseBoundsTimeoutByClass checks that a timeout is bounded by that of its own class.
+// TestParseBoundsTimeoutByClass checks that a request's timeout is limited by the client timeout of its class.
 func TestParseBoundsTimeoutByClass(t *testing.T) {
 	classes := []decide.Class{{Name: "short", Semantics: decide.Idempotent, ClientTimeout: 1_200_000},
 		{Name: "long", Semantics: decide.Idempotent, ClientTimeout: 3_000_000}}
@@ -105,28 +106,28 @@
 		var cmd Command
 		err := cmd.Parse(args, classes)
 		if err != nil || cmd.Timeout != want {
-			t.Errorf("%s waits %d, %v", class, cmd.Timeout, err)
+			t.Errorf("%s: got timeout %d, error %v, want %d", class, cmd.Timeout, err, want)
 		}
 	}
 }
 
-// TestHTTPRequestsAreRefused checks that a browser that posts to the address of the router can not have a command in the body
-// executed.
-func TestHTTPRequestsAreRefused(t *testing.T) {
+// TestHTTPRequestsAreRejected checks that no command in the body of an HTTP request is executed, such as a browser sends
+// when a web page posts to the router's address.
+func TestHTTPRequestsAreRejected(t *testing.T) {
 	r := newTestServer(t, nil)
 	for _, head := range []string{"POST / HTTP/1.1\r\n", "GET / HTTP/1.1\r\n", "Host: here\r\n", "post /\r\n"} {
 		c := r.dial()
 		c.Send(head + "\r\n" + get("r1"))
 		if got := c.Line(); !strings.HasPrefix(got, "-ERR Protocol error") {
-			t.Errorf("%q: %q", head, got)
+			t.Errorf("%q: got reply %q, want a protocol error", head, got)
 		}
 		c.WantClosed()
 	}
 	r.wantNoRequest()
 }
 
-// TestConsecutiveErrorsCloseConnection checks that a client that sends only invalid commands is disconnected, while others are
-// served.
+// TestConsecutiveErrorsCloseConnection checks that a client that sends only invalid commands is disconnected while other
+// clients are served.
 func TestConsecutiveErrorsCloseConnection(t *testing.T) {
 	r := newTestServer(t, nil)
 	bad, good := r.dial(), r.dial()
@@ -134,7 +135,7 @@
 	bad.Send(strings.Repeat(words("C.GET", "k", "id", "c=none,d=10"), limit))
 	for range limit {
 		if got := bad.Line(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("answer %q", got)
+			t.Errorf("got reply %q, want an error", got)
 		}
 	}
 	bad.WantClosed()
@@ -143,8 +144,8 @@
 	good.Want("value")
 }
 
-// FuzzParseCommand checks that a command that is accepted has a class and a bounded timeout, and is encoded as it came except
-// for the timeout.
+// FuzzParseCommand checks that each accepted command has an id, a limited timeout and no negative cost, and that encoding
+// and parsing it again changes only the timeout.
 func FuzzParseCommand(f *testing.F) {
 	f.Add([]byte(get("r1")))
 	f.Add([]byte(words("C.SET", "k", "id", "c=put,t=a,d=9,k=5c,size=1", "value")))
@@ -159,33 +160,33 @@
 			return
 		}
 		if cmd.Timeout < 0 || cmd.Timeout > 20_000_000 || cmd.Cost < 0 || cmd.ID() == "" {
-			t.Fatalf("accepted: %+v", cmd)
+			t.Fatalf("accepted invalid command %+v", cmd)
 		}
 		out := cmd.Encode(nil, cmd.Timeout)
 		again, n, err := resp.NextCommand(out)
 		if err != nil || n != len(out) {
-			t.Fatalf("the encoding can't be parsed: %q", out)
+			t.Fatalf("cannot parse the encoded command %q", out)
 		}
 		err = next.Parse(again, classes)
 		if err != nil || next.Class != cmd.Class || next.Tenant != cmd.Tenant || next.KeyHash != cmd.KeyHash ||
 			next.Cost != cmd.Cost || next.Write != cmd.Write || next.Timeout > max(cmd.Timeout, 1000) {
-			t.Fatalf("%+v is encoded as %+v, %v", cmd, next, err)
+			t.Fatalf("%+v became %+v after encoding and parsing, error %v", cmd, next, err)
 		}
 	})
 }
 
-func TestParseReadsRetryMark(t *testing.T) {
+func TestParseReadsRetryFlag(t *testing.T) {
 	for meta, want := range map[string]bool{"c=read,d=10,r=1": true, "c=read,d=10,r=0": false, "c=read,d=10": false} {
 		args := [][]byte{[]byte("C.GET"), []byte("k"), []byte("id"), []byte(meta)}
 		var c Command
 		err := c.Parse(args, classes)
 		if err != nil || c.Retry != want {
-			t.Errorf("%s: retry %v, %v", meta, c.Retry, err)
+			t.Errorf("%s: got retry %v, error %v, want %v", meta, c.Retry, err, want)
 		}
 	}
 }
 
-func TestReplySlotKnowsClientAndFirstRequest(t *testing.T) {
+func TestReplySlotIdentifiesClientAndFirstRequest(t *testing.T) {
 	r := newTestServer(t, nil)
 	one, two := r.dial(), r.dial()
 	one.Send(get("r1"))
@@ -195,13 +196,13 @@
 	two.Send(get("r3"))
 	third := r.nextRequest()
 	if !first.FirstOnConnection || second.FirstOnConnection || !third.FirstOnConnection {
-		t.Errorf("first on their connections: %v, %v, %v", first.FirstOnConnection, second.FirstOnConnection, third.FirstOnConnection)
+		t.Errorf("got FirstOnConnection %v, %v, %v; want true, false, true", first.FirstOnConnection, second.FirstOnConnection, third.FirstOnConnection)
 	}
 	if first.ClientAddressHash() != third.ClientAddressHash() || first.ClientAddressHash() != addressHash("127.0.0.1:1") {
-		t.Error("clients of one address differ by their ports")
+		t.Error("the hash of a client address depends on its port")
 	}
 	if addressHash("127.0.0.1:1") == addressHash("127.0.0.2:1") || addressHash("[::1]:7") != addressHash("[::1]:8") {
-		t.Error("the hash is not that of the IP address alone")
+		t.Error("the hash does not depend on the IP address alone")
 	}
 	for _, a := range []receivedRequest{first, second, third} {
 		r.answer(a, value)
@@ -209,6 +210,6 @@
 	var accepted int
 	r.Do(func() { accepted = r.server.Accepted() })
 	if accepted != 2 {
-		t.Errorf("%d connections are counted as accepted", accepted)
+		t.Errorf("got %d accepted connections, want 2", accepted)
 	}
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -6,72 +6,73 @@
 	"starlingwinch/internal/machine"
 )
 
-// connection is one connection of a client. It is the machine's handler of its socket.
+// connection is a client's connection. It implements machine.Handler for its socket.
 type connection struct {
 	server     *Server
 	socket     machine.Conn
-	clientHash uint64 // of the client's address without its port
+	clientHash uint64 // hash of the client's address without the port
 
 	state      connectionState
-	stateSince Time // when it entered the state, or began its time there anew
-	listed     bool // it is in its state's list; unset once it is closed
+	stateSince Time // when the connection entered the state or its time in the state restarted
+	listed     bool // whether the connection is in its state's list; false once the connection is closed
 	prev, next *connection
 
-	unparsed          []byte // bytes that have arrived of a command that is not whole
-	unparsedCharge    int64  // bytes of the server's budget reserved for unparsed; 0 while it is small
+	unparsed          []byte // bytes received of an incomplete command
+	unparsedCharge    int64  // bytes of the server's budget that are reserved for unparsed; 0 while unparsed is small
 	commandSeen       bool   // set by the first valid request or PING
-	requestSeen       bool   // set by the first request that went to the handler
-	commandTaken      bool   // a command was executed since the state was last updated
+	requestSeen       bool   // set by the first request that was passed to the handler
+	commandExecuted   bool   // whether a command was executed since the last update of the state
 	consecutiveErrors int    // invalid commands since the last valid request
-	readPaused        bool   // nothing is read until replies leave: as many as allowed are due
-	readScheduled     bool   // the rest of what has arrived is read in a later turn
+	readPaused        bool   // whether reading is paused until replies are written, as the connection is at the pipeline limit
+	readScheduled     bool   // whether a read is scheduled for a later turn
 
 	pendingReplies []*ReplySlot // replies due, in the order of their commands
-	unsent         []byte       // the part of the replies written last that the socket did not take
-	flushScheduled bool         // its replies are written at the end of this turn
-
-	excess        bool // past the connection limit: its first request is refused and it is closed
-	retired       bool // to be closed as soon as it is between requests
-	retiredAt     Time // when it was retired
-	graceRunning  bool // the timer of startGrace is set
-	finishing     bool // nothing more is read, and it is closed after the replies that are due
+	unsent         []byte       // rest of the last written batch that the socket did not accept
+	flushScheduled bool         // whether the connection is in the server's flushQueue
+
+	excess        bool // whether the connection is past the connection limit: its requests are rejected and it is closed
+	retired       bool // whether the connection must close as soon as it is between requests
+	retiredAt     Time // when the connection was retired
+	graceTimerSet bool // whether the timer of startGrace is set
+	finishing     bool // whether nothing more is read and the connection closes after the replies due
 	lingeredBytes int  // bytes dropped in stateLingering
 
-	clientEnd clientEnd
-	closed    bool
+	clientStatus clientStatus
+	closed       bool
 }
 
-// clientEnd is how the client has ended its connection.
-type clientEnd uint8
+// clientStatus tells whether and how the client has ended its connection.
+type clientStatus uint8
 
 const (
-	clientPresent clientEnd = iota // it has not, as far as is known
-	clientEnded                    // by closing it, or the connection broke while a reply was written
-	clientReset                    // by a reset
+	clientConnected clientStatus = iota // the client has not ended the connection, as far as the router knows
+	clientClosed                        // the client closed the connection, or the connection broke while a reply was written
+	clientReset                         // the client reset the connection
 )
 
-// Readable executes the commands that have arrived. The machine calls it.
+// Readable reads and executes the commands that have arrived. It implements machine.Handler.
 func (c *connection) Readable() {
 	c.read()
 	c.server.handler.ProcessEvents()
 }
 
-// Writable continues to write replies. The machine calls it when the socket takes bytes again.
+// Writable resumes writing replies once the socket accepts bytes again. It implements machine.Handler.
 func (c *connection) Writable() {
 	c.flush()
 	c.server.handler.ProcessEvents()
 }
 
-// endedBy closes the connection after the client has ended it. What it has sent unread is dropped.
-func (c *connection) endedBy(cause error) {
-	c.clientEnd = clientEnded
+// handleDisconnect closes the connection after the client has ended it. Bytes that the client sent and the server has not
+// read are dropped.
+func (c *connection) handleDisconnect(cause error) {
+	c.clientStatus = clientClosed
 	if errors.Is(cause, machine.ErrReset) {
-		c.clientEnd = clientReset
+		c.clientStatus = clientReset
 	}
 	c.close()
 }
 
-// finish has the connection closed after the replies that are due. Nothing more is read.
+// finish stops reading and closes the connection after the replies that are due.
 func (c *connection) finish() {
 	if c.closed {
 		return
@@ -83,8 +84,8 @@
 	}
 }
 
-// closeIfQuiet closes a connection between requests. One that has sent more meanwhile is read first: closed, it would lose
-// that request.
+// closeIfQuiet closes the connection, which is between requests. If more bytes have arrived, the connection is read first:
+// closing it would lose the request in these bytes.
 func (c *connection) closeIfQuiet() {
 	if c.socket.Quiet() {
 		c.close()
@@ -93,8 +94,9 @@
 	}
 }
 
-// closeGracefully closes the connection after its last reply. Where the client is still sending, a close would reset the
-// connection and with it drop the reply, so its bytes are read and dropped for a while.
+// closeGracefully closes the connection after its last reply. If the client is still sending, closing the socket would reset
+// the connection, and the client would lose the reply. The server therefore closes only its sending side at first, and reads
+// and drops the bytes that still arrive until a limit of time or bytes is reached.
 func (c *connection) closeGracefully() {
 	if c.socket.Quiet() || c.socket.CloseWrite() != nil {
 		c.close()
@@ -104,7 +106,7 @@
 	c.linger()
 }
 
-// linger reads and drops what still arrives, up to maxLingerBytes.
+// linger reads and drops the bytes that still arrive, up to maxLingerBytes.
 func (c *connection) linger() {
 	for reads := 0; ; reads++ {
 		if reads > maxReadsPerTurn {
@@ -123,12 +125,12 @@
 	}
 }
 
-// closeReason returns why the connection ends, for the log.
+// closeReason returns the reason for the end of the connection, as logged.
 func (c *connection) closeReason() string {
 	switch {
-	case c.clientEnd == clientReset:
+	case c.clientStatus == clientReset:
 		return "client-reset"
-	case c.clientEnd == clientEnded:
+	case c.clientStatus == clientClosed:
 		return "client-closed"
 	case c.server.closed:
 		return "router-stopping"
@@ -140,15 +142,16 @@
 	return "timeout-" + stateNames[c.state]
 }
 
-// close ends the connection, and reports the requests without a reply to the handler.
+// close closes the connection and reports its requests without a reply to the handler.
 func (c *connection) close() {
 	if c.closed {
 		return
 	}
 	s := c.server
 	c.closed = true
-	// A client that does not read can't be given its replies: losing them is not the router's doing.
-	byRouter := c.clientEnd == clientPresent && c.state != stateWriteBlocked
+	// A client that does not read cannot receive its replies, so the loss of these replies is not counted as caused by the
+	// router.
+	byRouter := c.clientStatus == clientConnected && c.state != stateWriteBlocked
 	c.leaveState()
 	c.socket.Close()
 	s.connections--
@@ -165,7 +168,7 @@
 	s.checkDrained()
 }
 
-// dropReplies drops the replies that are due, and returns the slots that the handler has not answered.
+// dropReplies drops the replies that are due. It returns the slots of the requests that the handler has not answered.
 func (c *connection) dropReplies() (unanswered []*ReplySlot) {
 	for _, slot := range c.pendingReplies {
 		c.server.buffered.release(slot.charged)
--- a/internal/frontend/connection_limit.go
+++ b/internal/frontend/connection_limit.go
@@ -1,9 +1,11 @@
 package frontend
 
-// enforceConnectionLimit is called when a connection was accepted or has closed. Past the limit it retires an unused connection
-// in favour of newest, which is nil where none was accepted. Where all are in use, a few more stay open until their first
-// command, which is refused: a connection left in the kernel's queue would wait there until its client's timeout. Past those,
-// the listener pauses.
+// enforceConnectionLimit applies the connection limit after a connection was accepted or closed. newest is the accepted
+// connection, or nil.
+//
+// Past the limit, the server retires an unused connection in favour of newest. If all connections are in use, a few more
+// stay open until their first command, which is rejected: in the kernel's accept queue, the client would wait until its
+// timeout. With more than maxExcessConnections of them, the listener pauses.
 func (s *Server) enforceConnectionLimit(newest *connection) {
 	if s.closed {
 		return
@@ -21,7 +23,7 @@
 	s.pauseListenerAtLimit()
 }
 
-// admitExcessConnections has connections that were past the limit served, as far as the limit now allows.
+// admitExcessConnections starts to serve connections that were past the limit, as many as the limit now allows.
 func (s *Server) admitExcessConnections() {
 	for s.connections <= s.options.MaxConnections && s.lists[stateExcess].first != nil {
 		c := s.lists[stateExcess].first
@@ -31,8 +33,8 @@
 	}
 }
 
-// pauseListenerAtLimit pauses the listener where no further connection may be accepted, even to be refused, and resumes it
-// where one may.
+// pauseListenerAtLimit pauses the listener if more than maxExcessConnections are open past the limit, and resumes it
+// otherwise.
 func (s *Server) pauseListenerAtLimit() {
 	atLimit := s.connections > s.options.MaxConnections+maxExcessConnections
 	if atLimit == s.listenerPaused {
@@ -47,20 +49,20 @@
 	s.machine.At(s.machine.Now()+acceptRetryDelay, s.retryAccept)
 }
 
-// retryAccept resumes a paused listener, so that the next connection may take the place of one that is unused by now.
+// retryAccept resumes a paused listener, so that the next connection can replace a connection that has become unused.
 func (s *Server) retryAccept() {
 	if !s.listenerPaused {
 		return
 	}
-	s.listenerPaused = false // enforceConnectionLimit pauses it again, with a new timer
+	s.listenerPaused = false // enforceConnectionLimit pauses the listener again if needed, with a new timer
 	s.listener.Resume()
 	s.enforceConnectionLimit(nil)
 	s.handler.ProcessEvents()
 }
 
-// evictionCandidate returns the connection to retire in favour of the newest, or nil: the one open for longest without a
-// command, except those opened less than commandGrace ago; else the one idle for longest. A connection may be closed between
-// requests without loss.
+// evictionCandidate returns the connection to retire in favour of newest, or nil. Preferred is the connection open for
+// longest without a command, if it was opened at least commandGrace ago; otherwise the connection that has been idle or
+// unused for longest. Closing a connection between requests loses nothing.
 func (s *Server) evictionCandidate(newest *connection) *connection {
 	unused := s.lists[stateNew].firstNotRetired()
 	idle := s.lists[stateIdle].firstNotRetired()
@@ -76,5 +78,5 @@
 	return unused
 }
 
-// overHalfFull reports whether more than half of the connections that may be served are open. Idle ones then have less time.
+// overHalfFull reports whether more than half of MaxConnections are open. Idle connections then time out sooner.
 func (s *Server) overHalfFull() bool { return s.connections > s.options.MaxConnections/2 }
--- a/internal/frontend/connection_limit_test.go
+++ b/internal/frontend/connection_limit_test.go
@@ -10,12 +10,12 @@
 	for wait, want := range map[Time]string{0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 1000: "-BUSY 1\r\n",
 		1001: "-BUSY 2\r\n", 600_000: "-BUSY 600\r\n"} {
 		if got := string(AppendBusy(nil, wait)); got != want {
-			t.Errorf("%d: %q, want %q", wait, got, want)
+			t.Errorf("%d: got %q, want %q", wait, got, want)
 		}
 	}
 }
 
-// fullServer returns a server whose connections are all in use by clients that wait for a reply.
+// fullServer returns a server at its connection limit, with the clients of all connections waiting for a reply.
 func fullServer(t *testing.T) (*testServer, []receivedRequest) {
 	r := newTestServer(t, func(o *Options) { o.MaxConnections, o.RetryAfter = 3, 70_000 })
 	var waiting []receivedRequest
@@ -26,9 +26,9 @@
 	return r, waiting
 }
 
-// TestExcessConnectionIsRefused checks that a client past the connection limit is refused at once: in the kernel's
-// queue it would wait until its timeout.
-func TestExcessConnectionIsRefused(t *testing.T) {
+// TestExcessConnectionIsRejected checks that a client past the connection limit is rejected at once. In the kernel's accept
+// queue, the client would wait until its timeout.
+func TestExcessConnectionIsRejected(t *testing.T) {
 	r, _ := fullServer(t)
 	for i := range 2 * maxExcessConnections {
 		c := r.dial()
@@ -39,7 +39,8 @@
 	r.wantNoRequest()
 }
 
-// TestSilentExcessConnectionExpires checks that a connection past the limit that sends no request is closed soon.
+// TestSilentExcessConnectionExpires checks that a connection past the limit that sends no complete request is closed after a
+// short time.
 func TestSilentExcessConnectionExpires(t *testing.T) {
 	r, _ := fullServer(t)
 	silent, half := r.dial(), r.dial()
@@ -49,29 +50,31 @@
 	r.wantNoRequest()
 }
 
-// TestExcessConnectionIsServedBelowLimit checks that a connection that was past the limit is served once another has closed.
+// TestExcessConnectionIsServedBelowLimit checks that a connection past the limit is served once another connection has
+// closed.
 func TestExcessConnectionIsServedBelowLimit(t *testing.T) {
 	r, waiting := fullServer(t)
 	late := r.dial()
 	late.Send(words("PING"))
-	late.Want("+PONG") // it is accepted, past the limit
+	late.Want("+PONG") // the connection is accepted, past the limit
 	r.answer(waiting[0], value)
 	r.Do(func() {
 		waiting[0].connection.close()
 		if r.server.lists[stateExcess].first != nil {
-			t.Error("it counts as past the limit, though it is not")
+			t.Error("the connection still counts as past the limit")
 		}
 	})
 	late.Send(get("late"))
 	a := r.nextRequest()
 	if !strings.HasPrefix(a.cmd.ID(), "late") {
-		t.Errorf("got request %s", a.cmd.ID())
+		t.Errorf("got request %s, want late", a.cmd.ID())
 	}
 	r.answer(a, value)
 	late.Want("value")
 }
 
-// TestRejectionsNameTheirReason: the engineer on call can't tell a limit of connections from one of memory by the answer.
+// TestRejectionsNameTheirReason checks the reported reason of a rejection, since the reply to the client does not tell the
+// connection limit from the memory limit.
 func TestRejectionsNameTheirReason(t *testing.T) {
 	t.Run("connections", func(t *testing.T) {
 		r, _ := fullServer(t)
@@ -87,7 +90,7 @@
 		c.Want("-BUSY")
 		r.wantRejected(RejectedMemory)
 	})
-	t.Run("memory for a part of a request", func(t *testing.T) {
+	t.Run("memory for a partial request", func(t *testing.T) {
 		r := newTestServer(t, func(o *Options) { o.MaxBufferedBytes = 8 << 10 })
 		c := r.dial()
 		whole := words("C.SET", "k", "r1", "c=put,d=9,k=5", strings.Repeat("v", 40<<10))
@@ -97,12 +100,12 @@
 	})
 }
 
-// wantRejected checks that one request was reported as refused by the server, for that reason.
+// wantRejected checks that the server has reported exactly one rejected request, with the given reason.
 func (r *testServer) wantRejected(reason RejectReason) {
 	r.t.Helper()
 	r.Do(func() {
 		if len(r.rejected) != 1 || r.rejected[0] != reason {
-			r.t.Errorf("reported %q, want %q", r.rejected, reason)
+			r.t.Errorf("got reported reasons %q, want only %q", r.rejected, reason)
 		}
 	})
 }
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -16,7 +16,7 @@
 	r.Do(func() { r.starting = true })
 	c.Send(words("PING"))
 	if got := c.Line(); !strings.HasPrefix(got, "-LOADING") {
-		t.Errorf("answer %q", got)
+		t.Errorf("got reply %q, want -LOADING", got)
 	}
 	r.Do(func() { r.starting = false })
 	c.Send("PING\r\n" + words("ping", "echo") + words("QUIT"))
@@ -27,8 +27,8 @@
 	r.waitUntilEmpty()
 }
 
-// TestRepliesKeepCommandOrder checks the order of replies where they are given in another one, with the server's own among
-// them.
+// TestRepliesKeepCommandOrder checks that replies are written in the order of their commands, even if the handler answers in
+// another order and some replies come from the server itself.
 func TestRepliesKeepCommandOrder(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
@@ -42,12 +42,12 @@
 	}
 	r.Do(func() {
 		if n := r.server.BufferedBytes(); n != 0 {
-			t.Errorf("%d bytes stay reserved after all was answered", n)
+			t.Errorf("%d bytes stay reserved after all commands were answered", n)
 		}
 	})
 }
 
-// TestSplitCommandsAreExecutedOnce checks commands that arrive byte by byte.
+// TestSplitCommandsAreExecutedOnce covers commands that arrive byte by byte.
 func TestSplitCommandsAreExecutedOnce(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
@@ -58,7 +58,7 @@
 	for i := range 3 {
 		a := r.nextRequest()
 		if a.cmd.ID() != fmt.Sprint("r", i) || a.cmd.Write != (i == 1) {
-			t.Errorf("request %d is %+v", i, a.cmd)
+			t.Errorf("request %d: got %+v", i, a.cmd)
 		}
 		r.answer(a, value)
 		c.Want("value")
@@ -66,8 +66,8 @@
 	r.wantNoRequest()
 }
 
-// TestClientsGoneReportsUnansweredRequestsOnce checks that the handler is called once for each request without a reply, and for
-// no other.
+// TestClientsGoneReportsUnansweredRequestsOnce checks that the handler is notified once of each request without a reply, and
+// of no other request.
 func TestClientsGoneReportsUnansweredRequestsOnce(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
@@ -76,21 +76,21 @@
 	r.answer(requests[1], value)
 	c.Close()
 	for _, want := range []int{0, 2} {
-		if s := routertest.Receive(t, r.gone, "client that has gone"); s != requests[want].ReplySlot {
-			t.Errorf("the client of another request than %d is reported as gone", want)
+		if s := routertest.Receive(t, r.gone, "report of a client that has gone"); s != requests[want].ReplySlot {
+			t.Errorf("got a report for another request, want request %d", want)
 		}
 	}
 	r.waitUntilEmpty()
 	r.answer(requests[0], value) // the handler may still answer
 	r.Do(func() {
 		if n := r.server.BufferedBytes(); n != 0 || len(r.gone) > 0 {
-			t.Errorf("%d bytes stay reserved, %d more clients are reported as gone", n, len(r.gone))
+			t.Errorf("%d bytes stay reserved and %d further requests are reported", n, len(r.gone))
 		}
 	})
 }
 
-// TestBrokenConnectionExecutesNoFurtherCommands checks that commands behind one whose reply finds the connection broken are not
-// executed without being reported as gone, and that their bytes do not stay reserved.
+// TestBrokenConnectionExecutesNoFurtherCommands covers commands that follow a command whose reply finds the connection
+// broken. None of them may be executed without being reported to ClientsGone, and their bytes must not stay reserved.
 func TestBrokenConnectionExecutesNoFurtherCommands(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
@@ -104,13 +104,14 @@
 	r.waitUntilEmpty()
 	for range len(r.requests) {
 		a := r.nextRequest()
-		if s := routertest.Receive(t, r.gone, "client that has gone"); s != a.ReplySlot {
-			t.Error("the client of another request is reported as gone")
+		if s := routertest.Receive(t, r.gone, "report of a client that has gone"); s != a.ReplySlot {
+			t.Error("got a report for another request")
 		}
 	}
 }
 
-// TestPipelineLimitPausesReading checks that nothing is read past the limit until replies leave, and that all is read then.
+// TestPipelineLimitPausesReading checks that nothing is read past the limit until replies are written, and that all commands
+// are read in the end.
 func TestPipelineLimitPausesReading(t *testing.T) {
 	r := newTestServer(t, func(o *Options) { o.Limits.MaxPipelined = 4 })
 	c := r.dial()
@@ -120,17 +121,17 @@
 	for i := range all {
 		wire += get(fmt.Sprint("r", i))
 	}
-	c.Send(wire[:half]) // half a command, then more than the bound
-	r.Until("half a command", func() bool { return r.server.lists[statePartialCommand].first != nil })
+	c.Send(wire[:half]) // a partial command, then more commands than the limit
+	r.Until("a partial command", func() bool { return r.server.lists[statePartialCommand].first != nil })
 	c.Send(wire[half:])
 	for i := range all {
 		a := r.nextRequest()
 		if a.cmd.ID() != fmt.Sprint("r", i) {
-			t.Fatalf("request %s, want r%d", a.cmd.ID(), i)
+			t.Fatalf("got request %s, want r%d", a.cmd.ID(), i)
 		}
 		r.Do(func() {
 			if n := len(a.connection.pendingReplies); n > 4 {
-				t.Errorf("%d answers are due", n)
+				t.Errorf("%d replies are due, want at most 4", n)
 			}
 		})
 		r.answer(a, value)
@@ -139,10 +140,10 @@
 	r.wantNoRequest()
 }
 
-// TestPipelineLimitSuspendsTimeLimits checks that a client at the limit is not closed as one that stops in the middle of a
-// command or is idle.
+// TestPipelineLimitSuspendsTimeLimits checks that a client at the pipeline limit is not closed for being idle or for
+// stopping in the middle of a command.
 func TestPipelineLimitSuspendsTimeLimits(t *testing.T) {
-	for name, first := range map[string]int{"from its first command on": 0, "behind half a command": 10} {
+	for name, first := range map[string]int{"from the first command": 0, "after a partial command": 10} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestServer(t, func(o *Options) {
 				o.Limits.MaxPipelined = 2
@@ -158,7 +159,7 @@
 				}
 			})
 			if first > 0 {
-				r.Until("half a command", func() bool { return r.server.lists[statePartialCommand].first != nil })
+				r.Until("a partial command", func() bool { return r.server.lists[statePartialCommand].first != nil })
 				c.Send(wire[first:])
 			}
 			requests := []receivedRequest{r.nextRequest(), r.nextRequest()}
@@ -173,7 +174,7 @@
 	}
 }
 
-// TestCommandsPerTurnAreBounded checks that a client that sends many commands at once leaves others their turn.
+// TestCommandsPerTurnAreBounded checks that a client that sends many commands at once does not delay other clients.
 func TestCommandsPerTurnAreBounded(t *testing.T) {
 	r := newTestServer(t, nil)
 	many, one := r.dial(), r.dial()
@@ -192,7 +193,7 @@
 	for before := 0; ; before++ {
 		if a := r.nextRequest(); a.cmd.ID() == "one" {
 			if before > maxCommandsPerTurn {
-				t.Errorf("%d commands of another client came first", before)
+				t.Errorf("%d commands of another client were executed first", before)
 			}
 			return
 		}
@@ -202,8 +203,9 @@
 // large is a reply of the maximum size.
 var large = "$65536\r\n" + strings.Repeat("v", resp.MaxValueBytes) + "\r\n"
 
-// fillUp has a client request more than the sockets take without its reading, and returns the number of replies.
-func fillUp(r *testServer, c *routertest.Client) int {
+// fillSocketBuffers requests more than the sockets can buffer while the client does not read. It returns the number of
+// replies.
+func fillSocketBuffers(r *testServer, c *routertest.Client) int {
 	r.t.Helper()
 	const all = 200
 	for i := range all {
@@ -219,17 +221,18 @@
 		}
 		c := r.server.lists[stateWriteBlocked].first
 		if c == nil || len(c.unsent) == 0 || len(c.unsent) > len(large) || len(c.pendingReplies) < all/4 {
-			r.t.Error("the sockets took all replies, or more than one was dequeued")
+			r.t.Error("the sockets accepted all replies, or more than one reply was dequeued")
 		}
 	})
 	return all
 }
 
-// TestWriteBlockedConnectionExpires checks that a client that does not read is closed after WriteTime, and its memory released.
+// TestWriteBlockedConnectionExpires checks that a client that does not read is closed after WriteTime and its memory is
+// released.
 func TestWriteBlockedConnectionExpires(t *testing.T) {
 	r := newTestServer(t, func(o *Options) { o.Limits.WriteTime = shortTimeout })
 	c := r.dial()
-	fillUp(r, c)
+	fillSocketBuffers(r, c)
 	other := r.dial()
 	other.Send(words("PING"))
 	other.Want("+PONG")
@@ -242,36 +245,36 @@
 func TestSlowReaderGetsAllReplies(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
-	all := fillUp(r, c)
+	all := fillSocketBuffers(r, c)
 	for range all {
 		if got := c.Line(); len(got) != resp.MaxValueBytes {
-			t.Fatalf("an answer of %d bytes", len(got))
+			t.Fatalf("got a reply of %d bytes, want %d", len(got), resp.MaxValueBytes)
 		}
 	}
-	r.Until("all bytes given back", func() bool { return r.server.BufferedBytes() == 0 })
+	r.Until("the release of all bytes", func() bool { return r.server.BufferedBytes() == 0 })
 	c.Send(get("again"))
 	r.answer(r.nextRequest(), value)
 	c.Want("value")
 }
 
-// TestWriteTimeRestartsWithEachReply checks that a client that reads steadily, but always has more to read, is not closed.
+// TestWriteTimeRestartsWithEachReply checks that a client that reads steadily but always has unread replies is not closed.
 func TestWriteTimeRestartsWithEachReply(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
-	all := fillUp(r, c)
+	all := fillSocketBuffers(r, c)
 	var since Time
 	r.Do(func() { since = r.server.lists[stateWriteBlocked].first.stateSince })
 	for range all / 2 {
 		c.Line()
 	}
-	r.Until("a later answer", func() bool {
+	r.Until("a later write", func() bool {
 		cl := r.server.lists[stateWriteBlocked].first
 		return cl == nil || cl.stateSince > since
 	})
 }
 
-// TestRepliesOfOneTurnAreWrittenTogether checks that small replies are written in order at the end of the turn, also where the
-// handler changes its bytes after Answer, and that a large one does not wait.
+// TestRepliesOfOneTurnAreWrittenTogether checks that small replies are written in order at the end of the turn, even if the
+// handler modifies the bytes after Answer, and that a large reply is written at once.
 func TestRepliesOfOneTurnAreWrittenTogether(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
@@ -287,7 +290,7 @@
 			copy(b[4:], fmt.Sprint("val", i))
 			a.Answer(b)
 			if len(cl.pendingReplies) != 5 {
-				t.Errorf("answer %d has left by itself", i)
+				t.Errorf("reply %d was written before the end of the turn", i)
 			}
 		}
 		copy(b[4:], "wrong")
@@ -304,53 +307,53 @@
 	r.Do(func() {
 		first.Answer([]byte(large))
 		if len(cl.pendingReplies) != 1 {
-			t.Error("a large answer waits for others")
+			t.Error("a large reply was not written at once")
 		}
 		second.Answer([]byte(value))
 	})
 	if got := c.Line(); len(got) != resp.MaxValueBytes {
-		t.Errorf("%d bytes of the large answer", len(got))
+		t.Errorf("got a reply of %d bytes, want %d", len(got), resp.MaxValueBytes)
 	}
 	c.Want("value")
 }
 
-// TestBufferedBytesAreBounded checks that a command without memory is refused before it goes to the handler, that a reply
-// without memory becomes a failure, and that each command gets a reply in its place.
+// TestBufferedBytesAreBounded checks that a command is rejected before it is passed to the handler if there is no memory for
+// it, that a reply is replaced by a failure if there is no memory for it, and that each command gets a reply in its place.
 func TestBufferedBytesAreBounded(t *testing.T) {
 	const limit, all = 64 << 10, 50
 	r := newTestServer(t, func(o *Options) { o.MaxBufferedBytes = limit })
 	c := r.dial()
 	for i := range all {
 		c.Send(words("C.SET", "k", fmt.Sprint("r", i), "c=put,d=9,k=5", strings.Repeat("v", 2000)))
-		r.Until("the command taken", func() bool {
+		r.Until("the execution of the command", func() bool {
 			cl := r.server.lists[stateAwaitingReplies].first
 			return cl != nil && len(cl.pendingReplies) == i+1
 		})
 	}
-	fit := len(r.requests)
+	accepted := len(r.requests)
 	r.Do(func() {
-		if reserved := r.server.BufferedBytes(); reserved > limit+all*int64(len(BusyReply)) || fit*2000 > limit {
-			t.Errorf("%d bytes are reserved for %d commands", reserved, fit)
+		if reserved := r.server.BufferedBytes(); reserved > limit+all*int64(len(BusyReply)) || accepted*2000 > limit {
+			t.Errorf("%d bytes are reserved for %d commands", reserved, accepted)
 		}
 	})
-	if fit < limit/3000 {
-		t.Errorf("only %d of %d commands were taken", fit, all)
+	if accepted < limit/3000 {
+		t.Errorf("only %d of %d commands were accepted", accepted, all)
 	}
-	for range fit {
+	for range accepted {
 		r.answer(r.nextRequest(), large)
 	}
 	for i := range all {
 		want := "-ERR failed"
-		if i >= fit {
+		if i >= accepted {
 			want = "-BUSY"
 		}
-		if got := c.Line(); got != want && !(i < fit && len(got) == resp.MaxValueBytes) {
-			t.Errorf("answer %d is %.30q, want %q", i, got, want)
+		if got := c.Line(); got != want && !(i < accepted && len(got) == resp.MaxValueBytes) {
+			t.Errorf("reply %d: got %.30q, want %q", i, got, want)
 		}
 	}
 	r.Do(func() {
 		if reserved := r.server.BufferedBytes(); reserved != 0 {
-			t.Errorf("%d bytes stay reserved after all was answered", reserved)
+			t.Errorf("%d bytes stay reserved after all commands were answered", reserved)
 		}
 	})
 	c.Send(get("again"))
@@ -358,17 +361,17 @@
 	c.Want("value")
 }
 
-// TestSmallRepliesAreSentWithoutMemory checks that refusals and PONG stay what they are where no memory is left.
+// TestSmallRepliesAreSentWithoutMemory checks that rejections and PONG are sent unchanged if no memory is left.
 func TestSmallRepliesAreSentWithoutMemory(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
 	c.Send(get("r1") + get("r2"))
-	refused, failed := r.nextRequest(), r.nextRequest()
+	rejected, failed := r.nextRequest(), r.nextRequest()
 	var filled int64
 	r.Do(func() {
 		filled = r.server.buffered.limit - r.server.buffered.used
 		r.server.buffered.reserve(filled)
-		refused.Answer([]byte("-BUSY 100\r\n"))
+		rejected.Answer([]byte("-BUSY 100\r\n"))
 		failed.Answer([]byte(large))
 	})
 	c.Send(words("PING"))
@@ -381,21 +384,21 @@
 	c.Want("value")
 }
 
-// TestSilentConnectionsExpire checks that connections with no command or a partial one are closed.
+// TestSilentConnectionsExpire checks that connections without a command and connections with a partial command are closed.
 func TestSilentConnectionsExpire(t *testing.T) {
 	r := newTestServer(t, nil)
 	silent, half := r.dial(), r.dial()
 	half.Send("*4\r\n$5\r\nC.G")
 	if got := half.Line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("half a command: %q", got)
+		t.Errorf("partial command: got reply %q, want an error", got)
 	}
 	half.WantClosed()
 	silent.WantClosed()
 	r.waitUntilEmpty()
 }
 
-// TestIdleConnectionsExpire checks that idle connections are closed, sooner above half of the connection limit, and that one
-// that waits for a reply is not idle.
+// TestIdleConnectionsExpire checks that idle connections are closed, sooner above half of the connection limit, and that a
+// connection waiting for a reply does not count as idle.
 func TestIdleConnectionsExpire(t *testing.T) {
 	for _, overHalfFull := range []bool{false, true} {
 		t.Run(fmt.Sprintf("over half full %t", overHalfFull), func(t *testing.T) {
@@ -404,20 +407,21 @@
 					o.Limits.IdleTime, o.Limits.CrowdedIdleTime, o.MaxConnections = time.Hour, shortTimeout, 3
 				}
 			})
-			idle, waits := r.dial(), r.dial()
+			idle, waiting := r.dial(), r.dial()
 			idle.Send(words("PING"))
 			idle.Want("+PONG")
-			waits.Send(get("r1"))
+			waiting.Send(get("r1"))
 			a := r.nextRequest()
 			idle.WantClosed()
 			r.After(2 * shortTimeout)
 			r.answer(a, value)
-			waits.Want("value")
+			waiting.Want("value")
 		})
 	}
 }
 
-// TestEvictionCandidatePrefersUnusedConnections checks that connections that have sent no command can not shut out others.
+// TestEvictionCandidatePrefersUnusedConnections checks that connections that have sent no command cannot keep out other
+// connections.
 func TestEvictionCandidatePrefersUnusedConnections(t *testing.T) {
 	r := newTestServer(t, nil)
 	add := func(age Time, s connectionState) *connection {
@@ -428,37 +432,37 @@
 	}
 	r.Do(func() {
 		defer func() { r.server.lists = [stateCount]connectionList{} }()
-		add(1000, stateNew) // its first command may be under way
+		add(1000, stateNew) // its first command may be in transit
 		add(50_000_000, stateAwaitingReplies)
 		used := add(5_000_000, stateIdle)
 		add(4_000_000, stateIdle)
 		if r.server.evictionCandidate(nil) != used {
-			t.Error("not the one idle for longest")
+			t.Error("candidate is not the connection idle for longest")
 		}
 		r.server.lists[stateNew] = connectionList{}
 		silent := add(100_000, stateNew)
 		add(1000, stateNew)
 		if r.server.evictionCandidate(nil) != silent {
-			t.Error("not the one without a command")
+			t.Error("candidate is not the connection without a command")
 		}
 		if r.server.evictionCandidate(silent) != used {
-			t.Error("the newest connection, in favour of which one is to be closed")
+			t.Error("candidate is not the connection idle for longest; the newest connection must be kept")
 		}
 		silent.retired = true
 		if c := r.server.evictionCandidate(nil); c == silent {
-			t.Error("one that is retired already")
+			t.Error("candidate is already retired")
 		}
 	})
 }
 
-// TestPipelinedCommandsAreAnsweredWithoutMemory guards against a client that is closed with one refusal though many of its commands were read
-// whole.
+// TestPipelinedCommandsAreAnsweredWithoutMemory guards against a client that sent many complete commands being disconnected
+// after a single rejection.
 func TestPipelinedCommandsAreAnsweredWithoutMemory(t *testing.T) {
-	for _, pipelined := range []int{100, 2000} { // below and above the limit of replies that are due
+	for _, pipelined := range []int{100, 2000} { // below and above the pipeline limit
 		r := newTestServer(t, func(o *Options) { o.MaxBufferedBytes = 8 << 10 })
 		other := r.dial()
 		other.Send(words("C.SET", "k", "first", "c=put,d=9,k=5", strings.Repeat("v", 8000)))
-		taken := r.nextRequest() // it has the memory until its reply
+		holder := r.nextRequest() // holds the memory until its reply
 		c := r.dial()
 		var all strings.Builder
 		for i := range pipelined {
@@ -470,7 +474,7 @@
 		}
 		c.Send(words("PING"))
 		c.Want("+PONG")
-		r.answer(taken, value)
+		r.answer(holder, value)
 		other.Want("value")
 	}
 }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -1,7 +1,7 @@
 package frontend
 
-// Drain accepts what waits at the listener and nothing after that, and closes each connection as soon as it is between
-// requests. onDrained is called when none is left.
+// Drain starts a drain: the server accepts the connections already in the listener's queue but no later ones, and closes
+// each connection as soon as it is between requests. It calls onDrained once no connection is left.
 func (s *Server) Drain(onDrained func()) {
 	s.draining, s.onDrained = true, onDrained
 	s.listener.Finish(func() {
@@ -18,7 +18,7 @@
 	s.handler.ProcessEvents()
 }
 
-// checkDrained reports the end of a drain once no connection is left and none can come.
+// checkDrained reports the end of a drain once no connection is left and no further connection can be accepted.
 func (s *Server) checkDrained() {
 	if s.connections > 0 || !s.listenerFinished || s.onDrained == nil {
 		return
@@ -28,7 +28,7 @@
 	s.machine.Post(onDrained)
 }
 
-// retire has the connection closed as soon as it is between requests.
+// retire marks the connection to be closed as soon as it is between requests, and closes it at once if it is idle.
 func (c *connection) retire() {
 	if c.retired || c.closed {
 		return
@@ -43,22 +43,24 @@
 	c.startGrace()
 }
 
-// startGrace closes the connection after commandGrace, unless replies are due by then: they are written first, however long
-// that takes. It gives a command that has begun the time to arrive whole, and a new connection the time to send its first one.
+// startGrace starts the timer that closes the connection after commandGrace. If replies are still due at that time, they are
+// written first, however long that takes. The grace lets a partial command arrive completely, and lets a new connection send
+// its first command.
 func (c *connection) startGrace() {
-	if c.graceRunning {
+	if c.graceTimerSet {
 		return
 	}
-	c.graceRunning = true
+	c.graceTimerSet = true
 	c.server.machine.At(c.server.machine.Now()+commandGrace, c.graceOver)
 }
 
-// graceOver closes a retired connection that has nothing due. It reads first: the rest of a command may have arrived unread.
+// graceOver closes a retired connection without replies due when its grace ends. It reads first, as the rest of a command
+// may have arrived but not been read.
 func (c *connection) graceOver() {
-	c.graceRunning = false
+	c.graceTimerSet = false
 	c.readIfPending()
 	switch {
-	case c.closed, c.finishing, len(c.pendingReplies) > 0, len(c.unsent) > 0: // it closes after its replies
+	case c.closed, c.finishing, len(c.pendingReplies) > 0, len(c.unsent) > 0: // already closed, or closes after its replies
 	case c.readScheduled:
 		c.startGrace() // more has arrived than one turn reads
 	case len(c.unparsed) > 0:
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -11,7 +11,7 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// startDrain begins a drain. The channel is closed at its end.
+// startDrain begins a drain. The returned channel is closed when the drain ends.
 func (r *testServer) startDrain() <-chan struct{} {
 	r.t.Helper()
 	drained := make(chan struct{})
@@ -19,8 +19,8 @@
 	return drained
 }
 
-// TestDrainServesRequestsInProgress checks that requests that have arrived when a drain begins are served, with those sent
-// behind them.
+// TestDrainServesRequestsInProgress checks that requests that have arrived when a drain begins are served, as are requests
+// that follow on the same connections.
 func TestDrainServesRequestsInProgress(t *testing.T) {
 	const clients = 30
 	r := newTestServer(t, nil)
@@ -33,22 +33,22 @@
 	}
 	drained := make(chan struct{})
 	r.Do(func() {
-		for i, c := range all { // these have arrived unread
+		for i, c := range all { // these have arrived but are not read
 			c.Send(get(fmt.Sprint("r", i)))
 		}
 		r.server.Drain(func() { close(drained) })
 	})
 	for i := range clients {
 		a := r.nextRequest()
-		// A second request is sent behind the first one: it is served too.
+		// A second request follows the first one and is served too.
 		var n int
 		fmt.Sscanf(a.cmd.ID(), "r%d", &n)
 		all[n].Send(get(fmt.Sprint("more", n)))
-		r.answerNext(a, fmt.Sprint("more", n))
+		r.answerOutOfOrder(a, fmt.Sprint("more", n))
 		if i == 0 {
 			select {
 			case <-drained:
-				t.Error("the drain ended with requests in progress")
+				t.Error("the drain ended while requests were in progress")
 			default:
 			}
 		}
@@ -62,8 +62,8 @@
 	r.waitUntilEmpty()
 }
 
-// answerNext answers the request with the given id, which may come behind others, and then a.
-func (r *testServer) answerNext(a receivedRequest, id string) {
+// answerOutOfOrder answers the request with the given id first, even if it arrives after other requests, and then answers a.
+func (r *testServer) answerOutOfOrder(a receivedRequest, id string) {
 	r.t.Helper()
 	var passed []receivedRequest
 	for {
@@ -74,37 +74,37 @@
 		}
 		passed = append(passed, b)
 	}
-	for _, b := range passed { // later calls answer them
+	for _, b := range passed { // the test receives them again later
 		r.requests <- b
 	}
 	r.answer(a, value)
 }
 
-// TestDrainGivesPartialCommandsGrace checks that the rest of a partial command is awaited for a moment, and that the connection
-// is then closed with an error.
+// TestDrainGivesPartialCommandsGrace checks that a drain waits a short time for the rest of a partial command, and then
+// closes the connection with an error.
 func TestDrainGivesPartialCommandsGrace(t *testing.T) {
 	r := newTestServer(t, nil)
-	halting, goesOn := r.dial(), r.dial()
+	stalled, continuing := r.dial(), r.dial()
 	wire := get("r1")
-	halting.Send(wire[:20])
-	goesOn.Send(wire[:20])
-	r.Until("both halves", func() bool {
+	stalled.Send(wire[:20])
+	continuing.Send(wire[:20])
+	r.Until("both partial commands", func() bool {
 		l := r.server.lists[statePartialCommand]
 		return l.first != nil && l.first != l.last
 	})
 	drained := make(chan struct{})
 	r.Do(func() {
 		r.server.Drain(func() { close(drained) })
-		goesOn.Send(wire[20:])
+		continuing.Send(wire[20:])
 	})
 	a := r.nextRequest()
-	if got := halting.Line(); !strings.Contains(got, "does not go on") {
-		t.Errorf("half a command: %q", got)
+	if got := stalled.Line(); !strings.Contains(got, "does not go on") {
+		t.Errorf("partial command: got reply %q, want the error of an incomplete command", got)
 	}
-	halting.WantClosed()
+	stalled.WantClosed()
 	r.answer(a, value)
-	goesOn.Want("value")
-	goesOn.WantClosed()
+	continuing.Want("value")
+	continuing.WantClosed()
 	routertest.Receive(t, drained, "end of the drain")
 	r.waitUntilEmpty()
 }
@@ -121,8 +121,8 @@
 	r.waitUntilEmpty()
 }
 
-// TestRetireServesUnreadRequest checks a second request that lies unread when the last reply before the close is given. A close
-// at that moment would reset the connection and lose the request.
+// TestRetireServesUnreadRequest covers a second request that has arrived but is not read when the handler gives the last
+// reply on a retired connection. Closing the connection at that moment would reset it and lose the request.
 func TestRetireServesUnreadRequest(t *testing.T) {
 	r := newTestServer(t, nil)
 	c := r.dial()
@@ -132,7 +132,7 @@
 	r.Do(func() {
 		c.Send(get("second"))
 		if first.connection.socket.Quiet() {
-			t.Error("the second request has not come")
+			t.Error("the second request has not arrived")
 		}
 		first.Answer([]byte(value))
 	})
@@ -144,16 +144,16 @@
 	r.waitUntilEmpty()
 }
 
-// TestRetireSendsRestOfPartlySentReply checks a reply that is partly written when the grace of a retired connection ends, with
-// nothing else due. The rest must still be sent.
+// TestRetireSendsRestOfPartlySentReply covers a reply that is partly written when the grace of a retired connection ends,
+// with no other reply due. The rest of the reply must still be sent.
 func TestRetireSendsRestOfPartlySentReply(t *testing.T) {
-	const sent = 10 // bytes of it
-	var holds atomic.Bool
+	const sent = 10 // bytes of the reply
+	var blocked atomic.Bool
 	k := machine.RealKernel()
 	send := k.Send
 	k.Send = func(fd int, b []byte) (int, error) {
 		switch {
-		case !holds.Load():
+		case !blocked.Load():
 			return send(fd, b)
 		case len(b) == len(value):
 			return send(fd, b[:sent])
@@ -164,13 +164,13 @@
 	c := r.dial()
 	c.Send(get("r1"))
 	a := r.nextRequest()
-	holds.Store(true)
+	blocked.Store(true)
 	r.answer(a, value)
 	drained := r.startDrain()
-	var over machine.Time
-	r.Do(func() { over = r.Now() + 2*commandGrace })
-	r.Until("the end of the moment", func() bool { return r.Now() > over })
-	holds.Store(false)
+	var graceEnd machine.Time
+	r.Do(func() { graceEnd = r.Now() + 2*commandGrace })
+	r.Until("the end of the grace", func() bool { return r.Now() > graceEnd })
+	blocked.Store(false)
 	c.Want("value")
 	c.WantClosed()
 	routertest.Receive(t, drained, "end of the drain")
--- a/internal/frontend/executing.go
+++ b/internal/frontend/executing.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/resp"
 )
 
-// Replies and texts of errors, as clients receive them.
+// Replies and error texts that are sent to clients.
 const (
 	loadingReply          = "-LOADING no caches are known yet\r\n"
 	pongReply             = "+PONG\r\n"
@@ -17,20 +17,20 @@
 	errorPrefix           = "ERR "
 	protocolErrorPrefix   = "ERR Protocol error: "
 	unknownCommandText    = "unknown command"
-	arrayWantedText       = "an array is wanted"
+	arrayRequiredText     = "an array is wanted"
 	incompleteCommandText = "the command does not go on"
 )
 
-// executeCommand executes one command. It reports whether the connection stays open.
+// executeCommand executes one complete command. It reports whether the connection stays open.
 func (c *connection) executeCommand(raw []byte) bool {
 	s := c.server
 	args, _, err := resp.AppendCommand(s.args[:0], raw)
 	if err != nil || len(args) == 0 {
-		return true // impossible: its size was found
+		return true // unreachable: CommandSize has accepted the command
 	}
 	s.args = args
 	staysOpen := c.execute(args, raw)
-	clear(args) // the scratch space must not hold on to the command
+	clear(args) // the reused slice must not keep the command's memory alive
 	return staysOpen
 }
 
@@ -47,8 +47,8 @@
 		c.replyLocally([]byte(okReply))
 		return false
 	}
-	// A web page can make a browser post to this address: its header would be skipped as invalid commands, and a command in
-	// the body executed.
+	// A web page can make a browser send a POST request to this address. Without this check, the lines of its header would be
+	// rejected as invalid commands, and a command in its body would be executed.
 	if raw[0] != '*' && looksLikeHTTP(args) {
 		c.replyLocally(redcon.AppendError(nil, httpErrorText))
 		return false
@@ -56,7 +56,7 @@
 	return c.rejectCommand(unknownCommandText)
 }
 
-// ping answers PING, by which load balancers and clients check whether the router can serve.
+// ping answers PING, which load balancers and clients use to check whether the router can serve.
 func (c *connection) ping(args [][]byte) {
 	c.commandSeen = true
 	switch {
@@ -69,11 +69,11 @@
 	}
 }
 
-// acceptRequest hands a request to the handler, or refuses it. It reports whether the connection stays open.
+// acceptRequest passes a request to the handler or rejects it. It reports whether the connection stays open.
 func (c *connection) acceptRequest(args [][]byte, raw []byte) bool {
 	s := c.server
 	if raw[0] != '*' {
-		return c.rejectCommand(arrayWantedText)
+		return c.rejectCommand(arrayRequiredText)
 	}
 	slot := &ReplySlot{connection: c, charged: int64(len(raw)), forwarded: true, FirstOnConnection: !c.requestSeen}
 	if err := slot.Command.Parse(args, s.options.Classes); err != nil {
@@ -81,7 +81,7 @@
 	}
 	c.consecutiveErrors, c.commandSeen = 0, true
 	if c.excess && !c.retired {
-		// Its window for requests is over at once: this one and those behind it are refused.
+		// The time window for requests on this connection ends at once: this request and all later ones are rejected.
 		c.retired, c.retiredAt = true, s.machine.Now()-retiredRequestWindow-1
 	}
 	if reason := c.rejectReason(int64(len(raw))); reason != "" {
@@ -95,12 +95,13 @@
 	return true
 }
 
-// rejectReason is why a request of so many bytes is refused; empty where its bytes were reserved.
+// rejectReason returns the reason for rejecting a request of the given size. It returns an empty reason, and reserves the
+// bytes, if the request is accepted.
 func (c *connection) rejectReason(size int64) RejectReason {
 	switch {
-	case c.retiredWindowOver() && c.excess:
+	case c.retiredWindowExpired() && c.excess:
 		return RejectedConnectionLimit
-	case c.retiredWindowOver():
+	case c.retiredWindowExpired():
 		return RejectedConnectionEnding
 	case !c.server.buffered.reserve(size):
 		return RejectedMemory
@@ -108,27 +109,29 @@
 	return ""
 }
 
-// retiredWindowOver reports whether requests on this connection are refused because it is to be closed. A client that always
-// has a request out would otherwise keep it open to the end of the drain, and lose what is out then.
-func (c *connection) retiredWindowOver() bool {
+// retiredWindowExpired reports whether the connection is retired and its time window for requests has ended. Requests after
+// that are rejected: a client that always has a request in flight would otherwise keep the connection open until the end of
+// the drain, and lose the requests in flight at that time.
+func (c *connection) retiredWindowExpired() bool {
 	return c.retired && c.server.machine.Now() > c.retiredAt+retiredRequestWindow
 }
 
-// rejectCommand replies to an invalid command. It reports whether the connection stays open: one that sends too many in a row
-// is closed.
+// rejectCommand replies to an invalid command with an error. It reports whether the connection stays open: after
+// MaxConsecutiveErrors invalid commands in a row, the connection is closed.
 func (c *connection) rejectCommand(text string) bool {
 	c.replyLocally(redcon.AppendError(nil, errorPrefix+text))
 	c.consecutiveErrors++
 	return c.consecutiveErrors < c.server.options.Limits.MaxConsecutiveErrors
 }
 
-// failProtocol replies to bytes that are no command, or to a command that does not end, and closes the connection.
+// failProtocol replies with a protocol error to bytes that are not a command or to a command that stays incomplete, and
+// closes the connection.
 func (c *connection) failProtocol(text string) {
 	c.replyLocally(redcon.AppendError(nil, protocolErrorPrefix+text))
 	c.finish()
 }
 
-// replyLocally queues a reply to a command that does not go to the handler.
+// replyLocally queues the reply to a command that is not passed to the handler.
 func (c *connection) replyLocally(reply []byte) {
 	slot := &ReplySlot{connection: c}
 	c.pendingReplies = append(c.pendingReplies, slot)
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,13 +1,16 @@
-// Package frontend is the router's side towards clients: the listener, a bounded number of connections, strict reading of RESP
-// commands at a bounded rate, replies in the order of their commands, and the drain at shutdown.
+// Package frontend serves the router's clients: it accepts a limited number of connections, parses RESP commands strictly
+// and at a limited rate, writes replies in the order of their commands, and drains connections at shutdown.
 //
-// The reply to a request comes from the Handler. The package guarantees that each command gets one reply, in its place, or
-// none once its client has gone; that a client that stalls, floods or sends malformed commands does not delay the others; and
-// that a connection is closed between requests wherever that is possible. It never decides where a request goes, never sends
-// it to a cache, and never replies to a request by itself, except to refuse one that comes on a connection about to be closed, and
-// where no memory is left.
+// The reply to a request comes from the Handler. The package guarantees the following:
 //
-// Commands follow the Redis serialization protocol, version 2. All methods and callbacks run in the loop of the machine.
+//   - Each command gets one reply, in its place, or none if its client has gone.
+//   - A client that stalls, floods or sends malformed commands does not delay other clients.
+//   - A connection is closed between requests wherever that is possible.
+//
+// The package neither chooses the cache for a request nor sends requests to caches. It replies to a valid
+// request itself only on a connection that is about to close, and when no buffer memory is left.
+//
+// Commands use the Redis serialization protocol, version 2. All methods and callbacks run in the machine's event loop.
 package frontend
 
 import (
@@ -16,75 +19,80 @@
 	"starlingwinch/internal/resp"
 )
 
-// Time is an instant or a span in microseconds.
+// Time is an instant or a duration in microseconds.
 type Time = decide.Time
 
-// Times, in microseconds.
+// Durations, in microseconds.
 const (
-	// acceptRetryDelay is until connections are accepted again after the listener was paused at the connection limit.
+	// acceptRetryDelay is the delay until the listener accepts connections again after it was paused at the connection limit.
 	acceptRetryDelay Time = 10_000
-	// commandGrace is for a command that has begun, or is about to on a new connection, when its connection is to be closed.
+	// commandGrace is the time given to a partial command, and to the first command on a new connection, before a connection
+	// that must close is closed.
 	commandGrace Time = 100_000
-	// retiredRequestWindow is for how long requests on a retired connection are still taken. Later ones are refused.
+	// retiredRequestWindow is the time for which a retired connection still accepts requests. Later requests are rejected.
 	retiredRequestWindow Time = 500_000
-	// excessTimeout is how long a connection past the limit may wait before it sends the command that is refused.
+	// excessTimeout is the maximum time for which a connection past the limit may wait before it sends the command that is
+	// rejected.
 	excessTimeout Time = 200_000
 )
 
-// Bounds of the work of one turn of the loop, and of buffers.
+// Limits on the work of one turn of the event loop, and on buffers.
 const (
-	// maxCommandsPerTurn bounds the commands of one connection in one turn, so that others have theirs.
+	// maxCommandsPerTurn limits the commands that one connection executes in one turn, so that other connections get their
+	// turn.
 	maxCommandsPerTurn = 32
-	// maxReadsPerTurn bounds the reads of one connection in one turn: each may bring as little as a byte.
+	// maxReadsPerTurn limits the reads of one connection in one turn, as each read may return as little as one byte.
 	maxReadsPerTurn = 64
-	// maxExcessConnections is the number of connections past the limit that are accepted to be refused.
+	// maxExcessConnections is the number of connections past the limit that are accepted only to be rejected.
 	maxExcessConnections = 16
-	// readBufferSize is the number of bytes that one read takes at most.
+	// readBufferSize is the maximum number of bytes of one read.
 	readBufferSize = 16 << 10
-	// maxBatchBytes bounds the replies that are written in one call, unless one alone is larger.
+	// maxBatchBytes limits the total size of the replies written in one call, unless a single reply is larger.
 	maxBatchBytes = 64 << 10
-	// maxDelayedReplyBytes bounds a reply that is written at the end of its turn, together with others of its connection.
+	// maxDelayedReplyBytes is the maximum size of a reply that is written at the end of its turn, together with other replies
+	// of its connection.
 	maxDelayedReplyBytes = 1 << 10
-	// maxLingerBytes is the number of bytes that are read and dropped after the last reply of a connection.
+	// maxLingerBytes is the maximum number of bytes that are read and dropped after the last reply of a connection.
 	maxLingerBytes = 4 * resp.MaxCommandBytes
 )
 
-// Handler answers requests. The Server calls it from the loop.
+// Handler answers requests. The Server calls its methods from the event loop.
 type Handler interface {
-	// HandleRequest is called with each request, the slot's Command, which was read whole at the given time. The handler
-	// calls the slot's Answer once.
+	// HandleRequest is called with each request, the slot's Command. read is the time at which the request was completely
+	// read. The handler must call the slot's Answer once.
 	HandleRequest(slot *ReplySlot, read Time)
-	// ClientsGone is called with requests whose replies nobody waits for any more: the client has gone, or, with byRouter,
-	// its connection was closed from this side while it still took replies. The handler may still answer them.
+	// ClientsGone is called with requests whose replies can no longer be delivered: the client has gone, or, if byRouter is
+	// true, the router closed the connection while the client still accepted replies. The handler may still answer these
+	// requests.
 	ClientsGone(slots []*ReplySlot, byRouter bool)
 	// ConnectionClosed is called when a connection has ended, with the reason and the number of its requests that had no
-	// reply then.
+	// reply at that time.
 	ConnectionClosed(reason string, unanswered int)
-	// RequestRejected is called when the server has refused a request itself, with the reason and the client's name of the request;
-	// no name where it was not read whole. The handler never gets that request.
+	// RequestRejected is called when the server itself has rejected a request, which the handler therefore never receives.
+	// clientID is the client's id of the request; it is empty if the request was not completely read.
 	RequestRejected(reason RejectReason, clientID string)
-	// ProcessEvents is called after one or more of the other calls, in the same turn, when the state of the Server is
-	// consistent: the handler may call it from there.
+	// ProcessEvents is called in the same turn after one or more calls of the other methods, when the Server's state is
+	// consistent. The handler may call the Server from ProcessEvents.
 	ProcessEvents()
-	// Serving reports whether there is a cache that takes requests.
+	// Serving reports whether a cache is available to serve requests.
 	Serving() bool
 }
 
-// RejectReason is why the server refuses a request itself.
+// RejectReason is the reason for which the server itself rejects a request.
 type RejectReason string
 
 const (
-	RejectedConnectionLimit  RejectReason = "connection limit"  // its connection is one more than there may be
-	RejectedConnectionEnding RejectReason = "connection ending" // its connection is to be closed, and the time for requests on it is over
-	RejectedMemory           RejectReason = "buffer memory"     // requests and replies that wait have taken all memory for them
+	RejectedConnectionLimit  RejectReason = "connection limit"  // the connection is past the connection limit
+	RejectedConnectionEnding RejectReason = "connection ending" // the connection is about to close, and its time window for requests has ended
+	RejectedMemory           RejectReason = "buffer memory"     // pending requests and replies use all buffer memory
 )
 
-// Options are the bounds of a Server.
+// Options configure a Server.
 type Options struct {
 	Listen           string         // address to listen on
-	Limits           limits.Clients // bounds for each connection
-	Classes          []decide.Class // classes that a request may name
-	MaxConnections   int            // connections that are served; a few more are accepted only to be refused
-	RetryAfter       Time           // sent with a refusal for lack of connections or memory; 0 for none
-	MaxBufferedBytes int64          // bytes of requests without a reply and of replies not yet written
+	Limits           limits.Clients // limits for each connection
+	Classes          []decide.Class // classes that requests may name
+	MaxConnections   int            // number of connections served; a few more are accepted only to be rejected
+	RetryAfter       Time           // retry delay sent with a rejection for lack of connections or memory; 0 for none
+	MaxBufferedBytes int64          // limit on the bytes of requests without a reply and of unwritten replies
 }
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -10,7 +10,7 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// Short names for what nearly every test uses.
+// Short names for helpers that nearly every test uses.
 var (
 	words = routertest.Words
 	get   = routertest.Get
@@ -23,21 +23,22 @@
 	{Name: "put", Semantics: decide.IdempotentByKey, ClientTimeout: 20_000_000},
 }
 
-// receivedRequest is a request as the handler got it.
+// receivedRequest is a request that was passed to the handler.
 type receivedRequest struct {
 	*ReplySlot
 	cmd  *Command
 	read Time
 }
 
-// testServer is a server on a running machine, and its handler: it hands requests to the test, which answers them in the loop.
+// testServer is a server on a running machine, and the server's handler. It passes requests to the test, which answers them
+// in the loop.
 type testServer struct {
 	*routertest.Loop
 	t        *testing.T
 	server   *Server
 	requests chan receivedRequest
 	gone     chan *ReplySlot
-	starting bool // no cache is known
+	starting bool // whether Serving reports that no cache is available
 	rejected []RejectReason
 }
 
@@ -57,19 +58,19 @@
 	}
 }
 
-// newTestServer starts a server. It is closed when the test ends, and no memory may be reserved then.
-func newTestServer(t *testing.T, edit func(*Options)) *testServer {
+// newTestServer starts a server. The server is closed when the test ends, and must then hold no reserved memory.
+func newTestServer(t *testing.T, configure func(*Options)) *testServer {
 	t.Helper()
-	return newTestServerOn(t, machine.Options{}, edit)
+	return newTestServerOn(t, machine.Options{}, configure)
 }
 
-// newTestServerOn starts a server on a machine with other options.
-func newTestServerOn(t *testing.T, on machine.Options, edit func(*Options)) *testServer {
+// newTestServerOn is like newTestServer, on a machine with the given options.
+func newTestServerOn(t *testing.T, on machine.Options, configure func(*Options)) *testServer {
 	t.Helper()
 	o := Options{Listen: "127.0.0.1:0", Limits: limits.Default().Clients, Classes: classes, MaxConnections: 100,
 		MaxBufferedBytes: 48 << 20}
-	if edit != nil {
-		edit(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	r := &testServer{Loop: routertest.NewLoopOf(t, on), t: t, requests: make(chan receivedRequest, 10_000),
 		gone: make(chan *ReplySlot, 10_000)}
@@ -86,7 +87,7 @@
 		r.Do(func() {
 			r.server.Close()
 			if r.server.BufferedBytes() != 0 || r.server.Connections() != 0 {
-				t.Errorf("a closed server holds %d bytes and %d connections", r.server.BufferedBytes(), r.server.Connections())
+				t.Errorf("after Close, the server holds %d bytes and %d connections", r.server.BufferedBytes(), r.server.Connections())
 			}
 		})
 	})
@@ -98,19 +99,19 @@
 	return routertest.Dial(r.t, r.server.Addr())
 }
 
-// nextRequest returns the next request of the handler.
+// nextRequest waits for the next request that is passed to the handler.
 func (r *testServer) nextRequest() receivedRequest {
 	r.t.Helper()
 	return routertest.Receive(r.t, r.requests, "request at the handler")
 }
 
-// answer answers a request, in the loop.
+// answer answers a request in the loop.
 func (r *testServer) answer(a receivedRequest, b string) {
 	r.t.Helper()
 	r.Do(func() { a.Answer([]byte(b)) })
 }
 
-// wantNoRequest checks that the handler has no further request.
+// wantNoRequest checks that no further request was passed to the handler.
 func (r *testServer) wantNoRequest() {
 	r.t.Helper()
 	select {
@@ -120,21 +121,21 @@
 	}
 }
 
-// waitUntilEmpty waits until no connection is left, and checks that nothing stays reserved or listed.
+// waitUntilEmpty waits until no connection is left, and checks that no memory stays reserved and no connection stays listed.
 func (r *testServer) waitUntilEmpty() {
 	r.t.Helper()
-	r.Until("the end of all clients", func() bool { return r.server.Connections() == 0 })
+	r.Until("the close of all connections", func() bool { return r.server.Connections() == 0 })
 	r.Do(func() {
 		if n := r.server.BufferedBytes(); n != 0 {
 			r.t.Errorf("%d bytes stay reserved", n)
 		}
 		for s, l := range r.server.lists {
 			if l.first != nil || l.last != nil {
-				r.t.Errorf("a connection is left in state %d", s)
+				r.t.Errorf("a connection is still listed in state %d", s)
 			}
 		}
 	})
 }
 
-// shortTimeout is the minimum of the time limits that can be configured.
+// shortTimeout is the minimum that the time limits accept.
 const shortTimeout = 100 * time.Millisecond
--- a/internal/frontend/reading.go
+++ b/internal/frontend/reading.go
@@ -8,15 +8,15 @@
 	"starlingwinch/internal/resp"
 )
 
-// errCommandTooLarge is sent to clients as it is worded.
+// errCommandTooLarge reports a command of more than resp.MaxCommandBytes. Its text is sent to the client.
 var errCommandTooLarge = errors.New("too big a command")
 
-// read executes the commands that have arrived, up to maxCommandsPerTurn in one turn.
+// read reads and executes the commands that have arrived, up to maxCommandsPerTurn in one turn.
 func (c *connection) read() {
-	// Nothing may be read for now, and only a read would show that the client has gone: without this check its requests would
-	// still be sent to caches.
+	// While reading is suspended, no read would show that the client has gone. Without this check, the client's requests
+	// would still be sent to caches.
 	if err := c.socket.End(); err != nil && !c.closed {
-		c.endedBy(err)
+		c.handleDisconnect(err)
 		return
 	}
 	quota := maxCommandsPerTurn
@@ -36,7 +36,7 @@
 			c.updateState()
 			return
 		case err != nil:
-			c.endedBy(err)
+			c.handleDisconnect(err)
 			return
 		}
 		if !c.receive(c.server.readBuffer[:n], &quota) {
@@ -45,14 +45,15 @@
 	}
 }
 
-// continueReading reports whether read goes on in this turn, after so many reads and with so many commands left to execute.
-// Where it does not, continueReading does what follows: it drops what arrives, pauses reading or schedules another turn.
+// continueReading reports whether read continues in this turn, after the given number of reads and with quota commands left
+// to execute. If it reports false, it has initiated the next step: dropping bytes that arrive, pausing reading, or
+// scheduling a read in another turn.
 func (c *connection) continueReading(quota, reads int) bool {
 	switch {
 	case c.closed:
 	case c.state == stateLingering:
 		c.linger()
-	case c.finishing: // it closes after the replies that are due
+	case c.finishing: // closes after the replies that are due
 	case c.atPipelineLimit():
 		c.pauseReading()
 	case quota <= 0 || reads > maxReadsPerTurn:
@@ -63,26 +64,26 @@
 	return false
 }
 
-// atPipelineLimit reports whether as many replies are due as may be.
+// atPipelineLimit reports whether the maximum number of replies is due.
 func (c *connection) atPipelineLimit() bool {
 	return len(c.pendingReplies) >= c.server.options.Limits.MaxPipelined
 }
 
-// executeUnparsed executes the whole commands among the bytes left by an earlier turn.
+// executeUnparsed executes the complete commands in the unparsed bytes.
 func (c *connection) executeUnparsed(quota *int) {
 	used := c.executeCommands(c.unparsed, quota)
 	if c.closed || c.finishing {
 		return
 	}
 	c.unparsed = c.unparsed[used:]
-	// A buffer that held a large command is replaced, but one that a command is still arriving in is not copied at each read.
+	// A buffer that held a large command is replaced, to free its memory. A buffer in which a command is still incomplete is
+	// not copied at each read.
 	if len(c.unparsed) == 0 || used > 0 && cap(c.unparsed) > readBufferSize {
 		c.unparsed = bytes.Clone(c.unparsed)
 	}
 }
 
-// receive executes the commands among bytes that have arrived, and keeps the rest. It reports whether the connection may be
-// read further.
+// receive executes the complete commands in the received bytes and stores the rest. It reports whether reading may continue.
 func (c *connection) receive(received []byte, quota *int) bool {
 	if len(c.unparsed) == 0 {
 		used := c.executeCommands(received, quota)
@@ -100,7 +101,7 @@
 	}
 	c.unparsed = append(c.unparsed, received...)
 	if len(c.unparsed) > readBufferSize {
-		c.executeUnparsed(quota) // whole commands are due a reply each, whether or not there is memory for the rest
+		c.executeUnparsed(quota) // each complete command gets its reply, even if there is no memory for the rest
 		if c.closed || c.finishing {
 			return false
 		}
@@ -108,8 +109,9 @@
 	return c.chargeUnparsed()
 }
 
-// chargeUnparsed reserves memory for the bytes of a partial command. Small ones are not counted: there are at most as many as
-// connections. It reports false, and closes the connection with a refusal, where there is no memory left.
+// chargeUnparsed reserves memory for the bytes of a partial command. Small buffers are not counted, as their number is
+// limited by the number of connections. If no memory is left, chargeUnparsed rejects the command, closes the connection and
+// reports false.
 func (c *connection) chargeUnparsed() bool {
 	size := int64(cap(c.unparsed))
 	if size <= readBufferSize || size <= c.unparsedCharge {
@@ -117,7 +119,7 @@
 	}
 	if !c.server.buffered.reserve(size - c.unparsedCharge) {
 		if whole, err := resp.CommandSize(c.unparsed); err == nil && whole > 0 {
-			return true // it waits for its turn, with no more than another read buffer behind it
+			return true // a complete command is executed in a later turn, with at most one more read buffer behind it
 		}
 		c.replyLocally([]byte(BusyReply))
 		c.server.handler.RequestRejected(RejectedMemory, "")
@@ -128,8 +130,8 @@
 	return true
 }
 
-// executeCommands executes the whole commands at the front of b, as far as the quota allows, and returns how many bytes they
-// took. It stops when the connection closes, as a reply to one of them may find it broken.
+// executeCommands executes the complete commands at the start of b, up to the quota, and returns the number of bytes that
+// they used. It stops when the connection closes, since writing a reply may reveal a broken connection.
 func (c *connection) executeCommands(b []byte, quota *int) (used int) {
 	for !c.closed && *quota > 0 && !c.atPipelineLimit() && used < len(b) {
 		size, err := resp.CommandSize(b[used:])
@@ -144,8 +146,8 @@
 			return used
 		}
 		*quota--
-		c.commandTaken = true
-		raw := bytes.Clone(b[used : used+size]) // a request keeps it after the buffer is used again
+		c.commandExecuted = true
+		raw := bytes.Clone(b[used : used+size]) // a request retains its bytes after the buffer is reused
 		used += size
 		if !c.executeCommand(raw) {
 			c.finish()
@@ -155,8 +157,8 @@
 	return used
 }
 
-// pauseReading stops reading until replies leave. The connection enters a state without a time limit, as the client may be
-// waiting for the router.
+// pauseReading stops reading until replies are written. The connection enters a state without a time limit, as the client
+// may be waiting for the router.
 func (c *connection) pauseReading() {
 	c.readPaused = true
 	if c.state == stateNew || c.state == statePartialCommand || c.state == stateIdle {
@@ -172,7 +174,7 @@
 	return b
 }
 
-// scheduleRead has the connection read in a turn of its own.
+// scheduleRead schedules a read of the connection in a separate turn.
 func (c *connection) scheduleRead() {
 	if c.readScheduled || c.closed {
 		return
@@ -185,8 +187,8 @@
 	})
 }
 
-// readIfPending reads what has arrived, including what the machine has not reported yet: it reports a bounded number of
-// connections in a turn.
+// readIfPending reads the bytes that have arrived. The machine may not have reported them yet, since it reports a limited
+// number of connections in one turn.
 func (c *connection) readIfPending() {
 	if !c.socket.Quiet() {
 		c.read()
--- a/internal/frontend/replies.go
+++ b/internal/frontend/replies.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// FailedReply is an answer that says nothing about whether the request was executed.
+// FailedReply is an error reply that leaves open whether the request was executed.
 const FailedReply = "-ERR failed\r\n"
 
-// BusyReply is a refusal without a time to retry after.
+// BusyReply is a rejection without a retry delay.
 const BusyReply = "-BUSY\r\n"
 
 const (
@@ -13,7 +13,7 @@
 	deleteCharacter            = 0x7f
 )
 
-// AppendBusy appends a refusal. The time to retry after is rounded up to milliseconds, so that no client retries early.
+// AppendBusy appends a rejection. The retry delay is rounded up to whole milliseconds, so that no client retries early.
 func AppendBusy(b []byte, retryAfter Time) []byte {
 	b = append(b, "-BUSY"...)
 	if retryAfter > 0 {
@@ -23,8 +23,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendFailed appends an answer that says nothing about whether the request was executed, with a text. Control characters of
-// the text become spaces: a line break would end the reply.
+// AppendFailed appends an error reply with a text, which leaves open whether the request was executed. Control characters in
+// the text are replaced by spaces, since a line break would end the reply.
 func AppendFailed(b []byte, text string) []byte {
 	b = append(b, "-ERR "...)
 	for i := range len(text) {
--- a/internal/frontend/reply_slot.go
+++ b/internal/frontend/reply_slot.go
@@ -2,26 +2,26 @@
 
 import "bytes"
 
-// maxUncountedReplyBytes is the size of replies that are queued even where no memory is left. There are at most as many of
-// them as commands may be pipelined.
+// maxUncountedReplyBytes is the maximum size of replies that are queued even if no memory is left. Their number is limited
+// by the pipeline limit of each connection.
 const maxUncountedReplyBytes = 64
 
-// ReplySlot is the place of one command's reply among those of its connection.
+// ReplySlot is the place of one command's reply in the order of replies of its connection.
 type ReplySlot struct {
-	ID                int64   // for the Handler's use
-	FirstOnConnection bool    // its request is the first on its connection
-	Command           Command // the request; empty for a command that does not go to the Handler
+	ID                int64   // reserved for the Handler
+	FirstOnConnection bool    // whether the request is the first on its connection
+	Command           Command // the request; empty for a command that is not passed to the Handler
 
 	connection *connection
-	charged    int64  // bytes of the server's budget reserved for the command and its reply
+	charged    int64  // bytes of the server's budget that are reserved for the command and its reply
 	reply      []byte // nil until the command is answered
 	answered   bool   // set by Answer
-	dequeued   bool   // its reply is written, or is part of the connection's unsent bytes
-	forwarded  bool   // the command went to the Handler, which answers it
+	dequeued   bool   // whether the reply is written or part of the connection's unsent bytes
+	forwarded  bool   // whether the command was passed to the Handler, which answers it
 }
 
-// Answer fills the slot. It is called once; for a client that has gone it does nothing. The reply may be changed after the
-// call: nearly always it has been written by then, and it is copied only where it has not.
+// Answer fills the slot with the reply. It must be called once, and does nothing if the client has gone. The caller may
+// modify reply after the call: Answer usually writes the reply at once, and copies it otherwise.
 func (slot *ReplySlot) Answer(reply []byte) {
 	c := slot.connection
 	if slot.answered || c.closed {
@@ -29,8 +29,8 @@
 	}
 	s := c.server
 	if !s.buffered.reserve(int64(len(reply))) {
-		// Small replies are queued all the same: a refusal says that another try does no harm, and a client that gets no PONG
-		// takes the router for dead.
+		// Small replies are queued without memory left. A rejection tells the client that a retry does no harm, and a client
+		// that receives no PONG considers the router dead.
 		if len(reply) > maxUncountedReplyBytes {
 			reply = []byte(FailedReply)
 		}
@@ -39,7 +39,7 @@
 	slot.charged += int64(len(reply))
 	slot.reply, slot.answered = reply, true
 	switch {
-	case len(c.unsent) > 0: // it waits until the client reads
+	case len(c.unsent) > 0: // the reply is written after the unsent bytes
 	case len(c.pendingReplies) > 1 && len(reply) <= maxDelayedReplyBytes:
 		s.scheduleFlush(c)
 	default:
@@ -50,13 +50,13 @@
 	}
 }
 
-// ConnectionBroken reports whether the client's connection has ended by a reset.
-func (slot *ReplySlot) ConnectionBroken() bool { return slot.connection.clientEnd == clientReset }
+// ConnectionBroken reports whether the client reset the connection.
+func (slot *ReplySlot) ConnectionBroken() bool { return slot.connection.clientStatus == clientReset }
 
-// ClientGone reports whether the client has gone, even where the Handler has not been called with that yet.
+// ClientGone reports whether the client has gone, even if Handler.ClientsGone has not been called yet.
 func (slot *ReplySlot) ClientGone() bool {
 	return slot.connection.closed || slot.connection.socket.End() != nil
 }
 
-// ClientAddressHash returns a hash of the address that the request came from, without its port.
+// ClientAddressHash returns a hash of the IP address from which the request came, without the port.
 func (slot *ReplySlot) ClientAddressHash() uint64 { return slot.connection.clientHash }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -7,33 +7,33 @@
 	"starlingwinch/internal/machine"
 )
 
-// Server is the listener and the connections that it accepted. Use Listen.
+// Server accepts and serves client connections. Use Listen to create a Server.
 type Server struct {
 	machine  machine.Machine
 	options  Options
 	handler  Handler
 	listener machine.Listener
-	buffered byteBudget // requests without a reply, and replies not yet written
+	buffered byteBudget // budget for requests without a reply and for unwritten replies
 
-	readBuffer  []byte   // scratch space of one read
-	writeBuffer []byte   // scratch space in which the replies of one write are put together
-	args        [][]byte // scratch space for the arguments of the command that is executed
+	readBuffer  []byte   // buffer of one read, reused
+	writeBuffer []byte   // buffer in which the replies of one write are combined, reused
+	args        [][]byte // arguments of the command being executed, reused
 
-	connections int                        // open ones, those past the limit included
-	accepted    int                        // ever
+	connections int                        // open connections, including those past the limit
+	accepted    int                        // connections accepted since the start
 	lists       [stateCount]connectionList // open connections, by state
-	expiryTimer machine.Timer              // for the connection whose time in its state is over first; nil while none is set
+	expiryTimer machine.Timer              // timer for the connection whose time in its state ends first; nil if no timer is set
 	expiryAt    Time                       // when expiryTimer fires
-	flushQueue  []*connection              // those with replies to be written at the end of the turn
+	flushQueue  []*connection              // connections whose replies are written at the end of the turn
 
-	listenerPaused   bool   // set at the connection limit, until a connection closes or acceptRetryDelay is over
+	listenerPaused   bool   // set at the connection limit, until a connection closes or acceptRetryDelay has passed
 	draining         bool   // set by Drain: connections are closed between requests
-	listenerFinished bool   // set while draining, once every connection that waited at the listener is accepted
+	listenerFinished bool   // set during a drain, once every connection in the listener's queue is accepted
 	onDrained        func() // called once, when a drain is complete
 	closed           bool   // set by Close
 }
 
-// Listen opens the listener.
+// Listen creates a Server and opens its listener.
 func Listen(m machine.Machine, options Options, handler Handler) (*Server, error) {
 	s := &Server{
 		machine:    m,
@@ -61,7 +61,7 @@
 // BufferedBytes returns the number of bytes that count against Options.MaxBufferedBytes.
 func (s *Server) BufferedBytes() int64 { return s.buffered.used }
 
-// Close ends all connections, including those that wait for replies.
+// Close closes the listener and all connections, including connections that wait for replies.
 func (s *Server) Close() {
 	s.closed, s.onDrained = true, nil
 	s.listener.Close()
@@ -73,7 +73,7 @@
 	s.stopExpiryTimer()
 }
 
-// accept takes a new connection from the listener.
+// accept registers a new connection from the listener.
 func (s *Server) accept(socket machine.Conn) machine.Handler {
 	c := &connection{server: s, socket: socket, clientHash: addressHash(socket.Remote())}
 	s.connections++
@@ -83,7 +83,7 @@
 	if s.draining && !c.closed {
 		c.retire()
 	}
-	s.armExpiryTimer(stateIdle) // above half of the limit, idle connections have less time
+	s.armExpiryTimer(stateIdle) // above half of the limit, idle connections time out sooner
 	s.handler.ProcessEvents()
 	return c
 }
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -2,36 +2,39 @@
 
 import "starlingwinch/internal/machine"
 
-// connectionState is what a connection is waiting for. It determines how long the connection may wait (maxTimeInState).
+// connectionState is the state of a connection. It determines the maximum time for which the connection may wait
+// (maxTimeInState).
 //
-//	new              -> partial command, idle, awaiting replies: as its first bytes arrive
-//	partial command  -> awaiting replies, idle: the command is whole
-//	idle             -> partial command, awaiting replies: as bytes arrive
+//	new              -> partial command, idle, awaiting replies: the first bytes arrive
+//	partial command  -> awaiting replies, idle: the command is complete
+//	idle             -> partial command, awaiting replies: bytes arrive
 //	awaiting replies -> idle, partial command: all replies are written
-//	any              -> write blocked: the socket does not take a whole reply; -> awaiting replies: it has taken all of it
-//	new              -> excess: it is past the connection limit; -> new: it no longer is
-//	any              -> lingering: its last reply is written while the client still sends
+//	any              -> write blocked: the socket does not accept a complete reply
+//	write blocked    -> awaiting replies: the socket has accepted the rest
+//	new              -> excess: the connection is past the connection limit
+//	excess           -> new: the connection is within the limit again
+//	any              -> lingering: the last reply is written while the client still sends
 type connectionState uint8
 
 const (
-	stateNew             connectionState = iota // no command has arrived yet
-	statePartialCommand                         // a command has begun and is not whole
+	stateNew             connectionState = iota // no command has arrived
+	statePartialCommand                         // a command has arrived in part
 	stateIdle                                   // between commands, with no reply due
 	stateAwaitingReplies                        // replies are due
 	stateWriteBlocked                           // the client does not read its replies
-	stateExcess                                 // past the connection limit: its first request is refused
-	stateLingering                              // its last reply is written, and what still arrives is dropped
-	stateCount                                  // the number of states
+	stateExcess                                 // past the connection limit: the first request is rejected
+	stateLingering                              // the last reply is written, and bytes that still arrive are dropped
+	stateCount                                  // number of states
 )
 
-// stateNames are the states' names in the log, as what a connection took too long for.
+// stateNames are the names of the states in the logged close reasons of connections that timed out.
 var stateNames = [stateCount]string{"first-command", "command", "idle", "replies", "write", "excess", "linger"}
 
-// connectionList holds the connections in one state in the order in which they entered it. The first is the first whose time
-// is over, so that one timer serves all.
+// connectionList holds the connections in one state, in the order in which they entered it. The first connection is the
+// first to time out, so that one timer serves all connections.
 type connectionList struct{ first, last *connection }
 
-// add appends a connection.
+// add appends a connection to the list.
 func (l *connectionList) add(c *connection) {
 	c.prev, c.next = l.last, nil
 	if l.last != nil {
@@ -42,7 +45,7 @@
 	l.last = c
 }
 
-// remove takes a connection out.
+// remove removes a connection from the list.
 func (l *connectionList) remove(c *connection) {
 	if c.prev != nil {
 		c.prev.next = c.next
@@ -57,7 +60,7 @@
 	c.prev, c.next = nil, nil
 }
 
-// firstNotRetired returns the first connection that is not about to be closed, or nil.
+// firstNotRetired returns the first connection that is not retired, or nil.
 func (l *connectionList) firstNotRetired() *connection {
 	c := l.first
 	for c != nil && c.retired {
@@ -66,7 +69,8 @@
 	return c
 }
 
-// enterState moves the connection into a state. Its time there begins now, also where it was in that state before.
+// enterState moves the connection into a state. The time in the state starts now, even if the connection was already in that
+// state.
 func (c *connection) enterState(state connectionState) {
 	c.leaveState()
 	c.state, c.listed, c.stateSince = state, true, c.server.machine.Now()
@@ -74,7 +78,7 @@
 	c.server.armExpiryTimer(state)
 }
 
-// leaveState takes the connection out of its state's list.
+// leaveState removes the connection from its state's list.
 func (c *connection) leaveState() {
 	if c.listed {
 		c.server.lists[c.state].remove(c)
@@ -82,8 +86,8 @@
 	}
 }
 
-// updateState moves the connection into the state that follows from what was read and what is due. It is called when all that
-// had arrived is read.
+// updateState moves the connection into the state that follows from its unparsed bytes and its pending replies. It is called
+// once all bytes that had arrived are read.
 func (c *connection) updateState() {
 	c.unparsed = releaseEmpty(c.unparsed)
 	if c.unparsedCharge > 0 && int64(cap(c.unparsed)) < c.unparsedCharge {
@@ -109,14 +113,14 @@
 	if c.excess && next != stateAwaitingReplies {
 		next = stateExcess
 	}
-	// The time of a partial command runs from its first byte, idle time from the last command or reply.
-	if next != c.state || c.commandTaken {
+	// The time limit of a partial command starts with its first byte, and the idle time with the last command or reply.
+	if next != c.state || c.commandExecuted {
 		c.enterState(next)
 	}
-	c.commandTaken = false
+	c.commandExecuted = false
 }
 
-// maxTimeInState returns how long a connection may stay in a state; 0 is no limit.
+// maxTimeInState returns the maximum time for which a connection may stay in a state; 0 means no limit.
 func (s *Server) maxTimeInState(state connectionState) Time {
 	limits := &s.options.Limits
 	switch state {
@@ -137,7 +141,7 @@
 	return 0
 }
 
-// armExpiryTimer has the timer fire in time for the first connection in a state.
+// armExpiryTimer sets the timer to fire when the first connection in the state times out, unless the timer fires earlier.
 func (s *Server) armExpiryTimer(state connectionState) {
 	first, maxTime := s.lists[state].first, s.maxTimeInState(state)
 	if first == nil || maxTime == 0 {
@@ -150,7 +154,7 @@
 	}
 }
 
-// stopExpiryTimer cancels the timer, if one is set.
+// stopExpiryTimer cancels the expiry timer, if it is set.
 func (s *Server) stopExpiryTimer() {
 	if s.expiryTimer != nil {
 		s.expiryTimer.Stop()
@@ -158,7 +162,8 @@
 	}
 }
 
-// expireOverdue ends the time of the connections that have been in their state for too long. It is the timer's callback.
+// expireOverdue calls expire for all connections that have reached the time limit of their state. It is the callback of the
+// expiry timer.
 func (s *Server) expireOverdue() {
 	s.expiryTimer = nil
 	now := s.machine.Now()
@@ -177,8 +182,8 @@
 	s.handler.ProcessEvents()
 }
 
-// expire ends the connection's time in its state: afterwards it has entered a state anew, or is closed. What has arrived
-// unread is read first, as the turn may have taken long.
+// expire ends the connection's time in its state. After the call, the connection has entered a state again, or is closed.
+// Bytes that have arrived are read first, as a long turn may have delayed reading them.
 func (c *connection) expire() {
 	state, since := c.state, c.stateSince
 	if state != stateWriteBlocked && state != stateLingering {
--- a/internal/frontend/writing.go
+++ b/internal/frontend/writing.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// flush writes the replies that are there, in the order of their commands, as far as the socket takes them.
+// flush writes the replies that are ready, in the order of their commands, until the socket accepts no more.
 func (c *connection) flush() {
 	s := c.server
 	for !c.closed {
@@ -15,14 +15,14 @@
 		}
 		n, err := c.socket.Write(batch)
 		if err != nil {
-			c.unsent = batch // close releases its memory
-			c.clientEnd = max(c.clientEnd, clientEnded)
+			c.unsent = batch // close releases its bytes from the budget
+			c.clientStatus = max(c.clientStatus, clientClosed)
 			c.close()
 			return
 		}
 		s.buffered.release(int64(n))
 		if n < len(batch) {
-			c.keepUnsent(batch[n:])
+			c.saveUnsent(batch[n:])
 			return
 		}
 		c.unsent = nil
@@ -32,7 +32,8 @@
 	}
 }
 
-// afterFlush continues after all replies that were there are written: with reading, or with the close that waited for them.
+// afterFlush runs once all replies that were ready are written. It resumes reading, or closes the connection if it must
+// close.
 func (c *connection) afterFlush() {
 	if c.state == stateWriteBlocked {
 		c.enterState(stateAwaitingReplies)
@@ -57,8 +58,9 @@
 	}
 }
 
-// nextBatch takes replies that are there off the queue: one, or as many as make up maxBatchBytes, so that a client that reads
-// slowly does not have all its replies copied at each write. Their bytes stay reserved until they are written.
+// nextBatch removes replies that are ready from the queue and returns their bytes: at least one reply, and further replies
+// up to maxBatchBytes in total. The limit avoids copying all replies at each write to a client that reads slowly. The bytes
+// stay reserved until they are written.
 func (c *connection) nextBatch() []byte {
 	s := c.server
 	count, size, charged := 0, 0, int64(0)
@@ -87,7 +89,7 @@
 	return batch
 }
 
-// dequeue takes the first replies off the queue.
+// dequeue removes the first count replies from the queue.
 func (c *connection) dequeue(count int) {
 	for _, slot := range c.pendingReplies[:count] {
 		slot.dequeued = true
@@ -97,19 +99,19 @@
 	c.pendingReplies = c.pendingReplies[:left]
 }
 
-// keepUnsent keeps what the socket did not take of a batch. The client's time to read it runs from the first time that it is
-// not taken whole.
-func (c *connection) keepUnsent(rest []byte) {
+// saveUnsent stores the rest of a batch that the socket did not accept. The client's time limit for reading the batch starts
+// with the first partial write.
+func (c *connection) saveUnsent(rest []byte) {
 	if len(c.unsent) > 0 {
-		c.unsent = rest // it is the end of the same bytes
+		c.unsent = rest // rest is the tail of c.unsent
 		return
 	}
 	c.unsent = bytes.Clone(rest)
 	c.enterState(stateWriteBlocked)
 }
 
-// scheduleFlush has a connection's replies written at the end of the turn. Several replies to a client that pipelines often
-// come in one turn, and one write for each costs more than everything else that is done for them.
+// scheduleFlush schedules a flush of the connection at the end of the turn. A client that pipelines often receives several
+// replies in one turn, and a separate write for each reply would cost more than all other work for the reply.
 func (s *Server) scheduleFlush(c *connection) {
 	if c.flushScheduled {
 		return
@@ -121,7 +123,8 @@
 	}
 }
 
-// flushScheduled writes the replies of all connections in the queue. A flush may read commands whose replies lengthen it.
+// flushScheduled writes the replies of all connections in the flush queue. A flush may read commands whose replies extend
+// the queue.
 func (s *Server) flushScheduled() {
 	for i := 0; i < len(s.flushQueue); i++ {
 		c := s.flushQueue[i]
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,7 +7,7 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// TestLimitErrorsNameKeys checks limits out of range, and limits that are wrong beside one another.
+// TestLimitErrorsNameKeys covers limits that are out of range, and limits that contradict each other.
 func TestLimitErrorsNameKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		"clients.idle_time = \"1s\"":        `clients.crowded_idle_time: above clients.idle_time (2.2s, wanted at most 1s)`,
@@ -20,18 +20,18 @@
 	} {
 		_, err := operatorconfig.Registry{Kind}.Parse("f", []byte("kind = \"limits\"\n"+text))
 		if err == nil || !strings.HasSuffix(err.Error(), want) {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: got error %v, want suffix %s", text, err, want)
 		}
 	}
 }
 
-// TestEmptyFileHoldsDefaults checks a file with nothing but its kind.
-func TestEmptyFileHoldsDefaults(t *testing.T) {
+// TestEmptyFileYieldsDefaults covers a file that holds only its kind.
+func TestEmptyFileYieldsDefaults(t *testing.T) {
 	file, err := operatorconfig.Registry{Kind}.Parse("f", []byte(`kind = "limits"`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := operatorconfig.Get[Limits]([]operatorconfig.File{file}, Kind); got != Default() {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want %+v", got, Default())
 	}
 }
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// CommandSize returns how many bytes the command at the front of b takes, or 0 where it is not whole yet. It accepts what
-// NextCommand accepts, and allocates nothing.
+// CommandSize returns the size in bytes of the command at the start of b, or 0 if the command is incomplete. It accepts the
+// same input as NextCommand, and allocates nothing.
 func CommandSize(b []byte) (used int, err error) {
 	if len(b) == 0 || b[0] != arrayPrefix {
 		_, used, err = NextCommand(b)
@@ -26,11 +26,11 @@
 	return at, nil
 }
 
-// NextCommand reads one command off b: an array of bulk strings, or a line of words. used is 0 where it is not whole yet. The
-// arguments are parts of b.
+// NextCommand parses the command at the start of b: an array of bulk strings, or an inline command. used is the number of
+// bytes that the command takes, or 0 if the command is incomplete. The arguments are slices of b.
 func NextCommand(b []byte) (args [][]byte, used int, err error) { return AppendCommand(nil, b) }
 
-// AppendCommand is NextCommand with the arguments appended to a list.
+// AppendCommand is like NextCommand, but appends the arguments to list.
 func AppendCommand(list [][]byte, b []byte) (args [][]byte, used int, err error) {
 	if len(b) == 0 {
 		return list, 0, nil
@@ -54,19 +54,19 @@
 	return args, at, nil
 }
 
-// parseArgCount reads the header of a command. next is 0 where it is not whole yet.
+// parseArgCount parses the header of a command. next is 0 if the header is incomplete.
 func parseArgCount(b []byte) (count, next int, err error) {
 	count, next, err = parseLength(b, 0, arrayPrefix, maxArgs)
 	if err != nil || next == 0 {
 		return 0, 0, err
 	}
 	if count < 0 {
-		return 0, 0, errLength
+		return 0, 0, errInvalidLength
 	}
 	return count, next, nil
 }
 
-// parseArg reads argument i of a command, which begins at b[start]. next is 0 where it is not whole yet.
+// parseArg parses argument i of a command, which starts at b[start]. next is 0 if the argument is incomplete.
 func parseArg(b []byte, start, i int) (arg []byte, next int, err error) {
 	maxLength := MaxWordBytes
 	if i > MetaArg {
@@ -74,7 +74,7 @@
 	}
 	arg, next, err = parseBulk(b, start, maxLength)
 	if err == nil && next > 0 && arg == nil {
-		return nil, 0, errLength // null is no argument
+		return nil, 0, errInvalidLength // null is not a valid argument
 	}
 	return arg, next, err
 }
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -12,17 +12,18 @@
 // replyParts is the number of elements of a reply with a value: the value, a word or null, and a load report or null.
 const replyParts = 3
 
-// Reply is a cache's reply.
+// Reply is a reply of a cache.
 type Reply struct {
 	Result     decide.Result
-	Value      []byte // a bulk string as on the wire, for the client; part of the buffer that was read
-	Miss       bool   // the cache had to fetch the value
-	Pong       bool   // it answers a health check
+	Value      []byte // bulk string in wire format, for the client; a slice of the buffer that was parsed
+	Miss       bool   // whether the cache had to fetch the value
+	Pong       bool   // whether the reply answers a health check
 	LoadReport decide.LoadReport
 }
 
-// Next reads one reply off b. used is 0 where it is not whole yet. Valid are an array of replyParts, -BUSY, -ERR, and +PONG.
-// Everything else is an error, and what follows it on the connection can not be matched to requests.
+// Next parses the reply at the start of b. used is the number of bytes that the reply takes, or 0 if the reply is
+// incomplete. Valid replies are an array of replyParts elements, -BUSY, -ERR and +PONG. After any other input, Next returns
+// an error, and later bytes on the connection cannot be matched to requests.
 func (r *Reply) Next(b []byte) (used int, err error) {
 	*r = Reply{Result: decide.Errored, LoadReport: decide.LoadReport{Utilization: -1}}
 	if len(b) == 0 {
@@ -43,7 +44,7 @@
 		return 0, err
 	}
 	if value == nil {
-		return 0, ErrReply // null serves no request
+		return 0, ErrReply // null does not serve a request
 	}
 	word, next, err := parseBulk(b, valueEnd, MaxWordBytes)
 	if err != nil || next == 0 {
@@ -59,7 +60,7 @@
 	return used, nil
 }
 
-// parseLineReply reads a reply that is an error or a simple string.
+// parseLineReply parses a reply that is an error or a simple string.
 func (r *Reply) parseLineReply(b []byte) (used int, err error) {
 	if b[0] != errorPrefix && b[0] != simplePrefix {
 		return 0, ErrReply
@@ -85,14 +86,14 @@
 	return used, nil
 }
 
-// parseLoadReport reads a cache's report on its load. It skips what it does not know or can not read.
+// parseLoadReport parses a cache's load report. Unknown and malformed fields are skipped.
 func parseLoadReport(text string) decide.LoadReport {
 	report := decide.LoadReport{Utilization: -1}
 	for field := ""; text != ""; {
 		field, text, _ = strings.Cut(text, ",")
 		name, number, _ := strings.Cut(field, "=")
 		value, err := strconv.ParseFloat(number, 64)
-		if err != nil || !(value >= 0) || math.IsInf(value, 0) { // also NaN
+		if err != nil || !(value >= 0) || math.IsInf(value, 0) { // the negated comparison also excludes NaN
 			continue
 		}
 		switch name {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,7 +1,8 @@
-// Package resp reads the Redis serialization protocol, version 2, for both sides of the router: commands of clients and replies
-// of caches. It does no I/O: it reads what has arrived off the front of a buffer, or reports that it is not whole yet.
+// Package resp parses the Redis serialization protocol, version 2: commands of clients and replies of caches. It does no
+// I/O: its functions parse the start of a buffer, or report that the buffer does not yet hold a complete command or reply.
 //
-// It is strict: the readers of the codec that writes (redcon) accept signs, spaces and any size in a length, and panic on some.
+// The parsers are strict. The package does not use the readers of redcon, which encodes commands and replies, as these
+// readers accept signs, spaces and any size in a length, and panic on some lengths.
 package resp
 
 import (
@@ -9,7 +10,7 @@
 	"errors"
 )
 
-// Bounds of what is read.
+// Limits on the size of commands and replies.
 const (
 	// MaxValueBytes is the maximum number of bytes of a value.
 	MaxValueBytes = 64 << 10
@@ -20,20 +21,20 @@
 	// MaxReplyBytes is the maximum number of bytes of a whole reply.
 	MaxReplyBytes = MaxValueBytes + 3*MaxWordBytes
 
-	maxLineBytes = 512 // of a reply that is a line
-	maxArgs      = 16  // of a command
+	maxLineBytes = 512 // maximum size of a single-line reply
+	maxArgs      = 16  // maximum number of arguments of a command
 )
 
-// MetaArg is the place of a command's metadata, behind verb, key and id.
+// MetaArg is the index of the metadata in a command's arguments, after the verb, the key and the id.
 const MetaArg = 3
 
-// ErrReply says that a reply is none that a cache may send.
+// ErrReply reports a reply that is not valid from a cache.
 var ErrReply = errors.New("malformed answer")
 
-// Errors of commands, whose texts clients receive. Lengths and lines of replies have the same ones.
+// Parse errors. Their texts are sent to clients if a command causes them. Replies of caches cause the same errors.
 var (
-	errLength = errors.New("invalid length")
-	errLine   = errors.New("unreadable line")
+	errInvalidLength = errors.New("invalid length")
+	errInvalidLine   = errors.New("unreadable line")
 )
 
 const (
@@ -46,54 +47,55 @@
 	simplePrefix     = '+'
 )
 
-// parseLength reads a header line with the given prefix, such as "$12\r\n", that begins at b[start]. next is where it ends, or 0
-// where it is not whole yet. The length of null is -1.
+// parseLength parses a header line with the given prefix, such as "$12\r\n", that starts at b[start]. next is the offset
+// after the line, or 0 if the line is incomplete. The length of null is -1.
 func parseLength(b []byte, start int, prefix byte, maxLength int) (length, next int, err error) {
 	if start >= len(b) {
 		return 0, 0, nil
 	}
 	if b[start] != prefix {
-		return 0, 0, errLength
+		return 0, 0, errInvalidLength
 	}
 	digits := start + 1
 	for i := digits; i < len(b); i++ {
 		switch c := b[i]; {
 		case c == '\r':
-			return endLength(b, digits, i, length)
-		case c == '-' && i == digits: // null, perhaps
+			return parseLengthEnd(b, digits, i, length)
+		case c == '-' && i == digits: // possibly null
 		case c == '1' && i == digits+1 && b[digits] == '-': // null, if the line ends here
 		case c < '0' || c > '9' || b[digits] == '-':
-			return 0, 0, errLength
+			return 0, 0, errInvalidLength
 		default:
-			// A length is refused as soon as it is too large, before what it announces has arrived.
+			// A length above the maximum is rejected at once, before the announced bytes arrive.
 			length = length*10 + int(c-'0')
 			if length > maxLength {
-				return 0, 0, errLength
+				return 0, 0, errInvalidLength
 			}
 		}
 	}
 	return 0, 0, nil
 }
 
-// endLength ends a header line at the carriage return at b[end]. Its digits begin at b[digits] and have the given value.
-func endLength(b []byte, digits, end, value int) (length, next int, err error) {
+// parseLengthEnd completes parseLength at the carriage return at b[end]. The line's digits start at b[digits] and have the
+// given value.
+func parseLengthEnd(b []byte, digits, end, value int) (length, next int, err error) {
 	switch {
 	case string(b[digits:end]) == nullLength:
 		value = -1
 	case end == digits, b[digits] == '-', b[digits] == '0' && end > digits+1:
-		return 0, 0, errLength
+		return 0, 0, errInvalidLength
 	}
 	if end+1 == len(b) {
 		return 0, 0, nil
 	}
 	if b[end+1] != '\n' {
-		return 0, 0, errLength
+		return 0, 0, errInvalidLength
 	}
 	return value, end + len(lineEnd), nil
 }
 
-// parseBulk reads a bulk string that begins at b[start] and ends at next, or 0 where it is not whole yet. Its data is nil where
-// it is null.
+// parseBulk parses a bulk string that starts at b[start]. next is the offset after the bulk string, or 0 if the bulk string
+// is incomplete. data is nil for null.
 func parseBulk(b []byte, start, maxLength int) (data []byte, next int, err error) {
 	length, first, err := parseLength(b, start, bulkStringPrefix, maxLength)
 	if err != nil || first == 0 {
@@ -108,26 +110,28 @@
 			return nil, 0, nil
 		}
 		if b[end+i] != lineEnd[i] {
-			return nil, 0, errLength
+			return nil, 0, errInvalidLength
 		}
 	}
 	return b[first:end:end], end + len(lineEnd), nil
 }
 
-// parseLine reads one line off b and returns it without its end. next is 0 where it is not whole yet.
+// parseLine parses the line at the start of b and returns it without its line end. next is the offset after the line, or 0
+// if the line is incomplete.
 func parseLine(b []byte, maxBytes int) (text []byte, next int, err error) {
 	text = b
 	if end := bytes.IndexByte(b, '\n'); end >= 0 {
 		text, next = b[:end], end+1
 	}
-	// One carriage return ends the line, or is the last byte that has arrived of it. A second one must not be taken for an end
-	// too: the same bytes would be read one way whole and another way split.
+	// Only one carriage return is trimmed: it is part of the line end, or the last byte received of an incomplete line.
+	// Trimming a second one would make the same bytes parse differently when they arrive at once and when they arrive in
+	// parts.
 	text = bytes.TrimSuffix(text, []byte("\r"))
 	if len(text) > maxBytes || bytes.ContainsFunc(text, isControl) {
-		return nil, 0, errLine
+		return nil, 0, errInvalidLine
 	}
 	return text, next, nil
 }
 
-// isControl reports whether a character is a control character other than a tabulator.
+// isControl reports whether a character is a control character other than a tab.
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == deleteCharacter }
