--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -8,59 +8,59 @@
 	"starlingwinch/internal/timerqueue"
 )
 
-// attemptState is how far an attempt has come: waiting -> writing -> written -> over. Each state may be left out, and over is
-// final.
+// attemptState is the progress of an attempt: waiting -> writing -> written -> over. An attempt may skip states; over is final.
 type attemptState uint8
 
 const (
-	stateWaiting attemptState = iota // for a connection; no byte is written
-	stateWriting                     // some of its bytes are written
-	stateWritten                     // all of its bytes are written: it may run from now on
-	stateOver                        // it has its result, or gets none
+	stateWaiting attemptState = iota // waits for a connection; no byte is written
+	stateWriting                     // some bytes are written
+	stateWritten                     // all bytes are written: the cache may run the attempt
+	stateOver                        // the attempt has its result, or was detached and gets none
 )
 
-// Attempt is one sending of a request, or a health check if it has no Request. It has exactly one result.
+// Attempt is one transmission of a request to a cache, or a health check if Request is nil. It has exactly one result.
 type Attempt struct {
 	Request       Request
-	Number        int  // among those of its request, from 0
-	SentAt        Time // when it was started
-	Deadline      Time // when it is given up
-	WriteDeadline Time // its last byte must be written before then; 0 for no such bound
+	Number        int  // sequence number among the attempts of the request, from 0
+	SentAt        Time // start time
+	Deadline      Time // time at which the attempt is given up
+	WriteDeadline Time // the last byte must be written before this time; 0 means no limit
 
 	cache           *cache
 	state           attemptState
-	connection      *connection      // that it is written to; nil while it waits and when it is over
-	connectDeadline Time             // when it is given up if it still waits for a connection
-	timer           timerqueue.Entry // for the first of its deadlines
+	connection      *connection      // connection that carries the attempt; nil while the attempt waits or is over
+	connectDeadline Time             // time at which an attempt that still waits for a connection is given up
+	timer           timerqueue.Entry // set for the earliest deadline
 }
 
-// Cache returns the name of the cache that it was sent to.
+// Cache returns the name of the cache that the attempt was sent to.
 func (a *Attempt) Cache() string { return a.cache.name }
 
-// Ended reports whether it has had its result.
+// Ended reports whether the attempt is over.
 func (a *Attempt) Ended() bool { return a.state == stateOver }
 
-// Unwritten reports whether its last byte is not written, so that it can't run.
+// Unwritten reports whether the last byte is not written yet, so that the cache can't run the attempt.
 func (a *Attempt) Unwritten() bool { return a.state == stateWaiting || a.state == stateWriting }
 
 // Discard ends an attempt that was never started.
 func (a *Attempt) Discard() { a.state = stateOver }
 
-// Abort ends an attempt that was cancelled or has reached its deadline. The result is the given one if the attempt may have run.
+// Abort ends an attempt that was cancelled or has reached its deadline. If the attempt may have run, its result is the given
+// one; otherwise its result is NotSent.
 func (a *Attempt) Abort(result decide.Result) {
 	switch a.state {
 	case stateWaiting:
 		a.finish(decide.NotSent, nil)
 	case stateWriting:
 		a.connection.close()
-		a.finish(decide.NotSent, nil) // the cache never got its last byte
+		a.finish(decide.NotSent, nil) // the cache did not receive the last byte
 	case stateWritten:
 		a.connection.close()
 		a.finish(result, nil)
 	}
 }
 
-// armTimer sets the timer for the first of the attempt's deadlines.
+// armTimer sets the timer for the earliest of the attempt's deadlines.
 func (a *Attempt) armTimer() {
 	at := a.Deadline
 	if a.state == stateWaiting {
@@ -72,7 +72,7 @@
 	a.cache.pool.timers.Add(&a.timer, at, a)
 }
 
-// Expired is called by the timer. Once the attempt is written, only its Deadline is left.
+// Expired implements timerqueue.Owner. Once the attempt is written, only its Deadline applies.
 func (a *Attempt) Expired() {
 	p := a.cache.pool
 	now := p.machine.Now()
@@ -88,7 +88,7 @@
 	p.owner.ProcessEvents()
 }
 
-// finish gives the attempt its result.
+// finish ends the attempt with a result and passes the result to the pool's owner.
 func (a *Attempt) finish(result decide.Result, reply *resp.Reply) {
 	if a.state == stateOver {
 		return
@@ -100,10 +100,10 @@
 	}
 	c.recordResult(result, c.pool.machine.Now()-a.SentAt)
 	c.pool.owner.AttemptEnded(a, result, reply)
-	c.forgetIfUnused()
+	c.dropIfUnused()
 }
 
-// detach takes the attempt off its cache and connection, so that it gets no further result.
+// detach removes the attempt from its cache and connection, so that it gets no further result.
 func (a *Attempt) detach() {
 	if a.state == stateWaiting {
 		a.cache.removeWaiting(a)
@@ -115,7 +115,7 @@
 	}
 }
 
-// encode appends what goes over the wire.
+// encode appends the attempt's command in wire format: PING for a health check.
 func (a *Attempt) encode(b []byte, now Time) []byte {
 	if a.Request == nil {
 		return redcon.AppendBulkString(redcon.AppendArray(b, 1), "PING")
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	// maxTurnTime is the age of a turn, in microseconds, from which a write is put off to a later turn, whose checks are
-	// current. It lies below decide.MaxSchedulingDelay, for which deadlines and windows allow.
+	// maxTurnTime is the duration of a turn, in microseconds, after which writes are postponed to a later turn, because the
+	// turn's clock is too old for the checks before a write. It is less than decide.MaxSchedulingDelay, which deadlines and
+	// windows allow for.
 	maxTurnTime Time = 100_000
-	// writeRetryDelay is until an attempt of which the socket took no byte is tried again.
+	// writeRetryDelay is the delay, in microseconds, before a write of which the socket accepted no byte is retried.
 	writeRetryDelay Time = 10_000
 )
 
-// An attempt waits for a connection for at most connectNumerator/connectDenominator of its time, so that time is left for
-// another attempt.
-const connectNumerator, connectDenominator = 2, 5
+// An attempt waits for a connection for at most connectWaitNumerator/connectWaitDenominator of the time until its deadline, so
+// that there is time left for another attempt.
+const connectWaitNumerator, connectWaitDenominator = 2, 5
 
-// cache is one cache server: its connections and the attempts that wait for one.
+// cache holds the state of one cache server: its connections and the attempts that wait for a connection.
 type cache struct {
 	pool    *Pool
 	name    string
 	addr    string
-	serving bool // the endpoint list says that it takes new requests; unset when the pool closes
-	removed bool // it is not in the endpoint list any more
+	serving bool // the endpoint list says that the cache takes new requests; unset when the pool closes
+	removed bool // the cache is no longer in the endpoint list
 
-	connections    []*connection
-	idle           []*connection // of connections, the one used last at the end
-	dialing        int           // of connections, those coming up
-	openedInRow    int           // connections that came up since one did not
-	maxConnections int
+	connections         []*connection // all connections, including those being established
+	idle                []*connection // the idle connections, most recently used last
+	dialing             int           // number of connections being established
+	consecutiveConnects int           // connections established since the last failure to connect
+	maxConnections      int
 
-	waiting  []*Attempt // for a connection, in the order of their start
-	inFlight int        // attempts without a result, health checks not among them
+	waiting  []*Attempt // attempts that wait for a connection, in start order
+	inFlight int        // number of attempts without a result, health checks excluded
 
-	minRest  Time // between a reply and the next request on a connection, at least
-	fullRest Time // preferred where there is a choice: a cache may close a connection right behind a reply
+	minRest  Time // minimum time between a reply and the next request on a connection
+	fullRest Time // preferred such time where there is a choice: a cache may close a connection just after a reply
 
-	restTimerSet      bool // for the end of an idle connection's minRest
-	dispatchScheduled bool // in a turn of its own
-	holdTimerSet      bool // for the end of waitsForOwnConnection
+	restTimerSet           bool // a dispatch is scheduled for the end of the first idle connection's minRest
+	dispatchScheduled      bool // a dispatch is scheduled in a separate turn
+	busyConnectionTimerSet bool // a dispatch is scheduled for the end of the wait in waitsForBusyConnection
 
-	failures failureRun
-	repeats  repeatDetector
+	failures   consecutiveFailures
+	duplicates duplicateDetector
 }
 
-// newCache returns a cache without connections.
+// newCache returns a cache that has no connections.
 func newCache(p *Pool, name string) *cache {
 	limits := &p.options.Limits
 	return &cache{
@@ -59,7 +60,7 @@
 	}
 }
 
-// update takes over what the endpoint list says.
+// update applies the cache's address and status from the endpoint list.
 func (c *cache) update(addr string, serving, removed bool) {
 	if addr != c.addr {
 		c.addr = addr
@@ -67,28 +68,28 @@
 		c.cancelDials()
 	}
 	if removed {
-		c.forgetFailures()
+		c.resetFailures()
 	}
 	c.serving, c.removed = serving, removed
 	if !serving {
-		// An attempt that waits for a connection must not be written once the drain is known.
+		// An attempt that waits for a connection must not be written once the router is notified of the drain.
 		for len(c.waiting) > 0 {
 			c.waiting[0].finish(decide.NotSent, nil)
 		}
 		c.closeIdle(c.pool.machine.Now())
 		c.cancelDials()
 	}
-	c.forgetIfUnused()
+	c.dropIfUnused()
 }
 
-// forgetIfUnused drops a removed cache once nothing is open on it.
-func (c *cache) forgetIfUnused() {
+// dropIfUnused deletes a removed cache from the pool once it has no connections and no waiting attempts.
+func (c *cache) dropIfUnused() {
 	if c.removed && len(c.connections) == 0 && len(c.waiting) == 0 && c.pool.caches[c.name] == c {
-		c.pool.forget(c)
+		c.pool.removeCache(c)
 	}
 }
 
-// start writes an attempt to an idle connection, or has it wait for one.
+// start writes an attempt to an idle connection, or queues the attempt until there is one.
 func (c *cache) start(a *Attempt) {
 	if a.Request != nil {
 		c.inFlight++
@@ -98,12 +99,13 @@
 	if a.state == stateOver {
 		return
 	}
-	maxWait := (a.Deadline - a.SentAt) * connectNumerator / connectDenominator
+	maxWait := (a.Deadline - a.SentAt) * connectWaitNumerator / connectWaitDenominator
 	a.connectDeadline = a.SentAt + min(c.pool.options.DialTimeout, maxWait)
 	a.armTimer()
 }
 
-// maySend is the last check before an attempt's first byte: all may have changed while it waited.
+// maySend checks immediately before an attempt's first byte whether the attempt may be written. The cache's state, the deadlines
+// and the request may have changed while the attempt waited.
 func (c *cache) maySend(a *Attempt) bool {
 	check := guard.WriteCheck{
 		Now:           c.pool.machine.Now(),
@@ -117,12 +119,11 @@
 	return a.Request == nil || a.Request.MaySend(check.Now)
 }
 
-// dispatch writes waiting attempts to idle connections, first come first served, and opens more connections where there are too
-// few.
+// dispatch writes waiting attempts to idle connections in FIFO order, and opens more connections if there are too few.
 func (c *cache) dispatch() {
 	for len(c.waiting) > 0 && !c.pool.paused {
 		if c.pool.machine.Late() > maxTurnTime {
-			c.scheduleDispatch() // a later turn knows the time again
+			c.scheduleDispatch() // a later turn has an up-to-date clock
 			return
 		}
 		a := c.waiting[0]
@@ -142,8 +143,8 @@
 	}
 }
 
-// scheduleDispatch dispatches in a turn of its own. It is called whenever a connection ends: attempts that wait for it would
-// stall until their connect deadline.
+// scheduleDispatch schedules a dispatch in a separate turn. It must be called whenever a connection ends: attempts that wait for
+// that connection would otherwise stall until their connect deadline.
 func (c *cache) scheduleDispatch() {
 	if len(c.waiting) == 0 || c.dispatchScheduled {
 		return
@@ -155,7 +156,7 @@
 	})
 }
 
-// removeWaiting takes an attempt off those that wait for a connection.
+// removeWaiting removes an attempt from the queue for a connection.
 func (c *cache) removeWaiting(a *Attempt) {
 	if i := slices.Index(c.waiting, a); i >= 0 {
 		c.waiting = slices.Delete(c.waiting, i, i+1)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -9,24 +9,24 @@
 	"starlingwinch/internal/resp"
 )
 
-// maxReadsPerTurn bounds the reads of one connection in one turn: each may bring as little as a byte.
+// maxReadsPerTurn is the maximum number of reads from one connection in one turn: a read may return as little as one byte.
 const maxReadsPerTurn = 64
 
 // connection is one connection to a cache. It carries one attempt at a time.
 type connection struct {
 	cache     *cache
-	addr      string          // that it was dialled at; the cache may have moved since
-	dialing   machine.Dialing // while it comes up; nil afterwards
-	socket    machine.Conn    // nil until it is up
-	attempt   *Attempt        // the one that is out on it; nil while it is idle
-	unwritten []byte          // the part of the attempt's command that the socket has not taken
-	received  []byte          // the part of its reply that has arrived
-	lastReply replyDigest     // of the reply before
-	idleSince Time            // when it last became idle
+	addr      string          // address that was dialed; the cache's address may have changed since
+	dialing   machine.Dialing // nil once the dial has ended
+	socket    machine.Conn    // nil until the connection is established
+	attempt   *Attempt        // attempt in flight on the connection; nil while the connection is idle
+	unwritten []byte          // part of the attempt's command that the socket has not accepted yet
+	received  []byte          // part of the reply that has arrived
+	lastReply replyDigest     // digest of the previous reply
+	idleSince Time            // when the connection last became idle
 	closed    bool
 }
 
-// close ends the connection. Its attempt gets its result from the caller.
+// close closes the connection and removes it from its cache. The caller must finish the connection's attempt.
 func (conn *connection) close() {
 	if conn.closed {
 		return
@@ -48,19 +48,19 @@
 	conn.received, conn.unwritten = nil, nil
 	c.pool.releaseDescriptor()
 	c.scheduleDispatch()
-	c.forgetIfUnused()
+	c.dropIfUnused()
 }
 
-// write writes the attempt that has waited longest, as much of it as the socket takes at once, nearly always all: so nothing
-// comes between its last check and its first byte. It reports false where the socket took no byte: then the attempt has not
-// begun, and is checked again before it does.
+// write writes the first waiting attempt, as much of its command as the socket accepts at once, which is nearly always all of
+// it. Nothing else runs between the last check of the attempt and its first byte. write returns false if the socket accepted no
+// byte: the attempt has not started then, and must be checked again before the next write.
 func (conn *connection) write(a *Attempt) bool {
 	c := conn.cache
 	p := c.pool
 	p.writeBuffer = a.encode(p.writeBuffer[:0], p.machine.Now())
 	n, err := conn.socket.Write(p.writeBuffer)
 	if n == 0 && err != nil {
-		conn.close() // the cache had closed it: the attempt may have another connection, as it has not begun
+		conn.close() // the cache had closed the connection: the attempt may use another one, as no byte was written
 		return true
 	}
 	if n == 0 {
@@ -87,7 +87,7 @@
 	return true
 }
 
-// Writable writes the rest of a command. The machine calls it when the socket takes bytes again.
+// Writable implements machine.Handler: it writes the rest of a command when the socket accepts bytes again.
 func (conn *connection) Writable() {
 	defer conn.cache.pool.owner.ProcessEvents()
 	a := conn.attempt
@@ -107,7 +107,7 @@
 	}
 }
 
-// fail closes a connection that has ended or is of no further use, and gives its attempt the result.
+// fail closes a connection that has ended or is unusable, and finishes its attempt.
 func (conn *connection) fail() {
 	conn.close()
 	a := conn.attempt
@@ -115,13 +115,13 @@
 		return
 	}
 	if a.state == stateWriting {
-		a.finish(decide.ConnectFailed, nil) // its last byte was never written
+		a.finish(decide.ConnectFailed, nil) // the last byte was not written
 	} else {
 		a.finish(decide.ConnectionLost, nil)
 	}
 }
 
-// Readable reads a reply, or what has arrived without a request. The machine calls it.
+// Readable implements machine.Handler: it reads a reply, or data that the cache sent without a request.
 func (conn *connection) Readable() {
 	defer conn.cache.pool.owner.ProcessEvents()
 	if conn.attempt != nil && conn.attempt.state == stateWritten {
@@ -132,12 +132,12 @@
 		return
 	}
 	if conn.attempt == nil {
-		conn.checkUnrequested()
+		conn.checkUnsolicited()
 	}
-	conn.fail() // what else arrives can't be matched to requests either
+	conn.fail() // data after unsolicited bytes can't be matched to requests
 }
 
-// readReply reads the reply to the attempt, as far as it has arrived.
+// readReply reads as much of the attempt's reply as has arrived.
 func (conn *connection) readReply() {
 	buffer := conn.cache.pool.readBuffer
 	for range maxReadsPerTurn {
@@ -156,7 +156,7 @@
 	conn.scheduleRead()
 }
 
-// parseReply takes bytes that have arrived, and reports whether the reply has ended with them, or was invalid.
+// parseReply parses the reply with the bytes that have arrived, and reports whether the reply is complete or invalid.
 func (conn *connection) parseReply(arrived []byte) bool {
 	if len(conn.received) > 0 {
 		conn.received = append(conn.received, arrived...)
@@ -178,7 +178,7 @@
 	return false
 }
 
-// scheduleRead reads the rest of a reply that arrives in many pieces, in a turn of its own.
+// scheduleRead schedules reading the rest of a reply that arrives in many pieces in a separate turn.
 func (conn *connection) scheduleRead() {
 	a := conn.attempt
 	conn.cache.pool.machine.Post(func() {
@@ -188,19 +188,19 @@
 	})
 }
 
-// handleReply gives the attempt its result. clean reports that nothing has arrived behind the reply.
+// handleReply finishes the attempt with its reply. clean reports that no bytes have arrived after the reply.
 func (conn *connection) handleReply(reply *resp.Reply, clean bool) {
 	a := conn.attempt
 	isHealthCheck := a.Request == nil
-	isReplyOfOtherKind := reply.Pong != isHealthCheck && (reply.Pong || reply.Value != nil)
+	isReplyOfWrongKind := reply.Pong != isHealthCheck && (reply.Pong || reply.Value != nil)
 	result := reply.Result
 	switch {
-	case isReplyOfOtherKind && result != decide.Rejected:
+	case isReplyOfWrongKind && result != decide.Rejected:
 		conn.fail()
 		return
 	case reply.Pong:
 		result = decide.Served
-	case conn.isRepeat(a.Request, reply.Value):
+	case conn.isDuplicate(a.Request, reply.Value):
 		conn.fail()
 		return
 	}
--- a/internal/upstream/descriptors.go
+++ b/internal/upstream/descriptors.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// LendDescriptors lets the pool keep n idle connections beyond its own descriptors. They are closed at once when n falls. With
-// many caches that are each used now and then, idle connections would otherwise be closed for one another, and most requests
-// open a new one.
+// LendDescriptors allows the pool n idle connections beyond Options.Descriptors. When n decreases, the pool immediately closes
+// the excess idle connections. Without lent descriptors, many rarely used caches would evict each other's idle connections, and
+// most requests would open a new connection.
 func (p *Pool) LendDescriptors(n int) {
 	p.lentDescriptors = max(n, 0)
 	for p.connections > p.options.Descriptors+p.lentDescriptors && p.closeLongestIdle() {
 	}
 }
 
-// takeDescriptor takes a descriptor for a new connection, and reports whether there is one. Where all are in use, the
-// connection that was idle for longest, to whichever cache, is closed for it.
+// takeDescriptor reserves a descriptor for a new connection, and reports whether one was available. If all descriptors are in
+// use, the pool closes the longest idle connection to any cache to free one.
 func (p *Pool) takeDescriptor() bool {
 	if p.ownDescriptorsInUse() || p.descriptorsExhausted() && !p.closeLongestIdle() {
 		p.descriptorWanted = true
@@ -22,27 +22,27 @@
 	return true
 }
 
-// releaseDescriptor gives back the descriptor of a connection that was closed.
+// releaseDescriptor returns the descriptor of a closed connection to the pool.
 func (p *Pool) releaseDescriptor() {
 	p.connections--
 	p.dispatchIfDescriptorWanted()
 }
 
-// descriptorsExhausted reports whether all descriptors are in use, those lent included.
+// descriptorsExhausted reports whether all descriptors are in use, including the lent ones.
 func (p *Pool) descriptorsExhausted() bool {
 	return p.connections >= p.options.Descriptors+p.lentDescriptors
 }
 
-// ownDescriptorsInUse reports whether as many connections as the pool has descriptors of its own are not idle. Lent descriptors
-// hold idle connections alone, so that they can be given back at any time.
+// ownDescriptorsInUse reports whether the connections that are not idle use all of Options.Descriptors. Lent descriptors hold
+// only idle connections, so that the pool can return them at any time.
 func (p *Pool) ownDescriptorsInUse() bool {
 	return p.connections-p.idleConnections >= p.options.Descriptors
 }
 
-// closeLongestIdle closes the connection that was idle for longest, to whichever cache, and reports whether there was one.
+// closeLongestIdle closes the longest idle connection to any cache, and reports whether there was one.
 func (p *Pool) closeLongestIdle() bool {
 	var longest *cache
-	for _, c := range p.sorted {
+	for _, c := range p.sortedCaches {
 		if len(c.idle) == 0 {
 			continue
 		}
@@ -57,14 +57,14 @@
 	return true
 }
 
-// dispatchIfDescriptorWanted dispatches the waiting attempts of all caches in a later turn, if one waits for a descriptor.
+// dispatchIfDescriptorWanted schedules a dispatch of all caches in a later turn, if an attempt waits for a descriptor.
 func (p *Pool) dispatchIfDescriptorWanted() {
 	if !p.descriptorWanted {
 		return
 	}
 	p.descriptorWanted = false
 	p.runAt(p.machine.Now(), func() {
-		for _, c := range slices.Clone(p.sorted) {
+		for _, c := range slices.Clone(p.sortedCaches) {
 			c.dispatch()
 		}
 	})
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// ownConnectionWait is how long an attempt waits for a connection of its cache that is out before another cache's is
-	// closed to open one: a little more than most replies take.
-	ownConnectionWait Time = 2_000
-	// restNearlyOver is within how long an idle connection's rest must end so that none is opened in its place: about as long
-	// as opening one takes.
-	restNearlyOver Time = 1_000
+	// busyConnectionWait is how long, in microseconds, an attempt waits for a busy connection of its cache before the pool
+	// closes another cache's connection to open a new one: slightly longer than most replies take.
+	busyConnectionWait Time = 2_000
+	// maxRemainingRest is the longest remaining rest time, in microseconds, for which an attempt waits for an idle connection
+	// instead of opening a new one: about as long as a dial takes.
+	maxRemainingRest Time = 1_000
 )
 
-// dial opens as many connections as are needed and allowed, a bounded number at a time: a burst that opens one for each request
-// would fill the cache's table of connections and cost it work.
+// dial opens as many connections as are needed and allowed. The number of concurrent dials is bounded: a burst of requests that
+// opened one connection each would fill the cache's connection table and cost the cache work.
 func (c *cache) dial() {
 	p := c.pool
-	if c.waitsForOwnConnection() {
+	if c.waitsForBusyConnection() {
 		return
 	}
 	maxDials := p.options.Limits.ConcurrentDials
 	if p.reconnectsLimited {
-		maxDials = min(maxDials, 1+c.openedInRow)
+		maxDials = min(maxDials, 1+c.consecutiveConnects)
 	}
-	ready := c.readySoon()
+	ready := c.idleReadySoon()
 	for c.dialing < min(len(c.waiting)-ready, maxDials) && len(c.connections) < c.maxConnections && p.takeDescriptor() {
 		conn := &connection{cache: c, addr: c.addr}
 		c.connections = append(c.connections, conn)
@@ -37,39 +37,40 @@
 	}
 }
 
-// readySoon returns the number of idle connections that attempts can wait for. Those that rest for longer than a dial takes are
-// not counted, unless opening another one costs another cache its own.
-func (c *cache) readySoon() int {
+// idleReadySoon returns the number of idle connections that attempts can wait for. Connections that rest for longer than a dial
+// takes do not count, unless a new connection would require closing one of another cache.
+func (c *cache) idleReadySoon() int {
 	if c.pool.descriptorsExhausted() {
 		return len(c.idle)
 	}
-	latest := c.pool.machine.Now() - c.minRest + restNearlyOver
+	latest := c.pool.machine.Now() - c.minRest + maxRemainingRest
 	return sort.Search(len(c.idle), func(i int) bool { return c.idle[i].idleSince > latest })
 }
 
-// waitsForOwnConnection reports whether the first waiting attempt is to wait a moment for one of the cache's connections that is
-// out. Where descriptors are exhausted, each dial closes a connection that another cache's next request wants.
-func (c *cache) waitsForOwnConnection() bool {
+// waitsForBusyConnection reports whether the first waiting attempt should wait up to busyConnectionWait for one of the cache's
+// busy connections. When descriptors are exhausted, each dial closes a connection that another cache's next request needs.
+func (c *cache) waitsForBusyConnection() bool {
 	p := c.pool
-	out := len(c.connections) - len(c.idle) - c.dialing
-	if out == 0 || !p.descriptorsExhausted() {
+	busy := len(c.connections) - len(c.idle) - c.dialing
+	if busy == 0 || !p.descriptorsExhausted() {
 		return false
 	}
-	until := c.waiting[0].SentAt + ownConnectionWait
+	until := c.waiting[0].SentAt + busyConnectionWait
 	if p.machine.Now() >= until {
 		return false
 	}
-	if !c.holdTimerSet {
-		c.holdTimerSet = true
+	if !c.busyConnectionTimerSet {
+		c.busyConnectionTimerSet = true
 		p.runAt(until, func() {
-			c.holdTimerSet = false
+			c.busyConnectionTimerSet = false
 			c.dispatch()
 		})
 	}
 	return true
 }
 
-// dialsBlockedLocally reports whether connections are coming up, and none has begun because this machine lacks something.
+// dialsBlockedLocally reports whether the cache has dials in progress and a local resource shortage has prevented all of them
+// from starting.
 func (c *cache) dialsBlockedLocally() bool {
 	blocked := false
 	for _, conn := range c.connections {
@@ -84,7 +85,7 @@
 	return blocked
 }
 
-// cancelDials gives up the connections that are coming up.
+// cancelDials cancels the dials in progress.
 func (c *cache) cancelDials() {
 	for _, conn := range slices.Clone(c.connections) {
 		if conn.socket == nil {
@@ -93,14 +94,14 @@
 	}
 }
 
-// dialed is called by the machine when the connection is up, or with the error that prevented it.
+// dialed is called by the machine when the connection is established, or with the error that prevented it.
 func (conn *connection) dialed(socket machine.Conn, err error) machine.Handler {
 	c := conn.cache
 	defer c.pool.owner.ProcessEvents()
 	conn.dialing = nil
 	c.dialing--
 	if err != nil {
-		c.openedInRow = 0
+		c.consecutiveConnects = 0
 		conn.close()
 		if len(c.waiting) > 0 {
 			c.waiting[0].finish(unconnectedResult(machine.IsLocalDialError(err)), nil)
@@ -109,13 +110,13 @@
 		return nil
 	}
 	conn.socket = socket
-	c.openedInRow++
-	c.release(conn, c.pool.machine.Now()-c.minRest) // no reply came on it that could be repeated
+	c.consecutiveConnects++
+	c.release(conn, c.pool.machine.Now()-c.minRest) // needs no rest: there is no previous reply to duplicate
 	return conn
 }
 
-// unconnectedResult returns the result of an attempt that got no connection. Where this machine could open none, the attempt
-// never reached the cache: as a failed connect, a lack here would count against all caches at once.
+// unconnectedResult returns the result of an attempt that got no connection. If the failure was local, the result is NotSent: a
+// local resource shortage reported as ConnectFailed would count as a failure of every cache.
 func unconnectedResult(local bool) decide.Result {
 	if local {
 		return decide.NotSent
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -21,63 +21,63 @@
 	served = routertest.Served
 )
 
-// testRequest is a request as a test sends it.
+// testRequest is a Request with a read or a write command.
 type testRequest struct {
 	id       string
-	value    []byte // of a write
-	answered bool
+	value    []byte // value of a write; nil for a read
+	answered bool   // the request was served, or a test has ended it
 
-	key           uint64 // the same for all unless a test sets it
+	key           uint64 // hash of the key; 0 unless a test sets it
 	nonIdempotent bool
 }
 
-func (w *testRequest) KeyHash() uint64     { return w.key }
-func (w *testRequest) NonIdempotent() bool { return w.nonIdempotent }
+func (req *testRequest) KeyHash() uint64     { return req.key }
+func (req *testRequest) NonIdempotent() bool { return req.nonIdempotent }
 
-func (w *testRequest) MaySend(Time) bool              { return !w.answered }
-func (w *testRequest) WriteStarted(_, _ Time, _ bool) {}
-func (w *testRequest) WriteCompleted()                {}
+func (req *testRequest) MaySend(Time) bool              { return !req.answered }
+func (req *testRequest) WriteStarted(_, _ Time, _ bool) {}
+func (req *testRequest) WriteCompleted()                {}
 
-func (w *testRequest) Encode(b []byte, wait Time) []byte {
+func (req *testRequest) Encode(b []byte, wait Time) []byte {
 	meta := fmt.Sprint("c=read,d=", wait/1000)
-	if w.value == nil {
-		return append(b, routertest.Words("C.GET", "k1", w.id, meta)...)
+	if req.value == nil {
+		return append(b, routertest.Words("C.GET", "k1", req.id, meta)...)
 	}
 	b = redcon.AppendArray(b, 5)
-	for _, s := range []string{"C.SET", "k1", w.id, meta} {
+	for _, s := range []string{"C.SET", "k1", req.id, meta} {
 		b = redcon.AppendBulkString(b, s)
 	}
-	return redcon.AppendBulk(b, w.value)
+	return redcon.AppendBulk(b, req.value)
 }
 
-// attemptResult is what the owner received about an attempt.
+// attemptResult holds the arguments of one call of AttemptEnded.
 type attemptResult struct {
 	attempt *Attempt
 	result  decide.Result
 	reply   *resp.Reply
 }
 
-// testPool is a pool on a running machine with one cache "c1", and its owner. Like the router, it wants no second reply to a
-// request that was served.
+// testPool is a pool on a running machine with one cache "c1". It is also the pool's owner. Like the router, it rejects further
+// attempts of a request that was served.
 type testPool struct {
 	*routertest.Loop
 	t        *testing.T
 	pool     *Pool
 	results  chan attemptResult
 	lines    routertest.Lines
-	requests int // made so far
+	requests int // number of requests created so far
 }
 
-func (r *testPool) AttemptEnded(a *Attempt, result decide.Result, rep *resp.Reply) {
-	if w, ok := a.Request.(*testRequest); ok && result == decide.Served {
-		w.answered = true
+func (r *testPool) AttemptEnded(a *Attempt, result decide.Result, reply *resp.Reply) {
+	if req, ok := a.Request.(*testRequest); ok && result == decide.Served {
+		req.answered = true
 	}
-	if rep != nil {
-		copied := *rep // it is this call's alone
-		copied.Value = bytes.Clone(rep.Value)
-		rep = &copied
+	if reply != nil {
+		copied := *reply // the reply is valid only during this call
+		copied.Value = bytes.Clone(reply.Value)
+		reply = &copied
 	}
-	r.results <- attemptResult{a, result, rep}
+	r.results <- attemptResult{a, result, reply}
 }
 
 func (r *testPool) ProcessEvents() {}
@@ -87,12 +87,12 @@
 	return newTestPoolOn(t, machine.Options{}, addr, edit)
 }
 
-// newTestPoolOn returns a pool on a machine with other options.
+// newTestPoolOn returns a pool on a machine with the given options.
 func newTestPoolOn(t *testing.T, on machine.Options, addr string, edit func(*Options)) *testPool {
 	t.Helper()
 	o := Options{Limits: limits.Default().Caches, Routers: 1, Descriptors: 400, DialTimeout: 20_000_000,
 		Keepalive: 600_000_000, StalledAfter: 2_500_000}
-	o.Limits.MinRestTime = 0 // so that the next connection does not depend on time
+	o.Limits.MinRestTime = 0 // so that the choice of a connection does not depend on timing
 	if edit != nil {
 		edit(&o)
 	}
@@ -105,63 +105,64 @@
 		r.Do(func() {
 			r.pool.Close()
 			if n := r.pool.Connections(); n != 0 {
-				t.Errorf("%d connections are left", n)
+				t.Errorf("got %d connections after Close, want 0", n)
 			}
 		})
 	})
 	return r
 }
 
-// updateCache updates what the endpoint list says of a cache.
+// updateCache applies an endpoint list entry to a cache.
 func (r *testPool) updateCache(name, addr string, serving, removed bool) {
 	r.t.Helper()
 	r.Do(func() { r.pool.Update(name, addr, serving, removed) })
 }
 
-// request returns a new request: a read, or a write where there is a value.
+// request returns a new request: a read if value is nil, otherwise a write.
 func (r *testPool) request(value []byte) *testRequest {
 	r.requests++
 	return &testRequest{id: fmt.Sprint("r", r.requests), value: value}
 }
 
-// hugeRequest returns a request that no socket takes at once.
+// hugeRequest returns a request that is too large for a socket to accept in one write.
 func (r *testPool) hugeRequest() *testRequest { return r.request(make([]byte, 64<<20)) }
 
-// sendTo starts an attempt at a cache, with a deadline after the given time.
-func (r *testPool) sendTo(cache string, w *testRequest, wait time.Duration) *Attempt {
+// sendTo starts an attempt at a cache, with a deadline that is wait from now.
+func (r *testPool) sendTo(cache string, req *testRequest, wait time.Duration) *Attempt {
 	r.t.Helper()
-	a := &Attempt{Request: w}
+	a := &Attempt{Request: req}
 	r.Do(func() {
 		a.SentAt, a.Deadline = r.Now(), r.Now()+wait.Microseconds()
 		if !r.pool.Start(cache, a) {
-			r.t.Errorf("%s is not known", cache)
+			r.t.Errorf("Start returned false for cache %s, want true", cache)
 		}
 	})
 	return a
 }
 
-func (r *testPool) send(w *testRequest, wait time.Duration) *Attempt {
+// send starts an attempt at cache c1.
+func (r *testPool) send(req *testRequest, wait time.Duration) *Attempt {
 	r.t.Helper()
-	return r.sendTo("c1", w, wait)
+	return r.sendTo("c1", req, wait)
 }
 
-// wantResult takes the next result.
+// wantResult waits for the next result and checks it.
 func (r *testPool) wantResult(result decide.Result) attemptResult {
 	r.t.Helper()
-	o := routertest.Receive(r.t, r.results, "outcome")
-	if o.result != result {
-		r.t.Fatalf("outcome %d, want %d", o.result, result)
+	got := routertest.Receive(r.t, r.results, "result")
+	if got.result != result {
+		r.t.Fatalf("got result %d, want %d", got.result, result)
 	}
-	return o
+	return got
 }
 
-// command takes the next command that a cache has received.
+// command waits for the next command that a cache receives.
 func (r *testPool) command(c *routertest.Cache) routertest.Command {
 	r.t.Helper()
 	return routertest.Receive(r.t, c.Commands, "command")
 }
 
-// waitForEnd waits for the end of a connection, as a cache sees it.
+// waitForEnd waits until a cache sees one of its connections end.
 func (r *testPool) waitForEnd(c *routertest.Cache) {
 	r.t.Helper()
 	routertest.Receive(r.t, c.Ended, "end of a connection")
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -5,16 +5,17 @@
 	"sort"
 )
 
-// Connections are closed after keepaliveNumerator/keepaliveDenominator of the caches' Keepalive. A cache that closes one just as
-// a request is written to it leaves open whether that request has run.
+// The pool closes idle connections after keepaliveNumerator/keepaliveDenominator of the caches' Keepalive. If a cache closes a
+// connection just as a request is written to it, the router can't tell whether that request has run.
 const keepaliveNumerator, keepaliveDenominator = 3, 4
 
-// maxIdleTime returns how long a connection may have been idle. It must be allowed to rest first, however short Keepalive is.
+// maxIdleTime returns how long a connection may be idle. It exceeds the minimum rest time even if Keepalive is short, as a
+// connection could otherwise never be used again.
 func (p *Pool) maxIdleTime() Time {
 	return max(p.options.Keepalive*keepaliveNumerator/keepaliveDenominator, 2*p.options.Limits.MinRestTime.Microseconds())
 }
 
-// release takes back a connection that is ready for the next attempt, idle since the given time.
+// release makes a connection available for the next attempt, with the time since which the connection counts as idle.
 func (c *cache) release(conn *connection, since Time) {
 	if !c.serving || conn.addr != c.addr {
 		conn.close()
@@ -26,14 +27,14 @@
 	c.dispatch()
 }
 
-// returnIdle adds a connection to the idle ones, at the place that its idle time gives.
+// returnIdle inserts a connection into the idle connections, which are ordered by idleSince.
 func (c *cache) returnIdle(conn *connection) {
 	i := sort.Search(len(c.idle), func(i int) bool { return c.idle[i].idleSince > conn.idleSince })
 	c.idle = slices.Insert(c.idle, i, conn)
 	c.pool.idleConnections++
 }
 
-// removeIdle takes a connection off the idle ones, if it is one.
+// removeIdle removes a connection from the idle connections, if it is idle.
 func (c *cache) removeIdle(conn *connection) {
 	if i := slices.Index(c.idle, conn); i >= 0 {
 		c.idle = slices.Delete(c.idle, i, i+1)
@@ -41,8 +42,8 @@
 	}
 }
 
-// takeIdle takes an idle connection that has rested, or returns nil. On one that has not rested, a repeat of the last reply may
-// still arrive, and would be taken for the reply to the next request.
+// takeIdle removes and returns an idle connection that has rested, or returns nil. On a connection that has not rested, a
+// duplicate of the last reply may still arrive and would be mistaken for the reply to the next request.
 func (c *cache) takeIdle() *connection {
 	if len(c.idle) > 0 && c.pool.ownDescriptorsInUse() {
 		c.pool.descriptorWanted = true
@@ -50,7 +51,8 @@
 	}
 	now := c.pool.machine.Now()
 	for len(c.idle) > 0 {
-		// Of those that are fully rested, the one used last, so that the others can reach maxIdleTime; else the first.
+		// Prefer the most recently used of the fully rested connections, so that the others can reach maxIdleTime. If none is
+		// fully rested, use the one that has been idle longest.
 		i := sort.Search(len(c.idle), func(i int) bool { return c.idle[i].idleSince > now-c.fullRest })
 		i = max(i-1, 0)
 		conn := c.idle[i]
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// dispatchAfterRest dispatches again when the first idle connection has rested.
+// dispatchAfterRest schedules a dispatch for when the first idle connection has rested.
 func (c *cache) dispatchAfterRest() {
 	if c.restTimerSet {
 		return
@@ -80,7 +82,8 @@
 	})
 }
 
-// closeIdle closes the connections that have been idle since the given time or longer, and those on which something has arrived.
+// closeIdle closes the idle connections that became idle at or before the given time, and those on which data has arrived or that
+// the cache has closed.
 func (c *cache) closeIdle(since Time) {
 	for _, conn := range slices.Clone(c.idle) {
 		if conn.idleSince <= since || !conn.socket.Quiet() {
--- a/internal/upstream/local_failure_test.go
+++ b/internal/upstream/local_failure_test.go
@@ -11,15 +11,15 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestLocalDialFailureIsNoCacheFailure checks a machine without a port for a connection: an attempt and a health check are not
-// sent, and the log names no cache.
+// TestLocalDialFailureIsNoCacheFailure checks that a dial that fails because the machine has no free port is not counted as a
+// failure of the cache: the result of attempts and health checks is NotSent, and no cache is logged as unavailable.
 func TestLocalDialFailureIsNoCacheFailure(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		dialTimeout Time
 	}{
-		{"the dial gives up first", 30_000},
-		{"the attempt gives up first", 20_000_000},
+		{"dial timeout comes first", 30_000},
+		{"connect deadline of the attempt comes first", 20_000_000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cache := routertest.NewCache(t)
@@ -45,7 +45,7 @@
 			r.wantResult(decide.NotSent)
 			r.Do(func() {
 				if logged := r.pool.caches["c1"].failures.logged; logged != noFailure {
-					t.Errorf("the log calls the cache unavailable: %s", failureNames[logged])
+					t.Errorf("got cache logged as unavailable with cause %s, want not logged", failureNames[logged])
 				}
 			})
 			fails.Store(false)
@@ -56,12 +56,12 @@
 	}
 }
 
-// TestAttemptWithoutWrittenByteIsCheckedAgain checks a machine without memory to send with, until the cache drains. No byte was
-// written, so the attempt has not begun, and must not any more.
+// TestAttemptWithoutWrittenByteIsCheckedAgain checks an attempt whose write fails because the machine lacks buffer memory. No
+// byte was written, so the attempt has not started, and must not be written after the cache drains.
 func TestAttemptWithoutWrittenByteIsCheckedAgain(t *testing.T) {
 	cache := routertest.NewCache(t)
 	var fails atomic.Bool
-	tried := make(chan struct{}, 1)
+	sendFailed := make(chan struct{}, 1)
 	k := machine.RealKernel()
 	send := k.Send
 	k.Send = func(fd int, b []byte) (int, error) {
@@ -69,7 +69,7 @@
 			return send(fd, b)
 		}
 		select {
-		case tried <- struct{}{}:
+		case sendFailed <- struct{}{}:
 		default:
 		}
 		return 0, syscall.ENOBUFS
@@ -77,12 +77,12 @@
 	r := newTestPoolOn(t, machine.Options{Kernel: &k}, cache.Addr(), nil)
 	fails.Store(true)
 	r.send(r.request(nil), time.Hour)
-	routertest.Receive(t, tried, "send that fails")
+	routertest.Receive(t, sendFailed, "failed send")
 	r.updateCache("c1", cache.Addr(), false, false)
 	r.wantResult(decide.NotSent)
 	r.updateCache("c1", cache.Addr(), true, false)
 	r.send(r.request(nil), time.Hour)
-	routertest.Receive(t, tried, "send that fails")
+	routertest.Receive(t, sendFailed, "failed send")
 	fails.Store(false)
 	r.command(cache).Reply(t, served)
 	r.wantResult(decide.Served)
--- a/internal/upstream/outage_log.go
+++ b/internal/upstream/outage_log.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// failuresBeforeLog is the number of failures in a row from which a cache is logged as unavailable.
+	// failuresBeforeLog is the number of consecutive failures after which a cache is logged as unavailable.
 	failuresBeforeLog = 5
-	// outageLogInterval is until the log says again that no cache serves, in microseconds: one line is easily missed.
+	// outageLogInterval is the interval, in microseconds, at which the log line about an outage of all caches is repeated,
+	// because a single line is easily missed.
 	outageLogInterval Time = 60_000_000
 )
 
-// failureCause is why a cache serves nothing.
+// failureCause is the reason why a cache serves no requests.
 type failureCause uint8
 
 const (
 	noFailure          failureCause = iota
-	connectionsRefused              // they do not come up
-	requestsStalled                 // they get no reply
-	connectionsReset                // they break
+	connectionsRefused              // connections can't be established
+	requestsStalled                 // requests get no reply
+	connectionsReset                // connections break
 	errorsOnly                      // all replies are errors
 	allRejected                     // the cache rejects all requests
 	failureCauses                   // the number of causes
 )
 
-// failureNames and failureDetails describe the causes in the log.
+// failureNames and failureDetails are the names and descriptions of the causes in the log.
 var (
 	failureNames   = [failureCauses]string{"", "refused", "hung", "reset", "errors", "busy"}
 	failureDetails = [failureCauses]string{"", "connections do not come up", "it takes requests and answers none",
 		"its connections break", "it answers nothing else", "it turns all work away"}
 )
 
-// failureCauseOf returns the cause that a result speaks for. Results of attempts that were not sent, or cancelled early, speak
-// for none.
+// failureCauseOf returns the cause that a result indicates. Results of attempts that were not sent, or were cancelled early,
+// indicate no failure.
 func failureCauseOf(result decide.Result) failureCause {
 	switch result {
 	case decide.ConnectFailed:
@@ -52,18 +53,18 @@
 	return noFailure
 }
 
-// failureRun holds the failures of one cache since an attempt was served, for the log alone: they do not influence where
-// requests go.
-type failureRun struct {
-	cause  failureCause // of the latest failures
-	count  int          // of failures in a row with this cause
-	logged failureCause // the cause that the log names; noFailure while it does not call the cache unavailable
+// consecutiveFailures counts the failures of one cache since it last served an attempt. The counts are used only for log lines
+// and do not influence where requests go.
+type consecutiveFailures struct {
+	cause  failureCause // cause of the latest failures
+	count  int          // number of consecutive failures with this cause
+	logged failureCause // the last logged cause; noFailure while the cache is not logged as unavailable
 }
 
-// recordResult takes in how an attempt or a health check ended, after how long.
+// recordResult records the result of an attempt or a health check that ended after the elapsed time.
 func (c *cache) recordResult(result decide.Result, elapsed Time) {
 	if result == decide.Cancelled && elapsed >= c.pool.options.StalledAfter {
-		result = decide.TimedOut // another attempt was served meanwhile
+		result = decide.TimedOut // cancelled because another attempt was served; this one got no reply in time
 	}
 	if result == decide.Served {
 		c.recordSuccess()
@@ -88,41 +89,41 @@
 	}
 }
 
-// recordSuccess takes in that an attempt or a health check was served.
+// recordSuccess records that the cache served an attempt or a health check.
 func (c *cache) recordSuccess() {
 	if c.failures.logged != noFailure {
 		c.pool.logger.Info("cache available", "cache", c.name)
 	}
-	c.forgetFailures()
+	c.resetFailures()
 }
 
-// forgetFailures drops the failures of a cache that serves, was removed or has a new process.
-func (c *cache) forgetFailures() {
+// resetFailures clears the recorded failures of a cache that serves, was removed or has a new process.
+func (c *cache) resetFailures() {
 	if c.failures.logged != noFailure {
 		c.pool.countUnavailable(-1)
 	}
-	c.failures = failureRun{}
+	c.failures = consecutiveFailures{}
 }
 
-// countUnavailable changes the number of caches that the log calls unavailable. An outage is logged at the next sweep, however
-// lately it was before.
+// countUnavailable changes the number of caches that are logged as unavailable. It also restarts outageLogInterval, so that the
+// next sweep logs an outage even if one was logged recently.
 func (p *Pool) countUnavailable(change int) {
 	p.unavailableCaches += change
 	p.outageLoggedAt = 0
 }
 
-// logOutage logs that no cache serves, with the number of caches for each cause, at most once in outageLogInterval.
+// logOutage logs an outage of all caches, with the number of caches for each cause, at most once per outageLogInterval.
 func (p *Pool) logOutage() {
 	serving, counts := 0, [failureCauses]int{}
-	for _, c := range p.sorted {
+	for _, c := range p.sortedCaches {
 		if c.serving {
 			serving++
 			counts[c.failures.logged]++
 		}
 	}
 	now := p.machine.Now()
-	loggedLately := p.outageLoggedAt > 0 && now < p.outageLoggedAt+outageLogInterval
-	if serving == 0 || counts[noFailure] > 0 || loggedLately {
+	loggedRecently := p.outageLoggedAt > 0 && now < p.outageLoggedAt+outageLogInterval
+	if serving == 0 || counts[noFailure] > 0 || loggedRecently {
 		return
 	}
 	p.outageLoggedAt = now
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,33 +12,33 @@
 	"starlingwinch/internal/timerqueue"
 )
 
-// Pool holds the connections to all caches. Use New.
+// Pool manages the connections to all caches. Use New to create one.
 type Pool struct {
 	machine machine.Machine
 	options Options
 	owner   Owner
 	logger  *slog.Logger
-	timers  *timerqueue.Queue // for the deadlines of attempts
+	timers  *timerqueue.Queue // timers for the deadlines of attempts
 
-	caches map[string]*cache
-	sorted []*cache // the same by name, for what must happen in an order that runs repeat
+	caches       map[string]*cache // by name
+	sortedCaches []*cache          // sorted by name, for iterations whose order must be the same in every run
 
-	connections       int  // to all caches, those coming up included
-	idleConnections   int  // of them
-	lentDescriptors   int  // set by LendDescriptors, for idle connections alone
-	descriptorWanted  bool // an attempt waits for a descriptor: it is dispatched when one is free
+	connections       int  // number of connections to all caches, including those being established
+	idleConnections   int  // number of idle connections
+	lentDescriptors   int  // set by LendDescriptors, for idle connections only
+	descriptorWanted  bool // an attempt waits for a descriptor; attempts are dispatched when one is free
 	paused            bool // set by Pause: no attempt is written
 	reconnectsLimited bool // set by LimitReconnects
 
-	readBuffer  []byte     // scratch space of one read
-	writeBuffer []byte     // scratch space in which a command is encoded
-	reply       resp.Reply // the reply that is handled
+	readBuffer  []byte     // scratch space for reads
+	writeBuffer []byte     // scratch space for encoding a command
+	reply       resp.Reply // the most recently parsed reply, reused to avoid allocation
 
-	unavailableCaches int  // caches that the log says serve nothing
-	outageLoggedAt    Time // when the log last said that no cache serves; 0 for never
+	unavailableCaches int  // number of caches logged as unavailable
+	outageLoggedAt    Time // when an outage of all caches was last logged; 0 if an outage must be logged at the next sweep
 }
 
-// New returns a pool without caches.
+// New returns a pool that has no caches.
 func New(m machine.Machine, options Options, owner Owner) *Pool {
 	if options.Timers == nil {
 		options.Timers = timerqueue.New(m)
@@ -57,8 +57,8 @@
 	}
 }
 
-// Update takes over what the endpoint list says of a cache: whether it is serving, so that new attempts may go to it, and
-// whether it is removed, so that it is forgotten once nothing is out on it.
+// Update applies an endpoint list entry to a cache, and adds a cache that is new. serving reports whether new attempts may be
+// sent to the cache; a removed cache is dropped once no attempt is in flight on it.
 func (p *Pool) Update(name, addr string, serving, removed bool) {
 	c := p.caches[name]
 	if c == nil {
@@ -67,8 +67,8 @@
 		}
 		c = newCache(p, name)
 		p.caches[name] = c
-		at, _ := slices.BinarySearchFunc(p.sorted, name, compareName)
-		p.sorted = slices.Insert(p.sorted, at, c)
+		at, _ := slices.BinarySearchFunc(p.sortedCaches, name, compareName)
+		p.sortedCaches = slices.Insert(p.sortedCaches, at, c)
 	}
 	c.update(addr, serving, removed)
 }
@@ -76,23 +76,23 @@
 // compareName orders caches by name.
 func compareName(c *cache, name string) int { return strings.Compare(c.name, name) }
 
-// forget drops a cache.
-func (p *Pool) forget(c *cache) {
+// removeCache deletes a cache from the pool.
+func (p *Pool) removeCache(c *cache) {
 	delete(p.caches, c.name)
-	if at, found := slices.BinarySearchFunc(p.sorted, c.name, compareName); found {
-		p.sorted = slices.Delete(p.sorted, at, at+1)
+	if at, found := slices.BinarySearchFunc(p.sortedCaches, c.name, compareName); found {
+		p.sortedCaches = slices.Delete(p.sortedCaches, at, at+1)
 	}
 }
 
-// CacheRestarted drops the failures that are recorded of a cache's process, as a new one has taken its place.
+// CacheRestarted clears the failures recorded for a cache, because a new process has replaced the one that failed.
 func (p *Pool) CacheRestarted(name string) {
 	if c := p.caches[name]; c != nil {
-		c.forgetFailures()
+		c.resetFailures()
 	}
 }
 
-// Start sends an attempt to a cache as soon as a connection is free. It reports whether the cache is known; where it is not,
-// the attempt has no result.
+// Start sends an attempt to a cache as soon as a connection is free. It returns false if the cache is unknown; the attempt gets no
+// result then.
 func (p *Pool) Start(name string, a *Attempt) bool {
 	c := p.caches[name]
 	if c == nil {
@@ -110,10 +110,10 @@
 	}
 }
 
-// Pause has attempts wait until Resume. It is called when what is known of the caches may be out of date.
+// Pause stops the writing of attempts until Resume. The router calls it when its information about the caches may be outdated.
 func (p *Pool) Pause() { p.paused = true }
 
-// Resume ends a Pause. Attempts that wait are written in a later turn.
+// Resume ends a Pause. Waiting attempts are written in a later turn.
 func (p *Pool) Resume() {
 	p.paused = false
 	for _, name := range slices.Sorted(maps.Keys(p.caches)) {
@@ -121,11 +121,12 @@
 	}
 }
 
-// LimitReconnects sets whether connections to a cache that was unavailable are opened one at a time at first, and more at a time
-// with each that comes up. A cache that has just started can do little, and connections cost it work.
+// LimitReconnects sets whether the pool ramps up connections to a cache that was unavailable: it starts with one dial at a time
+// and allows one more concurrent dial for each connection established. A cache that has just started has little capacity, and
+// connections cost it work.
 func (p *Pool) LimitReconnects(on bool) { p.reconnectsLimited = on }
 
-// InFlight returns the number of attempts at a cache without a result, health checks not among them.
+// InFlight returns the number of attempts at a cache that have no result yet, health checks excluded.
 func (p *Pool) InFlight(name string) int {
 	if c := p.caches[name]; c != nil {
 		return c.inFlight
@@ -133,12 +134,12 @@
 	return 0
 }
 
-// Connections returns the number of connections, those coming up included.
+// Connections returns the number of connections, including those being established.
 func (p *Pool) Connections() int { return p.connections }
 
-// Attempts returns the number of attempts and health checks without a result.
+// Attempts returns the number of attempts and health checks that have no result yet.
 func (p *Pool) Attempts() (n int) {
-	for _, c := range p.sorted {
+	for _, c := range p.sortedCaches {
 		n += len(c.waiting)
 		for _, conn := range c.connections {
 			if conn.attempt != nil {
@@ -149,10 +150,10 @@
 	return n
 }
 
-// Sweep closes connections that have been idle for long before their caches do, and logs that no cache serves. It is called
-// about once a second.
+// Sweep closes connections that have been idle for a long time before their caches close them, and logs an outage of all caches.
+// The router calls it about once a second.
 func (p *Pool) Sweep() {
-	for _, c := range slices.Clone(p.sorted) {
+	for _, c := range slices.Clone(p.sortedCaches) {
 		c.closeIdle(p.machine.Now() - p.maxIdleTime())
 	}
 	if p.unavailableCaches > 0 {
@@ -160,9 +161,9 @@
 	}
 }
 
-// Close ends all connections. Attempts that are out get no result, and nothing is dialled any more.
+// Close closes all connections. Attempts in flight get no result, and the pool opens no further connections.
 func (p *Pool) Close() {
-	for _, c := range slices.Clone(p.sorted) {
+	for _, c := range slices.Clone(p.sortedCaches) {
 		c.serving = false
 		for len(c.waiting) > 0 {
 			c.waiting[0].detach()
@@ -176,7 +177,7 @@
 	}
 }
 
-// runAt calls f at a time, in a turn that ends with the owner's ProcessEvents.
+// runAt calls f at the given time, followed by the owner's ProcessEvents in the same turn.
 func (p *Pool) runAt(at Time, f func()) {
 	p.machine.At(at, func() {
 		f()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -11,7 +11,7 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// newBusyPool returns a pool whose connections to the cache are all in use.
+// newBusyPool returns a pool whose connections to the cache are all in use, the cache, and the commands on the connections.
 func newBusyPool(t *testing.T) (*testPool, *routertest.Cache, []routertest.Command) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Routers = 1000 })
@@ -23,8 +23,8 @@
 	return r, cache, busy
 }
 
-// wantOnlyLastServed ends what is out on the connections and has one more request served: had anything else been sent before
-// it, the cache would have received that.
+// wantOnlyLastServed replies to the commands in flight, sends one more request, and checks that the cache receives this request
+// next. If the pool had sent any other request, the cache would receive that one first.
 func wantOnlyLastServed(t *testing.T, r *testPool, cache *routertest.Cache, busy []routertest.Command) {
 	t.Helper()
 	for _, cmd := range busy {
@@ -33,15 +33,16 @@
 	}
 	r.send(&testRequest{id: "last"}, long)
 	if got := r.command(cache); got.Args[2] != "last" {
-		t.Errorf("the cache was sent %q", got.Args)
+		t.Errorf("got command %q, want request last", got.Args)
 	}
 }
 
-// TestWaitingAttemptIsNotSentWhenRequestIsOver checks the last check before the first byte.
+// TestWaitingAttemptIsNotSentWhenRequestIsOver checks that an attempt is not written if its request ends while the attempt waits
+// for a connection.
 func TestWaitingAttemptIsNotSentWhenRequestIsOver(t *testing.T) {
 	for name, end := range map[string]func(*Attempt){
 		"given up": func(a *Attempt) { a.Abort(decide.Cancelled) },
-		"answered": func(a *Attempt) { a.Request.(*testRequest).answered = true }, // its owner does not abort it
+		"answered": func(a *Attempt) { a.Request.(*testRequest).answered = true }, // the owner does not abort the attempt
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, cache, busy := newBusyPool(t)
@@ -59,8 +60,8 @@
 func TestWaitingAttemptIsNotSentAfterDeadline(t *testing.T) {
 	r, cache, busy := newBusyPool(t)
 	r.send(r.request(nil), time.Millisecond)
-	if o := routertest.Receive(t, r.results, "outcome"); !o.result.NeverRan() {
-		t.Errorf("outcome %d", o.result)
+	if got := routertest.Receive(t, r.results, "result"); !got.result.NeverRan() {
+		t.Errorf("got result %d, want one of an attempt that never ran", got.result)
 	}
 	wantOnlyLastServed(t, r, cache, busy)
 }
@@ -72,8 +73,7 @@
 	r.wantResult(decide.ConnectFailed)
 }
 
-// TestBurstSharesConnections checks that a burst of requests stays within the limit of connections, and that all are served in
-// turn.
+// TestBurstSharesConnections checks that a burst of requests stays within the connection limit, and that all requests are served.
 func TestBurstSharesConnections(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Routers = 12 })
@@ -89,12 +89,12 @@
 		r.wantResult(decide.Served)
 	}
 	if limit := limits.Default().Caches.FleetConnections / 12; len(conns) > limit {
-		t.Errorf("%d connections for %d requests, want %d at most", len(conns), burst, limit)
+		t.Errorf("got %d connections for %d requests, want at most %d", len(conns), burst, limit)
 	}
 }
 
-// TestLongRestOpensAnotherConnection checks that an attempt does not wait for a connection that rests for longer than a dial
-// takes.
+// TestLongRestOpensAnotherConnection checks that an attempt opens a new connection if the rest time of the idle connection is
+// longer than a dial takes.
 func TestLongRestOpensAnotherConnection(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = time.Hour })
@@ -105,14 +105,14 @@
 	r.send(r.request(nil), long)
 	second := r.command(cache)
 	if second.Conn == first.Conn {
-		t.Error("a connection was used before it had rested")
+		t.Error("a connection was reused before it had rested, want a new connection")
 	}
 	second.Reply(t, served)
 	r.wantResult(decide.Served)
 }
 
-// TestConnectionNearKeepaliveIsNotUsed checks, between two sweeps, that a request is not written to a connection that its cache
-// may be closing: it would be unknown whether it has run.
+// TestConnectionNearKeepaliveIsNotUsed checks that, even without a sweep, a request is not written to a connection that the cache
+// may be closing: the router could not tell whether the request has run.
 func TestConnectionNearKeepaliveIsNotUsed(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
@@ -123,7 +123,7 @@
 	r.Do(func() { r.pool.caches["c1"].idle[0].idleSince -= r.pool.options.Keepalive * 3 / 4 })
 	r.send(r.request(nil), long)
 	if second := r.command(cache); second.Conn == first.Conn {
-		t.Error("it was used")
+		t.Error("a connection near its keepalive was reused, want a new connection")
 	} else {
 		second.Reply(t, served)
 	}
@@ -131,8 +131,8 @@
 	r.waitForEnd(cache)
 }
 
-// TestConnectionRestsBetweenRequests checks that a connection rests before it is used again, so that a repeat right behind a
-// reply has arrived by then.
+// TestConnectionRestsBetweenRequests checks that a connection rests before it is used again, so that a duplicate sent just after a
+// reply arrives before the next request is written.
 func TestConnectionRestsBetweenRequests(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Limits.MinRestTime = 4 * time.Millisecond })
@@ -140,20 +140,20 @@
 	r.command(cache).Reply(t, served)
 	r.wantResult(decide.Served)
 	r.Do(func() {
-		u := r.pool.caches["c1"]
-		c := u.idle[0]
-		if c.idleSince = r.Now() - u.minRest + 1; u.takeIdle() != nil {
-			t.Error("it was taken before it had rested")
+		c1 := r.pool.caches["c1"]
+		c := c1.idle[0]
+		if c.idleSince = r.Now() - c1.minRest + 1; c1.takeIdle() != nil {
+			t.Error("takeIdle returned the connection before it had rested")
 		}
-		if c.idleSince = r.Now() - u.minRest; u.takeIdle() != c {
-			t.Error("it was not taken after its rest")
+		if c.idleSince = r.Now() - c1.minRest; c1.takeIdle() != c {
+			t.Error("takeIdle did not return the connection after it had rested")
 		}
 		c.close()
 	})
 }
 
-// TestDescriptorsAreBounded checks that an attempt waits where all descriptors are used by attempts, and that an idle
-// connection to another cache is closed for it.
+// TestDescriptorsAreBounded checks that an attempt waits while attempts use all descriptors, and that an idle connection to another
+// cache is closed to free a descriptor.
 func TestDescriptorsAreBounded(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
@@ -163,21 +163,21 @@
 	r.sendTo("c2", r.request(nil), long)
 	r.Do(func() {
 		if r.pool.connections != 1 || !r.pool.descriptorWanted {
-			t.Errorf("%d connections, starved %v", r.pool.connections, r.pool.descriptorWanted)
+			t.Errorf("got %d connections, descriptorWanted %v; want 1, true", r.pool.connections, r.pool.descriptorWanted)
 		}
 	})
 	cmd.Conn.Close()
 	r.wantResult(decide.ConnectionLost)
 	r.command(other).Reply(t, served)
 	r.wantResult(decide.Served)
-	r.send(r.request(nil), long) // the other cache's connection is idle now
+	r.send(r.request(nil), long) // the connection to c2 is idle now
 	r.command(cache).Reply(t, served)
 	r.wantResult(decide.Served)
 	r.waitForEnd(other)
 }
 
-// TestLentDescriptorsHoldIdleConnections checks that lent descriptors keep connections to more caches, that attempts use no
-// more than the pool's own, and that they are given back at once.
+// TestLentDescriptorsHoldIdleConnections checks that lent descriptors hold additional idle connections, that attempts use only
+// the pool's own descriptors, and that the pool returns lent descriptors at once.
 func TestLentDescriptorsHoldIdleConnections(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
@@ -192,29 +192,29 @@
 	r.send(r.request(nil), long)
 	r.Do(func() {
 		if r.pool.connections != 2 || r.pool.idleConnections != 1 || !r.pool.descriptorWanted {
-			t.Errorf("%d connections, %d idle, starved %v: wanted a request to wait for the pool's own", r.pool.connections,
+			t.Errorf("got %d connections, %d idle, descriptorWanted %v; want 2, 1, true", r.pool.connections,
 				r.pool.idleConnections, r.pool.descriptorWanted)
 		}
 	})
 	second.Reply(t, served)
 	r.wantResult(decide.Served)
-	again := r.command(cache)
-	if again.Conn != first.Conn {
-		t.Error("the connection that was idle was not used again")
+	third := r.command(cache)
+	if third.Conn != first.Conn {
+		t.Error("got a new connection, want the idle one reused")
 	}
-	again.Reply(t, served)
+	third.Reply(t, served)
 	r.wantResult(decide.Served)
 	r.Do(func() {
 		if r.pool.LendDescriptors(0); r.pool.connections != 1 {
-			t.Errorf("%d connections where one is the pool's own", r.pool.connections)
+			t.Errorf("got %d connections after LendDescriptors(0), want 1", r.pool.connections)
 		}
 	})
-	r.waitForEnd(other) // idle for longer
+	r.waitForEnd(other) // the connection that was idle longest
 }
 
-// TestOwnConnectionIsAwaitedBeforeAnotherIsClosed checks that an attempt waits a moment for its own cache's connection before
-// it takes the descriptor of another cache's.
-func TestOwnConnectionIsAwaitedBeforeAnotherIsClosed(t *testing.T) {
+// TestBusyConnectionIsAwaitedBeforeAnotherIsClosed checks that an attempt waits for busyConnectionWait for a busy connection of its
+// cache before an idle connection to another cache is closed.
+func TestBusyConnectionIsAwaitedBeforeAnotherIsClosed(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Descriptors = 2 })
 	r.updateCache("c2", other.Addr(), true, false)
@@ -223,14 +223,14 @@
 	r.wantResult(decide.Served)
 	r.send(r.request(nil), long)
 	first := r.command(cache)
-	w := r.request(nil)
+	req := r.request(nil)
 	r.Do(func() {
-		r.pool.Start("c1", &Attempt{Request: w, SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()})
+		r.pool.Start("c1", &Attempt{Request: req, SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()})
 		if r.pool.connections != 2 || r.pool.idleConnections != 1 {
-			t.Errorf("%d connections, %d idle: another cache's was closed at once", r.pool.connections, r.pool.idleConnections)
+			t.Errorf("got %d connections, %d idle just after Start; want 2, 1", r.pool.connections, r.pool.idleConnections)
 		}
 	})
-	r.waitForEnd(other) // the first one is out for longer than ownConnectionWait
+	r.waitForEnd(other) // the first attempt is in flight for longer than busyConnectionWait
 	r.command(cache).Reply(t, served)
 	r.wantResult(decide.Served)
 	first.Reply(t, served)
@@ -254,10 +254,10 @@
 	r.command(cache).Reply(t, served)
 	r.wantResult(decide.Served)
 	r.Do(func() {
-		u := r.pool.caches["c1"]
-		u.idle[0].idleSince = r.Now() - 299_999
+		c1 := r.pool.caches["c1"]
+		c1.idle[0].idleSince = r.Now() - 299_999
 		if r.pool.Sweep(); r.pool.Connections() != 1 {
-			t.Error("it was closed with a quarter of its time left")
+			t.Error("the connection was closed just before 3/4 of its keepalive time, want it kept open")
 		}
 	})
 	r.After(time.Millisecond)
@@ -265,7 +265,7 @@
 	r.waitForEnd(cache)
 }
 
-// TestAddressChangeReplacesConnections checks that connections to an old address carry no new request.
+// TestAddressChangeReplacesConnections checks that connections to an old address carry no new requests.
 func TestAddressChangeReplacesConnections(t *testing.T) {
 	old, moved := routertest.NewCache(t), routertest.NewCache(t)
 	r := newTestPool(t, old.Addr(), nil)
@@ -279,7 +279,7 @@
 	r.wantResult(decide.Served)
 }
 
-func TestConnectionLimitsAreKept(t *testing.T) {
+func TestConnectionLimitIsNotExceeded(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) {
 		o.Routers = 1
@@ -296,12 +296,12 @@
 	second.Reply(t, served)
 	r.wantResult(decide.Served)
 	if first.Conn != second.Conn {
-		t.Error("a second connection was opened beside the one that is allowed")
+		t.Error("got a second connection, want at most 1")
 	}
 }
 
-// newSingleConnectionPool returns a pool whose one connection to c1 carries the first of two attempts, while the second waits
-// for it.
+// newSingleConnectionPool returns a pool with a limit of one connection to c1, and two attempts: the connection carries the first
+// attempt, and the second attempt waits.
 func newSingleConnectionPool(t *testing.T, cache *routertest.Cache) (r *testPool, first, second *Attempt) {
 	t.Helper()
 	r = newTestPool(t, cache.Addr(), nil)
@@ -311,26 +311,26 @@
 	return r, first, second
 }
 
-// TestConnectionEndDispatchesWaitingAttempts checks that attempts that wait for a connection that ends do not stall until their
-// connect deadline.
+// TestConnectionEndDispatchesWaitingAttempts checks that attempts do not stall until their connect deadline when the connection
+// that they wait for ends.
 func TestConnectionEndDispatchesWaitingAttempts(t *testing.T) {
 	wantSecond := func(cache *routertest.Cache, r *testPool) {
 		t.Helper()
 		cmd := routertest.Receive(t, cache.Commands, "command on a new connection")
 		if cmd.Args[2] != "r2" {
-			t.Errorf("got %q", cmd.Args)
+			t.Errorf("got command %q, want request r2", cmd.Args)
 		}
 		cmd.Reply(t, served)
 		r.wantResult(decide.Served)
 	}
-	t.Run("after an unclean answer", func(t *testing.T) {
+	t.Run("after a reply with trailing bytes", func(t *testing.T) {
 		cache := routertest.NewCache(t)
 		r, _, _ := newSingleConnectionPool(t, cache)
 		r.command(cache).Reply(t, served+"noise")
 		r.wantResult(decide.Served)
 		wantSecond(cache, r)
 	})
-	t.Run("after an attempt was given up", func(t *testing.T) {
+	t.Run("after an aborted attempt", func(t *testing.T) {
 		cache := routertest.NewCache(t)
 		r, first, _ := newSingleConnectionPool(t, cache)
 		r.command(cache)
@@ -338,7 +338,7 @@
 		r.wantResult(decide.Cancelled)
 		wantSecond(cache, r)
 	})
-	t.Run("after the address has changed", func(t *testing.T) {
+	t.Run("after an address change", func(t *testing.T) {
 		cache, next := routertest.NewCache(t), routertest.NewCache(t)
 		r, _, _ := newSingleConnectionPool(t, cache)
 		cmd := r.command(cache)
@@ -349,8 +349,8 @@
 	})
 }
 
-// TestAttemptIsNotWrittenAfterWriteDeadline checks that a repeat that waits for a connection is not written when caches have
-// forgotten the attempt before it, which may have run.
+// TestAttemptIsNotWrittenAfterWriteDeadline checks that an attempt is not written after its write deadline. At that time the
+// caches may have forgotten an earlier attempt of the same request, which may have run, so that the request could run twice.
 func TestAttemptIsNotWrittenAfterWriteDeadline(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
@@ -362,19 +362,19 @@
 		r.pool.Start("c1", &Attempt{Request: r.request([]byte("value")), SentAt: now, Deadline: now + long.Microseconds(),
 			WriteDeadline: now + 50_000})
 	})
-	r.wantResult(decide.NotSent) // by its timer, as the connection is not free yet
+	r.wantResult(decide.NotSent) // from the timer, as the connection is still busy
 	cmd.Reply(t, served)
 	r.wantResult(decide.Served)
 	r.Do(func() {
-		// The last check sees the deadline too, where the timer is late.
-		u := r.pool.caches["c1"]
-		if a := (&Attempt{cache: u, Deadline: r.Now() + 2, WriteDeadline: r.Now()}); u.maySend(a) {
-			t.Error("it may be sent at its write deadline")
+		// maySend also checks the write deadline, in case the timer is late.
+		c1 := r.pool.caches["c1"]
+		if a := (&Attempt{cache: c1, Deadline: r.Now() + 2, WriteDeadline: r.Now()}); c1.maySend(a) {
+			t.Error("maySend() = true at the write deadline, want false")
 		}
 	})
 }
 
-// TestOutageIsLoggedWithCauses checks the log lines about an unavailable cache, an outage of all caches, and its end.
+// TestOutageIsLoggedWithCauses checks the log lines for an unavailable cache, an outage of all caches, and the end of the outage.
 func TestOutageIsLoggedWithCauses(t *testing.T) {
 	r := newTestPool(t, routertest.NewCache(t).Addr(), nil)
 	end := func(result decide.Result, times int) {
@@ -388,20 +388,21 @@
 	end(decide.ConnectFailed, failuresBeforeLog)
 	r.lines.Want(t, `msg="cache unavailable" cache=c1 cause=refused`)
 	r.lines.Want(t, `msg="no cache available" caches=1 refused=1`)
-	end(decide.NotSent, failuresBeforeLog) // is no failure of the cache
+	end(decide.NotSent, failuresBeforeLog) // not a failure of the cache
 	end(decide.TimedOut, failuresBeforeLog)
 	r.lines.Want(t, `msg="cache unavailable" cache=c1 cause=hung`)
 	end(decide.Served, 1)
 	r.lines.Want(t, `msg="cache available" cache=c1`)
 	r.Do(func() {
 		if r.pool.unavailableCaches != 0 {
-			t.Errorf("%d caches count as unavailable", r.pool.unavailableCaches)
+			t.Errorf("got %d unavailable caches, want 0", r.pool.unavailableCaches)
 		}
 	})
 }
 
-// TestRemovedCachesAreForgotten checks that nothing is kept of removed caches, however many names come and go.
-func TestRemovedCachesAreForgotten(t *testing.T) {
+// TestRemovedCachesAreDropped checks that the pool retains no state of removed caches, so that a succession of names does not leak
+// memory.
+func TestRemovedCachesAreDropped(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
 	for i := range 20 {
@@ -409,19 +410,19 @@
 		r.updateCache(name, cache.Addr(), true, false)
 		r.sendTo(name, r.request(nil), long)
 		cmd := r.command(cache)
-		r.updateCache(name, cache.Addr(), false, true) // one attempt is still out as its cache is removed
+		r.updateCache(name, cache.Addr(), false, true) // removes the cache while an attempt is in flight on it
 		cmd.Reply(t, served)
 		r.wantResult(decide.Served)
 	}
 	r.Do(func() {
-		if len(r.pool.caches) != 1 || len(r.pool.sorted) != 1 || r.pool.Connections() != 0 || r.pool.Attempts() != 0 {
-			t.Errorf("%d caches, %d in order, %d connections, %d attempts are left", len(r.pool.caches),
-				len(r.pool.sorted), r.pool.Connections(), r.pool.Attempts())
+		if len(r.pool.caches) != 1 || len(r.pool.sortedCaches) != 1 || r.pool.Connections() != 0 || r.pool.Attempts() != 0 {
+			t.Errorf("got %d caches, %d sorted caches, %d connections, %d attempts; want 1, 1, 0, 0", len(r.pool.caches),
+				len(r.pool.sortedCaches), r.pool.Connections(), r.pool.Attempts())
 		}
 	})
 }
 
-// TestClosedPoolDialsNothing checks that attempts that wait as the pool closes do not dial when their connections end.
+// TestClosedPoolDialsNothing checks that closing connections in Close does not start dials for attempts that are still waiting.
 func TestClosedPoolDialsNothing(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r, _, _ := newSingleConnectionPool(t, cache)
@@ -430,7 +431,7 @@
 	r.After(time.Millisecond)
 	r.Do(func() {
 		if n := r.pool.Connections(); n != 0 {
-			t.Errorf("%d connections were opened after the close", n)
+			t.Errorf("got %d connections after Close, want 0", n)
 		}
 	})
 }
--- a/internal/upstream/repeated_replies.go
+++ b/internal/upstream/repeated_replies.go
@@ -2,40 +2,41 @@
 
 import "hash/maphash"
 
-// Replies carry no mark of the request that they answer. A cache that sends one twice, the second time so late that the
-// connection carries the next request already, would have its copy taken for the reply to that request, and from then on each
-// request would get the reply to the one before. What gives a copy away is that it equals the reply before, though another key
-// was requested.
+// Replies do not identify the request that they answer. If a cache sends a reply twice, and the duplicate arrives when the
+// connection already carries the next request, the router would mistake the duplicate for the reply to that request, and each
+// later request on the connection would get the reply to the request before it. A duplicate is recognized because it equals the
+// previous reply although a different key was requested.
 
 const (
-	// commonEqualFraction is the fraction of replies from which on equal ones in a row are taken for usual at a cache.
+	// commonEqualFraction is the fraction of replies that equal the previous reply above which equal consecutive replies are
+	// considered normal for a cache.
 	commonEqualFraction = .1
-	// maxRepliesCounted is the number of replies over which that fraction is taken.
+	// maxRepliesCounted is the number of replies over which that fraction is averaged.
 	maxRepliesCounted = 64
-	// repeatMemory is for how long a cache that was seen to send a copy is not believed, in microseconds.
-	repeatMemory Time = 60_000_000
+	// duplicateWindow is how long, in microseconds, a cache that has sent a duplicate is suspected of sending more.
+	duplicateWindow Time = 60_000_000
 )
 
 var hashSeed = maphash.MakeSeed()
 
-// replyDigest is what is kept of the latest reply with a value on a connection.
+// replyDigest identifies the latest reply with a value on a connection.
 type replyDigest struct {
 	key  uint64 // hash of the requested key
-	hash uint64 // of the value
-	size int    // of the value; 0 where there was no reply yet
+	hash uint64 // hash of the value
+	size int    // size of the value in bytes; 0 if there was no reply yet
 }
 
-// repeatDetector is what one cache's replies say about how often two in a row are equal.
-type repeatDetector struct {
-	replies       int     // to another key than the one before, counted up to maxRepliesCounted
-	equalFraction float64 // of them, those that equal the one before: a moving average over about so many
-	repeatSeenAt  Time    // when a copy of a reply last arrived without a request; 0 for never
+// duplicateDetector tracks how often consecutive replies of one cache to different keys are equal.
+type duplicateDetector struct {
+	replies         int     // number of replies to a different key than the previous one, counted up to maxRepliesCounted
+	equalFraction   float64 // fraction of those that equal the previous reply: a moving average over maxRepliesCounted
+	duplicateSeenAt Time    // when a duplicate of a reply last arrived without a request; 0 for never
 }
 
-// isRepeat reports whether a value is to be taken for a copy of the reply before on its connection, and keeps it for the next
-// call. A cache that often sends equal replies to different keys is believed. So is a reply to a request that must not run
-// twice, unless the cache was seen to send copies.
-func (conn *connection) isRepeat(request Request, value []byte) bool {
+// isDuplicate reports whether a value must be treated as a duplicate of the previous reply on its connection, and stores the
+// value's digest for the next call. An equal value is accepted if the cache often sends equal replies to different keys. It is
+// also accepted for a request that must not run twice, unless the cache has recently sent a duplicate.
+func (conn *connection) isDuplicate(request Request, value []byte) bool {
 	if len(value) == 0 {
 		return false
 	}
@@ -45,17 +46,17 @@
 		return false
 	}
 	equal := last.hash == conn.lastReply.hash && last.size == conn.lastReply.size
-	detector := &conn.cache.repeats
+	detector := &conn.cache.duplicates
 	equalIsCommon := detector.equalFraction > commonEqualFraction
-	detector.count(equal)
+	detector.record(equal)
 	if !equal || equalIsCommon {
 		return false
 	}
-	return !request.NonIdempotent() || detector.sendsCopies(conn.cache.pool.machine.Now())
+	return !request.NonIdempotent() || detector.duplicateSeen(conn.cache.pool.machine.Now())
 }
 
-// count takes in whether a reply equals the one before.
-func (d *repeatDetector) count(equal bool) {
+// record updates the moving average with a reply that does or does not equal the previous one.
+func (d *duplicateDetector) record(equal bool) {
 	d.replies = min(d.replies+1, maxRepliesCounted)
 	d.equalFraction -= d.equalFraction / float64(d.replies)
 	if equal {
@@ -63,13 +64,13 @@
 	}
 }
 
-// sendsCopies reports whether a copy of a reply was seen lately.
-func (d *repeatDetector) sendsCopies(now Time) bool {
-	return d.repeatSeenAt > 0 && now-d.repeatSeenAt < repeatMemory
+// duplicateSeen reports whether an unsolicited duplicate has arrived within duplicateWindow.
+func (d *duplicateDetector) duplicateSeen(now Time) bool {
+	return d.duplicateSeenAt > 0 && now-d.duplicateSeenAt < duplicateWindow
 }
 
-// checkUnrequested notes whether what has arrived without a request is a copy of the last reply.
-func (conn *connection) checkUnrequested() {
+// checkUnsolicited records a duplicate if the data that arrived without a request equals the last reply.
+func (conn *connection) checkUnsolicited() {
 	p := conn.cache.pool
 	n, err := conn.socket.Read(p.readBuffer)
 	if err != nil || conn.lastReply.size == 0 {
@@ -81,6 +82,6 @@
 		return
 	}
 	if maphash.Bytes(hashSeed, reply.Value) == conn.lastReply.hash {
-		conn.cache.repeats.repeatSeenAt = p.machine.Now()
+		conn.cache.duplicates.duplicateSeenAt = p.machine.Now()
 	}
 }
--- a/internal/upstream/repeated_replies_test.go
+++ b/internal/upstream/repeated_replies_test.go
@@ -8,21 +8,22 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// sendForKey has a connection carry a request for a key, and returns its command.
-func sendForKey(r *testPool, cache *routertest.Cache, key uint64, unsafe bool) routertest.Command {
-	w := r.request(nil)
-	w.key, w.nonIdempotent = key, unsafe
-	r.send(w, long)
+// sendForKey sends a request for a key, and returns the command that the cache receives.
+func sendForKey(r *testPool, cache *routertest.Cache, key uint64, nonIdempotent bool) routertest.Command {
+	req := r.request(nil)
+	req.key, req.nonIdempotent = key, nonIdempotent
+	r.send(req, long)
 	return r.command(cache)
 }
 
-// value returns a reply with a text.
+// value returns a reply in wire format whose value is the given text.
 func value(text string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$3\r\nhit\r\n$-1\r\n", len(text), text)
 }
 
-// TestRepeatedReplyIsNotTakenForNext checks a copy of a reply that arrives when the connection carries the next request.
-func TestRepeatedReplyIsNotTakenForNext(t *testing.T) {
+// TestDuplicateReplyIsNotTakenForNext checks that a duplicate reply that arrives after the next request was written to the
+// connection is not taken for the reply to that request.
+func TestDuplicateReplyIsNotTakenForNext(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
 	first := sendForKey(r, cache, 1, false)
@@ -30,15 +31,16 @@
 	r.wantResult(decide.Served)
 	second := sendForKey(r, cache, 2, false)
 	if second.Conn != first.Conn {
-		t.Fatal("another connection was used")
+		t.Fatal("got a second connection, want the first one reused")
 	}
-	second.Reply(t, value("one")) // a copy
+	second.Reply(t, value("one")) // a duplicate of the first reply
 	r.wantResult(decide.ConnectionLost)
-	second.Reply(t, value("two")) // its own reply comes too late
+	second.Reply(t, value("two")) // the real reply arrives too late
 	routertest.Receive(t, cache.Ended, "end of the connection")
 }
 
-// TestEqualRepliesToOneKeyAreServed checks equal replies to one key, and to requests that must not run twice.
+// TestEqualRepliesToOneKeyAreServed checks that equal consecutive replies are served if they are for the same key, or for requests
+// that must not run twice.
 func TestEqualRepliesToOneKeyAreServed(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
@@ -52,34 +54,35 @@
 	}
 }
 
-// TestEqualRepliesToAllKeysAreServed checks that a cache that sends equal replies to all keys is believed after one mistake.
+// TestEqualRepliesToAllKeysAreServed checks that only the first equal reply is treated as a duplicate if a cache sends equal
+// replies to all keys.
 func TestEqualRepliesToAllKeysAreServed(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
 	lost := 0
 	for key := range uint64(40) {
 		sendForKey(r, cache, key, false).Reply(t, value("empty"))
-		if o := routertest.Receive(t, r.results, "outcome"); o.result != decide.Served {
+		if got := routertest.Receive(t, r.results, "result"); got.result != decide.Served {
 			lost++
 		}
 	}
 	if lost != 1 {
-		t.Errorf("%d of 40 equal replies were taken for copies", lost)
+		t.Errorf("got %d of 40 equal replies treated as duplicates, want 1", lost)
 	}
 }
 
-// TestUnrequestedRepeatIsRemembered checks that a cache that was seen to send a copy is not believed even for requests that
-// must not run twice.
-func TestUnrequestedRepeatIsRemembered(t *testing.T) {
+// TestUnsolicitedDuplicateIsRemembered checks that after a cache has sent an unsolicited duplicate, equal replies are treated as
+// duplicates even for requests that must not run twice.
+func TestUnsolicitedDuplicateIsRemembered(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
 	first := sendForKey(r, cache, 1, true)
 	first.Reply(t, value("done"))
 	r.wantResult(decide.Served)
 	first.Reply(t, value("done"))
-	routertest.Receive(t, cache.Ended, "end of the connection with the copy")
+	routertest.Receive(t, cache.Ended, "end of the connection with the duplicate")
 	sendForKey(r, cache, 2, true).Reply(t, value("done"))
-	r.wantResult(decide.Served) // the first on a new connection
+	r.wantResult(decide.Served) // the first reply on a new connection
 	sendForKey(r, cache, 3, true).Reply(t, value("done"))
 	r.wantResult(decide.ConnectionLost)
 }
--- a/internal/upstream/result_test.go
+++ b/internal/upstream/result_test.go
@@ -32,16 +32,16 @@
 			r := newTestPool(t, cache.Addr(), nil)
 			a := r.send(r.request(nil), long)
 			r.command(cache).Reply(t, c.wire)
-			o := r.wantResult(c.result)
-			if o.attempt != a || o.reply.Miss != c.miss {
-				t.Errorf("miss %v, same attempt %v", o.reply.Miss, o.attempt == a)
+			ended := r.wantResult(c.result)
+			if ended.attempt != a || ended.reply.Miss != c.miss {
+				t.Errorf("got miss %v, same attempt %v; want %v, true", ended.reply.Miss, ended.attempt == a, c.miss)
 			}
-			value := ""
+			wantValue := ""
 			if c.result == decide.Served {
-				value = "$5\r\nvalue\r\n"
+				wantValue = "$5\r\nvalue\r\n"
 			}
-			if got := string(o.reply.Value); got != value {
-				t.Errorf("the value is %q", got)
+			if got := string(ended.reply.Value); got != wantValue {
+				t.Errorf("got value %q, want %q", got, wantValue)
 			}
 		})
 	}
@@ -59,7 +59,8 @@
 	r.wantResult(decide.ConnectFailed)
 }
 
-// TestDrainDuringDialIsNotSent checks that an attempt that waits for a connection is not written once the drain is known.
+// TestDrainDuringDialIsNotSent checks that an attempt that waits for a connection is not written once the router is notified of
+// the drain.
 func TestDrainDuringDialIsNotSent(t *testing.T) {
 	addr := routertest.Unreachable(t)
 	r := newTestPool(t, addr, nil)
@@ -68,7 +69,7 @@
 	r.wantResult(decide.NotSent)
 }
 
-func TestBreakAfterLastByteIsConnectionLost(t *testing.T) {
+func TestDisconnectAfterLastByteIsConnectionLost(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
 	r.send(r.request(nil), long)
@@ -76,7 +77,7 @@
 	r.wantResult(decide.ConnectionLost)
 }
 
-func TestBreakOnReusedConnectionIsConnectionLost(t *testing.T) {
+func TestDisconnectOfReusedConnectionIsConnectionLost(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
 	r.send(r.request(nil), long)
@@ -86,13 +87,14 @@
 	r.send(r.request(nil), long)
 	second := r.command(cache)
 	if second.Conn != first.Conn {
-		t.Error("the idle connection was not used again")
+		t.Error("got a second connection, want the idle one reused")
 	}
 	second.Conn.Close()
 	r.wantResult(decide.ConnectionLost)
 }
 
-// waitForFirstByte waits until an attempt's first byte has arrived at a cache that reads no further.
+// waitForFirstByte receives a connection from a cache that does not read requests, and reads the first byte of an attempt from
+// it.
 func waitForFirstByte(t *testing.T, conns <-chan net.Conn) net.Conn {
 	t.Helper()
 	nc := routertest.Receive(t, conns, "connection")
@@ -102,11 +104,11 @@
 	return nc
 }
 
-func TestBreakBeforeLastByteIsConnectFailed(t *testing.T) {
+func TestDisconnectBeforeLastByteIsConnectFailed(t *testing.T) {
 	addr, conns := routertest.DeafCache(t)
 	r := newTestPool(t, addr, nil)
 	r.send(r.hugeRequest(), long)
-	waitForFirstByte(t, conns).Close() // with bytes unread: a reset
+	waitForFirstByte(t, conns).Close() // resets the connection, as bytes are unread
 	r.wantResult(decide.ConnectFailed)
 }
 
@@ -117,30 +119,30 @@
 	waitForFirstByte(t, conns)
 	r.Do(func() {
 		if !a.Unwritten() {
-			t.Error("it counts as written")
+			t.Error("Unwritten() = false before the last byte is written, want true")
 		}
 		a.Abort(decide.Cancelled)
 	})
 	r.wantResult(decide.NotSent)
 }
 
-// TestLargeCommandIsWrittenInPieces checks that what a socket does not take at once is written later, and that the attempt
-// counts as unwritten until then.
+// TestLargeCommandIsWrittenInPieces checks that the part of a command that a socket does not accept at once is written later, and
+// that the attempt counts as unwritten until its last byte is written.
 func TestLargeCommandIsWrittenInPieces(t *testing.T) {
 	addr, conns := routertest.DeafCache(t)
 	r := newTestPool(t, addr, nil)
-	w := r.hugeRequest()
-	a := r.send(w, long)
+	req := r.hugeRequest()
+	a := r.send(req, long)
 	nc := waitForFirstByte(t, conns)
 	buf := make([]byte, 1<<20)
-	for left := len(w.Encode(nil, 19_000_000)) - 1; left > 0; { // d has five figures, as in the command that went out
+	for left := len(req.Encode(nil, 19_000_000)) - 1; left > 0; { // the d field has five digits, as in the command that was sent
 		n, err := nc.Read(buf)
 		if err != nil {
 			t.Fatal(err)
 		}
 		left -= n
 	}
-	r.Until("the last byte written", func() bool { return !a.Unwritten() })
+	r.Until("the write of the last byte", func() bool { return !a.Unwritten() })
 	nc.Write([]byte(served))
 	r.wantResult(decide.Served)
 }
@@ -164,7 +166,8 @@
 	r.waitForEnd(cache)
 }
 
-// TestMalformedReplyIsConnectionLost checks that the connection ends at an invalid reply. The request has run.
+// TestMalformedReplyIsConnectionLost checks that an invalid reply, or bytes after a reply, end the connection. The result is
+// ConnectionLost for an invalid reply, because the request may have run.
 func TestMalformedReplyIsConnectionLost(t *testing.T) {
 	for _, wire := range []string{"+noise\r\n", "+PONG\r\n", "-SYNTAX\r\n", "-ERR no end\n", ":5\r\n", "$5\r\nvalue\r\n",
 		"*2\r\n$5\r\nvalue\r\n$-1\r\n", "*4\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n$-1\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
@@ -180,16 +183,16 @@
 			if strings.HasPrefix(wire, served) {
 				r.wantResult(decide.Served)
 			} else {
-				r.wantResult(decide.ConnectionLost) // it has run
+				r.wantResult(decide.ConnectionLost) // the request may have run
 			}
-			r.waitForEnd(cache) // what follows can not be matched to requests
+			r.waitForEnd(cache) // further bytes can't be matched to requests
 		})
 	}
 }
 
-// TestHealthCheckTakesOnlyItsReply checks that a value is no reply to a health check, and that an error is one of an unhealthy
-// cache.
-func TestHealthCheckTakesOnlyItsReply(t *testing.T) {
+// TestHealthCheckAcceptsOnlyItsReply checks that a value is not accepted as the reply to a health check, and that an error reply
+// makes the health check fail.
+func TestHealthCheckAcceptsOnlyItsReply(t *testing.T) {
 	for wire, want := range map[string]decide.Result{"+PONG\r\n": decide.Served, served: decide.ConnectionLost,
 		"-ERR failed\r\n": decide.Errored, "-BUSY\r\n": decide.Rejected} {
 		t.Run(fmt.Sprintf("%q", wire), func(t *testing.T) {
@@ -198,13 +201,13 @@
 			r.Do(func() { r.pool.Start("c1", &Attempt{SentAt: r.Now(), Deadline: r.Now() + long.Microseconds()}) })
 			cmd := r.command(cache)
 			if len(cmd.Args) != 1 || cmd.Args[0] != "PING" {
-				t.Errorf("the cache was sent %q", cmd.Args)
+				t.Errorf("got command %q, want PING", cmd.Args)
 			}
 			cmd.Reply(t, wire)
 			r.wantResult(want)
 			r.Do(func() {
 				if n := r.pool.InFlight("c1"); n != 0 {
-					t.Errorf("%d attempts: a health check was counted", n)
+					t.Errorf("InFlight() = %d with only a health check sent, want 0", n)
 				}
 			})
 		})
@@ -222,13 +225,13 @@
 		cmd.Reply(t, part)
 	}
 	if got := r.wantResult(decide.Served).reply.Value; string(got) != "$65536\r\n"+value+"\r\n" {
-		t.Errorf("the value has %d bytes", len(got))
+		t.Errorf("got a value of %d bytes that differs from the %d bytes sent", len(got), len(value))
 	}
 }
 
-// TestRepeatedReplyEndsIdleConnection checks that a copy of a reply, a moment behind the first, is not taken for the reply to
+// TestDuplicateReplyEndsIdleConnection checks that a duplicate that arrives shortly after a reply is not taken for the reply to
 // the next request on that connection.
-func TestRepeatedReplyEndsIdleConnection(t *testing.T) {
+func TestDuplicateReplyEndsIdleConnection(t *testing.T) {
 	cache := routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), nil)
 	r.send(r.request(nil), long)
@@ -236,17 +239,17 @@
 	first.Reply(t, served)
 	r.wantResult(decide.Served)
 	first.Reply(t, served)
-	r.Until("the copy", func() bool {
-		u := r.pool.caches["c1"]
-		return len(u.idle) == 0 || !u.idle[0].socket.Quiet()
+	r.Until("the duplicate", func() bool {
+		c1 := r.pool.caches["c1"]
+		return len(c1.idle) == 0 || !c1.idle[0].socket.Quiet()
 	})
 	r.send(r.request(nil), long)
 	second := r.command(cache)
 	if second.Conn == first.Conn {
-		t.Error("the connection with the copy was used again")
+		t.Error("the connection with the duplicate was reused, want a new connection")
 	}
 	second.Reply(t, "*3\r\n$3\r\nown\r\n$-1\r\n$-1\r\n")
 	if got := string(r.wantResult(decide.Served).reply.Value); got != "$3\r\nown\r\n" {
-		t.Errorf("the value is %q", got)
+		t.Errorf("got value %q, want own", got)
 	}
 }
