--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -1,11 +1,11 @@
-// Package aperture chooses, for each router, the part of a large fleet of caches that it keeps connections to: deterministic
-// aperture subsetting, after Twitter's Finagle. A router that uses all caches of a fleet that is larger than its number of
-// descriptors opens a connection for most of its requests.
+// Package aperture selects the subset of a large fleet of caches to which a router keeps connections. It implements
+// deterministic aperture subsetting, after Twitter's Finagle. Without a subset, a router that has fewer descriptors than the
+// fleet has caches would open a new connection for most of its requests.
 //
-// Caches and routers stand on one ring of as many segments as there are routers. A cache stands in the segment that the hash of
-// its name gives; a router uses a number of segments from its own on. So each cache is used by equally many routers, whatever
-// the fleet, and one that comes or goes changes nothing for the others. The package does no I/O, and decides nothing about
-// single requests.
+// Caches and routers are placed on a ring that has one segment per router. A cache belongs to the segment given by the hash of
+// its name; a router uses a number of consecutive segments that begin with its own segment. Each cache is therefore used by the
+// same number of routers for any fleet, and adding or removing a cache does not affect the other caches. The package does no
+// I/O and makes no decisions about individual requests.
 package aperture
 
 import (
@@ -13,26 +13,26 @@
 	"hash/fnv"
 )
 
-// Errors of New.
+// Errors that New returns.
 var (
-	errRouterNumber = errors.New("aperture: a router's number is below that of routers, and there is one at least")
-	errMaxCaches    = errors.New("aperture: a router keeps connections to one cache at least")
+	errRouterNumber = errors.New("aperture: the router number must be at least 0 and less than the number of routers")
+	errMaxCaches    = errors.New("aperture: the maximum number of caches must be at least 1")
 )
 
-// growMargin is the fraction of maxCaches that stays free when the aperture grows: the hash does not spread names evenly, and a
-// fleet that grows and shrinks by one cache must not change the aperture each time.
+// growMargin is the fraction of maxCaches that must remain free for the aperture to grow: the hash does not distribute names
+// evenly, and a fleet that alternately grows and shrinks by one cache must not change the aperture each time.
 const growMargin = 0.1
 
-// Aperture is the part of the ring that one router uses. Use New.
+// Aperture is the part of the ring that one router uses. Use New to create one.
 type Aperture struct {
-	router    int // its number, from 0
-	routers   int // their number, and that of segments
-	maxCaches int // that the router can keep connections to
-	segments  int // that the router uses, from its own on; changed by Resize
+	router    int // number of the router, from 0
+	routers   int // number of routers, which is also the number of segments
+	maxCaches int // maximum number of caches to which the router can keep connections
+	segments  int // number of consecutive segments in use, beginning with the router's own; changed by Resize
 }
 
-// New returns the aperture of the router with a number, from 0, among so many, which can keep connections to maxCaches. It
-// covers all caches until Resize is called.
+// New returns the aperture of one of several routers, numbered from 0, that can keep connections to maxCaches caches. The
+// aperture covers all caches until Resize is called.
 func New(router, routers, maxCaches int) (*Aperture, error) {
 	if routers < 1 || router < 0 || router >= routers {
 		return nil, errRouterNumber
@@ -43,7 +43,7 @@
 	return &Aperture{router: router, routers: routers, maxCaches: maxCaches, segments: routers}, nil
 }
 
-// Resize fits the aperture to a fleet of so many caches, and reports whether it has changed.
+// Resize adjusts the aperture to the number of caches in the fleet, and reports whether the aperture has changed.
 func (a *Aperture) Resize(caches int) bool {
 	before := a.segments
 	shrunk := a.segmentsFor(float64(a.maxCaches), caches)
@@ -57,7 +57,7 @@
 	return a.segments != before
 }
 
-// segmentsFor returns the number of segments that hold at most maxCaches of a fleet, and at least one.
+// segmentsFor returns the number of segments, at least one, that hold on average at most maxCaches of a fleet of the given size.
 func (a *Aperture) segmentsFor(maxCaches float64, caches int) int {
 	if caches == 0 {
 		return a.routers
@@ -65,10 +65,10 @@
 	return min(a.routers, max(1, int(maxCaches*float64(a.routers)/float64(caches))))
 }
 
-// CoversAll reports whether the router uses all caches.
+// CoversAll reports whether the router uses all caches of the fleet.
 func (a *Aperture) CoversAll() bool { return a.segments == a.routers }
 
-// Covers reports whether the router uses a cache.
+// Covers reports whether the router uses the named cache.
 func (a *Aperture) Covers(name string) bool {
 	if a.CoversAll() {
 		return true
@@ -78,8 +78,8 @@
 	return distance < a.segments
 }
 
-// hash returns a hash of a name: FNV-1a, mixed by a part of MurmurHash3's finalizer so that short names that differ in their
-// last letter alone are spread too.
+// hash returns a hash of a name: FNV-1a, followed by a part of MurmurHash3's finalizer, which also distributes short names that
+// differ only in their last letter.
 func hash(name string) uint64 {
 	const mixer = 0xff51afd7ed558ccd
 	fnv1a := fnv.New64a()
--- a/internal/aperture/aperture_test.go
+++ b/internal/aperture/aperture_test.go
@@ -17,22 +17,22 @@
 	return r
 }
 
-func TestSmallFleetIsCoveredWhole(t *testing.T) {
+func TestSmallFleetIsFullyCovered(t *testing.T) {
 	for _, caches := range []int{0, 1, 14, 390} {
 		r := newAperture(t, 1, 3, 390, caches)
 		for i := range caches {
 			if !r.Covers(cacheName(i)) {
-				t.Errorf("of %d caches %s is not covered", caches, cacheName(i))
+				t.Errorf("fleet of %d caches: %s is not covered", caches, cacheName(i))
 			}
 		}
 		if !r.CoversAll() {
-			t.Errorf("%d caches are not covered whole", caches)
+			t.Errorf("fleet of %d caches: CoversAll() = false, want true", caches)
 		}
 	}
 }
 
-// TestEachCacheIsCoveredEquallyOften checks the number of routers that use each cache and the load on each, and that no router
-// uses more caches than it may.
+// TestEachCacheIsCoveredEquallyOften checks the number of routers that use each cache, the load on each cache, and that no router
+// uses more caches than allowed.
 func TestEachCacheIsCoveredEquallyOften(t *testing.T) {
 	for _, c := range []struct{ routers, maxCaches, caches, coveredBy int }{
 		{3, 390, 500, 2}, {3, 390, 2000, 1}, {12, 390, 2000, 2}, {40, 390, 2000, 7}, {2, 390, 500, 1},
@@ -47,7 +47,7 @@
 				}
 			}
 			if c.coveredBy > 1 && len(used) > c.maxCaches {
-				t.Errorf("%+v: router %d uses %d caches", c, router, len(used))
+				t.Errorf("%+v: router %d uses %d caches, want at most %d", c, router, len(used), c.maxCaches)
 			}
 			for _, i := range used {
 				load[i] += float64(c.caches) / float64(len(used)) / float64(c.routers)
@@ -55,7 +55,7 @@
 		}
 		for i, l := range load {
 			if l < 0.85 || l > 1.15 {
-				t.Fatalf("%+v: %s has %.2f of an even load", c, cacheName(i), l)
+				t.Fatalf("%+v: %s gets %.2f times an even load, want 0.85 to 1.15", c, cacheName(i), l)
 			}
 		}
 		by := 0
@@ -65,14 +65,14 @@
 			}
 		}
 		if by != c.coveredBy {
-			t.Errorf("%+v: a cache is covered by %d routers", c, by)
+			t.Errorf("%+v: a cache is covered by %d routers, want %d", c, by, c.coveredBy)
 		}
 	}
 }
 
-// TestNewCacheLeavesOthersCovered checks that a cache that comes changes nothing for the others, and that a fleet that grows
-// and shrinks by one cache does not change the aperture each time.
-func TestNewCacheLeavesOthersCovered(t *testing.T) {
+// TestNewCacheDoesNotAffectOthers checks that adding a cache does not affect which other caches are covered, and that a fleet
+// that alternately grows and shrinks by one cache does not change the aperture each time.
+func TestNewCacheDoesNotAffectOthers(t *testing.T) {
 	r := newAperture(t, 0, 3, 390, 500)
 	before := map[string]bool{}
 	for i := range 500 {
@@ -85,13 +85,13 @@
 		}
 	}
 	if changes > 1 {
-		t.Errorf("the aperture changed %d times", changes)
+		t.Errorf("the aperture changed %d times, want at most 1", changes)
 	}
 	r = newAperture(t, 0, 3, 390, 500)
 	r.Resize(501)
 	for name, covered := range before {
 		if r.Covers(name) != covered {
-			t.Errorf("%s: covered %v, was %v", name, !covered, covered)
+			t.Errorf("%s: got covered %v after adding a cache, want %v as before", name, !covered, covered)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 func TestNewRejectsInvalidNumbers(t *testing.T) {
 	for _, c := range [][3]int{{0, 0, 1}, {3, 3, 1}, {-1, 3, 1}, {0, 1, 0}} {
 		if _, err := New(c[0], c[1], c[2]); err == nil {
-			t.Errorf("%v is accepted", c)
+			t.Errorf("New(%d, %d, %d) returned no error", c[0], c[1], c[2])
 		}
 	}
 }
--- a/internal/rankcache/numbering.go
+++ b/internal/rankcache/numbering.go
@@ -1,12 +1,12 @@
 package rankcache
 
-// Numbering assigns small numbers to items, and released numbers first. The zero value has assigned none.
+// Numbering assigns small numbers to items and reuses released numbers first. The zero value has no numbers assigned.
 type Numbering[T any] struct {
-	items    []T   // by number; the zero value for a released one
-	released []int // numbers to assign again, the last one first
+	items    []T   // items by number; the zero value of T for released numbers
+	released []int // stack of numbers to reuse
 }
 
-// Assign returns a number for an item, which stays the item's until Release.
+// Assign assigns a number to an item and returns the number, which belongs to the item until Release.
 func (n *Numbering[T]) Assign(item T) int {
 	if last := len(n.released) - 1; last >= 0 {
 		number := n.released[last]
@@ -18,15 +18,15 @@
 	return len(n.items) - 1
 }
 
-// Release takes a number back. The Numbering does not refer to the item afterwards.
+// Release makes a number available again and drops the reference to its item.
 func (n *Numbering[T]) Release(number int) {
-	var none T
-	n.items[number] = none
+	var zero T
+	n.items[number] = zero
 	n.released = append(n.released, number)
 }
 
-// Of returns the item with a number.
-func (n *Numbering[T]) Of(number int) T { return n.items[number] }
+// Item returns the item with a number.
+func (n *Numbering[T]) Item(number int) T { return n.items[number] }
 
-// Max returns the largest number of items at a time so far. All numbers are below it.
-func (n *Numbering[T]) Max() int { return len(n.items) }
+// UpperBound returns a number that is greater than all numbers assigned so far: the largest number of items held at one time.
+func (n *Numbering[T]) UpperBound() int { return len(n.items) }
--- a/internal/rankcache/rankcache.go
+++ b/internal/rankcache/rankcache.go
@@ -1,54 +1,54 @@
-// Package rankcache remembers the first ranks of keys that were placed lately, so that a key that is requested again costs a
-// look-up and not a comparison with each cache of a large fleet.
+// Package rankcache caches the first ranks of recently placed keys, so that placing a key again costs one look-up instead of a
+// comparison with every cache server of a large fleet.
 //
-// It is a two-way set-associative cache of fixed size, in which the slot of a set that was used last stays. It has no pointers,
-// so that the garbage collector has nothing to scan. What it does not hold is computed again: it changes what a placement costs
-// and never what it is. Keys must be well mixed numbers.
+// The cache is two-way set-associative, has a fixed size, and replaces the least recently used slot of a set. It contains no
+// pointers, so that the garbage collector has nothing to scan. Ranks that are not cached are computed again: the cache affects
+// the cost of a placement and never its result. Keys must be well-mixed numbers, such as hashes.
 package rankcache
 
 import "math"
 
-// MaxRanks is the number of ranks of a key that are remembered.
+// MaxRanks is the maximum number of ranks cached for a key.
 const MaxRanks = 8
 
 const (
 	// setBits is the binary logarithm of the number of sets.
 	setBits = 14
-	// setCount is the number of sets, of two slots each: 32,768 keys in 1 MiB.
+	// setCount is the number of sets, which have two slots each: 32,768 keys in 1 MiB.
 	setCount = 1 << setBits
-	// keyMultiplier spreads keys that differ in their low bits alone: 2^64 divided by the golden ratio (Knuth, The Art of
+	// keyMultiplier distributes keys that differ only in their low bits: 2^64 divided by the golden ratio (Knuth, The Art of
 	// Computer Programming, section 6.4).
 	keyMultiplier = 0x9e3779b97f4a7c15
 )
 
-// List is the first ranks of a key, as numbers of caches.
+// List holds the first ranks of a key, as numbers assigned by a Numbering.
 type List [MaxRanks]uint16
 
 // slot holds the ranks of one key.
 type slot struct {
 	key      uint64
-	epoch    uint32 // of the Put, from 1; 0 for an empty slot
-	count    uint16 // of ranks in list
-	usedLast bool   // later than the other slot of its set
+	epoch    uint32 // epoch of the Put, from 1; 0 for an empty slot
+	count    uint16 // number of ranks in list
+	usedLast bool   // used more recently than the other slot of the set
 	list     List
 }
 
-// Cache is the table. The zero value is empty, and allocates its memory at the first Put.
+// Cache maps keys to their first ranks. The zero value is empty, and allocates its memory at the first Put.
 type Cache struct {
 	slots []slot
-	epoch uint32 // number of calls of Forget; slots of an earlier epoch do not count
+	epoch uint32 // number of calls of Clear; slots from earlier epochs are invalid
 }
 
-// Forget empties the cache, in constant time.
-func (c *Cache) Forget() {
+// Clear empties the cache in constant time.
+func (c *Cache) Clear() {
 	c.epoch++
 	if c.epoch == math.MaxUint32 {
-		// The epochs begin anew, so that slots of the first ones must not be left.
+		// The epoch restarts from 0, so the slots must be discarded: those from earlier epochs would become valid again.
 		c.epoch, c.slots = 0, nil
 	}
 }
 
-// Get returns what was put for the key since the last Forget, or nil. The ranks are valid until the next call.
+// Get returns the ranks stored for the key since the last Clear, or nil. The ranks are valid until the next call of a method.
 func (c *Cache) Get(key uint64) []uint16 {
 	if c.slots == nil {
 		return nil
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Put remembers the first ranks of a key, at most MaxRanks, in place of the key of its set that was used longer ago.
+// Put stores the first ranks of a key, at most MaxRanks, and replaces the least recently used key of the set.
 func (c *Cache) Put(key uint64, first []uint16) {
 	if c.slots == nil {
 		c.slots = make([]slot, 2*setCount)
@@ -79,7 +79,7 @@
 	set[1-i].usedLast = false
 }
 
-// set returns the two slots in which a key may be.
+// set returns the two slots that may hold the key.
 func (c *Cache) set(key uint64) *[2]slot {
 	first := key * keyMultiplier >> (64 - setBits) * 2
 	return (*[2]slot)(c.slots[first : first+2])
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,11 +1,12 @@
 // Package rendezvous orders items for a key by weighted rendezvous hashing (Thaler and Ravishankar, "A name-based mapping scheme
-// for rendezvous", 1996; the weights after Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005). An item that
-// is removed gives up its own keys only, each key has its fallbacks, and all who hold the same items find the same order.
+// for rendezvous", 1996; the weights after Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005). Removing an
+// item moves only the keys of that item, each key has an ordered list of fallbacks, and all holders of the same items compute the
+// same order.
 //
-// The score of an item is -ln(u)/size, with u from a hash of key and id, and the lowest score comes first. Among items of one
-// size the order of scores is that of the hashes, so that an order costs a comparison for each item and a logarithm for each
-// size. In a large set the first ranks of keys ordered lately are remembered. The package does arithmetic alone: what an order
-// is used for is decided elsewhere.
+// The score of an item is -ln(u)/weight, where u is derived from a hash of the key and the item's id; the item with the lowest
+// score comes first. Among items of equal weight, the hashes determine the order of the scores, so that finding the order costs a
+// comparison per item and a few logarithms per distinct weight. A large set caches the first ranks of recently ordered keys. The
+// package only computes orders; its callers decide how to use them.
 package rendezvous
 
 import (
@@ -17,44 +18,44 @@
 )
 
 const (
-	// firstRanks is the number of ranks that are found in one pass. Few callers need more.
+	// firstRanks is the number of ranks that one pass over the items computes. Few callers need more.
 	firstRanks = rankcache.MaxRanks
-	// maxFullOrders is the number of full orders that are kept.
+	// maxFullOrders is the maximum number of cached full orders.
 	maxFullOrders = 64
-	// minSizeForCache is the number of items from which on first ranks are remembered. Fewer cost less than a look-up.
-	minSizeForCache = 64
+	// minItemsForCache is the number of items above which a set caches first ranks. Ordering fewer items costs less than a look-up.
+	minItemsForCache = 64
 )
 
-// Set holds items, each with a unique id and a size above 0. Its zero value is empty.
+// Set holds items, each with a unique id and a positive weight. The zero value is an empty set.
 type Set[T any] struct {
-	groups     []group[T]                    // the items by size
+	groups     []group[T]                    // the items, grouped by weight
 	size       int                           // number of items
-	current    order[T]                      // of the key that was ranked last
-	fullOrders map[uint64][]T                // by key; cleared when the set changes
-	rankCache  rankcache.Cache               // first ranks of keys; cleared when the set changes
-	numbers    rankcache.Numbering[*item[T]] // by which rankCache refers to items
+	current    order[T]                      // order for the key of the last call of Rank
+	fullOrders map[uint64][]T                // full orders by key; cleared when the set changes
+	rankCache  rankcache.Cache               // first ranks by key; cleared when the set changes
+	numbers    rankcache.Numbering[*item[T]] // numbers that identify items in rankCache
 }
 
-// item is an item with what is computed once.
+// item is an item of a Set, with its precomputed hash.
 type item[T any] struct {
 	id     string
-	hash   uint64 // of the id
-	number int    // in Set.numbers
+	hash   uint64 // hash of the id
+	number int    // number in Set.numbers
 	value  T
 }
 
-// group holds the items of one size, by id.
+// group holds the items of one weight, sorted by id.
 type group[T any] struct {
-	size   float64
-	hashes []uint64 // of the items' ids: the loop over a large group reads nothing else
+	weight float64
+	hashes []uint64 // hashes of the items' ids, in a separate slice so that the loop over a large group reads only these
 	items  []*item[T]
 }
 
-// order is the order of all items for one key.
+// order is the order of the items for one key.
 type order[T any] struct {
 	key   uint64
 	first []ranked[T] // the first ranks
-	full  []T         // nil until a later rank is needed
+	full  []T         // the order of all items; nil until a rank beyond first is requested
 }
 
 // ranked is an item with its score for a key.
@@ -66,21 +67,21 @@
 // Len returns the number of items.
 func (s *Set[T]) Len() int { return s.size }
 
-// Add adds an item.
-func (s *Set[T]) Add(id string, size float64, value T) {
+// Add adds an item with the given id and weight.
+func (s *Set[T]) Add(id string, weight float64, value T) {
 	added := &item[T]{id: id, hash: Hash(id), value: value}
 	added.number = s.numbers.Assign(added)
-	g := s.group(size)
+	g := s.group(weight)
 	at, _ := slices.BinarySearchFunc(g.items, id, compareID[T])
 	g.items = slices.Insert(g.items, at, added)
 	g.hashes = slices.Insert(g.hashes, at, added.hash)
 	s.size++
-	s.forgetOrders()
+	s.clearOrders()
 }
 
-// Remove removes the item that was added with this id and size, if there is one.
-func (s *Set[T]) Remove(id string, size float64) {
-	g := s.group(size)
+// Remove removes the item with the given id and weight, if there is one.
+func (s *Set[T]) Remove(id string, weight float64) {
+	g := s.group(weight)
 	at, found := slices.BinarySearchFunc(g.items, id, compareID[T])
 	if !found {
 		return
@@ -89,27 +90,28 @@
 	g.items = slices.Delete(g.items, at, at+1)
 	g.hashes = slices.Delete(g.hashes, at, at+1)
 	s.size--
-	s.forgetOrders()
+	s.clearOrders()
 }
 
-// forgetOrders drops what was remembered of the set before a change.
-func (s *Set[T]) forgetOrders() {
+// clearOrders clears the cached orders, which are invalid after the set has changed.
+func (s *Set[T]) clearOrders() {
 	clear(s.fullOrders)
-	s.rankCache.Forget()
+	s.rankCache.Clear()
 }
 
 // compareID orders items by id.
 func compareID[T any](i *item[T], id string) int { return strings.Compare(i.id, id) }
 
-// group returns the group of a size, and makes it where there is none. Empty groups are removed only then, as sizes are few.
-func (s *Set[T]) group(size float64) *group[T] {
+// group returns the group of a weight, and creates the group if it does not exist. Empty groups are removed only when a group is
+// created, because there are few distinct weights.
+func (s *Set[T]) group(weight float64) *group[T] {
 	for i := range s.groups {
-		if s.groups[i].size == size {
+		if s.groups[i].weight == weight {
 			return &s.groups[i]
 		}
 	}
 	s.groups = slices.DeleteFunc(s.groups, func(g group[T]) bool { return len(g.items) == 0 })
-	s.groups = append(s.groups, group[T]{size: size})
+	s.groups = append(s.groups, group[T]{weight: weight})
 	return &s.groups[len(s.groups)-1]
 }
 
@@ -132,19 +134,19 @@
 	return Mix(hash)
 }
 
-// drawBits is the number of bits of a draw: as many as a float64 represents exactly.
+// drawBits is the number of bits of a draw: the precision of a float64.
 const drawBits = 53
 
-// draw returns the number that an item with a hash draws for a key. Among items of one size, the highest draw comes first.
+// draw returns the pseudorandom number for a key and an item's hash. Among items of equal weight, the highest draw comes first.
 func draw(key, hash uint64) uint64 { return Mix(key^hash) >> (64 - drawBits) }
 
-// score returns the score that a draw gives an item of a size.
-func score(draw uint64, size float64) float64 {
-	const minimum = 1e-18 // the logarithm of 0 is not finite
-	return -math.Log(float64(draw)/(1<<drawBits)+minimum) / size
+// score returns the score of an item with the given draw and weight.
+func score(draw uint64, weight float64) float64 {
+	const minimum = 1e-18 // avoids the logarithm of 0, which is not finite
+	return -math.Log(float64(draw)/(1<<drawBits)+minimum) / weight
 }
 
-// compareRanked orders items by score, and items of one score by id.
+// compareRanked orders items by score, and items with equal scores by id.
 func compareRanked[T any](a, b ranked[T]) int {
 	switch {
 	case a.score < b.score:
@@ -155,23 +157,23 @@
 	return strings.Compare(a.item.id, b.item.id)
 }
 
-// Rank orders the items for a key; Ranked then returns them.
+// Rank computes the order of the items for a key. Ranked returns the items in that order.
 func (s *Set[T]) Rank(key uint64) {
 	o := &s.current
 	o.key, o.first, o.full = key, o.first[:0], nil
-	cached := s.size > minSizeForCache && s.numbers.Max() <= math.MaxUint16
-	if cached {
+	useCache := s.size > minItemsForCache && s.numbers.UpperBound() <= math.MaxUint16
+	if useCache {
 		for _, number := range s.rankCache.Get(key) {
-			o.first = append(o.first, ranked[T]{item: s.numbers.Of(int(number))})
+			o.first = append(o.first, ranked[T]{item: s.numbers.Item(int(number))})
 		}
 		if len(o.first) > 0 {
 			return
 		}
 	}
 	for i := range s.groups {
-		o.first = s.groups[i].mergeFirst(key, o.first)
+		o.first = s.groups[i].mergeFirstRanks(key, o.first)
 	}
-	if cached {
+	if useCache {
 		var list rankcache.List
 		for i := range o.first {
 			list[i] = uint16(o.first[i].item.number)
@@ -180,15 +182,15 @@
 	}
 }
 
-// mergeFirst merges the group's first ranks for a key into those of other groups, which are in order.
-func (g *group[T]) mergeFirst(key uint64, merged []ranked[T]) []ranked[T] {
+// mergeFirstRanks merges the group's first ranks for a key into the sorted first ranks of other groups, and returns the result.
+func (g *group[T]) mergeFirstRanks(key uint64, merged []ranked[T]) []ranked[T] {
 	var draws [firstRanks]uint64
-	var places [firstRanks]int
-	count := g.highestDraws(key, &draws, &places)
+	var indices [firstRanks]int
+	count := g.highestDraws(key, &draws, &indices)
 	for i := range count {
-		candidate := ranked[T]{g.items[places[i]], score(draws[i], g.size)}
+		candidate := ranked[T]{g.items[indices[i]], score(draws[i], g.weight)}
 		if len(merged) == firstRanks && compareRanked(candidate, merged[firstRanks-1]) > 0 {
-			break // the group's others come later still
+			break // the group's remaining items have higher scores
 		}
 		at := min(len(merged), firstRanks-1)
 		if len(merged) < firstRanks {
@@ -202,9 +204,9 @@
 	return merged
 }
 
-// highestDraws finds the highest draws of the group for a key, in order, with the places of their items. Items of one draw stay
-// in the order of their ids. It returns their number.
-func (g *group[T]) highestDraws(key uint64, draws *[firstRanks]uint64, places *[firstRanks]int) (count int) {
+// highestDraws finds the group's highest draws for a key, in descending order, and the indices of their items. Items with equal
+// draws are ordered by id. highestDraws returns the number of draws found.
+func (g *group[T]) highestDraws(key uint64, draws *[firstRanks]uint64, indices *[firstRanks]int) (count int) {
 	for i, hash := range g.hashes {
 		drawn := draw(key, hash)
 		if count == firstRanks && drawn <= draws[count-1] {
@@ -213,14 +215,14 @@
 		at := min(count, firstRanks-1)
 		count = at + 1
 		for ; at > 0 && draws[at-1] < drawn; at-- {
-			draws[at], places[at] = draws[at-1], places[at-1]
+			draws[at], indices[at] = draws[at-1], indices[at-1]
 		}
-		draws[at], places[at] = drawn, i
+		draws[at], indices[at] = drawn, i
 	}
 	return count
 }
 
-// Ranked returns the item of rank i, from 0, for the key of the last call of Rank. There must be more than i items.
+// Ranked returns the item at rank i, counted from 0, for the key of the last call of Rank. The set must have more than i items.
 func (s *Set[T]) Ranked(i int) T {
 	o := &s.current
 	if o.full == nil && i >= len(o.first) {
@@ -232,8 +234,8 @@
 	return o.first[i].item.value
 }
 
-// fullOrder returns the order of all items for a key. The orders of a few keys are kept until the set changes: sorting a large
-// set at each request for a hot key would cost more than everything else.
+// fullOrder returns the order of all items for a key. It caches the orders of up to maxFullOrders keys until the set changes:
+// sorting a large set at each request for a hot key would dominate the cost of the request.
 func (s *Set[T]) fullOrder(key uint64) []T {
 	if full, found := s.fullOrders[key]; found {
 		return full
@@ -242,7 +244,7 @@
 	for i := range s.groups {
 		g := &s.groups[i]
 		for j, scoredItem := range g.items {
-			scored = append(scored, ranked[T]{scoredItem, score(draw(key, g.hashes[j]), g.size)})
+			scored = append(scored, ranked[T]{scoredItem, score(draw(key, g.hashes[j]), g.weight)})
 		}
 	}
 	slices.SortFunc(scored, compareRanked[T])
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// referenceOrder orders ids as rendezvous hashing is defined: a score for each, sorted.
-func referenceOrder(sizes map[string]float64, key uint64) (ids []string) {
+// referenceOrder computes an order directly from the definition of rendezvous hashing: it sorts the ids by score.
+func referenceOrder(weights map[string]float64, key uint64) (ids []string) {
 	score := map[string]float64{}
-	for id, size := range sizes {
-		score[id] = -math.Log(float64(Mix(key^Hash(id))>>11)/(1<<53)+1e-18) / size
+	for id, weight := range weights {
+		score[id] = -math.Log(float64(Mix(key^Hash(id))>>11)/(1<<53)+1e-18) / weight
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b string) int {
@@ -28,46 +28,47 @@
 	return ids
 }
 
-// TestOrderMatchesReference checks sets with any number of items and sizes, after changes, computed and remembered, and with
-// ranks requested in any order.
+// TestOrderMatchesReference checks orders for several numbers of items and weights, after changes of the set, both computed and
+// cached, and with ranks requested in random order.
 func TestOrderMatchesReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	for _, c := range []struct{ n, sizes int }{{1, 1}, {9, 1}, {14, 2}, {40, 40}, {300, 1}, {300, 7}} {
+	for _, c := range []struct{ n, distinctWeights int }{{1, 1}, {9, 1}, {14, 2}, {40, 40}, {300, 1}, {300, 7}} {
 		var s Set[string]
-		sizes := map[string]float64{}
+		weights := map[string]float64{}
 		for i := range c.n {
 			id := fmt.Sprintf("s-%08x", uint32(Mix(uint64(i))))
-			sizes[id] = 1 + float64(i%c.sizes)/2
-			s.Add(id, sizes[id], id)
+			weights[id] = 1 + float64(i%c.distinctWeights)/2
+			s.Add(id, weights[id], id)
 		}
 		keys := make([]uint64, 20)
 		for i := range keys {
 			keys[i] = rng.Uint64()
 		}
-		for change := 0; len(sizes) > 0 && change < 4; change++ {
+		for change := 0; len(weights) > 0 && change < 4; change++ {
 			for _, key := range keys {
-				want := referenceOrder(sizes, key)
+				want := referenceOrder(weights, key)
 				for range 2 {
 					s.Rank(key)
 					for _, i := range rng.Perm(len(want)) {
 						if got := s.Ranked(i); got != want[i] {
-							t.Fatalf("%+v, change %d: rank %d is %s, want %s", c, change, i, got, want[i])
+							t.Fatalf("%+v, change %d: got %s at rank %d, want %s", c, change, got, i, want[i])
 						}
 					}
 				}
 			}
-			gone := referenceOrder(sizes, keys[0])[0]
-			s.Remove(gone, sizes[gone])
-			delete(sizes, gone)
-			if s.Len() != len(sizes) {
-				t.Fatalf("%d items, want %d", s.Len(), len(sizes))
+			first := referenceOrder(weights, keys[0])[0]
+			s.Remove(first, weights[first])
+			delete(weights, first)
+			if s.Len() != len(weights) {
+				t.Fatalf("got %d items, want %d", s.Len(), len(weights))
 			}
 		}
 	}
 }
 
-// TestFullOrdersAreBoundedAndForgotten checks that few full orders are kept, and that none outlives a change of the set.
-func TestFullOrdersAreBoundedAndForgotten(t *testing.T) {
+// TestFullOrdersAreBoundedAndCleared checks that the number of cached full orders is bounded, and that a change of the set clears
+// them.
+func TestFullOrdersAreBoundedAndCleared(t *testing.T) {
 	var s Set[int]
 	for i := range 100 {
 		s.Add(fmt.Sprint(i), 1, i)
@@ -76,11 +77,11 @@
 		s.Rank(key)
 		s.Ranked(99)
 		if len(s.fullOrders) > maxFullOrders {
-			t.Fatalf("%d whole orders are kept", len(s.fullOrders))
+			t.Fatalf("got %d cached full orders, want at most %d", len(s.fullOrders), maxFullOrders)
 		}
 	}
 	s.Remove("7", 1)
 	if len(s.fullOrders) != 0 {
-		t.Errorf("%d whole orders outlive a change", len(s.fullOrders))
+		t.Errorf("got %d cached full orders after a change, want 0", len(s.fullOrders))
 	}
 }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// testOwner owns one entry, and calls a function when it expires.
+// testOwner owns one entry, and calls onExpired when the entry expires.
 type testOwner struct {
 	entry     Entry
 	name      int
@@ -18,12 +18,12 @@
 
 func (o *testOwner) Expired() { o.onExpired(o) }
 
-// testQueue is a queue on a virtual machine.
+// testQueue is a queue on a simulated machine.
 type testQueue struct {
-	world *sim.World
-	host  *sim.Host
-	queue *Queue
-	fired []int
+	world   *sim.World
+	host    *sim.Host
+	queue   *Queue
+	expired []int // names of the owners whose entries have expired, in order
 }
 
 func newTestQueue(seed uint64) *testQueue {
@@ -32,15 +32,15 @@
 	return &testQueue{world: w, host: h, queue: New(h.Machine())}
 }
 
-// inLoop runs f in the machine's loop, now.
+// inLoop runs f in the machine's event loop at the current time.
 func (r *testQueue) inLoop(f func()) {
 	r.host.Machine().Post(f)
 	r.world.Run(r.world.Now())
 }
 
-// newOwner returns an owner that records when it expires.
+// newOwner returns an owner that appends its name to expired when its entry expires.
 func (r *testQueue) newOwner(name int) *testOwner {
-	return &testOwner{name: name, onExpired: func(o *testOwner) { r.fired = append(r.fired, o.name) }}
+	return &testOwner{name: name, onExpired: func(o *testOwner) { r.expired = append(r.expired, o.name) }}
 }
 
 func TestEntriesExpireInOrder(t *testing.T) {
@@ -52,12 +52,12 @@
 		}
 	})
 	r.world.Run(r.world.Now() + 10_000)
-	if want := []int{1, 4, 3, 0, 2}; !slices.Equal(r.fired, want) {
-		t.Errorf("expired %v, want %v", r.fired, want)
+	if want := []int{1, 4, 3, 0, 2}; !slices.Equal(r.expired, want) {
+		t.Errorf("got %v, want %v", r.expired, want)
 	}
 }
 
-// TestQueueMatchesMap compares the queue with a map over random additions and removals.
+// TestQueueMatchesMap compares the queue with a map as a reference over random additions and removals.
 func TestQueueMatchesMap(t *testing.T) {
 	for seed := range uint64(50) {
 		r, draw := newTestQueue(seed), rand.New(rand.NewPCG(seed, 1))
@@ -73,7 +73,7 @@
 					all, want[step] = append(all, o), at
 				} else if o := all[draw.IntN(len(all))]; o.entry.IsSet() {
 					r.queue.Remove(&o.entry)
-					r.queue.Remove(&o.entry) // does nothing
+					r.queue.Remove(&o.entry) // a second Remove does nothing
 					delete(want, o.name)
 				}
 			})
@@ -81,55 +81,56 @@
 		}
 		r.world.Run(r.world.Now() + 10_000)
 		for name, at := range want {
-			if late := got[name] - at; got[name] == 0 || late < 0 || late > 1000 {
-				t.Errorf("seed %d: entry %d, added for %d, expired at %d", seed, name, at, got[name])
+			if delay := got[name] - at; got[name] == 0 || delay < 0 || delay > 1000 {
+				t.Errorf("seed %d: entry %d: got expiry at %d, want %d", seed, name, got[name], at)
 			}
 		}
 		if len(got) != len(want) || r.queue.Len() != 0 {
-			t.Errorf("seed %d: %d expired of %d, %d are left", seed, len(got), len(want), r.queue.Len())
+			t.Errorf("seed %d: got %d expired entries, want %d; %d entries left, want 0", seed, len(got), len(want), r.queue.Len())
 		}
 		for _, o := range all {
 			if o.entry.IsSet() || o.entry.owner != nil {
-				t.Fatalf("seed %d: an entry that is not set refers to its owner", seed)
+				t.Fatalf("seed %d: an entry is still set or refers to its owner", seed)
 			}
 		}
 		if n := r.host.Pending(); n != 0 {
-			t.Errorf("seed %d: the machine has %d timers for no entry", seed, n)
+			t.Errorf("seed %d: got %d pending timers for an empty queue, want 0", seed, n)
 		}
 	}
 }
 
-// TestEntryAddedAgainWaitsForAnotherTurn checks that an entry that adds itself again for now lets the loop do other work in
-// between.
-func TestEntryAddedAgainWaitsForAnotherTurn(t *testing.T) {
+// TestEntryAddedAgainExpiresInLaterTurn checks that an entry that is added again for the current time each time it expires does
+// not keep the event loop from other work.
+func TestEntryAddedAgainExpiresInLaterTurn(t *testing.T) {
 	r := newTestQueue(1)
 	r.inLoop(func() {
-		again := r.newOwner(1)
-		again.onExpired = func(o *testOwner) {
-			if r.fired = append(r.fired, o.name); len(r.fired) < 6 {
+		readded := r.newOwner(1)
+		readded.onExpired = func(o *testOwner) {
+			if r.expired = append(r.expired, o.name); len(r.expired) < 6 {
 				r.queue.Add(&o.entry, r.world.Now(), o)
-				r.host.Machine().Post(func() { r.fired = append(r.fired, 0) })
+				r.host.Machine().Post(func() { r.expired = append(r.expired, 0) })
 			}
 		}
-		r.queue.Add(&again.entry, r.world.Now(), again)
-		late := r.newOwner(2)
-		r.queue.Add(&late.entry, r.world.Now(), late)
+		r.queue.Add(&readded.entry, r.world.Now(), readded)
+		other := r.newOwner(2)
+		r.queue.Add(&other.entry, r.world.Now(), other)
 	})
 	r.world.Run(r.world.Now() + 10_000)
-	if len(r.fired) < 4 || r.fired[0] != 1 || r.fired[1] != 2 || !slices.Contains(r.fired[2:4], 0) {
-		t.Errorf("expired %v: nothing else ran in between", r.fired)
+	if len(r.expired) < 4 || r.expired[0] != 1 || r.expired[1] != 2 || !slices.Contains(r.expired[2:4], 0) {
+		t.Errorf("got %v, want entries 1 and 2 first, then other work (0) before entry 1 expires twice more", r.expired)
 	}
 }
 
-// TestManyEntriesOfOneTime checks entries that expire together, of which the first ones remove others.
-func TestManyEntriesOfOneTime(t *testing.T) {
+// TestExpiringEntriesRemoveOthers checks many entries with the same expiry time, some of which remove the next one when they
+// expire.
+func TestExpiringEntriesRemoveOthers(t *testing.T) {
 	r := newTestQueue(1)
 	var all []*testOwner
 	r.inLoop(func() {
 		for i := range 10_000 {
 			o := r.newOwner(i)
 			o.onExpired = func(o *testOwner) {
-				r.fired = append(r.fired, o.name)
+				r.expired = append(r.expired, o.name)
 				if next := o.name + 1; next < len(all) && next%2 == 1 {
 					r.queue.Remove(&all[next].entry)
 				}
@@ -139,8 +140,9 @@
 		}
 	})
 	r.world.Run(r.world.Now() + 10_000)
-	if len(r.fired) != 5000 || !slices.IsSorted(r.fired) || r.queue.Len() != 0 {
-		t.Errorf("%d expired, in order %v, %d left", len(r.fired), slices.IsSorted(r.fired), r.queue.Len())
+	if len(r.expired) != 5000 || !slices.IsSorted(r.expired) || r.queue.Len() != 0 {
+		t.Errorf("got %d expired entries, want 5000; sorted %v, want true; %d entries left, want 0", len(r.expired),
+			slices.IsSorted(r.expired), r.queue.Len())
 	}
 }
 
@@ -154,15 +156,15 @@
 		r.queue.Close()
 	})
 	if n := r.host.Pending(); n != 0 || r.queue.Len() != 0 {
-		t.Errorf("%d timers and %d entries are left", n, r.queue.Len())
+		t.Errorf("got %d timers and %d entries after Close, want 0 and 0", n, r.queue.Len())
 	}
 	r.world.Run(r.world.Now() + 10_000)
-	if len(r.fired) > 0 {
-		t.Errorf("expired %v", r.fired)
+	if len(r.expired) > 0 {
+		t.Errorf("got expired entries %v after Close, want none", r.expired)
 	}
 }
 
-// BenchmarkRemoveAndAdd is the life of most entries, among others that are set.
+// BenchmarkRemoveAndAdd measures removing and adding an entry, the usual operations, in queues of several lengths.
 func BenchmarkRemoveAndAdd(b *testing.B) {
 	for _, others := range []int{64, 1024, 16384} {
 		b.Run(fmt.Sprint(others), func(b *testing.B) {
