--- a/internal/guard/contract.go
+++ b/internal/guard/contract.go
@@ -6,66 +6,69 @@
 	"starlingwinch/decide"
 )
 
-// Module makes the decisions: *decide.Router, or a script in tests. Contract is one itself.
+// Module turns events into actions. *decide.Router implements it, as do Contract and the scripted modules of tests.
 type Module interface {
 	Handle(now decide.Time, ev decide.Event) []decide.Action
 }
 
-// Counter is a Module with counts of its own, with which the Contract's are compared: *decide.Router is one.
+// Counter is an optional interface of a Module that counts requests and attempts. Contract.Check compares these counts with the
+// Contract's. *decide.Router implements it.
 type Counter interface {
-	// InFlight returns the number of attempts without a result at a listed cache.
+	// InFlight returns the number of attempts at a listed cache that have no result.
 	InFlight(cache string) int
-	// Open returns the number of requests that are not answered, or have an attempt in flight.
+	// Open returns the number of requests that have no final answer or have an attempt in flight.
 	Open() int
 }
 
 const (
-	// lateTolerance is by how much a result or an answer may be late before it counts as missing, in microseconds.
-	lateTolerance decide.Time = 2_000_000
-	// maxRepairsPerCall bounds the module's calls that one call of Handle makes: the module may react to each repair with
-	// another action that makes no sense.
+	// overdueTolerance is the delay, in microseconds, after which a result or an answer counts as missing. It starts at the deadline
+	// of the attempt or request, or when a health check is sent.
+	overdueTolerance decide.Time = 2_000_000
+	// maxRepairsPerCall bounds the repairs that one call of Handle delivers to the module, because the module may react to each
+	// repair with another invalid action.
 	maxRepairsPerCall = 16
-	// maxFreeRequests is the number of records that are kept for later requests.
+	// maxFreeRequests is the maximum number of trackedRequest records held for reuse.
 	maxFreeRequests = 4096
-	// maxClosedRequests is the number of closed requests of which the number of attempts is kept.
+	// maxClosedRequests is the number of closed requests whose attempt counts are stored.
 	maxClosedRequests = 64
 )
 
-// Contract is a Module around another one. Use NewContract.
+// Contract is a Module that wraps another Module and checks its events and actions. NewContract creates one.
 //
-// The loop hands over events from a queue, so that the module may still act on behalf of a client that has left or a cache that
-// is removed: only what a side had been told counts against it. Requests must have increasing numbers.
+// The loop delivers events from a queue, so the module may still act for a client that has disconnected or for a cache that has
+// been removed. A side breaches the contract only if it contradicts an event or action that it has already received. Request IDs
+// must increase.
 type Contract struct {
-	// ReportAll has all breaches reported. Otherwise the first of each kind is, and later ones are counted: a breach that
-	// comes with each request must not cost more than the request.
+	// ReportAll enables a report for every breach. Otherwise only the first breach of each kind is reported and later ones are
+	// only counted, so that a breach that recurs with every request does not cost more than the request.
 	ReportAll bool
 
 	module  Module
-	counter Counter // nil where the module has no counts
+	counter Counter // nil if the module does not implement Counter
 	report  func(Breach)
 	counts  [kindCount]int // breaches, by kind
-	now     decide.Time    // of the call that is handled
+	now     decide.Time    // time of the current call
 
-	requests      map[int64]*trackedRequest // open ones
-	newestRequest int64                     // highest number so far
-	freeRequests  []*trackedRequest         // records for later requests
+	requests      map[int64]*trackedRequest // open requests, by ID
+	newestRequest int64                     // highest ID so far
+	freeRequests  []*trackedRequest         // records for reuse
 	closed        [maxClosedRequests]closedRequest
-	lastClosed    int                      // index into closed
-	caches        map[string]*trackedCache // listed, or with an attempt or a health check in flight
-	timers        timerTokens              // set, and neither fired nor cancelled
+	lastClosed    int                      // index into closed of the latest entry
+	caches        map[string]*trackedCache // caches that are listed or have an attempt or a health check in flight
+	timers        timerTokens              // timers that are set and have neither fired nor been cancelled
 
-	pendingResults []pendingResult       // results that the module still has to get for withheld attempts
-	repairs        map[decide.Event]bool // events of the last Overdue that were not handed to Handle yet
+	pendingResults []pendingResult       // results of withheld attempts, not yet delivered to the module
+	repairs        map[decide.Event]bool // events from the latest Overdue that have not been passed to Handle
 	events         eventBuffer           // the latest events and actions
 }
 
-// pendingResult is the result of an attempt that was withheld from the loop.
+// pendingResult identifies an attempt whose Send was withheld from the loop and whose result the module has not received.
 type pendingResult struct {
 	request int64
 	attempt int
 }
 
-// NewContract returns a Contract around a module. It calls report with breaches, from within its methods.
+// NewContract returns a Contract that wraps module. The Contract's methods call report synchronously; report may be nil.
 func NewContract(module Module, report func(Breach)) *Contract {
 	c := &Contract{
 		module:   module,
@@ -78,8 +81,8 @@
 	return c
 }
 
-// Handle checks an event, hands it to the module, and returns those of the module's actions that make sense. A Send that is
-// withheld from the loop gets its result here: the module would count its attempt as in flight for ever.
+// Handle checks an event, passes it to the module, and returns the module's valid actions. If it withholds a Send from the loop,
+// it delivers the attempt's result to the module itself; otherwise the module would count the attempt as in flight forever.
 func (c *Contract) Handle(now decide.Time, ev decide.Event) []decide.Action {
 	c.now = now
 	if !c.acceptEvent(ev) {
@@ -87,17 +90,17 @@
 	}
 	actions := c.acceptActions(c.module.Handle(now, ev))
 	if len(c.pendingResults) > 0 {
-		actions = slices.Clone(actions) // the module may use them again in its next call
+		actions = slices.Clone(actions) // the module may reuse the slice in its next call
 	}
 	for i := 0; len(c.pendingResults) > 0 && i < maxRepairsPerCall; i++ {
 		next := c.pendingResults[0]
 		c.pendingResults = c.pendingResults[1:]
-		actions = slices.Concat(actions, c.acceptActions(c.module.Handle(now, c.endWithheld(next))))
+		actions = slices.Concat(actions, c.acceptActions(c.module.Handle(now, c.endWithheldAttempt(next))))
 	}
 	return actions
 }
 
-// InFlight returns the number of attempts at a cache that the loop owes a result for.
+// InFlight returns the number of attempts at a cache for which the loop has not delivered a result.
 func (c *Contract) InFlight(cache string) int {
 	if tracked := c.caches[cache]; tracked != nil {
 		return tracked.inFlight
@@ -105,5 +108,5 @@
 	return 0
 }
 
-// Open returns the number of requests that are not answered, or have an attempt in flight.
+// Open returns the number of requests that have no final answer or have an attempt in flight.
 func (c *Contract) Open() int { return len(c.requests) }
--- a/internal/guard/contract_test.go
+++ b/internal/guard/contract_test.go
@@ -8,11 +8,11 @@
 	"starlingwinch/decide"
 )
 
-// scriptedModule is a module that asks for the actions that a test sets, and counts its attempts in flight.
+// scriptedModule is a Module that returns the actions that a test sets, and counts its attempts in flight.
 type scriptedModule struct {
 	events      []decide.Event
-	nextActions []decide.Action // returned at the next event
-	inFlight    int             // sends without a result
+	nextActions []decide.Action // the response to the next event
+	inFlight    int             // Sends without a result
 }
 
 func (s *scriptedModule) Handle(_ decide.Time, ev decide.Event) []decide.Action {
@@ -22,51 +22,51 @@
 	}
 	actions := s.nextActions
 	s.nextActions = nil
-	for _, a := range actions {
-		if _, ok := a.(decide.Send); ok {
+	for _, action := range actions {
+		if _, ok := action.(decide.Send); ok {
 			s.inFlight++
 		}
 	}
 	return actions
 }
 
-// contractTest is a scripted module in a Contract, with one listed cache "a".
+// contractTest is a test of a Contract around a scriptedModule, with one listed cache, "a".
 type contractTest struct {
-	t              *testing.T
-	module         *scriptedModule
-	contract       *Contract
-	now            decide.Time
-	breaches       []Breach
-	forwarded      bool // whether the event of the last breach reached the module
-	allowedActions int  // number of actions then
+	t               *testing.T
+	module          *scriptedModule
+	contract        *Contract
+	now             decide.Time
+	breaches        []Breach
+	forwarded       bool // the event of the latest breach reached the module
+	acceptedActions int  // number of actions that the Contract accepted at the latest breach
 }
 
 func newContractTest(t *testing.T) *contractTest {
-	b := &contractTest{t: t, module: &scriptedModule{}, now: 1000}
-	b.contract = NewContract(b.module, func(x Breach) { b.breaches = append(b.breaches, x) })
-	b.contract.ReportAll = true
-	b.handle(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
-	return b
+	test := &contractTest{t: t, module: &scriptedModule{}, now: 1000}
+	test.contract = NewContract(test.module, func(breach Breach) { test.breaches = append(test.breaches, breach) })
+	test.contract.ReportAll = true
+	test.handle(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
+	return test
 }
 
-// handle hands over an event to which the module responds with the actions, and returns those that are accepted.
-func (b *contractTest) handle(ev decide.Event, actions ...decide.Action) []decide.Action {
-	b.now++
-	b.module.nextActions = actions
-	reported, received := len(b.breaches), len(b.module.events)
-	accepted := b.contract.Handle(b.now, ev)
-	if len(b.breaches) > reported {
-		b.forwarded, b.allowedActions = len(b.module.events) > received, len(accepted)
+// handle passes an event to the Contract, whose module responds with actions, and returns the accepted actions.
+func (test *contractTest) handle(ev decide.Event, actions ...decide.Action) []decide.Action {
+	test.now++
+	test.module.nextActions = actions
+	reported, received := len(test.breaches), len(test.module.events)
+	accepted := test.contract.Handle(test.now, ev)
+	if len(test.breaches) > reported {
+		test.forwarded, test.acceptedActions = len(test.module.events) > received, len(accepted)
 	}
 	return accepted
 }
 
-func (b *contractTest) overdue(after decide.Time) []decide.Event {
-	b.now += after
-	return b.contract.Overdue(b.now)
+func (test *contractTest) overdue(after decide.Time) []decide.Event {
+	test.now += after
+	return test.contract.Overdue(test.now)
 }
 
-const testDeadline = 5_000 // deadline of the requests of these tests
+const testDeadline = 5_000 // deadline of the tests' requests, in microseconds
 
 func newRequest(id int64) *decide.Request { return &decide.Request{ID: id, Deadline: testDeadline} }
 func send(id int64) decide.Send {
@@ -76,327 +76,329 @@
 	return &decide.AttemptResult{ID: id, Result: decide.Served, Last: true}
 }
 
-// breachCases break the contract in each way. What is left open is then ended as by a loop and a module that know nothing of
-// the breach.
+// breachCases contains at least one case for each kind of breach. After the breach, each case ends its open requests, health checks
+// and timers in the same way as a loop and a module that did not notice the breach.
 var breachCases = []struct {
 	name     string
 	kind     Kind
-	play     func(b *contractTest)
-	dropped  bool // the event that breaks it is not handed to the module
-	withheld bool // the action that breaks it is not carried out
+	run      func(test *contractTest)
+	dropped  bool // the event that breaks the contract must not reach the module
+	withheld bool // the action that breaks the contract must not reach the loop
 }{
-	{"a request announced twice", RequestRepeated, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(newRequest(1))
-		b.handle(served(1))
+	{"a repeated request", RequestRepeated, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(newRequest(1))
+		test.handle(served(1))
 	}, true, false},
-	{"a result of an unknown request", ResultUnknown, func(b *contractTest) { b.handle(served(7)) }, true, false},
-	{"a result of an attempt never sent", ResultUnknown, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.AttemptResult{ID: 1, Attempt: 1})
-		b.handle(served(1))
+	{"a result of an unknown request", ResultUnknown, func(test *contractTest) { test.handle(served(7)) }, true, false},
+	{"a result of an attempt never sent", ResultUnknown, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.AttemptResult{ID: 1, Attempt: 1})
+		test.handle(served(1))
 	}, true, false},
-	{"a result of an attempt below the first", ResultUnknown, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.AttemptResult{ID: 1, Attempt: -1})
-		b.handle(served(1))
+	{"a result with a negative attempt number", ResultUnknown, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.AttemptResult{ID: 1, Attempt: -1})
+		test.handle(served(1))
 	}, true, false},
-	{"a second result", ResultRepeated, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored})
-		b.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored}, decide.Fail{ID: 1})
-		b.handle(&decide.PeerMessage{}, decide.Fail{ID: 1})
+	{"a second result", ResultRepeated, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored})
+		test.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored}, decide.Fail{ID: 1})
+		test.handle(&decide.PeerMessage{}, decide.Fail{ID: 1})
 	}, true, false},
-	{"a second result after the end", ResultRepeated, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(served(1))
-		b.handle(served(1))
+	{"a second result after the end", ResultRepeated, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(served(1))
+		test.handle(served(1))
 	}, true, false},
-	{"a missing result", ResultMissing, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.ClientGone{ID: 1})
-		b.repair(1, decide.TimedOut)
+	{"a missing result", ResultMissing, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.ClientGone{ID: 1})
+		test.deliverOverdue(1, decide.TimedOut)
 	}, false, false},
-	{"a response start of an attempt not in flight", ResponseStartUnknown, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.ResponseStarted{ID: 1, Attempt: 1})
-		b.handle(served(1))
+	{"a response start of an attempt not in flight", ResponseStartUnknown, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.ResponseStarted{ID: 1, Attempt: 1})
+		test.handle(served(1))
 	}, true, false},
-	{"an unknown client leaves", ClientGoneUnknown, func(b *contractTest) { b.handle(&decide.ClientGone{ID: 7}) }, true, false},
-	{"a client leaves twice", ClientGoneUnknown, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.ClientGone{ID: 1})
-		b.handle(&decide.ClientGone{ID: 1})
-		b.handle(served(1))
+	{"a client of an unknown request disconnects", ClientGoneUnknown, func(test *contractTest) { test.handle(&decide.ClientGone{ID: 7}) }, true, false},
+	{"a client disconnects twice", ClientGoneUnknown, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.ClientGone{ID: 1})
+		test.handle(&decide.ClientGone{ID: 1})
+		test.handle(served(1))
 	}, true, false},
-	{"a result of an unknown health check", HealthCheckUnknown, func(b *contractTest) {
-		b.handle(&decide.HealthCheckResult{Cache: "a"})
+	{"a result of an unknown health check", HealthCheckUnknown, func(test *contractTest) {
+		test.handle(&decide.HealthCheckResult{Cache: "a"})
 	}, true, false},
-	{"a second result of a health check", HealthCheckUnknown, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.HealthCheck{Cache: "a"})
-		b.handle(&decide.HealthCheckResult{Cache: "a"})
-		b.handle(&decide.HealthCheckResult{Cache: "a"})
+	{"a second result of a health check", HealthCheckUnknown, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.HealthCheck{Cache: "a"})
+		test.handle(&decide.HealthCheckResult{Cache: "a"})
+		test.handle(&decide.HealthCheckResult{Cache: "a"})
 	}, true, false},
-	{"a missing result of a health check", HealthCheckMissing, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.HealthCheck{Cache: "a"})
-		b.repair(1, decide.TimedOut)
+	{"a missing result of a health check", HealthCheckMissing, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.HealthCheck{Cache: "a"})
+		test.deliverOverdue(1, decide.TimedOut)
 	}, false, false},
-	{"a timer never set", TimerNotSet, func(b *contractTest) { b.handle(&decide.Timer{Token: 3}) }, true, false},
-	{"a timer that fires twice", TimerNotSet, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
-		b.handle(&decide.Timer{Token: 3})
-		b.handle(&decide.Timer{Token: 3})
+	{"a timer never set", TimerNotSet, func(test *contractTest) { test.handle(&decide.Timer{Token: 3}) }, true, false},
+	{"a timer that fires twice", TimerNotSet, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
+		test.handle(&decide.Timer{Token: 3})
+		test.handle(&decide.Timer{Token: 3})
 	}, true, false},
-	{"a send for an unknown request", SendAfterEnd, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, send(7))
+	{"a send for an unknown request", SendAfterEnd, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, send(7))
 	}, false, true},
-	{"a send after the final answer", SendAfterEnd, func(b *contractTest) {
-		b.handle(newRequest(1), send(1), decide.Reject{ID: 1})
-		b.handle(&decide.PeerMessage{}, send(1))
-		b.handle(served(1))
+	{"a send after the final answer", SendAfterEnd, func(test *contractTest) {
+		test.handle(newRequest(1), send(1), decide.Reject{ID: 1})
+		test.handle(&decide.PeerMessage{}, send(1))
+		test.handle(served(1))
 	}, false, true},
-	{"a send after the end", SendAfterEnd, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(served(1))
-		b.handle(&decide.PeerMessage{}, send(1))
+	{"a send after the end", SendAfterEnd, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(served(1))
+		test.handle(&decide.PeerMessage{}, send(1))
 	}, false, true},
-	{"a send to a cache never listed", SendUnlisted, func(b *contractTest) {
-		b.handle(newRequest(1), decide.Send{ID: 1, Cache: "b"})
-		b.handle(served(1))
+	{"a send to a cache never listed", SendUnlisted, func(test *contractTest) {
+		test.handle(newRequest(1), decide.Send{ID: 1, Cache: "b"})
+		test.handle(served(1))
 	}, false, false},
-	{"a send to a removed cache", SendUnlisted, func(b *contractTest) {
-		b.handle(&decide.EndpointList{Kind: decide.DeltaUpdate, Endpoints: []decide.Endpoint{{ID: "a", Status: decide.Removed}}})
-		b.handle(newRequest(1), send(1))
-		b.handle(served(1))
+	{"a send to a removed cache", SendUnlisted, func(test *contractTest) {
+		test.handle(&decide.EndpointList{Kind: decide.DeltaUpdate, Endpoints: []decide.Endpoint{{ID: "a", Status: decide.Removed}}})
+		test.handle(newRequest(1), send(1))
+		test.handle(served(1))
 	}, false, false},
-	{"an answer to an unknown request", AnswerAfterEnd, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.Reject{ID: 7})
+	{"an answer to an unknown request", AnswerAfterEnd, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.Reject{ID: 7})
 	}, false, true},
-	{"a second answer", AnswerAfterEnd, func(b *contractTest) {
-		b.handle(newRequest(1), send(1), decide.Reject{ID: 1})
-		b.handle(&decide.PeerMessage{}, decide.Fail{ID: 1})
-		b.handle(served(1))
+	{"a second answer", AnswerAfterEnd, func(test *contractTest) {
+		test.handle(newRequest(1), send(1), decide.Reject{ID: 1})
+		test.handle(&decide.PeerMessage{}, decide.Fail{ID: 1})
+		test.handle(served(1))
 	}, false, true},
-	{"a missing answer", AnswerMissing, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored})
-		b.repair(1, 0)
+	{"a missing answer", AnswerMissing, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored})
+		test.deliverOverdue(1, 0)
 	}, false, false},
-	{"a cancel of an attempt never sent", CancelUnknown, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(&decide.PeerMessage{}, decide.Cancel{ID: 1, Attempt: 1})
-		b.handle(served(1))
+	{"a cancel of an attempt never sent", CancelUnknown, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(&decide.PeerMessage{}, decide.Cancel{ID: 1, Attempt: 1})
+		test.handle(served(1))
 	}, false, true},
-	{"a cancel of an attempt that has ended", CancelUnknown, func(b *contractTest) {
-		b.handle(newRequest(1), send(1))
-		b.handle(served(1))
-		b.handle(&decide.PeerMessage{}, decide.Cancel{ID: 1})
+	{"a cancel of an attempt that has ended", CancelUnknown, func(test *contractTest) {
+		test.handle(newRequest(1), send(1))
+		test.handle(served(1))
+		test.handle(&decide.PeerMessage{}, decide.Cancel{ID: 1})
 	}, false, true},
-	{"a health check of a cache never listed", HealthCheckUnlisted, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.HealthCheck{Cache: "b"})
+	{"a health check of a cache never listed", HealthCheckUnlisted, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.HealthCheck{Cache: "b"})
 	}, false, true},
-	{"idle connections of a cache never listed", CloseIdleUnlisted, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.CloseIdle{Cache: "b"})
+	{"a close of idle connections to a cache never listed", CloseIdleUnlisted, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.CloseIdle{Cache: "b"})
 	}, false, true},
-	{"a cancel of a timer that is not set", CancelTimerNotSet, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
-		b.handle(&decide.PeerMessage{}, decide.CancelTimer{Token: 3})
-		b.handle(&decide.PeerMessage{}, decide.CancelTimer{Token: 3})
+	{"a cancel of a timer that is not set", CancelTimerNotSet, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
+		test.handle(&decide.PeerMessage{}, decide.CancelTimer{Token: 3})
+		test.handle(&decide.PeerMessage{}, decide.CancelTimer{Token: 3})
 	}, false, true},
-	{"a token that is in use", TimerReused, func(b *contractTest) {
-		b.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
-		b.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
-		b.handle(&decide.Timer{Token: 3})
+	{"a timer token that is already set", TimerReused, func(test *contractTest) {
+		test.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
+		test.handle(&decide.PeerMessage{}, decide.SetTimer{Token: 3})
+		test.handle(&decide.Timer{Token: 3})
 	}, false, true},
 }
 
-// repair takes the events in place of missing ones, long after, and hands them over.
-func (b *contractTest) repair(want int, result decide.Result) {
-	b.t.Helper()
-	if events := b.overdue(testDeadline); len(events) != 0 {
-		b.t.Errorf("%d events within the tolerance, want none", len(events))
-	}
-	events := b.overdue(lateTolerance)
+// deliverOverdue checks that nothing is overdue within overdueTolerance, then passes the overdue events to the Contract. It checks
+// the number of events, that Overdue returns each event once, and that results have the given value.
+func (test *contractTest) deliverOverdue(want int, result decide.Result) {
+	test.t.Helper()
+	if events := test.overdue(testDeadline); len(events) != 0 {
+		test.t.Errorf("%d events are overdue within the tolerance, want 0", len(events))
+	}
+	events := test.overdue(overdueTolerance)
 	if len(events) != want {
-		b.t.Fatalf("%d events are overdue, want %d", len(events), want)
+		test.t.Fatalf("%d events are overdue, want %d", len(events), want)
 	}
-	if again := b.overdue(1); len(again) != 0 {
-		b.t.Errorf("%d events are overdue a second time", len(again))
+	if again := test.overdue(1); len(again) != 0 {
+		test.t.Errorf("%d events are overdue a second time, want 0", len(again))
 	}
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case *decide.AttemptResult:
 			if ev.Result != result {
-				b.t.Errorf("the result is %v, want %v: it may have run", ev.Result, result)
+				test.t.Errorf("the result is %v, want %v, because the attempt may have run", ev.Result, result)
 			}
 		case *decide.HealthCheckResult:
 			if ev.Result != result {
-				b.t.Errorf("the result of the health check is %v, want %v", ev.Result, result)
+				test.t.Errorf("the result of the health check is %v, want %v", ev.Result, result)
 			}
 		}
-		b.handle(ev)
+		test.handle(ev)
 	}
 }
 
 func TestEachBreachIsReportedAndRepaired(t *testing.T) {
-	tested := map[Kind]bool{ModuleCountDiffers: true, SocketCountDiffers: true, OpenCountDiffers: true} // tested below
-	for _, c := range breachCases {
-		tested[c.kind] = true
-		t.Run(c.name, func(t *testing.T) {
-			b := newContractTest(t)
-			c.play(b)
-			if len(b.breaches) != 1 || b.breaches[0].Kind != c.kind || b.contract.Count(c.kind) != 1 {
-				t.Fatalf("reported %v, counted %d, want one %v", b.breaches, b.contract.Count(c.kind), c.kind)
+	tested := map[Kind]bool{ModuleCountDiffers: true, SocketCountDiffers: true, OpenCountDiffers: true} // tested in TestDifferingCountsAreReported
+	for _, testCase := range breachCases {
+		tested[testCase.kind] = true
+		t.Run(testCase.name, func(t *testing.T) {
+			test := newContractTest(t)
+			testCase.run(test)
+			if len(test.breaches) != 1 || test.breaches[0].Kind != testCase.kind || test.contract.Count(testCase.kind) != 1 {
+				t.Fatalf("reported %v, counted %d, want one %v", test.breaches, test.contract.Count(testCase.kind), testCase.kind)
 			}
-			if c.dropped && b.forwarded {
-				t.Error("the event reached the module")
+			if testCase.dropped && test.forwarded {
+				t.Error("the event reached the module, want it dropped")
 			}
-			if c.withheld && (!b.forwarded || b.allowedActions > 0) {
-				t.Errorf("%d actions were accepted, want none", b.allowedActions)
+			if testCase.withheld && (!test.forwarded || test.acceptedActions > 0) {
+				t.Errorf("%d actions were accepted, want none", test.acceptedActions)
 			}
-			b.wantNothingOpen()
+			test.wantNothingOpen()
 		})
 	}
-	for k := range kindCount {
-		if !tested[k] {
-			t.Errorf("%v has no test", k)
+	for kind := range kindCount {
+		if !tested[kind] {
+			t.Errorf("%v has no test", kind)
 		}
 	}
 }
 
-// wantNothingOpen checks that nothing is left open on either side.
-func (b *contractTest) wantNothingOpen() {
-	b.t.Helper()
-	b.now += 10 * lateTolerance
-	if n := len(b.contract.Overdue(b.now)); n != 0 {
-		b.t.Errorf("%d events are still missing", n)
+// wantNothingOpen checks that no request, attempt or event is outstanding in the Contract or the module.
+func (test *contractTest) wantNothingOpen() {
+	test.t.Helper()
+	test.now += 10 * overdueTolerance
+	if n := len(test.contract.Overdue(test.now)); n != 0 {
+		test.t.Errorf("%d events are overdue at the end, want 0", n)
 	}
-	if b.contract.Open() != 0 || b.contract.InFlight("a") != 0 || b.contract.InFlight("b") != 0 {
-		b.t.Errorf("%d requests are open and %d attempts in flight at the end", b.contract.Open(), b.contract.InFlight("a"))
+	if test.contract.Open() != 0 || test.contract.InFlight("a") != 0 || test.contract.InFlight("b") != 0 {
+		test.t.Errorf("%d requests are open and %d attempts are in flight at the end, want 0", test.contract.Open(), test.contract.InFlight("a"))
 	}
-	if b.module.inFlight != 0 {
-		b.t.Errorf("the module counts %d attempts at the end", b.module.inFlight)
+	if test.module.inFlight != 0 {
+		test.t.Errorf("the module counts %d attempts in flight at the end, want 0", test.module.inFlight)
 	}
-	if n := len(b.contract.caches); n > 1 || n == 1 && b.contract.caches["a"] == nil {
-		b.t.Errorf("%d caches are tracked, want the listed one", n)
+	if n := len(test.contract.caches); n > 1 || n == 1 && test.contract.caches["a"] == nil {
+		test.t.Errorf("%d caches are tracked, want only the listed cache", n)
 	}
 }
 
 func TestWithheldSendsKeepModuleNumbers(t *testing.T) {
-	b := newContractTest(t)
-	b.handle(newRequest(1), send(1))
-	b.handle(served(1))
-	b.handle(&decide.PeerMessage{}, send(1), send(1))
+	test := newContractTest(t)
+	test.handle(newRequest(1), send(1))
+	test.handle(served(1))
+	test.handle(&decide.PeerMessage{}, send(1), send(1))
 	var got []int
-	for _, ev := range b.module.events {
-		if o, ok := ev.(*decide.AttemptResult); ok && o.Result == decide.NotSent {
-			got = append(got, o.Attempt)
+	for _, ev := range test.module.events {
+		if result, ok := ev.(*decide.AttemptResult); ok && result.Result == decide.NotSent {
+			got = append(got, result.Attempt)
 		}
 	}
 	if !slices.Equal(got, []int{1, 2}) {
-		t.Errorf("the results of the sends after the end are numbered %v, want 1 and 2", got)
+		t.Errorf("the results of the withheld sends have attempt numbers %v, want 1 and 2", got)
 	}
 }
 
 func TestRepairsPerCallAreBounded(t *testing.T) {
-	m := &endlessSender{}
-	b := NewContract(m, nil)
-	if actions := b.Handle(1, &decide.PeerMessage{}); len(actions) != 0 {
-		t.Errorf("accepted %v", actions)
+	module := &endlessSender{}
+	contract := NewContract(module, nil)
+	if actions := contract.Handle(1, &decide.PeerMessage{}); len(actions) != 0 {
+		t.Errorf("accepted actions %v, want none", actions)
 	}
-	if m.results != maxRepairsPerCall {
-		t.Errorf("the module got %d results in one call, want %d", m.results, maxRepairsPerCall)
+	if module.results != maxRepairsPerCall {
+		t.Errorf("the module got %d results in one call, want %d", module.results, maxRepairsPerCall)
 	}
-	if m.stopped = true; b.Handle(2, &decide.PeerMessage{}) != nil || m.out != 0 {
-		t.Errorf("the module counts %d attempts once it has stopped", m.out)
+	if module.stopped = true; contract.Handle(2, &decide.PeerMessage{}) != nil || module.inFlight != 0 {
+		t.Errorf("the module counts %d attempts in flight after its last send, want 0", module.inFlight)
 	}
 }
 
-// endlessSender is a module that sends for an unknown request at each event.
+// endlessSender is a Module that returns a Send for an unknown request at each event until stopped is set.
 type endlessSender struct {
-	stopped      bool
-	results, out int
+	stopped           bool
+	results, inFlight int
 }
 
 func (s *endlessSender) Handle(_ decide.Time, ev decide.Event) []decide.Action {
 	if _, ok := ev.(*decide.AttemptResult); ok {
 		s.results++
-		s.out--
+		s.inFlight--
 	}
 	if s.stopped {
 		return nil
 	}
-	s.out++
+	s.inFlight++
 	return []decide.Action{send(7)}
 }
 
 func TestCrossingEventsAreNoBreach(t *testing.T) {
-	b := newContractTest(t)
-	b.handle(newRequest(1), send(1))
-	// The client has left: its attempt ends before the module gets that event, and the module may still answer.
-	b.handle(&decide.AttemptResult{ID: 1, Result: decide.NotSent, Last: true})
-	b.handle(&decide.ClientGone{ID: 1})
-	b.handle(newRequest(2), decide.Reject{ID: 2})
-	b.handle(&decide.ClientGone{ID: 2})
-	// The cache is removed while an attempt and a health check are in flight, and is listed again.
-	b.handle(newRequest(3), send(3), decide.HealthCheck{Cache: "a"})
-	b.handle(&decide.EndpointList{Kind: decide.FullUpdate})
-	b.handle(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
-	if n := b.contract.InFlight("a"); n != 1 {
-		t.Errorf("%d attempts in flight at the cache that is listed again, want the earlier one", n)
-	}
-	b.handle(&decide.HealthCheckResult{Cache: "a"})
-	b.handle(served(3))
-	if len(b.breaches) > 0 {
-		t.Errorf("reported %v", b.breaches)
-	}
-	b.wantNothingOpen()
+	test := newContractTest(t)
+	test.handle(newRequest(1), send(1))
+	// The client has disconnected. Its attempt ends before the module receives ClientGone, and the module may still answer.
+	test.handle(&decide.AttemptResult{ID: 1, Result: decide.NotSent, Last: true})
+	test.handle(&decide.ClientGone{ID: 1})
+	test.handle(newRequest(2), decide.Reject{ID: 2})
+	test.handle(&decide.ClientGone{ID: 2})
+	// The cache is removed and listed again while an attempt and a health check are in flight.
+	test.handle(newRequest(3), send(3), decide.HealthCheck{Cache: "a"})
+	test.handle(&decide.EndpointList{Kind: decide.FullUpdate})
+	test.handle(&decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
+	if n := test.contract.InFlight("a"); n != 1 {
+		t.Errorf("%d attempts are in flight at the cache that is listed again, want 1, the earlier attempt", n)
+	}
+	test.handle(&decide.HealthCheckResult{Cache: "a"})
+	test.handle(served(3))
+	if len(test.breaches) > 0 {
+		t.Errorf("reported %v, want no breach", test.breaches)
+	}
+	test.wantNothingOpen()
 }
 
 func TestStartedResponseIsNotOverdue(t *testing.T) {
-	b := newContractTest(t)
-	b.handle(newRequest(1), send(1))
-	b.handle(&decide.ResponseStarted{ID: 1})
-	if events := b.overdue(testDeadline + 10*lateTolerance); len(events) != 0 {
-		t.Errorf("%d events are overdue after the response has started", len(events))
-	}
-	b.handle(served(1))
-	b.wantNothingOpen()
+	test := newContractTest(t)
+	test.handle(newRequest(1), send(1))
+	test.handle(&decide.ResponseStarted{ID: 1})
+	if events := test.overdue(testDeadline + 10*overdueTolerance); len(events) != 0 {
+		t.Errorf("%d events are overdue after the response has started, want 0", len(events))
+	}
+	test.handle(served(1))
+	test.wantNothingOpen()
 }
 
 func TestOvertakenRepairIsNoBreach(t *testing.T) {
-	b := newContractTest(t)
-	b.handle(newRequest(1), send(1), decide.HealthCheck{Cache: "a"})
-	events := b.overdue(testDeadline + lateTolerance + 10)
+	test := newContractTest(t)
+	test.handle(newRequest(1), send(1), decide.HealthCheck{Cache: "a"})
+	events := test.overdue(testDeadline + overdueTolerance + 10)
 	if len(events) != 3 {
-		t.Fatalf("%d events are overdue, want the result, the answer and the health check", len(events))
+		t.Fatalf("%d events are overdue, want 3: the result, the answer and the health check", len(events))
 	}
-	b.handle(served(1))
-	b.handle(&decide.ClientGone{ID: 1})
-	b.handle(&decide.HealthCheckResult{Cache: "a"})
-	reported := len(b.breaches)
+	test.handle(served(1))
+	test.handle(&decide.ClientGone{ID: 1})
+	test.handle(&decide.HealthCheckResult{Cache: "a"})
+	reported := len(test.breaches)
 	for _, ev := range events {
-		b.handle(ev)
+		test.handle(ev)
 	}
-	if len(b.breaches) != reported {
-		t.Errorf("reported %v", b.breaches[reported:])
+	if len(test.breaches) != reported {
+		t.Errorf("reported %v for overdue events whose originals had arrived, want no breach", test.breaches[reported:])
 	}
-	b.wantNothingOpen()
+	test.wantNothingOpen()
 }
 
 func TestFirstBreachOfKindIsReported(t *testing.T) {
-	b := newContractTest(t)
-	b.contract.ReportAll = false
+	test := newContractTest(t)
+	test.contract.ReportAll = false
 	for range 5 {
-		b.handle(served(7))
-		b.handle(&decide.Timer{Token: 7})
+		test.handle(served(7))
+		test.handle(&decide.Timer{Token: 7})
 	}
-	if len(b.breaches) != 2 || b.contract.Count(ResultUnknown) != 5 || b.contract.Count(TimerNotSet) != 5 {
-		t.Errorf("reported %v, counted %d and %d", b.breaches, b.contract.Count(ResultUnknown), b.contract.Count(TimerNotSet))
+	if len(test.breaches) != 2 || test.contract.Count(ResultUnknown) != 5 || test.contract.Count(TimerNotSet) != 5 {
+		t.Errorf("reported %v, counted %d unknown results and %d timers not set, want one report of each kind and counts of 5",
+			test.breaches, test.contract.Count(ResultUnknown), test.contract.Count(TimerNotSet))
 	}
 }
 
-// countingModule is a scripted module with counts of its own.
+// countingModule is a scriptedModule that implements Counter with fixed counts.
 type countingModule struct {
 	scriptedModule
 	inFlightCount, openCount int
@@ -406,57 +408,57 @@
 func (c *countingModule) Open() int           { return c.openCount }
 
 func TestDifferingCountsAreReported(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name               string
 		inModule, onSocket int
 		open               int
 		want               []Kind
 	}{
 		{"all agree", 1, 1, 1, nil},
-		{"the module counts one attempt less", 0, 1, 1, []Kind{ModuleCountDiffers}},
+		{"the module counts one attempt fewer", 0, 1, 1, []Kind{ModuleCountDiffers}},
 		{"no attempt is on a socket", 1, 0, 1, []Kind{SocketCountDiffers}},
 		{"one more attempt is on a socket", 1, 2, 1, []Kind{SocketCountDiffers}},
 		{"the module counts one request more", 1, 1, 2, []Kind{OpenCountDiffers}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			m := &countingModule{inFlightCount: c.inModule, openCount: c.open}
+		t.Run(testCase.name, func(t *testing.T) {
+			module := &countingModule{inFlightCount: testCase.inModule, openCount: testCase.open}
 			var got []Kind
-			b := NewContract(m, func(x Breach) { got = append(got, x.Kind) })
-			b.Handle(1, &decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
-			m.nextActions = []decide.Action{send(1)}
-			b.Handle(2, newRequest(1))
-			b.Check(3, func(string) int { return c.onSocket })
-			if !slices.Equal(got, c.want) {
-				t.Errorf("reported %v, want %v", got, c.want)
+			contract := NewContract(module, func(breach Breach) { got = append(got, breach.Kind) })
+			contract.Handle(1, &decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
+			module.nextActions = []decide.Action{send(1)}
+			contract.Handle(2, newRequest(1))
+			contract.Check(3, func(string) int { return testCase.onSocket })
+			if !slices.Equal(got, testCase.want) {
+				t.Errorf("reported %v, want %v", got, testCase.want)
 			}
 		})
 	}
 }
 
 func TestMaximumDeadlineIsNotOverdue(t *testing.T) {
-	b := newContractTest(t)
-	b.handle(&decide.Request{ID: 1, Deadline: math.MaxInt64}, decide.Send{ID: 1, Cache: "a", AttemptDeadline: math.MaxInt64})
-	if events := b.overdue(10 * lateTolerance); len(events) != 0 {
-		t.Errorf("%d events are overdue", len(events))
+	test := newContractTest(t)
+	test.handle(&decide.Request{ID: 1, Deadline: math.MaxInt64}, decide.Send{ID: 1, Cache: "a", AttemptDeadline: math.MaxInt64})
+	if events := test.overdue(10 * overdueTolerance); len(events) != 0 {
+		t.Errorf("%d events are overdue, want 0", len(events))
 	}
 }
 
 func TestHistoryNamesEachEventOnce(t *testing.T) {
-	b := newContractTest(t)
-	b.handle(newRequest(1), send(1))
-	b.handle(newRequest(2), send(2))
-	b.handle(newRequest(3), decide.Reject{ID: 3})
-	b.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored})
-	b.handle(&decide.PeerMessage{}, decide.Reject{ID: 2})
-	b.overdue(testDeadline + lateTolerance)
-	if len(b.breaches) < 2 || b.breaches[1].Kind != ResultMissing {
-		t.Fatalf("reported %v, want the answer to 1 and the result of 2", b.breaches)
+	test := newContractTest(t)
+	test.handle(newRequest(1), send(1))
+	test.handle(newRequest(2), send(2))
+	test.handle(newRequest(3), decide.Reject{ID: 3})
+	test.handle(&decide.AttemptResult{ID: 1, Result: decide.Errored})
+	test.handle(&decide.PeerMessage{}, decide.Reject{ID: 2})
+	test.overdue(testDeadline + overdueTolerance)
+	if len(test.breaches) < 2 || test.breaches[1].Kind != ResultMissing {
+		t.Fatalf("reported %v, want the missing answer to request 1 and the missing result of request 2", test.breaches)
 	}
 	want := []string{
-		"1003 request 2, wanted by 5000", "1003 send 2/0 a, given up at 5000", // of the request
-		"1001 listed a", "1002 send 1/0 a", "1005 outcome 1/0 a errored", // of the cache
+		"1003 request 2, deadline 5000", "1003 send 2/0 a, deadline 5000", // lines of the request
+		"1001 listed a", "1002 send 1/0 a", "1005 outcome 1/0 a errored", // lines of the cache
 	}
-	if got := b.breaches[1].History; !slices.Equal(got, want) {
+	if got := test.breaches[1].History; !slices.Equal(got, want) {
 		t.Errorf("the history is %q, want %q", got, want)
 	}
 }
--- a/internal/guard/history.go
+++ b/internal/guard/history.go
@@ -6,7 +6,7 @@
 	"starlingwinch/decide"
 )
 
-// eventKind is what an eventRecord is about.
+// eventKind is the type of the event or action in an eventRecord.
 type eventKind uint8
 
 const (
@@ -26,15 +26,15 @@
 	eventCloseIdle
 )
 
-// eventNames are the names of the kinds in a Breach's History.
+// eventNames are the names of the kinds in Breach.History.
 var eventNames = [...]string{"", "request", "started", "outcome", "departed", "probed", "listed", "removed", "send",
 	"cancel", "refuse", "fail", "probe", "close idle"}
 
-// resultNames are the names of results in the log.
+// resultNames are the names of results in logs.
 var resultNames = [...]string{"served", "errored", "rejected", "timed out", "connect failed", "connection lost",
 	"cancelled", "not sent", "not stored"}
 
-// ResultName returns the name of a result in the log.
+// ResultName returns the name of a result in logs.
 func ResultName(result decide.Result) string {
 	if int(result) < len(resultNames) {
 		return resultNames[result]
@@ -43,35 +43,36 @@
 }
 
 const (
-	// maxBufferedEvents is the number of events and actions that an eventBuffer holds.
+	// maxBufferedEvents is the capacity of an eventBuffer, in events and actions.
 	maxBufferedEvents = 64
-	// attemptsInHistory is the number of a request's latest attempts that its history names.
-	attemptsInHistory = 16
+	// maxAttemptsInHistory is the maximum number of attempts in a request's history; earlier attempts are left out.
+	maxAttemptsInHistory = 16
 )
 
-// eventRecord is one event or action. One is made for each, and hardly any is read, so it is not formatted before.
+// eventRecord describes one event or action. The Contract records every event and action but reads the records only after a
+// breach, so a record is not formatted until it is read.
 type eventRecord struct {
 	at      decide.Time
-	request int64  // 0 where none is concerned
-	cache   string // empty where none is concerned
+	request int64  // 0 if the event concerns no request
+	cache   string // empty if the event concerns no cache
 	attempt int
 	kind    eventKind
 	result  decide.Result
 }
 
-// eventBuffer holds the latest events and actions.
+// eventBuffer is a ring buffer of the latest events and actions.
 type eventBuffer struct {
-	records [maxBufferedEvents]eventRecord // a ring
+	records [maxBufferedEvents]eventRecord // the record with number n is at n modulo the length
 	next    uint                           // number of the next record
 }
 
-// add adds a record in place of the oldest one.
+// add stores a record and overwrites the oldest one.
 func (b *eventBuffer) add(record eventRecord) {
 	b.records[b.next%maxBufferedEvents] = record
 	b.next++
 }
 
-// String returns the record as a line of a Breach's History.
+// String formats the record as one line of Breach.History.
 func (r *eventRecord) String() string {
 	text := fmt.Sprintf("%d %s", r.at, eventNames[r.kind])
 	if r.request != 0 {
@@ -90,8 +91,8 @@
 	return text
 }
 
-// history returns what led to a breach: the history of the request, which is complete where it is open, and the latest events
-// that concern it or the cache.
+// history returns the events and actions that led to a breach. For an open request, the lines come from its own record and cover
+// its last maxAttemptsInHistory attempts. For a closed request, and for the cache, the lines come from the event buffer.
 func (c *Contract) history(id int64, cache string) []string {
 	var lines []string
 	request := c.requests[id]
@@ -104,7 +105,7 @@
 			continue
 		}
 		if id != 0 && record.request == id {
-			if request == nil { // else it stands in the request's history
+			if request == nil { // an open request's own record already covers the event
 				lines = append(lines, record.String())
 			}
 		} else if cache != "" && record.cache == cache {
@@ -114,12 +115,12 @@
 	return lines
 }
 
-// history returns the request's own history.
+// history returns one line for the request, and one or two lines for each of its latest attempts.
 func (request *trackedRequest) history() []string {
-	lines := []string{fmt.Sprintf("%d request %d, wanted by %d", request.openedAt, request.id, request.deadline)}
-	for number := max(0, len(request.attempts)-attemptsInHistory); number < len(request.attempts); number++ {
+	lines := []string{fmt.Sprintf("%d request %d, deadline %d", request.openedAt, request.id, request.deadline)}
+	for number := max(0, len(request.attempts)-maxAttemptsInHistory); number < len(request.attempts); number++ {
 		attempt := &request.attempts[number]
-		lines = append(lines, fmt.Sprintf("%d send %d/%d %s, given up at %d",
+		lines = append(lines, fmt.Sprintf("%d send %d/%d %s, deadline %d",
 			attempt.sentAt, request.id, number, attempt.cache.name, attempt.deadline))
 		if !attempt.inFlight {
 			lines = append(lines, fmt.Sprintf("%d outcome %d/%d %s",
@@ -127,7 +128,7 @@
 		}
 	}
 	if request.clientGone {
-		lines = append(lines, fmt.Sprintf("request %d: the client has left", request.id))
+		lines = append(lines, fmt.Sprintf("request %d: the client disconnected", request.id))
 	}
 	return lines
 }
--- a/internal/guard/overdue.go
+++ b/internal/guard/overdue.go
@@ -7,16 +7,17 @@
 	"starlingwinch/decide"
 )
 
-// Overdue returns events in place of those that are missing, for the loop to hand to Handle like its own. Each is reported and
-// returned once.
+// Overdue returns replacements for missing events. The loop must pass them to Handle like its own events. Overdue reports and
+// replaces each missing result or answer once.
 //
-// An attempt without a result may have run, so its result is TimedOut; a health check's is too. For a request without an answer
-// a ClientGone is returned: the module owes nothing more for it, and the loop has to answer the client itself, with a failure.
+// The replacement for a missing result of an attempt or a health check is TimedOut, because the attempt may have run. The
+// replacement for a missing answer is a ClientGone, after which the module owes no answer; the loop must answer the client
+// itself, with a failure.
 func (c *Contract) Overdue(now decide.Time) []decide.Event {
 	c.now = now
 	clear(c.repairs)
 	var overdue []int64
-	for id, request := range c.requests { // any order: sorted below
+	for id, request := range c.requests { // the map order does not matter: overdue is sorted below
 		if request.isOverdue(now) {
 			overdue = append(overdue, id)
 		}
@@ -24,9 +25,9 @@
 	slices.Sort(overdue)
 	var events []decide.Event
 	for _, id := range overdue {
-		events = c.appendMissingOfRequest(events, c.requests[id])
+		events = c.appendMissingResultsAndAnswer(events, c.requests[id])
 	}
-	for _, name := range c.sortedNames() {
+	for _, name := range c.sortedCacheNames() {
 		events = c.appendMissingHealthChecks(events, c.caches[name])
 	}
 	for _, ev := range events {
@@ -35,74 +36,73 @@
 	return events
 }
 
-// isOverdue reports whether the answer or a result is missing.
+// isOverdue reports whether the final answer or the result of an attempt is missing.
 func (request *trackedRequest) isOverdue(now decide.Time) bool {
-	if request.missesAnswer(now) {
+	if request.answerOverdue(now) {
 		return true
 	}
 	for i := range request.attempts {
-		if request.attempts[i].missesResult(now) {
+		if request.attempts[i].resultOverdue(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// missesAnswer reports whether the final answer is missing. A response that has started may take as long as it takes.
-func (request *trackedRequest) missesAnswer(now decide.Time) bool {
-	if request.over || request.missingReported || now-lateTolerance <= request.deadline {
+// answerOverdue reports whether the final answer is missing. The duration of a response that has started is not limited.
+func (request *trackedRequest) answerOverdue(now decide.Time) bool {
+	if request.finished || request.missingReported || now-overdueTolerance <= request.deadline {
 		return false
 	}
 	return !slices.ContainsFunc(request.attempts, func(attempt trackedAttempt) bool {
-		return attempt.inFlight && attempt.responding
+		return attempt.inFlight && attempt.responseStarted
 	})
 }
 
-// missesResult reports whether the result of the attempt is missing.
-func (attempt *trackedAttempt) missesResult(now decide.Time) bool {
-	if !attempt.inFlight || attempt.withheld || attempt.responding || attempt.missingReported {
+// resultOverdue reports whether the result of the attempt is missing.
+func (attempt *trackedAttempt) resultOverdue(now decide.Time) bool {
+	if !attempt.inFlight || attempt.withheld || attempt.responseStarted || attempt.missingReported {
 		return false
 	}
-	return now-lateTolerance > attempt.deadline
+	return now-overdueTolerance > attempt.deadline
 }
 
-// appendMissingOfRequest reports the missing results and the missing answer of a request, and appends the events that stand in
-// for them.
-func (c *Contract) appendMissingOfRequest(events []decide.Event, request *trackedRequest) []decide.Event {
+// appendMissingResultsAndAnswer reports the missing results and the missing answer of a request and appends their replacements to
+// events.
+func (c *Contract) appendMissingResultsAndAnswer(events []decide.Event, request *trackedRequest) []decide.Event {
 	for number := range request.attempts {
 		attempt := &request.attempts[number]
-		if !attempt.missesResult(c.now) {
+		if !attempt.resultOverdue(c.now) {
 			continue
 		}
 		attempt.missingReported = true
-		text := fmt.Sprintf("attempt %d should have ended by %d", number, attempt.deadline)
-		c.breach(ResultMissing, request.id, attempt.cache.name, text)
+		text := fmt.Sprintf("attempt %d has no result after its deadline %d", number, attempt.deadline)
+		c.reportBreach(ResultMissing, request.id, attempt.cache.name, text)
 		events = append(events, &decide.AttemptResult{
 			ID:      request.id,
 			Attempt: number,
 			Result:  decide.TimedOut,
 			Elapsed: c.now - attempt.sentAt,
-			Last:    request.over,
+			Last:    request.finished,
 			Load:    decide.UnknownLoad,
 		})
 	}
-	if request.missesAnswer(c.now) {
+	if request.answerOverdue(c.now) {
 		request.missingReported = true
-		c.breach(AnswerMissing, request.id, "", fmt.Sprintf("the request wanted its answer by %d", request.deadline))
+		c.reportBreach(AnswerMissing, request.id, "", fmt.Sprintf("the request has no final answer after its deadline %d", request.deadline))
 		events = append(events, &decide.ClientGone{ID: request.id})
 	}
 	return events
 }
 
-// appendMissingHealthChecks reports the missing results of health checks of a cache, and appends the events that stand in for
-// them.
+// appendMissingHealthChecks reports the missing results of a cache's health checks and appends their replacements to events.
 func (c *Contract) appendMissingHealthChecks(events []decide.Event, cache *trackedCache) []decide.Event {
-	for _, sentAt := range cache.healthChecks[cache.missingReported:] {
-		if c.now <= sentAt+lateTolerance {
+	for _, sentAt := range cache.healthChecks[cache.missingChecksReported:] {
+		if c.now <= sentAt+overdueTolerance {
 			break
 		}
-		cache.missingReported++
-		c.breach(HealthCheckMissing, 0, cache.name, fmt.Sprintf("the probe of %d has not ended", sentAt))
+		cache.missingChecksReported++
+		c.reportBreach(HealthCheckMissing, 0, cache.name, fmt.Sprintf("the health check sent at %d has no result", sentAt))
 		events = append(events, &decide.HealthCheckResult{
 			Cache:   cache.name,
 			Result:  decide.TimedOut,
@@ -113,34 +113,34 @@
 	return events
 }
 
-// Check compares the Contract's counts with the module's, and with onSockets: the number of attempts, health checks not among
-// them, that the loop has in flight at a cache. It must be called when the loop has handed over all its events.
+// Check compares the Contract's counts with the module's and with onSockets, which returns the number of attempts, without health
+// checks, that the loop has in flight at a cache. The loop must call Check only when its event queue is empty.
 func (c *Contract) Check(now decide.Time, onSockets func(cache string) int) {
 	c.now = now
 	if c.counter != nil {
 		if n := c.counter.Open(); n != len(c.requests) {
-			text := fmt.Sprintf("the module holds %d requests, %d are open", n, len(c.requests))
-			c.breach(OpenCountDiffers, 0, "", text)
+			text := fmt.Sprintf("the module counts %d open requests, the contract counts %d", n, len(c.requests))
+			c.reportBreach(OpenCountDiffers, 0, "", text)
 		}
 	}
-	for _, name := range c.sortedNames() {
+	for _, name := range c.sortedCacheNames() {
 		c.checkCache(c.caches[name], onSockets)
 	}
 }
 
-// checkCache compares the counts of one cache.
+// checkCache compares the counts of attempts in flight at one cache.
 func (c *Contract) checkCache(cache *trackedCache, onSockets func(cache string) int) {
 	if onSockets != nil {
 		if n := onSockets(cache.name); n != cache.inFlight {
-			text := fmt.Sprintf("%d attempts are on sockets, %d are out", n, cache.inFlight)
-			c.breach(SocketCountDiffers, 0, cache.name, text)
+			text := fmt.Sprintf("%d attempts are in flight on sockets, the contract counts %d", n, cache.inFlight)
+			c.reportBreach(SocketCountDiffers, 0, cache.name, text)
 		}
 	}
 	if c.counter == nil || !cache.listed {
 		return
 	}
-	if n := c.counter.InFlight(cache.name); n != cache.inFlightOfListing {
-		text := fmt.Sprintf("the module counts %d attempts, %d are out", n, cache.inFlightOfListing)
-		c.breach(ModuleCountDiffers, 0, cache.name, text)
+	if n := c.counter.InFlight(cache.name); n != cache.inFlightSinceListed {
+		text := fmt.Sprintf("the module counts %d attempts in flight, the contract counts %d", n, cache.inFlightSinceListed)
+		c.reportBreach(ModuleCountDiffers, 0, cache.name, text)
 	}
 }
--- a/internal/guard/rules.go
+++ b/internal/guard/rules.go
@@ -2,11 +2,11 @@
 
 import "starlingwinch/decide"
 
-// Guard decides whether something may be sent, repeated, refused or closed now. It is also told what was done: what it would not
-// have allowed is counted and reported as a violation.
+// Guard decides whether the loop may send or repeat an attempt or reject a request now. The loop also notifies the Guard of each
+// action after it has carried the action out; the Guard counts and reports an action that breaks a rule as a violation.
 type Guard struct {
-	// ObserveOnly has repeats and refusals that are not allowed counted and let through. It is there for tests that plant a
-	// defect, which the guard would prevent.
+	// ObserveOnly makes the Guard count forbidden repeats and rejections as prevented but allow them. Tests set it when they plant
+	// a defect that the Guard would otherwise prevent.
 	ObserveOnly bool
 
 	classes        map[string]*decide.Class
@@ -16,7 +16,7 @@
 	report         func(Violation)
 }
 
-// NewGuard returns a Guard for the settings. It calls report with each violation.
+// NewGuard returns a Guard for the settings. The Guard calls report with each violation; report may be nil.
 func NewGuard(settings *decide.Settings, report func(Violation)) *Guard {
 	g := &Guard{
 		classes:        map[string]*decide.Class{},
@@ -30,59 +30,60 @@
 	return g
 }
 
-// Counts returns the counts so far.
+// Counts returns the numbers of prevented actions and of violations since the Guard was created.
 func (g *Guard) Counts() Counts { return g.counts }
 
-// Request is what a Guard keeps of one request. It is part of the loop's own record.
+// Request is the Guard's record of one request. The loop embeds it in its own record of the request.
 type Request struct {
 	ID       int64
-	ClientID string      // the id that the client gave it
-	Deadline decide.Time // of the client
+	ClientID string      // ID that the client assigned to the request
+	Deadline decide.Time // the client's deadline
 
-	class                 *decide.Class // nil for one that the settings do not name: it is held to be not idempotent
+	class                 *decide.Class // nil if the settings do not name the class; the request then counts as not idempotent
 	idempotencyKeyMissing bool
-	answered              bool              // it has its final answer
-	attempts              []writtenAttempt  // in the order in which they were written
-	firstAttempt          [1]writtenAttempt // space for attempts, as most requests have one
+	answered              bool              // the request has its final answer
+	attempts              []writtenAttempt  // in the order of their first bytes
+	firstAttempt          [1]writtenAttempt // storage for attempts without an allocation: most requests have one attempt
 }
 
-// writtenAttempt is an attempt of which at least a byte was written.
+// writtenAttempt is an attempt with at least one byte written.
 type writtenAttempt struct {
 	number    int
 	cache     Cache
-	startedAt decide.Time // when its first byte was written
-	completed bool        // its last byte is written: it may run from then on
-	over      bool        // it has its result
-	neverRan  bool        // its result proves that it did not run
+	startedAt decide.Time // when the first byte was written
+	completed bool        // the last byte is written, so the cache may run the attempt
+	ended     bool        // the attempt has its result
+	neverRan  bool        // the result proves that the attempt did not run
 }
 
-// Cache is what a Guard needs to know of the cache that an attempt goes to.
+// Cache identifies the cache of an attempt and its place in the fleet.
 type Cache struct {
 	Name string
 	Zone string
 	Cell int
 }
 
-// Open begins the record of a request. idempotencyKeyMissing says that its class requires a key and it has none.
-func (g *Guard) Open(id int64, name, class string, idempotencyKeyMissing bool, deadline decide.Time) Request {
+// Open returns the record of a new request. idempotencyKeyMissing reports that the request's class requires an idempotency key and
+// the request has none.
+func (g *Guard) Open(id int64, clientID, class string, idempotencyKeyMissing bool, deadline decide.Time) Request {
 	return Request{
 		ID:                    id,
-		ClientID:              name,
+		ClientID:              clientID,
 		Deadline:              deadline,
 		class:                 g.classes[class],
 		idempotencyKeyMissing: idempotencyKeyMissing,
 	}
 }
 
-// WriteCheck is what is known of an attempt in the moment before its first byte.
+// WriteCheck is the state of an attempt immediately before its first byte is written.
 type WriteCheck struct {
 	Now           decide.Time
-	Deadline      decide.Time // when the attempt is given up
-	WriteDeadline decide.Time // it must be written before then; 0 for no such bound
-	CacheServing  bool        // the list says that the cache takes requests
+	Deadline      decide.Time // when the attempt is aborted
+	WriteDeadline decide.Time // the attempt must be written before this time; 0 if there is no such limit
+	CacheServing  bool        // the endpoint list has the cache as serving
 }
 
-// MayWrite decides what does not depend on the request: it holds for health checks too.
+// MayWrite applies the rules that do not depend on the request, and so apply to health checks too.
 func (check WriteCheck) MayWrite() Reason {
 	switch {
 	case !check.CacheServing:
@@ -95,8 +96,8 @@
 	return Allowed
 }
 
-// MaySend decides whether an attempt of a request may be written to a cache now. clientGone is what the client's connection
-// shows. What is not allowed is counted as prevented.
+// MaySend decides whether an attempt of a request may be written to a cache now, and counts a forbidden attempt as prevented.
+// clientGone reports that the client no longer waits for the answer.
 func (g *Guard) MaySend(now decide.Time, request *Request, cache Cache, clientGone bool) Reason {
 	reason := Allowed
 	switch {
@@ -117,14 +118,14 @@
 	return reason
 }
 
-// mayAttempt decides whether an attempt may follow those that were written.
+// mayAttempt decides whether another attempt may follow the attempts written so far.
 func (g *Guard) mayAttempt(now decide.Time, request *Request, cache Cache) Reason {
 	if len(request.attempts) >= g.maxAttempts {
 		return TooManyAttempts
 	}
 	for i := range request.attempts {
 		earlier := &request.attempts[i]
-		if !earlier.over && !g.hedgingAllowed {
+		if !earlier.ended && !g.hedgingAllowed {
 			return HedgeNotAllowed
 		}
 		if !earlier.mayHaveRun() {
@@ -137,10 +138,10 @@
 	return Allowed
 }
 
-// mayHaveRun reports whether the cache may have carried the attempt out, or may still do so.
+// mayHaveRun reports whether the cache may have run the attempt or may still run it.
 func (a *writtenAttempt) mayHaveRun() bool { return a.completed && !a.neverRan }
 
-// mayRunAgain decides by the request's semantics whether it may run at a cache after an earlier attempt that may have run.
+// mayRunAgain decides by the request's semantics whether the request may run at cache after an earlier attempt that may have run.
 func (request *Request) mayRunAgain(now decide.Time, earlier *writtenAttempt, cache Cache) Reason {
 	class := request.class
 	switch {
@@ -158,8 +159,8 @@
 	return Allowed
 }
 
-// sameDeduplicationScope reports whether two caches drop each other's repeats. The decision module has a rule of its own for
-// that: the guard checks it, and so does not share its code.
+// sameDeduplicationScope reports whether each of two caches discards repeats of requests that the other has run. The decision
+// module has its own version of this rule. The Guard checks that version, so it does not share the code.
 func sameDeduplicationScope(scope decide.DeduplicationScope, a, b Cache) bool {
 	switch scope {
 	case decide.DeduplicatedInZone:
@@ -170,8 +171,8 @@
 	return true
 }
 
-// WriteStarted is called when the first byte of an attempt was written, with the time that its cache was told it has. completed
-// says that the last byte was written too.
+// WriteStarted records that the first byte of an attempt was written. wait is the remaining time that the router sent to the cache
+// with the attempt. completed reports that the last byte was written too.
 func (g *Guard) WriteStarted(now decide.Time, request *Request, number int, cache Cache, wait decide.Time, completed bool) {
 	violation := Violation{At: now, Request: request.ID, ClientID: request.ClientID, Cache: cache.Name, Attempt: number}
 	reason := Answered
@@ -193,21 +194,21 @@
 	})
 }
 
-// WriteCompleted is called when the last byte of an attempt was written, unless WriteStarted said so.
+// WriteCompleted records that the last byte of an attempt was written. It is not needed if WriteStarted reported completed.
 func (request *Request) WriteCompleted(number int) {
 	if attempt := request.attempt(number); attempt != nil {
 		attempt.completed = true
 	}
 }
 
-// AttemptEnded is called with the result of an attempt.
+// AttemptEnded records the result of an attempt.
 func (request *Request) AttemptEnded(number int, result decide.Result) {
 	if attempt := request.attempt(number); attempt != nil {
-		attempt.over, attempt.neverRan = true, result.NeverRan()
+		attempt.ended, attempt.neverRan = true, result.NeverRan()
 	}
 }
 
-// attempt returns the attempt with a number, or nil where none of its bytes was written.
+// attempt returns the attempt with a number, or nil if no byte of that attempt was written.
 func (request *Request) attempt(number int) *writtenAttempt {
 	for i := range request.attempts {
 		if request.attempts[i].number == number {
@@ -217,9 +218,10 @@
 	return nil
 }
 
-// MayReject decides whether a request may be refused, which says that another try does no harm, or only failed.
+// MayReject decides whether the router may reject a request, which tells the client that a retry is safe. If it may not, the
+// router must fail the request instead.
 func (g *Guard) MayReject(request *Request) Reason {
-	if request.mayAlwaysRepeat() {
+	if request.retrySafeAnywhere() {
 		return Allowed
 	}
 	for i := range request.attempts {
@@ -235,8 +237,8 @@
 	return Allowed
 }
 
-// mayAlwaysRepeat reports whether the client may try again at any cache, whatever has run.
-func (request *Request) mayAlwaysRepeat() bool {
+// retrySafeAnywhere reports whether a retry is safe at any cache, even after attempts that have run.
+func (request *Request) retrySafeAnywhere() bool {
 	class := request.class
 	if class == nil || request.idempotencyKeyMissing {
 		return false
@@ -250,7 +252,7 @@
 	return false
 }
 
-// Answered is called with each final answer. At most one is allowed.
+// Answered records a final answer. A second final answer to the same request is a violation.
 func (g *Guard) Answered(now decide.Time, request *Request) {
 	if request.answered {
 		g.recordViolation(Answered, Violation{At: now, Request: request.ID, ClientID: request.ClientID})
@@ -258,7 +260,7 @@
 	request.answered = true
 }
 
-// Closed is called when the router itself has closed the connection of a client that still waits for this answer.
+// Closed records that the router closed the connection of a client that still waits for the answer to this request.
 func (g *Guard) Closed(now decide.Time, request *Request) {
 	g.recordViolation(ClosedUnanswered, Violation{
 		At:       now,
@@ -268,7 +270,7 @@
 	})
 }
 
-// recordViolation counts and reports a violation, unless its reason is Allowed.
+// recordViolation counts and reports a violation unless its reason is Allowed.
 func (g *Guard) recordViolation(reason Reason, violation Violation) {
 	if reason == Allowed {
 		return
--- a/internal/guard/rules_test.go
+++ b/internal/guard/rules_test.go
@@ -6,29 +6,29 @@
 	"starlingwinch/decide"
 )
 
-const window = 1_000_000
+const idempotencyWindow = 1_000_000 // microseconds
 
-// newGuard returns a Guard for four classes, and the violations that it reports.
+// newGuard returns a Guard for four classes, and a pointer to the violations that it has reported.
 func newGuard(hedging bool) (*Guard, *[]Violation) {
 	var reported []Violation
-	set := &decide.Settings{MaxAttempts: 3, AllowHedging: hedging, Classes: []decide.Class{
+	settings := &decide.Settings{MaxAttempts: 3, AllowHedging: hedging, Classes: []decide.Class{
 		{Name: "read", Semantics: decide.Idempotent},
-		{Name: "keyed", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedInZone, IdempotencyWindow: window},
-		{Name: "keyed-all", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedEverywhere, IdempotencyWindow: window},
+		{Name: "keyed", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedInZone, IdempotencyWindow: idempotencyWindow},
+		{Name: "keyed-all", Semantics: decide.IdempotentByKey, DeduplicationScope: decide.DeduplicatedEverywhere, IdempotencyWindow: idempotencyWindow},
 		{Name: "not-idempotent", Semantics: decide.NonIdempotent}}}
-	return NewGuard(set, func(v Violation) { reported = append(reported, v) }), &reported
+	return NewGuard(settings, func(violation Violation) { reported = append(reported, violation) }), &reported
 }
 
-var here, there = Cache{Name: "c1", Zone: "a"}, Cache{Name: "c2", Zone: "b"}
+var cacheInZoneA, cacheInZoneB = Cache{Name: "c1", Zone: "a"}, Cache{Name: "c2", Zone: "b"}
 
-// TestMaySendAppliesEachRule checks that what MaySend does not allow is counted as prevented, and that it is a violation if it
-// is done all the same.
+// TestMaySendAppliesEachRule checks that MaySend counts a forbidden attempt as prevented, and that the Guard reports a violation if
+// the loop writes the attempt nevertheless.
 func TestMaySendAppliesEachRule(t *testing.T) {
-	ran := func(g *Guard, q *Request) { // makes an attempt that may have run
-		g.WriteStarted(0, q, 0, here, 1, true)
-		q.AttemptEnded(0, decide.TimedOut)
+	runAttempt := func(guard *Guard, request *Request) { // writes an attempt that may have run
+		guard.WriteStarted(0, request, 0, cacheInZoneA, 1, true)
+		request.AttemptEnded(0, decide.TimedOut)
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name, class string
 		keyMissing  bool
 		hedging     bool
@@ -37,82 +37,84 @@
 		to          Cache
 		want        Reason
 	}{
-		{"a first attempt", "not-idempotent", false, true, func(*Guard, *Request) {}, 1, here, Allowed},
-		{"after the answer", "read", false, true, func(g *Guard, q *Request) { g.Answered(1, q) }, 1, here, Answered},
-		{"a repeat, idempotent", "read", false, true, ran, 1, there, Allowed},
-		{"a repeat, not idempotent", "not-idempotent", false, true, ran, 1, here, NotIdempotent},
-		{"a repeat of an unknown class", "unknown", false, true, ran, 1, here, NotIdempotent},
-		{"a repeat, by key, without the key", "keyed-all", true, true, ran, 1, here, NotIdempotent},
-		{"a repeat, by key, in its scope", "keyed", false, true, ran, window - 1, here, Allowed},
-		{"a repeat, by key, outside its scope", "keyed", false, true, ran, 1, there, OutsideDeduplicationScope},
-		{"a repeat, by key, everywhere", "keyed-all", false, true, ran, 1, there, Allowed},
-		{"a repeat, by key, after its window", "keyed-all", false, true, ran, window, here, IdempotencyWindowOver},
-		{"not idempotent, after one that never ran", "not-idempotent", false, true, func(g *Guard, q *Request) {
-			g.WriteStarted(0, q, 0, here, 1, true)
-			q.AttemptEnded(0, decide.Rejected)
-		}, 1, there, Allowed},
-		{"not idempotent, after one not written whole", "not-idempotent", false, true, func(g *Guard, q *Request) {
-			g.WriteStarted(0, q, 0, here, 1, false)
-			q.AttemptEnded(0, decide.ConnectFailed)
-		}, 1, there, Allowed},
-		{"not idempotent, after one written whole later", "not-idempotent", false, true, func(g *Guard, q *Request) {
-			g.WriteStarted(0, q, 0, here, 1, false)
-			q.WriteCompleted(0)
-		}, 1, there, NotIdempotent},
-		{"a hedged request that is not allowed", "read", false, false, func(g *Guard, q *Request) {
-			g.WriteStarted(0, q, 0, here, 1, true)
-		}, 1, there, HedgeNotAllowed},
-		{"one attempt too many", "read", false, true, func(g *Guard, q *Request) {
+		{"a first attempt", "not-idempotent", false, true, func(*Guard, *Request) {}, 1, cacheInZoneA, Allowed},
+		{"after the answer", "read", false, true, func(guard *Guard, request *Request) { guard.Answered(1, request) }, 1, cacheInZoneA, Answered},
+		{"a repeat, idempotent", "read", false, true, runAttempt, 1, cacheInZoneB, Allowed},
+		{"a repeat, not idempotent", "not-idempotent", false, true, runAttempt, 1, cacheInZoneA, NotIdempotent},
+		{"a repeat of an unknown class", "unknown", false, true, runAttempt, 1, cacheInZoneA, NotIdempotent},
+		{"a repeat, by key, without the key", "keyed-all", true, true, runAttempt, 1, cacheInZoneA, NotIdempotent},
+		{"a repeat, by key, in the deduplication scope", "keyed", false, true, runAttempt, idempotencyWindow - 1, cacheInZoneA, Allowed},
+		{"a repeat, by key, outside the deduplication scope", "keyed", false, true, runAttempt, 1, cacheInZoneB, OutsideDeduplicationScope},
+		{"a repeat, by key, everywhere", "keyed-all", false, true, runAttempt, 1, cacheInZoneB, Allowed},
+		{"a repeat, by key, after the idempotency window", "keyed-all", false, true, runAttempt, idempotencyWindow, cacheInZoneA, IdempotencyWindowOver},
+		{"not idempotent, after an attempt that never ran", "not-idempotent", false, true, func(guard *Guard, request *Request) {
+			guard.WriteStarted(0, request, 0, cacheInZoneA, 1, true)
+			request.AttemptEnded(0, decide.Rejected)
+		}, 1, cacheInZoneB, Allowed},
+		{"not idempotent, after an attempt written in part", "not-idempotent", false, true, func(guard *Guard, request *Request) {
+			guard.WriteStarted(0, request, 0, cacheInZoneA, 1, false)
+			request.AttemptEnded(0, decide.ConnectFailed)
+		}, 1, cacheInZoneB, Allowed},
+		{"not idempotent, after an attempt completed later", "not-idempotent", false, true, func(guard *Guard, request *Request) {
+			guard.WriteStarted(0, request, 0, cacheInZoneA, 1, false)
+			request.WriteCompleted(0)
+		}, 1, cacheInZoneB, NotIdempotent},
+		{"a hedged request with hedging disabled", "read", false, false, func(guard *Guard, request *Request) {
+			guard.WriteStarted(0, request, 0, cacheInZoneA, 1, true)
+		}, 1, cacheInZoneB, HedgeNotAllowed},
+		{"one attempt too many", "read", false, true, func(guard *Guard, request *Request) {
 			for n := range 3 {
-				g.WriteStarted(0, q, n, here, 1, true)
+				guard.WriteStarted(0, request, n, cacheInZoneA, 1, true)
 			}
-		}, 1, there, TooManyAttempts},
+		}, 1, cacheInZoneB, TooManyAttempts},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			g, reported := newGuard(c.hedging)
-			q := g.Open(7, "id", c.class, c.keyMissing, 10*window)
-			c.before(g, &q)
-			if got := g.MaySend(c.now, &q, c.to, false); got != c.want {
-				t.Errorf("decided %v, want %v", got, c.want)
+		t.Run(testCase.name, func(t *testing.T) {
+			guard, reported := newGuard(testCase.hedging)
+			request := guard.Open(7, "id", testCase.class, testCase.keyMissing, 10*idempotencyWindow)
+			testCase.before(guard, &request)
+			if got := guard.MaySend(testCase.now, &request, testCase.to, false); got != testCase.want {
+				t.Errorf("MaySend returned %v, want %v", got, testCase.want)
 			}
-			g.WriteStarted(c.now, &q, 3, c.to, 1, true)
-			counts := g.Counts()
-			if c.want == Allowed {
+			guard.WriteStarted(testCase.now, &request, 3, testCase.to, 1, true)
+			counts := guard.Counts()
+			if testCase.want == Allowed {
 				if len(*reported) > 0 || counts.Broken() > 0 {
-					t.Errorf("violations of what is allowed: %v", *reported)
+					t.Errorf("reported %v for an allowed attempt, want no violation", *reported)
 				}
 				return
 			}
-			if len(*reported) != 1 || (*reported)[0].Reason != c.want || counts.Violations[c.want] != 1 || counts.Prevented[c.want] != 1 {
-				t.Errorf("reported %v, counted %+v", *reported, counts)
+			if len(*reported) != 1 || (*reported)[0].Reason != testCase.want || counts.Violations[testCase.want] != 1 || counts.Prevented[testCase.want] != 1 {
+				t.Errorf("reported %v, counted %+v, want one prevented attempt and one violation, %v", *reported, counts, testCase.want)
 			}
 		})
 	}
 }
 
 func TestMaySendPreventsAttemptForGoneClient(t *testing.T) {
-	g, _ := newGuard(true)
-	q := g.Open(7, "id", "read", false, window)
-	if got := g.MaySend(1, &q, here, true); got != ClientGone || g.Counts().Prevented[ClientGone] != 1 {
-		t.Errorf("decided %v", got)
+	guard, _ := newGuard(true)
+	request := guard.Open(7, "id", "read", false, idempotencyWindow)
+	if got := guard.MaySend(1, &request, cacheInZoneA, true); got != ClientGone || guard.Counts().Prevented[ClientGone] != 1 {
+		t.Errorf("MaySend returned %v, counted %+v, want %v counted once", got, guard.Counts(), ClientGone)
 	}
 }
 
 func TestViolationsOtherThanSends(t *testing.T) {
-	for want, do := range map[Reason]func(*Guard, *Request){
-		WaitBeyondDeadline: func(g *Guard, q *Request) { g.WriteStarted(1, q, 0, here, window, true) },
-		Answered: func(g *Guard, q *Request) {
-			g.Answered(1, q)
-			g.Answered(2, q)
+	for want, violate := range map[Reason]func(*Guard, *Request){
+		WaitBeyondDeadline: func(guard *Guard, request *Request) {
+			guard.WriteStarted(1, request, 0, cacheInZoneA, idempotencyWindow, true)
 		},
-		ClosedUnanswered: func(g *Guard, q *Request) { g.Closed(1, q) },
+		Answered: func(guard *Guard, request *Request) {
+			guard.Answered(1, request)
+			guard.Answered(2, request)
+		},
+		ClosedUnanswered: func(guard *Guard, request *Request) { guard.Closed(1, request) },
 	} {
 		t.Run(want.String(), func(t *testing.T) {
-			g, reported := newGuard(true)
-			q := g.Open(7, "id", "read", false, window)
-			do(g, &q)
+			guard, reported := newGuard(true)
+			request := guard.Open(7, "id", "read", false, idempotencyWindow)
+			violate(guard, &request)
 			if len(*reported) != 1 || (*reported)[0].Reason != want {
-				t.Errorf("reported %v", *reported)
+				t.Errorf("reported %v, want one violation, %v", *reported, want)
 			}
 		})
 	}
@@ -122,30 +124,30 @@
 	for class, want := range map[string]Reason{"read": Allowed, "keyed-all": Allowed, "keyed": RejectedAfterRun,
 		"not-idempotent": RejectedAfterRun} {
 		t.Run(class, func(t *testing.T) {
-			g, _ := newGuard(true)
-			q := g.Open(7, "id", class, false, window)
-			if got := g.MayReject(&q); got != Allowed {
-				t.Errorf("%v before any attempt", got)
+			guard, _ := newGuard(true)
+			request := guard.Open(7, "id", class, false, idempotencyWindow)
+			if got := guard.MayReject(&request); got != Allowed {
+				t.Errorf("MayReject returned %v before any attempt, want %v", got, Allowed)
 			}
-			g.WriteStarted(1, &q, 0, here, 1, true)
-			if got := g.MayReject(&q); got != want {
-				t.Errorf("%v after an attempt that may have run, want %v", got, want)
+			guard.WriteStarted(1, &request, 0, cacheInZoneA, 1, true)
+			if got := guard.MayReject(&request); got != want {
+				t.Errorf("MayReject returned %v after an attempt that may have run, want %v", got, want)
 			}
 		})
 	}
 }
 
 func TestMayWriteChecksCacheAndDeadlines(t *testing.T) {
-	for want, l := range map[Reason]WriteCheck{
+	for want, check := range map[Reason]WriteCheck{
 		Allowed:        {Now: 1, Deadline: 2, CacheServing: true},
 		CacheDraining:  {Now: 1, Deadline: 2},
 		DeadlinePassed: {Now: 2, Deadline: 2, CacheServing: true},
 	} {
-		if got := l.MayWrite(); got != want {
-			t.Errorf("%+v: %v, want %v", l, got, want)
+		if got := check.MayWrite(); got != want {
+			t.Errorf("MayWrite of %+v returned %v, want %v", check, got, want)
 		}
 	}
 	if got := (WriteCheck{Now: 1, Deadline: 9, WriteDeadline: 1, CacheServing: true}).MayWrite(); got != DeadlinePassed {
-		t.Errorf("after the write deadline: %v", got)
+		t.Errorf("MayWrite at the write deadline returned %v, want %v", got, DeadlinePassed)
 	}
 }
--- a/internal/guard/test_loop_test.go
+++ b/internal/guard/test_loop_test.go
@@ -11,50 +11,50 @@
 	"starlingwinch/decide"
 )
 
-const ms = 1000
+const ms = 1000 // microseconds
 
-// loopFaults are the ways in which a testLoop can break the contract.
+// loopFaults selects the ways in which a testLoop breaks the contract.
 type loopFaults struct {
-	dropsSends        bool // a Send for a request that is closed gets no result
-	dropsHealthChecks bool // a HealthCheck of a removed cache gets no result
+	dropsSends        bool // a Send for a finished request without an attempt in flight gets no result
+	dropsHealthChecks bool // a HealthCheck of a cache that is not listed gets no result
 }
 
-// testLoop is a small loop around the real module, on a clock of its own. Like the loop of the router, it acts at once and
-// hands over events from a queue, so that events and actions cross.
+// testLoop is a small event loop around the real decision module, with a simulated clock. Like the router's loop, it carries out
+// actions immediately but delivers events from a queue, so that events and actions cross.
 type testLoop struct {
 	t            *testing.T
 	rng          *rand.Rand
-	set          decide.Settings
+	settings     decide.Settings
 	module       *decide.Router
 	contract     *Contract
 	now          decide.Time
 	faults       loopFaults
-	backlog      []decide.Event
+	queuedEvents []decide.Event
 	timers       timerHeap
-	clients      []*client // by the number of the request, less 1
-	attempts     []*sent   // in flight, in the order of their sending
+	clients      []*testClient  // indexed by request ID minus 1
+	attempts     []*testAttempt // in flight, in the order in which they were sent
 	healthChecks []pendingHealthCheck
 	listed       [fleetSize]bool
 	breaches     []Breach
-	// what has happened, so that a test can check that it tested something
-	sends, served, probed, closed, sentAfterEnd int
+	// Counts that let a test check that the random events covered these cases.
+	sends, served, healthChecksSent, idleCloses, sendsAfterEnd int
 }
 
-type client struct {
-	id       int64
-	deadline decide.Time
-	attempts int
-	out      int
-	over     bool
-	streams  bool
+type testClient struct {
+	id              int64
+	deadline        decide.Time
+	attempts        int
+	inFlight        int
+	finished        bool
+	responseStarted bool
 }
 
-type sent struct {
-	client *client
-	n      int
-	cache  string
-	stopAt decide.Time
-	begun  bool // its response has started
+type testAttempt struct {
+	client          *testClient
+	number          int
+	cache           string
+	deadline        decide.Time
+	responseStarted bool
 }
 
 type pendingHealthCheck struct {
@@ -67,7 +67,7 @@
 func cacheName(i int) string { return fmt.Sprintf("c%d", i) }
 
 func randomSettings(rng *rand.Rand) decide.Settings {
-	s := decide.Settings{
+	settings := decide.Settings{
 		Routers: 1 + rng.Intn(3), MaxAttempts: 1 + rng.Intn(4),
 		AllowHedging: rng.Intn(2) == 0, AllowCancel: rng.Intn(3) > 0, AllowHealthChecks: rng.Intn(4) > 0, WatchRequired: rng.Intn(2) == 0,
 		DrainGrace: pickOne[decide.Time](rng, 100*ms, 1000*ms), SlowStartWindow: 10_000 * ms, SlowStartMinCapacity: .2,
@@ -82,276 +82,277 @@
 		},
 	}
 	if rng.Intn(2) == 0 {
-		s.ConnectionCost = 40 // connections are closed after use
+		settings.ConnectionCost = 40 // high enough that the module closes connections after use
 	}
-	return s
+	return settings
 }
 
-func newTestLoop(t *testing.T, seed int64, d loopFaults) *testLoop {
+func newTestLoop(t *testing.T, seed int64, faults loopFaults) *testLoop {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
-	w := &testLoop{t: t, rng: rng, set: randomSettings(rng), now: 1_000_000 * ms, faults: d}
-	m, err := decide.New(w.set, uint64(seed))
+	loop := &testLoop{t: t, rng: rng, settings: randomSettings(rng), now: 1_000_000 * ms, faults: faults}
+	module, err := decide.New(loop.settings, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.module = m
-	w.contract = NewContract(m, func(b Breach) { w.breaches = append(w.breaches, b) })
-	w.contract.ReportAll = true
-	return w
+	loop.module = module
+	loop.contract = NewContract(module, func(b Breach) { loop.breaches = append(loop.breaches, b) })
+	loop.contract.ReportAll = true
+	return loop
 }
 
-func (w *testLoop) queue(ev decide.Event) { w.backlog = append(w.backlog, ev) }
+func (loop *testLoop) queue(ev decide.Event) { loop.queuedEvents = append(loop.queuedEvents, ev) }
 
-// deliver hands over the queued events and carries out the actions.
-func (w *testLoop) deliver() {
-	for len(w.backlog) > 0 {
-		ev := w.backlog[0]
-		w.backlog = w.backlog[1:]
-		for _, a := range w.contract.Handle(w.now, ev) {
-			w.perform(a)
+// deliver passes the queued events to the Contract and carries out the actions.
+func (loop *testLoop) deliver() {
+	for len(loop.queuedEvents) > 0 {
+		ev := loop.queuedEvents[0]
+		loop.queuedEvents = loop.queuedEvents[1:]
+		for _, action := range loop.contract.Handle(loop.now, ev) {
+			loop.perform(action)
 		}
 	}
 }
 
-func (w *testLoop) perform(a decide.Action) {
-	switch a := a.(type) {
+func (loop *testLoop) perform(action decide.Action) {
+	switch action := action.(type) {
 	case decide.Send:
-		w.send(a)
+		loop.performSend(action)
 	case decide.Cancel:
-		for _, s := range w.attempts {
-			if s.client.id == a.ID && s.n == a.Attempt {
-				w.end(s, pickOne(w.rng, decide.Cancelled, decide.NotSent))
+		for _, attempt := range loop.attempts {
+			if attempt.client.id == action.ID && attempt.number == action.Attempt {
+				loop.endAttempt(attempt, pickOne(loop.rng, decide.Cancelled, decide.NotSent))
 				break
 			}
 		}
 	case decide.Reject:
-		w.finish(w.clients[a.ID-1])
+		loop.finishRequest(loop.clients[action.ID-1])
 	case decide.Fail:
-		w.finish(w.clients[a.ID-1])
+		loop.finishRequest(loop.clients[action.ID-1])
 	case decide.SetTimer:
-		heap.Push(&w.timers, a)
+		heap.Push(&loop.timers, action)
 	case decide.CancelTimer:
-		w.timers = slices.DeleteFunc(w.timers, func(t decide.SetTimer) bool { return t.Token == a.Token })
-		heap.Init(&w.timers)
-		w.backlog = slices.DeleteFunc(w.backlog, func(ev decide.Event) bool {
-			t, fired := ev.(*decide.Timer)
-			return fired && t.Token == a.Token
+		loop.timers = slices.DeleteFunc(loop.timers, func(timer decide.SetTimer) bool { return timer.Token == action.Token })
+		heap.Init(&loop.timers)
+		loop.queuedEvents = slices.DeleteFunc(loop.queuedEvents, func(ev decide.Event) bool {
+			timer, fired := ev.(*decide.Timer)
+			return fired && timer.Token == action.Token
 		})
 	case decide.HealthCheck:
-		w.healthCheck(a)
+		loop.performHealthCheck(action)
 	case decide.CloseIdle:
-		w.closed++
+		loop.idleCloses++
 	}
 }
 
-func (w *testLoop) send(a decide.Send) {
-	w.sends++
-	c := w.clients[a.ID-1]
-	s := &sent{client: c, n: c.attempts, cache: a.Cache, stopAt: min(a.AttemptDeadline, c.deadline)}
-	c.attempts++
-	if c.over {
-		w.sentAfterEnd++
-		if !w.faults.dropsSends || c.out > 0 {
-			w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: decide.NotSent, Last: true})
+func (loop *testLoop) performSend(action decide.Send) {
+	loop.sends++
+	client := loop.clients[action.ID-1]
+	attempt := &testAttempt{client: client, number: client.attempts, cache: action.Cache, deadline: min(action.AttemptDeadline, client.deadline)}
+	client.attempts++
+	if client.finished {
+		loop.sendsAfterEnd++
+		if !loop.faults.dropsSends || client.inFlight > 0 {
+			loop.queue(&decide.AttemptResult{ID: client.id, Attempt: attempt.number, Result: decide.NotSent, Last: true})
 		}
 		return
 	}
-	if !w.lists(a.Cache) {
-		w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: decide.NotSent})
+	if !loop.isListed(action.Cache) {
+		loop.queue(&decide.AttemptResult{ID: client.id, Attempt: attempt.number, Result: decide.NotSent})
 		return
 	}
-	c.out++
-	w.attempts = append(w.attempts, s)
+	client.inFlight++
+	loop.attempts = append(loop.attempts, attempt)
 }
 
-func (w *testLoop) healthCheck(a decide.HealthCheck) {
-	w.probed++
-	if w.lists(a.Cache) {
-		w.healthChecks = append(w.healthChecks, pendingHealthCheck{a.Cache, w.now})
-	} else if !w.faults.dropsHealthChecks {
-		w.queue(&decide.HealthCheckResult{Cache: a.Cache, Result: decide.NotSent})
+func (loop *testLoop) performHealthCheck(action decide.HealthCheck) {
+	loop.healthChecksSent++
+	if loop.isListed(action.Cache) {
+		loop.healthChecks = append(loop.healthChecks, pendingHealthCheck{action.Cache, loop.now})
+	} else if !loop.faults.dropsHealthChecks {
+		loop.queue(&decide.HealthCheckResult{Cache: action.Cache, Result: decide.NotSent})
 	}
 }
 
-func (w *testLoop) lists(cache string) bool {
+func (loop *testLoop) isListed(cache string) bool {
 	var i int
 	fmt.Sscanf(cache, "c%d", &i)
-	return w.listed[i]
+	return loop.listed[i]
 }
 
-// end gives an attempt its result.
-func (w *testLoop) end(s *sent, result decide.Result) {
-	c := s.client
-	w.attempts = slices.DeleteFunc(w.attempts, func(o *sent) bool { return o == s })
-	c.out--
+// endAttempt removes an attempt and queues its result.
+func (loop *testLoop) endAttempt(attempt *testAttempt, result decide.Result) {
+	client := attempt.client
+	loop.attempts = slices.DeleteFunc(loop.attempts, func(other *testAttempt) bool { return other == attempt })
+	client.inFlight--
 	if result == decide.Served {
-		w.served++
-		w.finish(c)
+		loop.served++
+		loop.finishRequest(client)
 	}
-	if s.begun {
-		c.over = true
+	if attempt.responseStarted {
+		client.finished = true
 	}
-	w.queue(&decide.AttemptResult{ID: c.id, Attempt: s.n, Result: result, Last: c.over, Miss: w.rng.Intn(3) == 0})
+	loop.queue(&decide.AttemptResult{ID: client.id, Attempt: attempt.number, Result: result, Last: client.finished, Miss: loop.rng.Intn(3) == 0})
 }
 
-// finish is called with the final answer, or when the client leaves. Some attempts were not written yet and end now.
-func (w *testLoop) finish(c *client) {
-	if c.over {
+// finishRequest finishes a request at its final answer or when its client disconnects. It ends a random part of the attempts, as if
+// they had not been written yet, and each attempt whose response has started.
+func (loop *testLoop) finishRequest(client *testClient) {
+	if client.finished {
 		return
 	}
-	c.over = true
-	for _, s := range slices.Clone(w.attempts) {
-		if s.client == c && (s.begun || w.rng.Intn(2) == 0) {
-			w.end(s, decide.NotSent)
+	client.finished = true
+	for _, attempt := range slices.Clone(loop.attempts) {
+		if attempt.client == client && (attempt.responseStarted || loop.rng.Intn(2) == 0) {
+			loop.endAttempt(attempt, decide.NotSent)
 		}
 	}
 }
 
-func (w *testLoop) leave(c *client) {
-	if !c.over {
-		w.finish(c)
-		w.queue(&decide.ClientGone{ID: c.id})
+func (loop *testLoop) disconnect(client *testClient) {
+	if !client.finished {
+		loop.finishRequest(client)
+		loop.queue(&decide.ClientGone{ID: client.id})
 	}
 }
 
-func (w *testLoop) request() {
-	names := []string{"read", "read", "read", "zone", "once", "unknown"}
-	c := &client{id: int64(len(w.clients) + 1), deadline: w.now + decide.Time(w.rng.Intn(900*ms)) - 20*ms}
-	w.clients = append(w.clients, c)
-	w.queue(&decide.Request{ID: c.id, Class: names[w.rng.Intn(len(names))], Key: uint64(w.rng.Intn(40)),
-		HasKey: w.rng.Intn(9) > 0, Deadline: c.deadline, Write: w.rng.Intn(9) == 0})
+func (loop *testLoop) startRequest() {
+	classes := []string{"read", "read", "read", "zone", "once", "unknown"}
+	client := &testClient{id: int64(len(loop.clients) + 1), deadline: loop.now + decide.Time(loop.rng.Intn(900*ms)) - 20*ms}
+	loop.clients = append(loop.clients, client)
+	loop.queue(&decide.Request{ID: client.id, Class: classes[loop.rng.Intn(len(classes))], Key: uint64(loop.rng.Intn(40)),
+		HasKey: loop.rng.Intn(9) > 0, Deadline: client.deadline, Write: loop.rng.Intn(9) == 0})
 }
 
-func (w *testLoop) list() {
-	kind := pickOne(w.rng, decide.DeltaUpdate, decide.DeltaUpdate, decide.FullUpdate, decide.StaleUpdate, decide.FailedUpdate)
+func (loop *testLoop) updateEndpointList() {
+	kind := pickOne(loop.rng, decide.DeltaUpdate, decide.DeltaUpdate, decide.FullUpdate, decide.StaleUpdate, decide.FailedUpdate)
 	ev := &decide.EndpointList{Kind: kind}
 	if kind == decide.FailedUpdate {
-		w.queue(ev)
+		loop.queue(ev)
 		return
 	}
 	for i := range fleetSize {
-		if kind == decide.DeltaUpdate && w.rng.Intn(fleetSize) > 0 {
+		if kind == decide.DeltaUpdate && loop.rng.Intn(fleetSize) > 0 {
 			continue
 		}
-		if kind != decide.DeltaUpdate && w.rng.Intn(4) == 0 {
-			w.listed[i] = false
+		if kind != decide.DeltaUpdate && loop.rng.Intn(4) == 0 {
+			loop.listed[i] = false
 			continue
 		}
-		e := decide.Endpoint{ID: cacheName(i), Zone: string(rune('a' + i%2)), Cell: i % 4, Weight: 1,
-			Status: pickOne(w.rng, decide.Serving, decide.Serving, decide.Serving, decide.Draining, decide.Removed)}
-		if w.rng.Intn(4) == 0 {
-			e.StartedAt = w.now - decide.Time(w.rng.Intn(12_000*ms))
+		endpoint := decide.Endpoint{ID: cacheName(i), Zone: string(rune('a' + i%2)), Cell: i % 4, Weight: 1,
+			Status: pickOne(loop.rng, decide.Serving, decide.Serving, decide.Serving, decide.Draining, decide.Removed)}
+		if loop.rng.Intn(4) == 0 {
+			endpoint.StartedAt = loop.now - decide.Time(loop.rng.Intn(12_000*ms))
 		}
-		w.listed[i] = e.Status != decide.Removed
-		ev.Endpoints = append(ev.Endpoints, e)
+		loop.listed[i] = endpoint.Status != decide.Removed
+		ev.Endpoints = append(ev.Endpoints, endpoint)
 	}
-	w.queue(ev)
+	loop.queue(ev)
 }
 
-// reply ends an attempt in flight, or starts its response.
-func (w *testLoop) reply() {
-	if len(w.attempts) == 0 {
+// endAttemptOrStartResponse ends a random attempt in flight or starts its response.
+func (loop *testLoop) endAttemptOrStartResponse() {
+	if len(loop.attempts) == 0 {
 		return
 	}
-	s := w.attempts[w.rng.Intn(len(w.attempts))]
+	attempt := loop.attempts[loop.rng.Intn(len(loop.attempts))]
 	switch {
-	case !s.client.over && !s.client.streams && w.rng.Intn(20) == 0:
-		s.begun, s.client.streams = true, true
-		w.queue(&decide.ResponseStarted{ID: s.client.id, Attempt: s.n})
-	case s.client.streams && !s.begun || w.rng.Intn(2) == 0:
-		w.end(s, decide.Result(1+w.rng.Intn(int(decide.NotStored))))
+	case !attempt.client.finished && !attempt.client.responseStarted && loop.rng.Intn(20) == 0:
+		attempt.responseStarted, attempt.client.responseStarted = true, true
+		loop.queue(&decide.ResponseStarted{ID: attempt.client.id, Attempt: attempt.number})
+	case attempt.client.responseStarted && !attempt.responseStarted || loop.rng.Intn(2) == 0:
+		loop.endAttempt(attempt, decide.Result(1+loop.rng.Intn(int(decide.NotStored))))
 	default:
-		w.end(s, decide.Served)
+		loop.endAttempt(attempt, decide.Served)
 	}
 }
 
-// expire ends attempts and health checks at their deadlines.
-func (w *testLoop) expire() {
-	for _, s := range slices.Clone(w.attempts) {
-		if w.now >= s.stopAt && !s.begun && slices.Contains(w.attempts, s) {
-			w.end(s, decide.TimedOut)
+// expireAttemptsAndHealthChecks ends attempts and health checks whose deadlines have passed.
+func (loop *testLoop) expireAttemptsAndHealthChecks() {
+	for _, attempt := range slices.Clone(loop.attempts) {
+		if loop.now >= attempt.deadline && !attempt.responseStarted && slices.Contains(loop.attempts, attempt) {
+			loop.endAttempt(attempt, decide.TimedOut)
 		}
 	}
-	for len(w.healthChecks) > 0 && w.now >= w.healthChecks[0].at+500*ms {
-		w.queue(&decide.HealthCheckResult{Cache: w.healthChecks[0].cache, Result: decide.TimedOut})
-		w.healthChecks = w.healthChecks[1:]
+	for len(loop.healthChecks) > 0 && loop.now >= loop.healthChecks[0].at+500*ms {
+		loop.queue(&decide.HealthCheckResult{Cache: loop.healthChecks[0].cache, Result: decide.TimedOut})
+		loop.healthChecks = loop.healthChecks[1:]
 	}
 }
 
-// advance moves the clock, and fires the timers that are due.
-func (w *testLoop) advance(d decide.Time) {
-	end := w.now + d
-	for len(w.timers) > 0 && w.timers[0].At <= end {
-		tm := heap.Pop(&w.timers).(decide.SetTimer)
-		w.now = max(w.now, tm.At)
-		w.expire()
-		w.queue(&decide.Timer{Token: tm.Token})
-		if w.rng.Intn(3) > 0 { // else more events are queued before the module gets this one
-			w.deliver()
+// advance advances the clock and fires the timers that are due.
+func (loop *testLoop) advance(duration decide.Time) {
+	end := loop.now + duration
+	for len(loop.timers) > 0 && loop.timers[0].At <= end {
+		timer := heap.Pop(&loop.timers).(decide.SetTimer)
+		loop.now = max(loop.now, timer.At)
+		loop.expireAttemptsAndHealthChecks()
+		loop.queue(&decide.Timer{Token: timer.Token})
+		if loop.rng.Intn(3) > 0 { // otherwise further events join the queue before the module receives this one
+			loop.deliver()
 		}
 	}
-	w.now = end
-	w.expire()
+	loop.now = end
+	loop.expireAttemptsAndHealthChecks()
 }
 
-// step makes one random event.
-func (w *testLoop) step() {
-	switch x := w.rng.Intn(100); {
-	case x < 40:
-		w.request()
-	case x < 46 && len(w.clients) > 0:
-		w.leave(w.clients[max(0, len(w.clients)-1-w.rng.Intn(30))])
-	case x < 50:
-		w.list()
-	case x < 55 && len(w.healthChecks) > 0:
-		w.queue(&decide.HealthCheckResult{Cache: w.healthChecks[0].cache, Result: pickOne(w.rng, decide.Served, decide.TimedOut)})
-		w.healthChecks = w.healthChecks[1:]
+// performRandomStep makes one random event.
+func (loop *testLoop) performRandomStep() {
+	switch choice := loop.rng.Intn(100); {
+	case choice < 40:
+		loop.startRequest()
+	case choice < 46 && len(loop.clients) > 0:
+		loop.disconnect(loop.clients[max(0, len(loop.clients)-1-loop.rng.Intn(30))])
+	case choice < 50:
+		loop.updateEndpointList()
+	case choice < 55 && len(loop.healthChecks) > 0:
+		loop.queue(&decide.HealthCheckResult{Cache: loop.healthChecks[0].cache, Result: pickOne(loop.rng, decide.Served, decide.TimedOut)})
+		loop.healthChecks = loop.healthChecks[1:]
 	default:
-		w.reply()
+		loop.endAttemptOrStartResponse()
 	}
 }
 
-// play makes random events, and then ends all that is open.
-func (w *testLoop) play(steps int) {
+// play makes random events and then ends all open attempts and requests.
+func (loop *testLoop) play(steps int) {
 	for range steps {
-		for range 1 + w.rng.Intn(4) {
-			w.step()
+		for range 1 + loop.rng.Intn(4) {
+			loop.performRandomStep()
 		}
-		w.deliver()
-		w.advance(decide.Time(w.rng.Intn(20 * ms)))
-		if w.rng.Intn(3) > 0 {
-			w.deliver()
-			w.check()
+		loop.deliver()
+		loop.advance(decide.Time(loop.rng.Intn(20 * ms)))
+		if loop.rng.Intn(3) > 0 {
+			loop.deliver()
+			loop.checkCounts()
 		}
 	}
-	w.deliver()
-	for _, s := range slices.Clone(w.attempts) {
-		if s.begun {
-			w.end(s, decide.ConnectionLost)
+	loop.deliver()
+	for _, attempt := range slices.Clone(loop.attempts) {
+		if attempt.responseStarted {
+			loop.endAttempt(attempt, decide.ConnectionLost)
 		}
 	}
-	for range 40 { // longer than any deadline and lateTolerance
-		w.advance(100 * ms)
-		w.deliver()
-		w.repair()
-		w.check()
+	for range 40 { // longer than any deadline and overdueTolerance
+		loop.advance(100 * ms)
+		loop.deliver()
+		loop.deliverOverdue()
+		loop.checkCounts()
 	}
 }
 
-// repair takes the events in place of missing ones, long after, and hands them over.
-func (w *testLoop) repair() {
-	for _, ev := range w.contract.Overdue(w.now) {
-		w.queue(ev)
+// deliverOverdue passes the replacements for missing events to the Contract.
+func (loop *testLoop) deliverOverdue() {
+	for _, ev := range loop.contract.Overdue(loop.now) {
+		loop.queue(ev)
 	}
-	w.deliver()
+	loop.deliver()
 }
 
-func (w *testLoop) check() {
-	w.contract.Check(w.now, func(cache string) int {
+func (loop *testLoop) checkCounts() {
+	loop.contract.Check(loop.now, func(cache string) int {
 		n := 0
-		for _, s := range w.attempts {
-			if s.cache == cache {
+		for _, attempt := range loop.attempts {
+			if attempt.cache == cache {
 				n++
 			}
 		}
@@ -361,7 +362,7 @@
 
 func pickOne[T any](rng *rand.Rand, of ...T) T { return of[rng.Intn(len(of))] }
 
-// timerHeap orders timers by time, and by token at one time.
+// timerHeap orders timers by time, and timers with the same time by token.
 type timerHeap []decide.SetTimer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/internal/guard/tracked.go
+++ b/internal/guard/tracked.go
@@ -7,51 +7,51 @@
 	"starlingwinch/decide"
 )
 
-// trackedRequest is a request that is open: not answered, or with an attempt in flight.
+// trackedRequest is an open request: one that has no final answer or has an attempt in flight.
 type trackedRequest struct {
 	id              int64
 	openedAt        decide.Time
 	deadline        decide.Time
-	attempts        []trackedAttempt // by number
+	attempts        []trackedAttempt // indexed by attempt number
 	inFlight        int              // attempts without a result
-	over            bool             // it has its final answer, or its client has gone
-	clientGone      bool             // its client has gone
-	missingReported bool             // its missing answer was reported
+	finished        bool             // the request has its final answer, or its client has disconnected
+	clientGone      bool             // the client has disconnected
+	missingReported bool             // the missing answer has been reported
 }
 
 // trackedAttempt is an attempt of an open request.
 type trackedAttempt struct {
 	cache           *trackedCache
-	listing         int         // the cache's when it was sent
-	sentAt          decide.Time // when the module sent it
-	deadline        decide.Time // when the loop gives it up
-	endedAt         decide.Time // when it got its result
+	removalsAtSend  int         // value of cache.removals when the attempt was sent
+	sentAt          decide.Time // when the module returned the Send
+	deadline        decide.Time // when the loop aborts the attempt
+	endedAt         decide.Time // when the result arrived
 	result          decide.Result
-	inFlight        bool // it has no result
-	withheld        bool // its Send was withheld from the loop
-	responding      bool // its response has started, and may take as long as it takes
-	missingReported bool // its missing result was reported
+	inFlight        bool // no result has arrived
+	withheld        bool // the Send was withheld from the loop
+	responseStarted bool // the response has started; its duration is not limited
+	missingReported bool // the missing result has been reported
 }
 
-// trackedCache is a cache by its name. The module forgets a cache that leaves the list, with the attempts in flight there; the
-// sockets do not. So both are counted.
+// trackedCache is the record of a cache. It counts attempts in flight twice because the module discards a cache, with its attempts
+// in flight, when the cache leaves the endpoint list, while the attempts continue on their sockets.
 type trackedCache struct {
-	name              string
-	listed            bool
-	listing           int           // how often it has left the list
-	inFlight          int           // attempts in flight on its sockets
-	inFlightOfListing int           // attempts in flight that the module counts: those sent since it was last listed
-	healthChecks      []decide.Time // when those in flight were sent
-	missingReported   int           // the first so many of healthChecks were reported as missing
+	name                  string
+	listed                bool
+	removals              int           // number of times that the cache has left the endpoint list
+	inFlight              int           // attempts in flight on the cache's sockets
+	inFlightSinceListed   int           // attempts in flight that the module counts: those sent since the cache was last listed
+	healthChecks          []decide.Time // send times of the health checks in flight, oldest first
+	missingChecksReported int           // number of entries at the front of healthChecks whose missing result has been reported
 }
 
-// closedRequest keeps the number of attempts of a request that is closed.
+// closedRequest stores the number of attempts of a closed request.
 type closedRequest struct {
 	id       int64
 	attempts int
 }
 
-// openRequest begins to track a request.
+// openRequest starts tracking a request.
 func (c *Contract) openRequest(ev *decide.Request) {
 	var request *trackedRequest
 	if n := len(c.freeRequests); n > 0 {
@@ -65,26 +65,25 @@
 	c.newestRequest = max(c.newestRequest, ev.ID)
 }
 
-// closeIfComplete stops tracking a request once neither side owes anything for it.
+// closeIfComplete stops tracking a request that is finished and has no attempt in flight.
 func (c *Contract) closeIfComplete(request *trackedRequest) {
-	if !request.over || request.inFlight > 0 {
+	if !request.finished || request.inFlight > 0 {
 		return
 	}
 	delete(c.requests, request.id)
-	c.rememberClosed(closedRequest{request.id, len(request.attempts)})
+	c.recordClosed(closedRequest{request.id, len(request.attempts)})
 	if len(c.freeRequests) < maxFreeRequests {
 		c.freeRequests = append(c.freeRequests, request)
 	}
 }
 
-// rememberClosed keeps a closed request in place of the one closed longest ago.
-func (c *Contract) rememberClosed(closed closedRequest) {
+// recordClosed stores a closed request and overwrites the oldest entry.
+func (c *Contract) recordClosed(closed closedRequest) {
 	c.lastClosed = (c.lastClosed + 1) % maxClosedRequests
 	c.closed[c.lastClosed] = closed
 }
 
-// nextAttemptOfClosed returns the number that the module gives its next attempt for a request that is closed or was never
-// announced.
+// nextAttemptOfClosed returns the number that the module assigns to its next attempt for a request that is closed or unknown.
 func (c *Contract) nextAttemptOfClosed(id int64) int {
 	for i := range c.closed {
 		closed := &c.closed[i]
@@ -93,12 +92,12 @@
 			return closed.attempts - 1
 		}
 	}
-	c.rememberClosed(closedRequest{id, 1})
+	c.recordClosed(closedRequest{id, 1})
 	return 0
 }
 
-// isInFlight reports whether the loop owes a result for an attempt.
-func (request *trackedRequest) isInFlight(attempt int) bool {
+// awaitsResult reports whether the loop must still deliver a result for an attempt.
+func (request *trackedRequest) awaitsResult(attempt int) bool {
 	if attempt < 0 || attempt >= len(request.attempts) {
 		return false
 	}
@@ -110,8 +109,8 @@
 	attempt := &request.attempts[number]
 	attempt.inFlight, attempt.result, attempt.endedAt = false, result, c.now
 	request.inFlight--
-	if attempt.listing == attempt.cache.listing {
-		attempt.cache.inFlightOfListing--
+	if attempt.removalsAtSend == attempt.cache.removals {
+		attempt.cache.inFlightSinceListed--
 	}
 	if !attempt.withheld {
 		attempt.cache.inFlight--
@@ -119,13 +118,13 @@
 	c.forgetIfUnused(attempt.cache)
 }
 
-// endWithheld records the result of a withheld attempt, and returns the event for the module.
-func (c *Contract) endWithheld(pending pendingResult) decide.Event {
+// endWithheldAttempt records the result of a withheld attempt and returns the event for the module.
+func (c *Contract) endWithheldAttempt(pending pendingResult) decide.Event {
 	last := true
 	request := c.requests[pending.request]
 	if request != nil && pending.attempt < len(request.attempts) && request.attempts[pending.attempt].withheld {
 		c.endAttempt(request, pending.attempt, decide.NotSent)
-		last = request.over
+		last = request.finished
 		c.closeIfComplete(request)
 	}
 	return &decide.AttemptResult{
@@ -137,8 +136,8 @@
 	}
 }
 
-// cacheNamed returns the record of a cache, and makes it where there is none.
-func (c *Contract) cacheNamed(name string) *trackedCache {
+// getOrCreateCache returns the record of a cache and creates the record if there is none.
+func (c *Contract) getOrCreateCache(name string) *trackedCache {
 	cache := c.caches[name]
 	if cache == nil {
 		cache = &trackedCache{name: name}
@@ -147,12 +146,12 @@
 	return cache
 }
 
-// forgetIfUnused stops tracking a cache that is not listed once nothing is in flight there.
+// forgetIfUnused stops tracking a cache that is not listed and has no attempt or health check in flight.
 func (c *Contract) forgetIfUnused(cache *trackedCache) {
 	if !cache.listed && cache.inFlight == 0 && len(cache.healthChecks) == 0 {
 		delete(c.caches, cache.name)
 	}
 }
 
-// sortedNames returns the names of the tracked caches.
-func (c *Contract) sortedNames() []string { return slices.Sorted(maps.Keys(c.caches)) }
+// sortedCacheNames returns the names of the tracked caches in ascending order.
+func (c *Contract) sortedCacheNames() []string { return slices.Sorted(maps.Keys(c.caches)) }
