--- a/internal/endpoints/api.go
+++ b/internal/endpoints/api.go
@@ -1,20 +1,21 @@
-// Package endpoints merges what several sources say of the caches (the platform's discovery, a registry, a fixed file) into
-// the one endpoint list that the decision module takes.
+// Package endpoints merges the lists of several sources (the platform's discovery, a registry, a fixed file) into the one
+// endpoint list that package decide uses.
 //
-// A Merger is fed events and returns actions. It performs no I/O, reads no clock and starts no goroutines: the time comes in
-// with each event, and equal events give equal actions.
+// A Merger receives events and returns actions. It performs no I/O, reads no clock and starts no goroutines: each event is
+// passed with its time, and equal sequences of events give equal actions.
 //
-// Its rules, in the order of their precedence:
-//   - A drain or a removal that a source reports is published at once, and is never suppressed.
-//   - An endpoint that flaps is suppressed for a time that grows with each flap and decays while it is stable (route flap
-//     damping, RFC 2439), so that it does not move keys to and fro.
-//   - A source that is unavailable removes nothing; its claims stay, and their age can be seen.
-//   - A source whose full list omits most of its endpoints at once must confirm that, by another of its servers where it
-//     has several. The omissions are published when it confirms them, or when it neither confirms nor denies them in time.
-//     Only omissions wait so, never a claim of a drain or removal; a source that becomes unavailable confirms nothing.
-//     A source whose first full list names no serving endpoint must confirm that too, though nothing waits for it.
-//   - Where sources disagree, the first in the operators' order says where an endpoint is and what it is like; a drain or
-//     removal reported by any other source drains it.
+// The rules of the merge, in order of precedence:
+//   - A drain or removal that a source reports explicitly is published at once and is never suppressed.
+//   - A flapping endpoint is suppressed for a time that grows with each flap and decays while the endpoint is stable (route
+//     flap damping, RFC 2439), so that its keys do not move back and forth.
+//   - An unavailable source removes no endpoint. Its claims remain valid, and the operators' tables show their age.
+//   - A source whose full list omits most of its endpoints at once must confirm the omissions, through another of its servers
+//     where it has several. The omissions are published when the source confirms them, or when it neither confirms nor denies
+//     them within the time limit. Only omissions wait for a confirmation; an explicit drain or removal never does. A source
+//     that becomes unavailable confirms nothing. A source whose first full list names no serving endpoint must also confirm
+//     that list, but no change waits for this confirmation.
+//   - Where sources disagree, the first source in the operators' order determines an endpoint's address and attributes; a
+//     drain or removal that any other source reports drains the endpoint.
 package endpoints
 
 import (
@@ -26,31 +27,31 @@
 // Time is an instant or a span in microseconds.
 type Time = decide.Time
 
-// Claim is what one source says of one endpoint.
+// Claim is the entry of one source on one endpoint.
 type Claim struct {
-	Endpoint decide.Endpoint // Status is decide.Removed where the source says explicitly that it is gone
-	Address  string          // an IP address and a port; empty in a drain or removal leaves the address as it is
-	Reason   string          // the source's own word for the status, for the log: "OUT_OF_SERVICE"
-	LastSeen Time            // when the source itself last had contact with it, on the events' clock; 0 where it does not say
+	Endpoint decide.Endpoint // Status is decide.Removed where the source explicitly reports the removal
+	Address  string          // an IP address and a port; a drain or removal with an empty Address does not change the address
+	Reason   string          // the source's own name of the status, for the log: "OUT_OF_SERVICE"
+	LastSeen Time            // the source's last contact with the endpoint, on the events' clock; 0 if the source does not report it
 }
 
 // Event is an input of the Merger: *SourceUpdate, *SourceUnavailable or *Tick.
 type Event interface{ event() }
 
-// SourceUpdate is a list of a source.
+// SourceUpdate is a full or partial list that a source has sent.
 type SourceUpdate struct {
-	Source     string   // its name in Options.Sources
-	Full       bool     // it names every endpoint that the source knows, so that an omitted one is removed; else those that changed
-	Stale      bool     // it is the list as last known, and may be old
-	Repeat     bool     // it is the full list that was fetched to answer a Confirm
+	Source     string   // name of the source in Options.Sources
+	Full       bool     // the list names every endpoint that the source knows, and an omitted one is removed; otherwise it has only changes
+	Stale      bool     // the list is the last known one, and may be outdated
+	Repeat     bool     // the full list was fetched in response to a Confirm
 	Claims     []Claim  // one for each entry
-	Unreadable []string // endpoints whose entry can't be used: they stay as they are
+	Unreadable []string // IDs of endpoints whose entry is invalid: the source's previous claims on them remain valid
 }
 
-// SourceUnavailable says that a source can't be reached, or sends nothing that can be used. Reason is for the log.
+// SourceUnavailable reports that a source can't be reached or sends no usable response. Reason is for the log.
 type SourceUnavailable struct{ Source, Reason string }
 
-// Tick is the answer to a Wake.
+// Tick is the event that a Wake has requested.
 type Tick struct{}
 
 func (*SourceUpdate) event()      {}
@@ -60,22 +61,22 @@
 // Action is an output of the Merger: Publish, Confirm, Wake or Log. The caller carries actions out in order.
 type Action interface{ action() }
 
-// Publish has the entries of the merged list that have changed: removals first, then drains, then the others. The first one
-// comes with the first list of any source, also where that is empty.
+// Publish has the changed entries of the merged list: removals first, then drains, then serving endpoints. The Merger returns
+// the first Publish for the first list of any source, even if that list is empty.
 type Publish struct {
-	Kind      decide.UpdateKind // decide.StaleUpdate for the first one where it is made of a stale list, else decide.DeltaUpdate
-	Endpoints []decide.Endpoint // StartedAt is as a source gave it
+	Kind      decide.UpdateKind // decide.StaleUpdate if this is the first Publish and its list is stale, else decide.DeltaUpdate
+	Endpoints []decide.Endpoint // StartedAt is as a source reported it
 	Addresses []string          // of Endpoints, in the same order
 }
 
-// Confirm requests a source's full list once more, by another of its servers where it has several. The caller answers with
-// a SourceUpdate with Repeat set, or a SourceUnavailable.
+// Confirm requests that a source's full list be fetched a second time, from another of its servers where it has several. The
+// caller responds with a SourceUpdate with Repeat set, or with a SourceUnavailable.
 type Confirm struct{ Source string }
 
-// Wake requests a Tick at or after At. It replaces the Wake before.
+// Wake requests a Tick at or after At. It replaces the previous Wake.
 type Wake struct{ At Time }
 
-// Log is a line for the log, for the engineer on call.
+// Log is a log line for the engineer on call.
 type Log struct {
 	Level   slog.Level
 	Message string
--- a/internal/endpoints/bench_test.go
+++ b/internal/endpoints/bench_test.go
@@ -20,37 +20,37 @@
 	return m, all
 }
 
-// BenchmarkChange: the second of two sources drains one endpoint and brings it back.
+// BenchmarkChange measures a partial list in which the second of two sources drains one endpoint or adds it back.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{14, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m, all := newBenchMerger(b, n)
-			drains := all[0]
-			drains.Endpoint.Status = decide.Draining
-			evs := []*SourceUpdate{{Source: "eureka", Claims: []Claim{drains}}, {Source: "eureka", Claims: all[:1]}}
+			draining := all[0]
+			draining.Endpoint.Status = decide.Draining
+			updates := []*SourceUpdate{{Source: "eureka", Claims: []Claim{draining}}, {Source: "eureka", Claims: all[:1]}}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				m.Handle(Time(i)*100*second, evs[i%2])
+				m.Handle(Time(i)*100*second, updates[i%2])
 			}
 		})
 	}
 }
 
-// BenchmarkFull: a full list in which nothing has changed.
+// BenchmarkFull measures a full list without changes.
 func BenchmarkFull(b *testing.B) {
 	for _, n := range []int{14, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m, all := newBenchMerger(b, n)
-			ev := &SourceUpdate{Source: "eureka", Full: true, Claims: all}
+			update := &SourceUpdate{Source: "eureka", Full: true, Claims: all}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				m.Handle(Time(i)*second, ev)
+				m.Handle(Time(i)*second, update)
 			}
 		})
 	}
 }
 
-// BenchmarkFullNew: the first full list, in which all endpoints are new.
+// BenchmarkFullNew measures the first full list, in which all endpoints are new.
 func BenchmarkFullNew(b *testing.B) {
 	for _, n := range []int{14, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/endpoints/config.go
+++ b/internal/endpoints/config.go
@@ -14,7 +14,7 @@
 	File      = "file"      // a file with a fixed list
 )
 
-// Config is an operators' file of the kind "membership".
+// Config holds the settings of an operators' file of the kind "membership".
 type Config struct {
 	Order       []string           `toml:"order" min:"1" max:"3" doc:"the sources of the list of caches that are asked, the one that wins where they disagree first: discovery, eureka, file"`
 	File        string             `toml:"file" max:"4096" doc:"the file with a fixed list of caches, in the platform's form; empty for none"`
@@ -22,7 +22,7 @@
 	MassRemoval MassRemovalSection `toml:"loss"`
 }
 
-// DampingSection sets the flap damping of caches that a registry takes away and brings back again and again.
+// DampingSection sets the flap damping of caches that a registry repeatedly removes and adds.
 type DampingSection struct {
 	Penalty     int           `toml:"penalty" min:"1" max:"1000000" doc:"added for each flap"`
 	Suppress    int           `toml:"suppress" min:"1" max:"1000000" doc:"above that, good news is held down"`
@@ -31,14 +31,14 @@
 	MaxSuppress time.Duration `toml:"longest" min:"100ms" max:"24h" doc:"for which good news is held down, at most"`
 }
 
-// MassRemovalSection says when a registry must confirm a list before it is believed.
+// MassRemovalSection sets when a registry must confirm a list before the router applies its omissions.
 type MassRemovalSection struct {
 	Percent       int           `toml:"percent" min:"1" max:"100" doc:"more than so many of the caches that took work are left out at once"`
 	ConfirmWithin time.Duration `toml:"within" min:"10ms" max:"10s" doc:"an absence that nobody has confirmed or denied by then is obeyed"`
 	MinEndpoints  int           `toml:"least" min:"1" max:"10000" doc:"with fewer caches that took work there is no check"`
 }
 
-// DefaultConfig is what holds where no file says otherwise.
+// DefaultConfig returns the settings that apply where no operators' file changes them.
 func DefaultConfig() Config {
 	damping, massRemoval := DefaultDamping(), DefaultMassRemoval()
 	return Config{
@@ -61,7 +61,7 @@
 // Kind is the kind of operators' file that sets a Config.
 var Kind = operatorconfig.Define("membership", "how the sources of the list of caches are merged", DefaultConfig(), checkConfig)
 
-// checkConfig reports what the range of a single key can't express.
+// checkConfig checks the constraints that involve several keys, or the elements of a list.
 func checkConfig(c Config, report operatorconfig.ReportFunc) {
 	known := []string{Discovery, Eureka, File}
 	for i, name := range c.Order {
@@ -69,11 +69,11 @@
 		case !slices.Contains(known, name):
 			report("order", "unknown source %.40q (wanted discovery, eureka or file)", name)
 		case slices.Index(c.Order, name) < i:
-			report("order", "%s stands twice", name)
+			report("order", "%s is listed more than once", name)
 		}
 	}
 	if c.File != "" && !slices.Contains(c.Order, File) {
-		report("file", "set, but order does not name file")
+		report("file", "is set, but order does not include file")
 	}
 	options := c.Options(known)
 	if err := options.check(); err != nil {
@@ -81,11 +81,11 @@
 	}
 }
 
-// maxRemovedRemembered bounds the removed endpoints that a router remembers.
+// maxRemovedRemembered limits the number of removed endpoints whose state a router retains.
 const maxRemovedRemembered = 2000
 
-// Options are those of New, for the sources that are in use. Only a registry is damped and has to confirm a mass removal: the
-// lists of the platform and of the file are authoritative.
+// Options returns the options of New for the sources that are in use. Damping and the confirmation of mass removals apply to
+// registries only, as the lists of the platform's discovery and of the file are authoritative.
 func (c Config) Options(inUse []string) Options {
 	options := Options{
 		Damping: Damping{
--- a/internal/endpoints/endpoint.go
+++ b/internal/endpoints/endpoint.go
@@ -7,36 +7,36 @@
 	"starlingwinch/decide"
 )
 
-// maxReasonLength bounds a source's word for a status; characters.
+// maxReasonLength limits a source's reason for a status, in characters.
 const maxReasonLength = 80
 
 // sourceClaim is the latest claim of one source on one endpoint.
 type sourceClaim struct {
-	Claim              // as it counts: Status is Removed also where a full list has omitted the endpoint
-	known       bool   // the source has named the endpoint since that was last forgotten
-	stale       bool   // it comes from a stale list
-	omitted     bool   // it is Removed because a full list omitted it, not by an entry
-	unconfirmed bool   // a full list has omitted it, as one of too many: the claim before counts until that is confirmed
-	omittedAt   Time   // since when it is unconfirmed
-	updatedAt   Time   // when the source last made it
-	update      uint64 // number of the SourceUpdate that last named the endpoint
+	Claim              // the effective claim: its Status is Removed also after a full list has omitted the endpoint
+	known       bool   // the source has named the endpoint since the Merger last forgot it
+	stale       bool   // the claim is from a stale list
+	omitted     bool   // Status is Removed because a full list omitted the endpoint, not because an entry reported a removal
+	unconfirmed bool   // a full list omitted too many endpoints, this one included: the previous claim remains valid until confirmation
+	omittedAt   Time   // time of that omission, if unconfirmed
+	updatedAt   Time   // time of the source's latest claim
+	update      uint64 // number of the latest SourceUpdate that named the endpoint
 }
 
-// endpoint is all that is known of one endpoint.
+// endpoint is the state of one endpoint.
 type endpoint struct {
 	id     string
 	claims []sourceClaim // by source, in the operators' order
 
-	merged    decide.Status   // what the claims amount to
+	merged    decide.Status   // result of merging the claims, before flap damping
 	status    decide.Status   // as published; Removed before the first time
 	published decide.Endpoint // as published
 	address   string          // as published
 
-	dirty                  bool // it is to be merged anew in this turn
-	dampedSourceDowngraded bool // in this turn, a damped source took back that it is serving
+	dirty                  bool // the claims must be merged again in this turn
+	dampedSourceDowngraded bool // in this turn, the claim of a damped source changed from serving to another status
 
-	removedElement *list.Element // its place in Merger.removed; nil where it is not there
-	removedAt      Time          // since when it is there
+	removedElement *list.Element // element of the endpoint in Merger.removed; nil if it is not in that list
+	removedAt      Time          // when the endpoint was added to Merger.removed
 	flaps          flapHistory
 }
 
@@ -50,9 +50,10 @@
 	}
 }
 
-// merge returns what the claims on an endpoint amount to. The first source that knows it describes it, and removes it where
-// that one does. A drain or removal of any other source drains it; a source that does not know it has no say. removedByAll
-// reports whether every source that knows it has removed it.
+// merge returns the result of merging the claims on an endpoint. The first source that knows the endpoint determines its
+// attributes and status, including its removal. A drain or removal that any other source reports drains the endpoint; a source
+// that does not know the endpoint has no effect. removedByAll reports whether every source that knows the endpoint has removed
+// it.
 func (e *endpoint) merge() (merged decide.Endpoint, address string, removedByAll bool) {
 	first := true
 	removedByAll = true
@@ -69,7 +70,8 @@
 		if merged.Status == decide.Serving && c.Endpoint.Status != decide.Serving {
 			merged.Status = decide.Draining
 		}
-		// A fixed file knows no start times: without those of another source, a cache that just started would count as warm.
+		// A fixed file has no start times. Without the start time from another source, a newly started cache would count as
+		// warm.
 		if merged.StartedAt == 0 {
 			merged.StartedAt = c.Endpoint.StartedAt
 		}
@@ -81,23 +83,23 @@
 	return merged, address, removedByAll
 }
 
-// statusTexts are the words for a status in the tables for operators.
+// statusTexts are the descriptions of a status in the operators' tables and in the reasons in the log.
 var statusTexts = [...]string{
 	decide.Serving:  "takes work",
 	decide.Draining: "drains",
 	decide.Removed:  "has gone",
 }
 
-// cause says why an endpoint has its status: a source's claim, or flap damping.
+// cause is the reason for an endpoint's status: a source's claim, or flap damping.
 type cause struct {
-	source        string // empty where flap damping is the cause, or no source knows the endpoint
-	reason        string // of the source
+	source        string // empty if flap damping is the cause, or if no source knows the endpoint
+	reason        string // given by the source
 	suppressed    bool   // flap damping is the cause
-	suppressedFor Time   // from now on
+	suppressedFor Time   // time until the suppression ends
 	flaps         int    // since the endpoint was last stable
 }
 
-// String is the cause in words for operators.
+// String returns the cause as text for the operators' tables.
 func (c cause) String() string {
 	switch {
 	case c.suppressed:
@@ -108,7 +110,7 @@
 	return c.source + ": " + c.reason
 }
 
-// causeAt returns why an endpoint has its status: flap damping, else the first claim of a drain, removal or unconfirmed
+// causeAt returns the cause of an endpoint's status: flap damping, else the first claim of a drain, removal or unconfirmed
 // omission, else the first claim.
 func (m *Merger) causeAt(e *endpoint, now Time) cause {
 	if e.merged == decide.Serving && e.status != decide.Serving {
@@ -131,7 +133,7 @@
 	return first
 }
 
-// reasonText is the source's own word for the status, or what stands for it where the source gave none.
+// reasonText returns the source's own reason for the status, or a default text if the source gave none.
 func (c *sourceClaim) reasonText() string {
 	switch {
 	case c.omitted:
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -14,45 +14,45 @@
 type rig struct {
 	*testing.T
 	*Merger
-	at      Time                       // of the next event
-	list    map[string]decide.Endpoint // as published
-	addrs   map[string]string          // as published
-	ups     map[string]int             // how often an endpoint became serving, by id
-	actions []Action                   // of the last event
+	at                 Time                       // time of the next event
+	list               map[string]decide.Endpoint // as published, by ID
+	addrs              map[string]string          // as published, by endpoint ID
+	servingTransitions map[string]int             // number of times that an endpoint became serving, by ID
+	actions            []Action                   // of the last event
 }
 
 func newRig(t *testing.T, sources ...SourceOptions) *rig {
 	t.Helper()
-	return newRigOf(t, Options{Sources: sources, Damping: DefaultDamping(), MassRemoval: DefaultMassRemoval()})
+	return newRigWithOptions(t, Options{Sources: sources, Damping: DefaultDamping(), MassRemoval: DefaultMassRemoval()})
 }
 
-func newRigOf(t *testing.T, opt Options) *rig {
+func newRigWithOptions(t *testing.T, options Options) *rig {
 	t.Helper()
-	m, err := New(opt)
+	m, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &rig{T: t, Merger: m, at: second, list: map[string]decide.Endpoint{}, addrs: map[string]string{},
-		ups: map[string]int{}}
+		servingTransitions: map[string]int{}}
 }
 
-// handle passes an event to the Merger and applies what is published.
-func (r *rig) handle(ev Event) []Action {
+// handle passes an event to the Merger and applies the published changes to the list.
+func (r *rig) handle(event Event) []Action {
 	r.Helper()
-	r.actions = r.Handle(r.at, ev)
+	r.actions = r.Handle(r.at, event)
 	for _, a := range r.actions {
-		p, is := a.(Publish)
-		if !is {
+		p, ok := a.(Publish)
+		if !ok {
 			continue
 		}
-		worst := decide.Removed
+		previous := decide.Removed
 		for i, e := range p.Endpoints {
-			if e.Status > worst {
-				r.Errorf("at %d: an endpoint is published before one that is closer to removal: %+v", r.at, p.Endpoints)
+			if e.Status > previous {
+				r.Errorf("at %d: got %+v published, want removals first, then drains, then serving endpoints", r.at, p.Endpoints)
 			}
-			worst = e.Status
-			if old, was := r.list[e.ID]; e.Status == decide.Serving && (!was || old.Status != decide.Serving) {
-				r.ups[e.ID]++
+			previous = e.Status
+			if old, known := r.list[e.ID]; e.Status == decide.Serving && (!known || old.Status != decide.Serving) {
+				r.servingTransitions[e.ID]++
 			}
 			if e.Status == decide.Removed {
 				delete(r.list, e.ID)
@@ -65,10 +65,10 @@
 	return r.actions
 }
 
-// after lets time pass, with the ticks that fall due in it.
-func (r *rig) after(span Time) *rig {
+// after advances the time by elapsed and passes the ticks that are due to the Merger.
+func (r *rig) after(elapsed Time) *rig {
 	r.Helper()
-	end := r.at + span
+	end := r.at + elapsed
 	for r.wakeAt != 0 && r.wakeAt <= end {
 		r.at = max(r.at, r.wakeAt)
 		r.handle(&Tick{})
@@ -77,37 +77,40 @@
 	return r
 }
 
-// full, repeat and changes bring a list of a source: "c1" is serving, "c1-" draining, "c1x" removed.
-func (r *rig) full(source string, caches ...string) []Action {
+// full passes a full list of a source to the Merger: "c1" is a serving endpoint, "c1-" a draining one, "c1x" a removed one.
+func (r *rig) full(source string, entries ...string) []Action {
 	r.Helper()
-	return r.handle(&SourceUpdate{Source: source, Full: true, Claims: claims(caches...)})
+	return r.handle(&SourceUpdate{Source: source, Full: true, Claims: claims(entries...)})
 }
 
-func (r *rig) repeat(source string, caches ...string) []Action {
+// repeat passes a full list that answers a Confirm to the Merger, with entries as in full.
+func (r *rig) repeat(source string, entries ...string) []Action {
 	r.Helper()
-	return r.handle(&SourceUpdate{Source: source, Full: true, Repeat: true, Claims: claims(caches...)})
+	return r.handle(&SourceUpdate{Source: source, Full: true, Repeat: true, Claims: claims(entries...)})
 }
 
-func (r *rig) changes(source string, caches ...string) []Action {
+// changes passes a partial list to the Merger, with entries as in full.
+func (r *rig) changes(source string, entries ...string) []Action {
 	r.Helper()
-	return r.handle(&SourceUpdate{Source: source, Claims: claims(caches...)})
+	return r.handle(&SourceUpdate{Source: source, Claims: claims(entries...)})
 }
 
-// unavailable makes a source unavailable.
+// unavailable reports a source as unavailable to the Merger.
 func (r *rig) unavailable(source string) []Action {
 	r.Helper()
 	return r.handle(&SourceUnavailable{Source: source, Reason: "connection refused"})
 }
 
-func claims(caches ...string) []Claim {
+// claims returns the claims for entries in the form that full accepts.
+func claims(entries ...string) []Claim {
 	var all []Claim
-	for _, c := range caches {
-		id := strings.TrimRight(c, "-x")
+	for _, entry := range entries {
+		id := strings.TrimRight(entry, "-x")
 		claim := Claim{Endpoint: decide.Endpoint{ID: id, Zone: "a", Weight: 1}, Address: "10.0.0.1:" + id[1:]}
 		switch {
-		case strings.HasSuffix(c, "-"):
+		case strings.HasSuffix(entry, "-"):
 			claim.Endpoint.Status, claim.Reason = decide.Draining, "OUT_OF_SERVICE"
-		case strings.HasSuffix(c, "x"):
+		case strings.HasSuffix(entry, "x"):
 			claim = Claim{Endpoint: decide.Endpoint{ID: id, Status: decide.Removed}}
 		}
 		all = append(all, claim)
@@ -115,7 +118,7 @@
 	return all
 }
 
-// names returns the ids from "c<from>" to "c<to>".
+// names returns the IDs from "c<from>" to "c<to>".
 func names(from, to int) []string {
 	var all []string
 	for i := from; i <= to; i++ {
@@ -124,11 +127,11 @@
 	return all
 }
 
-// state is the status of an endpoint as published: "serving", "draining" or "removed".
+// state returns the published status of an endpoint: "serving", "draining" or "removed".
 func (r *rig) state(id string) string {
-	e, is := r.list[id]
+	e, ok := r.list[id]
 	switch {
-	case !is:
+	case !ok:
 		return "removed"
 	case e.Status == decide.Draining:
 		return "draining"
@@ -139,7 +142,7 @@
 func (r *rig) want(id, state string) {
 	r.Helper()
 	if got := r.state(id); got != state {
-		r.Errorf("at %.3f s: %s is %s, want %s", float64(r.at)/1e6, id, got, state)
+		r.Errorf("at %.3f s: got %s %s, want %s", float64(r.at)/1e6, id, got, state)
 	}
 }
 
@@ -150,22 +153,22 @@
 	}
 }
 
-// confirms is how many Confirms the last event led to.
+// confirms returns the number of Confirms that the last event caused.
 func (r *rig) confirms() int {
 	n := 0
 	for _, a := range r.actions {
-		if _, is := a.(Confirm); is {
+		if _, ok := a.(Confirm); ok {
 			n++
 		}
 	}
 	return n
 }
 
-// wakes are the Wakes that the last event led to.
+// wakes returns the times of the Wakes that the last event caused.
 func (r *rig) wakes() []Time {
 	var all []Time
 	for _, a := range r.actions {
-		if w, is := a.(Wake); is {
+		if w, ok := a.(Wake); ok {
 			all = append(all, w.At)
 		}
 	}
@@ -179,6 +182,6 @@
 			return row
 		}
 	}
-	r.Fatalf("no row of %s", id)
+	r.Fatalf("got no row for %s in the table", id)
 	return Row{}
 }
--- a/internal/endpoints/log.go
+++ b/internal/endpoints/log.go
@@ -14,7 +14,7 @@
 	maxLoggedSourceLength = 60  // characters of an unknown source's name
 )
 
-// statusNames are the values of the field "status" in the log.
+// statusNames are the values of the log field "status".
 var statusNames = [...]string{
 	decide.Serving:  "serving",
 	decide.Draining: "draining",
@@ -54,7 +54,7 @@
 		slog.Int("removed", removed))
 }
 
-// logChanges logs each endpoint whose status has changed, and a summary where they are many.
+// logChanges logs each endpoint whose status has changed, up to maxLoggedChanges, and a summary if there are more.
 func (m *Merger) logChanges() {
 	logged := 0
 	var byStatus [len(statusNames)]int
@@ -79,7 +79,7 @@
 	m.log(slog.LevelInfo, "endpoint status changed", append(attrs, m.causeAt(e, m.now).attrs()...)...)
 }
 
-// attrs returns the cause as fields of a log line.
+// attrs returns the cause as log fields.
 func (c cause) attrs() []slog.Attr {
 	if c.suppressed {
 		return []slog.Attr{slog.Duration("suppressed_for", duration(c.suppressedFor)), slog.Int("flaps", c.flaps)}
@@ -87,7 +87,7 @@
 	return []slog.Attr{slog.String("source", c.source), slog.String("reason", c.reason)}
 }
 
-// truncated returns the first characters of a text.
+// truncated returns at most maxLength characters of a text.
 func truncated(text string, maxLength int) string { return fmt.Sprintf("%.*s", maxLength, text) }
 
 func duration(span Time) time.Duration { return time.Duration(span) * time.Microsecond }
--- a/internal/endpoints/log_test.go
+++ b/internal/endpoints/log_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// logLines are the lines that the last event led to, as "message key=value ...".
+// logLines returns the log lines that the last event caused, as "message key=value ...".
 func (r *rig) logLines() []string {
 	var all []string
 	for _, a := range r.actions {
-		line, is := a.(Log)
-		if !is {
+		line, ok := a.(Log)
+		if !ok {
 			continue
 		}
 		text := line.Message
@@ -27,7 +27,7 @@
 func (r *rig) wantLines(want ...string) {
 	r.Helper()
 	if got := r.logLines(); !slices.Equal(got, want) {
-		r.Errorf("logged %q, want %q", got, want)
+		r.Errorf("got log lines %q, want %q", got, want)
 	}
 }
 
@@ -44,17 +44,17 @@
 	r.wantLines()
 }
 
-func TestManyStatusChangesAreSummedUp(t *testing.T) {
+func TestManyStatusChangesAreSummarized(t *testing.T) {
 	r := newRig(t, platform)
 	r.full("platform", names(1, maxLoggedChanges+5)...)
 	lines := r.logLines()
 	want := fmt.Sprintf("endpoint status changes in total serving=%d draining=0 removed=0", maxLoggedChanges+5)
 	if len(lines) != maxLoggedChanges+1 || lines[maxLoggedChanges] != want {
-		t.Errorf("%d lines, the last one %q, want %q", len(lines), lines[len(lines)-1], want)
+		t.Errorf("got %d log lines, the last one %q; want %d, the last one %q", len(lines), lines[len(lines)-1], maxLoggedChanges+1, want)
 	}
 }
 
-func TestUnavailabilityIsLoggedOnceAndItsEnd(t *testing.T) {
+func TestUnavailabilityAndItsEndAreLoggedOnce(t *testing.T) {
 	r := newRig(t, platform)
 	r.full("platform", "c1", "c2")
 	r.unavailable("platform")
@@ -72,7 +72,7 @@
 	r.after(DefaultMassRemoval().ConfirmWithin)
 	lines := r.logLines()
 	if len(lines) != 8 || lines[0] != "endpoint mass removal accepted unconfirmed source=eureka removed=7" {
-		t.Errorf("logged %q", lines)
+		t.Errorf("got log lines %q, want 8, the first one on the unconfirmed removal of 7 endpoints", lines)
 	}
 }
 
--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -12,44 +12,44 @@
 type Merger struct {
 	options    Options
 	sources    []source
-	endpoints  map[string]*endpoint // by id
-	removed    list.List            // of *endpoint that every source that knows them has removed, oldest first
-	suppressed suppressionQueue     // endpoints under flap damping
-	serving    int                  // endpoints that were published as serving
+	endpoints  map[string]*endpoint // by ID
+	removed    list.List            // the *endpoint values that all sources that know them have removed, oldest first
+	suppressed suppressionQueue     // endpoints suppressed by flap damping
+	serving    int                  // number of endpoints published as serving
 
-	now       Time   // of the latest event; it never decreases
+	now       Time   // time of the latest event; never decreases
 	updates   uint64 // number of the latest SourceUpdate
-	published bool   // a Publish was returned
-	wakeAt    Time   // the latest Wake; 0 where its Tick has come or there was none
+	published bool   // at least one Publish was returned
+	wakeAt    Time   // time of the latest Wake; 0 if its Tick has come or no Wake was returned
 	turn      turn
 }
 
-// turn collects what one event leads to. It is empty between events.
+// turn collects the effects of one event. It is empty between events.
 type turn struct {
-	dirty        []*endpoint       // to be merged anew
-	changes      []change          // to be published
+	dirty        []*endpoint       // endpoints whose claims must be merged again
+	changes      []change          // for the Publish
 	kind         decide.UpdateKind // of the Publish
-	publishEmpty bool              // there must be a Publish, even without changes
+	publishEmpty bool              // a Publish is required even without changes
 	confirms     []Action
 	logs         []Action
 }
 
-// change is an endpoint that is to be published.
+// change is an endpoint whose new state must be published.
 type change struct {
 	*endpoint
-	before decide.Status // as published so far
+	before decide.Status // the previously published status
 }
 
 // source is the state of one source.
 type source struct {
 	SourceOptions
-	answered         bool   // it has sent a list that is not stale
-	answeredAt       Time   // when it last did
-	unavailable      bool   // since unavailableSince, for failureReason
-	unavailableSince Time   // the first failure after its last answer
+	answered         bool   // the source has sent a list that is not stale
+	answeredAt       Time   // when the source last sent such a list
+	unavailable      bool   // since unavailableSince, because of failureReason
+	unavailableSince Time   // first failure after the latest answer
 	failureReason    string // of the latest failure
-	known            int    // its claims that are not Removed
-	serving          int    // its claims that are Serving
+	known            int    // number of the source's claims that are not Removed
+	serving          int    // number of the source's claims that are Serving
 	massRemoval      massRemovalCheck
 }
 
@@ -72,7 +72,8 @@
 	return m, nil
 }
 
-// Handle takes an event at its time, and returns what is to be done. A time before that of the last event counts as that one.
+// Handle processes an event that occurs at now, and returns the resulting actions. If now is before the time of the previous
+// event, Handle uses the time of the previous event.
 func (m *Merger) Handle(now Time, event Event) []Action {
 	m.now = max(m.now, now)
 	switch event := event.(type) {
@@ -99,7 +100,7 @@
 	return actions
 }
 
-// sourceIndex returns the place of a source in the operators' order; below 0 where it is none.
+// sourceIndex returns the index of a source in the operators' order; below 0 if no source has this name.
 func (m *Merger) sourceIndex(name string) int {
 	i := slices.IndexFunc(m.sources, func(s source) bool { return s.Name == name })
 	if i < 0 {
@@ -108,11 +109,12 @@
 	return i
 }
 
-// handleUpdate takes over a list of the source at place i.
-func (m *Merger) handleUpdate(i int, update *SourceUpdate) {
-	s := &m.sources[i]
+// handleUpdate applies a list of a source. Here and in other methods, sourceIndex is the index of the source in the operators'
+// order.
+func (m *Merger) handleUpdate(sourceIndex int, update *SourceUpdate) {
+	s := &m.sources[sourceIndex]
 	if update.Stale && s.answered {
-		return // what is known is newer
+		return // the source's current claims are newer
 	}
 	m.updates++
 	m.turn.kind, m.turn.publishEmpty = decide.DeltaUpdate, !m.published
@@ -122,27 +124,27 @@
 	before := servingCounts{source: s.serving, merged: m.serving, unconfirmed: s.massRemoval.unconfirmed}
 	wasUnavailable := s.unavailable
 	if s.ConfirmMassRemoval && !s.answered && update.namesNoServingEndpoint() {
-		m.turn.confirms = append(m.turn.confirms, Confirm{s.Name}) // one of its servers may have restarted with an empty list
+		m.turn.confirms = append(m.turn.confirms, Confirm{s.Name}) // a server of the source may have restarted with an empty list
 	}
 	if !update.Stale {
 		m.markAvailable(s)
 	}
-	m.applyClaims(i, update)
+	m.applyClaims(sourceIndex, update)
 	switch {
 	case update.Full && !update.Stale:
-		m.handleOmissions(i, update, before)
+		m.handleOmissions(sourceIndex, update, before)
 	case wasUnavailable && s.massRemoval.unconfirmed > 0:
 		s.massRemoval.requestConfirm(m.now, m.options.MassRemoval.ConfirmWithin)
 	}
 }
 
-// namesNoServingEndpoint reports whether it is a full list, and no last known one, without a serving endpoint.
+// namesNoServingEndpoint reports whether the update is a full list that is not stale and has no serving endpoint.
 func (u *SourceUpdate) namesNoServingEndpoint() bool {
 	isServing := func(c Claim) bool { return c.Endpoint.Status == decide.Serving }
 	return u.Full && !u.Stale && !slices.ContainsFunc(u.Claims, isServing)
 }
 
-// markAvailable notes that a source has sent a list.
+// markAvailable records that a source has sent a list.
 func (m *Merger) markAvailable(s *source) {
 	if s.unavailable {
 		m.logAvailable(s)
@@ -150,7 +152,7 @@
 	s.answered, s.answeredAt, s.unavailable = true, m.now, false
 }
 
-// handleUnavailable notes that a source can't be reached. Its claims stay.
+// handleUnavailable records that a source can't be reached. The source's claims remain valid.
 func (m *Merger) handleUnavailable(s *source, reason string) {
 	s.massRemoval.suspend()
 	s.failureReason = reason
@@ -161,8 +163,8 @@
 	m.logUnavailable(s)
 }
 
-// applyClaims takes over the claims of a list, except those on endpoints beyond MaxEndpoints.
-func (m *Merger) applyClaims(i int, update *SourceUpdate) {
+// applyClaims applies the claims of a list, except claims on new endpoints beyond MaxEndpoints.
+func (m *Merger) applyClaims(sourceIndex int, update *SourceUpdate) {
 	ignored := 0
 	for k := range update.Claims {
 		claim := &update.Claims[k]
@@ -171,18 +173,19 @@
 			ignored++
 			continue
 		}
-		c := &e.claims[i]
+		c := &e.claims[sourceIndex]
 		if update.Stale && c.known && c.update != m.updates {
-			continue // the first stale list of a source counts
+			continue // only the first stale list of a source is applied
 		}
-		m.applyClaim(i, e, claim, update.Stale)
+		m.applyClaim(sourceIndex, e, claim, update.Stale)
 	}
 	if ignored > 0 {
-		m.logIgnored(&m.sources[i], ignored)
+		m.logIgnored(&m.sources[sourceIndex], ignored)
 	}
 }
 
-// endpointFor returns the endpoint of this id, a new one where it is not known, or nil where there are too many.
+// endpointFor returns the endpoint with this ID, which it creates if necessary. It returns nil if there are too many endpoints
+// or the ID is empty.
 func (m *Merger) endpointFor(id string) *endpoint {
 	if e := m.endpoints[id]; e != nil {
 		return e
@@ -195,39 +198,39 @@
 	return e
 }
 
-// applyClaim takes over a source's claim on an endpoint.
-func (m *Merger) applyClaim(i int, e *endpoint, claim *Claim, stale bool) {
-	c := &e.claims[i]
+// applyClaim replaces a source's claim on an endpoint.
+func (m *Merger) applyClaim(sourceIndex int, e *endpoint, claim *Claim, stale bool) {
+	c := &e.claims[sourceIndex]
 	if c.update == m.updates && claim.Endpoint.Status <= c.Endpoint.Status {
-		return // of two entries in one list, the one that is closer to removal counts
+		return // of two entries in one list, the one closer to removal applies
 	}
 	next := *claim
 	if claim.Endpoint.Status == decide.Removed {
-		next.Endpoint = c.Endpoint // a removal needs no more than the id
+		next.Endpoint = c.Endpoint // a removal may have the ID only
 		next.Endpoint.ID, next.Endpoint.Status = claim.Endpoint.ID, decide.Removed
 	}
 	if next.Address == "" && c.known && c.Endpoint.Status != decide.Removed {
 		next.Address = c.Address
 	}
-	m.beforeStatusChange(i, e, next.Endpoint.Status)
+	m.beforeStatusChange(sourceIndex, e, next.Endpoint.Status)
 	c.Claim, c.stale, c.omitted = next, stale, false
 	c.known, c.updatedAt, c.update = true, m.now, m.updates
 	m.markDirty(e)
 }
 
-// removeOmitted takes over that a source's full list omits these endpoints.
-func (m *Merger) removeOmitted(i int, omitted []*endpoint) {
+// removeOmitted sets a source's claims on endpoints that its full list omits to Removed.
+func (m *Merger) removeOmitted(sourceIndex int, omitted []*endpoint) {
 	for _, e := range omitted {
-		m.beforeStatusChange(i, e, decide.Removed)
-		c := &e.claims[i]
+		m.beforeStatusChange(sourceIndex, e, decide.Removed)
+		c := &e.claims[sourceIndex]
 		c.Endpoint.Status, c.omitted, c.stale, c.updatedAt = decide.Removed, true, false, m.now
 		m.markDirty(e)
 	}
 }
 
-// beforeStatusChange updates the source's counters before its claim on an endpoint gets another status.
-func (m *Merger) beforeStatusChange(i int, e *endpoint, next decide.Status) {
-	s, c := &m.sources[i], &e.claims[i]
+// beforeStatusChange updates a source's counters before the status of its claim on an endpoint changes to next.
+func (m *Merger) beforeStatusChange(sourceIndex int, e *endpoint, next decide.Status) {
+	s, c := &m.sources[sourceIndex], &e.claims[sourceIndex]
 	if c.known && c.Endpoint.Status != decide.Removed {
 		s.known--
 	}
@@ -243,10 +246,10 @@
 	if next == decide.Serving {
 		s.serving++
 	}
-	m.clearUnconfirmed(i, e)
+	m.clearUnconfirmed(sourceIndex, e)
 }
 
-// markDirty has an endpoint merged anew at the end of this turn.
+// markDirty schedules an endpoint's claims to be merged again at the end of this turn.
 func (m *Merger) markDirty(e *endpoint) {
 	if !e.dirty {
 		e.dirty = true
@@ -254,7 +257,7 @@
 	}
 }
 
-// refresh merges the claims on an endpoint, and notes the change where the result differs from what was published.
+// refresh merges the claims on an endpoint, and records a change if the result differs from the published endpoint.
 func (m *Merger) refresh(e *endpoint) {
 	merged, address, removedByAll := e.merge()
 	if e.merged == decide.Serving && merged.Status != decide.Serving && e.dampedSourceDowngraded {
@@ -281,7 +284,7 @@
 	e.status, e.published, e.address = merged.Status, merged, address
 }
 
-// updateRemoved enters an endpoint among those that were removed, or takes it out again.
+// updateRemoved adds an endpoint to Merger.removed, or deletes it from there.
 func (m *Merger) updateRemoved(e *endpoint, removed bool) {
 	switch {
 	case removed && e.removedElement == nil:
@@ -292,11 +295,13 @@
 	}
 }
 
-// minRemovedRetention is for how long, at least, a removed endpoint and the reason of its removal are remembered.
+// minRemovedRetention is the minimum time for which the Merger retains a removed endpoint and the reason for its removal,
+// unless there are more than MaxRemoved.
 const minRemovedRetention Time = 600_000_000 // microseconds
 
-// forgetRemoved drops endpoints that were removed so long ago that their penalty has decayed below half of Reuse, and the
-// oldest ones beyond MaxRemoved. Without a bound, endpoints that come and go under ever new ids would fill the memory.
+// forgetRemoved deletes endpoints that were removed so long ago that their penalty has decayed below half of Reuse, and the
+// oldest removed endpoints beyond MaxRemoved. Without this limit, memory would grow indefinitely where endpoints come and go
+// under ever new IDs.
 func (m *Merger) forgetRemoved() {
 	retention := max(minRemovedRetention, m.options.Damping.MaxSuppress+m.options.Damping.HalfLife)
 	for m.removed.Len() > 0 {
--- a/internal/endpoints/publish.go
+++ b/internal/endpoints/publish.go
@@ -7,7 +7,7 @@
 	"starlingwinch/decide"
 )
 
-// takeActions returns what this turn has led to, and begins the next turn.
+// takeActions returns the actions of this turn, and begins the next turn.
 func (m *Merger) takeActions() []Action {
 	var actions []Action
 	if len(m.turn.changes) > 0 || m.turn.publishEmpty {
@@ -24,8 +24,8 @@
 	return actions
 }
 
-// publish returns the changes of this turn. Removals and drains come first, so that an address that one endpoint hands on to
-// another in one turn is free when the other one is published.
+// publish returns the changes of this turn as a Publish. Removals and drains come first, so that an address that moves from
+// one endpoint to another in this turn is free when its new endpoint is published.
 func (m *Merger) publish() Publish {
 	changes := m.turn.changes
 	slices.SortFunc(changes, func(a, b change) int {
@@ -46,7 +46,7 @@
 	return p
 }
 
-// reset empties the turn. Its slices are used again.
+// reset empties the turn and retains its slices for the next one.
 func (t *turn) reset() {
 	clear(t.dirty)
 	clear(t.changes)
@@ -61,7 +61,7 @@
 	}
 }
 
-// nextDeadline returns when a suppression ends or a mass-removal check has something to do; 0 for never.
+// nextDeadline returns the earliest time at which a suppression ends or a mass-removal check is due; 0 if there is none.
 func (m *Merger) nextDeadline() Time {
 	next := Time(0)
 	consider := func(at Time) {
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -7,41 +7,41 @@
 	"starlingwinch/decide"
 )
 
-// Row is all that is known of one endpoint, for the operators' tables.
+// Row is the state of one endpoint, for the operators' tables.
 type Row struct {
 	ID              string
 	Status          decide.Status // as published
-	Reason          string        // of the status, in words for operators
+	Reason          string        // of the status, as text for operators
 	Address, Zone   string
-	SuppressedUntil Time          // flap damping ends then; 0 where the endpoint is not suppressed
-	Penalty         float64       // of its flaps, decayed to now
-	Flaps           int           // since it was last stable
-	Claims          []SourceClaim // of the sources that know it, in their order
+	SuppressedUntil Time          // end of the suppression by flap damping; 0 if the endpoint is not suppressed
+	Penalty         float64       // current penalty for the endpoint's flaps
+	Flaps           int           // since the endpoint was last stable
+	Claims          []SourceClaim // of the sources that know the endpoint, in the operators' order
 }
 
-// SourceClaim is what one source says of an endpoint.
+// SourceClaim is the latest claim of one source on an endpoint.
 type SourceClaim struct {
 	Source      string
 	Status      decide.Status
-	Reason      string // the source's own word
+	Reason      string // given by the source, or a default text
 	Age         Time   // of the claim
-	LastSeenAge Time   // since the source itself last had contact with the endpoint; -1 where it does not say
-	Stale       bool   // it comes from a stale list
-	Unconfirmed bool   // the source's last list omitted the endpoint, as one of too many at once; the claim before counts
+	LastSeenAge Time   // time since the source's last contact with the endpoint; -1 if the source does not report it
+	Stale       bool   // the claim is from a stale list
+	Unconfirmed bool   // the source's last list omitted this endpoint and too many others; the previous claim remains valid
 }
 
 // SourceRow is the state of one source.
 type SourceRow struct {
 	Name           string
-	Age            Time   // since its last answer; -1 where there was none
-	UnavailableFor Time   // -1 where it is available
-	Reason         string // it is unavailable
-	Caches         int    // that it names
-	Up             int    // that it names as serving
-	Unconfirmed    int    // omissions that it has not confirmed
+	Age            Time   // time since the source's last answer; -1 if there was none
+	UnavailableFor Time   // -1 if the source is available
+	Reason         string // for which the source is unavailable
+	Caches         int    // endpoints that the source names
+	Up             int    // endpoints that the source names as serving
+	Unconfirmed    int    // omissions that the source has not confirmed
 }
 
-// Table returns every endpoint that is known, those that were removed lately included, by id.
+// Table returns all known endpoints, including recently removed ones, sorted by ID.
 func (m *Merger) Table(now Time) []Row {
 	now = max(now, m.now)
 	rows := make([]Row, 0, len(m.endpoints))
--- a/internal/endpointsource/claims.go
+++ b/internal/endpointsource/claims.go
@@ -6,14 +6,14 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// statusReasons are the platform's words for an endpoint's status, by which claims of its lists are explained.
+// statusReasons are the platform's names of an endpoint's status, which serve as the reason of its claims.
 var statusReasons = map[decide.Status]string{
 	decide.Serving:  "in_service",
 	decide.Draining: "terminating",
 	decide.Removed:  "terminated",
 }
 
-// listUpdate returns a list in the platform's form as an update of a source.
+// listUpdate converts a list in the platform's format to an update of a source.
 func listUpdate(source string, list *discovery.List) *endpoints.SourceUpdate {
 	return &endpoints.SourceUpdate{Source: source, Full: list.Full, Claims: claims(list), Unreadable: list.Unreadable}
 }
--- a/internal/endpointsource/discovery.go
+++ b/internal/endpointsource/discovery.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/machine"
 )
 
-// Results of a discovery call, as Owner.DiscoveryCallEnded reports them. They stand in the event log.
+// Results of a discovery call, as Owner.DiscoveryCallEnded reports them for the event log.
 const (
 	resultFull      = "full"
 	resultDelta     = "delta"
@@ -16,27 +16,27 @@
 	resultLastKnown = "last-known"
 )
 
-// discoverySource follows the platform's discovery by at most two watches: the current one, and the one before it while
-// neither has answered.
+// discoverySource follows the platform's discovery with at most two watches: the current watch, and the previous watch as long
+// as neither has answered.
 //
-// The list as last known is published only where discovery is unavailable, or does not answer in time: it may name caches
-// that have left since, and what discovery sent to the previous process counts as known to this one. Its version is not used:
-// whoever stored it may have joined a newer version to an older list, and a watch from that version on would never send what
-// the list lacks. So the first call fetches the full list.
+// The last known list is published only if discovery is unavailable or does not answer in time: the list may name caches that
+// have since been removed, and changes that discovery sent to the previous process count as known to this process. The version
+// of the last known list is not used: it may have been stored with an older list, and a watch from that version would never
+// send the changes that the list lacks. Therefore the first call fetches the full list.
 type discoverySource struct {
 	sources *Sources
 
-	version   int64            // of the latest list; discovery.NoIndex has the next call fetch the full list
-	awaitList bool             // no list was received yet, and the one as last known is not in use
+	version   int64            // of the latest list; with discovery.NoIndex the next call fetches the full list
+	awaitList bool             // no list was received yet, and the last known list was not published
 	watch     *discovery.Watch // nil between a failure and the next call
-	previous  *discovery.Watch // timed out, but not replaced by an answer yet; nil where there is none
+	previous  *discovery.Watch // a watch that has timed out, until it or the current watch answers; nil if there is none
 	catchUp   *discovery.Watch // the watch that CatchUp began, until its first call has ended
 
-	firstAnswerTimer machine.Timer // the list as last known is used when it fires
-	retryTimer       machine.Timer // the next call of an agent; nil where none is due
+	firstAnswerTimer machine.Timer // publishes the last known list when it fires
+	retryTimer       machine.Timer // starts the next call of an agent; nil if no call is scheduled
 }
 
-// init prepares the source and starts the wait for the first answer.
+// init initializes the source and starts the timer for the first answer.
 func (d *discoverySource) init(s *Sources) {
 	d.sources = s
 	d.version = discovery.NoIndex
@@ -49,7 +49,7 @@
 
 func (d *discoverySource) inUse() bool { return isInUse(&d.sources.cfg, endpoints.Discovery) }
 
-// useLastKnown publishes the list as last known, unless discovery has sent one.
+// useLastKnown publishes the last known list, unless discovery has sent a list.
 func (d *discoverySource) useLastKnown() {
 	s := d.sources
 	if !d.awaitList || s.stopped {
@@ -63,8 +63,8 @@
 	s.handle(update)
 }
 
-// Watch follows the platform's discovery. A call that is out and has not timed out is left alone: discovery may reject the
-// new call and end the older one, and a watch that works would be lost for one that does not.
+// Watch follows the platform's discovery. It does nothing while a call is in flight that has not timed out: discovery may
+// reject the new call and also end the older one, so that a working watch would be lost.
 func (s *Sources) Watch() { s.discovery.start() }
 
 func (d *discoverySource) start() {
@@ -86,7 +86,7 @@
 	d.watch = w
 }
 
-// onAnswer keeps the watch that was answered and stops the other one.
+// onAnswer makes the watch that was answered the current one and stops the other watch.
 func (d *discoverySource) onAnswer(w *discovery.Watch) {
 	d.cancelRetry()
 	other := d.previous
@@ -99,10 +99,10 @@
 	}
 }
 
-// onFailure handles a watch that has failed, or whose call has timed out.
+// onFailure handles a watch that has failed or whose call has timed out.
 func (d *discoverySource) onFailure(w *discovery.Watch, err error) {
 	switch {
-	case w == d.previous: // its successor is polled already, or will be
+	case w == d.previous: // the next watch has started, or is scheduled
 		if !w.TimedOut() {
 			d.previous = nil
 		}
@@ -116,8 +116,8 @@
 	}
 }
 
-// retainTimedOut leaves a watch that has timed out open beside the next one, as its answer may still come. It replaces the
-// one before.
+// retainTimedOut keeps a watch that has timed out open beside the next watch, as its answer may still arrive. It stops and
+// replaces an earlier watch that has timed out.
 func (d *discoverySource) retainTimedOut(w *discovery.Watch) {
 	if d.previous != nil {
 		d.previous.Stop()
@@ -125,7 +125,8 @@
 	d.previous, d.watch = w, nil
 }
 
-// unavailable reports the loss of the watch, and schedules the next call where the source has its own retry delay.
+// unavailable reports the loss of the watch. It schedules the next call if the watch has a retry delay; otherwise the owner
+// decides when to call again.
 func (d *discoverySource) unavailable(err error, retryDelay machine.Time) {
 	s := d.sources
 	if !canResumeVersion(err, retryDelay) {
@@ -141,11 +142,12 @@
 	s.owner.ProcessEvents()
 }
 
-// canResumeVersion reports whether the call after a failure may fetch the changes since the latest version only.
+// canResumeVersion reports whether the call after a failure may fetch only the changes since the latest version.
 //
-// A discovery that has restarted numbers its versions anew, and would not answer for long to a version of the old ones. One
-// that only rejected the call or fell silent is polled for the changes, which is one short call in place of two; where it is
-// silent to that too, its full list is fetched. An agent's calls cost nothing, so that the full list is always fetched.
+// A discovery service that has restarted numbers its versions from the beginning, and would not answer a call with an old
+// version for a long time. If discovery only rejected the call or the watch fell silent, the next call fetches the changes,
+// which takes one short call instead of two; if that call gets no answer either, the full list is fetched. Calls to an agent
+// cost nothing, so the full list is always fetched from an agent.
 func canResumeVersion(err error, retryDelay machine.Time) bool {
 	if retryDelay > 0 {
 		return false
@@ -171,21 +173,21 @@
 	}
 }
 
-// CatchUp has the full list of an agent fetched at once, after the process stood still. What the agent has counts as known to
-// the router, whether or not a call is out, and a call that was out may have been answered before the latest change.
+// CatchUp fetches the full list of an agent at once, after the process was paused. The agent's list counts as known to the
+// router whether or not a call is in flight, and a call that was in flight may have been answered before the latest change.
 func (s *Sources) CatchUp() {
 	if !s.cfg.DiscoveryOptions.Pushed || s.stopped {
 		return
 	}
 	d := &s.discovery
 	d.stopWatches()
-	d.version = discovery.NoIndex // a full list is sent at once, also where nothing has changed
+	d.version = discovery.NoIndex // the agent sends a full list at once, even if nothing has changed
 	d.start()
 	d.catchUp = d.watch
 }
 
-// IsBehind reports whether the platform's discovery has written something that was not published yet, or CatchUp has not
-// been answered.
+// IsBehind reports whether the platform's discovery has written data that was not published yet, or the call of CatchUp has
+// not been answered.
 func (s *Sources) IsBehind() bool {
 	d := &s.discovery
 	if d.catchUp != nil && d.catchUp.IsFirstOut() {
@@ -200,10 +202,10 @@
 	return false
 }
 
-// Version is that of the latest list of the platform's discovery; below 0 where there is none.
+// Version returns the version of the latest list of the platform's discovery; below 0 if there is none.
 func (s *Sources) Version() int64 { return s.discovery.version }
 
-// ApplyDiscovery publishes a list of the platform's discovery, however it was received.
+// ApplyDiscovery publishes a list of the platform's discovery, independent of the way in which it was received.
 func (s *Sources) ApplyDiscovery(list discovery.List) {
 	s.discovery.version = list.Index
 	s.discovery.awaitList = false
@@ -218,8 +220,9 @@
 	s.owner.ProcessEvents()
 }
 
-// SetDiscovery has the platform's discovery followed at another address, beginning with its full list, as its versions need
-// not continue those of the old one. Answers of the old one are dropped: they must not overwrite the new one's.
+// SetDiscovery follows the platform's discovery at another address. It fetches the full list first, as the versions at the new
+// address need not continue the old ones. It stops the watches of the old address, as a late answer from there must not
+// overwrite an answer from the new address.
 func (s *Sources) SetDiscovery(addr string) {
 	s.cfg.Discovery = addr
 	s.discovery.stopWatches()
--- a/internal/endpointsource/endpointsource.go
+++ b/internal/endpointsource/endpointsource.go
@@ -1,8 +1,8 @@
-// Package endpointsource polls every source of the endpoint list (the platform's discovery, a Eureka registry, a fixed file),
-// has package endpoints merge what they say, and publishes the merged list to its owner.
+// Package endpointsource polls all sources of the endpoint list (the platform's discovery, a Eureka registry, a fixed file),
+// merges their lists with package endpoints, and publishes the merged list to its owner.
 //
-// It runs on a machine's loop and decides nothing: what the updates mean together is the merger's decision, and when the
-// platform's discovery is called again after a failure is its owner's.
+// It runs on a machine's event loop and makes no decisions: the merger decides how the updates are combined, and the owner
+// decides when the platform's discovery is called again after a failure.
 package endpointsource
 
 import (
@@ -16,29 +16,29 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// Config says which sources there are and how they are polled.
+// Config sets the sources of the endpoint list and how they are polled.
 type Config struct {
 	Discovery        string            // address of the platform's discovery
-	DiscoveryOptions discovery.Options // how it is called
-	LastKnown        discovery.List    // the endpoint list as last known; may be old
-	Endpoints        endpoints.Config  // the sources in use, their order, and how they are merged
+	DiscoveryOptions discovery.Options // parameters of the calls of discovery
+	LastKnown        discovery.List    // the last known endpoint list; may be outdated
+	Endpoints        endpoints.Config  // the sources in use, their order, and the parameters of the merge
 	Eureka           eureka.Config     // the registry
-	Logger           *slog.Logger      // nil discards
+	Logger           *slog.Logger      // nil discards all log lines
 }
 
-// Owner receives the merged list. Its methods are called on the machine's loop.
+// Owner receives the merged list. Its methods are called on the machine's event loop.
 type Owner interface {
-	// Publish brings the changes of the merged list, removals and drains first.
+	// Publish passes the changes of the merged list, removals and drains first.
 	Publish(endpoints.Publish)
-	// DiscoveryAnswered is called after each call that the platform's discovery has answered, also where nothing has changed.
+	// DiscoveryAnswered is called after each answer of the platform's discovery, even if nothing has changed.
 	DiscoveryAnswered()
-	// DiscoveryFailed is called after a failed call where the owner decides when to Watch again. err is an ErrOverloaded of
-	// package discovery where discovery answered that it is down or has too much to do.
+	// DiscoveryFailed is called after a failed call if the owner decides when to call Watch again. err is discovery.ErrOverloaded
+	// if discovery rejected the call because it is down or overloaded.
 	DiscoveryFailed(err error)
-	// DiscoveryCallEnded reports the result of a call of the platform's discovery, for the event log: the version that holds
-	// from then on, and how many endpoints the answer names.
-	DiscoveryCallEnded(result string, version int64, caches int)
-	// ProcessEvents follows the other methods, once a turn.
+	// DiscoveryCallEnded reports the result of a call of the platform's discovery for the event log: the version that applies
+	// after the call, and the number of endpoints in the answer.
+	DiscoveryCallEnded(result string, version int64, endpointCount int)
+	// ProcessEvents is called once a turn, after the other methods.
 	ProcessEvents()
 }
 
@@ -49,13 +49,13 @@
 	owner     Owner
 	logger    *slog.Logger
 	merger    *endpoints.Merger
-	wakeTimer machine.Timer // the Tick that the merger waits for; nil where it waits for none
+	wakeTimer machine.Timer // fires the Tick that the merger has requested; nil if no Tick is scheduled
 	discovery discoverySource
-	registry  *eureka.Client // nil until Start, and where the registry is not in use
+	registry  *eureka.Client // nil until Start, and if the registry is not in use
 	stopped   bool           // Stop was called
 }
 
-// New makes sources. No source is polled before Start.
+// New returns a Sources. No source is polled before Start.
 func New(m machine.Machine, cfg Config, owner Owner) (*Sources, error) {
 	if cfg.Logger == nil {
 		cfg.Logger = structuredlog.Discard()
@@ -69,7 +69,7 @@
 	return s, nil
 }
 
-// sourcesInUse returns the names of the sources that the operators' files switch on, in their order.
+// sourcesInUse returns the names of the sources that the operators' files enable, in the operators' order.
 func sourcesInUse(cfg *Config) []string {
 	var names []string
 	for _, name := range cfg.Endpoints.Order {
@@ -95,8 +95,8 @@
 	return false
 }
 
-// Start polls all sources until Stop. Where the platform's discovery has to be polled, the owner makes the first call of
-// Watch too, so that routers that start in step can spread their calls.
+// Start follows all sources until Stop. If the platform's discovery does not push its lists to an agent, the owner must make
+// the first call of Watch, so that routers that start at the same time can spread their calls.
 func (s *Sources) Start() {
 	if s.cfg.DiscoveryOptions.Pushed {
 		s.Watch()
@@ -151,15 +151,15 @@
 	}
 }
 
-// confirm has a source's list fetched once more. Only the registry has several servers that may differ; the lists of discovery
-// and of the file are never confirmed.
+// confirm fetches a source's list a second time. Only the registry has several servers whose lists may differ; the lists of
+// discovery and of the file are never confirmed.
 func (s *Sources) confirm(source string) {
 	if source == endpoints.Eureka && s.registry != nil {
 		s.registry.Confirm()
 	}
 }
 
-// wake replaces the timer of the merger's next Tick.
+// wake sets the timer of the merger's next Tick, in place of an earlier timer.
 func (s *Sources) wake(at machine.Time) {
 	if s.wakeTimer != nil {
 		s.wakeTimer.Stop()
--- a/internal/endpointsource/endpointsource_test.go
+++ b/internal/endpointsource/endpointsource_test.go
@@ -15,13 +15,13 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// owner records what Sources reports.
+// owner records the calls of the methods of Owner.
 type owner struct {
-	endpoints map[string]decide.Endpoint // the merged list
-	addresses map[string]string          // by endpoint
-	turns     int                        // calls of ProcessEvents
-	failures  int                        // calls of DiscoveryFailed
-	cause     error                      // of the latest one
+	endpoints map[string]decide.Endpoint // the merged list, by ID
+	addresses map[string]string          // by endpoint ID
+	turns     int                        // number of calls of ProcessEvents
+	failures  int                        // number of calls of DiscoveryFailed
+	cause     error                      // of the latest failure
 }
 
 func (o *owner) Publish(p endpoints.Publish) {
@@ -34,7 +34,7 @@
 func (o *owner) DiscoveryFailed(err error)             { o.failures, o.cause = o.failures+1, err }
 func (o *owner) ProcessEvents()                        { o.turns++ }
 
-// rig runs Sources on a loop of its own, with a file that the test writes.
+// rig runs Sources on a separate event loop, with a file that the test writes.
 type rig struct {
 	*routertest.Loop
 	t       *testing.T
@@ -45,13 +45,13 @@
 
 func newRig(t *testing.T, order []string, discoveryAddr string) *rig {
 	t.Helper()
-	return newEditedRig(t, order, discoveryAddr, nil)
+	return newRigWithConfig(t, order, discoveryAddr, nil)
 }
 
-// newPushedRig has lists pushed to the agent at an address; the list as last known has c1 serving.
+// newPushedRig returns a rig that follows the agent at an address; c1 is serving in the last known list.
 func newPushedRig(t *testing.T, agent string, edit func(*Config)) *rig {
 	t.Helper()
-	return newEditedRig(t, []string{endpoints.Discovery}, agent, func(c *Config) {
+	return newRigWithConfig(t, []string{endpoints.Discovery}, agent, func(c *Config) {
 		c.DiscoveryOptions.Pushed, c.DiscoveryOptions.Grace = true, 400_000
 		var err error
 		if c.LastKnown, err = discovery.Parse([]byte(routertest.Hosts(3, true, routertest.Host("c1", "127.0.0.1:7001", "in_service")))); err != nil {
@@ -63,7 +63,8 @@
 	})
 }
 
-func newEditedRig(t *testing.T, order []string, discoveryAddr string, edit func(*Config)) *rig {
+// newRigWithConfig returns a rig whose configuration is changed by edit, unless edit is nil.
+func newRigWithConfig(t *testing.T, order []string, discoveryAddr string, edit func(*Config)) *rig {
 	t.Helper()
 	r := &rig{Loop: routertest.NewLoop(t, nil), t: t, path: filepath.Join(t.TempDir(), "caches.json"),
 		owner: &owner{endpoints: map[string]decide.Endpoint{}, addresses: map[string]string{}}}
@@ -83,7 +84,7 @@
 	return r
 }
 
-// start starts the sources and makes the first discovery call, as their owner does.
+// start starts the sources and makes the first discovery call, as the owner does.
 func (r *rig) start() {
 	r.t.Helper()
 	r.Do(func() {
@@ -99,7 +100,7 @@
 	}
 }
 
-// want waits until the merged list has an endpoint with this status, and at this address unless it is empty.
+// want waits until the merged list has an endpoint with this status, and with this address unless addr is empty.
 func (r *rig) want(name string, status decide.Status, addr string) {
 	r.t.Helper()
 	r.Until(name, func() bool {
@@ -132,17 +133,17 @@
 			turns = r.owner.turns
 			r.sources.ReloadFile()
 		})
-		r.Until("the end of the reading", func() bool { return r.owner.turns > turns })
+		r.Until("the file is read", func() bool { return r.owner.turns > turns })
 		r.want("c1", decide.Serving, "127.0.0.1:7001")
 		r.Do(func() {
 			if _, rows := r.sources.Table(); rows[0].UnavailableFor < 0 {
-				t.Errorf("%q was accepted", text)
+				t.Errorf("the file source is available after a read of %q, want it unavailable", text)
 			}
 		})
 	}
 }
 
-// TestDrainOfAnySourceDrainsEndpoint also shows that the first source of the order sets the address.
+// TestDrainOfAnySourceDrainsEndpoint also checks that the first source in the order determines the address.
 func TestDrainOfAnySourceDrainsEndpoint(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newRig(t, []string{endpoints.Discovery, endpoints.File}, addr)
@@ -168,40 +169,42 @@
 	r.want("c1", decide.Serving, "127.0.0.1:7001")
 	select {
 	case c := <-calls:
-		t.Errorf("polled with %s", c.Query)
+		t.Errorf("got a discovery call with query %q, want none", c.Query)
 	default:
 	}
 	r.Do(func() {
 		if r.owner.failures > 0 {
-			t.Error("a call that was not made is reported as failed")
+			t.Errorf("got %d failed discovery calls, want none", r.owner.failures)
 		}
 	})
 }
 
-// TestWatchKeepsOpenCall: where discovery rejects a second call, it ends the first one too.
+// TestWatchKeepsOpenCall guards against a second call while one is in flight: discovery may reject the second call, and then
+// also ends the first.
 func TestWatchKeepsOpenCall(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newRig(t, []string{endpoints.Discovery}, addr)
 	r.start()
 	first := routertest.Receive(t, calls, "the first call")
-	r.Do(r.sources.Watch) // while it is not answered yet
+	r.Do(r.sources.Watch) // while the first call is not answered
 	first.Reply <- routertest.Hosts(7, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"))
 	r.want("c1", decide.Serving, "")
 	watch := routertest.Receive(t, calls, "the watch")
-	r.Do(r.sources.Watch) // while it waits
+	r.Do(r.sources.Watch) // while the watch waits for a change
 	watch.Reply <- routertest.Hosts(8, false, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
 	r.want("c1", decide.Draining, "")
 	next := routertest.Receive(t, calls, "the next call")
 	if !strings.Contains(next.Query, "?after=8&") || len(calls) > 0 {
-		t.Errorf("polled with %s, and %d calls more: want the one that continues the watch", next.Query, len(calls))
+		t.Errorf("got a call with query %q and %d more calls, want only a call for the changes after version 8", next.Query, len(calls))
 	}
 	if r.owner.failures != 0 {
-		t.Errorf("%d calls failed", r.owner.failures)
+		t.Errorf("got %d failed discovery calls, want none", r.owner.failures)
 	}
 }
 
-// TestSilentWatchResumesFromItsVersionThenFromFullList: the call after a silence asks for the changes that were missed. Where
-// that is silent too, discovery may have restarted and numbered its versions anew, so that the full list is fetched.
+// TestSilentWatchResumesFromItsVersionThenFromFullList checks that the call after a silent watch requests the missed changes. If
+// that call gets no answer either, discovery may have restarted and numbered its versions from the beginning, so the next call
+// must fetch the full list.
 func TestSilentWatchResumesFromItsVersionThenFromFullList(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newRig(t, []string{endpoints.Discovery}, addr)
@@ -213,37 +216,38 @@
 		t.Helper()
 		c := routertest.Receive(t, calls, "call")
 		if after == "" && strings.Contains(c.Query, "?") || after != "" && !strings.Contains(c.Query, "?after="+after+"&") {
-			t.Fatalf("polled with %s, want the changes after %q", c.Query, after)
+			t.Fatalf("got a call with query %q, want a call for the changes after version %q", c.Query, after)
 		}
 		return c
 	}
-	again := func(failures int) {
+	watchAfterFailure := func(failures int) {
 		t.Helper()
-		r.Until("the silence", func() bool { return r.owner.failures == failures })
+		r.Until("the silent call fails", func() bool { return r.owner.failures == failures })
 		r.Do(r.sources.Watch)
 	}
 	receive("").Reply <- routertest.Hosts(7, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"))
 	receive("7") // not answered
-	again(1)
+	watchAfterFailure(1)
 	c := receive("7")
 	c.Reply <- routertest.Hosts(8, false, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
 	r.want("c1", decide.Draining, "")
 	receive("8")
-	again(2)
+	watchAfterFailure(2)
 	receive("8") // not answered either
-	again(3)
+	watchAfterFailure(3)
 	receive("").Reply <- routertest.Hosts(3, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
 	r.want("c2", decide.Serving, "")
 	r.want("c1", decide.Removed, "")
 }
 
-// TestTimedOutWatchIsReadUntilNextOneAnswers: discovery may write a drain to a watch just as it times out, and counts the router
-// as notified. Without the old watch, the drain would come with the next answer only, which may be too late.
+// TestTimedOutWatchIsReadUntilNextOneAnswers guards against a late drain: discovery may write a drain to a watch just as the
+// watch times out, and counts the router as notified. If the router closed the old watch, it would receive the drain only with
+// the next answer, which may be too late.
 func TestTimedOutWatchIsReadUntilNextOneAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		oldFirst bool // the watch that has timed out is answered first
-	}{{"the old one answers", true}, {"the new one answers", false}} {
+	}{{"the old watch answers", true}, {"the new watch answers", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, calls := routertest.Discovery(t)
 			r := newRig(t, []string{endpoints.Discovery}, addr)
@@ -253,45 +257,46 @@
 			r.start()
 			routertest.Receive(t, calls, "the first call").Reply <- routertest.Hosts(7, true, routertest.Host("c1", "127.0.0.1:7001", "in_service"))
 			old := routertest.Receive(t, calls, "the watch")
-			r.Until("its silence", func() bool { return r.owner.failures == 1 })
+			r.Until("the silent watch times out", func() bool { return r.owner.failures == 1 })
 			r.Do(func() {
 				r.sources.cfg.DiscoveryOptions.WatchTime, r.sources.cfg.DiscoveryOptions.AnswerTime = time.Minute, time.Minute
 				r.sources.Watch()
 			})
-			again := routertest.Receive(t, calls, "the watch, opened anew")
-			one, other := again, old
+			current := routertest.Receive(t, calls, "the second watch")
+			answered, other := current, old
 			if c.oldFirst {
-				one, other = old, again
+				answered, other = old, current
 			}
-			one.Reply <- routertest.Hosts(8, false, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
+			answered.Reply <- routertest.Hosts(8, false, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
 			r.want("c1", decide.Draining, "")
-			routertest.Receive(t, other.Gone, "end of the other one")
+			routertest.Receive(t, other.Gone, "the end of the other watch")
 			next := routertest.Receive(t, calls, "the next call")
 			if !strings.Contains(next.Query, "?after=8&") {
-				t.Errorf("polled with %s, want the changes after 8", next.Query)
+				t.Errorf("got a call with query %q, want a call for the changes after version 8", next.Query)
 			}
 			r.Do(func() {
 				if r.sources.discovery.previous != nil || r.sources.discovery.watch == nil || r.owner.failures != 1 {
-					t.Errorf("previous watch %v, watch %v, failures %d", r.sources.discovery.previous, r.sources.discovery.watch, r.owner.failures)
+					t.Errorf("got previous watch %v, watch %v, %d failures; want no previous watch, a watch, 1 failure",
+						r.sources.discovery.previous, r.sources.discovery.watch, r.owner.failures)
 				}
 			})
 		})
 	}
 }
 
-// TestAgentListSupersedesLastKnownList: what the agent has counts as known from the start of the process, also a drain that
-// came before it.
+// TestAgentListSupersedesLastKnownList guards against publishing an outdated list: the agent's list counts as known from the
+// start of the process, including a drain that the agent received before the start.
 func TestAgentListSupersedesLastKnownList(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newPushedRig(t, addr, func(c *Config) { c.DiscoveryOptions.Grace = 800_000_000 })
 	r.start()
 	first := routertest.Receive(t, calls, "the first call")
 	if strings.Contains(first.Query, "?") {
-		t.Errorf("polled with %s, which may wait", first.Query)
+		t.Errorf("got a first call with query %q, which may wait for a change; want a call for the full list", first.Query)
 	}
 	r.Do(func() {
 		if len(r.owner.endpoints) > 0 {
-			t.Errorf("%v is published before the agent has answered", r.owner.endpoints)
+			t.Errorf("got %v published before the agent has answered, want no endpoints", r.owner.endpoints)
 		}
 	})
 	first.Reply <- routertest.Hosts(9, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
@@ -299,12 +304,13 @@
 	r.Do(func() {
 		r.sources.discovery.useLastKnown()
 		if _, old := r.owner.endpoints["c1"]; old {
-			t.Error("the list as last known is published after a newer one")
+			t.Error("the last known list was published after a newer list")
 		}
 	})
 }
 
-// TestLastKnownListIsUsedWithoutAgent: at once where the agent refuses connections, after AnswerTime where it is silent.
+// TestLastKnownListIsUsedWithoutAgent checks that the last known list is published at once if the agent refuses connections, and
+// after AnswerTime if the agent is silent.
 func TestLastKnownListIsUsedWithoutAgent(t *testing.T) {
 	for name, agent := range map[string]string{"none": routertest.Refusing(t), "silent": routertest.SilentDiscovery(t)} {
 		t.Run(name, func(t *testing.T) {
@@ -320,8 +326,9 @@
 	}
 }
 
-// TestSilentAgentIsPolledAtAConstantPace, without its owner: an agent is silent while discovery is down, and what it receives
-// at the return counts as known at once. A delay that grew with each failure would outlast the drain grace.
+// TestSilentAgentIsPolledAtAConstantPace also checks that the calls do not depend on the owner. An agent is silent while discovery
+// is down, and the changes that it receives when discovery returns count as known to the router at once. A delay that grew with
+// each failure would exceed the drain grace.
 func TestSilentAgentIsPolledAtAConstantPace(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	r := newPushedRig(t, addr, nil)
@@ -332,30 +339,31 @@
 	}
 	latest.Reply <- routertest.Hosts(9, true, routertest.Host("c1", "127.0.0.1:7001", "terminating"))
 	r.want("c1", decide.Draining, "")
-	watch := routertest.Receive(t, calls, "the watch") // which is not answered
+	watch := routertest.Receive(t, calls, "the watch") // not answered
 	if !strings.Contains(watch.Query, "?after=9&") {
-		t.Errorf("polled with %s", watch.Query)
+		t.Errorf("got a call with query %q, want a call for the changes after version 9", watch.Query)
 	}
-	again := routertest.Receive(t, calls, "the next call")
-	if strings.Contains(again.Query, "?") {
-		t.Errorf("polled with %s after a silence, want the full list: its versions may have begun anew", again.Query)
+	next := routertest.Receive(t, calls, "the next call")
+	if strings.Contains(next.Query, "?") {
+		t.Errorf("got a call with query %q after a silent watch, want the full list: versions may have restarted", next.Query)
 	}
-	again.Reply <- routertest.Hosts(9, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
+	next.Reply <- routertest.Hosts(9, true, routertest.Host("c2", "127.0.0.1:7002", "in_service"))
 	r.want("c2", decide.Serving, "")
 	r.Do(func() {
 		if r.owner.failures != 0 {
-			t.Errorf("the retry is left to the owner, %d times", r.owner.failures)
+			t.Errorf("got %d calls of DiscoveryFailed, want none", r.owner.failures)
 		}
 	})
 	r.Do(func() { r.sources.Stop() })
 	r.Do(func() {
 		if r.sources.discovery.retryTimer != nil {
-			t.Error("a call is due after Stop")
+			t.Error("a retry is scheduled after Stop")
 		}
 	})
 }
 
-// TestOwnerLearnsWhetherDiscoveryRejectedTheCall: a service that rejects calls can be reached, and one that resets them can't.
+// TestOwnerLearnsWhetherDiscoveryRejectedTheCall checks that the owner can distinguish a service that rejects a call, and so is
+// reachable, from an unreachable service.
 func TestOwnerLearnsWhetherDiscoveryRejectedTheCall(t *testing.T) {
 	addr, calls := routertest.Discovery(t)
 	for name, c := range map[string]struct {
@@ -371,9 +379,9 @@
 			if c.rejected {
 				routertest.Receive(t, calls, "the call").Reply <- ""
 			}
-			r.Until("the failure", func() bool { return r.owner.failures == 1 })
+			r.Until("the call fails", func() bool { return r.owner.failures == 1 })
 			if got := errors.Is(r.owner.cause, discovery.ErrOverloaded); got != c.rejected {
-				t.Errorf("%v: rejected %t, want %t", r.owner.cause, got, c.rejected)
+				t.Errorf("error %v: got rejected %t, want %t", r.owner.cause, got, c.rejected)
 			}
 		})
 	}
--- a/internal/endpointsource/file.go
+++ b/internal/endpointsource/file.go
@@ -7,10 +7,10 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// maxFileSize bounds the file with the fixed list; bytes.
+// maxFileSize is the maximum size of the file with the fixed list, in bytes.
 const maxFileSize = 8 << 20
 
-// ReloadFile reads the file with the fixed list anew. It is parsed beside the loop; one that can't be used changes nothing.
+// ReloadFile reads the file with the fixed list. The file is parsed outside the event loop; an invalid file changes no endpoint.
 func (s *Sources) ReloadFile() {
 	if !isInUse(&s.cfg, endpoints.File) {
 		return
@@ -30,7 +30,7 @@
 	s.m.Work(parse, func() { s.onFileRead(&list, err) })
 }
 
-// onFileRead hands the file's list, or the failure to read it, to the merger.
+// onFileRead passes the file's list, or the error from reading the file, to the merger.
 func (s *Sources) onFileRead(list *discovery.List, err error) {
 	if s.stopped {
 		return
--- a/internal/endpointsource/log.go
+++ b/internal/endpointsource/log.go
@@ -7,15 +7,15 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// maxLoggedFaults bounds the invalid entries of one list that are logged one by one.
+// maxLoggedFaults limits the number of invalid entries of one list that are logged individually.
 const maxLoggedFaults = 20
 
-// logMerger writes a line of the merger.
+// logMerger writes a log line that the merger has returned.
 func (s *Sources) logMerger(line endpoints.Log) {
 	s.logger.LogAttrs(context.Background(), line.Level, line.Message, line.Attrs...)
 }
 
-// logFaults logs the entries of a list that can't be read.
+// logFaults logs the invalid entries of a list.
 func (s *Sources) logFaults(list *discovery.List) {
 	for i, fault := range list.Faults {
 		if i == maxLoggedFaults {
