--- a/internal/eureka/answer.go
+++ b/internal/eureka/answer.go
@@ -11,10 +11,10 @@
 	"starlingwinch/internal/httpclient"
 )
 
-// statusError is the error of a response that is no list.
+// statusError reports a response whose HTTP status shows that the call failed.
 type statusError struct {
 	status int
-	detail string // what is wrong; may be empty
+	detail string // the cause; may be empty
 }
 
 // Error implements error.
@@ -27,7 +27,7 @@
 
 var errUnauthorized = &statusError{http.StatusUnauthorized, "user or password is wrong"}
 
-// checkStatus returns an error unless a response holds a list.
+// checkStatus returns an error for a status other than 200, with which a response holds no list.
 func checkStatus(status int) error {
 	switch {
 	case status == http.StatusOK:
@@ -40,7 +40,7 @@
 	return &statusError{status: status}
 }
 
-// rejectsDeltas reports whether the status of a response to /apps/delta says that the server has no deltas.
+// rejectsDeltas reports whether the status of a response to /apps/delta shows that the server offers no deltas.
 func rejectsDeltas(status int) bool {
 	switch status {
 	case http.StatusForbidden, http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusNotImplemented:
@@ -50,48 +50,48 @@
 }
 
 // onResponse handles the result of a call.
-func (c *Client) onResponse(k *call, response *httpclient.Response, err error) {
+func (c *Client) onResponse(call *listCall, response *httpclient.Response, err error) {
 	if err != nil {
-		c.fail(k, err)
+		c.fail(call, err)
 		return
 	}
 	size := len(response.Body)
 	c.status.Bytes += int64(size)
-	if k.kind == deltaList && rejectsDeltas(response.Status) {
-		k.server.noDeltasUntil = c.m.Now() + noDeltasAfterReject
-		c.logDeltasRejected(k.server, response.Status)
+	if call.kind == deltaList && rejectsDeltas(response.Status) {
+		call.server.noDeltasUntil = c.m.Now() + noDeltasAfterReject
+		c.logDeltasRejected(call.server, response.Status)
 		c.deltas.needFull = true
-		c.pollAfter(k, size)
+		c.pollAfter(call, size)
 		return
 	}
-	// A server forgets an application without instances, and responds as to a wrong path. Only a list that it gave before shows
-	// that the path is right.
-	if response.Status == http.StatusNotFound && k.filtered && k.server.listed {
-		c.apply(k, &List{}, 0)
+	// A server removes an application without instances and then answers 404, as it does for a wrong path. The 404 counts as an
+	// empty list only if the server has returned the list before, which shows that the path is right.
+	if response.Status == http.StatusNotFound && call.filtered && call.server.hasListed {
+		c.apply(call, &List{}, 0)
 		return
 	}
 	err = checkStatus(response.Status)
 	if errors.Is(err, errUnauthorized) {
-		c.login.readPasswordFile(c.m) // it may have changed; where it can't be read, the old password is tried again
+		c.login.readPasswordFile(c.m) // the file may have changed; if it is unreadable, the old password stays in use
 	}
 	switch {
 	case err != nil:
-		c.fail(k, err)
-	case c.isUnchanged(k, response.Body):
-		c.succeed(k, &endpoints.SourceUpdate{Source: c.options.Name}, size)
+		c.fail(call, err)
+	case c.isUnchanged(call, response.Body):
+		c.succeed(call, &endpoints.SourceUpdate{Source: c.options.Name}, size)
 	default:
-		c.parse(k, response)
+		c.parse(call, response)
 	}
 }
 
-// isUnchanged reports whether a full list is the latest one, byte for byte, so that there is nothing to parse.
-func (c *Client) isUnchanged(k *call, body []byte) bool {
-	isComparable := k.kind == fullList && !k.confirming && !c.unavailable && k.server == c.current
+// isUnchanged reports whether a full list equals the latest one byte for byte and need not be parsed.
+func (c *Client) isUnchanged(call *listCall, body []byte) bool {
+	isComparable := call.kind == fullList && !call.confirming && !c.unavailable && call.server == c.current
 	return isComparable && len(body) > 0 && bytes.Equal(body, c.lastBody)
 }
 
-// parse decompresses and parses a response beside the loop, as a large one takes long.
-func (c *Client) parse(k *call, response *httpclient.Response) {
+// parse decompresses and parses a response outside the event loop, since a large response takes long.
+func (c *Client) parse(call *listCall, response *httpclient.Response) {
 	var list List
 	var err error
 	maxBody, keys := c.options.MaxBodyBytes, c.options.MetadataKeys
@@ -104,59 +104,59 @@
 	}
 	c.m.Work(work, func() {
 		switch {
-		case k.generation != c.generation:
+		case call.generation != c.generation:
 		case err != nil:
-			c.fail(k, err)
+			c.fail(call, err)
 		default:
-			if k.kind == fullList {
+			if call.kind == fullList {
 				c.lastBody = response.Body
 			}
-			c.apply(k, &list, len(response.Body))
+			c.apply(call, &list, len(response.Body))
 		}
 	})
 }
 
-// apply takes a list over into the table, and reports what has changed. size is that of the response.
-func (c *Client) apply(k *call, list *List, size int) {
-	c.logFaults(k.server, list)
+// apply updates the table from a list and reports the changes. size is the size of the response in bytes.
+func (c *Client) apply(call *listCall, list *List, size int) {
+	c.logFaults(call.server, list)
 	update := &endpoints.SourceUpdate{Source: c.options.Name}
-	if k.kind == deltaList {
-		c.applyDelta(k, list, update)
+	if call.kind == deltaList {
+		c.applyDelta(call, list, update)
 	} else {
-		c.applyFull(k, list, size, update)
+		c.applyFull(call, list, size, update)
 	}
-	c.succeed(k, update, size)
+	c.succeed(call, update, size)
 }
 
-func (c *Client) applyFull(k *call, list *List, size int, update *endpoints.SourceUpdate) {
-	update.Full, update.Repeat = true, k.confirming
-	update.Claims, update.Unreadable = c.table.applyFull(list, c.m.Now(), k.confirming)
+func (c *Client) applyFull(call *listCall, list *List, size int, update *endpoints.SourceUpdate) {
+	update.Full, update.Repeat = true, call.confirming
+	update.Claims, update.Unreadable = c.table.applyFull(list, c.m.Now(), call.confirming)
 	c.confirming = false
-	c.deltas.version, c.deltas.hasFullRegistry = 0, !k.filtered
-	if k.filtered && size > largeApplicationSize {
+	c.deltas.version, c.deltas.hasFullRegistry = 0, !call.filtered
+	if call.filtered && size > largeApplicationSize {
 		c.deltas.isApplicationLarge = true
 	}
-	if size == 0 || c.table.withheld {
-		c.lastBody = nil // the same list must be applied again
+	if size == 0 || c.table.revertWithheld {
+		c.lastBody = nil // the next list must be applied even if it is the same
 	}
-	k.server.listed = true
+	call.server.hasListed = true
 }
 
-func (c *Client) applyDelta(k *call, list *List, update *endpoints.SourceUpdate) {
+func (c *Client) applyDelta(call *listCall, list *List, update *endpoints.SourceUpdate) {
 	var isOlder bool
 	update.Claims, update.Unreadable, isOlder = c.table.applyDelta(list, c.m.Now())
 	isOlder = isOlder || list.Version > 0 && list.Version < c.deltas.version
 	c.deltas.version = list.Version
-	c.lastBody = nil // the table is no longer that of a full list
-	hashMatches := !list.Hashed || list.Hash == c.table.hash()
+	c.lastBody = nil // the table no longer matches a full list
+	hashMatches := !list.HasHash || list.Hash == c.table.hash()
 	if !isOlder && hashMatches && !list.truncated {
 		c.deltas.mismatches = 0
 	} else {
-		c.recordMismatch(k, list, isOlder)
+		c.recordMismatch(call, list, isOlder)
 	}
 }
 
-// logFaults logs the faults of a list, once for the same ones.
+// logFaults logs the faults of a list, unless they equal the faults logged last.
 func (c *Client) logFaults(s *server, list *List) {
 	faults := strings.Join(list.Faults, "; ")
 	if faults == "" || faults == c.loggedFaults {
@@ -166,37 +166,37 @@
 	c.logListFaults(s, faults)
 }
 
-// succeed ends a call whose response could be used.
-func (c *Client) succeed(k *call, update *endpoints.SourceUpdate, size int) {
-	s := k.server
+// succeed completes a call with a usable response.
+func (c *Client) succeed(call *listCall, update *endpoints.SourceUpdate, size int) {
+	s := call.server
 	if c.current != nil && c.current != s {
 		c.logServerSelected(s)
 	}
 	if c.unavailable {
 		c.logAvailable(s)
 	}
-	c.current, c.unavailable, c.answeredAt = s, false, c.m.Now()
-	s.recordSuccess(k.kind, c.answeredAt-k.startedAt)
-	if k.kind == fullList {
-		c.deltas.needFull, c.deltas.lastFullAt = false, c.answeredAt
+	c.current, c.unavailable, c.lastResponseAt = s, false, c.m.Now()
+	s.recordSuccess(call.kind, c.lastResponseAt-call.startedAt)
+	if call.kind == fullList {
+		c.deltas.needFull, c.deltas.lastFullAt = false, c.lastResponseAt
 	}
-	c.pollAfter(k, size)
+	c.pollAfter(call, size)
 	c.onEvent(update)
 }
 
-// fail ends a call without a usable response. The next server is called at once, if there is one.
-func (c *Client) fail(k *call, err error) {
-	s, now := k.server, c.m.Now()
+// fail completes a call without a usable response. If another server may be called now, the client calls it at once.
+func (c *Client) fail(call *listCall, err error) {
+	s, now := call.server, c.m.Now()
 	c.callPending = false
 	c.status.Failures++
 	s.client.Close()
 	s.failures++
 	s.retryAt = now + backoff(c.m, c.options.PollInterval, c.options.MaxBackoff, s.failures)
 	s.avoidUntil = now + jittered(c.m, c.options.RetryPreferredAfter<<min(s.failedRetries, maxRetryDoublings))
-	if k.kind == fullList && !k.filtered && c.deltas.isApplicationLarge {
-		c.deltas.isRegistryUnreadable = true // its full list may exceed the bounds
+	if call.kind == fullList && !call.filtered && c.deltas.isApplicationLarge {
+		c.deltas.isRegistryUnreadable = true // the registry's full list may exceed the bounds
 	}
-	if k.retry {
+	if call.retry {
 		s.failedRetries++
 	} else {
 		c.deltas.needFull = true
--- a/internal/eureka/claims.go
+++ b/internal/eureka/claims.go
@@ -8,14 +8,14 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// reportAll returns the claims on all endpoints, by id, and the endpoints whose instance is unusable.
+// reportAll returns the claims on all endpoints, ordered by id, and the ids of the endpoints whose instance is unusable.
 func (t *instanceTable) reportAll() (claims []endpoints.Claim, unreadable []string) {
 	merged, before := t.mergeByID(nil), t.reported
 	t.reported = map[string]endpoints.Claim{}
 	for _, id := range sortedKeys(merged) {
 		k := merged[id]
 		if k.isUnusable() {
-			t.reported[id] = before[id] // so that its removal is reported
+			t.reported[id] = before[id] // so that a later removal is reported
 			unreadable = append(unreadable, id)
 			continue
 		}
@@ -26,7 +26,8 @@
 	return claims, unreadable
 }
 
-// reportChanged returns the claims on these endpoints that have changed, by id, and those whose instance is unusable.
+// reportChanged returns the claims on these endpoints that have changed, ordered by id, and the ids of the endpoints whose
+// instance is unusable.
 func (t *instanceTable) reportChanged(ids map[string]bool) (claims []endpoints.Claim, unreadable []string) {
 	if len(ids) == 0 {
 		return nil, nil
@@ -56,16 +57,16 @@
 	return claims, unreadable
 }
 
-// isSameClaim reports whether two claims differ in LastSeen at most.
+// isSameClaim reports whether two claims are equal apart from LastSeen.
 func isSameClaim(a, b endpoints.Claim) bool {
 	return a.Endpoint == b.Endpoint && a.Address == b.Address && a.Reason == b.Reason
 }
 
-// mergeByID returns the instance of each of these endpoints, nil for all. Of an id in several applications, the instance counts
-// that is closest to removal.
+// mergeByID returns one instance for each of these endpoints; nil ids select all endpoints. If several applications have the
+// same id, the instance with the highest severity counts.
 func (t *instanceTable) mergeByID(ids map[string]bool) map[string]knownInstance {
 	merged := map[string]knownInstance{}
-	for key, k := range t.present { // any order: of several, the most severe counts, and then the first by key
+	for key, k := range t.present { // any order: among duplicates, the highest severity and then the lowest key counts
 		if ids != nil && !ids[k.ID] || !t.filter.selects(&k.Instance) {
 			continue
 		}
@@ -77,7 +78,7 @@
 	return merged
 }
 
-// precedes reports whether an instance counts in place of another one with the same id.
+// precedes reports whether an instance counts in place of another instance with the same id.
 func (k *knownInstance) precedes(key string, other *knownInstance) bool {
 	if k.severity() != other.severity() {
 		return k.severity() > other.severity()
@@ -85,7 +86,7 @@
 	return key <= other.key()
 }
 
-// severity orders instances by how far they are from serving.
+// severity ranks an instance: 0 if it serves, 1 if its lease is overdue, 2 if its status is not UP.
 func (k *knownInstance) severity() int {
 	switch {
 	case k.EffectiveStatus != statusUp:
@@ -96,7 +97,7 @@
 	return 0
 }
 
-// sortedKeys returns the keys of a map in their order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[T any](m map[string]T) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m { // any order: sorted below
@@ -106,10 +107,11 @@
 	return keys
 }
 
-// isUnusable reports whether the endpoint stays as it is, since its entry can't be used. A drain needs no more than the id.
+// isUnusable reports whether the instance can't be used as an endpoint, so that the endpoint's last claim stays in force. It
+// is false for an instance that drains, since a drain needs only the id.
 func (k *knownInstance) isUnusable() bool { return k.Unusable && k.severity() == 0 }
 
-// claim is what is reported of an instance.
+// claim returns the claim that is reported for an instance.
 func (k *knownInstance) claim() endpoints.Claim {
 	claim := endpoints.Claim{
 		Endpoint: decide.Endpoint{
--- a/internal/eureka/client.go
+++ b/internal/eureka/client.go
@@ -10,46 +10,46 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// Values of Options.Delta: when the changes are polled in place of the full list.
+// Values of Options.Delta: when the client polls for deltas in place of the full list.
 const (
-	DeltaAuto   = "auto"   // unless one application or virtual address is wanted whose own list is small
-	DeltaAlways = "always" // also where one application is wanted: the changes of the others are dropped
+	DeltaAuto   = "auto"   // unless the list is filtered by application or virtual address and the filtered list is small
+	DeltaAlways = "always" // even if the list is filtered; changes of other instances are discarded
 	DeltaNever  = "never"
 )
 
-// maxDialTime bounds the wait for a connection: a server that has vanished must not delay the call of another one.
+// maxDialTime bounds the time to connect, so that an unreachable server doesn't delay the call to another server.
 const maxDialTime = 400 * millisecond
 
-// Options are the parameters of a Client. Spans must not be 0; see Default.
+// Options are the parameters of a Client. Durations must not be 0; see Default.
 type Options struct {
 	Name                string // of the source
-	Servers             []URL  // in the order of preference
+	Servers             []URL  // in order of preference
 	Login               Login
-	Application         string // the endpoints are its instances; "" for all applications
-	VIP                 string // the endpoints have this virtual address; "" for any
+	Application         string // selects the instances of this application; "" for all applications
+	VIP                 string // selects the instances with this virtual address; "" for any
 	Delta               string // DeltaAuto, DeltaAlways or DeltaNever
-	PollInterval        Time   // between calls, give or take a fifth
+	PollInterval        Time   // mean time between calls, jittered by up to a fifth either way
 	Timeout             Time   // of a call
-	MaxBackoff          Time   // between calls to a server that fails
-	RetryPreferredAfter Time   // a server that failed is preferred again after that
-	FullListInterval    Time   // the full list is fetched at least so often
-	MaxBodyBytes        int    // of a response, compressed or not
-	Bandwidth           int    // bytes a second of responses: calls are delayed where responses are larger
-	LeaseGrace          int    // leases without a renewal after which an instance counts as draining; 0 for never
+	MaxBackoff          Time   // longest time between calls to a failing server
+	RetryPreferredAfter Time   // mean time after which a failed server is preferred again
+	FullListInterval    Time   // longest time between full lists
+	MaxBodyBytes        int    // of a response, both compressed and decompressed
+	Bandwidth           int    // response bytes per second; large responses delay the next call
+	LeaseGrace          int    // lease durations without a renewal after which an instance counts as draining; 0 for never
 	MetadataKeys        MetadataKeys
 }
 
 // Status is a summary of a Client's calls.
 type Status struct {
-	Server          string // in use
-	AnsweredAt      Time   // the latest usable response; 0 for none
+	Server          string // the server in use
+	LastResponseAt  Time   // time of the latest usable response; 0 for none
 	NewestTimestamp Time   // in the last full list, by the registry's clock
 	Calls           int64
 	FullCalls       int64 // calls for a full list
 	Bytes           int64 // of response bodies, as received
 	Failures        int64 // calls that failed
-	Mismatches      int64 // deltas that were inconsistent with the list
-	Faults          int   // in the last response that had any
+	Mismatches      int64 // deltas that were inconsistent with the table
+	Faults          int   // number of faults logged last
 }
 
 // Client polls a registry, one call at a time. Use Follow.
@@ -63,25 +63,25 @@
 	servers  []*server
 	current  *server // whose list the table holds; nil before the first response
 	table    *instanceTable
-	lastBody []byte // of the full list that the table holds, as received; nil where it holds something else
+	lastBody []byte // received body of the full list that the table holds; nil if the table differs from a full list
 	deltas   deltaState
 
 	nextPoll      machine.Timer
 	generation    int  // responses to calls of earlier generations are dropped
-	callPending   bool // a call is out, or its response is being parsed
-	callStartedAt Time // the latest call
-	confirming    bool // the next full list is the answer to Confirm
-	unavailable   bool // no server can be reached, and that was reported
+	callPending   bool // a call is in flight, or its response is being parsed
+	callStartedAt Time // start of the latest call
+	confirming    bool // Confirm awaits the next full list
+	unavailable   bool // no server can be reached, and a SourceUnavailable was reported
 	stopped       bool
 
-	status       Status
-	answeredAt   Time   // the latest usable response
-	loggedFaults string // of a list, as last logged
+	status         Status
+	lastResponseAt Time   // time of the latest usable response
+	loggedFaults   string // the faults logged last
 }
 
-// Follow polls a registry until Stop. onEvent gets an endpoints.SourceUpdate for each response and an
-// endpoints.SourceUnavailable where no server can be reached. It is never called from within Follow, and may call Confirm and
-// Stop.
+// Follow polls a registry until Stop. It calls onEvent with an endpoints.SourceUpdate for each usable response, and with an
+// endpoints.SourceUnavailable if no server can be reached. onEvent is never called from within Follow, and may call Confirm
+// and Stop.
 func Follow(m machine.Machine, o Options, onEvent func(endpoints.Event)) *Client {
 	o.Application = strings.ToUpper(o.Application)
 	c := &Client{
@@ -104,7 +104,7 @@
 	return c
 }
 
-// Stop ends all calls. onEvent is not called afterwards.
+// Stop cancels all calls. onEvent is not called afterwards.
 func (c *Client) Stop() {
 	c.stopped = true
 	c.generation++
@@ -116,8 +116,8 @@
 	}
 }
 
-// Confirm fetches the full list at once, from another server where there is one. The event that follows is a SourceUpdate
-// with Repeat set, or a SourceUnavailable.
+// Confirm fetches the full list at once, from another server if there is one. The next event is a SourceUpdate with Repeat set
+// or a SourceUnavailable.
 func (c *Client) Confirm() {
 	if c.stopped || c.confirming {
 		return
@@ -133,7 +133,7 @@
 			s.client.Cancel()
 		}
 	}
-	// The response may lead to the next Confirm: without a pause, these would follow one another without end.
+	// onEvent may call Confirm for each response. Without a pause, the client would then call the registry in a tight loop.
 	c.pollAt(max(c.m.Now(), c.callStartedAt+c.options.PollInterval/4))
 }
 
@@ -143,7 +143,7 @@
 	if c.current != nil {
 		status.Server = c.current.url.String()
 	}
-	status.AnsweredAt = c.answeredAt
+	status.LastResponseAt = c.lastResponseAt
 	status.NewestTimestamp = c.table.newestTimestamp
 	return status
 }
--- a/internal/eureka/client_test.go
+++ b/internal/eureka/client_test.go
@@ -8,22 +8,22 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// hasClaim matches an update with this text among its claims.
-func hasClaim(want string) func(h *endpoints.SourceUpdate) bool {
-	return func(h *endpoints.SourceUpdate) bool { return strings.Contains(claimTexts(h.Claims), want) }
+// hasClaim returns a function that reports whether an update has a claim with this text.
+func hasClaim(want string) func(update *endpoints.SourceUpdate) bool {
+	return func(update *endpoints.SourceUpdate) bool { return strings.Contains(claimTexts(update.Claims), want) }
 }
 
 func TestFullListThenDeltas(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	c := f.follow(options(r))
-	h := f.waitUpdate(second, "the list", isFull)
-	if got := claimTexts(h.Claims); got != "a up, bb up" {
-		t.Errorf("reported %s", got)
+	update := f.waitUpdate(second, "the list", isFull)
+	if got := claimTexts(update.Claims); got != "a up, bb up" {
+		t.Errorf("reported %s, want a up, bb up", got)
 	}
-	if e := h.Claims[0]; e.Address != "10.1.0.1:6379" || e.Endpoint.Zone != "z1" || e.Endpoint.Cell != 3 || e.Endpoint.Weight != 1.5 ||
+	if e := update.Claims[0]; e.Address != "10.1.0.1:6379" || e.Endpoint.Zone != "z1" || e.Endpoint.Cell != 3 || e.Endpoint.Weight != 1.5 ||
 		e.LastSeen != 1_750_000_000*second {
-		t.Errorf("the claim is %+v", e)
+		t.Errorf("got claim %+v", e)
 	}
 	for _, step := range []struct{ id, status, want string }{
 		{"bb", "OUT_OF_SERVICE", "bb draining (OUT_OF_SERVICE)"},
@@ -33,10 +33,10 @@
 		{"a", "", "a removed (DELETED)"},
 	} {
 		at := f.Now()
-		fl.set(step.id, step.status)
-		h := f.waitUpdate(second, step.want, hasClaim(step.want))
-		if claimTexts(h.Claims) != step.want || h.Full {
-			t.Errorf("reported %s (full: %v), want %s", claimTexts(h.Claims), h.Full, step.want)
+		fleet.set(step.id, step.status)
+		update := f.waitUpdate(second, step.want, hasClaim(step.want))
+		if claimTexts(update.Claims) != step.want || update.Full {
+			t.Errorf("reported %s (full: %v), want %s", claimTexts(update.Claims), update.Full, step.want)
 		}
 		if took := f.Now() - at; took > 400*millisecond {
 			t.Errorf("%s was reported after %d ms", step.want, took/1000)
@@ -48,49 +48,49 @@
 }
 
 func TestRepeatedDeltaReportsNoClaims(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	f.follow(options(r))
 	f.waitUpdate(second, "the list", isFull)
-	fl.set("a", "DOWN")
-	fl.set("bb", "")
+	fleet.set("a", "DOWN")
+	fleet.set("bb", "")
 	f.waitUpdate(second, "the drain", hasClaim("a draining"))
 	from := len(f.events)
 	f.after(10 * second)
 	for _, e := range f.events[from:] {
-		if h, ok := e.(*endpoints.SourceUpdate); !ok || h.Full || len(h.Claims) > 0 {
+		if update, ok := e.(*endpoints.SourceUpdate); !ok || update.Full || len(update.Claims) > 0 {
 			t.Fatalf("reported %+v", e)
 		}
 	}
 	if len(f.events)-from < 20 {
-		t.Errorf("%d updates in 10 s", len(f.events)-from)
+		t.Errorf("%d updates in 10 s, want at least 20", len(f.events)-from)
 	}
 }
 
 func TestHashMismatchFetchesFullList(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb", "ccc")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb", "ccc")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	c := f.follow(options(r))
 	f.waitUpdate(second, "the list", isFull)
-	fl.set("bb", "DOWN")
-	fl.changes = nil // the delta that has it is lost
-	h := f.waitUpdate(second, "the full list", isFull)
-	if got := claimTexts(h.Claims); got != "a up, bb draining (DOWN), ccc up" {
+	fleet.set("bb", "DOWN")
+	fleet.changes = nil // deltas don't hold the change
+	update := f.waitUpdate(second, "the full list", isFull)
+	if got := claimTexts(update.Claims); got != "a up, bb draining (DOWN), ccc up" {
 		t.Errorf("reported %s", got)
 	}
 	if s := c.Status(); s.Mismatches != 1 {
-		t.Errorf("%d mismatches", s.Mismatches)
+		t.Errorf("%d mismatches, want 1", s.Mismatches)
 	}
 	f.after(5 * second)
 	if s := c.Status(); s.FullCalls != 2 {
-		t.Errorf("%d full lists", s.FullCalls)
+		t.Errorf("%d calls for a full list, want 2", s.FullCalls)
 	}
 }
 
-func TestInconsistentDeltasAreNotPolledForAWhile(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
+func TestInconsistentDeltasPauseDeltaPolling(t *testing.T) {
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
 	r := f.registry("r", "10.0.0.1", func(a request) response {
-		got := fl.script(a)
+		got := fleet.script(a)
 		if a.path == "/apps/delta" {
 			got.body = list(1, nil, nil)
 		}
@@ -105,211 +105,213 @@
 		}
 	}
 	if deltas != maxDeltaMismatches {
-		t.Errorf("%d deltas in 50 s", deltas)
+		t.Errorf("%d calls for deltas in 50 s, want %d", deltas, maxDeltaMismatches)
 	}
 	if n := len(r.calls); n > 50*1000/240+1 {
-		t.Errorf("%d calls in 50 s", n)
+		t.Errorf("%d calls in 50 s, want at most %d", n, 50*1000/240+1)
 	}
-	fl.set("a", "DOWN")
+	fleet.set("a", "DOWN")
 	f.waitUpdate(second, "the drain", hasClaim("a draining"))
 }
 
 func TestOutdatedDeltaRevertsNoDrain(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	old := ""
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	staleBody := ""
 	r := f.registry("r", "10.0.0.1", func(a request) response {
-		if old != "" {
-			return response{status: 200, body: old}
+		if staleBody != "" {
+			return response{status: 200, body: staleBody}
 		}
-		return fl.script(a)
+		return fleet.script(a)
 	})
 	f.follow(options(r))
 	f.waitUpdate(second, "the list", isFull)
-	fl.set("a", "UP")
-	f.waitUpdate(second, "a delta", func(h *endpoints.SourceUpdate) bool { return !h.Full })
-	outdated := list(fl.version, fl.nodes, fl.changes)
-	fl.set("a", "DOWN")
+	fleet.set("a", "UP")
+	f.waitUpdate(second, "a delta", func(update *endpoints.SourceUpdate) bool { return !update.Full })
+	outdated := list(fleet.version, fleet.nodes, fleet.changes)
+	fleet.set("a", "DOWN")
 	f.waitUpdate(second, "the drain", hasClaim("a draining"))
-	fl.set("bb", "")
-	f.waitUpdate(second, "the departure", hasClaim("bb removed"))
+	fleet.set("bb", "")
+	f.waitUpdate(second, "the removal", hasClaim("bb removed"))
 	from := len(f.events)
-	old = outdated // as from another server behind the same address that lags
+	staleBody = outdated // as from a lagging server behind the same address
 	f.after(10 * second)
 	for _, e := range f.events[from:] {
-		if h, ok := e.(*endpoints.SourceUpdate); ok && (hasClaim("a up")(h) || hasClaim("bb up")(h)) {
-			t.Fatalf("reported %s", claimTexts(h.Claims))
+		if update, ok := e.(*endpoints.SourceUpdate); ok && (hasClaim("a up")(update) || hasClaim("bb up")(update)) {
+			t.Fatalf("reported %s", claimTexts(update.Claims))
 		}
 	}
-	f.waitUpdate(maxReplicationLag+second, "the list of a registry that goes on to send it", hasClaim("a up"))
+	f.waitUpdate(maxReplicationLag+second, "the outdated status after the replication lag", hasClaim("a up"))
 }
 
 func TestDeltaOfLowerVersionFetchesFullList(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	c := f.follow(options(r))
-	fl.version = 100
+	fleet.version = 100
 	f.after(2 * second)
-	fl.version = 5 // another process, or a cached response
+	fleet.version = 5 // as from a restarted server or a cached response
 	f.after(2 * second)
 	if s := c.Status(); s.FullCalls != 2 || s.Mismatches != 1 {
-		t.Errorf("status %+v", s)
+		t.Errorf("status %+v, want 2 calls for a full list and 1 mismatch", s)
 	}
 }
 
-// TestFullListFindsChangeThatHashCodeMisses: the change leaves as many instances of each status as before.
+// TestFullListFindsChangeThatHashCodeMisses covers a change that leaves the number of instances of each status, and so the hash
+// code, the same.
 func TestFullListFindsChangeThatHashCodeMisses(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	fl.set("bb", "DOWN")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	fleet.set("bb", "DOWN")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	o := options(r)
 	o.FullListInterval = 10 * second
 	f.follow(o)
 	f.waitUpdate(second, "the list", isFull)
-	fl.set("a", "DOWN")
-	fl.set("bb", "UP")
-	fl.changes = nil
-	f.waitUpdate(11*second, "both", hasClaim("a draining (DOWN), bb up"))
+	fleet.set("a", "DOWN")
+	fleet.set("bb", "UP")
+	fleet.changes = nil
+	f.waitUpdate(11*second, "both changes", hasClaim("a draining (DOWN), bb up"))
 }
 
 func TestLongGapFetchesFullList(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	o := options(r)
 	o.FullListInterval = 60 * minute
 	c := f.follow(o)
 	f.after(2 * minute)
 	if n := c.Status().FullCalls; n != 1 {
-		t.Fatalf("%d full lists", n)
+		t.Fatalf("%d calls for a full list, want 1", n)
 	}
-	f.client.Stall(4 * minute) // as long as servers keep changes
+	f.client.Stall(4 * minute) // servers forget changes after 3 min
 	f.after(4*minute + second)
 	if s := c.Status(); s.FullCalls != 2 || s.Failures != 0 {
-		t.Errorf("status %+v", s)
+		t.Errorf("status %+v, want 2 calls for a full list and no failure", s)
 	}
 }
 
 func TestLargeApplicationIsFollowedByDeltas(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet(numberedIDs(100)...)
-	whole := true
+	f, fleet := newFixture(t), newScriptedFleet(numberedIDs(100)...)
+	hasFullList := true
 	r := f.registry("r", "10.0.0.1", func(a request) response {
-		if a.path == "/apps" && !whole {
+		if a.path == "/apps" && !hasFullList {
 			return response{status: 500}
 		}
-		return fl.script(a)
+		return fleet.script(a)
 	})
 	o := options(r)
 	o.Application = "CACHE"
 	f.follow(o)
 	f.after(10 * second)
 	if got := r.paths()[:4]; !slices.Equal(got, []string{"/apps/CACHE", "/apps", "/apps/delta", "/apps/delta"}) {
-		t.Errorf("calls %v", got)
+		t.Errorf("first calls %v, want the application, the full list, then deltas", got)
 	}
-	whole = false // as where it has grown beyond the bounds
-	fl.changes = []scriptedInstance{{id: "i1", status: "DOWN", updated: fl.clock + 1}}
+	hasFullList = false // as if the full list exceeded the size bounds
+	fleet.changes = []scriptedInstance{{id: "i1", status: "DOWN", updated: fleet.clock + 1}}
 	f.after(10 * second)
 	from := len(r.calls)
 	f.after(10 * second)
 	if len(r.calls)-from < 20 || slices.ContainsFunc(r.paths()[from:], func(p string) bool { return p != "/apps/CACHE" }) {
-		t.Errorf("calls %v", r.paths()[from:])
+		t.Errorf("calls %v, want at least 20, all for /apps/CACHE", r.paths()[from:])
 	}
 }
 
 func TestRegistryWithoutDeltasIsPolledForFullLists(t *testing.T) {
 	for _, status := range []int{403, 404} {
-		f, fl := newRig(t), newScriptedFleet("a", "bb")
+		f, fleet := newFixture(t), newScriptedFleet("a", "bb")
 		r := f.registry("r", "10.0.0.1", func(a request) response {
 			if a.path == "/apps/delta" {
 				return response{status: status}
 			}
-			return fl.script(a)
+			return fleet.script(a)
 		})
 		f.follow(options(r))
 		f.after(20 * second)
-		fl.set("bb", "STARTING")
+		fleet.set("bb", "STARTING")
 		f.waitUpdate(500*millisecond, "the drain", hasClaim("bb draining (STARTING)"))
 		if f.unavailableEvents() > 0 || !slices.Equal(r.paths()[:3], []string{"/apps", "/apps/delta", "/apps"}) ||
 			slices.Contains(r.paths()[2:], "/apps/delta") {
-			t.Errorf("after %d: %d times unavailable, %v", status, f.unavailableEvents(), r.paths()[:4])
+			t.Errorf("after HTTP %d: %d times unavailable, calls %v", status, f.unavailableEvents(), r.paths()[:4])
 		}
 	}
 }
 
 func TestApplicationFilterPollsThatApplicationOnly(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	o := options(r)
 	o.Application = "cache"
 	f.follow(o)
 	f.waitUpdate(second, "the list", isFull)
-	fl.set("a", "OUT_OF_SERVICE")
+	fleet.set("a", "OUT_OF_SERVICE")
 	f.waitUpdate(500*millisecond, "the drain", hasClaim("a draining"))
-	fl.set("a", "")
-	fl.set("bb", "")
-	h := f.waitUpdate(500*millisecond, "the empty list", func(h *endpoints.SourceUpdate) bool { return h.Full && len(h.Claims) == 0 })
-	if h.Repeat || f.unavailableEvents() > 0 || slices.ContainsFunc(r.paths(), func(p string) bool { return p != "/apps/CACHE" }) {
-		t.Errorf("%d times unavailable, calls %v", f.unavailableEvents(), r.paths())
+	fleet.set("a", "")
+	fleet.set("bb", "")
+	isEmpty := func(update *endpoints.SourceUpdate) bool { return update.Full && len(update.Claims) == 0 }
+	update := f.waitUpdate(500*millisecond, "the empty list", isEmpty)
+	if update.Repeat || f.unavailableEvents() > 0 || slices.ContainsFunc(r.paths(), func(p string) bool { return p != "/apps/CACHE" }) {
+		t.Errorf("repeat %v, %d times unavailable, calls %v", update.Repeat, f.unavailableEvents(), r.paths())
 	}
 }
 
 func TestUnchangedFullListReportsNoClaims(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	o := options(r)
 	o.Delta = DeltaNever
 	f.follow(o)
 	f.waitUpdate(second, "the list", isFull)
 	f.after(10 * second)
 	for _, e := range f.events[1:] {
-		if h, ok := e.(*endpoints.SourceUpdate); !ok || h.Full || len(h.Claims) > 0 {
+		if update, ok := e.(*endpoints.SourceUpdate); !ok || update.Full || len(update.Claims) > 0 {
 			t.Fatalf("reported %+v", e)
 		}
 	}
 	if len(f.events) < 25 {
-		t.Errorf("%d events in 10 s", len(f.events))
+		t.Errorf("%d events in 10 s, want at least 25", len(f.events))
 	}
 }
 
 func TestUnknownApplicationIsNotAnEmptyList(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	o := options(r)
 	o.Application = "CASH"
 	f.follow(o)
 	f.after(5 * second)
 	if f.unavailableEvents() != 1 || len(f.events) != 1 {
-		t.Errorf("events %v", f.events)
+		t.Errorf("events %v, want one SourceUnavailable", f.events)
 	}
 }
 
 func TestDeltasOfOtherApplicationsAreDropped(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a", "bb")
-	fl.nodes = append(fl.nodes, scriptedInstance{id: "x", status: "UP", updated: fl.clock, app: "OTHER"})
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a", "bb")
+	fleet.nodes = append(fleet.nodes, scriptedInstance{id: "x", status: "UP", updated: fleet.clock, app: "OTHER"})
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	o := options(r)
 	o.Application, o.Delta = "CACHE", DeltaAlways
 	c := f.follow(o)
 	if got := claimTexts(f.waitUpdate(second, "the list", isFull).Claims); got != "a up, bb up" {
 		t.Errorf("reported %s", got)
 	}
-	fl.nodes[2].status, fl.nodes[2].updated = "DOWN", fl.clock+1
-	fl.changes = append(fl.changes, fl.nodes[2])
-	fl.version++
+	fleet.nodes[2].status, fleet.nodes[2].updated = "DOWN", fleet.clock+1
+	fleet.changes = append(fleet.changes, fleet.nodes[2])
+	fleet.version++
 	f.after(second)
-	fl.set("bb", "DOWN")
+	fleet.set("bb", "DOWN")
 	f.waitUpdate(500*millisecond, "the drain", hasClaim("bb draining"))
 	if s := c.Status(); s.FullCalls != 1 || s.Mismatches != 0 {
 		t.Errorf("status %+v", s)
 	}
 	for _, e := range f.events {
-		if h, ok := e.(*endpoints.SourceUpdate); ok && strings.Contains(claimTexts(h.Claims), "x") {
-			t.Errorf("reported %s", claimTexts(h.Claims))
+		if update, ok := e.(*endpoints.SourceUpdate); ok && strings.Contains(claimTexts(update.Claims), "x") {
+			t.Errorf("reported %s, want nothing on x", claimTexts(update.Claims))
 		}
 	}
 }
 
 func TestVIPFilterSelectsInstances(t *testing.T) {
-	f, fl := newRig(t), newScriptedFleet("a")
-	r := f.registry("r", "10.0.0.1", fl.script)
+	f, fleet := newFixture(t), newScriptedFleet("a")
+	r := f.registry("r", "10.0.0.1", fleet.script)
 	o := options(r)
 	o.VIP = "cache"
 	f.follow(o)
--- a/internal/eureka/config.go
+++ b/internal/eureka/config.go
@@ -9,31 +9,31 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// Config is an operators' file of the kind "eureka".
+// Config is the content of an operators' file of the kind "eureka".
 type Config struct {
-	Enabled     bool                `toml:"enabled" doc:"the registry is one of the sources of the list of caches"`
-	URLs        []string            `toml:"urls" min:"1" max:"8" secret:"true" doc:"its servers' REST interfaces, the preferred one first"`
-	Application string              `toml:"application" max:"256" doc:"the application whose instances are the caches; empty for all"`
-	VIP         string              `toml:"vip" max:"256" doc:"the virtual address that the caches have; empty for any"`
-	Delta       string              `toml:"delta" words:"auto,always,never" doc:"whether the registry is asked for changes alone"`
-	Cadence     time.Duration       `toml:"cadence" min:"50ms" max:"1m" doc:"between calls, give or take a fifth"`
-	Timeout     time.Duration       `toml:"timeout" min:"100ms" max:"1m" doc:"for an answer to come whole"`
-	MaxBackoff  time.Duration       `toml:"backoff_most" min:"100ms" max:"10m" doc:"between calls to a server that fails, at most"`
-	PreferAgain time.Duration       `toml:"prefer_again" min:"1s" max:"1h" doc:"a server that failed is tried again after that, while another serves"`
-	FullEvery   time.Duration       `toml:"full_every" min:"1s" max:"1h" doc:"the whole list is fetched at least so often"`
-	Body        operatorconfig.Size `toml:"body" min:"64KiB" max:"64MiB" doc:"bytes of an answer, packed or not"`
-	Bandwidth   operatorconfig.Size `toml:"bandwidth" min:"16KiB" max:"1GiB" doc:"bytes of answers a second: calls wait where answers are larger"`
-	LeaseGrace  int                 `toml:"lease_grace" min:"0" max:"100" doc:"leases without a renewal after which an instance that is up counts as draining; 0 for never"`
+	Enabled             bool                `toml:"enabled" doc:"the registry is one of the sources of the list of caches"`
+	URLs                []string            `toml:"urls" min:"1" max:"8" secret:"true" doc:"its servers' REST interfaces, the preferred one first"`
+	Application         string              `toml:"application" max:"256" doc:"the application whose instances are the caches; empty for all"`
+	VIP                 string              `toml:"vip" max:"256" doc:"the virtual address that the caches have; empty for any"`
+	Delta               string              `toml:"delta" words:"auto,always,never" doc:"whether the registry is asked for changes alone"`
+	PollInterval        time.Duration       `toml:"cadence" min:"50ms" max:"1m" doc:"between calls, give or take a fifth"`
+	Timeout             time.Duration       `toml:"timeout" min:"100ms" max:"1m" doc:"for an answer to come whole"`
+	MaxBackoff          time.Duration       `toml:"backoff_most" min:"100ms" max:"10m" doc:"between calls to a server that fails, at most"`
+	RetryPreferredAfter time.Duration       `toml:"prefer_again" min:"1s" max:"1h" doc:"a server that failed is tried again after that, while another serves"`
+	FullListInterval    time.Duration       `toml:"full_every" min:"1s" max:"1h" doc:"the whole list is fetched at least so often"`
+	MaxBodyBytes        operatorconfig.Size `toml:"body" min:"64KiB" max:"64MiB" doc:"bytes of an answer, packed or not"`
+	Bandwidth           operatorconfig.Size `toml:"bandwidth" min:"16KiB" max:"1GiB" doc:"bytes of answers a second: calls wait where answers are larger"`
+	LeaseGrace          int                 `toml:"lease_grace" min:"0" max:"100" doc:"leases without a renewal after which an instance that is up counts as draining; 0 for never"`
 
 	User         string `toml:"user" max:"256" doc:"for basic authentication; empty for none"`
 	Password     string `toml:"password" max:"1024" secret:"true" doc:"for basic authentication; it is never logged"`
 	PasswordFile string `toml:"password_file" max:"4096" doc:"the file that holds the password, instead"`
 
-	Metadata Metadata `toml:"metadata"`
-	Register Section  `toml:"register"`
+	Metadata Metadata           `toml:"metadata"`
+	Register RegistrationConfig `toml:"register"`
 }
 
-// Metadata are the keys of the metadata by which instances describe themselves.
+// Metadata sets the keys of the instance metadata that describe an endpoint.
 type Metadata struct {
 	Zone             string `toml:"zone" max:"256" doc:"the key that holds the zone; empty for none"`
 	Group            string `toml:"group" max:"256" doc:"the key that holds the number of the group; empty for none"`
@@ -43,8 +43,8 @@
 	ServiceUp        bool   `toml:"service_up" doc:"without a start in metadata, the time since when the registry has it up counts"`
 }
 
-// Section sets the registration of the router itself.
-type Section struct {
+// RegistrationConfig configures the registration of the router itself.
+type RegistrationConfig struct {
 	Enabled     bool          `toml:"enabled" doc:"the router registers itself"`
 	Application string        `toml:"application" min:"1" max:"256" doc:"the application that the router is registered under"`
 	Instance    string        `toml:"instance" max:"256" doc:"the id of the instance; empty for application:ip:port"`
@@ -56,20 +56,21 @@
 	Timeout     time.Duration `toml:"timeout" min:"50ms" max:"10s" doc:"for a call, and for the whole of the end"`
 }
 
-// Default is what holds where no file says otherwise. Its URL is a placeholder, an address reserved for documentation (RFC 5737).
+// Default returns the configuration that applies without an operators' file. Its URL is a placeholder with an address reserved
+// for documentation (RFC 5737).
 func Default() Config {
 	return Config{
-		URLs:        []string{"http://192.0.2.1:8761/eureka"},
-		Delta:       DeltaAuto,
-		Cadence:     300 * time.Millisecond,
-		Timeout:     time.Second,
-		MaxBackoff:  5 * time.Second,
-		PreferAgain: 30 * time.Second,
-		FullEvery:   time.Minute,
-		Body:        16 << 20,
-		Bandwidth:   4 << 20,
-		Metadata:    Metadata{Zone: "zone", Group: "group", Weight: "weight", Start: "start"},
-		Register: Section{
+		URLs:                []string{"http://192.0.2.1:8761/eureka"},
+		Delta:               DeltaAuto,
+		PollInterval:        300 * time.Millisecond,
+		Timeout:             time.Second,
+		MaxBackoff:          5 * time.Second,
+		RetryPreferredAfter: 30 * time.Second,
+		FullListInterval:    time.Minute,
+		MaxBodyBytes:        16 << 20,
+		Bandwidth:           4 << 20,
+		Metadata:            Metadata{Zone: "zone", Group: "group", Weight: "weight", Start: "start"},
+		Register: RegistrationConfig{
 			Application: "STARLINGWINCH",
 			Renewal:     30 * time.Second,
 			Duration:    90 * time.Second,
@@ -78,19 +79,19 @@
 	}
 }
 
-// Kind is the kind of operators' file that sets a Config.
+// Kind is the kind of operators' file that holds a Config.
 var Kind = operatorconfig.Define("eureka", "an Eureka registry as a source of the list of caches", Default(), check)
 
-// check reports what the range of a single key can't express.
+// check reports the faults that the ranges of single keys don't cover.
 func check(c Config, report operatorconfig.ReportFunc) {
 	c.checkURLs(report)
 	if c.Application != "" && c.VIP != "" {
 		report("vip", "application is set too (one of them is wanted)")
 	}
 	c.checkNames(report)
-	if c.MaxBackoff < c.Cadence {
+	if c.MaxBackoff < c.PollInterval {
 		report("backoff_most", "below cadence (%s, wanted at least %s)",
-			operatorconfig.FormatDuration(c.MaxBackoff), operatorconfig.FormatDuration(c.Cadence))
+			operatorconfig.FormatDuration(c.MaxBackoff), operatorconfig.FormatDuration(c.PollInterval))
 	}
 	switch {
 	case c.Password != "" && c.PasswordFile != "":
@@ -118,7 +119,7 @@
 	}
 }
 
-// checkNames reports names that can't stand in the path of a URL.
+// checkNames reports names that the path of a URL can't hold.
 func (c Config) checkNames(report operatorconfig.ReportFunc) {
 	isUnsafe := func(r rune) bool { return r <= ' ' || r == '/' || r == 0x7f }
 	names := []struct{ key, text string }{
@@ -134,7 +135,7 @@
 	}
 }
 
-func (s Section) check(report operatorconfig.ReportFunc) {
+func (s RegistrationConfig) check(report operatorconfig.ReportFunc) {
 	if s.Duration < 2*s.Renewal {
 		report("register.duration", "below two renewals (%s, wanted at least %s)",
 			operatorconfig.FormatDuration(s.Duration), operatorconfig.FormatDuration(2*s.Renewal))
@@ -158,11 +159,11 @@
 	}
 }
 
-// servers are the URLs of the registry's servers.
+// servers returns the URLs of the registry's servers.
 func (c Config) servers() []URL {
 	var all []URL
 	for _, text := range c.URLs {
-		if u, err := ParseURL(text); err == nil { // as check has verified
+		if u, err := ParseURL(text); err == nil { // check has verified the URLs
 			all = append(all, u)
 		}
 	}
@@ -173,7 +174,7 @@
 	return Login{User: c.User, Password: c.Password, PasswordFile: c.PasswordFile}
 }
 
-// Options returns the parameters of Follow, for a source of this name.
+// Options returns the parameters of Follow for a source with this name.
 func (c Config) Options(name string) Options {
 	return Options{
 		Name:                name,
@@ -182,12 +183,12 @@
 		Application:         c.Application,
 		VIP:                 c.VIP,
 		Delta:               c.Delta,
-		PollInterval:        c.Cadence.Microseconds(),
+		PollInterval:        c.PollInterval.Microseconds(),
 		Timeout:             c.Timeout.Microseconds(),
 		MaxBackoff:          c.MaxBackoff.Microseconds(),
-		RetryPreferredAfter: c.PreferAgain.Microseconds(),
-		FullListInterval:    c.FullEvery.Microseconds(),
-		MaxBodyBytes:        int(c.Body),
+		RetryPreferredAfter: c.RetryPreferredAfter.Microseconds(),
+		FullListInterval:    c.FullListInterval.Microseconds(),
+		MaxBodyBytes:        int(c.MaxBodyBytes),
 		Bandwidth:           int(c.Bandwidth),
 		LeaseGrace:          c.LeaseGrace,
 		MetadataKeys: MetadataKeys{
@@ -201,10 +202,10 @@
 	}
 }
 
-// Registration returns the parameters of Register. They are valid only where Register.Enabled.
+// Registration returns the parameters of Register. The parameters are valid only if c.Register.Enabled is set.
 func (c Config) Registration() RegisterOptions {
 	s := c.Register
-	ip, _ := netip.ParseAddr(s.IP) // as check has verified
+	ip, _ := netip.ParseAddr(s.IP) // check has verified the address
 	o := RegisterOptions{
 		Servers:     c.servers(),
 		Login:       c.login(),
--- a/internal/eureka/cost_test.go
+++ b/internal/eureka/cost_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// gzipSize is the length of a text compressed by gzip.
+// gzipSize returns the size of a text after compression with gzip.
 func gzipSize(s string) int {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
@@ -16,26 +16,29 @@
 	return b.Len()
 }
 
-// TestDeltaIsCheaperThanFullList by a factor of four at least, in a registry without changes.
+// TestDeltaIsCheaperThanFullList checks that in a registry without changes a delta is at least four times smaller than the full
+// list.
 func TestDeltaIsCheaperThanFullList(t *testing.T) {
 	for _, n := range []int{10, 100, 1000} {
 		var ids []string
 		for i := range n {
 			ids = append(ids, fmt.Sprintf("10.1.%d.%d:cache:6379", i/250, i%250))
 		}
-		fl := newScriptedFleet(ids...)
-		for i := range fl.nodes {
-			fl.nodes[i].updated += int64(i) * 977
+		fleet := newScriptedFleet(ids...)
+		for i := range fleet.nodes {
+			fleet.nodes[i].updated += int64(i) * 977
 		}
-		whole, quiet := list(1, fl.nodes, fl.nodes), list(1, fl.nodes, nil)
+		full, unchanged := list(1, fleet.nodes, fleet.nodes), list(1, fleet.nodes, nil)
 		for _, id := range ids[:n/10] {
-			fl.set(id, "DOWN")
+			fleet.set(id, "DOWN")
 		}
-		busy := list(1, fl.nodes, fl.changes)
-		t.Logf("%d instances: whole list %d bytes, packed %d; delta without changes %d, packed %d; with a tenth changed %d, packed %d",
-			n, len(whole), gzipSize(whole), len(quiet), gzipSize(quiet), len(busy), gzipSize(busy))
-		if gzipSize(quiet)*4 > gzipSize(whole) || gzipSize(quiet) > 200 {
-			t.Errorf("%d instances: a quiet delta takes %d bytes, the whole list %d", n, gzipSize(quiet), gzipSize(whole))
+		changed := list(1, fleet.nodes, fleet.changes)
+		t.Logf("%d instances: full list %d bytes, %d compressed; delta without changes %d, %d compressed; "+
+			"with a tenth changed %d, %d compressed",
+			n, len(full), gzipSize(full), len(unchanged), gzipSize(unchanged), len(changed), gzipSize(changed))
+		if gzipSize(unchanged)*4 > gzipSize(full) || gzipSize(unchanged) > 200 {
+			t.Errorf("%d instances: a delta without changes takes %d bytes compressed, the full list %d",
+				n, gzipSize(unchanged), gzipSize(full))
 		}
 	}
 }
--- a/internal/eureka/eureka.go
+++ b/internal/eureka/eureka.go
@@ -1,16 +1,17 @@
-// Package eureka follows an Eureka registry (Netflix Eureka 1.x, Spring Cloud's server) by its REST interface, as one of the
-// sources of the endpoint list, and registers the router there where operators configure it.
+// Package eureka implements a client of a Eureka registry (Netflix Eureka 1.x and Spring Cloud's server). The client polls the
+// registry's REST interface as one of the sources of the endpoint list, and registers the router if operators configure that.
 //
-// Clients of Eureka poll every 30 s and see a change up to 90 s later. This one polls several times a second for the changes,
-// which costs a registry little as it caches that answer; docs/operators/eureka.md has the figures.
+// Other Eureka clients poll every 30 s and see a change up to 90 s later. This client polls for deltas several times a second.
+// That costs a registry little, since the registry caches the delta response; docs/operators/eureka.md has the figures.
 //
-// The package decides nothing about what the list means, resolves no names, follows no redirects, and speaks HTTP without TLS.
-// The format is that of the registry's wiki ("Eureka REST operations") and of what servers send beyond it.
+// The package only reports the registry's list and leaves its interpretation to package endpoints. It doesn't resolve host
+// names or follow redirects, and uses HTTP without TLS. The format follows the registry's wiki ("Eureka REST operations") and
+// the variants that servers send beyond it.
 package eureka
 
 import "starlingwinch/internal/machine"
 
-// Time is an instant or a span in microseconds.
+// Time is an instant or a duration in microseconds.
 type Time = machine.Time
 
 const (
--- a/internal/eureka/harness_test.go
+++ b/internal/eureka/harness_test.go
@@ -16,20 +16,20 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// rig is a simulated network with a client's host and scripted registries.
-type rig struct {
+// fixture is a simulated network with a client's host and scripted registries.
+type fixture struct {
 	*testing.T
 	*sim.World
 	client     *sim.Host
 	log        []string
 	events     []endpoints.Event
-	eventTimes []Time // when they came
+	eventTimes []Time // the time of each event
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	w := sim.New(1)
 	w.Near = sim.Link{Latency: millisecond / 2, Split: 0.3}
-	f := &rig{T: t, World: w}
+	f := &fixture{T: t, World: w}
 	f.client = w.Host("client", "10.0.0.9", sim.HostOptions{Zone: "a"})
 	f.client.Logged = func(line string) { f.log = append(f.log, line) }
 	return f
@@ -46,27 +46,27 @@
 
 func (a request) String() string { return a.method + " " + a.path }
 
-// response is what a registry answers. Raw is sent as it is.
+// response is a registry's scripted response.
 type response struct {
 	status int
 	body   string
-	header string // lines, each with its end
-	raw    string
+	header string // lines, each with its line end
+	raw    string // sent unchanged in place of status, header and body; "" for none
 	delay  Time
-	silent bool
-	open   bool // the body has no length and no end
+	silent bool // no response is sent
+	open   bool // the body has no declared length and never ends
 }
 
 // registry is a scripted server.
 type registry struct {
-	f      *rig
+	f      *fixture
 	host   *sim.Host
 	m      machine.Machine
 	calls  []request
 	answer func(a request) response
 }
 
-func (f *rig) registry(name, ip string, script func(a request) response) *registry {
+func (f *fixture) registry(name, ip string, script func(a request) response) *registry {
 	r := &registry{f: f, answer: script}
 	r.host = f.World.Host(name, ip, sim.HostOptions{Zone: "a"})
 	r.m = r.host.Machine()
@@ -85,7 +85,7 @@
 	return u
 }
 
-// paths are those of the requests so far.
+// paths returns the paths of the requests so far.
 func (r *registry) paths() []string {
 	var all []string
 	for _, a := range r.calls {
@@ -100,7 +100,7 @@
 	conn machine.Conn
 	in   []byte
 	out  []byte
-	more bool // bytes without end
+	more bool // the response never ends
 }
 
 func (p *registryConn) Readable() {
@@ -119,7 +119,7 @@
 	src := bytes.NewReader(p.in)
 	q, err := http.ReadRequest(bufio.NewReader(src))
 	if err != nil {
-		return // not whole yet
+		return // the request is incomplete
 	}
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
@@ -162,12 +162,12 @@
 	}
 }
 
-// scriptedInstance is an instance of the scripts.
+// scriptedInstance is an instance of a scriptedFleet.
 type scriptedInstance struct {
 	id, status string
 	updated    int64 // ms
 	action     string
-	app        string // "CACHE" where it is empty
+	app        string // "" for "CACHE"
 }
 
 func (n scriptedInstance) json() string {
@@ -186,7 +186,7 @@
 		`"lastDirtyTimestamp":"%d","actionType":%q}`, n.id, app, len(n.id), n.status, n.updated, n.updated, n.action)
 }
 
-// list is the text of a response with these nodes, and with the hash code of counted.
+// list returns the body of a response with these nodes and with the hash code of the instances in counted.
 func list(version int, counted, nodes []scriptedInstance) string {
 	counts := map[string]int{}
 	for _, n := range counted {
@@ -214,7 +214,7 @@
 		version, hashCode(counts), strings.Join(texts, ","))
 }
 
-// scriptedFleet is a registry's content, which a test changes.
+// scriptedFleet is the content of a registry, which a test modifies.
 type scriptedFleet struct {
 	nodes   []scriptedInstance
 	changes []scriptedInstance
@@ -223,53 +223,53 @@
 }
 
 func newScriptedFleet(ids ...string) *scriptedFleet {
-	fl := &scriptedFleet{version: 1, clock: 1_750_000_000_000}
+	fleet := &scriptedFleet{version: 1, clock: 1_750_000_000_000}
 	for _, id := range ids {
-		fl.nodes = append(fl.nodes, scriptedInstance{id: id, status: "UP", updated: fl.clock, action: "ADDED"})
+		fleet.nodes = append(fleet.nodes, scriptedInstance{id: id, status: "UP", updated: fleet.clock, action: "ADDED"})
 	}
-	return fl
+	return fleet
 }
 
-// set changes an instance, or adds it; status "" takes it away.
-func (fl *scriptedFleet) set(id, status string) {
-	fl.clock++
-	fl.version++
-	at := slices.IndexFunc(fl.nodes, func(n scriptedInstance) bool { return n.id == id })
-	n := scriptedInstance{id: id, status: status, updated: fl.clock, action: "MODIFIED"}
+// set changes or adds an instance; status "" removes it.
+func (fleet *scriptedFleet) set(id, status string) {
+	fleet.clock++
+	fleet.version++
+	at := slices.IndexFunc(fleet.nodes, func(n scriptedInstance) bool { return n.id == id })
+	n := scriptedInstance{id: id, status: status, updated: fleet.clock, action: "MODIFIED"}
 	switch {
 	case status == "":
-		n.status, n.action = fl.nodes[at].status, "DELETED"
-		fl.nodes = slices.Delete(fl.nodes, at, at+1)
+		n.status, n.action = fleet.nodes[at].status, "DELETED"
+		fleet.nodes = slices.Delete(fleet.nodes, at, at+1)
 	case at < 0:
 		n.action = "ADDED"
-		fl.nodes = append(fl.nodes, n)
+		fleet.nodes = append(fleet.nodes, n)
 	default:
-		fl.nodes[at] = n
+		fleet.nodes[at] = n
 	}
-	fl.changes = append(fl.changes, n)
+	fleet.changes = append(fleet.changes, n)
 }
 
-// script answers as a registry with that content.
-func (fl *scriptedFleet) script(a request) response {
+// script responds to a request as a registry with the fleet's content.
+func (fleet *scriptedFleet) script(a request) response {
 	switch a.path {
 	case "/apps/delta":
-		return response{status: 200, body: list(fl.version, fl.nodes, fl.changes)}
+		return response{status: 200, body: list(fleet.version, fleet.nodes, fleet.changes)}
 	case "/apps/CACHE":
-		if len(fl.nodes) == 0 {
+		if len(fleet.nodes) == 0 {
 			return response{status: 404}
 		}
 		var all []string
-		for _, n := range fl.nodes {
+		for _, n := range fleet.nodes {
 			all = append(all, n.json())
 		}
 		return response{status: 200, body: `{"application":{"name":"CACHE","instance":[` + strings.Join(all, ",") + `]}}`}
 	case "/apps", "/vips/cache":
-		return response{status: 200, body: list(1, fl.nodes, fl.nodes)}
+		return response{status: 200, body: list(1, fleet.nodes, fleet.nodes)}
 	}
 	return response{status: 404}
 }
 
-// options are the defaults, for these registries.
+// options returns the default options with these registries as servers.
 func options(servers ...*registry) Options {
 	o := Default().Options("eureka")
 	o.Servers = nil
@@ -279,34 +279,34 @@
 	return o
 }
 
-// follow starts a client whose events are recorded.
-func (f *rig) follow(o Options) *Client {
+// follow starts a client and records its events.
+func (f *fixture) follow(o Options) *Client {
 	return Follow(f.client.Machine(), o, func(e endpoints.Event) {
 		f.events = append(f.events, e)
 		f.eventTimes = append(f.eventTimes, f.Now())
 	})
 }
 
-// after runs the world for a span.
-func (f *rig) after(d Time) { f.World.Run(f.Now() + d) }
+// after runs the simulation for a duration.
+func (f *fixture) after(d Time) { f.World.Run(f.Now() + d) }
 
-// wait runs the world until done, for a span at most.
-func (f *rig) wait(d Time, what string, done func() bool) {
+// wait runs the simulation until done returns true, and fails the test if that takes longer than a duration.
+func (f *fixture) wait(d Time, condition string, done func() bool) {
 	f.Helper()
 	if !f.RunUntil(f.Now()+d, done) {
-		f.Fatalf("not within %d ms: %s\nlog: %q", d/1000, what, f.log)
+		f.Fatalf("not within %d ms: %s\nlog: %q", d/1000, condition, f.log)
 	}
 }
 
-// waitUpdate waits for an update that matches.
-func (f *rig) waitUpdate(d Time, what string, matches func(h *endpoints.SourceUpdate) bool) *endpoints.SourceUpdate {
+// waitUpdate waits for an update that matches and returns it.
+func (f *fixture) waitUpdate(d Time, condition string, matches func(update *endpoints.SourceUpdate) bool) *endpoints.SourceUpdate {
 	f.Helper()
 	from := len(f.events)
 	var found *endpoints.SourceUpdate
-	f.wait(d, what, func() bool {
+	f.wait(d, condition, func() bool {
 		for ; from < len(f.events); from++ {
-			if h, ok := f.events[from].(*endpoints.SourceUpdate); ok && matches(h) {
-				found = h
+			if update, ok := f.events[from].(*endpoints.SourceUpdate); ok && matches(update) {
+				found = update
 				return true
 			}
 		}
@@ -315,9 +315,9 @@
 	return found
 }
 
-func isFull(h *endpoints.SourceUpdate) bool { return h.Full }
+func isFull(update *endpoints.SourceUpdate) bool { return update.Full }
 
-// claimTexts are the claims as "id status", with the reason of those that are not up.
+// claimTexts returns the claims as "id status", with the reason in parentheses if the endpoint does not serve.
 func claimTexts(claims []endpoints.Claim) string {
 	var all []string
 	for _, c := range claims {
@@ -330,8 +330,8 @@
 	return strings.Join(all, ", ")
 }
 
-// unavailableEvents counts the SourceUnavailable events.
-func (f *rig) unavailableEvents() int {
+// unavailableEvents returns the number of SourceUnavailable events.
+func (f *fixture) unavailableEvents() int {
 	n := 0
 	for _, e := range f.events {
 		if _, ok := e.(*endpoints.SourceUnavailable); ok {
--- a/internal/eureka/instance.go
+++ b/internal/eureka/instance.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// MetadataKeys are the keys of an instance's metadata that describe an endpoint; "" for none.
+// MetadataKeys are the metadata keys under which an instance describes its endpoint; "" for none.
 type MetadataKeys struct {
 	Zone             string
 	Group            string
 	Weight           string
-	Start            string // of the start time, Unix time in milliseconds
-	AvailabilityZone bool   // where Zone gives none, the zone of the data centre counts
-	ServiceUp        bool   // where Start gives none, serviceUpTimestamp counts
+	Start            string // the value is Unix time in milliseconds
+	AvailabilityZone bool   // without a zone in the metadata, use the data centre's availability zone
+	ServiceUp        bool   // without a start time in the metadata, use serviceUpTimestamp
 }
 
-// Change says what a list reports of an instance.
+// Change is the kind of entry that a list holds for an instance.
 type Change uint8
 
 const (
@@ -27,30 +27,30 @@
 	Deleted               // DELETED in a delta
 )
 
-// Instance is one instance of a list, checked.
+// Instance is one checked instance of a list.
 type Instance struct {
-	App             string // application, in upper case as registries have it
+	App             string // application name, in upper case as in registries
 	ID              string
 	VIP             string // virtual addresses, separated by commas
-	Address         string // IP address and port; "" where there is none that can be used: then Unusable
+	Address         string // IP address and port; "" if there is no usable address, and Unusable is then set
 	Status          string // as listed, for the hash code
-	EffectiveStatus string // the status that counts, with its override
+	EffectiveStatus string // the status with the override applied
 	Change          Change
-	Unusable        bool // it can't be used as an endpoint
+	Unusable        bool // the instance can't be used as an endpoint
 
 	Zone          string
 	Group         int
 	Weight        float64
-	StartedAt     Time // 0 is long ago
-	RenewedAt     Time // the latest renewal, by the registry's clock; 0 where it does not say
-	UpdatedAt     Time // the latest change, by the registry's clock; 0 where it does not say
-	LeaseDuration Time // for how long a renewal holds
+	StartedAt     Time // 0 for long ago
+	RenewedAt     Time // latest renewal, by the registry's clock; 0 if unknown
+	UpdatedAt     Time // latest change, by the registry's clock; 0 if unknown
+	LeaseDuration Time // validity of a renewal
 }
 
-// maxLeaseSeconds bounds a lease, so that its microseconds can't overflow.
+// maxLeaseSeconds bounds a lease, so that its value in microseconds can't overflow.
 const maxLeaseSeconds = 1 << 31
 
-// instanceJSON is an instance as it stands on the wire. Keys match in any case.
+// instanceJSON is the wire format of an instance. Keys match in any case.
 type instanceJSON struct {
 	InstanceID  lenientText   `json:"instanceId"`
 	App         lenientText   `json:"app"`
@@ -67,22 +67,22 @@
 	DataCenter  dataCenterJSON `json:"dataCenterInfo"`
 }
 
-// leaseJSON is the lease of an instance on the wire.
+// leaseJSON is the wire format of an instance's lease.
 type leaseJSON struct {
 	DurationInSecs       lenientNumber
 	LastRenewalTimestamp lenientNumber
-	RenewalTimestamp     lenientNumber // an old server's spelling of LastRenewalTimestamp
+	RenewalTimestamp     lenientNumber // old servers' name of LastRenewalTimestamp
 	ServiceUpTimestamp   lenientNumber
 }
 
-// UnmarshalJSON implements json.Unmarshaler. A lease that is no object is empty.
+// UnmarshalJSON implements json.Unmarshaler. A value that is not an object decodes as an empty lease.
 func (l *leaseJSON) UnmarshalJSON(raw []byte) error {
 	type plain leaseJSON
 	json.Unmarshal(raw, (*plain)(l))
 	return nil
 }
 
-// dataCenterJSON is the data centre of an instance on the wire.
+// dataCenterJSON is the wire format of an instance's data centre.
 type dataCenterJSON struct {
 	Metadata struct {
 		InstanceID lenientText `json:"instance-id"`
@@ -90,14 +90,14 @@
 	}
 }
 
-// UnmarshalJSON implements json.Unmarshaler. A data centre that is no object is empty.
+// UnmarshalJSON implements json.Unmarshaler. A value that is not an object decodes as an empty data centre.
 func (d *dataCenterJSON) UnmarshalJSON(raw []byte) error {
 	type plain dataCenterJSON
 	json.Unmarshal(raw, (*plain)(d))
 	return nil
 }
 
-// id is the id of an instance. Old servers have it elsewhere.
+// id returns the id of an instance: instanceId, or the data centre's instance-id or the host name, as old servers send it.
 func (in *instanceJSON) id() string {
 	for _, id := range []string{in.InstanceID.value, in.DataCenter.Metadata.InstanceID.value} {
 		if id != "" {
@@ -107,7 +107,7 @@
 	return in.HostName.value
 }
 
-// address returns where an instance serves, or the field that is wrong and its problem. Host names are not resolved.
+// address returns the IP address and port of an instance, or the invalid field and its problem. Host names are not resolved.
 func (in *instanceJSON) address() (address, field, problem string) {
 	field, host := "ipAddr", in.IPAddr.value
 	if host == "" {
@@ -115,21 +115,21 @@
 	}
 	ip, err := netip.ParseAddr(host)
 	if err != nil || ip.Zone() != "" {
-		return "", field, fmt.Sprintf("%.60q is no IP address", host)
+		return "", field, fmt.Sprintf("%.60q is not an IP address", host)
 	}
 	port := in.Port.value
 	switch {
 	case in.Port.disabled:
 		return "", "port", "not enabled"
 	case in.Port.invalid || port < 1 || port > math.MaxUint16:
-		return "", "port", fmt.Sprintf("%d is no port", port)
+		return "", "port", fmt.Sprintf("%d is not a valid port", port)
 	}
 	return netip.AddrPortFrom(ip.Unmap(), uint16(port)).String(), "", ""
 }
 
-// checkInstance checks the instance at this place of the list, and notes its faults. It reports whether the instance has a
+// checkInstance checks the instance at this index of the list and records its faults. It reports whether the instance has a
 // usable id.
-func (p *parser) checkInstance(place int, in *instanceJSON) (instance Instance, ok bool) {
+func (p *parser) checkInstance(index int, in *instanceJSON) (instance Instance, ok bool) {
 	lastRenewal := max(in.LeaseInfo.LastRenewalTimestamp.timestamp(), in.LeaseInfo.RenewalTimestamp.timestamp())
 	i := Instance{
 		ID:              in.id(),
@@ -146,12 +146,12 @@
 		i.Status = statusUnknown
 	}
 	if i.ID == "" || len(i.ID) > maxNameLength || len(i.App) > maxNameLength {
-		p.addFault("instance %d: instanceId: empty or too long (%.40q)", place, i.ID)
+		p.addFault("instance %d: instanceId: empty or too long (%.40q)", index, i.ID)
 		return i, false
 	}
-	faults := instanceFaults{parser: p, place: place, id: i.ID}
+	faults := instanceFaults{parser: p, index: index, id: i.ID}
 	if len(i.VIP) > maxMetadataSize {
-		faults.add("vipAddress", "too long: taken for none")
+		faults.add("vipAddress", "too long: ignored")
 		i.VIP = ""
 	}
 	if strings.EqualFold(in.ActionType.value, "DELETED") {
@@ -177,28 +177,28 @@
 	return i, true
 }
 
-// instanceFaults notes the faults of one instance.
+// instanceFaults records the faults of one instance.
 type instanceFaults struct {
 	parser *parser
-	place  int // of the instance in the list
+	index  int // the instance's position in the list
 	id     string
 }
 
-// add notes a fault of a field.
+// add records a fault of a field.
 func (f instanceFaults) add(field, problem string) {
-	f.parser.addFault("instance %d, %.80q: %s: %s", f.place, f.id, field, problem)
+	f.parser.addFault("instance %d, %.80q: %s: %s", f.index, f.id, field, problem)
 }
 
-// descriptionReader reads what an instance's metadata says of it. A value that can't be read is reported, and its default is
-// used.
+// descriptionReader reads the description of an endpoint from an instance's metadata. It reports an unreadable value as a fault
+// and uses the default.
 type descriptionReader struct {
 	keys   MetadataKeys
 	wire   *instanceJSON
-	texts  map[string]lenientText // the metadata, by key
+	texts  map[string]lenientText // metadata by key
 	faults instanceFaults
 }
 
-// text is the value of a key; "" where there is none.
+// text returns the value of a metadata key; "" if there is none.
 func (r *descriptionReader) text(key string) string {
 	if key == "" {
 		return ""
@@ -212,7 +212,7 @@
 		zone = r.wire.DataCenter.Metadata.Zone.value
 	}
 	if len(zone) > maxNameLength {
-		r.faults.add("metadata."+r.keys.Zone, "too long: taken for none")
+		r.faults.add("metadata."+r.keys.Zone, "too long: ignored")
 		return ""
 	}
 	return zone
@@ -225,7 +225,7 @@
 	}
 	group, err := strconv.ParseInt(text, 10, 32)
 	if err != nil {
-		r.faults.add("metadata."+r.keys.Group, fmt.Sprintf("%.40q is no number of a group: taken for 0", text))
+		r.faults.add("metadata."+r.keys.Group, fmt.Sprintf("%.40q is not a group number: 0 is used", text))
 		return 0
 	}
 	return int(group)
@@ -238,7 +238,7 @@
 	}
 	weight, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(weight >= 0) || math.IsInf(weight, 0) {
-		r.faults.add("metadata."+r.keys.Weight, fmt.Sprintf("%.40q is no weight: taken for 1", text))
+		r.faults.add("metadata."+r.keys.Weight, fmt.Sprintf("%.40q is not a weight: 1 is used", text))
 		return 1
 	}
 	return weight
@@ -254,8 +254,8 @@
 	}
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || milliseconds < 0 {
-		r.faults.add("metadata."+r.keys.Start, fmt.Sprintf("%.40q is no time in ms: taken for long ago", text))
+		r.faults.add("metadata."+r.keys.Start, fmt.Sprintf("%.40q is not a time in ms: the start counts as long ago", text))
 	}
-	start := lenientNumber{value: milliseconds} // of a number out of range, ParseInt returns the bound
+	start := lenientNumber{value: milliseconds} // for a number out of range, ParseInt returns the nearest bound
 	return start.timestamp()
 }
--- a/internal/eureka/instance_table.go
+++ b/internal/eureka/instance_table.go
@@ -6,20 +6,20 @@
 	"starlingwinch/internal/endpoints"
 )
 
-// maxReplicationLag is by how much a registry's server may be behind another one, or its cached responses behind one another.
-// Within it, a list that takes a drain or removal back must show that it is newer.
+// maxReplicationLag is the longest time by which a server of the registry, or one of its cached responses, may be behind another.
+// To revert a drain or removal received within this time, a list must show that it is newer.
 const maxReplicationLag = 30 * second
 
-// deletedReason is the reason of a removal that a registry reports.
+// deletedReason is the reason of a claim for a removed instance.
 const deletedReason = "DELETED"
 
-// filter selects the instances that are endpoints.
+// filter selects the instances that are used as endpoints.
 type filter struct {
 	application string // in upper case; "" for all
 	vip         string // "" for any
 }
 
-// selects reports whether an instance is an endpoint.
+// selects reports whether an instance matches the filter.
 func (f filter) selects(i *Instance) bool {
 	if f.application != "" && i.App != f.application {
 		return false
@@ -35,24 +35,24 @@
 	return false
 }
 
-// knownInstance is an instance as the table holds it.
+// knownInstance is an entry of the instance table.
 type knownInstance struct {
 	Instance
-	receivedAt   Time // when it was received with these values, by the router's clock
-	leaseOverdue bool // it is up, but its renewals have ceased
-	omitted      bool // it has departed, as a full list omitted it
+	receivedAt   Time // time at which this status and update were first received, by the router's clock
+	leaseOverdue bool // the instance is up, but has missed its renewals
+	omitted      bool // the instance departed because a full list omitted it
 }
 
-// instanceTable is a server's list as it has been applied, and what was reported of it. It does no I/O.
+// instanceTable holds the instances from a server's lists and the claims reported on them. It does no I/O.
 type instanceTable struct {
 	filter          filter
-	leaseGrace      int                        // leases without a renewal after which an instance counts as draining; 0 for never
+	leaseGrace      int                        // lease durations without a renewal after which an instance is draining; 0 for never
 	present         map[string]knownInstance   // by Instance.key
-	departed        map[string]knownInstance   // by Instance.key: a list that is behind must not bring them back
-	statusCounts    map[string]int             // of those present, by status as listed; for the hash code
+	departed        map[string]knownInstance   // by Instance.key; an outdated list must not restore these instances
+	statusCounts    map[string]int             // instances present, by status as listed; for the hash code
 	reported        map[string]endpoints.Claim // the latest claim on each endpoint, by id
 	newestTimestamp Time                       // in the last full list, by the registry's clock
-	withheld        bool                       // the last full list takes a drain or removal back, which counts only after maxReplicationLag
+	revertWithheld  bool                       // the last full list reverts a drain or removal; that takes effect only after maxReplicationLag
 }
 
 func newInstanceTable(f filter, leaseGrace int) *instanceTable {
@@ -66,23 +66,23 @@
 	}
 }
 
-// key identifies an instance: ids are unique within an application.
+// key returns the identity of an instance: ids are unique only within an application.
 func (i *Instance) key() string { return i.App + "\x00" + i.ID }
 
-// outweighs reports whether what is known of an instance is a drain or removal that an older list would take back. One that was
-// received long ago does not count: the clock of the server may have been wrong.
-func (k *knownInstance) outweighs(i *Instance, now Time) bool {
+// supersedes reports whether the known state is a drain or removal that the older entry i would revert. A state received at
+// least maxReplicationLag ago supersedes nothing, since the clock of the server that reported it may have been wrong.
+func (k *knownInstance) supersedes(i *Instance, now Time) bool {
 	isNewer := k.UpdatedAt > i.UpdatedAt && i.UpdatedAt > 0 && now-k.receivedAt < maxReplicationLag
 	return isNewer && (k.Change == Deleted || k.EffectiveStatus != statusUp && i.EffectiveStatus == statusUp)
 }
 
-// applyFull replaces the table by a full list, and returns all claims. A repeat was fetched as the list before omitted too many
-// instances: what that list omitted does not count against this one, or a server with an empty list would be confirmed by one
-// that knows all, whose own timestamps are a little older.
+// applyFull replaces the table with a full list and returns all claims. If repeat is set, the list was fetched to confirm a list
+// that omitted too many instances, and those omissions don't supersede entries of this list. Otherwise a server with an empty
+// list would be confirmed by a server that knows all instances but has slightly older timestamps.
 func (t *instanceTable) applyFull(l *List, now Time, repeat bool) (claims []endpoints.Claim, unreadable []string) {
 	present, departed := t.present, t.departed
 	t.present, t.departed = make(map[string]knownInstance, len(l.Instances)), map[string]knownInstance{}
-	t.statusCounts, t.newestTimestamp, t.withheld = map[string]int{}, 0, false
+	t.statusCounts, t.newestTimestamp, t.revertWithheld = map[string]int{}, 0, false
 	for n := range l.Instances {
 		i := &l.Instances[n]
 		t.newestTimestamp = max(t.newestTimestamp, i.RenewedAt, i.UpdatedAt)
@@ -97,12 +97,13 @@
 	return t.reportAll()
 }
 
-// addListed adds an instance of a full list to the table. presentBefore and departedBefore are what the table held before it.
+// addListed adds an instance of a full list to the table. presentBefore and departedBefore are the previous contents of the
+// table.
 func (t *instanceTable) addListed(i *Instance, now Time, repeat bool, presentBefore, departedBefore map[string]knownInstance) {
 	t.statusCounts[i.Status]++
 	key := i.key()
 	if k, duplicate := t.present[key]; duplicate {
-		if k.EffectiveStatus == statusUp && i.EffectiveStatus != statusUp { // of two entries, the drain counts
+		if k.EffectiveStatus == statusUp && i.EffectiveStatus != statusUp { // of two entries, the draining one counts
 			k.EffectiveStatus = i.EffectiveStatus
 			t.present[key] = k
 		}
@@ -113,29 +114,29 @@
 		if before.EffectiveStatus == i.EffectiveStatus && before.UpdatedAt == i.UpdatedAt {
 			next.receivedAt = before.receivedAt
 		}
-		if before.outweighs(i, now) {
-			next, t.withheld = before, true
+		if before.supersedes(i, now) {
+			next, t.revertWithheld = before, true
 		}
 	}
 	k, hasDeparted := departedBefore[key]
-	isContradicted := hasDeparted && !(repeat && k.omitted) && k.outweighs(i, now)
-	if isContradicted {
-		t.departed[key], t.withheld = k, true
+	isSuperseded := hasDeparted && !(repeat && k.omitted) && k.supersedes(i, now)
+	if isSuperseded {
+		t.departed[key], t.revertWithheld = k, true
 		return
 	}
 	t.present[key] = next
 }
 
-// addDeparted adds the instances to departed that a full list omits, and those that departed lately.
+// addDeparted adds to departed the instances that a full list omits and the instances that departed within maxReplicationLag.
 func (t *instanceTable) addDeparted(now Time, presentBefore, departedBefore map[string]knownInstance) {
-	for key, k := range presentBefore { // any order: each one by itself
+	for key, k := range presentBefore { // any order: the entries are independent
 		_, isPresent := t.present[key]
 		if !isPresent && t.departed[key].ID == "" {
 			k.Change, k.receivedAt, k.omitted = Deleted, now, true
 			t.departed[key] = k
 		}
 	}
-	for key, k := range departedBefore { // any order: each one by itself
+	for key, k := range departedBefore { // any order: the entries are independent
 		_, isPresent := t.present[key]
 		if !isPresent && now-k.receivedAt < maxReplicationLag {
 			t.departed[key] = k
@@ -143,16 +144,16 @@
 	}
 }
 
-// isLeaseOverdue reports whether an instance that is up has missed so many renewals that it counts as draining. It is measured
-// against the newest timestamp of the same list: the registry's clock differs from the router's, and a server that receives no
-// renewals, or a cached list, would make all instances overdue together.
+// isLeaseOverdue reports whether an instance has missed so many renewals that it counts as draining. The age of the renewal is
+// measured against the newest timestamp of the same list. The router's clock can't serve as the reference: it differs from the
+// registry's, and a server that receives no renewals, or a cached list, would make all instances overdue at the same time.
 func (t *instanceTable) isLeaseOverdue(i *Instance) bool {
 	isMeasurable := t.leaseGrace > 0 && i.LeaseDuration > 0 && i.RenewedAt > 0
 	return isMeasurable && t.newestTimestamp-i.RenewedAt > Time(t.leaseGrace)*i.LeaseDuration
 }
 
-// applyDelta takes the changes over. It returns the claims that have changed, and whether part of the delta is older than what
-// the table holds.
+// applyDelta applies the changes of a delta to the table. It returns the claims that have changed, and whether part of the
+// delta is older than the table.
 func (t *instanceTable) applyDelta(l *List, now Time) (claims []endpoints.Claim, unreadable []string, isOlder bool) {
 	changed := map[string]bool{}
 	for _, i := range latestChanges(l.Instances) {
@@ -168,16 +169,16 @@
 	return claims, unreadable, isOlder
 }
 
-// changeResult says what became of an instance of a delta.
+// changeResult is the outcome of applyChange.
 type changeResult uint8
 
 const (
 	changeApplied    changeResult = iota
-	changeIrrelevant              // it leaves the instances that are present as they are
-	changeOutdated                // it is older than what the table holds
+	changeIrrelevant              // the instances that are present don't change
+	changeOutdated                // the change is older than the table's entry
 )
 
-// applyChange takes one instance of a delta over.
+// applyChange applies the change of one instance in a delta.
 func (t *instanceTable) applyChange(i *Instance, now Time) changeResult {
 	key := i.key()
 	k, isPresent := t.present[key]
@@ -199,7 +200,7 @@
 	}
 	hasDeparted := !isPresent && isKnown
 	if hasDeparted && i.UpdatedAt > 0 && k.UpdatedAt == i.UpdatedAt && now-k.receivedAt < maxReplicationLag {
-		return changeIrrelevant // the delta still holds its registration, from before it departed
+		return changeIrrelevant // the delta still holds the instance's registration from before its departure
 	}
 	if isPresent {
 		t.statusCounts[k.Status]--
@@ -208,7 +209,7 @@
 	delete(t.departed, key)
 	next := knownInstance{Instance: *i, receivedAt: now}
 	if isPresent && k.EffectiveStatus == i.EffectiveStatus && k.UpdatedAt == i.UpdatedAt {
-		// A delta repeats a change for minutes, with the renewal of then.
+		// A delta repeats a change for minutes, with the renewal time as of the change.
 		next.receivedAt, next.leaseOverdue = k.receivedAt, k.leaseOverdue
 		next.RenewedAt = max(k.RenewedAt, i.RenewedAt)
 	}
@@ -216,24 +217,24 @@
 	return changeApplied
 }
 
-// latestChanges returns the latest change of each instance, in the order of their first ones. A delta may hold several changes
-// of one instance.
+// latestChanges returns the latest change of each instance, ordered by the first change of each. A delta may hold several
+// changes of one instance.
 func latestChanges(all []Instance) []*Instance {
-	places := make(map[string]int, len(all))
+	indexes := make(map[string]int, len(all))
 	var latest []*Instance
 	for n := range all {
 		i := &all[n]
-		place, duplicate := places[i.key()]
+		index, duplicate := indexes[i.key()]
 		switch {
 		case !duplicate:
-			places[i.key()] = len(latest)
+			indexes[i.key()] = len(latest)
 			latest = append(latest, i)
-		case i.UpdatedAt >= latest[place].UpdatedAt || i.UpdatedAt == 0:
-			latest[place] = i
+		case i.UpdatedAt >= latest[index].UpdatedAt || i.UpdatedAt == 0:
+			latest[index] = i
 		}
 	}
 	return latest
 }
 
-// hash is the hash code of the instances that are present.
+// hash returns the hash code of the instances that are present.
 func (t *instanceTable) hash() string { return hashCode(t.statusCounts) }
--- a/internal/eureka/instance_table_test.go
+++ b/internal/eureka/instance_table_test.go
@@ -7,7 +7,7 @@
 	"starlingwinch/decide"
 )
 
-// instance is one that is up, renewed and changed at these seconds.
+// instance returns an instance with this status, renewed and updated at these times in seconds.
 func instance(id, status string, renewed, updated Time) Instance {
 	return Instance{ID: id, App: "CACHE", Address: "10.0.0.1:1", Status: status, EffectiveStatus: status, Weight: 1,
 		RenewedAt: renewed * second, UpdatedAt: updated * second, LeaseDuration: 90 * second}
@@ -25,7 +25,7 @@
 		if got := claimTexts(claims); got != want {
 			t.Errorf("grace %d: reported %s, want %s", grace, got, want)
 		}
-		// A delta repeats how it came, and says nothing of its renewals.
+		// A delta repeats the instance's registration, and holds no later renewals.
 		claims, _, _ = s.applyDelta(&List{Instances: []Instance{instance("late", "UP", 819, 1)}}, 2*second)
 		if len(claims) > 0 {
 			t.Errorf("grace %d: a repeated delta reports %s", grace, claimTexts(claims))
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestLeasesAreMeasuredWithinTheList(t *testing.T) {
+func TestOverdueLeaseIsMeasuredAgainstTheSameList(t *testing.T) {
 	s := newInstanceTable(filter{}, 1)
 	claims, _ := s.applyFull(&List{Instances: []Instance{instance("a", "UP", 5, 1), instance("b", "UP", 90, 1)}}, 1e6*second, false)
 	if got := claimTexts(claims); got != "a up, b up" {
@@ -41,35 +41,35 @@
 	}
 }
 
-func TestListThatIsBehindRevertsNothingWithinReplicationLag(t *testing.T) {
+func TestOutdatedListRevertsNothingWithinReplicationLag(t *testing.T) {
 	s := newInstanceTable(filter{}, 0)
 	s.applyFull(&List{Instances: []Instance{instance("a", "UP", 1, 1), instance("b", "UP", 1, 1), instance("c", "UP", 1, 1)}}, second, false)
-	gone := instance("b", "UP", 1, 10)
-	gone.Change = Deleted
-	s.applyDelta(&List{Instances: []Instance{instance("a", "OUT_OF_SERVICE", 1, 10), gone}}, 2*second)
-	behind := &List{Instances: []Instance{instance("a", "UP", 1, 1), instance("b", "UP", 1, 1), instance("c", "UP", 1, 1)}}
-	claims, _ := s.applyFull(behind, 3*second, false)
-	if got := claimTexts(claims); got != "a draining (OUT_OF_SERVICE), c up" || !s.withheld {
-		t.Errorf("reported %s, held %v", got, s.withheld)
+	deleted := instance("b", "UP", 1, 10)
+	deleted.Change = Deleted
+	s.applyDelta(&List{Instances: []Instance{instance("a", "OUT_OF_SERVICE", 1, 10), deleted}}, 2*second)
+	outdated := &List{Instances: []Instance{instance("a", "UP", 1, 1), instance("b", "UP", 1, 1), instance("c", "UP", 1, 1)}}
+	claims, _ := s.applyFull(outdated, 3*second, false)
+	if got := claimTexts(claims); got != "a draining (OUT_OF_SERVICE), c up" || !s.revertWithheld {
+		t.Errorf("reported %s, revert withheld %v", got, s.revertWithheld)
 	}
-	claims, _ = s.applyFull(behind, 3*second+maxReplicationLag, false)
-	if got := claimTexts(claims); got != "a up, b up, c up" || s.withheld {
-		t.Errorf("reported %s, held %v", got, s.withheld)
+	claims, _ = s.applyFull(outdated, 3*second+maxReplicationLag, false)
+	if got := claimTexts(claims); got != "a up, b up, c up" || s.revertWithheld {
+		t.Errorf("after the replication lag: reported %s, revert withheld %v", got, s.revertWithheld)
 	}
 }
 
-func TestRepeatIsNotOutweighedByTheListItChecks(t *testing.T) {
+func TestConfirmingListIsNotSupersededByOmissions(t *testing.T) {
 	both := &List{Instances: []Instance{instance("a", "UP", 1, 5), instance("b", "UP", 1, 5)}}
-	older := &List{Instances: []Instance{instance("a", "UP", 1, 4), instance("b", "UP", 1, 4)}} // of the other server
+	older := &List{Instances: []Instance{instance("a", "UP", 1, 4), instance("b", "UP", 1, 4)}} // from the other server
 	deleted := instance("b", "UP", 1, 6)
 	deleted.Change = Deleted
 	for _, c := range []struct {
-		repeat, inWords bool
-		want            string
+		repeat, isDeleted bool
+		want              string
 	}{{true, false, "a up, b up"}, {false, false, ""}, {true, true, "a up"}} {
 		s := newInstanceTable(filter{}, 0)
 		s.applyFull(both, second, false)
-		if c.inWords {
+		if c.isDeleted {
 			s.applyDelta(&List{Instances: []Instance{deleted}}, second)
 		}
 		s.applyFull(&List{}, 2*second, false)
@@ -90,17 +90,17 @@
 	}
 }
 
-func TestDeltaWithOldRegistrationDoesNotBringInstanceBack(t *testing.T) {
+func TestDeltaWithOldRegistrationDoesNotRestoreInstance(t *testing.T) {
 	s := newInstanceTable(filter{}, 0)
-	came := instance("a", "UP", 1, 5)
-	s.applyFull(&List{Instances: []Instance{came, instance("b", "UP", 1, 1)}}, second, false)
+	registered := instance("a", "UP", 1, 5)
+	s.applyFull(&List{Instances: []Instance{registered, instance("b", "UP", 1, 1)}}, second, false)
 	s.applyFull(&List{Instances: []Instance{instance("b", "UP", 1, 1)}}, 2*second, false)
-	if claims, _, _ := s.applyDelta(&List{Instances: []Instance{came}}, 3*second); len(claims) > 0 {
-		t.Errorf("reported %s", claimTexts(claims))
+	if claims, _, _ := s.applyDelta(&List{Instances: []Instance{registered}}, 3*second); len(claims) > 0 {
+		t.Errorf("reported %s, want no claims", claimTexts(claims))
 	}
-	came.UpdatedAt += second
-	if claims, _, _ := s.applyDelta(&List{Instances: []Instance{came}}, 3*second); claimTexts(claims) != "a up" {
-		t.Errorf("where it has come again, reported %s", claimTexts(claims))
+	registered.UpdatedAt += second
+	if claims, _, _ := s.applyDelta(&List{Instances: []Instance{registered}}, 3*second); claimTexts(claims) != "a up" {
+		t.Errorf("after a new registration: reported %s, want a up", claimTexts(claims))
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 	claims, _, older := s.applyDelta(&List{Instances: []Instance{instance("a", "STARTING", 1, 0)}}, second)
 	if got := claimTexts(claims); got != "a draining (STARTING)" || older {
-		t.Errorf("without a time, reported %s, older %v", got, older)
+		t.Errorf("without an update time: reported %s, older %v", got, older)
 	}
 }
 
@@ -144,21 +144,21 @@
 	}
 }
 
-func TestUnusableInstanceStaysUntilItIsDeleted(t *testing.T) {
+func TestUnusableInstanceKeepsItsEndpointUntilDeletion(t *testing.T) {
 	s := newInstanceTable(filter{}, 0)
 	s.applyFull(&List{Instances: []Instance{instance("a", "UP", 1, 1), instance("b", "UP", 1, 1)}}, second, false)
-	odd := instance("a", "UP", 1, 2)
-	odd.Address, odd.Unusable = "", true
-	claims, unread, _ := s.applyDelta(&List{Instances: []Instance{odd}}, second)
-	if len(claims) > 0 || fmt.Sprint(unread) != "[a]" {
-		t.Errorf("reported %s, unread %v", claimTexts(claims), unread)
+	unusable := instance("a", "UP", 1, 2)
+	unusable.Address, unusable.Unusable = "", true
+	claims, unreadable, _ := s.applyDelta(&List{Instances: []Instance{unusable}}, second)
+	if len(claims) > 0 || fmt.Sprint(unreadable) != "[a]" {
+		t.Errorf("delta: reported %s, unreadable %v", claimTexts(claims), unreadable)
 	}
-	claims, unread = s.applyFull(&List{Instances: []Instance{odd}}, second, false)
-	if len(claims) > 0 || fmt.Sprint(unread) != "[a]" {
-		t.Errorf("reported %s, unread %v", claimTexts(claims), unread)
+	claims, unreadable = s.applyFull(&List{Instances: []Instance{unusable}}, second, false)
+	if len(claims) > 0 || fmt.Sprint(unreadable) != "[a]" {
+		t.Errorf("full list: reported %s, unreadable %v", claimTexts(claims), unreadable)
 	}
-	odd.Change = Deleted
-	claims, _, _ = s.applyDelta(&List{Instances: []Instance{odd}}, second)
+	unusable.Change = Deleted
+	claims, _, _ = s.applyDelta(&List{Instances: []Instance{unusable}}, second)
 	if claimTexts(claims) != "a removed (DELETED)" {
 		t.Errorf("reported %s", claimTexts(claims))
 	}
@@ -170,6 +170,6 @@
 	c := k.claim()
 	want := decide.Endpoint{ID: "a", Zone: "z", Cell: 4, Weight: 1, StartedAt: 7, Status: decide.Serving}
 	if c.Endpoint != want || c.Address != "10.0.0.1:1" || c.LastSeen != 20*second || c.Reason != "UP" {
-		t.Errorf("%+v", c)
+		t.Errorf("got claim %+v, want endpoint %+v", c, want)
 	}
 }
--- a/internal/eureka/lenient_json.go
+++ b/internal/eureka/lenient_json.go
@@ -9,10 +9,10 @@
 	"unicode/utf8"
 )
 
-// Types that decode what registries write in several forms. Decoding never fails, and what can't be read is marked: an instance
-// with one odd field may be draining, and must not be dropped for it.
+// The lenient types decode fields that registries write in several forms. Decoding never fails: an unreadable value is only
+// flagged, since an instance with one invalid field may be draining and must not be dropped.
 
-// lenientText is a string, or a number or boolean as a string, either bare or as the "$" of an object.
+// lenientText decodes a string, number or boolean into a string. The value is bare or stands under the key "$" of an object.
 type lenientText struct {
 	value   string
 	invalid bool
@@ -23,7 +23,7 @@
 	*t = lenientText{}
 	first := raw[0]
 	switch {
-	case first == '"' && bytes.IndexByte(raw, '\\') < 0 && utf8.Valid(raw): // the usual case, without a decoder
+	case first == '"' && bytes.IndexByte(raw, '\\') < 0 && utf8.Valid(raw): // fast path for the usual case, without json.Unmarshal
 		t.value = string(raw[1 : len(raw)-1])
 	case first == '"':
 		t.invalid = json.Unmarshal(raw, &t.value) != nil
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// unmarshalObject decodes the "$" of an object.
+// unmarshalObject decodes the value under the key "$" of an object.
 func (t *lenientText) unmarshalObject(raw []byte) error {
 	var object struct {
 		Value json.RawMessage `json:"$"`
@@ -49,7 +49,8 @@
 	return t.UnmarshalJSON(object.Value)
 }
 
-// lenientStatus is a status. Where an instance has it twice, in two spellings of the key, the one further from UP counts.
+// lenientStatus decodes a status. If an instance has the field twice, under two spellings of the key, a status other than UP
+// and UNKNOWN overrides UP.
 type lenientStatus struct{ value string }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// lenientNumber is a whole number, or a text of one. A fraction is cut off.
+// lenientNumber decodes a number, or a string that holds a number, into an integer. A fraction is truncated.
 type lenientNumber struct {
 	value   int64
 	invalid bool
@@ -97,15 +98,15 @@
 	return nil
 }
 
-// maxTimestampMilliseconds bounds a timestamp, so that its microseconds can't overflow.
+// maxTimestampMilliseconds bounds a timestamp, so that its value in microseconds can't overflow.
 const maxTimestampMilliseconds = math.MaxInt64 / 2000
 
-// timestamp is the number as milliseconds of Unix time, in microseconds; 0 where it can't be read.
+// timestamp converts the number from Unix time in milliseconds to microseconds; 0 if it is unreadable.
 func (n *lenientNumber) timestamp() Time {
 	return max(0, min(n.value, maxTimestampMilliseconds)) * millisecond
 }
 
-// lenientPort is a number, bare or as an object that also says whether the port is enabled.
+// lenientPort decodes a port number, either bare or in an object that also holds whether the port is enabled.
 type lenientPort struct {
 	lenientNumber
 	disabled bool
@@ -123,7 +124,7 @@
 	return p.lenientNumber.UnmarshalJSON(raw)
 }
 
-// lenientMetadata is an object of texts, not decoded before it is known that they are wanted.
+// lenientMetadata holds an object of texts. Decoding is deferred until the metadata is needed.
 type lenientMetadata struct {
 	raw     json.RawMessage
 	tooLong bool
@@ -138,11 +139,11 @@
 	return m.raw.UnmarshalJSON(raw)
 }
 
-// decode returns the texts by key, nil where there are none, and what is wrong with the object.
+// decode returns the texts by key, nil if there are none, and the problem with the object, if any.
 func (m *lenientMetadata) decode() (texts map[string]lenientText, problem string) {
 	switch {
 	case m.tooLong:
-		return nil, "longer than its bound"
+		return nil, "longer than the limit"
 	case len(m.raw) > 0 && json.Unmarshal(m.raw, &texts) != nil:
 		return nil, "not an object"
 	}
--- a/internal/eureka/login.go
+++ b/internal/eureka/login.go
@@ -9,13 +9,13 @@
 	"starlingwinch/internal/machine"
 )
 
-// maxPasswordFileSize bounds the file that holds a password; bytes.
+// maxPasswordFileSize bounds the size of a password file in bytes.
 const maxPasswordFileSize = 4 << 10
 
-// Login are the credentials for servers whose URL has none.
+// Login holds the credentials for servers whose URL has none.
 type Login struct {
 	User, Password string
-	PasswordFile   string // holds the password; it is read at the start, and again when a registry rejects the password
+	PasswordFile   string // file with the password; read at the start and whenever a registry rejects the password
 }
 
 // String hides the password from the log.
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// headers are those of a call to the server at this URL.
+// headers returns the headers of a call to the server at this URL.
 func (l Login) headers(u URL) []httpclient.Header {
 	headers := []httpclient.Header{
 		{Name: "Accept", Value: "application/json"},
--- a/internal/eureka/parse_test.go
+++ b/internal/eureka/parse_test.go
@@ -12,8 +12,8 @@
 
 var defaultKeys = Default().Options("").MetadataKeys
 
-// answerWith is an answer with one instance of these fields.
-func answerWith(fields string) string {
+// responseWith returns the body of a response with one instance that has these fields.
+func responseWith(fields string) string {
 	return `{"applications":{"application":{"name":"CACHE","instance":{` + fields + `}}}}`
 }
 
@@ -29,14 +29,14 @@
 		`{"application":{"name":"CACHE","instance":[` + instance + `]}}`,
 		`{"Applications":{"Application":[{"Name":"CACHE","Instance":[{"InstanceID":"a","IPADDR":"10.0.0.1","Port":"6379",` +
 			`"STATUS":"up","MetaData":{"zone":"z"},"overriddenstatus":"UNKNOWN","isCoordinatingDiscoveryServer":false}]}]}}`,
-		answerWith(`"hostName":"10.0.0.1","ipAddr":"","instanceId":"a",` +
+		responseWith(`"hostName":"10.0.0.1","ipAddr":"","instanceId":"a",` +
 			`"port":{"@enabled":true,"$":"6379"},"status":"UP","overriddenStatus":null,` +
 			`"metadata":{"@class":"java.util.Collections$EmptyMap","zone":"z"},"leaseInfo":null,"dataCenterInfo":null`),
-		answerWith(validFields + `,"app":"other","metadata":{"zone":"z","n":5,"t":true,"deep":{"er":[]}}`),
+		responseWith(validFields + `,"app":"other","metadata":{"zone":"z","n":5,"t":true,"deep":{"er":[]}}`),
 	} {
 		l, err := Parse([]byte(body), defaultKeys)
 		if err != nil || len(l.Instances) != 1 || len(l.Faults) > 0 {
-			t.Errorf("%s\n gives %v, %v, %q", body, l.Instances, err, l.Faults)
+			t.Errorf("%s\n gives instances %v, error %v, faults %q", body, l.Instances, err, l.Faults)
 			continue
 		}
 		i := l.Instances[0]
@@ -54,22 +54,22 @@
 		}
 	}
 	for body, want := range map[string]string{
-		"":                          "empty",
-		"  ":                        "empty",
-		"<applications/>":           "XML",
-		"[]":                        "no JSON object",
-		"{}":                        "neither applications",
-		`{"applications":[]}`:       "object",
-		`{"applications":5}`:        "object",
-		`{"applications":{}`:        "",
-		`{"applications":{}} {}`:    "more follows",
-		`{"applications":{},}`:      "",
-		answerWith(`"status":"UP"`): "none can be used",
-		answerWith(validFields)[:len(answerWith(validFields))/2]: "",
-		`{"error":"x","status":500}`:                             "neither applications",
-		"\xff\xfe{\x00}\x00":                                     "no JSON object",
-		strings.Repeat("[", 100):                                 "no JSON object",
-		`{"applications":` + deep(20e3):                          "",
+		"":                            "empty",
+		"  ":                          "empty",
+		"<applications/>":             "XML",
+		"[]":                          "not a JSON object",
+		"{}":                          "neither applications",
+		`{"applications":[]}`:         "not an object",
+		`{"applications":5}`:          "not an object",
+		`{"applications":{}`:          "",
+		`{"applications":{}} {}`:      "unexpected data after",
+		`{"applications":{},}`:        "",
+		responseWith(`"status":"UP"`): "no instance is usable",
+		responseWith(validFields)[:len(responseWith(validFields))/2]: "",
+		`{"error":"x","status":500}`:                                 "neither applications",
+		"\xff\xfe{\x00}\x00":                                         "not a JSON object",
+		strings.Repeat("[", 100):                                     "not a JSON object",
+		`{"applications":` + nestedApplications(20e3):                "",
 	} {
 		if _, err := Parse([]byte(body), defaultKeys); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.60s gives %v, want %q", body, err, want)
@@ -77,23 +77,23 @@
 	}
 }
 
-func deep(n int) string { return strings.Repeat(`{"application":`, n) }
+func nestedApplications(n int) string { return strings.Repeat(`{"application":`, n) }
 
 func TestParseReadsStatusBesideInvalidFields(t *testing.T) {
 	for _, c := range []struct{ fields, addr, fault string }{
-		{`"instanceId":"a","ipAddr":"cache.local","port":1`, "", `instance 0, "a": ipAddr: "cache.local" is no IP address`},
-		{`"instanceId":"a","hostName":"cache.local","port":1`, "", `instance 0, "a": hostName: "cache.local" is no IP address`},
-		{`"instanceId":"a","ipAddr":"10.0.0.1"`, "", `port: 0 is no port`},
+		{`"instanceId":"a","ipAddr":"cache.local","port":1`, "", `instance 0, "a": ipAddr: "cache.local" is not an IP address`},
+		{`"instanceId":"a","hostName":"cache.local","port":1`, "", `instance 0, "a": hostName: "cache.local" is not an IP address`},
+		{`"instanceId":"a","ipAddr":"10.0.0.1"`, "", `port: 0 is not a valid port`},
 		{`"instanceId":"a","ipAddr":"10.0.0.1","port":{"$":6379,"@enabled":"false"}`, "", `port: not enabled`},
-		{`"instanceId":"a","ipAddr":"10.0.0.1","port":{"$":{}}`, "", `port: 0 is no port`},
-		{`"instanceId":"a","ipAddr":["10.0.0.1"],"port":[]`, "", `hostName: "" is no IP address`},
+		{`"instanceId":"a","ipAddr":"10.0.0.1","port":{"$":{}}`, "", `port: 0 is not a valid port`},
+		{`"instanceId":"a","ipAddr":["10.0.0.1"],"port":[]`, "", `hostName: "" is not an IP address`},
 		{`"instanceId":"a","ipAddr":"10.0.0.1","port":7,"metadata":[]`, "10.0.0.1:7", `metadata: not an object`},
 		{`"instanceId":"a","ipAddr":"10.0.0.1","port":7,"metadata":{"x":"` + strings.Repeat("y", maxMetadataSize) + `"}`, "10.0.0.1:7",
 			`metadata: longer`},
 		{`"hostName":"a","port":[[[[]]]],"leaseInfo":7,"dataCenterInfo":"x","vipAddress":{}`, "", `hostName`},
 	} {
 		for _, status := range []string{"OUT_OF_SERVICE", "DOWN", "STARTING", "UNKNOWN", "SHUTTING", ""} {
-			l, err := Parse([]byte(answerWith(c.fields+`,"status":"`+status+`"`)), defaultKeys)
+			l, err := Parse([]byte(responseWith(c.fields+`,"status":"`+status+`"`)), defaultKeys)
 			if err != nil || len(l.Instances) != 1 || l.Instances[0].Address != c.addr || !l.Instances[0].Unusable ||
 				len(l.Faults) != 1 || !strings.Contains(l.Faults[0], c.fault) {
 				t.Fatalf("%s gives %+v, %q, %v", c.fields, l.Instances, l.Faults, err)
@@ -103,15 +103,15 @@
 				t.Errorf("%s with status %q is %+v", c.fields, status, k.claim())
 			}
 		}
-		l, _ := Parse([]byte(answerWith(c.fields+`,"status":"UP"`)), defaultKeys)
+		l, _ := Parse([]byte(responseWith(c.fields+`,"status":"UP"`)), defaultKeys)
 		if k := (knownInstance{Instance: l.Instances[0]}); !k.isUnusable() {
-			t.Errorf("%s is to be unread", c.fields)
+			t.Errorf("%s with status UP: the instance is usable, want it unusable", c.fields)
 		}
 	}
 }
 
-func TestInvalidMetadataHasItsDefault(t *testing.T) {
-	l, err := Parse([]byte(answerWith(validFields+`,"metadata":{"group":"x","weight":"-1","start":"soon"}`)), defaultKeys)
+func TestInvalidMetadataGetsDefault(t *testing.T) {
+	l, err := Parse([]byte(responseWith(validFields+`,"metadata":{"group":"x","weight":"-1","start":"soon"}`)), defaultKeys)
 	if err != nil || len(l.Faults) != 3 {
 		t.Fatal(err, l.Faults)
 	}
@@ -121,7 +121,7 @@
 }
 
 func TestMetadataKeysSelectStartAndZone(t *testing.T) {
-	body := []byte(answerWith(validFields + `,"leaseInfo":{"serviceUpTimestamp":1750000000000},"metadata":{"up":"1750000000001","zone":""},` +
+	body := []byte(responseWith(validFields + `,"leaseInfo":{"serviceUpTimestamp":1750000000000},"metadata":{"up":"1750000000001","zone":""},` +
 		`"dataCenterInfo":{"name":"Amazon","metadata":{"availability-zone":"eu-1a"}}`))
 	for _, c := range []struct {
 		names MetadataKeys
@@ -159,7 +159,7 @@
 		{`"x":1`, "UNKNOWN"},
 	} {
 		t.Run(c.fields, func(t *testing.T) {
-			l, err := Parse([]byte(answerWith(`"instanceId":"a","ipAddr":"::1","port":1,`+c.fields)), defaultKeys)
+			l, err := Parse([]byte(responseWith(`"instanceId":"a","ipAddr":"::1","port":1,`+c.fields)), defaultKeys)
 			if err != nil || l.Instances[0].EffectiveStatus != c.want {
 				t.Errorf("%s counts as %+v, %v; want %s", c.fields, l.Instances, err, c.want)
 			}
@@ -170,7 +170,7 @@
 func TestHashCode(t *testing.T) {
 	counts := map[string]int{"UP": 10, "DOWN": 2, "STARTING": 0, "OUT_OF_SERVICE": 1}
 	if got := hashCode(counts); got != "DOWN_2_OUT_OF_SERVICE_1_UP_10_" {
-		t.Error(got)
+		t.Errorf("got %s", got)
 	}
 }
 
@@ -183,17 +183,17 @@
 	b.WriteString(`{"instanceId":"x","status":"DOWN"}]}}}`)
 	l, err := Parse([]byte(b.String()), defaultKeys)
 	if err != nil || len(l.Instances) != maxInstances+1 || l.Instances[maxInstances].EffectiveStatus != "DOWN" || !l.truncated {
-		t.Errorf("%d instances, cut %v, %v", len(l.Instances), l.truncated, err)
+		t.Errorf("%d instances, truncated %v, error %v", len(l.Instances), l.truncated, err)
 	}
 }
 
-// TestParseMemoryIsBounded by a few times the size of a hostile body.
+// TestParseMemoryIsBounded checks that parsing a hostile body allocates at most 16 times the body's size.
 func TestParseMemoryIsBounded(t *testing.T) {
 	const size = 4 << 20
 	fill := func(start, piece string) []byte {
 		return append([]byte(start), bytes.Repeat([]byte(piece), size/len(piece))...)
 	}
-	for what, body := range map[string][]byte{
+	for name, body := range map[string][]byte{
 		"nested without end":      fill(`{"x":`, `[`),
 		"nested objects":          fill(`{"x":`, `{"x":`),
 		"nested instances":        fill(`{"applications":{"application":{"instance":`, `[`),
@@ -202,27 +202,27 @@
 		"instances of null":       fill(`{"applications":{"application":{"instance":[0`, `,0`),
 		"empty applications":      fill(`{"applications":{"application":[{}`, `,{}`),
 		"one long text":           fill(`{"x":"`, `y`),
-		"metadata of many keys":   fill(answerWith(validFields)[:len(answerWith(validFields))-4]+`,"metadata":{"b":1`, `,"a":""`),
+		"metadata of many keys":   fill(responseWith(validFields)[:len(responseWith(validFields))-4]+`,"metadata":{"b":1`, `,"a":""`),
 		"instances that are down": fill(`{"applications":{"application":{"instance":[{"instanceId":"d"}`, `,{"instanceId":"d"}`),
 	} {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		if _, err := Parse(body, defaultKeys); err == nil {
-			t.Errorf("%s: no error", what)
+			t.Errorf("%s: no error", name)
 		}
 		runtime.ReadMemStats(&after)
-		t.Logf("%s: %d KiB allocated in all", what, (after.TotalAlloc-before.TotalAlloc)>>10)
-		if all := after.TotalAlloc - before.TotalAlloc; all > 16*size {
-			t.Errorf("%s: %d KiB allocated in all", what, all>>10)
+		t.Logf("%s: %d KiB allocated", name, (after.TotalAlloc-before.TotalAlloc)>>10)
+		if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 16*size {
+			t.Errorf("%s: %d KiB allocated, want at most %d KiB", name, allocated>>10, 16*size>>10)
 		}
 	}
 }
 
-// FuzzParse: no body makes it panic, and what it returns is within its bounds.
+// FuzzParse checks that Parse panics on no body and that its results are within their bounds.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(list(3, nil, newScriptedFleet("a", "bb").nodes)))
-	f.Add([]byte(answerWith(validFields + `,"metadata":{"zone":"z","group":7},"overriddenstatus":"DOWN","actionType":"DELETED"`)))
+	f.Add([]byte(responseWith(validFields + `,"metadata":{"zone":"z","group":7},"overriddenstatus":"DOWN","actionType":"DELETED"`)))
 	f.Add([]byte(`{"application":{"name":"X","instance":[{"hostName":"h"},5,null,[]]}}`))
 	f.Add([]byte(`{"applications":null,"application":null}`))
 	f.Add([]byte("\xef\xbb\xbf{\"applications\":{\"application\":{\"instance\":{\"instanceId\":\"\xff\\ud800\"}}}}"))
@@ -238,12 +238,12 @@
 			}
 		}
 		if len(l.Faults) > maxFaults+1 {
-			t.Errorf("%d faults", len(l.Faults))
+			t.Errorf("%d faults, want at most %d", len(l.Faults), maxFaults+1)
 		}
 		s := newInstanceTable(filter{}, 0)
 		s.applyFull(&l, second, false)
 		if claims, _, _ := s.applyDelta(&l, second); len(claims) > len(l.Instances) {
-			t.Errorf("%d claims of %d instances", len(claims), len(l.Instances))
+			t.Errorf("%d claims for %d instances", len(claims), len(l.Instances))
 		}
 	})
 }
--- a/internal/eureka/poll.go
+++ b/internal/eureka/poll.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	minTimeout         = 600 * millisecond // of a call, where another server could be called instead
-	timeoutMultiplier  = 4                 // of the server's recent response time, for that timeout
+	minTimeout         = 600 * millisecond // shortest timeout of a call while another server could be called instead
+	timeoutMultiplier  = 4                 // that timeout as a multiple of the server's recent response time
 	bandwidthJitter    = 0.2               // the pause after a large or slow response is longer by up to this fraction
-	responseTimeFactor = 2                 // times a response's time, at least, from one call to the next
+	responseTimeFactor = 2                 // shortest time between the starts of calls, as a multiple of the response time
 )
 
-// call is a call that is out.
-type call struct {
+// listCall is a call in flight that fetches a list.
+type listCall struct {
 	generation int
 	server     *server
 	kind       listKind
-	filtered   bool // it fetches the list of one application or virtual address
-	retry      bool // of a preferred server that failed, while another one is in use
-	confirming bool // it answers Confirm
+	filtered   bool // fetches the list of one application or virtual address
+	retry      bool // retries a preferred server that failed, while another server is in use
+	confirming bool // made for Confirm
 	startedAt  Time
 }
 
-// poll makes the next call.
+// poll makes the next call, or reschedules it if no server may be called now.
 func (c *Client) poll() {
 	now := c.m.Now()
 	s, retryAt := c.selectServer(now)
@@ -34,37 +34,38 @@
 		c.pollAt(retryAt)
 		return
 	}
-	k := c.newCall(s, now)
+	call := c.newCall(s, now)
 	c.callPending, c.callStartedAt = true, now
 	c.status.Calls++
-	if k.kind == fullList {
+	if call.kind == fullList {
 		c.status.FullCalls++
 	}
-	request := httpclient.Request{Method: http.MethodGet, Path: s.url.path + c.path(k), Headers: c.login.headers(s.url)}
-	s.client.Do(request, c.timeout(k, now), func(response *httpclient.Response, err error) {
-		if k.generation == c.generation {
-			c.onResponse(k, response, err)
+	request := httpclient.Request{Method: http.MethodGet, Path: s.url.path + c.path(call), Headers: c.login.headers(s.url)}
+	s.client.Do(request, c.timeout(call, now), func(response *httpclient.Response, err error) {
+		if call.generation == c.generation {
+			c.onResponse(call, response, err)
 		}
 	})
 }
 
-// newCall decides what to fetch from a server.
-func (c *Client) newCall(s *server, now Time) *call {
-	k := &call{generation: c.generation, server: s, confirming: c.confirming, startedAt: now}
-	k.retry = c.current != nil && s != c.current && c.current.failures == 0 && !c.confirming
+// newCall returns a call to a server with the kind of list to fetch.
+func (c *Client) newCall(s *server, now Time) *listCall {
+	call := &listCall{generation: c.generation, server: s, confirming: c.confirming, startedAt: now}
+	call.retry = c.current != nil && s != c.current && c.current.failures == 0 && !c.confirming
 	usesDeltas := c.usesDeltas(s, now)
-	if usesDeltas && s == c.current && c.deltas.isApplicable(now, c.answeredAt, c.options.FullListInterval) {
-		k.kind = deltaList
+	if usesDeltas && s == c.current && c.deltas.isApplicable(now, c.lastResponseAt, c.options.FullListInterval) {
+		call.kind = deltaList
 	}
-	k.filtered = !usesDeltas && c.isFiltered()
-	return k
+	call.filtered = !usesDeltas && c.isFiltered()
+	return call
 }
 
-// isFiltered reports whether one application or virtual address is wanted.
+// isFiltered reports whether the client follows one application or virtual address only.
 func (c *Client) isFiltered() bool { return c.options.Application != "" || c.options.VIP != "" }
 
-// selectServer returns the server to call now: of those that may be called, the first one that is not avoided, else the current
-// one. To confirm a list, any other one precedes the current one. Where there is none, it returns when there will be one.
+// selectServer returns the server to call now: the first callable server that is not avoided, else the current one. To confirm
+// a list, selectServer prefers any other server to the current one. If no server is callable, it returns the time at which one
+// will be.
 func (c *Client) selectServer(now Time) (selected *server, retryAt Time) {
 	for _, s := range c.servers {
 		if !s.isCallable(now) {
@@ -84,13 +85,13 @@
 	return selected, retryAt
 }
 
-// timeout is how long to wait for a response. Where another server could be called instead, it is a few times the recent response
-// time: a server that vanishes, or a retry of one, must not use up the time in which a drain must be published.
-func (c *Client) timeout(k *call, now Time) Time {
-	s := k.server
-	recent := s.responseTime[k.kind]
-	if k.retry {
-		recent = max(recent, c.current.responseTime[k.kind])
+// timeout returns the timeout of a call. If another server could be called instead, the timeout is a multiple of the recent
+// response time: a call to an unreachable server, or a retry of one, must not use up the time limit for publishing a drain.
+func (c *Client) timeout(call *listCall, now Time) Time {
+	s := call.server
+	recent := s.responseTime[call.kind]
+	if call.retry {
+		recent = max(recent, c.current.responseTime[call.kind])
 	}
 	hasAlternative := slices.ContainsFunc(c.servers, func(other *server) bool { return other != s && other.isCallable(now) })
 	if !hasAlternative || recent == 0 {
@@ -99,25 +100,25 @@
 	return min(c.options.Timeout, max(minTimeout, timeoutMultiplier*recent))
 }
 
-// path is the path of the list that a call fetches.
-func (c *Client) path(k *call) string {
+// path returns the path of the list that a call fetches.
+func (c *Client) path(call *listCall) string {
 	switch {
-	case k.kind == deltaList:
+	case call.kind == deltaList:
 		return "/apps/delta"
-	case k.filtered && c.options.Application != "":
+	case call.filtered && c.options.Application != "":
 		return "/apps/" + url.PathEscape(c.options.Application)
-	case k.filtered:
+	case call.filtered:
 		return "/vips/" + url.PathEscape(c.options.VIP)
 	}
 	return "/apps"
 }
 
-// pollAfter schedules the call that follows a response of this size: after the poll interval, or later where the server is slow
-// or its responses exceed the bandwidth.
-func (c *Client) pollAfter(k *call, size int) {
+// pollAfter schedules the call that follows a response of this size: after the poll interval, or later if the server is slow or
+// its responses exceed the bandwidth.
+func (c *Client) pollAfter(call *listCall, size int) {
 	c.callPending = false
 	now := c.m.Now()
-	pause := max(responseTimeFactor*(now-k.startedAt), Time(float64(size)/float64(c.options.Bandwidth)*float64(second)))
+	pause := max(responseTimeFactor*(now-call.startedAt), Time(float64(size)/float64(c.options.Bandwidth)*float64(second)))
 	pause += Time(float64(pause) * bandwidthJitter * randomFraction(c.m))
-	c.pollAt(max(now, k.startedAt+max(pause, jittered(c.m, c.options.PollInterval))))
+	c.pollAt(max(now, call.startedAt+max(pause, jittered(c.m, c.options.PollInterval))))
 }
--- a/internal/eureka/real_test.go
+++ b/internal/eureka/real_test.go
@@ -10,7 +10,7 @@
 	"starlingwinch/internal/machine"
 )
 
-// TestFollowOnRealMachine, where responses are parsed beside the loop, and Stop ends the run.
+// TestFollowOnRealMachine runs a client on the real machine, where responses are parsed outside the event loop, and stops it.
 func TestFollowOnRealMachine(t *testing.T) {
 	body := list(1, newScriptedFleet("a", "bb").nodes, newScriptedFleet("a", "bb").nodes)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,8 +37,8 @@
 		var c *Client
 		calls := 0
 		c = Follow(m, o, func(e endpoints.Event) {
-			if h, ok := e.(*endpoints.SourceUpdate); ok && h.Full && got == "" {
-				got = claimTexts(h.Claims)
+			if update, ok := e.(*endpoints.SourceUpdate); ok && update.Full && got == "" {
+				got = claimTexts(update.Claims)
 			}
 			if calls++; calls == 3 {
 				status = c.Status()
--- a/internal/eureka/registration.go
+++ b/internal/eureka/registration.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	maxRegistrationResponse = 64 << 10   // bytes; nothing of it is read
-	predecessorPollInterval = second     // between heartbeats while the predecessor may still deregister
-	firstBackoff            = second / 2 // after a round of failed calls to all servers
+	maxRegistrationResponse = 64 << 10   // bytes; the body is not read
+	predecessorPollInterval = second     // between heartbeats while the predecessor may still deregister itself
+	firstBackoff            = second / 2 // base of the backoff after a round of failed calls to all servers
 )
 
 // RegisterOptions are the parameters of a Registration.
@@ -29,53 +29,53 @@
 	Address     netip.AddrPort // that clients connect to
 	Renewal     Time           // between heartbeats
 	Duration    Time           // of a lease
-	Timeout     Time           // of a call, and of the whole deregistration
-	MaxBackoff  Time           // between calls while they fail
-	Predecessor Time           // for so long, the previous process with the same id may still deregister itself
+	Timeout     Time           // of a call, and of the deregistration with all its calls
+	MaxBackoff  Time           // longest time between failing calls
+	Predecessor Time           // period in which the previous process with the same id may still deregister itself
 }
 
-// phase is a stage in the life of a registration.
+// phase is a stage in the lifecycle of a registration.
 type phase uint8
 
 const (
-	phaseServing       phase = iota // registered as UP, or about to be
-	phaseDraining                   // to be OUT_OF_SERVICE
+	phaseServing       phase = iota // registered as UP, or being registered
+	phaseDraining                   // Drain was called; the status is or becomes OUT_OF_SERVICE
 	phaseDeregistering              // Cancel was called
 	phaseEnded
 )
 
-// Registration keeps the router registered, by one call at a time. A call that fails is logged and repeated, and delays nothing
-// else. Use Register.
+// Registration keeps the router registered, with one call at a time. It logs and retries a failed call; failures don't delay
+// the rest of the router. Use Register.
 type Registration struct {
 	m       machine.Machine
 	options RegisterOptions
 	logger  *slog.Logger
 	login   Login
 	clients []*httpclient.Client // by server
-	current int                  // the server in use
+	current int                  // index of the server in use
 
-	phase          phase
-	unregistered   bool  // the registry does not know the router
-	isOutOfService bool  // the registry has the router as OUT_OF_SERVICE
-	failures       int   // calls in a row that failed
-	dirtyTimestamp int64 // when the registered data came to be so; ms
-	soleOwnerFrom  Time  // the predecessor can't deregister itself from then on
+	phase             phase
+	unregistered      bool  // the registry does not know the router
+	isOutOfService    bool  // the registry lists the router as OUT_OF_SERVICE
+	failures          int   // consecutive failed calls
+	dirtyTimestamp    int64 // time of the last change of the registered data; Unix time in milliseconds
+	predecessorEndsAt Time  // the predecessor may deregister itself until this time
 
 	nextCall      machine.Timer
 	cancelTimeout machine.Timer // nil before Cancel
 	onCancelled   func()        // nil before Cancel
 }
 
-// Register registers the router, and again whenever the registry has forgotten it, until Stop or Cancel.
+// Register registers the router, and registers it again whenever the registry no longer knows it, until Stop or Cancel.
 func Register(m machine.Machine, o RegisterOptions) *Registration {
 	r := &Registration{
-		m:              m,
-		options:        o,
-		logger:         structuredlog.New(m),
-		login:          o.Login,
-		unregistered:   true,
-		dirtyTimestamp: m.Wall() / millisecond,
-		soleOwnerFrom:  m.Now() + o.Predecessor,
+		m:                 m,
+		options:           o,
+		logger:            structuredlog.New(m),
+		login:             o.Login,
+		unregistered:      true,
+		dirtyTimestamp:    m.Wall() / millisecond,
+		predecessorEndsAt: m.Now() + o.Predecessor,
 	}
 	if r.options.VIP == "" {
 		r.options.VIP = strings.ToLower(o.Application)
@@ -94,13 +94,13 @@
 // Drain reports to the registry that the router is out of service.
 func (r *Registration) Drain() {
 	if r.phase == phaseServing {
-		r.unregistered = false // a call that is under way may have registered it
+		r.unregistered = false // a call in flight may have registered the router
 		r.enter(phaseDraining)
 	}
 }
 
-// Cancel deregisters the router and ends the registration. done is called once, in a later turn of the loop, after the
-// registry's response, or Timeout at the latest.
+// Cancel deregisters the router and ends the registration. It calls done once, in a later turn of the event loop, after the
+// registry's response or after Timeout at the latest.
 func (r *Registration) Cancel(done func()) {
 	if r.phase >= phaseDeregistering {
 		r.m.Post(done)
@@ -114,7 +114,7 @@
 	r.enter(phaseDeregistering)
 }
 
-// Stop ends the registration without a call. The lease at the registry expires.
+// Stop ends the registration without a call to the registry, where the lease then expires.
 func (r *Registration) Stop() {
 	if r.phase == phaseEnded {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-// enter begins a phase with a call at once, in place of the one that is out.
+// enter begins a phase: it cancels the call in flight and makes the phase's first call at once.
 func (r *Registration) enter(next phase) {
 	r.phase, r.failures = next, 0
 	for _, client := range r.clients {
@@ -139,7 +139,7 @@
 	r.callAt(r.m.Now())
 }
 
-// end stops the registration and reports that to the caller of Cancel.
+// end stops the registration and notifies the caller of Cancel.
 func (r *Registration) end() {
 	r.Stop()
 	if r.onCancelled != nil {
@@ -155,8 +155,8 @@
 	r.nextCall = r.m.At(at, r.callNext)
 }
 
-// callNext makes the call that the phase and the registry's state require. A draining router that the registry does not know is
-// not registered: it would receive new requests.
+// callNext makes the call that the phase and the registry's state require. It doesn't register a draining router that the
+// registry does not know, since a registered router would receive new requests.
 func (r *Registration) callNext() {
 	switch {
 	case r.phase == phaseDeregistering:
@@ -173,12 +173,12 @@
 	}
 }
 
-// instancePath is the path of the router's own instance.
+// instancePath returns the path of the router's own instance.
 func (r *Registration) instancePath() string {
 	return "/apps/" + url.PathEscape(r.options.Application) + "/" + url.PathEscape(r.options.Instance)
 }
 
-// dirtyQuery is the parameter by which a registry recognizes an outdated call.
+// dirtyQuery returns the query parameter by which a registry recognizes an outdated call.
 func (r *Registration) dirtyQuery() string {
 	return "lastDirtyTimestamp=" + strconv.FormatInt(r.dirtyTimestamp, 10)
 }
@@ -191,7 +191,7 @@
 	})
 }
 
-// renew sends a heartbeat. A registry that has restarted, or was never called, does not know the router.
+// renew sends a heartbeat. A server that has restarted, or was never called, does not know the router and responds with 404.
 func (r *Registration) renew(status string) {
 	path := r.instancePath() + "?status=" + status + "&" + r.dirtyQuery()
 	r.call(http.MethodPut, path, nil, func(status int) bool {
@@ -221,7 +221,8 @@
 
 func isSuccess(status int) bool { return status < 300 }
 
-// call makes a call and schedules the next one. accept takes the status of a response, and reports whether the call succeeded.
+// call makes a call and schedules the next one. accept receives the HTTP status of the response and reports whether the call
+// succeeded.
 func (r *Registration) call(method, path string, body []byte, accept func(status int) bool) {
 	u := r.options.Servers[r.current]
 	request := httpclient.Request{Method: method, Path: u.path + path, Headers: r.login.headers(u), Body: body}
@@ -230,7 +231,7 @@
 	}
 	r.clients[r.current].Do(request, r.options.Timeout, func(response *httpclient.Response, err error) {
 		if err == nil && response.Status == http.StatusUnauthorized {
-			r.login.readPasswordFile(r.m) // it may have changed; where it can't be read, the old password is tried again
+			r.login.readPasswordFile(r.m) // the file may have changed; if it is unreadable, the old password stays in use
 		}
 		if err == nil && !accept(response.Status) {
 			err = &statusError{status: response.Status}
@@ -245,7 +246,7 @@
 	})
 }
 
-// succeed schedules the call after one that succeeded. A router that the registry does not know is registered at once.
+// succeed schedules the call that follows a successful call. A router that the registry does not know is registered at once.
 func (r *Registration) succeed(u URL) {
 	if r.failures > 0 {
 		r.logger.Info("router registration server available", "server", u.String())
@@ -258,16 +259,17 @@
 	r.callAt(r.m.Now() + r.heartbeatInterval())
 }
 
-// heartbeatInterval is the time to the next heartbeat. While the predecessor may still deregister itself, which removes this
-// process too as they have one id, heartbeats come each second: only their responses show it.
+// heartbeatInterval returns the time to the next heartbeat. While the predecessor may still deregister itself, heartbeats are
+// sent every second: the two processes share an id, so the deregistration removes this process too, and only the response to a
+// heartbeat shows that.
 func (r *Registration) heartbeatInterval() Time {
-	if r.m.Now() < r.soleOwnerFrom {
+	if r.m.Now() < r.predecessorEndsAt {
 		return min(predecessorPollInterval, r.options.Renewal)
 	}
 	return jitteredDown(r.m, r.options.Renewal)
 }
 
-// fail turns to the next server: at once, unless all were tried in this round.
+// fail switches to the next server and calls it at once, or after a backoff if the calls to all servers have failed in turn.
 func (r *Registration) fail(u URL, method string, err error) {
 	r.failures++
 	if r.failures == 1 {
--- a/internal/eureka/registration_body.go
+++ b/internal/eureka/registration_body.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// dataCenterClass is the class that registries expect of an instance outside Amazon's data centres.
+// dataCenterClass is the data centre class that registries expect for an instance outside Amazon's data centres.
 const dataCenterClass = "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo"
 
-// instanceBody is the body of the call that registers the router.
+// instanceBody returns the body of the call that registers the router.
 func (r *Registration) instanceBody() []byte {
 	type object = map[string]any
 	ip := r.options.Address.Addr().String()
@@ -33,6 +33,6 @@
 		"lastDirtyTimestamp":   timestamp,
 		"lastUpdatedTimestamp": timestamp,
 	}
-	body, _ := json.Marshal(object{"instance": instance}) // it holds no value that can't be encoded
+	body, _ := json.Marshal(object{"instance": instance}) // all values can be encoded
 	return body
 }
--- a/internal/eureka/registration_test.go
+++ b/internal/eureka/registration_test.go
@@ -8,31 +8,31 @@
 	"testing"
 )
 
-// registrar is a registry with the registration of one router.
-type registrar struct {
-	status string // "" while the router is unknown
+// scriptedRegistration scripts a registry that holds the registration of one router.
+type scriptedRegistration struct {
+	status string // "" while the router is not registered
 	down   bool
 	silent bool
 }
 
-func (b *registrar) script(a request) response {
+func (s *scriptedRegistration) script(a request) response {
 	const own = "/apps/ROUTER/r%201"
 	path, query, _ := strings.Cut(a.path, "?")
 	switch {
-	case b.silent:
+	case s.silent:
 		return response{silent: true}
-	case b.down:
+	case s.down:
 		return response{status: 503}
 	case a.method == "POST" && path == "/apps/ROUTER":
-		b.status = "UP"
+		s.status = "UP"
 		return response{status: 204}
-	case b.status == "":
+	case s.status == "":
 		return response{status: 404}
 	case a.method == "PUT" && path == own+"/status" && strings.HasPrefix(query, "value=OUT_OF_SERVICE&lastDirtyTimestamp="):
-		b.status = "OUT_OF_SERVICE"
-	case a.method == "PUT" && path == own && strings.HasPrefix(query, "status="+b.status+"&lastDirtyTimestamp="):
+		s.status = "OUT_OF_SERVICE"
+	case a.method == "PUT" && path == own && strings.HasPrefix(query, "status="+s.status+"&lastDirtyTimestamp="):
 	case a.method == "DELETE" && path == own:
-		b.status = ""
+		s.status = ""
 	default:
 		return response{status: 400}
 	}
@@ -47,7 +47,7 @@
 	return o
 }
 
-// methods are those of the calls from this one on, as "POST PUT".
+// methods returns the methods of the calls from this index on, as in "POST PUT".
 func (r *registry) methods(from int) string {
 	var all []string
 	for _, a := range r.calls[from:] {
@@ -57,8 +57,8 @@
 }
 
 func TestRegistrationLifecycle(t *testing.T) {
-	f, b := newRig(t), &registrar{}
-	r := f.registry("r", "10.0.0.1", b.script)
+	f, scripted := newFixture(t), &scriptedRegistration{}
+	r := f.registry("r", "10.0.0.1", scripted.script)
 	reg := Register(f.client.Machine(), registration(r))
 	f.after(second)
 	var sent struct {
@@ -82,22 +82,22 @@
 	bare := strings.TrimSuffix(strings.TrimPrefix(r.calls[0].body, `{"instance":`), "}")
 	l, err := Parse([]byte(`{"application":{"name":"ROUTER","instance":`+bare+`}}`), defaultKeys)
 	if err != nil || len(l.Faults) > 0 || l.Instances[0].Address != "10.0.0.9:7000" {
-		t.Errorf("it reads as %+v, %v", l, err)
+		t.Errorf("the registered instance parses as %+v, error %v", l, err)
 	}
 	f.after(5 * minute)
-	if n := len(r.calls); n < 11 || n > 13 || b.status != "UP" {
-		t.Errorf("%d calls in 5 min: %s", n, r.methods(0))
+	if n := len(r.calls); n < 11 || n > 13 || scripted.status != "UP" {
+		t.Errorf("status %s, %d calls in 5 min, want 11 to 13: %s", scripted.status, n, r.methods(0))
 	}
-	b.status = "" // the registry has started anew
+	scripted.status = "" // the registry has restarted
 	from := len(r.calls)
 	f.after(31 * second)
-	if got := r.methods(from); !strings.HasPrefix(got, "PUT POST") || b.status != "UP" {
-		t.Errorf("after it was forgotten: %s", got)
+	if got := r.methods(from); !strings.HasPrefix(got, "PUT POST") || scripted.status != "UP" {
+		t.Errorf("after the registry's restart: status %q, calls %s", scripted.status, got)
 	}
 	reg.Drain()
 	f.after(100 * millisecond)
-	if b.status != "OUT_OF_SERVICE" {
-		t.Errorf("while it drains it is %s", b.status)
+	if scripted.status != "OUT_OF_SERVICE" {
+		t.Errorf("draining router has status %q, want OUT_OF_SERVICE", scripted.status)
 	}
 	f.after(minute)
 	ended := 0
@@ -106,8 +106,8 @@
 		t.Error("done was called from within Cancel")
 	}
 	f.after(100 * millisecond)
-	if b.status != "" || ended != 1 || f.client.Pending() != 0 || f.client.Descriptors() != 0 {
-		t.Errorf("status %q, ended %d times, %d timers, %d descriptors", b.status, ended, f.client.Pending(), f.client.Descriptors())
+	if scripted.status != "" || ended != 1 || f.client.Pending() != 0 || f.client.Descriptors() != 0 {
+		t.Errorf("status %q, ended %d times, %d timers, %d descriptors", scripted.status, ended, f.client.Pending(), f.client.Descriptors())
 	}
 	for _, a := range r.calls {
 		if a.path == "" {
@@ -120,17 +120,17 @@
 }
 
 func TestDrainingRouterIsNotRegisteredAgain(t *testing.T) {
-	f, b := newRig(t), &registrar{}
-	r := f.registry("r", "10.0.0.1", b.script)
+	f, scripted := newFixture(t), &scriptedRegistration{}
+	r := f.registry("r", "10.0.0.1", scripted.script)
 	reg := Register(f.client.Machine(), registration(r))
 	f.after(second)
 	reg.Drain()
 	f.after(second)
-	b.status = ""
+	scripted.status = ""
 	from := len(r.calls)
 	f.after(5 * minute)
-	if got := r.methods(from); got != "PUT" || b.status != "" {
-		t.Errorf("calls %s", got)
+	if got := r.methods(from); got != "PUT" || scripted.status != "" {
+		t.Errorf("calls %s, status %q, want one PUT and no registration", got, scripted.status)
 	}
 	ended := false
 	reg.Cancel(func() { ended = true })
@@ -141,9 +141,9 @@
 }
 
 func TestDrainDuringRegisterCallIsReported(t *testing.T) {
-	f, b := newRig(t), &registrar{}
+	f, scripted := newFixture(t), &scriptedRegistration{}
 	r := f.registry("r", "10.0.0.1", func(a request) response {
-		got := b.script(a)
+		got := scripted.script(a)
 		if a.method == "POST" {
 			got.delay = 500 * millisecond
 		}
@@ -153,49 +153,49 @@
 	f.after(100 * millisecond)
 	reg.Drain()
 	f.after(100 * millisecond)
-	if b.status != "OUT_OF_SERVICE" {
-		t.Errorf("it is %s, calls %s", b.status, r.methods(0))
+	if scripted.status != "OUT_OF_SERVICE" {
+		t.Errorf("status %q, want OUT_OF_SERVICE; calls %s", scripted.status, r.methods(0))
 	}
 }
 
 func TestCancelIsBoundedByTimeout(t *testing.T) {
-	for what, breakRegistry := range map[string]func(r *registry, b *registrar){
-		"is silent":   func(_ *registry, b *registrar) { b.silent = true },
-		"answers 503": func(_ *registry, b *registrar) { b.down = true },
-		"vanishes":    func(r *registry, _ *registrar) { r.host.Vanish() },
-		"refuses":     func(r *registry, _ *registrar) { r.host.RefuseAll(true); r.host.DropIdleConns(false) },
+	for name, breakRegistry := range map[string]func(r *registry, s *scriptedRegistration){
+		"is silent":   func(_ *registry, s *scriptedRegistration) { s.silent = true },
+		"answers 503": func(_ *registry, s *scriptedRegistration) { s.down = true },
+		"vanishes":    func(r *registry, _ *scriptedRegistration) { r.host.Vanish() },
+		"refuses":     func(r *registry, _ *scriptedRegistration) { r.host.RefuseAll(true); r.host.DropIdleConns(false) },
 	} {
-		t.Run(what, func(t *testing.T) {
-			f, b := newRig(t), &registrar{}
-			r := f.registry("r", "10.0.0.1", b.script)
+		t.Run(name, func(t *testing.T) {
+			f, scripted := newFixture(t), &scriptedRegistration{}
+			r := f.registry("r", "10.0.0.1", scripted.script)
 			reg := Register(f.client.Machine(), registration(r))
 			f.after(second)
-			breakRegistry(r, b)
+			breakRegistry(r, scripted)
 			reg.Drain()
 			f.after(minute)
 			at := f.Now()
 			ended := 0
 			reg.Cancel(func() { ended++ })
 			reg.Cancel(func() { ended += 10 })
-			f.wait(second+millisecond, "the end, where the registry "+what, func() bool { return ended == 11 })
+			f.wait(second+millisecond, "the end of the registration, if the registry "+name, func() bool { return ended == 11 })
 			if f.client.Pending() != 0 || f.client.Descriptors() != 0 || f.Now()-at > second {
-				t.Errorf("%s: after %d ms, %d timers and %d descriptors", what, (f.Now()-at)/1000, f.client.Pending(), f.client.Descriptors())
+				t.Errorf("%s: after %d ms, %d timers and %d descriptors", name, (f.Now()-at)/1000, f.client.Pending(), f.client.Descriptors())
 			}
 			if len(r.calls) > 60 || len(f.log) == 0 || len(f.log) > 3 {
-				t.Errorf("%s: %d calls, log %q", what, len(r.calls), f.log)
+				t.Errorf("%s: %d calls, log %q", name, len(r.calls), f.log)
 			}
 		})
 	}
 }
 
 func TestRegistrationFailsOver(t *testing.T) {
-	f, b := newRig(t), &registrar{}
-	other := &registrar{down: true}
-	r1, r2 := f.registry("r1", "10.0.0.1", other.script), f.registry("r2", "10.0.0.2", b.script)
+	f, scripted := newFixture(t), &scriptedRegistration{}
+	other := &scriptedRegistration{down: true}
+	r1, r2 := f.registry("r1", "10.0.0.1", other.script), f.registry("r2", "10.0.0.2", scripted.script)
 	Register(f.client.Machine(), registration(r1, r2))
 	f.after(second)
-	if b.status != "UP" || len(r1.calls) != 1 {
-		t.Errorf("status %q, calls to the first %v", b.status, r1.calls)
+	if scripted.status != "UP" || len(r1.calls) != 1 {
+		t.Errorf("status %q, calls to the first server %v", scripted.status, r1.calls)
 	}
 	f.after(10 * minute)
 	if slices.ContainsFunc(r2.calls[1:], func(a request) bool { return a.method != "PUT" }) {
@@ -205,8 +205,8 @@
 
 func TestRegistrationStopReleasesEverything(t *testing.T) {
 	for step := range 100 {
-		f, b := newRig(t), &registrar{}
-		r := f.registry("r", "10.0.0.1", b.script)
+		f, scripted := newFixture(t), &scriptedRegistration{}
+		r := f.registry("r", "10.0.0.1", scripted.script)
 		reg := Register(f.client.Machine(), registration(r))
 		for range step {
 			f.Step()
@@ -232,25 +232,25 @@
 	}
 }
 
-// TestLateDeregistrationOfPredecessorIsNoticedWithinASecond: the previous process, with the same id, deregisters after this one
-// has registered. At the usual interval, a heartbeat would notice half a minute later.
+// TestLateDeregistrationOfPredecessorIsNoticedWithinASecond covers a previous process with the same id that deregisters after
+// this process has registered. At the usual interval, a heartbeat would detect that half a minute later.
 func TestLateDeregistrationOfPredecessorIsNoticedWithinASecond(t *testing.T) {
-	f, b := newRig(t), &registrar{}
-	reg := f.registry("eureka", "10.0.0.2", b.script)
+	f, scripted := newFixture(t), &scriptedRegistration{}
+	reg := f.registry("eureka", "10.0.0.2", scripted.script)
 	o := registration(reg)
 	o.Predecessor = 5 * second
 	r := Register(f.client.Machine(), o)
 	defer r.Stop()
-	f.wait(second, "the registration", func() bool { return b.status == "UP" })
+	f.wait(second, "the registration", func() bool { return scripted.status == "UP" })
 	for _, at := range []Time{300_000, 2 * second, second} {
 		f.after(at)
-		b.status = "" // the DELETE of the process before
-		f.wait(second+second/10, "the registration anew", func() bool { return b.status == "UP" })
+		scripted.status = "" // the DELETE call of the previous process
+		f.wait(second+second/10, "the new registration", func() bool { return scripted.status == "UP" })
 	}
 	f.after(10 * second)
 	calls := len(reg.calls)
 	f.after(second * 5)
 	if n := len(reg.calls) - calls; n > 1 {
-		t.Errorf("%d calls in 5 s once the process before must have ended", n)
+		t.Errorf("%d calls in 5 s after the predecessor's time is over, want at most 1", n)
 	}
 }
--- a/internal/eureka/server.go
+++ b/internal/eureka/server.go
@@ -8,32 +8,32 @@
 const (
 	fullList listKind = iota
 	deltaList
-	listKinds // how many there are
+	listKinds // the number of kinds
 )
 
-// maxRetryDoublings bounds the growth of the time after which a preferred server that failed is tried again.
+// maxRetryDoublings bounds how often the time until the retry of a failed preferred server doubles.
 const maxRetryDoublings = 5
 
-// server is the state of one of a registry's servers.
+// server is the client's state for one server of the registry.
 type server struct {
-	url     URL
-	client  *httpclient.Client
-	listed  bool // it has answered with the list that is wanted
-	retryAt Time // it is not called before then
+	url       URL
+	client    *httpclient.Client
+	hasListed bool // the server has returned a full list
+	retryAt   Time // earliest time of the next call
 
-	failures      int  // calls in a row that failed
-	avoidUntil    Time // another server that answers is preferred until then
-	failedRetries int  // calls in a row that failed while another server was in use
+	failures      int  // consecutive failed calls
+	avoidUntil    Time // until this time, another working server is preferred
+	failedRetries int  // consecutive calls that failed while another server was in use
 
-	noDeltasUntil Time            // it rejects deltas, or its deltas were inconsistent
-	responseTime  [listKinds]Time // recent longest response time; 0 before the first one
+	noDeltasUntil Time            // end of the pause after rejected or inconsistent deltas
+	responseTime  [listKinds]Time // recent longest response time; 0 before the first response
 }
 
-// recordSuccess notes a response to a call. The longest response time decays by a quarter with each faster one.
-func (s *server) recordSuccess(kind listKind, took Time) {
+// recordSuccess records a usable response. The longest response time decays by a quarter with each faster response.
+func (s *server) recordSuccess(kind listKind, elapsed Time) {
 	s.failures, s.failedRetries, s.retryAt, s.avoidUntil = 0, 0, 0, 0
-	s.responseTime[kind] = max(took, s.responseTime[kind]*3/4, millisecond)
+	s.responseTime[kind] = max(elapsed, s.responseTime[kind]*3/4, millisecond)
 }
 
-// isCallable reports whether the server may be called.
+// isCallable reports whether the server's backoff is over.
 func (s *server) isCallable(now Time) bool { return s.retryAt <= now }
--- a/internal/eureka/status.go
+++ b/internal/eureka/status.go
@@ -8,20 +8,21 @@
 	"starlingwinch/decide"
 )
 
-// The registry's words for the status of an instance that this package handles by name.
+// The instance statuses that this package handles by name.
 const (
 	statusUp           = "UP"
 	statusDown         = "DOWN"
 	statusStarting     = "STARTING"
 	statusOutOfService = "OUT_OF_SERVICE"
 	statusUnknown      = "UNKNOWN"
-	statusUnreadable   = "UNREADABLE" // stands for a value that is no status; registries don't send it
+	statusUnreadable   = "UNREADABLE" // replaces an unreadable value; registries don't send it
 )
 
-// maxStatusLength bounds a status; bytes.
+// maxStatusLength bounds the length of a status in bytes.
 const maxStatusLength = 64
 
-// endpointStatus is the status of an endpoint. Only UP means that it serves; any other word, known or not, is taken for a drain.
+// endpointStatus returns the status of an endpoint. Only UP means that the endpoint serves; any other status, known or not,
+// means that it drains.
 func endpointStatus(status string) decide.Status {
 	if status == statusUp {
 		return decide.Serving
@@ -29,8 +30,8 @@
 	return decide.Draining
 }
 
-// effectiveStatus is the overridden status, where there is one, else the status of the instance itself. An override to UP does
-// not lift DOWN or STARTING, as in the registry's own rules.
+// effectiveStatus returns the overridden status if there is one, else the status of the instance itself. As in the registry's
+// own rules, an override to UP has no effect on DOWN or STARTING.
 func effectiveStatus(status, overridden string) string {
 	hasOverride := overridden != "" && overridden != statusUnknown
 	if hasOverride && overridden == statusUp && (status == statusDown || status == statusStarting) {
@@ -45,8 +46,8 @@
 	return status
 }
 
-// hashCode is how registries summarize a list: the number of instances of each status, in the order of the words, as in
-// DOWN_2_UP_10_. It counts the status as listed, overridden or not.
+// hashCode returns the hash code by which registries summarize a list: the number of instances of each status, in alphabetical
+// order of the statuses, as in DOWN_2_UP_10_. It counts instances by their listed status, without overrides.
 func hashCode(counts map[string]int) string {
 	var statuses []string
 	for status, n := range counts { // any order: sorted below
--- a/internal/eureka/url.go
+++ b/internal/eureka/url.go
@@ -9,26 +9,26 @@
 
 const defaultHTTPPort = "80"
 
-// URL is the address of a registry server's REST interface. Its user and password are sent to that server only, and never
-// printed.
+// URL is the address of a registry server's REST interface. The user and password in a URL are sent to that server only, and
+// are never printed.
 type URL struct {
 	address        string // IP address and port
-	path           string // as in "/eureka", without a slash at the end
+	path           string // without a trailing slash, as in "/eureka"
 	user, password string
 }
 
-// ParseURL reads an http URL whose host is an IP address. Its errors don't repeat the text, which may hold a password.
+// ParseURL parses an http URL whose host is an IP address. Its errors don't contain the text, which may hold a password.
 func ParseURL(text string) (URL, error) {
 	u, err := url.Parse(text)
 	switch {
 	case err != nil || u.Opaque != "" || u.Host == "":
 		return URL{}, errors.New("not a URL (wanted http://IP:PORT/eureka)")
 	case u.Scheme == "https":
-		return URL{}, errors.New("TLS is not spoken (wanted http://IP:PORT/eureka)")
+		return URL{}, errors.New("TLS is not supported (wanted http://IP:PORT/eureka)")
 	case u.Scheme != "http":
 		return URL{}, errors.New("unknown scheme (wanted http://IP:PORT/eureka)")
 	case u.RawQuery != "" || u.Fragment != "" || u.ForceQuery:
-		return URL{}, errors.New("a query or fragment (wanted http://IP:PORT/eureka)")
+		return URL{}, errors.New("a query or fragment is not allowed (wanted http://IP:PORT/eureka)")
 	}
 	address, err := parseHost(u)
 	if err != nil {
@@ -47,7 +47,7 @@
 func parseHost(u *url.URL) (netip.AddrPort, error) {
 	ip, err := netip.ParseAddr(u.Hostname())
 	if err != nil || ip.Zone() != "" {
-		return netip.AddrPort{}, errors.New("the host is no IP address, and names are not looked up (wanted http://IP:PORT/eureka)")
+		return netip.AddrPort{}, errors.New("the host is not an IP address, and names are not resolved (wanted http://IP:PORT/eureka)")
 	}
 	port := u.Port()
 	if port == "" {
@@ -64,7 +64,7 @@
 	return address, nil
 }
 
-// String is the URL without its user and password.
+// String returns the URL without its user and password.
 func (u URL) String() string { return "http://" + u.address + u.path }
 
 // GoString hides the password from %#v too.
