--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,8 +1,8 @@
-// Package eventlog logs what happens to requests, attempts and connections, one line each with fields, and counts all of it
-// by event and reason. The lines of a second are bounded, so that a flood of events costs no more than counting it; the
-// counters are logged regularly and at the end.
+// Package eventlog logs events of requests, attempts and connections, one line with fields per event, and counts all events
+// by name and reason. The number of lines per second is limited, so that a flood of events costs no more than counting
+// them. The counters are logged periodically and at shutdown.
 //
-// It does no I/O of its own and belongs to the loop's goroutine.
+// The package performs no I/O itself. A Log must only be used by the goroutine of the event loop.
 package eventlog
 
 import (
@@ -15,35 +15,35 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// Time is an instant or a span in microseconds.
+// Time is an instant or a duration in microseconds.
 type Time = int64
 
-// Config is an operators' file of the kind "log".
+// Config is the content of an operator configuration file of the kind "log".
 type Config struct {
 	Events   bool          `toml:"events" doc:"a line for each retry, refusal, failure and closed connection, with its reason"`
 	Lines    int           `toml:"lines" min:"1" max:"100000" doc:"such lines in a second, at most; what is left out is counted"`
 	Counters time.Duration `toml:"counters" min:"1s" max:"1h" doc:"between two lines with the counts of all events by reason"`
 }
 
-// Default returns the configuration where no file sets it.
+// Default returns the configuration that applies without a file of this kind.
 func Default() Config { return Config{Lines: 50, Counters: time.Minute} }
 
-// Kind is the kind of operators' file that sets the configuration.
+// Kind is the kind of operator configuration file that holds a Config.
 var Kind = operatorconfig.Define("log", "what is logged of requests, attempts and connections", Default(), nil)
 
-// Event is what happened, as the message of a line and the first part of a counter's name.
+// Event is the name of an event. It is the message of a log line and the first part of a counter's name.
 type Event string
 
 const (
-	AttemptRetried     Event = "attempt-retried"   // a further attempt of a request begins; the reason is the result of the one before
-	AttemptEnded       Event = "attempt-ended"     // an attempt brought no value; the reason is its result
-	RequestRejected    Event = "request-rejected"  // the module rejected a request
-	RequestFailed      Event = "request-failed"    // the module failed a request
-	ConnectionClosed   Event = "connection-closed" // a client's connection has ended
-	DiscoveryCallEnded Event = "discovery-call"    // discovery has answered, or a call of it has failed
-	Resumed            Event = "resumed"           // the loop goes on after a pause
-	StartProgress      Event = "start"             // how far a start has come; always logged
-	Violation          Event = "violation"         // a rule was broken; logged whatever the configuration, within the bound
+	AttemptRetried     Event = "attempt-retried"   // another attempt of a request begins; the reason is the result of the previous attempt
+	AttemptEnded       Event = "attempt-ended"     // an attempt ended without a value; the reason is its result
+	RequestRejected    Event = "request-rejected"  // the decision module rejected a request
+	RequestFailed      Event = "request-failed"    // the decision module failed a request
+	ConnectionClosed   Event = "connection-closed" // a client's connection was closed
+	DiscoveryCallEnded Event = "discovery-call"    // a call to discovery was answered or failed
+	Resumed            Event = "resumed"           // the event loop continues after a pause
+	StartProgress      Event = "start"             // progress of the router's start; always logged
+	Violation          Event = "violation"         // a contract was violated; logged regardless of Config.Events, within the line limit
 )
 
 const (
@@ -51,7 +51,7 @@
 	droppedLines    = "lines-dropped" // the last field of the counters
 )
 
-// isAlwaysLogged reports whether an event has its line also where the lines of events are switched off.
+// isAlwaysLogged reports whether an event is logged even if Config.Events is false.
 func (e Event) isAlwaysLogged() bool { return e == StartProgress || e == Violation }
 
 // level returns the level of an event's lines.
@@ -73,33 +73,33 @@
 	config  Config
 	now     func() Time
 	logger  *slog.Logger
-	counts  map[key]int // since the start
-	dropped int         // lines over the bound, since the start
+	counts  map[key]int // since the start of the router
+	dropped int         // lines over the limit, since the start of the router
 
-	second    Time // when the second began that lineCount is about
-	lineCount int  // lines logged in that second
+	windowStart Time // start of the one-second window of lineCount
+	lineCount   int  // lines logged in the window
 }
 
 const microsecondsPerSecond = 1_000_000
 
-// New returns an event log that writes its lines to the logger.
+// New returns an event log that writes to the logger. now is the clock for the line limit.
 func New(config Config, now func() Time, logger *slog.Logger) *Log {
 	return &Log{config: config, now: now, logger: logger, counts: map[key]int{}}
 }
 
-// Enabled reports whether events have lines. Where they do not, callers can save the gathering of fields and use Count.
+// Enabled reports whether events are logged. If not, callers can call Count and avoid the cost of building fields.
 func (l *Log) Enabled() bool { return l.config.Events }
 
-// Count counts an event without a line.
+// Count counts an event without logging it.
 func (l *Log) Count(event Event, reason string) { l.counts[key{event, reason}]++ }
 
-// Add counts an event and logs its line, unless lines are switched off or the bound of this second is reached.
+// Add counts an event and logs it, unless event logging is disabled or the line limit of the current second is reached.
 func (l *Log) Add(event Event, reason string, fields ...slog.Attr) {
 	l.Count(event, reason)
 	if !l.config.Events && !event.isAlwaysLogged() {
 		return
 	}
-	if event != StartProgress && !l.takeLine() {
+	if event != StartProgress && !l.allowLine() {
 		l.dropped++
 		return
 	}
@@ -107,11 +107,11 @@
 	l.logger.LogAttrs(context.Background(), event.level(), string(event), fields...)
 }
 
-// takeLine takes one of this second's lines, and reports whether there was one left.
-func (l *Log) takeLine() bool {
+// allowLine reports whether the line limit of the current second permits another line, and counts that line.
+func (l *Log) allowLine() bool {
 	now := l.now()
-	if now-l.second >= microsecondsPerSecond {
-		l.second, l.lineCount = now, 0
+	if now-l.windowStart >= microsecondsPerSecond {
+		l.windowStart, l.lineCount = now, 0
 	}
 	if l.lineCount >= l.config.Lines {
 		return false
@@ -120,13 +120,13 @@
 	return true
 }
 
-// WriteCounters logs all counters in one line, sorted by name, where anything was counted.
+// WriteCounters logs all counters in one line, sorted by name. It logs nothing if no event was counted.
 func (l *Log) WriteCounters() {
 	if len(l.counts) == 0 {
 		return
 	}
 	var fields []slog.Attr
-	for k, n := range l.counts { // any order: sorted below
+	for k, n := range l.counts { // in random order; sorted below
 		fields = append(fields, slog.Int(string(k.event)+"."+k.reason, n))
 	}
 	slices.SortFunc(fields, func(a, b slog.Attr) int { return strings.Compare(a.Key, b.Key) })
@@ -134,5 +134,5 @@
 	l.logger.LogAttrs(context.Background(), slog.LevelInfo, countersMessage, fields...)
 }
 
-// Counted returns how often an event was counted with a reason.
+// Counted returns the number of times that an event was counted with a reason.
 func (l *Log) Counted(event Event, reason string) int { return l.counts[key{event, reason}] }
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -9,14 +9,14 @@
 	"starlingwinch/decide"
 )
 
-// What is wrong with a section.
+// Causes of a SectionError.
 var (
-	errShort   = errors.New("ends too early")
-	errOrder   = errors.New("not in order")
-	errTooMany = errors.New("more entries than it may have")
+	errTruncated = errors.New("truncated")
+	errOrder     = errors.New("entries are not in ascending order")
+	errTooLarge  = errors.New("size limit exceeded")
 )
 
-// SectionError says which section could not be decoded, and why.
+// SectionError reports a section that could not be decoded, and the cause.
 type SectionError struct {
 	Kind  uint16
 	Cause error
@@ -28,19 +28,19 @@
 // Unwrap returns the cause.
 func (e *SectionError) Unwrap() error { return e.Cause }
 
-// Decode reads a snapshot from its sections. A section that is missing leaves its part empty. A section that does not have
-// its form is an error, as the caller has verified the checksum already.
+// Decode decodes a snapshot from its sections. The part of a missing section stays empty. A malformed section is an error,
+// because the caller has already verified the checksum.
 func Decode(sections []Section) (Snapshot, error) {
 	var s Snapshot
 	seen := map[uint16]bool{}
 	var keys []byte
 	for _, section := range sections {
 		if seen[section.Kind] {
-			return Snapshot{}, fmt.Errorf("section %d stands twice", section.Kind)
+			return Snapshot{}, fmt.Errorf("section %d occurs twice", section.Kind)
 		}
 		seen[section.Kind] = true
 		if section.Kind == KindKeys {
-			keys = section.Body // their caches may be in a section that comes later
+			keys = section.Body // decoded last: the section of the caches may follow
 			continue
 		}
 		if err := decodeSection(&s, section); err != nil {
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// decodeSection reads a section that does not refer to another one.
+// decodeSection decodes a section that does not refer to another section.
 func decodeSection(s *Snapshot, section Section) error {
 	r := reader{rest: section.Body}
 	switch section.Kind {
@@ -77,16 +77,17 @@
 	return nil
 }
 
-// reader reads the body of a section from front to end. After an error every value is zero, and the first error stays.
+// reader reads the body of a section sequentially. After the first error, all reads return zero values and the error does
+// not change.
 type reader struct {
-	rest []byte // what was not read yet
+	rest []byte // unread bytes
 	err  error  // the first error
 }
 
-// take returns the next bytes, or nil where there are not so many.
+// take returns the next n bytes, or nil if fewer are left.
 func (r *reader) take(n int) []byte {
 	if r.err != nil || n > len(r.rest) {
-		r.fail(errShort)
+		r.fail(errTruncated)
 		return nil
 	}
 	part := r.rest[:n]
@@ -100,10 +101,10 @@
 	}
 }
 
-// finish returns the first error; bytes that were not read are one.
+// finish returns the first error. Unread bytes at the end are an error.
 func (r *reader) finish() error {
 	if r.err == nil && len(r.rest) > 0 {
-		return fmt.Errorf("%d bytes too many", len(r.rest))
+		return fmt.Errorf("%d trailing bytes", len(r.rest))
 	}
 	return r.err
 }
@@ -133,7 +134,7 @@
 
 func (r *reader) float() float64 { return math.Float64frombits(r.uint64()) }
 
-// text reads a text with its length in front.
+// text reads the length of a text and then the text.
 func (r *reader) text() string {
 	b := r.take(2)
 	if b == nil {
@@ -141,22 +142,22 @@
 	}
 	n := int(binary.BigEndian.Uint16(b))
 	if n > MaxIDBytes {
-		r.fail(errTooMany)
+		r.fail(errTooLarge)
 		return ""
 	}
 	return string(r.take(n))
 }
 
-// count reads a number of entries that take at least minBytes each. It is compared with the bytes that are left, since
-// memory is allocated by it.
+// count reads a number of entries of at least minBytes each. It rejects a number that does not fit in the remaining bytes,
+// because callers allocate memory for that many entries.
 func (r *reader) count(minBytes, maxCount int) int {
 	n := r.uint32()
 	if uint64(n) > uint64(maxCount) {
-		r.fail(errTooMany)
+		r.fail(errTooLarge)
 		return 0
 	}
 	if int(n)*minBytes > len(r.rest) {
-		r.fail(errShort)
+		r.fail(errTruncated)
 		return 0
 	}
 	return int(n)
@@ -218,7 +219,7 @@
 	return c
 }
 
-// keys reads the keys of caches into their entries. Indices and keys are in ascending order.
+// keys reads the keys of caches into the entries of the caches. Indices and keys must be in ascending order.
 func (r *reader) keys(endpoints []Endpoint) {
 	count, minIndex := r.count(minKeysBytes, MaxEndpoints), 0
 	for range count {
@@ -240,7 +241,7 @@
 	}
 }
 
-// ascending reads so many keys, each larger than the one before.
+// ascending reads count keys, which must be in strictly ascending order.
 func (r *reader) ascending(count int) []uint64 {
 	keys := make([]uint64, count)
 	for i := range keys {
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -7,25 +7,25 @@
 	"starlingwinch/decide"
 )
 
-// Kinds of sections. A reader skips kinds that it does not know, and the form of a kind never changes.
+// Kinds of sections. Decode skips unknown kinds, and the encoding of a kind never changes.
 const (
-	KindRouter = 1 // the instant, and the figures of the router as a whole
+	KindRouter = 1 // Snapshot.At and the figures of the router as a whole
 	KindZones  = 2 // zones with failed connections
-	KindCaches = 3 // all of each cache but its keys
-	KindKeys   = 4 // keys of caches, which are named by their index in the section of caches
+	KindCaches = 3 // entries of caches, without their keys
+	KindKeys   = 4 // keys of caches; a cache is identified by its index in the KindCaches section
 )
 
-// Section is one part of a snapshot in bytes.
+// Section is one encoded part of a snapshot.
 type Section struct {
 	Kind uint16
 	Body []byte
 }
 
-// Bounds of what is written and read.
+// Size limits of a snapshot, for encoding and decoding.
 const (
 	MaxEndpoints = 20_000 // caches
 	MaxZones     = 1_000  // zones
-	MaxIDBytes   = 1_024  // bytes of an id; an entry with a longer one is left out
+	MaxIDBytes   = 1_024  // bytes of an ID or zone name; Encode omits entries with longer ones
 )
 
 // Bits of a cache's flags.
@@ -34,20 +34,20 @@
 	flagResponsive
 )
 
-// maxCounter is the largest value of a counter, which takes one byte.
+// maxCounter is the largest value of a counter, which is encoded in one byte.
 const maxCounter = math.MaxUint8
 
 // Sizes of entries in bytes.
 const (
-	countBytes         = 4                      // a number of entries
-	minZoneBytes       = 2 + 1                  // an empty name, a counter
-	minEndpointBytes   = 2 + 5*8 + 2            // an empty id, times and figures, flags and a counter
-	minKeysBytes       = countBytes + 8 + 4     // an index, a time and a number of keys
-	keyBytes           = 8                      // one key
-	usualEndpointBytes = minEndpointBytes + 4*9 // capacity to begin with
+	countBytes           = 4                      // a number of entries
+	minZoneBytes         = 2 + 1                  // an empty name, a counter
+	minEndpointBytes     = 2 + 5*8 + 2            // an empty ID, times and figures, flags and a counter
+	minKeysBytes         = countBytes + 8 + 4     // an index, a time and a number of keys
+	keyBytes             = 8                      // one key
+	typicalEndpointBytes = minEndpointBytes + 4*9 // initial capacity per cache
 )
 
-// Encode writes a snapshot as sections. All numbers are big-endian.
+// Encode encodes a snapshot as sections. All numbers are big-endian.
 func Encode(s Snapshot) []Section {
 	return []Section{
 		{KindRouter, encodeRouter(s)},
@@ -82,7 +82,7 @@
 }
 
 func encodeEndpoints(endpoints []Endpoint) []byte {
-	body := make([]byte, countBytes, countBytes+usualEndpointBytes*len(endpoints))
+	body := make([]byte, countBytes, countBytes+typicalEndpointBytes*len(endpoints))
 	count := uint32(0)
 	for i := range endpoints {
 		if len(endpoints[i].ID) > MaxIDBytes || count == MaxEndpoints {
@@ -112,7 +112,7 @@
 	return append(body, flags, byte(min(max(c.FailedHealthChecks, 0), maxCounter)))
 }
 
-// encodeKeys writes the keys of those caches that have any. Caches are named by their index among those that
+// encodeKeys encodes the keys of the caches that have keys. A cache is identified by its index among the entries that
 // encodeEndpoints writes.
 func encodeKeys(endpoints []Endpoint) []byte {
 	body := make([]byte, countBytes)
@@ -143,7 +143,7 @@
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(v))
 }
 
-// appendText writes a text with its length in front, in two bytes.
+// appendText appends the length of a text in two bytes, followed by the text.
 func appendText(b []byte, text string) []byte {
 	return append(binary.BigEndian.AppendUint16(b, uint16(len(text))), text...)
 }
--- a/internal/snapshot/merge.go
+++ b/internal/snapshot/merge.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Merge returns the newer snapshot, completed by the older one's entries of caches that the newer one does not have, as long
-// as they are not older than maxAge and there are no more than maxEndpoints. Without them a router that has just started on
-// a partial endpoint list would overwrite what was known of the other caches.
+// Merge returns the newer snapshot, extended by the older snapshot's entries for caches that are missing from the newer one.
+// It adds entries up to the age maxAge, the latest first, until there are maxEndpoints entries in total. Without the older
+// entries, a router that has just started with a partial endpoint list would overwrite the state of all other caches.
 func Merge(older, newer Snapshot, maxAge Time, maxEndpoints int) Snapshot {
 	remaining := onlyInOlder(older, newer, maxAge)
 	if capacity := max(0, maxEndpoints-len(newer.Caches)); len(remaining) > capacity {
@@ -23,7 +23,7 @@
 	return newer
 }
 
-// onlyInOlder returns the older snapshot's entries of caches that the newer one does not have, up to an age.
+// onlyInOlder returns the older snapshot's entries, up to the age maxAge, for caches that are missing from the newer snapshot.
 func onlyInOlder(older, newer Snapshot, maxAge Time) []Endpoint {
 	inNewer := make(map[string]bool, len(newer.Caches))
 	for _, c := range newer.Caches {
@@ -34,18 +34,18 @@
 	})
 }
 
-// withOlderKeys returns the newer snapshot's entries, with capacity for so many more. An entry whose keys were not collected this time
-// takes those of the older snapshot, where they are of the same process.
-func withOlderKeys(older, newer Snapshot, maxAge Time, more int) []Endpoint {
+// withOlderKeys returns a copy of the newer snapshot's entries, with spare capacity for extraCapacity more. An entry whose keys were
+// not collected gets the keys of the older snapshot if they belong to the same cache process and are at most maxAge old.
+func withOlderKeys(older, newer Snapshot, maxAge Time, extraCapacity int) []Endpoint {
 	olderByID := make(map[string]*Endpoint, len(older.Caches))
 	for i := range older.Caches {
 		olderByID[older.Caches[i].ID] = &older.Caches[i]
 	}
-	entries := make([]Endpoint, 0, len(newer.Caches)+more)
+	entries := make([]Endpoint, 0, len(newer.Caches)+extraCapacity)
 	for _, c := range newer.Caches {
-		before := olderByID[c.ID]
-		if c.KeysAt == 0 && before != nil && before.StartedAt == c.StartedAt && newer.At-before.KeysAt <= maxAge {
-			c.CachedKeys, c.KeysAt = before.CachedKeys, before.KeysAt
+		previous := olderByID[c.ID]
+		if c.KeysAt == 0 && previous != nil && previous.StartedAt == c.StartedAt && newer.At-previous.KeysAt <= maxAge {
+			c.CachedKeys, c.KeysAt = previous.CachedKeys, previous.KeysAt
 		}
 		entries = append(entries, c)
 	}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,26 +1,26 @@
-// Package snapshot holds what a router has learned of its fleet as data that outlives the process: each piece with the
-// instant as of which it was known, the rules by which it loses weight with age, and its form in bytes.
+// Package snapshot defines the learned state of a router that is stored across restarts: each figure with the time at
+// which it was current, the decay of figures with age, and the binary encoding.
 //
-// The package makes no decisions and performs no I/O. A snapshot holds ids, figures and hashes of keys, and no value,
-// key, address or secret.
+// The package makes no decisions and performs no I/O. A snapshot holds IDs, figures and hashes of keys. It holds no
+// values, keys, addresses or secrets.
 package snapshot
 
 import "starlingwinch/decide"
 
-// Time is an instant or a span in microseconds. Instants are Unix time by the system's clock.
+// Time is an instant or a duration in microseconds. Instants are Unix times of the system clock.
 type Time = decide.Time
 
-// Snapshot is everything that a router has learned.
+// Snapshot is the learned state of a router.
 type Snapshot struct {
-	At     Time            // when Router was known
-	Router decide.Snapshot // figures of the router as a whole, and of zones; its Caches are not used
-	Caches []Endpoint      // one entry for each cache, by id
+	At     Time            // when the figures in Router were current
+	Router decide.Snapshot // figures of the router as a whole and of zones; Router.Caches is not used
+	Caches []Endpoint      // one entry per cache, sorted by ID
 }
 
-// Endpoint is what is known of one cache's process. StartedAt is the start that the endpoint list named, by the system's
+// Endpoint is the learned state of one cache process. StartedAt is the start time from the endpoint list, by the system
 // clock.
 type Endpoint struct {
 	decide.EndpointSnapshot
-	At     Time // when everything but the keys was known
-	KeysAt Time // when CachedKeys were known; 0 where they were not collected
+	At     Time // when all fields except CachedKeys were current
+	KeysAt Time // when CachedKeys was current; 0 if the keys were not collected
 }
--- a/internal/snapshotstore/compatibility_test.go
+++ b/internal/snapshotstore/compatibility_test.go
@@ -10,7 +10,8 @@
 	"starlingwinch/internal/snapshot"
 )
 
-// TestDecodeReadsFilesOfEarlierRelease reads a state file that release ea855d0 wrote, figure by figure, and writes it again.
+// TestDecodeReadsFilesOfEarlierRelease checks that a state file of release ea855d0 is decoded with all its figures, and that
+// encoding the result gives the same bytes.
 func TestDecodeReadsFilesOfEarlierRelease(t *testing.T) {
 	written, err := os.ReadFile("testdata/ea855d0.state")
 	if err != nil {
@@ -21,22 +22,22 @@
 		t.Fatal(err)
 	}
 	if file.Router != "r-1" || file.Written != 1_750_000_000_000_000 {
-		t.Errorf("written by %q at %d", file.Router, file.Written)
+		t.Errorf("got a file of router %q written at %d, want r-1 at 1750000000000000", file.Router, file.Written)
 	}
 	got, err := snapshot.Decode(file.Sections)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := earlierState(); !reflect.DeepEqual(got, want) {
-		t.Errorf("read  %+v\nwant %+v", got, want)
+		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	file.Sections = snapshot.Encode(got)
 	if again, err := Encode(file); err != nil || !bytes.Equal(again, written) {
-		t.Errorf("%v: the file is written differently:\n%x\nwant\n%x", err, again, written)
+		t.Errorf("encoding again: error %v, got\n%x\nwant\n%x", err, again, written)
 	}
 }
 
-// earlierState is the state that was written.
+// earlierState is the state in the file of the earlier release.
 func earlierState() snapshot.Snapshot {
 	const written Time = 1_750_000_000_000_000
 	return snapshot.Snapshot{
--- a/internal/snapshotstore/config.go
+++ b/internal/snapshotstore/config.go
@@ -8,49 +8,50 @@
 	"starlingwinch/internal/snapshot"
 )
 
-// Config is an operators' file of the kind "state". Its tags hold the words of the file; HalfLives below translates them.
+// Config is the content of an operator configuration file of the kind "state". The struct tags hold the key names of the file.
 type Config struct {
-	// Folder is an absolute path. Empty switches the store off: each start of a router learns anew.
+	// Folder is an absolute path. An empty path disables the store, and a restarted router has no learned state.
 	Folder string `toml:"folder" max:"4096" doc:"the folder that the state is kept in, which must be there and be this router's alone; empty for none"`
-	// WriteInterval is the least time between two writes. Raising it loses more at a crash; lowering it costs disk writes.
+	// WriteInterval is the minimum time between two writes. A higher value loses more state in a crash. A lower value
+	// causes more disk writes.
 	WriteInterval time.Duration `toml:"every" min:"50ms" max:"1h" doc:"between two writes, at least"`
-	// WriteAtEnd has a drain wait for one more write, so that the next process starts from the latest figures.
+	// WriteAtEnd makes a drain wait for a final write, so that the next process starts with the latest figures.
 	WriteAtEnd bool `toml:"at_end" doc:"write once more at the end of a drain, however soon after the last time"`
-	// MaxAge bounds what is believed at a start. Raising it lets a router act on older figures; lowering it has one that was
-	// down for longer start with nothing.
+	// MaxAge is the maximum age of restored state. With a higher value, a router may act on older figures. With a lower value, a
+	// router that was down for longer starts without learned state.
 	MaxAge time.Duration `toml:"oldest" min:"1s" max:"720h" doc:"what was known longer ago is nothing"`
-	// KeysPerEndpoint is a number of keys, 8 bytes each. Raising it makes files larger; lowering it makes the first requests
-	// after a restart miss more often.
+	// KeysPerEndpoint is the maximum number of keys per cache, at 8 bytes each. A higher value makes files larger. With a lower
+	// value, the first requests after a restart miss more often.
 	KeysPerEndpoint int `toml:"keys" min:"0" max:"4096" doc:"keys that each cache likely keeps, at most"`
-	// HalfLife says how fast each figure loses its weight.
+	// HalfLife holds the half-life of each figure.
 	HalfLife HalfLives `toml:"half_life"`
 }
 
-// HalfLives are the half-lives of figures, in the words of the file. Raising one has a router believe older figures for
-// longer; lowering it has it start closer to the defaults; 0 ignores the figure.
+// HalfLives are the half-lives of figures, named as in the file. With a higher half-life, a router relies on older figures for
+// longer. With a lower half-life, a restarted router begins closer to the defaults. 0 ignores the stored figure.
 type HalfLives struct {
-	// Limit is that of the concurrency limits of caches.
+	// Limit is the half-life of the concurrency limits of caches.
 	Limit time.Duration `toml:"limit" min:"0s" max:"720h" doc:"requests out at a cache"`
-	// Late is that of the ratios of late answers.
+	// Late is the half-life of the ratios of late responses.
 	Late time.Duration `toml:"late" min:"0s" max:"720h" doc:"share of a cache's answers that come late"`
-	// Erring is that of the ratios of errors.
+	// Erring is the half-life of the error ratios.
 	Erring time.Duration `toml:"erring" min:"0s" max:"720h" doc:"shares of errors"`
-	// Health is that of the results of health checks.
+	// Health is the half-life of the results of health checks.
 	Health time.Duration `toml:"health" min:"0s" max:"720h" doc:"marks of probes"`
-	// Keys is that of the keys that caches likely hold.
+	// Keys is the half-life of the keys that caches likely hold.
 	Keys time.Duration `toml:"keys" min:"0s" max:"720h" doc:"keys that caches likely keep"`
-	// Zones is that of failed connections to zones.
+	// Zones is the half-life of failed connections to zones.
 	Zones time.Duration `toml:"zones" min:"0s" max:"720h" doc:"zones out of reach"`
-	// Origin is that of the origin's concurrency limit and miss ratio.
+	// Origin is the half-life of the origin limit and the miss ratio of the origin.
 	Origin time.Duration `toml:"origin" min:"0s" max:"720h" doc:"bounds towards the origin"`
-	// Retry is that of the retry budget and the ratio of lost attempts.
+	// Retry is the half-life of the retry budget and the ratio of lost attempts.
 	Retry time.Duration `toml:"retry" min:"0s" max:"720h" doc:"budget of retries and share of lost attempts"`
 }
 
-// Default returns what holds where no file says otherwise: the store is off.
+// Default returns the configuration that applies without a file of this kind: the store is disabled.
 //
-// The origin's limits and the retry budget are not restored by default: after an outage, a new process does better with its
-// starting values than with the low ones of the outage.
+// By default the origin's figures and the retry budget are not restored: after an outage, a new process performs better with
+// the initial values than with the low values of the outage.
 func Default() Config {
 	return Config{
 		WriteInterval:   2 * time.Second,
@@ -70,10 +71,10 @@
 	}
 }
 
-// Kind is the kind of operators' file that holds a Config.
+// Kind is the kind of operator configuration file that holds a Config.
 var Kind = operatorconfig.Define("state", "what a router has learned, kept over a restart", Default(), checkConfig)
 
-// checkConfig reports figures that are wrong beside one another, and a folder that is no absolute path.
+// checkConfig reports values that contradict one another, and a folder that is not an absolute path.
 func checkConfig(c Config, bad operatorconfig.ReportFunc) {
 	if c.Folder != "" && !strings.HasPrefix(c.Folder, "/") {
 		bad("folder", "not an absolute path (%.80q)", c.Folder)
@@ -84,7 +85,7 @@
 	}
 }
 
-// HalfLives returns the half-lives as the package snapshot takes them.
+// HalfLives converts the half-lives to those of package snapshot.
 func (c Config) HalfLives() snapshot.HalfLives {
 	return snapshot.HalfLives{
 		ConcurrencyLimit: c.HalfLife.Limit.Microseconds(),
--- a/internal/snapshotstore/harness_test.go
+++ b/internal/snapshotstore/harness_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	folder      = "/state"
-	second Time = 1_000_000
-	oldest      = 300 * second
-	now0        = sim.Start
-	router      = "r-1"
+	folder         = "/state"
+	second    Time = 1_000_000
+	maxAge         = 300 * second
+	startTime      = sim.Start
+	router         = "r-1"
 )
 
-// harness is a simulated host with a folder and the store of the process that runs on it.
+// harness is a simulated host with a folder, and the store of the process on that host.
 type harness struct {
 	testing.TB
 	w *sim.World
@@ -34,17 +34,17 @@
 	return d
 }
 
-// do runs f on the disk and waits for its end.
+// do runs f on the disk and waits until f has returned.
 func (d *harness) do(f func(machine.Disk)) {
 	d.Helper()
 	done := false
 	d.h.Machine().OnDisk(f, func() { done = true })
 	if !d.w.RunUntil(d.w.Now()+100*second, func() bool { return done }) {
-		d.Fatal("the work on the disk has no end")
+		d.Fatal("the disk operation did not finish within 100 s")
 	}
 }
 
-// restart starts another process, with a store of its own.
+// restart starts another process with a new store.
 func (d *harness) restart() {
 	d.h.Restart()
 	d.s = New(folder, router)
@@ -53,23 +53,23 @@
 // open opens the store at an instant.
 func (d *harness) open(now Time) (state snapshot.Snapshot, ok bool, notes []string, err error) {
 	d.Helper()
-	d.do(func(disk machine.Disk) { state, ok, notes, err = d.s.Open(disk, now, oldest) })
+	d.do(func(disk machine.Disk) { state, ok, notes, err = d.s.Open(disk, now, maxAge) })
 	return
 }
 
-// mustOpen opens it where nothing may be wrong.
+// mustOpen opens the store and fails the test on an error or a note.
 func (d *harness) mustOpen(now Time) (snapshot.Snapshot, bool) {
 	d.Helper()
 	state, ok, notes, err := d.open(now)
 	if err != nil || len(notes) > 0 {
-		d.Fatalf("open: %v, %q", err, notes)
+		d.Fatalf("open: got error %v and notes %q, want none", err, notes)
 	}
 	return state, ok
 }
 
 func (d *harness) write(s snapshot.Snapshot, now Time) (err error) {
 	d.Helper()
-	d.do(func(disk machine.Disk) { err = d.s.Write(disk, s, now, oldest) })
+	d.do(func(disk machine.Disk) { err = d.s.Write(disk, s, now, maxAge) })
 	return
 }
 
@@ -80,9 +80,9 @@
 	}
 }
 
-// stateOf returns a small state whose figures hold its number.
+// stateOf returns a small state with figures and a time that depend on n.
 func stateOf(n int) snapshot.Snapshot {
-	at := now0 + Time(n)*second
+	at := startTime + Time(n)*second
 	s := snapshot.Snapshot{At: at}
 	s.Router = decide.Snapshot{OriginLimit: float64(n), OriginMissRatio: .5, RetryBudget: 3, ErrorRatio: .1, LostRatio: .2}
 	s.Caches = []snapshot.Endpoint{{
@@ -94,12 +94,12 @@
 	return s
 }
 
-// largeState returns a state of so many caches with so many keys each.
+// largeState returns a state with a number of caches and a number of keys for each cache.
 func largeState(caches, keys int) snapshot.Snapshot {
-	s := snapshot.Snapshot{At: now0}
+	s := snapshot.Snapshot{At: startTime}
 	for i := range caches {
-		c := snapshot.Endpoint{At: now0, KeysAt: now0}
-		c.ID, c.StartedAt, c.ConcurrencyLimit, c.Healthy = fmt.Sprintf("s-%08x", i), now0-Time(i)*second, 4.5, true
+		c := snapshot.Endpoint{At: startTime, KeysAt: startTime}
+		c.ID, c.StartedAt, c.ConcurrencyLimit, c.Healthy = fmt.Sprintf("s-%08x", i), startTime-Time(i)*second, 4.5, true
 		for k := range keys {
 			c.CachedKeys = append(c.CachedKeys, uint64(k+1)<<32+uint64(i))
 		}
@@ -108,8 +108,8 @@
 	return s
 }
 
-// encoded returns the file of a state.
-func encoded(t testing.TB, name string, s snapshot.Snapshot, written Time) []byte {
+// encodeFile returns the encoded file of a state.
+func encodeFile(t testing.TB, name string, s snapshot.Snapshot, written Time) []byte {
 	t.Helper()
 	b, err := Encode(File{Written: written, Router: name, Sections: snapshot.Encode(s)})
 	if err != nil {
--- a/internal/snapshotstore/rejected.go
+++ b/internal/snapshotstore/rejected.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Reason says why a file is not used.
+// Reason is the reason for rejecting a file.
 type Reason uint8
 
-// Reasons, with what is wrong.
+// Reasons for rejecting a file.
 const (
 	Truncated    Reason = iota // the end of the file is missing
-	Corrupt                    // the bytes are not those that were written
-	NotAState                  // it is some other file
-	OtherRouter                // another router wrote it
-	FromFuture                 // it was written later than now
-	TooOld                     // it was written too long ago
-	NewerVersion               // a newer program wrote it
-	OlderVersion               // it has a version that is not read any more
-	TooLarge                   // it is longer than a state may be
-	Irregular                  // it is a link, a folder or a device
+	Corrupt                    // the content differs from the written content
+	NotAState                  // the file is not a state file
+	OtherRouter                // another router wrote the file
+	FromFuture                 // the time of writing is in the future
+	TooOld                     // the file exceeds the maximum age
+	NewerVersion               // a newer program wrote the file
+	OlderVersion               // the format version is no longer supported
+	TooLarge                   // the file exceeds MaxFileBytes
+	Irregular                  // the path is a link, a folder or a device
 	Unreadable                 // the disk failed, or access is denied
 )
 
@@ -32,13 +32,13 @@
 	TooLarge: "too large", Irregular: "not a regular file", Unreadable: "unreadable",
 }
 
-// String returns the reason as operators read it.
+// String returns the reason as it appears in logs and messages.
 func (r Reason) String() string { return reasonNames[r] }
 
-// RejectedError says why a file is not used.
+// RejectedError reports a rejected file.
 type RejectedError struct {
 	Reason Reason
-	Detail string // figures and causes; may be empty
+	Detail string // values and causes; may be empty
 }
 
 // Error implements error.
@@ -53,11 +53,12 @@
 	return &RejectedError{r, fmt.Sprintf(format, args...)}
 }
 
-// maxClockStep is how far in the future a file may have been written: a clock may be set back by so much.
+// maxClockStep is the tolerance for files with a time of writing in the future, because the system clock can be set back.
 const maxClockStep Time = 2_000_000
 
-// Fits reports why a valid file is not the state of that router at that time; nil where it is.
-func (f File) Fits(router string, now, maxAge Time) *RejectedError {
+// Validate returns nil if the file belongs to the router and its age at the instant now is acceptable. Otherwise it returns the
+// reason for rejecting the file.
+func (f File) Validate(router string, now, maxAge Time) *RejectedError {
 	switch age := now - f.Written; {
 	case f.Router != router:
 		return reject(OtherRouter, "%.80q, this one is %.80q", strings.ToValidUTF8(f.Router, "?"), router)
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// FormatSpan returns a span of time as text: in days, as a duration to the second, or below a minute to the millisecond.
+// FormatSpan formats a duration in days from 48 hours on, to the second from one minute on, and to the millisecond below.
 func FormatSpan(t Time) string {
 	d := time.Duration(t) * time.Microsecond
 	switch {
@@ -81,7 +82,7 @@
 	return d.Round(time.Millisecond).String()
 }
 
-// withoutPath returns an error of the disk without its path, for lines that name the file already.
+// withoutPath returns the cause of a disk error without the path, for messages that already name the file.
 func withoutPath(err error) error {
 	var at *fs.PathError
 	if errors.As(err, &at) {
--- a/internal/snapshotstore/sync_test.go
+++ b/internal/snapshotstore/sync_test.go
@@ -8,42 +8,42 @@
 	"starlingwinch/internal/machine"
 )
 
-// unsynced is a disk whose folders can't be flushed.
-type unsynced struct{ machine.Disk }
+// failingSyncDisk is a disk that fails to flush folders.
+type failingSyncDisk struct{ machine.Disk }
 
-func (unsynced) SyncFolder(string) error { return syscall.EIO }
+func (failingSyncDisk) SyncFolder(string) error { return syscall.EIO }
 
-// TestFailedSyncKeepsDurableGeneration checks that a loss of power after writes whose names could not be flushed leaves the
-// last state that was flushed, or a later one.
+// TestFailedSyncKeepsDurableGeneration checks that the last flushed state, or a later one, survives a power failure after writes
+// whose renames could not be flushed. Such writes must not replace the last flushed state.
 func TestFailedSyncKeepsDurableGeneration(t *testing.T) {
 	for _, failures := range []int{1, 2, 3} {
-		for c := (choices{}); ; {
+		for losses := (powerLosses{}); ; {
 			d := newHarness(t)
-			d.mustOpen(now0)
+			d.mustOpen(startTime)
 			d.mustWrite(stateOf(1), stateOf(1).At)
 			durable := stateOf(2)
 			d.mustWrite(durable, durable.At)
-			flushed := folder + "/" + d.s.order[len(d.s.order)-1]
+			flushed := folder + "/" + d.s.writeOrder[len(d.s.writeOrder)-1]
 			before, _ := d.h.File(flushed)
 			for n := range failures {
 				var err error
 				next := stateOf(3 + n)
-				d.do(func(disk machine.Disk) { err = d.s.Write(unsynced{disk}, next, next.At, oldest) })
+				d.do(func(disk machine.Disk) { err = d.s.Write(failingSyncDisk{disk}, next, next.At, maxAge) })
 				if err == nil {
-					t.Fatal("a write that was not flushed is reported as done")
+					t.Fatal("a write whose rename was not flushed got no error")
 				}
 			}
 			if after, _ := d.h.File(flushed); !reflect.DeepEqual(before, after) {
-				t.Errorf("after %d writes that were not flushed the last flushed state is replaced", failures)
+				t.Errorf("after %d unflushed writes: the last flushed state was replaced", failures)
 			}
-			d.h.Power(c.leaves)
+			d.h.Power(losses.surviving)
 			d.restart()
 			later := stateOf(9).At
 			got, ok := d.mustOpen(later)
 			if !ok || got.At < durable.At {
-				t.Errorf("%d writes were not flushed, and a loss of power leaves %v: %+v", failures, ok, got)
+				t.Errorf("after %d unflushed writes and a power failure: got %+v, %v, want the last flushed state or a later one", failures, got, ok)
 			}
-			if !c.next() || t.Failed() {
+			if !losses.next() || t.Failed() {
 				break
 			}
 		}
--- a/internal/snapshotstore/verify.go
+++ b/internal/snapshotstore/verify.go
@@ -9,34 +9,34 @@
 	"starlingwinch/internal/snapshot"
 )
 
-// Row is one file of a folder, as Verify finds it.
-type Row struct {
+// FileStatus is the result of Verify for one file.
+type FileStatus struct {
 	Name     string
-	InUse    bool // a router reads it when it starts
+	InUse    bool // a router reads the file at its start
 	File     File
 	Snapshot snapshot.Snapshot
-	Rejected *RejectedError // nil for a valid one
+	Rejected *RejectedError // nil for a valid file
 }
 
-// Verify reads the files of a folder that belong to a store, and changes nothing. A file that was written later than now is
-// rejected; its age and the router's name are for the caller to judge.
-func Verify(d machine.Disk, folder string, now Time) []Row {
-	var rows []Row
+// Verify reads the store's files in a folder without changing them. It rejects files that were written later than now, up to a
+// small tolerance. The caller checks the maximum age and the router's name.
+func Verify(d machine.Disk, folder string, now Time) []FileStatus {
+	var statuses []FileStatus
 	for i, name := range storeNames() {
 		file, state, err := Read(d, filepath.Join(folder, name))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
-		row := Row{Name: name, InUse: i < len(slots), File: file, Snapshot: state}
-		if !errors.As(err, &row.Rejected) && file.Written > now+maxClockStep {
-			row.Rejected = reject(FromFuture, "by %s", FormatSpan(file.Written-now))
+		status := FileStatus{Name: name, InUse: i < len(slots), File: file, Snapshot: state}
+		if !errors.As(err, &status.Rejected) && file.Written > now+maxClockStep {
+			status.Rejected = reject(FromFuture, "by %s", FormatSpan(file.Written-now))
 		}
-		rows = append(rows, row)
+		statuses = append(statuses, status)
 	}
-	return rows
+	return statuses
 }
 
-// storeNames returns the names that a store gives its files, the slots first.
+// storeNames returns the names of all files of a store, except the lock. The slots come first.
 func storeNames() []string {
 	names := append(slots[:len(slots):len(slots)], temporaryName)
 	for i := range maxSetAside {
--- a/internal/structuredlog/structuredlog.go
+++ b/internal/structuredlog/structuredlog.go
@@ -1,6 +1,6 @@
-// Package structuredlog makes the loggers of the program: log/slog lines of a level, a message and fields, handed one by one
-// to the machine's log. The machine's log puts the time and the name of the process in front of each line, so that the
-// lines themselves hold no time, and equal runs write equal lines.
+// Package structuredlog creates the program's loggers. They write log/slog records as lines of a level, a message and
+// fields to a Sink, which is the machine's log. The machine's log prefixes each line with the time and the process name.
+// The lines themselves contain no time, so that identical runs write identical lines.
 package structuredlog
 
 import (
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Sink takes finished lines, without their line breaks. Log must not block: machine.Machine is a Sink.
+// Sink receives formatted lines without trailing newlines. Log must not block. machine.Machine is a Sink.
 type Sink interface {
 	Log(line string)
 }
@@ -19,16 +19,16 @@
 // Log implements Sink.
 func (f SinkFunc) Log(line string) { f(line) }
 
-// New returns a logger that hands each of its lines to the sink, in slog's text format.
+// New returns a logger that writes lines in the text format of slog to the sink.
 func New(sink Sink) *slog.Logger {
 	options := slog.HandlerOptions{ReplaceAttr: dropTime}
 	return slog.New(slog.NewTextHandler(lineWriter{sink}, &options))
 }
 
-// Discard returns a logger whose lines go nowhere.
+// Discard returns a logger that discards all records.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// dropTime leaves out the time of a record: the sink tells it.
+// dropTime removes the time of a record, because the sink adds it.
 func dropTime(groups []string, attr slog.Attr) slog.Attr {
 	if len(groups) == 0 && attr.Key == slog.TimeKey {
 		return slog.Attr{}
@@ -36,10 +36,10 @@
 	return attr
 }
 
-// lineWriter turns the handler's writes, one for each record, into lines.
+// lineWriter passes the handler's writes to a Sink. The handler makes one write per record.
 type lineWriter struct{ sink Sink }
 
-// Write hands one record's line to the sink.
+// Write passes the line of one record to the sink.
 func (w lineWriter) Write(line []byte) (int, error) {
 	w.sink.Log(strings.TrimSuffix(string(line), "\n"))
 	return len(line), nil
--- a/internal/structuredlog/structuredlog_test.go
+++ b/internal/structuredlog/structuredlog_test.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-func TestLoggerWritesOneLineARecordWithoutTime(t *testing.T) {
+func TestLoggerWritesOneLinePerRecordWithoutTime(t *testing.T) {
 	var lines []string
 	logger := structuredlog.New(structuredlog.SinkFunc(func(line string) { lines = append(lines, line) }))
 	logger.Info("endpoint list unavailable", "attempts", 14, "cause", errors.New("no answer\nfrom discovery"))
@@ -18,10 +18,10 @@
 		`level=ERROR msg=draining`,
 	}
 	if !slices.Equal(lines, want) {
-		t.Errorf("lines are %q, want %q", lines, want)
+		t.Errorf("got lines %q, want %q", lines, want)
 	}
 }
 
 func TestDiscardAcceptsRecords(t *testing.T) {
-	structuredlog.Discard().Error("nobody reads this")
+	structuredlog.Discard().Error("discarded record")
 }
