--- a/internal/retrystorm/addresses.go
+++ b/internal/retrystorm/addresses.go
@@ -1,51 +1,51 @@
 package retrystorm
 
-// addressSets is the number of sets of the table of addresses.
+// addressSets is the number of sets in an addressTable.
 const addressSets = 1024
 
-// address counts the requests of one address in one turn.
-type address struct {
+// addressCount counts the requests of one address in one interval.
+type addressCount struct {
 	tag      uint32
-	turn     uint32 // an entry of an earlier turn is free
+	interval uint32 // an entry of an earlier interval is free
 	requests uint32
 }
 
-// addresses counts requests by address over a second at a time, which is a turn, in a set-associative table.
-type addresses struct {
-	sets     [][associativity]address // nil before the first request
-	turn     uint32
-	requests int // of this turn
-	distinct int // addresses of this turn
+// addressTable counts requests by address in intervals of one second. It is a set-associative table.
+type addressTable struct {
+	sets     [][associativity]addressCount // nil before the first request
+	interval uint32
+	requests int // in the current interval
+	distinct int // addresses in the current interval
 
-	previousMean      float64 // requests for each address in the turn before
-	previousAddresses int     // addresses in the turn before
+	previousMean      float64 // requests per address in the previous interval
+	previousAddresses int     // addresses in the previous interval
 }
 
-// count notes a request and returns the number of requests that its address has made in this turn.
-func (a *addresses) count(client uint64) uint32 {
+// count counts a request and returns the number of requests of the same address in the current interval.
+func (a *addressTable) count(client uint64) uint32 {
 	if a.sets == nil {
-		a.sets = make([][associativity]address, addressSets)
+		a.sets = make([][associativity]addressCount, addressSets)
 	}
 	a.requests++
 	set, replaced := &a.sets[client%addressSets], 0
 	for i := range set {
 		e := &set[i]
-		if e.turn == a.turn && e.tag == tagOf(client) {
+		if e.interval == a.interval && e.tag == tagOf(client) {
 			e.requests++
 			return e.requests
 		}
-		if e.turn != a.turn || set[replaced].turn == a.turn && e.requests < set[replaced].requests {
+		if e.interval != a.interval || set[replaced].interval == a.interval && e.requests < set[replaced].requests {
 			replaced = i
 		}
 	}
 	a.distinct++
-	set[replaced] = address{tagOf(client), a.turn, 1}
+	set[replaced] = addressCount{tagOf(client), a.interval, 1}
 	return 1
 }
 
-// nextTurn begins a turn.
-func (a *addresses) nextTurn() {
+// nextInterval begins an interval.
+func (a *addressTable) nextInterval() {
 	a.previousAddresses, a.previousMean = a.distinct, float64(a.requests)/float64(max(1, a.distinct))
-	a.turn++
+	a.interval++
 	a.distinct, a.requests = 0, 0
 }
--- a/internal/retrystorm/change.go
+++ b/internal/retrystorm/change.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// ChangeMessage is the message of the log line at each change of state. Change.Attrs has its fields.
+// ChangeMessage is the message of the log line for a state change. Change.Attrs returns the fields of the line.
 const ChangeMessage = "retry storm state changed"
 
-// Keys of the fields of the log line.
+// Keys of the log line's fields.
 const (
 	keyFrom                = "from"
 	keyTo                  = "to"
 	keyRequestRate         = "requests_per_second"
-	keyRetries             = "retry_percent"
-	keyUnserved            = "unserved_percent"
-	keyOutage              = "outage_percent"
+	keyRetryPercent        = "retry_percent"
+	keyUnservedPercent     = "unserved_percent"
+	keyOutagePercent       = "outage_percent"
 	keyConnectionRate      = "connections_per_second"
-	keyFirstRequests       = "first_request_percent"
+	keyFirstRequestPercent = "first_request_percent"
 	keyRetryBudgetFraction = "retry_budget_fraction"
 	keyRetryAfterJitter    = "retry_after_jitter"
 )
 
-// Change is one change of state, with what led to it in the second before and the bounds that hold after it.
+// Change is a state change, with the rates of the second before the change and the bounds that apply after it.
 type Change struct {
 	From, To            State
-	RequestRate         int // requests a second
-	RetryPercent        int // retries among requests
-	UnservedPercent     int // requests without a value among all
-	OutagePercent       int // attempts that reached no cache among all
-	ConnectionRate      int // new connections of clients a second
-	FirstRequestPercent int // requests that were the first on their connections among all
+	RequestRate         int // requests per second
+	RetryPercent        int // retries as a percentage of requests
+	UnservedPercent     int // requests without a value, as a percentage of requests
+	OutagePercent       int // attempts that did not reach their cache, as a percentage of attempts
+	ConnectionRate      int // new client connections per second
+	FirstRequestPercent int // first requests on their connections, as a percentage of requests
 	RetryBudgetFraction float64
 	RetryAfterJitter    time.Duration
 }
@@ -47,20 +47,20 @@
 		OutagePercent:       percent(r.outageRatio),
 		ConnectionRate:      int(r.connections),
 		FirstRequestPercent: percent(r.firstRequestRatio),
-		RetryBudgetFraction: hundredths(b.RetryBudgetFraction),
+		RetryBudgetFraction: roundToHundredths(b.RetryBudgetFraction),
 		RetryAfterJitter:    time.Duration(b.RetryAfterJitter) * time.Microsecond,
 	}
 }
 
 func percent(ratio float64) int { return int(math.RoundToEven(100 * ratio)) }
 
-// hundredths returns a figure as it is with two decimal places.
-func hundredths(v float64) float64 {
-	rounded, _ := strconv.ParseFloat(strconv.FormatFloat(v, 'f', 2, 64), 64) // what was formatted can be parsed
+// roundToHundredths rounds a value to two decimal places.
+func roundToHundredths(v float64) float64 {
+	rounded, _ := strconv.ParseFloat(strconv.FormatFloat(v, 'f', 2, 64), 64) // a formatted value can always be parsed
 	return rounded
 }
 
-// Level is the level of the log line: a warning while there is a storm or may be one.
+// Level returns the level of the log line, which is a warning if the new state is Rising or Stormy.
 func (c Change) Level() slog.Level {
 	if c.To == Rising || c.To == Stormy {
 		return slog.LevelWarn
@@ -74,11 +74,11 @@
 		slog.String(keyFrom, c.From.String()),
 		slog.String(keyTo, c.To.String()),
 		slog.Int(keyRequestRate, c.RequestRate),
-		slog.Int(keyRetries, c.RetryPercent),
-		slog.Int(keyUnserved, c.UnservedPercent),
-		slog.Int(keyOutage, c.OutagePercent),
+		slog.Int(keyRetryPercent, c.RetryPercent),
+		slog.Int(keyUnservedPercent, c.UnservedPercent),
+		slog.Int(keyOutagePercent, c.OutagePercent),
 		slog.Int(keyConnectionRate, c.ConnectionRate),
-		slog.Int(keyFirstRequests, c.FirstRequestPercent),
+		slog.Int(keyFirstRequestPercent, c.FirstRequestPercent),
 		slog.Float64(keyRetryBudgetFraction, c.RetryBudgetFraction),
 		slog.Duration(keyRetryAfterJitter, c.RetryAfterJitter),
 	}
--- a/internal/retrystorm/config_test.go
+++ b/internal/retrystorm/config_test.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// TestConfigErrorsNameKeys checks keys out of range, and figures that are wrong beside one another.
+// TestConfigErrorsNameKeys checks the errors for values out of range, and for values that contradict one another.
 func TestConfigErrorsNameKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		"enter = 0.05":        "leave: not below enter (0.08, wanted below 0.05)",
@@ -27,12 +27,12 @@
 	} {
 		_, err := operatorconfig.Registry{Kind}.Parse("f", []byte("kind = \"storm\"\n"+text))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: got error %v, want %s", text, err, want)
 		}
 	}
 }
 
-// TestDeployedFileHoldsDefaults checks deploy/storm.toml.
+// TestDeployedFileHoldsDefaults checks that deploy/storm.toml sets the default configuration.
 func TestDeployedFileHoldsDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/storm.toml")
 	if err != nil {
@@ -43,11 +43,11 @@
 		t.Fatal(err)
 	}
 	if got := operatorconfig.Get[Config]([]operatorconfig.File{file}, Kind); got != Default() {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want %+v", got, Default())
 	}
 }
 
-// FuzzConfig checks that the bounds stay in range, and that a storm ends, with any configuration.
+// FuzzConfig checks with any valid configuration that the bounds stay in range and that a storm ends.
 func FuzzConfig(f *testing.F) {
 	raw, err := os.ReadFile("../../deploy/storm.toml")
 	if err != nil {
@@ -64,14 +64,14 @@
 		if c.Remembered > 1<<16 {
 			c.Remembered = 1 << 16
 		}
-		sc := &scene{t: t, s: New(c), now: zero}
-		sc.run(2*sec, sc.storming(20))
-		b := sc.s.Bounds()
+		h := &harness{t: t, detector: New(c), now: startTime}
+		h.run(2*sec, h.retryingClients(20))
+		b := h.detector.Bounds()
 		badFraction := b.RetryBudgetFraction < 0 || b.RetryBudgetFraction > 1
 		if badFraction || b.RetryAfterJitter < 0 || b.RetryAfterJitter > c.MaxRetryAfterJitter.Microseconds() {
-			t.Fatalf("%+v give bounds %+v", c, b)
+			t.Fatalf("configuration %+v: bounds %+v are out of range", c, b)
 		}
-		sc.run(c.Settle.Microseconds()+c.RecoveryTime.Microseconds()+20*sec, nil)
-		sc.wants(Calm)
+		h.run(c.Settle.Microseconds()+c.RecoveryTime.Microseconds()+20*sec, nil)
+		h.wantState(Calm)
 	})
 }
--- a/internal/retrystorm/detector_test.go
+++ b/internal/retrystorm/detector_test.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	ms   Time = 1000
-	sec  Time = 1000 * ms
-	zero Time = 1_000 * sec
+	ms        Time = 1000
+	sec       Time = 1000 * ms
+	startTime Time = 1_000 * sec
 )
 
-// scene drives a detector as a router does.
-type scene struct {
-	t       *testing.T
-	s       *Detector
-	now     Time
-	changes []Change
+// harness calls a detector as a router does, with a simulated time.
+type harness struct {
+	t        *testing.T
+	detector *Detector
+	now      Time
+	changes  []Change // all state changes
 }
 
-func newScene(t *testing.T, change func(*Config)) *scene {
+func newHarness(t *testing.T, configure func(*Config)) *harness {
 	c := Default()
-	if change != nil {
-		change(&c)
+	if configure != nil {
+		configure(&c)
 	}
-	sc := &scene{t: t, s: New(c), now: zero}
-	sc.s.Tick(zero)
-	return sc
+	h := &harness{t: t, detector: New(c), now: startTime}
+	h.detector.Tick(startTime)
+	return h
 }
 
-// logLine returns the line that a router logs at a change.
+// logLine returns the line that a router logs for a state change.
 func logLine(change Change) string {
 	var line string
 	logger := structuredlog.New(structuredlog.SinkFunc(func(l string) { line = l }))
@@ -44,376 +44,380 @@
 	return line
 }
 
-// run goes on for a while; each is called every step, before the tick.
-func (sc *scene) run(d Time, each func()) {
-	for end := sc.now + d; sc.now < end; {
-		sc.now += Step
-		if each != nil {
-			each()
+// run advances the time by a duration and calls Tick at each step. If beforeTick is not nil, run calls it before each Tick.
+func (h *harness) run(d Time, beforeTick func()) {
+	for end := h.now + d; h.now < end; {
+		h.now += Step
+		if beforeTick != nil {
+			beforeTick()
 		}
-		if change, changed := sc.s.Tick(sc.now); changed {
-			sc.changes = append(sc.changes, change)
+		if change, changed := h.detector.Tick(h.now); changed {
+			h.changes = append(h.changes, change)
 		}
 	}
 }
 
-func (sc *scene) request(client, key uint64) (Request, Verdict) {
-	a := Request{Client: client, Key: key, ClientTimeout: sec}
-	return a, sc.s.Requested(sc.now, a)
+// request makes a request that is served, unless the caller passes it to Unserved.
+func (h *harness) request(client, key uint64) (Request, Verdict) {
+	r := Request{Client: client, Key: key, ClientTimeout: sec}
+	return r, h.detector.Requested(h.now, r)
 }
 
-// reject requests something and has it rejected.
-func (sc *scene) reject(client, key uint64) Verdict {
-	a, verdict := sc.request(client, key)
-	sc.s.Unserved(sc.now, a, verdict, sc.now)
+// reject makes a request that is rejected.
+func (h *harness) reject(client, key uint64) Verdict {
+	r, verdict := h.request(client, key)
+	h.detector.Unserved(h.now, r, verdict, h.now)
 	return verdict
 }
 
-func (sc *scene) wants(state State) {
-	sc.t.Helper()
-	if sc.s.State() != state {
-		sc.t.Fatalf("state %v, wanted %v; %v", sc.s.State(), state, sc.changes)
+func (h *harness) wantState(state State) {
+	h.t.Helper()
+	if h.detector.State() != state {
+		h.t.Fatalf("got state %v, want %v; changes: %v", h.detector.State(), state, h.changes)
 	}
 }
 
-// storming has so many clients request at each step; all are rejected and retry.
-func (sc *scene) storming(clients uint64) func() {
+// retryingClients returns a function for run in which each client makes a request that is rejected. In later steps, the
+// requests are retries.
+func (h *harness) retryingClients(clients uint64) func() {
 	return func() {
 		for c := range clients {
-			sc.reject(c, c)
+			h.reject(c, c)
 		}
 	}
 }
 
-// TestRequestedRecognisesRetry checks that retries are recognised with the time of the first request.
+// TestRequestedRecognisesRetry checks that retries are recognised, with the time of the first request.
 func TestRequestedRecognisesRetry(t *testing.T) {
-	sc := newScene(t, nil)
-	verdict, first := sc.reject(1, 7), sc.now
+	h := newHarness(t, nil)
+	verdict, first := h.reject(1, 7), h.now
 	if verdict.Retry || verdict.FirstRequestedAt != 0 {
-		t.Fatalf("the first try is recognised as %+v", verdict)
+		t.Fatalf("first request: got %+v, want no retry", verdict)
 	}
-	sc.now += 300 * ms
-	verdict = sc.reject(1, 7)
+	h.now += 300 * ms
+	verdict = h.reject(1, 7)
 	if !verdict.Retry || verdict.FirstRequestedAt/ms != first/ms {
-		t.Fatalf("the second try is recognised as %+v, first asked at %d", verdict, first)
+		t.Fatalf("second request: got %+v, want a retry of the request at %d", verdict, first)
 	}
-	sc.now += 300 * ms
-	if _, verdict = sc.request(1, 7); verdict.FirstRequestedAt/ms != first/ms {
-		t.Fatalf("the third try is recognised as %+v, first asked at %d", verdict, first)
+	h.now += 300 * ms
+	if _, verdict = h.request(1, 7); verdict.FirstRequestedAt/ms != first/ms {
+		t.Fatalf("third request: got %+v, want a retry of the request at %d", verdict, first)
 	}
 }
 
-// TestRequestedAfterServedRequestIsNoRetry checks that only requests without a value are remembered.
+// TestRequestedAfterServedRequestIsNoRetry checks that a repeated request is no retry if the first request was served.
 func TestRequestedAfterServedRequestIsNoRetry(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.request(1, 7)
-	if _, verdict := sc.request(1, 7); verdict.Retry {
-		t.Fatal("a request after one that was served passes for a retry")
+	h := newHarness(t, nil)
+	h.request(1, 7)
+	if _, verdict := h.request(1, 7); verdict.Retry {
+		t.Fatal("request after a served request: got a retry, want none")
 	}
 }
 
-// TestRequestedAfterClientTimeoutIsNoRetry checks that a request is forgotten with its client's timeout.
+// TestRequestedAfterClientTimeoutIsNoRetry checks that an unserved request expires after the client timeout.
 func TestRequestedAfterClientTimeoutIsNoRetry(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.reject(1, 7)
-	sc.now += sec + ms
-	if _, verdict := sc.request(1, 7); verdict.Retry {
-		t.Fatal("a request after the client timeout passes for a retry")
+	h := newHarness(t, nil)
+	h.reject(1, 7)
+	h.now += sec + ms
+	if _, verdict := h.request(1, 7); verdict.Retry {
+		t.Fatal("request after the client timeout: got a retry, want none")
 	}
 }
 
-// TestRejectionAccountsForOneRetry checks that a second request after one rejection is no retry.
+// TestRejectionAccountsForOneRetry checks that only the first of two requests after one rejection is a retry.
 func TestRejectionAccountsForOneRetry(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.reject(1, 7)
-	_, one := sc.request(1, 7)
-	_, two := sc.request(1, 7)
-	if !one.Retry || two.Retry {
-		t.Fatalf("%+v, %+v: one refusal came back once", one, two)
+	h := newHarness(t, nil)
+	h.reject(1, 7)
+	_, first := h.request(1, 7)
+	_, second := h.request(1, 7)
+	if !first.Retry || second.Retry {
+		t.Fatalf("after one rejection: got %+v and %+v, want a retry and no retry", first, second)
 	}
 }
 
-// TestMarkedRetryCountsWithoutRejection checks that a retry of a request which another router rejected counts.
+// TestMarkedRetryCountsWithoutRejection checks that a marked retry counts as a retry if another router rejected the request.
 func TestMarkedRetryCountsWithoutRejection(t *testing.T) {
-	sc := newScene(t, nil)
-	verdict := sc.s.Requested(sc.now, Request{Client: 1, Key: 7, ClientTimeout: sec, MarkedRetry: true})
+	h := newHarness(t, nil)
+	verdict := h.detector.Requested(h.now, Request{Client: 1, Key: 7, ClientTimeout: sec, MarkedRetry: true})
 	if !verdict.Retry || verdict.FirstRequestedAt != 0 {
-		t.Fatalf("recognised as %+v", verdict)
+		t.Fatalf("got %+v, want a retry without a time of the first request", verdict)
 	}
 }
 
-// TestRequestedOfOtherClientOrKeyIsNoRetry checks that client and key both have to match.
+// TestRequestedOfOtherClientOrKeyIsNoRetry checks that a retry must match both the client and the key.
 func TestRequestedOfOtherClientOrKeyIsNoRetry(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.reject(1, 7)
+	h := newHarness(t, nil)
+	h.reject(1, 7)
 	for _, other := range [][2]uint64{{2, 7}, {1, 8}, {7, 1}} {
-		if _, verdict := sc.request(other[0], other[1]); verdict.Retry {
-			t.Errorf("client %d with key %d passes for a retry of client 1 with key 7", other[0], other[1])
+		if _, verdict := h.request(other[0], other[1]); verdict.Retry {
+			t.Errorf("client %d with key %d: got a retry of client 1 with key 7, want none", other[0], other[1])
 		}
 	}
 }
 
-// TestStormPassesThroughStates checks the states in order, and the bounds in a storm and after it.
+// TestStormPassesThroughStates checks the order of the states, and the bounds during and after a storm.
 func TestStormPassesThroughStates(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.run(500*ms, sc.storming(50))
-	sc.wants(Stormy)
-	b := sc.s.Bounds()
+	h := newHarness(t, nil)
+	h.run(500*ms, h.retryingClients(50))
+	h.wantState(Stormy)
+	b := h.detector.Bounds()
 	if !b.Active || b.Outage || b.RetryBudgetFraction != Default().RetryBudgetFraction {
-		t.Fatalf("bounds in a storm: %+v", b)
+		t.Fatalf("bounds in a storm: got %+v, want the default budget fraction and no outage", b)
 	}
 	next := uint64(1000)
-	calmly := func() {
+	firstRequests := func() {
 		for range 5 {
 			next++
-			sc.request(next, next)
+			h.request(next, next)
 		}
 	}
-	sc.run(5*sec, calmly)
-	sc.wants(Calm)
-	if sc.s.Bounds() != calm {
-		t.Fatalf("bounds when calm: %+v", sc.s.Bounds())
+	h.run(5*sec, firstRequests)
+	h.wantState(Calm)
+	if h.detector.Bounds() != calmBounds {
+		t.Fatalf("bounds after the storm: got %+v, want %+v", h.detector.Bounds(), calmBounds)
 	}
 	var states []string
-	for _, change := range sc.changes {
+	for _, change := range h.changes {
 		line := logLine(change)
 		c, ok := ParseChange(line)
 		if !ok || c.Change != change {
-			t.Fatalf("the line is read back as %+v: %s", c, line)
+			t.Fatalf("line %s: got %+v, want %+v", line, c, change)
 		}
 		states = append(states, c.To.String())
 	}
 	if got := strings.Join(states, " "); got != "rising storm recovering calm" {
-		t.Fatalf("states: %s", got)
+		t.Fatalf("got states %s, want rising storm recovering calm", got)
 	}
 }
 
-// TestFirstRequestsAreNoStorm checks a large crowd of first requests.
+// TestFirstRequestsAreNoStorm checks a high rate of first requests on new connections.
 func TestFirstRequestsAreNoStorm(t *testing.T) {
-	sc := newScene(t, nil)
+	h := newHarness(t, nil)
 	next := uint64(0)
-	sc.run(5*sec, func() {
+	h.run(5*sec, func() {
 		for range 5000 {
 			next++
-			sc.request(next, next)
-			sc.s.Connected()
+			h.request(next, next)
+			h.detector.Connected()
 		}
 	})
-	if len(sc.changes) > 0 {
-		t.Fatalf("%v", sc.changes)
+	if len(h.changes) > 0 {
+		t.Fatalf("got state changes %v, want none", h.changes)
 	}
 }
 
-// TestRejectionsWithoutRetriesAreNoStorm checks a crowd that is rejected and does not come back.
+// TestRejectionsWithoutRetriesAreNoStorm checks a high rate of rejected requests without retries.
 func TestRejectionsWithoutRetriesAreNoStorm(t *testing.T) {
-	sc := newScene(t, nil)
+	h := newHarness(t, nil)
 	next := uint64(0)
-	sc.run(5*sec, func() {
+	h.run(5*sec, func() {
 		for range 100 {
 			next++
-			sc.reject(next, next)
+			h.reject(next, next)
 		}
 	})
-	if len(sc.changes) > 0 {
-		t.Fatalf("%v", sc.changes)
+	if len(h.changes) > 0 {
+		t.Fatalf("got state changes %v, want none", h.changes)
 	}
 }
 
-// TestOutageIsReported checks that unreached caches make a storm, and that the bounds say so until its end.
+// TestOutageIsReported checks that unreached caches cause a storm, and that the bounds report an outage until the storm ends.
 func TestOutageIsReported(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.run(sec, func() {
+	h := newHarness(t, nil)
+	h.run(sec, func() {
 		for range 3 {
-			sc.s.AttemptEnded(false)
+			h.detector.AttemptEnded(false)
 		}
 	})
-	sc.wants(Stormy)
-	if !sc.s.Bounds().Outage {
-		t.Fatalf("bounds: %+v", sc.s.Bounds())
+	h.wantState(Stormy)
+	if !h.detector.Bounds().Outage {
+		t.Fatalf("bounds in the outage: got %+v, want an outage", h.detector.Bounds())
 	}
-	sc.run(sec, func() { sc.s.AttemptEnded(true) })
-	if !sc.s.Bounds().Outage {
-		t.Fatalf("that the caches have just come back is forgotten: %+v", sc.s.Bounds())
+	h.run(sec, func() { h.detector.AttemptEnded(true) })
+	if !h.detector.Bounds().Outage {
+		t.Fatalf("bounds just after the outage: got %+v, want an outage", h.detector.Bounds())
 	}
 }
 
-// TestRetryBudgetIsRestoredInSteps checks that no step raises the budget by more than a fifth.
+// TestRetryBudgetIsRestoredInSteps checks that no step raises the retry budget by more than a fifth.
 func TestRetryBudgetIsRestoredInSteps(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.run(sec, sc.storming(50))
+	h := newHarness(t, nil)
+	h.run(sec, h.retryingClients(50))
 	next := uint64(1000)
-	rose := sc.s.Bounds().RetryBudgetFraction
-	for sc.s.State() != Calm {
-		sc.run(Step, func() {
+	previous := h.detector.Bounds().RetryBudgetFraction
+	for h.detector.State() != Calm {
+		h.run(Step, func() {
 			for range 20 {
 				next++
-				sc.request(next, next)
+				h.request(next, next)
 			}
 		})
-		now := sc.s.Bounds().RetryBudgetFraction
-		if now-rose > 0.2 {
-			t.Fatalf("the budget rises from %.2f to %.2f in one step", rose, now)
+		now := h.detector.Bounds().RetryBudgetFraction
+		if now-previous > 0.2 {
+			t.Fatalf("one step raised the budget from %.2f to %.2f, want 0.2 at most", previous, now)
 		}
-		rose = now
-		if sc.now > zero+20*sec {
-			t.Fatal("it never ends")
+		previous = now
+		if h.now > startTime+20*sec {
+			t.Fatal("the storm did not end within 20 s")
 		}
 	}
 }
 
-// TestStateDoesNotFlapAtThreshold checks a ratio of retries about that at which a storm rises.
+// TestStateDoesNotFlapAtThreshold checks a ratio of retries close to the threshold of a storm.
 func TestStateDoesNotFlapAtThreshold(t *testing.T) {
-	sc := newScene(t, nil)
+	h := newHarness(t, nil)
 	rng := rand.New(rand.NewPCG(1, 2))
 	next := uint64(0)
-	sc.run(30*sec, func() {
+	h.run(30*sec, func() {
 		for range 20 {
 			next++
-			if rng.Float64() < 0.25 { // comes back at once, and is served
-				sc.reject(next, next)
+			if rng.Float64() < 0.25 { // the retry follows at once and is served
+				h.reject(next, next)
 			}
-			sc.request(next, next)
+			h.request(next, next)
 		}
 	})
-	if len(sc.changes) > 8 {
-		t.Fatalf("%d changes in 30 s: %v", len(sc.changes), sc.changes)
+	if len(h.changes) > 8 {
+		t.Fatalf("got %d state changes in 30 s, want 8 at most: %v", len(h.changes), h.changes)
 	}
 }
 
-// TestRelapseReturnsToStorm checks that a storm which comes back during recovery is one at once.
+// TestRelapseReturnsToStorm checks that retries during recovery return the detector to Stormy within 500 ms.
 func TestRelapseReturnsToStorm(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.run(sec, sc.storming(50))
+	h := newHarness(t, nil)
+	h.run(sec, h.retryingClients(50))
 	next := uint64(1000)
-	for sc.s.State() != Recovering {
-		sc.run(Step, func() {
+	for h.detector.State() != Recovering {
+		h.run(Step, func() {
 			for range 50 {
 				next++
-				sc.request(next, next)
+				h.request(next, next)
 			}
 		})
 	}
-	sc.run(500*ms, sc.storming(200))
-	sc.wants(Stormy)
+	h.run(500*ms, h.retryingClients(200))
+	h.wantState(Stormy)
 }
 
-// TestJitterGrowsToMaximum checks that the jitter grows while a storm goes on, up to its maximum.
+// TestJitterGrowsToMaximum checks that the jitter grows during a long storm, up to its maximum.
 func TestJitterGrowsToMaximum(t *testing.T) {
-	sc := newScene(t, nil)
-	sc.run(500*ms, sc.storming(50))
-	early := sc.s.Bounds().RetryAfterJitter
-	sc.run(10*sec, sc.storming(50))
-	if late := sc.s.Bounds().RetryAfterJitter; late <= early || late != Default().MaxRetryAfterJitter.Microseconds() {
-		t.Fatalf("waits up to %d at first and %d later", early, late)
+	h := newHarness(t, nil)
+	h.run(500*ms, h.retryingClients(50))
+	early := h.detector.Bounds().RetryAfterJitter
+	h.run(10*sec, h.retryingClients(50))
+	if late := h.detector.Bounds().RetryAfterJitter; late <= early || late != Default().MaxRetryAfterJitter.Microseconds() {
+		t.Fatalf("got a jitter of %d at first and %d later, want it to grow to the maximum", early, late)
 	}
 }
 
-// TestRequestedMarksAddressOverFairShare checks that one aggressive address is marked, and no other.
+// TestRequestedMarksAddressOverFairShare checks that only the aggressive one of many addresses is marked.
 func TestRequestedMarksAddressOverFairShare(t *testing.T) {
-	sc := newScene(t, nil)
+	h := newHarness(t, nil)
 	over := map[uint64]int{}
-	sc.run(4*sec, func() {
-		sc.storming(1000)()
+	h.run(4*sec, func() {
+		h.retryingClients(1000)()
 		for i := range uint64(200) {
-			if _, verdict := sc.request(1, 1_000_000+i); verdict.OverFairShare {
+			if _, verdict := h.request(1, 1_000_000+i); verdict.OverFairShare {
 				over[1]++
 			}
 		}
 		for c := uint64(2); c < 50; c++ {
-			if _, verdict := sc.request(c, 2_000_000+c); verdict.OverFairShare {
+			if _, verdict := h.request(c, 2_000_000+c); verdict.OverFairShare {
 				over[c]++
 			}
 		}
 	})
 	if over[1] == 0 || len(over) != 1 {
-		t.Fatalf("over its share: %v", over)
+		t.Fatalf("got requests over the fair share by address %v, want them of address 1 only", over)
 	}
 }
 
-// TestSingleAddressHasNoFairShare checks that a proxy which speaks for all clients is not bounded.
+// TestSingleAddressHasNoFairShare checks that a proxy in front of all clients is not limited as a single client.
 func TestSingleAddressHasNoFairShare(t *testing.T) {
-	sc := newScene(t, nil)
+	h := newHarness(t, nil)
 	key := uint64(0)
-	sc.run(5*sec, func() {
+	h.run(5*sec, func() {
 		for range 500 {
 			key++
-			if sc.reject(1, key%100).OverFairShare {
-				t.Fatal("a front layer that speaks for all is bounded as one client")
+			if h.reject(1, key%100).OverFairShare {
+				t.Fatal("the only address is over its fair share, want no limit")
 			}
 		}
 	})
-	sc.wants(Stormy)
+	h.wantState(Stormy)
 }
 
-// TestMemoryIsBounded checks tables after a hundred thousand addresses, and that most are still recognised.
+// TestMemoryIsBounded checks the size of the tables after a hundred thousand addresses, and that most retries are recognised.
 func TestMemoryIsBounded(t *testing.T) {
 	s := New(Default())
 	for c := range uint64(100_000) {
 		a := Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}
-		s.Unserved(zero, a, s.Requested(zero, a), zero)
+		s.Unserved(startTime, a, s.Requested(startTime, a), startTime)
 	}
-	most := Default().Remembered/associativity + 1
-	if len(s.refusals.sets) > most || len(s.addresses.sets) != addressSets {
-		t.Fatalf("%d sets of refusals, %d of addresses", len(s.refusals.sets), len(s.addresses.sets))
+	maxSets := Default().Remembered/associativity + 1
+	if len(s.unserved.sets) > maxSets || len(s.addresses.sets) != addressSets {
+		t.Fatalf("got %d sets of unserved requests and %d of addresses, want at most %d and %d", len(s.unserved.sets), len(s.addresses.sets),
+			maxSets, addressSets)
 	}
-	known := 0
+	recognised := 0
 	for c := range uint64(100_000) {
-		if s.Requested(zero+ms, Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}).Retry {
-			known++
+		if s.Requested(startTime+ms, Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}).Retry {
+			recognised++
 		}
 	}
-	if known < 50_000 {
-		t.Fatalf("%d of 100,000 are known again, with a capacity of %d", known, Default().Remembered)
+	if recognised < 50_000 {
+		t.Fatalf("recognised %d of 100,000 retries with a capacity of %d, want at least 50,000", recognised, Default().Remembered)
 	}
 }
 
 // TestEqualEventsGiveEqualChanges checks that the detector is deterministic.
 func TestEqualEventsGiveEqualChanges(t *testing.T) {
 	play := func() []Change {
-		sc := newScene(t, nil)
-		sc.run(2*sec, sc.storming(37))
-		sc.run(5*sec, nil)
-		return sc.changes
+		h := newHarness(t, nil)
+		h.run(2*sec, h.retryingClients(37))
+		h.run(5*sec, nil)
+		return h.changes
 	}
 	a, b := play(), play()
 	if len(a) == 0 || !slices.Equal(a, b) {
-		t.Fatalf("%v\n%v", a, b)
+		t.Fatalf("got different or no changes:\n%v\n%v", a, b)
 	}
 }
 
-// TestSingleRetryingClientIsNoStorm checks that one request counts as a retry once a second.
+// TestSingleRetryingClientIsNoStorm checks that a request counts as a retry only once per second, so that a single client with
+// frequent retries is no storm.
 func TestSingleRetryingClientIsNoStorm(t *testing.T) {
-	sc := newScene(t, nil)
+	h := newHarness(t, nil)
 	next := uint64(0)
-	sc.run(3*sec, func() {
+	h.run(3*sec, func() {
 		for range 50 {
-			sc.reject(1, 1)
+			h.reject(1, 1)
 		}
 		for range 2 {
 			next++
-			sc.request(next, next+10)
+			h.request(next, next+10)
 		}
 	})
-	if len(sc.changes) > 0 {
-		t.Fatalf("%v", sc.changes)
+	if len(h.changes) > 0 {
+		t.Fatalf("got state changes %v, want none", h.changes)
 	}
 }
 
-// TestFewRetriesAreNoStorm checks the minimum rate of retries.
+// TestFewRetriesAreNoStorm checks that retries below MinRetryRate are no storm.
 func TestFewRetriesAreNoStorm(t *testing.T) {
-	sc := newScene(t, func(c *Config) { c.MinRetryRate = 50 })
-	sc.run(3*sec, sc.storming(2))
-	if len(sc.changes) > 0 {
-		t.Fatalf("%v", sc.changes)
+	h := newHarness(t, func(c *Config) { c.MinRetryRate = 50 })
+	h.run(3*sec, h.retryingClients(2))
+	if len(h.changes) > 0 {
+		t.Fatalf("got state changes %v, want none", h.changes)
 	}
 }
 
-// TestShortRecoveryTimeEnds checks a recovery time of a single step.
+// TestShortRecoveryTimeEnds checks that a storm ends with a recovery time of a single step.
 func TestShortRecoveryTimeEnds(t *testing.T) {
-	sc := newScene(t, func(c *Config) { c.RecoveryTime = 100 * time.Millisecond })
-	sc.run(sec, sc.storming(50))
-	sc.run(10*sec, nil)
-	sc.wants(Calm)
+	h := newHarness(t, func(c *Config) { c.RecoveryTime = 100 * time.Millisecond })
+	h.run(sec, h.retryingClients(50))
+	h.run(10*sec, nil)
+	h.wantState(Calm)
 }
 
 func BenchmarkRequested(b *testing.B) {
@@ -421,29 +425,29 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		a := Request{Client: rendezvous.Mix(uint64(i % 100_000)), Key: uint64(i % 100_000), ClientTimeout: sec}
-		now := zero + Time(i)
+		now := startTime + Time(i)
 		s.Unserved(now, a, s.Requested(now, a), now)
 	}
 }
 
-// TestLostConnectionsAreNoStorm checks that requests whose connections break come back as first ones, and that rejections after
-// that count.
+// TestLostConnectionsAreNoStorm checks that retries after broken connections count as first requests, and that later rejections
+// still lead to a storm.
 func TestLostConnectionsAreNoStorm(t *testing.T) {
-	sc := newScene(t, nil)
-	again := false
-	sc.run(10*sec, func() {
+	h := newHarness(t, nil)
+	isRetry := false
+	h.run(10*sec, func() {
 		for c := range uint64(40) {
-			a := Request{Client: c, Key: c, ClientTimeout: sec, MarkedRetry: again}
-			if verdict := sc.s.Requested(sc.now, a); verdict.Retry || verdict.FirstRequestedAt != 0 {
-				t.Fatalf("what broke off comes back as %+v", verdict)
+			a := Request{Client: c, Key: c, ClientTimeout: sec, MarkedRetry: isRetry}
+			if verdict := h.detector.Requested(h.now, a); verdict.Retry || verdict.FirstRequestedAt != 0 {
+				t.Fatalf("retry after a broken connection: got %+v, want no retry", verdict)
 			}
-			if !again {
-				sc.s.ConnectionLost(sc.now, a, sc.now)
+			if !isRetry {
+				h.detector.ConnectionLost(h.now, a, h.now)
 			}
 		}
-		again = !again
+		isRetry = !isRetry
 	})
-	sc.wants(Calm)
-	sc.run(2*sec, sc.storming(100))
-	sc.wants(Stormy)
+	h.wantState(Calm)
+	h.run(2*sec, h.retryingClients(100))
+	h.wantState(Stormy)
 }
--- a/internal/retrystorm/refusals.go
+++ b/internal/retrystorm/refusals.go
@@ -2,37 +2,41 @@
 
 import "math"
 
-// connectionLost stands in place of a refusal's countedAt for a request whose connection broke.
+// connectionLost is the value of unservedRequest.countedAt for a request whose connection broke.
 const connectionLost = math.MaxUint32
 
-// associativity is the number of entries that a key may have in a set-associative table. An older entry is replaced.
+// associativity is the number of entries in each set of a set-associative table. A new entry replaces an older entry of its
+// set.
 const associativity = 4
 
-// refusal is a request that was rejected, failed or abandoned: 16 bytes. Times are in ms since the detector's epoch.
-type refusal struct {
-	tag       uint32 // of its key; 0 for an empty entry
-	since     uint32 // when its client requested it first
-	until     uint32 // when its client stops retrying
-	countedAt uint32 // when it was counted as a retry last; 0 for never
+// unservedRequest is a request that was rejected, failed or abandoned. It has 16 bytes. Times are in ms since the detector's
+// epoch.
+type unservedRequest struct {
+	tag       uint32 // tag of the key; 0 for an empty entry
+	since     uint32 // time of the client's first request
+	until     uint32 // time at which the client stops retrying
+	countedAt uint32 // time at which the request was last counted as a retry; 0 for never
 }
 
-// refusals is a set-associative table of requests that were not served. Its memory is allocated with the first one.
-type refusals struct {
+// unservedTable is a set-associative table of unserved requests. The first put allocates its memory.
+type unservedTable struct {
 	capacity int // entries
-	sets     [][associativity]refusal
+	sets     [][associativity]unservedRequest
 }
 
-func (r *refusals) set(key uint64) *[associativity]refusal { return &r.sets[key%uint64(len(r.sets))] }
+func (u *unservedTable) set(key uint64) *[associativity]unservedRequest {
+	return &u.sets[key%uint64(len(u.sets))]
+}
 
-// tagOf returns the part of a key that is stored, which is never 0.
+// tagOf returns the part of a key that the tables store, which is never 0.
 func tagOf(key uint64) uint32 { return uint32(key>>32) | 1 }
 
-// put stores a refusal, in place of one that is over or else of the one that is over first.
-func (r *refusals) put(key uint64, e refusal, now uint32) {
-	if r.sets == nil {
-		r.sets = make([][associativity]refusal, max(1, r.capacity/associativity))
+// put stores an unserved request. It replaces an empty or expired entry, or else the entry that expires first.
+func (u *unservedTable) put(key uint64, e unservedRequest, now uint32) {
+	if u.sets == nil {
+		u.sets = make([][associativity]unservedRequest, max(1, u.capacity/associativity))
 	}
-	set, replaced := r.set(key), 0
+	set, replaced := u.set(key), 0
 	for i := range set {
 		if set[i].tag == 0 || set[i].until <= now {
 			replaced = i
@@ -46,22 +50,22 @@
 	set[replaced] = e
 }
 
-// take finds the refusal that a request is the retry of, and removes it. One refusal accounts for one retry: otherwise all
-// clients behind one address that request the same key would count as retrying.
-func (r *refusals) take(key uint64, now uint32) (e refusal, found bool) {
-	if r.sets == nil {
+// take removes and returns the unserved request that a request retries. One unserved request accounts for one retry.
+// Otherwise all requests for the same key by clients behind one address would count as retries.
+func (u *unservedTable) take(key uint64, now uint32) (e unservedRequest, found bool) {
+	if u.sets == nil {
 		return e, false
 	}
-	set := r.set(key)
+	set := u.set(key)
 	for i := range set {
 		e = set[i]
 		if e.tag != tagOf(key) {
 			continue
 		}
-		set[i] = refusal{}
+		set[i] = unservedRequest{}
 		if e.until > now {
 			return e, true
 		}
 	}
-	return refusal{}, false
+	return unservedRequest{}, false
 }
--- a/internal/retrystorm/window.go
+++ b/internal/retrystorm/window.go
@@ -1,49 +1,49 @@
 package retrystorm
 
-// windowSteps is the number of steps in the window: a second. All counts leave it together, as ones that fade would stay a
-// part of the rates for the longer the larger a storm was.
+// windowSteps is the number of steps in the window, which lasts one second. The window has no exponential decay: decayed
+// counts of a larger storm would affect the rates for longer.
 const windowSteps = 10
 
-// window counts events over the latest steps.
+// window counts the events of the latest windowSteps steps.
 type window struct {
 	steps [windowSteps]counts
-	at    int // index of the present step
+	index int // of the current step
 }
 
 // counts are the events of one step.
 type counts struct {
 	requests      int
-	firstRequests int // the first on their connections
-	retries       int // requests that were not served before; each counts once a second
-	repeats       int // retries beyond that
+	firstRequests int // requests that are the first on their connections
+	retries       int // requests that were not served before; counted once per second for each request
+	repeats       int // retries that are not counted in retries
 	unserved      int
 	reached       int // attempts that reached their cache
-	unreached     int // attempts that did not
-	connections   int // new ones of clients
+	unreached     int // attempts that did not reach their cache
+	connections   int // new client connections
 }
 
-func (w *window) current() *counts { return &w.steps[w.at] }
+func (w *window) current() *counts { return &w.steps[w.index] }
 
-// advance begins the next step, in place of the oldest one.
+// advance begins the next step and discards the counts of the oldest step.
 func (w *window) advance() {
-	w.at = (w.at + 1) % windowSteps
-	w.steps[w.at] = counts{}
+	w.index = (w.index + 1) % windowSteps
+	w.steps[w.index] = counts{}
 }
 
-// rates are what the state depends on: events a second, and ratios of them.
+// rates are the inputs of the state: events per second, and ratios of events.
 type rates struct {
 	requests    float64
 	retries     float64
 	connections float64
 	unreached   float64
 
-	retryRatio        float64 // of retries among requests, repeats left out
-	unservedRatio     float64 // of unserved among requests
-	outageRatio       float64 // of unreached among attempts
-	firstRequestRatio float64 // of first requests on their connections among requests
+	retryRatio        float64 // retries to requests, without repeats
+	unservedRatio     float64 // unserved requests to requests
+	outageRatio       float64 // unreached attempts to attempts
+	firstRequestRatio float64 // first requests on their connections to requests
 }
 
-// rates sums the window up.
+// rates returns the rates over the window.
 func (w *window) rates() rates {
 	var sum counts
 	for _, c := range w.steps {
