--- a/internal/gossip/agreement.go
+++ b/internal/gossip/agreement.go
@@ -10,32 +10,34 @@
 )
 
 const (
-	// settledCompareRounds and unsettledCompareRounds are the numbers of rounds between comparisons of digests.
+	// settledCompareRounds and unsettledCompareRounds are the rounds between comparisons of digests while the view is settled
+	// and unsettled.
 	settledCompareRounds   = 5
 	unsettledCompareRounds = 2
-	// leftAnnounceTime is for how long a comparison names members that have left. A member that left is in no digest: without
-	// a bound, a router that missed its leaving would be sent all other members again and again.
+	// leftAnnounceTime is how long the answer to a comparison includes a member that left. No digest covers members that left,
+	// so without this limit a router that missed that a member left would be sent all other members repeatedly.
 	leftAnnounceTime Time = 60_000_000
-	// unsettledMemory is for how long a member that was not settled is sent who agrees.
-	unsettledMemory Time = 2_000_000
-	// agreedOverhead is the number of bytes that a field of agreed members takes beside them.
-	agreedOverhead = 3
+	// unsettledRetention is how long after a member announced an unsettled view or another digest this router sends it the
+	// agreed members.
+	unsettledRetention Time = 2_000_000
+	// agreedFieldOverhead is the number of bytes that the field of agreed members takes besides the bit set.
+	agreedFieldOverhead = 3
 )
 
-// agreement is what a view knows about whether all members have the same view.
+// agreement tracks whether all members have the same view.
 type agreement struct {
-	digest           uint64 // of this view
-	settled          bool   // all members that are alive have announced this digest
+	digest           uint64 // digest of this view
+	settled          bool   // all members that are alive have announced digest
 	settledChangedAt Time
 
-	names      []string // of the members in the digest, in order; members with the same digest have the same names
-	namesStale bool     // names have to be made anew
+	names      []string // sorted names of the members in the digest; views with the same digest have the same names
+	namesStale bool     // names must be rebuilt
 
-	agreed       []uint64 // bit set over names: members that have announced agreedDigest
+	agreed       []uint64 // bit set over names of the members that have announced agreedDigest
 	agreedDigest uint64
 }
 
-// updateNames makes the ordered names anew where members have come or gone.
+// updateNames rebuilds the sorted names if members were added or have left.
 func (v *View) updateNames() {
 	a := &v.agreement
 	if !a.namesStale {
@@ -51,7 +53,7 @@
 	slices.Sort(a.names)
 }
 
-// markAgreed notes that a member has announced this view's digest.
+// markAgreed records that a member has announced this view's digest.
 func (a *agreement) markAgreed(name string) {
 	if i, found := slices.BinarySearch(a.names, name); found {
 		a.agreed[i/64] |= 1 << (i % 64)
@@ -68,8 +70,8 @@
 	}
 }
 
-// agreedBytes returns the members that have announced this view's digest; nil where it is this router alone, as its digest
-// is in the header.
+// agreedBytes returns the bit set of the members that have announced this view's digest. It returns nil if only this router
+// has, because the header of each datagram holds this router's digest.
 func (a *agreement) agreedBytes() []byte {
 	if a.agreedDigest != a.digest {
 		return nil
@@ -88,7 +90,7 @@
 	return raw
 }
 
-// updateSettled judges whether all members that are alive have announced the digest of this view.
+// updateSettled determines whether all members that are alive have announced the digest of this view.
 func (v *View) updateSettled() {
 	a := &v.agreement
 	v.updateNames()
@@ -98,16 +100,16 @@
 		a.agreed = make([]uint64, words)
 		a.markAgreed(v.cfg.Name)
 	}
-	settled := !v.retired && !v.gone && v.allAgreed()
-	if settled && !a.settled && v.cfg.Defect != UpdatesForever {
-		// Everybody has the members' states: updates of nothing else need not be sent any more.
+	settled := !v.retired && !v.ended && v.allAgreed()
+	if settled && !a.settled && v.cfg.Defect != UpdatesNeverDropped {
+		// All members know the members' states, so updates that carry nothing else can be dropped.
 		v.updates = slices.DeleteFunc(v.updates, func(q *queuedUpdate) bool { return q.update.revision <= 1 && q.update.addr == "" })
 	}
 	if settled == a.settled {
 		return
 	}
 	a.settled, a.settledChangedAt = settled, v.now
-	v.do(Changed{})
+	v.addAction(Changed{})
 	digest := slog.String("digest", fmt.Sprintf("%016x", a.digest))
 	if settled {
 		v.log(slog.LevelInfo, "gossip view settled", slog.Int("alive", v.countAlive()), slog.Int("known", len(a.names)), digest)
@@ -116,7 +118,7 @@
 	}
 }
 
-// allAgreed reports whether every member that is alive has announced the digest.
+// allAgreed reports whether every member that is alive has announced this view's digest.
 func (v *View) allAgreed() bool {
 	if v.cfg.Defect == SettledEarly {
 		return true
@@ -130,18 +132,19 @@
 	return true
 }
 
-// Settled reports whether all members that are alive have announced the digest of this view, since when that is or is not
-// so, and the digest.
+// Settled reports whether all members that are alive have announced the digest of this view, when this last changed, and the
+// digest.
 func (v *View) Settled() (settled bool, since Time, digest uint64) {
 	return v.agreement.settled, v.agreement.settledChangedAt, v.agreement.digest
 }
 
-// applyAgreement notes who has announced this view's digest: the sender of a datagram, and those that it knows of.
+// applyAgreement records the members that have announced this view's digest: the sender of a datagram and the members that the
+// datagram lists.
 func (v *View) applyAgreement(m *member, d *datagram) {
 	v.updateSettled()
 	if d.digest != v.agreement.digest {
 		if d.settled || v.agreement.settled {
-			v.compareSoon() // one of the two has missed an update
+			v.compareNextRound() // one of the two routers has missed an update
 		}
 		m.unsettledAt = v.now
 		return
@@ -153,12 +156,12 @@
 	v.agreement.mergeAgreed(d.agreed)
 }
 
-// needsAgreement reports whether a datagram to a member, which may be nil, should say who agrees.
+// needsAgreement reports whether a datagram to receiver, which may be nil, should list the agreed members.
 func (v *View) needsAgreement(receiver *member) bool {
-	return !v.agreement.settled || receiver != nil && receiver.unsettledAt > 0 && v.now < receiver.unsettledAt+unsettledMemory
+	return !v.agreement.settled || receiver != nil && receiver.unsettledAt > 0 && v.now < receiver.unsettledAt+unsettledRetention
 }
 
-// appendAgreement adds this router's own state, which a receiver that does not know it yet needs, and who agrees.
+// appendAgreement appends this router's own state, which the receiver may not know yet, and the agreed members.
 func (v *View) appendAgreement(b []byte, receiver *member, maxBytes int) []byte {
 	if !v.needsAgreement(receiver) {
 		return b
@@ -167,7 +170,7 @@
 		u := v.updateOf(v.self, "")
 		b, _ = appendUpdate(b, &u, maxBytes)
 	}
-	if len(b)+len(v.agreement.agreed)*8+agreedOverhead > maxBytes {
+	if len(b)+len(v.agreement.agreed)*8+agreedFieldOverhead > maxBytes {
 		return b
 	}
 	if raw := v.agreement.agreedBytes(); len(raw) > 0 {
@@ -187,10 +190,10 @@
 	}
 }
 
-// compareSoon has digests be compared in the next round.
-func (v *View) compareSoon() { v.compareRound = min(v.compareRound, v.rounds+1) }
+// compareNextRound schedules a comparison of digests for the next round.
+func (v *View) compareNextRound() { v.compareRound = min(v.compareRound, v.rounds+1) }
 
-// partDigests returns digests of the parts of the view, with what members announce of themselves.
+// partDigests returns a digest of each part of the view. The digests cover the data that members announce about themselves.
 func (v *View) partDigests() []uint32 {
 	parts := make([]uint32, viewParts)
 	for _, m := range v.members { // any order: a sum
@@ -201,10 +204,10 @@
 	return parts
 }
 
-// partOf returns the part of the view that a member belongs to.
+// partOf returns the index of the part of the view that a member belongs to.
 func partOf(name string) int { return int(rendezvous.Hash(name+"/") % viewParts) }
 
-// answerDigests sends the members of the parts that differ, and compares the other way round soon.
+// answerDigests sends the members of the parts that differ, and schedules a comparison in which this router sends its digests.
 func (v *View) answerDigests(from string, d *datagram, size int) {
 	if len(d.parts) != viewParts {
 		return
@@ -220,7 +223,7 @@
 	if len(names) == 0 && slices.Equal(own, d.parts) {
 		return
 	}
-	v.compareSoon()
+	v.compareNextRound()
 	slices.Sort(names)
 	v.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	b := v.beginDatagram(&datagram{header: header{kind: differences}})
--- a/internal/gossip/api.go
+++ b/internal/gossip/api.go
@@ -1,17 +1,18 @@
-// Package gossip is a router's view of the other routers: which there are, which of them are believed to have failed, and
-// whether all routers have the same view.
+// Package gossip maintains a router's view of the other routers: the members, the members that are believed to have failed,
+// and whether all routers have the same view.
 //
-// It is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018): members probe one
-// another at a fixed interval, probe indirectly through others where no acknowledgement comes, and declare a member faulty
-// only after a suspicion that it can refute. Updates are piggybacked on probes, each a bounded number of times. Beyond that:
-//   - Faulty members are polled for as long as they are configured, so that a partition heals by itself.
-//   - A claim that a member is faulty is not believed: a router that receives one suspects the member itself, and notifies it.
-//   - Updates that were lost are found by comparing digests in pairs (anti-entropy).
+// The protocol is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018). Members
+// probe one another at a fixed interval, probe indirectly through other members if no acknowledgement arrives, and declare a
+// member faulty only after a suspicion that the member can refute. Updates are piggybacked on probes, each a bounded number of
+// times. The package adds to SWIM and Lifeguard:
+//   - A router polls faulty members while their addresses are configured, so that the view recovers after a partition.
+//   - A router doesn't trust a claim that a member is faulty: the router suspects the member itself and notifies the member.
+//   - Routers detect lost updates by comparing digests in pairs (anti-entropy).
 //   - A view is settled once all members that are alive have announced the same digest.
 //
-// A View is fed events and returns actions. It performs no I/O, reads no clock and starts no goroutine: the time comes in
-// with each event, and equal events give equal actions. It never says anything about caches, and no router may act on a
-// cache because of it.
+// A View is a state machine that maps events to actions. It performs no I/O, reads no clock and starts no goroutine: each event
+// carries the time, and equal events give equal actions. A View holds no information about caches, and a router must not
+// act on a cache because of its View.
 package gossip
 
 import (
@@ -22,30 +23,30 @@
 	"slices"
 )
 
-// Time is an instant or a span in microseconds.
+// Time is an instant or a duration in microseconds.
 type Time = int64
 
-// Bounds of what is accepted.
+// Limits on names, members and datagrams.
 const (
-	MaxNameBytes     = 32   // bytes of a name
-	MaxMembers       = 8192 // members of a view, configured addresses included
-	MaxDatagramBytes = 256  // bytes of a datagram that is sent or received: the platform's bound
+	MaxNameBytes     = 32   // length of a member's name
+	MaxMembers       = 8192 // members of a view; also the limit on configured addresses
+	MaxDatagramBytes = 256  // length of a datagram that is sent or received; the platform's limit
 )
 
-// maxIncarnationLead is how far, in milliseconds, an incarnation may be ahead of this router's clock. One near the largest
-// number could never be refuted, and a restarted member never be distinguished from its earlier process.
+// maxIncarnationLead is the maximum, in milliseconds, by which an incarnation may be ahead of this router's clock. An incarnation
+// near the largest number could never be refuted, and a restarted member could not be distinguished from its earlier process.
 const maxIncarnationLead = 24 * 60 * 60 * 1000
 
-// State is what a member is believed to be.
+// State is the state of a member as this router believes it to be.
 type State uint8
 
 // States of a member.
 const (
-	Alive   State = iota // it answers
-	Leaving              // it drains, as it has announced
-	Suspect              // it did not answer, and may refute that it has failed
-	Faulty               // it is believed to have failed; it is polled
-	Left                 // it has ended, as it had announced
+	Alive   State = iota // the member answers probes
+	Leaving              // the member has announced that it drains
+	Suspect              // the member did not answer a probe and may still refute the suspicion
+	Faulty               // the member is believed to have failed, and its address is polled
+	Left                 // the member has ended after announcing that it leaves
 	states
 )
 
@@ -54,71 +55,73 @@
 // String returns the state in lower case.
 func (s State) String() string { return stateNames[min(s, Left)] }
 
-// IsAlive reports whether a member in that state is believed to run.
+// IsAlive reports whether a member in state s is believed to run.
 func (s State) IsAlive() bool { return s == Alive || s == Leaving || s == Suspect }
 
-// Info is what each member announces of itself.
+// Info is the data that each member announces about itself.
 type Info struct {
-	List   uint64 // version of the endpoint list that it acts on
-	Digest uint32 // digest of that list
-	Config uint32 // digest of its configuration
-	Build  uint32 // digest of its program
+	List   uint64 // version of the endpoint list that the member uses
+	Digest uint32 // digest of that endpoint list
+	Config uint32 // digest of the member's configuration
+	Build  uint32 // digest of the member's program
 }
 
 // Member is one member of a view.
 type Member struct {
 	Name        string
-	Addr        string // where this router sends to; empty where it is unknown
+	Addr        string // address that this router sends to; empty if unknown
 	State       State
-	Incarnation uint64 // in Unix milliseconds of its start, and one more for each refutation
-	Since       Time   // when it came into that state at this router
+	Incarnation uint64 // the member's start in Unix milliseconds, plus one for each refutation
+	Since       Time   // when the member entered State at this router
 	Info        Info
-	Configured  bool // its address stands in this router's configuration
+	Configured  bool // Addr is in this router's configuration
 }
 
-// Config configures a view. DefaultConfig has the defaults of the figures.
+// Config configures a view. DefaultConfig returns the defaults of Interval, Timeout and Suspicion.
 type Config struct {
-	Name  string   // of this router; 1 to MaxNameBytes bytes
-	Start uint64   // Unix time in milliseconds: the first incarnation
-	Boot  uint32   // random; distinguishes this process from earlier ones of the same name
-	Seed  uint64   // of the view's random choices
+	Name  string   // name of this router; 1 to MaxNameBytes bytes
+	Start uint64   // Unix time in milliseconds; the first incarnation
+	Boot  uint32   // random number that distinguishes this process from earlier processes with the same name
+	Seed  uint64   // seed of the view's random number generator
 	Peers []string // addresses of other routers
-	Seeds []string // addresses that are polled as peers are; members that come through them are accepted from any address
-	Addr  string   // where other routers reach this one; needed with Seeds, announced to all
+	Seeds []string // addresses that are polled like Peers; members discovered through them are accepted from any address
+	Addr  string   // address at which other routers reach this one; required with Seeds, announced to all members
 	Info  Info
 
-	// Interval is the time between probes. Raising it detects failures later; lowering it costs datagrams.
+	// Interval is the time between probes. A longer interval delays the detection of failures; a shorter one sends more
+	// datagrams.
 	Interval Time
-	// Timeout is the time in which a probe should be acknowledged. Raising it delays indirect probes; lowering it makes more
-	// of them, and suspicions on slow links.
+	// Timeout is the time within which a probe should be acknowledged. A longer timeout delays indirect probes; a shorter one
+	// causes more indirect probes, and suspicions on slow links.
 	Timeout Time
-	// Suspicion is the minimum time for which a member is suspected, in intervals times the logarithm of the number of
-	// members. Raising it detects failures later; lowering it leaves less time to refute.
+	// Suspicion is the minimum duration of a suspicion, in intervals times the logarithm of the number of members. A larger
+	// value delays the detection of failures; a smaller one leaves a member less time to refute the suspicion.
 	Suspicion int
-	// Plain leaves out the extensions of Lifeguard, and what this package adds to SWIM, for measurements against them.
+	// Plain disables the extensions of Lifeguard and the additions of this package to SWIM, so that measurements can compare
+	// against plain SWIM.
 	Plain bool
-	// Defect plants a defect, to check that tests find it.
+	// Defect is the defect to inject, if any; tests inject defects to verify that they are detected.
 	Defect Defect
 }
 
-// Defect is a defect that can be planted.
+// Defect is a defect that tests can inject.
 type Defect uint8
 
-// Defects, with what goes wrong.
+// Defects that tests can inject.
 const (
-	NoDefect          Defect = iota
-	FaultyNeverProbed        // faulty members are not polled
-	NotRaised                // a refutation does not raise the incarnation
-	UpdatesForever           // an update is sent without a bound
-	NoTimeout                // a suspicion does not end
-	GreedyMinority           // the divisor shrinks in a minority
-	SettledEarly             // a view is settled before all have announced its digest
-	Replayable               // replayed datagrams are accepted
-	Defects                  // the number of them
+	NoDefect              Defect = iota
+	FaultyNeverProbed            // faulty members are not polled
+	IncarnationNotRaised         // a refutation does not raise the incarnation
+	UpdatesNeverDropped          // an update is sent an unlimited number of times
+	SuspicionNeverExpires        // a suspicion has no timeout
+	GreedyMinority               // the divisor shrinks on the minority side of a partition
+	SettledEarly                 // a view is settled before all members have announced its digest
+	Replayable                   // replayed datagrams are accepted
+	Defects                      // number of the values above
 )
 
-// DefaultConfig returns the figures that hold where nothing else is configured. docs/design/fleet.md has what they were
-// measured by.
+// DefaultConfig returns the default Interval, Timeout and Suspicion. docs/design/fleet.md describes the measurements behind
+// them.
 func DefaultConfig() Config {
 	return Config{Interval: 150_000, Timeout: 50_000, Suspicion: 3}
 }
@@ -126,13 +129,13 @@
 // minInterval is the shortest interval between probes.
 const minInterval Time = 10_000
 
-// check names the first field that is out of range.
+// check returns an error that names the first field that is out of range.
 func (c *Config) check() error {
 	if len(c.Name) == 0 || len(c.Name) > MaxNameBytes {
-		return fmt.Errorf("fleet: a name of %d bytes, 1 to %d are allowed", len(c.Name), MaxNameBytes)
+		return fmt.Errorf("fleet: name has %d bytes, want 1 to %d", len(c.Name), MaxNameBytes)
 	}
 	if len(c.Peers)+len(c.Seeds) > MaxMembers {
-		return fmt.Errorf("fleet: %d peers and seeds, at most %d", len(c.Peers)+len(c.Seeds), MaxMembers)
+		return fmt.Errorf("fleet: %d peers and seeds, want at most %d", len(c.Peers)+len(c.Seeds), MaxMembers)
 	}
 	for _, address := range slices.Concat(c.Peers, c.Seeds) {
 		if _, err := netip.ParseAddrPort(address); err != nil {
@@ -141,34 +144,34 @@
 	}
 	if len(c.Seeds) > 0 {
 		if _, err := netip.ParseAddrPort(c.Addr); err != nil {
-			return fmt.Errorf("fleet: address %q, to be told to others: %w", c.Addr, err)
+			return fmt.Errorf("fleet: address %q to announce to other routers: %w", c.Addr, err)
 		}
 	}
 	if c.Interval < minInterval || c.Timeout <= 0 || c.Timeout*2 >= c.Interval || c.Suspicion < 1 {
-		return errTimeout
+		return errIntervals
 	}
 	return nil
 }
 
-var errTimeout = errors.New("fleet: the timeout has to be under half of the interval, which is 10 ms at least")
+var errIntervals = errors.New("fleet: interval must be at least 10 ms, timeout above 0 and under half of the interval, suspicion at least 1")
 
-// Event is anything that a view is notified of: *DatagramReceived, *Tick, *UpdateInfo, *Leave or *Peers.
+// Event is an input of a view: *DatagramReceived, *Tick, *UpdateInfo, *Leave or *Peers.
 type Event interface{ event() }
 
-// DatagramReceived brings a datagram. The view does not retain Data.
+// DatagramReceived carries a received datagram. The view does not retain Data.
 type DatagramReceived struct {
 	From string
 	Data []byte
 }
 
-// Tick comes at or after the time that a Wake has asked for.
+// Tick is the event that the latest Wake requested. It arrives at or after Wake.At.
 type Tick struct{}
 
-// UpdateInfo changes what this router announces of itself.
+// UpdateInfo replaces the data that this router announces about itself.
 type UpdateInfo struct{ Info Info }
 
-// Leave says that this router drains, or with Gone that it ends now.
-type Leave struct{ Gone bool }
+// Leave reports that this router drains or, if Ended is set, that it ends now.
+type Leave struct{ Ended bool }
 
 // Peers replaces the configured addresses.
 type Peers struct{ Peers []string }
@@ -179,7 +182,7 @@
 func (*Leave) event()            {}
 func (*Peers) event()            {}
 
-// Action is anything that a view wants done. The caller carries actions out in order.
+// Action is an output of a view: Send, Wake, Changed or Log. The caller performs actions in order.
 type Action interface{ action() }
 
 // Send sends a datagram. Data is valid until the next event.
@@ -188,14 +191,14 @@
 	Data []byte
 }
 
-// Wake asks for a Tick at or after At. It replaces the Wake before.
+// Wake requests a Tick at or after At. It replaces the previous Wake.
 type Wake struct{ At Time }
 
-// Changed says that a member came, went or changed its state other than by a suspicion, or that the view became settled or
-// unsettled.
+// Changed reports that a member was added or changed its state, except by a suspicion or its refutation, that the view became
+// settled or unsettled, or that another router has taken this router's name.
 type Changed struct{}
 
-// Log adds a line to the log, for the engineer on call.
+// Log writes a record to the log, for the engineer on call.
 type Log struct {
 	Level   slog.Level
 	Message string
@@ -209,15 +212,15 @@
 
 // Counts are counters of a view since its start.
 type Counts struct {
-	Sent      int // datagrams sent
-	SentBytes int // bytes of them
-	Taken     int // datagrams accepted
-	Longest   int // bytes of the longest datagram sent
-	Garbage   int // datagrams that could not be read
-	Foreign   int // datagrams of routers that are no members, or that bear this router's name
-	Replayed  int // datagrams that came again, or of an earlier process
-	Wrong     int // figures out of range
-	Stalls    int // times that this process did not run for longer than an interval
-	Refuted   int // claims on this router that it refuted
-	Accused   int // members that this router declared faulty
+	Sent         int // datagrams sent
+	SentBytes    int // total bytes of the datagrams sent
+	Accepted     int // datagrams accepted
+	LongestBytes int // bytes of the longest datagram sent
+	Unreadable   int // datagrams that could not be decoded
+	NonMember    int // datagrams from routers that are not members, or that use this router's name
+	Replayed     int // datagrams received before, or sent by an earlier process of a member
+	OutOfRange   int // incarnations out of range, and members beyond MaxMembers
+	Stalls       int // times that this process did not run for longer than an interval
+	Refuted      int // claims about this router that it refuted
+	Accused      int // members that this router declared faulty
 }
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newLargeView returns a view of so many members, with none of which it has settled.
+// newLargeView returns a view with the given number of other members, which has not settled.
 func newLargeView(b *testing.B, members int) *View {
 	c := testConfig()
 	for i := range members {
@@ -22,7 +22,7 @@
 	return v
 }
 
-// BenchmarkGarbage measures an unreadable datagram at a view of three hundred members.
+// BenchmarkGarbage measures the handling of an unreadable datagram by a view of 300 other members.
 func BenchmarkGarbage(b *testing.B) {
 	v := newLargeView(b, 300)
 	data := make([]byte, 200)
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkUnknownSender measures a readable datagram from an unknown address.
+// BenchmarkUnknownSender measures the handling of a readable datagram from an unknown address.
 func BenchmarkUnknownSender(b *testing.B) {
 	v := newLargeView(b, 300)
 	data := (&datagram{header: header{kind: ping, name: "x", boot: 9, sequence: 1, incarnation: 1_796_000_000_000}, nonce: 3}).append(nil)
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkPing measures a member's probe with its answer.
+// BenchmarkPing measures the handling of a member's ping, including the acknowledgement.
 func BenchmarkPing(b *testing.B) {
 	v := newLargeView(b, 300)
 	for n := range b.N {
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -7,25 +7,27 @@
 )
 
 const (
-	// retransmitFactor is how often an update is sent, in logarithms of the number of members.
+	// retransmitFactor is the number of times an update is sent per binary logarithm of the number of members.
 	retransmitFactor = 3
-	// receivedCountsAs is the number of sendings that an update counts which another router sends too.
-	receivedCountsAs = 2
-	// maxUpdatesSent is the number of updates in a datagram, at most.
+	// sendsPerReceived is the number of transmissions that a copy of a queued update received from another router counts as.
+	sendsPerReceived = 2
+	// maxUpdatesSent is the index of the update at which this router stops appending queued updates, or the updates that answer
+	// digests, to a datagram.
 	maxUpdatesSent = maxUpdates - 1
 )
 
 // queuedUpdate is an update that is piggybacked on datagrams.
 type queuedUpdate struct {
 	update   update
-	sent     int    // sendings so far
-	sequence uint64 // of queueing; the latest is sent first
+	sent     int    // transmissions so far
+	sequence uint64 // position in the order of queueing; of equally often sent updates, the latest is sent first
 }
 
-// broadcast queues what this view holds of a member, in place of all earlier updates of it.
+// broadcast queues this view's state of a member. The update replaces all queued updates about the member.
 func (v *View) broadcast(m *member) { v.enqueue(m, "") }
 
-// broadcastSuspicion queues that a router suspects a member, in place of that router's earlier suspicions.
+// broadcastSuspicion queues the claim that the router by suspects a member. The update replaces queued updates about the
+// member that are from the same router or about another incarnation.
 func (v *View) broadcastSuspicion(m *member, by string) { v.enqueue(m, by) }
 
 func (v *View) enqueue(m *member, by string) {
@@ -36,32 +38,34 @@
 	v.updates = append(v.updates, &queuedUpdate{update: v.updateOf(m, by), sequence: v.sequence})
 }
 
-// dropUpdatesOf drops the queued updates of a member, but for suspicions.
+// dropUpdatesOf drops the queued updates about a member, except suspicions.
 func (v *View) dropUpdatesOf(m *member) {
 	v.updates = slices.DeleteFunc(v.updates, func(q *queuedUpdate) bool { return q.update.name == m.Name && q.update.by == "" })
 }
 
-// PendingUpdates returns the number of updates that are still being sent.
+// PendingUpdates returns the number of queued updates.
 func (v *View) PendingUpdates() int { return len(v.updates) }
 
-// countAsSent counts an update that another router sends as sent by this one: it has spread so far already.
+// countAsSent counts a copy of a queued update that another router sent toward this router's transmissions of the update,
+// because the update has already spread that far.
 func (v *View) countAsSent(u *update) {
 	for _, q := range v.updates {
 		if q.update.sameClaim(u) {
-			q.sent += receivedCountsAs
+			q.sent += sendsPerReceived
 			return
 		}
 	}
 }
 
-// sameClaim reports whether two updates claim the same of the same member.
+// sameClaim reports whether two updates make the same claim about the same member.
 func (u *update) sameClaim(other *update) bool {
 	return u.name == other.name && u.state == other.state && u.incarnation == other.incarnation && u.boot == other.boot &&
 		u.revision == other.revision && u.by == other.by
 }
 
-// updateOf returns what this view holds of a member. With the name of a router, it is the claim that the router suspects the
-// member; without, a suspect is described as it announced itself.
+// updateOf returns an update with this view's state of a member. If by names a router, the update claims that this router
+// suspects the member, or that the member is faulty. If by is empty, the update gives a suspect the state that the member
+// announced.
 func (v *View) updateOf(m *member, by string) update {
 	u := update{name: m.Name, state: m.State, incarnation: m.Incarnation, boot: m.boot, by: by}
 	if by != "" {
@@ -76,8 +80,8 @@
 	return u
 }
 
-// send sends a datagram of at most so many bytes, filled up with updates: first what its receiver, which may be nil, is
-// suspected of, then what agreement needs, then queued updates.
+// send sends a datagram and fills it up to maxBytes with updates: first the suspicion of the receiver, which may be nil, then the
+// data for agreement, then queued updates.
 func (v *View) send(addr string, d datagram, receiver *member, maxBytes int) {
 	if addr == "" {
 		return
@@ -92,7 +96,7 @@
 	v.emit(addr, b)
 }
 
-// beginDatagram writes a datagram up to its updates, into a buffer that is valid until the next event.
+// beginDatagram writes a datagram except its updates into a buffer that is valid until the next event.
 func (v *View) beginDatagram(d *datagram) []byte {
 	v.sequence++
 	d.name, d.boot, d.sequence, d.incarnation = v.cfg.Name, v.self.boot, v.sequence, v.self.Incarnation
@@ -105,20 +109,20 @@
 	return d.append(v.buffers[v.usedBuffers][:0])
 }
 
-// runTime returns for how long this process has run, in tenths of a second, counted from 1.
+// runTime returns how long this process has run, in tenths of a second plus 1.
 func (v *View) runTime() uint64 { return uint64(v.now-v.startAt)/100_000 + 1 }
 
-// emit sends the datagram that was begun last.
+// emit sends the datagram b, which was begun by the latest call of beginDatagram.
 func (v *View) emit(addr string, b []byte) {
 	v.buffers[v.usedBuffers] = b
 	v.usedBuffers++
 	v.counts.Sent++
 	v.counts.SentBytes += len(b)
-	v.counts.Longest = max(v.counts.Longest, len(b))
-	v.do(Send{addr, b})
+	v.counts.LongestBytes = max(v.counts.LongestBytes, len(b))
+	v.addAction(Send{addr, b})
 }
 
-// appendQueued adds as many queued updates as fit, those that were sent least often first.
+// appendQueued appends as many queued updates as fit, least often sent first.
 func (v *View) appendQueued(b []byte, maxBytes int) []byte {
 	if len(v.updates) == 0 {
 		return b
@@ -133,7 +137,7 @@
 		}
 		q.sent++
 	}
-	if v.cfg.Defect == UpdatesForever {
+	if v.cfg.Defect == UpdatesNeverDropped {
 		return b
 	}
 	limit := v.retransmitLimit()
@@ -141,10 +145,11 @@
 	return b
 }
 
-// retransmitLimit is how often an update is sent. An update that is sent without a bound leaves no space for others.
+// retransmitLimit returns the number of times an update is sent. Updates that were sent without limit would leave no space for
+// newer ones.
 func (v *View) retransmitLimit() int { return retransmitFactor * bits.Len(uint(len(v.members)+1)) }
 
-// emitPadded sends a datagram of full length, so that the answer may be as long.
+// emitPadded sends a datagram padded to MaxDatagramBytes, because an answer may be no longer than the datagram it answers.
 func (v *View) emitPadded(addr string, d datagram) {
 	v.emit(addr, pad(v.beginDatagram(&d), MaxDatagramBytes))
 }
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -7,11 +7,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// A datagram is a byte for the version, a byte for the kind, and fields in the wire format of Protocol Buffers, each at most
-// once but for updates. A field that is unknown, out of range or truncated makes the whole datagram unreadable; a format
-// with other fields has another version.
+// A datagram consists of a version byte, a kind byte, and fields in the wire format of Protocol Buffers. Each field occurs at most
+// once, except updates. An unknown, out-of-range or truncated field makes the entire datagram unreadable; a format with
+// other fields needs another version.
 
-// version is the version of the format.
+// version is the version of the datagram format.
 const version = 1
 
 // kind is the kind of a datagram.
@@ -20,57 +20,57 @@
 // Kinds of datagrams.
 const (
 	ping        kind = iota + 1
-	pingRequest      // asks a member to ping another one
+	pingRequest      // asks a member to ping another member
 	ack              // answers a ping, or a pingRequest whose ping was acknowledged
 	nack             // answers a pingRequest whose ping was not acknowledged
 	digests          // digests of parts of the view
-	differences      // the members of parts that differ
+	differences      // answers digests with the members of the parts that differ
 	query            // an observer asks for a page of the view
 	page             // answers a query
 	kinds
 )
 
-// header is what each datagram of a member says of its sender.
+// header is the information about the sender that each datagram of a member carries.
 type header struct {
 	kind        kind
 	name        string
-	boot        uint32 // random number of its process
-	sequence    uint64 // grows with each datagram of its process
+	boot        uint32 // random number that identifies the sender's process
+	sequence    uint64 // sequence number; increases with each datagram of the sender's process
 	incarnation uint64
 	leaving     bool
 	settled     bool
-	runTime     uint64 // for which its process has run, in tenths of a second
-	digest      uint64 // of its view
+	runTime     uint64 // how long the sender's process has run, in tenths of a second plus 1
+	digest      uint64 // digest of the sender's view
 }
 
-// datagram is a datagram as read. Its slices point into what was read.
+// datagram is a decoded datagram. Its byte slices share memory with the encoded datagram.
 type datagram struct {
 	header
-	nonce   uint32   // ties an answer to its question
-	target  string   // name of the member that is probed indirectly
-	addr    string   // where the sender is reached
-	parts   []uint32 // digests of parts of the view
-	agreed  []byte   // bit set of the members, in order, that have announced the digest
+	nonce   uint32   // matches an answer to its request
+	target  string   // name of the member probed indirectly
+	addr    string   // address at which the sender is reached
+	parts   []uint32 // digests of the parts of the view
+	agreed  []byte   // bit set over the sorted members: those that have announced the digest
 	first   uint64   // index of the first member of a page
 	total   uint64   // number of members
-	age     uint64   // milliseconds for which the view has been settled, or unsettled
+	age     uint64   // milliseconds since settled last changed
 	updates []update
 }
 
-// update is a claim on a member.
+// update is a claim about a member.
 type update struct {
 	name        string
 	state       State
 	incarnation uint64
 	boot        uint32
-	revision    uint64 // of info, in the process that boot names; 0 where info is not part of the claim
+	revision    uint64 // revision of info within the process identified by boot; 0 if the claim does not include info
 	info        Info
-	addr        string // that the member announced
-	by          string // router that suspects it
-	age         uint64 // pages only: milliseconds in that state
+	addr        string // address that the member announced
+	by          string // router that suspects the member
+	age         uint64 // milliseconds in state; only in pages
 }
 
-// Numbers of fields.
+// Field numbers.
 const (
 	fieldName protowire.Number = iota + 1
 	fieldBoot
@@ -100,14 +100,15 @@
 )
 
 const (
-	viewParts      = 16 // parts of the view with a digest each
-	maxUpdates     = 16 // updates in a datagram
-	maxPackedAddr  = 18 // bytes of an address: IPv6 and port
-	headBytes      = 2  // version and kind
-	updateTagBytes = 2  // tag of an update
+	viewParts      = 16 // number of parts of the view, each of which has a digest
+	maxUpdates     = 16 // maximum number of updates in a datagram
+	maxPackedAddr  = 18 // maximum bytes of an address: 16 for IPv6 and 2 for the port
+	headBytes      = 2  // bytes of version and kind
+	updateTagBytes = 2  // bytes of an update's tag
 )
 
-// errUnreadable is the one error for all that is wrong with a datagram, as nothing can be done about any of it.
+// errUnreadable is the only error for an invalid datagram. Receivers handle all faults of a datagram alike, so the error does not
+// distinguish them.
 var errUnreadable = errors.New("fleet: not a datagram of this version")
 
 func appendString(b []byte, n protowire.Number, s string) []byte {
@@ -149,7 +150,7 @@
 	return appendUint(b, n, 1)
 }
 
-// append writes a datagram without agreed members and updates, which the caller adds as far as they fit.
+// append encodes a datagram without agreed members and updates, which the caller appends as far as they fit.
 func (d *datagram) append(b []byte) []byte {
 	b = append(b, version, byte(d.kind))
 	b = appendString(b, fieldName, d.name)
@@ -181,7 +182,7 @@
 	return b
 }
 
-// appendUpdate adds an update, and reports whether it fits into maxBytes.
+// appendUpdate appends an update if the result is no longer than maxBytes, and reports whether it did.
 func appendUpdate(b []byte, u *update, maxBytes int) ([]byte, bool) {
 	var buffer [MaxDatagramBytes]byte
 	body := appendString(buffer[:0], fieldName, u.name)
@@ -204,10 +205,11 @@
 	return appendBytes(b, fieldUpdate, body), true
 }
 
-// pad fills a datagram up to a size, so that the answer may be as long. Some sizes can only be reached to within a few bytes.
+// pad pads a datagram to a size, because an answer may be no longer than the datagram it answers. Some sizes cannot be reached
+// exactly: the result may be up to four bytes shorter.
 func pad(b []byte, size int) []byte {
-	const twoByteLength = 128 // from here on the padding's length takes two bytes
-	const overhead = 4        // bytes of the padding's tag and length, both of two bytes
+	const twoByteLength = 128 // smallest padding whose length takes two bytes
+	const overhead = 4        // bytes of the padding's tag and length, two bytes each
 	padding := size - len(b) - overhead
 	if padding >= twoByteLength {
 		return appendBytes(b, fieldPadding, make([]byte, padding))
@@ -216,10 +218,10 @@
 	if padding < 0 {
 		return b
 	}
-	return appendBytes(b, fieldPadding, make([]byte, padding+1)) // its length takes one byte
+	return appendBytes(b, fieldPadding, make([]byte, padding+1)) // the length takes one byte here
 }
 
-// packAddr returns the bytes of an address as a string; empty for one that is not IP:PORT.
+// packAddr returns the binary form of an address as a string. The result is empty if addr is not of the form IP:PORT.
 func packAddr(addr string) string {
 	if addr == "" {
 		return ""
@@ -232,7 +234,7 @@
 	return string(packed)
 }
 
-// parse reads a datagram. The only error is errUnreadable.
+// parse decodes a datagram. The only error is errUnreadable.
 func parse(b []byte) (d datagram, err error) {
 	if len(b) < headBytes || len(b) > MaxDatagramBytes || b[0] != version || b[1] == 0 || kind(b[1]) >= kinds {
 		return d, errUnreadable
@@ -247,7 +249,7 @@
 	return d, nil
 }
 
-// setField takes over a field of a datagram, and reports whether it is valid.
+// setField sets a field of the datagram and reports whether the field is valid.
 func (d *datagram) setField(n protowire.Number, v fieldValue) bool {
 	switch n {
 	case fieldNonce:
@@ -276,7 +278,7 @@
 	return !v.invalid
 }
 
-// setField takes over a field of the header, and reports whether it is valid.
+// setField sets a field of the header and reports whether the field is valid.
 func (h *header) setField(n protowire.Number, v fieldValue) bool {
 	switch n {
 	case fieldName:
@@ -329,7 +331,7 @@
 	return u, err == nil && u.name != "" && u.boot != 0
 }
 
-// setField takes over a field of an update, and reports whether it is valid.
+// setField sets a field of the update and reports whether the field is valid.
 func (u *update) setField(n protowire.Number, v fieldValue) bool {
 	switch n {
 	case fieldName:
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// full is a datagram with every field set.
-func full(k kind) *datagram {
+// datagramWithAllFields returns a datagram of kind k with every field set that append encodes, except parts.
+func datagramWithAllFields(k kind) *datagram {
 	return &datagram{
 		header: header{
 			kind: k, name: "n17", boot: 0xfeed, sequence: 9, incarnation: 1_796_000_000_000, runTime: 12, leaving: true, settled: true,
@@ -17,10 +17,10 @@
 	}
 }
 
-// TestParseReadsAppendedDatagram checks each kind of datagram, with every field set.
+// TestParseReadsAppendedDatagram checks that parse returns an encoded datagram of each kind, with every field set.
 func TestParseReadsAppendedDatagram(t *testing.T) {
 	for k := ping; k < kinds; k++ {
-		want := full(k)
+		want := datagramWithAllFields(k)
 		want.parts = make([]uint32, viewParts)
 		want.parts[3] = 8
 		b := appendBytes(want.append(nil), fieldAgreed, []byte{1, 0, 255})
@@ -30,50 +30,52 @@
 		want.updates = []update{r}
 		b, fits := appendUpdate(b, &r, 1000)
 		if !fits || len(b) > MaxDatagramBytes {
-			t.Fatalf("%d bytes, fits %v", len(b), fits)
+			t.Fatalf("datagram has %d bytes (fits %v), want at most %d", len(b), fits, MaxDatagramBytes)
 		}
 		got, err := parse(b)
 		if err != nil || !reflect.DeepEqual(&got, want) {
-			t.Errorf("kind %d: read %+v, %v; want %+v", k, got, err, want)
+			t.Errorf("kind %d: got %+v, error %v; want %+v", k, got, err, want)
 		}
 	}
 }
 
-// TestParseRejectsInvalidDatagrams checks datagrams that are truncated, of another version, or with fields that are not valid.
+// TestParseRejectsInvalidDatagrams checks that parse rejects datagrams that are truncated, have another version, or contain invalid
+// fields.
 func TestParseRejectsInvalidDatagrams(t *testing.T) {
-	good := full(ping).append(nil)
-	smallest := func() []byte { return (&datagram{header: header{kind: ping, name: "n", boot: 1}}).append(nil) }
+	valid := datagramWithAllFields(ping).append(nil)
+	minimal := func() []byte { return (&datagram{header: header{kind: ping, name: "n", boot: 1}}).append(nil) }
 	unknownState := appendFixed32(appendString(nil, fieldName, "a"), fieldBoot, 1)
 	unknownState = appendUint(unknownState, fieldState, uint64(states))
 	for name, b := range map[string][]byte{
-		"nothing":                    nil,
-		"another version":            append([]byte{version + 1}, good[1:]...),
-		"no kind":                    append([]byte{version, 0}, good[2:]...),
-		"an unknown kind":            append([]byte{version, byte(kinds)}, good[2:]...),
-		"no name":                    {version, byte(ping)},
-		"too long":                   append(bytes.Clone(good), make([]byte, MaxDatagramBytes)...),
-		"a field twice":              appendString(bytes.Clone(good), fieldTarget, "n3"),
-		"an unknown field":           appendUint(bytes.Clone(good), fieldPadding+1, 1),
-		"a name to break a terminal": appendString(appendFixed32([]byte{version, byte(ping)}, fieldBoot, 1), fieldName, "n\x1b[2J"),
-		"an address that is none":    appendString(smallest(), fieldAddr, "xyz"),
-		"a state that is none":       appendBytes(smallest(), fieldUpdate, unknownState),
+		"empty":                       nil,
+		"another version":             append([]byte{version + 1}, valid[1:]...),
+		"no kind":                     append([]byte{version, 0}, valid[2:]...),
+		"an unknown kind":             append([]byte{version, byte(kinds)}, valid[2:]...),
+		"no name":                     {version, byte(ping)},
+		"too long":                    append(bytes.Clone(valid), make([]byte, MaxDatagramBytes)...),
+		"a repeated field":            appendString(bytes.Clone(valid), fieldTarget, "n3"),
+		"an unknown field":            appendUint(bytes.Clone(valid), fieldPadding+1, 1),
+		"a terminal escape in a name": appendString(appendFixed32([]byte{version, byte(ping)}, fieldBoot, 1), fieldName, "n\x1b[2J"),
+		"an invalid address":          appendString(minimal(), fieldAddr, "xyz"),
+		"an unknown state":            appendBytes(minimal(), fieldUpdate, unknownState),
 	} {
 		if d, err := parse(b); err == nil {
-			t.Errorf("%s was read as %+v", name, d)
+			t.Errorf("%s: got %+v, want an error", name, d)
 		}
 	}
-	whole := 0
-	for n := range good {
-		if _, err := parse(good[:n]); err == nil {
-			whole++ // cut between two fields: what is missing has its zero value
+	accepted := 0
+	for n := range valid {
+		if _, err := parse(valid[:n]); err == nil {
+			accepted++ // truncated between two fields; the missing fields have their zero values
 		}
 	}
-	if whole == len(good) {
-		t.Error("a datagram that was cut anywhere was read")
+	if accepted == len(valid) {
+		t.Error("got no error for any truncated datagram, want errors")
 	}
 }
 
-// TestPadReachesSize checks that padding comes to within four bytes of each size, and never beyond.
+// TestPadReachesSize checks that pad fills datagrams of every length to within four bytes of the requested size, and never exceeds
+// the size.
 func TestPadReachesSize(t *testing.T) {
 	for size := range MaxDatagramBytes {
 		d := datagram{header: header{kind: query, name: "n", boot: 1}}
@@ -82,7 +84,7 @@
 			b = append(b, 0)
 		}
 		if got := pad(b, MaxDatagramBytes); len(got) > MaxDatagramBytes || len(got) < MaxDatagramBytes-4 {
-			t.Errorf("%d bytes were filled up to %d", size, len(got))
+			t.Errorf("padding a datagram of %d bytes: got %d bytes, want %d to %d", size, len(got), MaxDatagramBytes-4, MaxDatagramBytes)
 		}
 	}
 	if _, err := parse(EncodeQuery(7, 1)); err != nil {
@@ -90,11 +92,11 @@
 	}
 }
 
-// FuzzDatagram checks that a view stays within its bounds whatever it receives, and that unknown senders get no more bytes than
-// they sent.
+// FuzzDatagram checks that no datagram makes a view exceed its limits, and that the answers to an unknown sender are no longer than
+// its datagram.
 func FuzzDatagram(f *testing.F) {
 	for k := ping; k < kinds; k++ {
-		d := full(k)
+		d := datagramWithAllFields(k)
 		d.parts = make([]uint32, viewParts)
 		b := d.append(nil)
 		b, _ = appendUpdate(b, &update{name: "n4", state: Suspect, incarnation: 7, boot: 6, by: "n5"}, MaxDatagramBytes)
@@ -107,9 +109,8 @@
 			return
 		}
 		if len(b) > MaxDatagramBytes || len(d.updates) > maxUpdates || len(d.name) > MaxNameBytes || len(d.target) > MaxNameBytes {
-			t.Errorf("beyond the bounds: %+v", d)
+			t.Errorf("decoded datagram exceeds a limit: %+v", d)
 		}
-		// Whatever is said, a view stays within its bounds and answers no unknown sender at length.
 		v, err := New(testConfig())
 		if err != nil {
 			t.Fatal(err)
@@ -122,11 +123,11 @@
 				}
 			}
 			if from == "10.9.9.9:1" && sent > len(b) {
-				t.Errorf("%d bytes of an unknown sender were answered by %d", len(b), sent)
+				t.Errorf("got answers of %d bytes to an unknown sender, want at most the %d bytes received", sent, len(b))
 			}
 		}
 		if len(v.Members()) > MaxMembers {
-			t.Errorf("%d members", len(v.Members()))
+			t.Errorf("got %d members, want at most %d", len(v.Members()), MaxMembers)
 		}
 	})
 }
--- a/internal/gossip/compatibility_test.go
+++ b/internal/gossip/compatibility_test.go
@@ -9,27 +9,28 @@
 	"testing"
 )
 
-// earlierDatagrams are the datagrams that release ea855d0 wrote, by name.
+// earlierDatagrams returns the datagrams that release ea855d0 wrote, by name.
 func earlierDatagrams(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/ea855d0.datagrams")
 	if err != nil {
 		t.Fatal(err)
 	}
-	written := map[string][]byte{}
+	recorded := map[string][]byte{}
 	for line := range strings.Lines(string(text)) {
 		name, digits, found := strings.Cut(strings.TrimSpace(line), " ")
 		if name == "#" || !found {
 			continue
 		}
-		if written[name], err = hex.DecodeString(digits); err != nil {
+		if recorded[name], err = hex.DecodeString(digits); err != nil {
 			t.Fatal(name, err)
 		}
 	}
-	return written
+	return recorded
 }
 
-// TestDatagramsOfEarlierRelease reads each kind of datagram as release ea855d0 wrote it, field by field, and writes it again.
+// TestDatagramsOfEarlierRelease checks that each kind of datagram that release ea855d0 wrote decodes to the expected fields and
+// encodes to the same bytes.
 func TestDatagramsOfEarlierRelease(t *testing.T) {
 	digests := []uint32{0, 1<<24 | 1, 2<<24 | 2, 3<<24 | 3, 4<<24 | 4, 5<<24 | 5, 6<<24 | 6, 7<<24 | 7, 8<<24 | 8, 9<<24 | 9,
 		10<<24 | 10, 11<<24 | 11, 12<<24 | 12, 13<<24 | 13, 14<<24 | 14, 15<<24 | 15}
@@ -46,25 +47,25 @@
 		"query-of-observer": {header: header{kind: 7}, nonce: 0xabcdef, first: 7},
 		"digests-padded":    earlierDatagram(5, nil, []uint32{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}, states),
 	}
-	written := earlierDatagrams(t)
-	if len(written) != len(cases) {
-		t.Errorf("%d datagrams, want %d", len(written), len(cases))
+	recorded := earlierDatagrams(t)
+	if len(recorded) != len(cases) {
+		t.Errorf("got %d recorded datagrams, want %d", len(recorded), len(cases))
 	}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
-			got, err := parse(written[name])
+			got, err := parse(recorded[name])
 			if err != nil || !reflect.DeepEqual(got, want) {
-				t.Fatalf("read %+v, %v\nwant %+v", got, err, want)
+				t.Fatalf("got  %+v, error %v\nwant %+v", got, err, want)
 			}
-			if again := encodeWhole(t, &got, len(written[name])); !bytes.Equal(again, written[name]) {
-				t.Errorf("written as %x\nwant       %x", again, written[name])
+			if encoded := encodeWithUpdates(t, &got, len(recorded[name])); !bytes.Equal(encoded, recorded[name]) {
+				t.Errorf("encoded as %x\nwant       %x", encoded, recorded[name])
 			}
 		})
 	}
 }
 
-// encodeWhole writes a datagram with all its fields, filled up to a size.
-func encodeWhole(t *testing.T, d *datagram, size int) []byte {
+// encodeWithUpdates encodes a datagram with its agreed members and updates, padded if it is shorter than size.
+func encodeWithUpdates(t *testing.T, d *datagram, size int) []byte {
 	b := d.append(nil)
 	if d.agreed != nil {
 		b = appendBytes(b, fieldAgreed, d.agreed)
@@ -72,7 +73,7 @@
 	for i := range d.updates {
 		var fits bool
 		if b, fits = appendUpdate(b, &d.updates[i], MaxDatagramBytes); !fits {
-			t.Fatal("a claim does not fit")
+			t.Fatalf("update %d does not fit into a datagram", i)
 		}
 	}
 	if len(b) < size {
@@ -81,7 +82,8 @@
 	return b
 }
 
-// earlierDatagram is what a datagram of the fixture holds. States stands for one without claims on members.
+// earlierDatagram returns the expected content of a recorded datagram. second is the state of the second update; the value states
+// means that the datagram has no updates.
 func earlierDatagram(k kind, agreed []byte, digests []uint32, second State) datagram {
 	d := datagram{
 		header: header{kind: k, name: "n17", boot: 0xfeed, sequence: 9, incarnation: 1_796_000_000_000, runTime: 12, leaving: true, settled: true,
@@ -101,7 +103,7 @@
 	return d
 }
 
-// TestPagesOfEarlierRelease reads a page as an observer does.
+// TestPagesOfEarlierRelease checks that DecodePage decodes a page that release ea855d0 wrote.
 func TestPagesOfEarlierRelease(t *testing.T) {
 	got, err := DecodePage(earlierDatagrams(t)["page"], 5)
 	if err != nil {
@@ -112,13 +114,13 @@
 		{Name: "n6", State: Faulty, Incarnation: 7},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v\nwant %+v", got, want)
+		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 }
 
-// TestQueryOfEarlierRelease writes an observer's query as release ea855d0 did.
+// TestQueryOfEarlierRelease checks that EncodeQuery encodes an observer's query to the bytes that release ea855d0 wrote.
 func TestQueryOfEarlierRelease(t *testing.T) {
 	if got, want := EncodeQuery(7, 0xabcdef), earlierDatagrams(t)["query-of-observer"]; !bytes.Equal(got, want) {
-		t.Errorf("written as %x\nwant       %x", got, want)
+		t.Errorf("encoded as %x\nwant       %x", got, want)
 	}
 }
--- a/internal/gossip/config.go
+++ b/internal/gossip/config.go
@@ -7,31 +7,36 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// OperatorConfig is an operators' file of the kind "fleet". Its tags hold the words of the file; Config translates them.
+// OperatorConfig is the content of an operators' file of the kind "fleet". The struct tags hold the keys of the file, and Config
+// converts the content to a view's configuration.
 type OperatorConfig struct {
-	// Enabled has the router take part. The platform has to allow messages between routers.
+	// Enabled makes the router join the gossip. The platform has to allow messages between routers.
 	Enabled bool `toml:"enabled" doc:"the router keeps a view of the others of its tier; the platform has to allow messages between routers"`
-	// Seeds are addresses as IP:PORT. Each further one costs a poll every few seconds while nobody answers there.
+	// Seeds are addresses as IP:PORT. Each seed costs a poll every few seconds while no router answers at its address.
 	Seeds []string `toml:"seeds" min:"0" max:"8192" doc:"addresses of routers that are asked beside those that the platform names; who comes by them is taken in"`
 
-	// Interval is the time between probes. Raising it detects failures later; lowering it costs datagrams.
+	// Interval is the time between probes. A longer interval delays the detection of failures; a shorter one sends more
+	// datagrams.
 	Interval time.Duration `toml:"interval" min:"50ms" max:"10s" doc:"between probes of other routers"`
-	// Timeout is the time in which a probe should be acknowledged. Raising it delays indirect probes; lowering it causes more
-	// of them.
+	// Timeout is the time within which a probe should be acknowledged. A longer timeout delays indirect probes; a shorter one
+	// causes more of them.
 	Timeout time.Duration `toml:"timeout" min:"10ms" max:"4s" doc:"within which a probe should be answered; under half of the interval"`
-	// Suspicion is a number of intervals. Raising it detects failures later; lowering it leaves less time to refute.
+	// Suspicion is the minimum duration of a suspicion in intervals, times the logarithm of the number of routers. A larger
+	// value delays the detection of failures; a smaller one leaves a router less time to refute the suspicion.
 	Suspicion int `toml:"suspicion" min:"1" max:"100" doc:"intervals, times the logarithm of the routers, for which one that does not answer may refute that it is gone"`
 
-	// DivideByMembers divides limits that all routers share by the members that are alive, in place of the settings' number.
+	// DivideByMembers divides limits that all routers share by the number of members that are alive instead of by the number of
+	// instances in the settings.
 	DivideByMembers bool `toml:"shares" doc:"what all routers together may take is divided by those that are here, not by the settings' instances"`
-	// Hold is the time before faulty members are not counted any more. Raising it leaves capacity unused for longer after a
-	// failure; lowering it risks overload in a partition.
+	// Hold is how long a view must have been settled before the divisor excludes faulty members. A longer hold leaves capacity
+	// unused for longer after a failure; a shorter one risks overload in a partition.
 	Hold time.Duration `toml:"hold" min:"1s" max:"1h" doc:"for which a view has to stay settled before routers that are held faulty are divided by no more"`
-	// MinMembers is the smallest divisor. Raising it leaves capacity unused in a small cluster; lowering it risks overload.
+	// MinMembers is the minimum divisor. A larger minimum leaves capacity unused in a small cluster; a smaller one risks
+	// overload.
 	MinMembers int `toml:"least" min:"0" max:"10000" doc:"routers to divide by at least; 0 for the settings' instances"`
 }
 
-// DefaultOperatorConfig returns what holds where no file says otherwise.
+// DefaultOperatorConfig returns the configuration that applies without a file, and the defaults of keys that a file omits.
 func DefaultOperatorConfig() OperatorConfig {
 	c := DefaultConfig()
 	return OperatorConfig{
@@ -43,23 +48,23 @@
 	}
 }
 
-// Kind is the kind of operators' file that holds an OperatorConfig.
+// Kind is the kind of the operators' file that holds an OperatorConfig.
 var Kind = operatorconfig.Define("fleet", "the routers' view of one another", DefaultOperatorConfig(), checkOperator)
 
-// checkOperator reports figures that are wrong beside one another, and seeds that are no addresses.
-func checkOperator(o OperatorConfig, bad operatorconfig.ReportFunc) {
+// checkOperator reports a timeout that is too long for the interval, and seeds that are not addresses.
+func checkOperator(o OperatorConfig, report operatorconfig.ReportFunc) {
 	if 2*o.Timeout >= o.Interval {
-		bad("timeout", "not under half of interval (%s, wanted below %s)",
+		report("timeout", "not under half of interval (%s, wanted below %s)",
 			operatorconfig.FormatDuration(o.Timeout), operatorconfig.FormatDuration(o.Interval/2))
 	}
 	for _, seed := range o.Seeds {
 		if address, err := netip.ParseAddrPort(seed); err != nil || address.Port() == 0 {
-			bad("seeds", "no address (%q, wanted IP:PORT)", seed)
+			report("seeds", "no address (%q, wanted IP:PORT)", seed)
 		}
 	}
 }
 
-// Config returns the part that configures a view.
+// Config returns the view's configuration, without the fields that the operators' file does not set.
 func (o *OperatorConfig) Config() Config {
 	return Config{
 		Seeds:     o.Seeds,
--- a/internal/gossip/config_test.go
+++ b/internal/gossip/config_test.go
@@ -9,7 +9,7 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// TestDeployedFileHoldsDefaults checks deploy/fleet.toml.
+// TestDeployedFileHoldsDefaults checks that deploy/fleet.toml contains the default values.
 func TestDeployedFileHoldsDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/fleet.toml")
 	if err != nil {
@@ -24,11 +24,11 @@
 		got.Seeds = nil
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, the default is %+v", got, want)
+		t.Errorf("deploy/fleet.toml: got %+v, want the defaults %+v", got, want)
 	}
 }
 
-// TestOperatorConfigErrorsNameKeys checks that each error names the key and what is wanted.
+// TestOperatorConfigErrorsNameKeys checks that each configuration error names the key and the fault.
 func TestOperatorConfigErrorsNameKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		`timeout = "100ms"`:    "timeout: not under half of interval",
@@ -40,7 +40,7 @@
 	} {
 		_, err := operatorconfig.Registry{Kind}.Parse("f", []byte("kind = \"fleet\"\n"+text))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: got error %v, want an error that contains %q", text, err, want)
 		}
 	}
 }
--- a/internal/gossip/divisor.go
+++ b/internal/gossip/divisor.go
@@ -1,34 +1,37 @@
 package gossip
 
-// Divisor says by how many routers the traffic that all of them together may send is divided: to a cache that is warming up,
-// over a cache's connections, to the origin. A divisor that is too large leaves capacity unused; one that is too small
-// overloads a cache. It is called at each change of the view, and performs no I/O.
+// Divisor computes the number of routers by which a shared traffic limit is divided: the limits on traffic to a cache that is
+// warming up, on a cache's connections, and on traffic to the origin. A divisor that is too large leaves capacity unused; a
+// divisor that is too small overloads a cache. The caller calls Divisor after each change of the view. Divisor performs no I/O.
 type Divisor struct {
-	// Min is the smallest divisor: the settings' instances, unless operators set another one.
+	// Min is the minimum divisor: the number of instances in the settings, unless operators configure another one.
 	Min int
-	// Hold is for how long a view has to be settled before faulty routers are not counted any more. Raising it leaves capacity
-	// unused for longer after a failure; lowering it risks overload where the failure was none.
+	// Hold is how long a view must have been settled before the divisor excludes faulty routers. A longer hold leaves capacity
+	// unused for longer after a failure; a shorter one risks overload if the routers had not failed.
 	Hold Time
-	// Greedy plants a defect: a minority does not count the others.
+	// Greedy injects a defect: a minority excludes the other routers.
 	Greedy bool
 
-	lastMajority map[string]bool // the last settled view with more than half of the one before, without members that left
+	// lastMajority holds the names of the last settled view that had more than half of its predecessor's members, without
+	// members that left since.
+	lastMajority map[string]bool
 }
 
-// Membership is what a divisor needs to know of a view.
+// Membership is the part of a view that a Divisor needs.
 type Membership struct {
-	Alive   []string // names of members that are alive, this router included
-	Left    []string // names of members that announced that they leave, and left
+	Alive   []string // names of the members that are alive, this router included
+	Left    []string // names of the members that announced that they leave, and left
 	Settled bool
-	For     Time // for which the view has been settled, or unsettled
+	For     Time // time since Settled last changed
 }
 
 // Divisor returns the divisor of a membership.
 //
-// It grows at once by members that join, and shrinks at once by members that left, as they send nothing more. By faulty
-// members it shrinks only after the hold, and only while more than half of the last such view is alive. In a partition each
-// side takes the other one for faulty: if both sides divided by their own number, a cache would get twice its capacity.
-// Members that joined since do not count for either side, as with them both could be more than half.
+// The divisor grows at once when members join, and shrinks at once when members leave, because a member that left sends nothing
+// more. Faulty members reduce the divisor only after the hold, and only while more than half of the last majority is alive. In a
+// partition each side considers the other faulty: if both sides divided by their own number of members, a cache would get twice
+// its capacity. Members that joined since the last majority count for neither side, because with them both sides could have
+// more than half.
 func (d *Divisor) Divisor(s Membership) int {
 	for _, name := range s.Left {
 		delete(d.lastMajority, name)
@@ -41,7 +44,7 @@
 			joined++
 		}
 	}
-	if d.confirms(s, stayed) {
+	if d.replacesMajority(s, stayed) {
 		d.lastMajority = map[string]bool{}
 		for _, name := range s.Alive {
 			d.lastMajority[name] = true
@@ -51,8 +54,9 @@
 	return max(len(d.lastMajority)+joined, d.Min, 1)
 }
 
-// confirms reports whether a membership replaces the last majority, of which so many members are alive.
-func (d *Divisor) confirms(s Membership, stayed int) bool {
+// replacesMajority reports whether a membership replaces the last majority. stayed is the number of members of the last majority
+// that are alive.
+func (d *Divisor) replacesMajority(s Membership, stayed int) bool {
 	if !s.Settled {
 		return false
 	}
@@ -62,10 +66,10 @@
 	return s.For >= d.Hold && (2*stayed > len(d.lastMajority) || d.Greedy)
 }
 
-// Membership returns what a divisor needs to know of the view.
+// Membership returns the part of the view that a Divisor needs.
 func (v *View) Membership() Membership {
 	s := Membership{Settled: v.agreement.settled, For: v.now - v.agreement.settledChangedAt}
-	for name, m := range v.members { // any order: sets
+	for name, m := range v.members { // any order: the names are used as sets
 		switch {
 		case m.State.IsAlive():
 			s.Alive = append(s.Alive, name)
--- a/internal/gossip/divisor_test.go
+++ b/internal/gossip/divisor_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// routerNames returns names of routers from one number up to another.
+// routerNames returns the names of the routers with the numbers from up to, but not including, to.
 func routerNames(from, to int) (names []string) {
 	for i := from; i < to; i++ {
 		names = append(names, fmt.Sprint("n", i))
@@ -13,12 +13,12 @@
 	return names
 }
 
-// checkSteps passes memberships one after another, each with the divisor that is wanted.
+// checkSteps passes the memberships to d in order and compares each divisor with the wanted one.
 func checkSteps(t *testing.T, d *Divisor, memberships []Membership, want ...int) {
 	t.Helper()
 	for i, s := range memberships {
 		if got := d.Divisor(s); got != want[i] {
-			t.Errorf("step %d: %+v divides by %d, want %d", i, s, got, want[i])
+			t.Errorf("step %d: membership %+v: got divisor %d, want %d", i, s, got, want[i])
 		}
 	}
 }
@@ -29,7 +29,7 @@
 	return Membership{Alive: names, Settled: true, For: hold}
 }
 
-// TestDivisorFollowsJoinsAndLeavesAtOnce checks that neither waits for the hold.
+// TestDivisorFollowsJoinsAndLeavesAtOnce checks that joins and leaves change the divisor without waiting for the hold.
 func TestDivisorFollowsJoinsAndLeavesAtOnce(t *testing.T) {
 	checkSteps(t, &Divisor{Hold: hold}, []Membership{
 		settledView(routerNames(0, 30)),
@@ -39,8 +39,8 @@
 	}, 30, 29, 28, 31)
 }
 
-// TestDivisorDropsFaultyMembersAfterHold checks that the larger side of a partition does not count the smaller one, once its
-// view was settled for the hold.
+// TestDivisorDropsFaultyMembersAfterHold checks that the divisor on the larger side of a partition excludes the smaller side after
+// the larger side's view has been settled for the hold.
 func TestDivisorDropsFaultyMembersAfterHold(t *testing.T) {
 	checkSteps(t, &Divisor{Hold: hold}, []Membership{
 		settledView(routerNames(0, 30)), {Alive: routerNames(0, 20), For: hold}, {Alive: routerNames(0, 20), Settled: true, For: hold - 1},
@@ -48,14 +48,14 @@
 	}, 30, 30, 30, 20)
 }
 
-// TestDivisorCountsBothHalvesOfPartition checks that neither of two halves drops the other.
+// TestDivisorCountsBothHalvesOfPartition checks that a half of the members, or less, does not exclude the others.
 func TestDivisorCountsBothHalvesOfPartition(t *testing.T) {
 	for _, all := range []int{30, 31} {
 		checkSteps(t, &Divisor{Hold: hold}, []Membership{settledView(routerNames(0, all)), settledView(routerNames(0, 15))}, all, all)
 	}
 }
 
-// TestDivisorIgnoresJoinsForMajority checks that a half does not become the larger side by a member that joins it.
+// TestDivisorIgnoresJoinsForMajority checks that a member that joins one half of a partition does not make the half a majority.
 func TestDivisorIgnoresJoinsForMajority(t *testing.T) {
 	checkSteps(t, &Divisor{Hold: hold}, []Membership{settledView(routerNames(0, 28)), settledView(routerNames(0, 14)),
 		settledView(append(routerNames(0, 14), "n99"))}, 28, 28, 29)
@@ -68,7 +68,8 @@
 	}, 30, 30, 40)
 }
 
-// TestDivisorCountsLeftMemberOnce checks that a member which left is subtracted once, however long the view names it.
+// TestDivisorCountsLeftMemberOnce checks that a member that left reduces the divisor once, whether or not later views still list
+// the member as left.
 func TestDivisorCountsLeftMemberOnce(t *testing.T) {
 	checkSteps(t, &Divisor{Hold: hold}, []Membership{
 		settledView(routerNames(0, 10)),
--- a/internal/gossip/fields.go
+++ b/internal/gossip/fields.go
@@ -6,14 +6,15 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// fieldValue is the content of a field: bytes or a number, by the field's form.
+// fieldValue is the content of a field: bytes or a number, depending on the field's wire type.
 type fieldValue struct {
 	number  uint64
 	bytes   []byte
-	invalid bool // set by the methods that read a text or an address
+	invalid bool // set by text and addr if the content is not valid
 }
 
-// text returns a text of at least one byte. Only visible ASCII is valid, as texts are written to logs and terminals.
+// text returns the field as a text of 1 to maxBytes bytes. Only visible ASCII is valid, because texts are written to logs and
+// terminals.
 func (v *fieldValue) text(maxBytes int) string {
 	if len(v.bytes) == 0 || len(v.bytes) > maxBytes {
 		v.invalid = true
@@ -28,7 +29,7 @@
 	return string(v.bytes)
 }
 
-// addr returns an address as IP:PORT.
+// addr returns the field as an address of the form IP:PORT.
 func (v *fieldValue) addr() string {
 	var address netip.AddrPort
 	if len(v.bytes) > maxPackedAddr || address.UnmarshalBinary(v.bytes) != nil || !address.IsValid() || address.Port() == 0 {
@@ -38,10 +39,10 @@
 	return address.String()
 }
 
-// parseFields calls set with each field in turn, until set reports that one is not valid. Fields other than updates may come
-// once.
+// parseFields calls set with each field in order and stops with an error at the first field that is malformed or that set
+// reports as not valid. Only updates may occur more than once.
 func parseFields(b []byte, set func(protowire.Number, fieldValue) bool) error {
-	var seen uint64 // bit set of the numbers that have come
+	var seen uint64 // bit set of the field numbers that have occurred
 	for len(b) > 0 {
 		number, wireType, size := protowire.ConsumeTag(b)
 		if size < 0 || number > fieldPadding || number != fieldUpdate && seen&(1<<number) != 0 {
@@ -49,7 +50,7 @@
 		}
 		seen |= 1 << number
 		b = b[size:]
-		if wireType != typeOf(number) {
+		if wireType != wireTypeOf(number) {
 			return errUnreadable
 		}
 		value, size := consumeValue(b, wireType)
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// consumeValue reads the content of a field. The size is negative where it is truncated.
+// consumeValue reads the content of a field. The size is negative if the content is malformed or truncated.
 func consumeValue(b []byte, wireType protowire.Type) (v fieldValue, size int) {
 	switch wireType {
 	case protowire.BytesType:
@@ -78,8 +79,8 @@
 	return v, size
 }
 
-// typeOf returns the form in which a field is written.
-func typeOf(n protowire.Number) protowire.Type {
+// wireTypeOf returns the wire type of a field.
+func wireTypeOf(n protowire.Number) protowire.Type {
 	switch n {
 	case fieldName, fieldTarget, fieldAddr, fieldParts, fieldAgreed, fieldUpdate, fieldBy, fieldPadding:
 		return protowire.BytesType
--- a/internal/gossip/observer.go
+++ b/internal/gossip/observer.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// maxReplyRate is the number of answers a second to senders that are no members.
+// maxReplyRate is the maximum number of answers per second to senders that are not members. It is also the burst size.
 const maxReplyRate = 100
 
-// replyLimiter is a token bucket of answers to senders that are no members.
+// replyLimiter is a token bucket that limits answers to senders that are not members.
 type replyLimiter struct {
 	tokens float64
-	at     Time // when tokens were counted last
+	at     Time // when tokens was last updated
 }
 
-// take takes a token, if there is one.
-func (l *replyLimiter) take(now Time) bool {
+// allow takes a token and reports whether one was available.
+func (l *replyLimiter) allow(now Time) bool {
 	l.tokens = min(maxReplyRate, l.tokens+float64(now-l.at)/1e6*maxReplyRate)
 	l.at = now
 	if l.tokens < 1 {
@@ -22,36 +22,36 @@
 	return true
 }
 
-// EncodeQuery returns a datagram by which an observer, which never becomes a member, asks for the members from an index on.
-// It has the full length, as no answer is longer than its query.
+// EncodeQuery returns a datagram in which an observer, which never becomes a member, asks for the members from index first on.
+// The datagram has the maximum length, because an answer is never longer than its query.
 func EncodeQuery(first int, nonce uint32) []byte {
 	d := datagram{header: header{kind: query}, nonce: nonce, first: uint64(first)}
 	return pad(d.append(nil), MaxDatagramBytes)
 }
 
-// Page is the answer to a query: some of the members of a view.
+// Page is the answer to a query and holds some of the members of a view.
 type Page struct {
-	Router  string // who has answered
-	Digest  uint64 // of its view
+	Router  string // name of the router that answered
+	Digest  uint64 // digest of the router's view
 	Settled bool
-	For     Time     // for which the view has been settled, or unsettled
+	For     Time     // time since Settled last changed
 	First   int      // index of the first member of the page
-	Of      int      // number of members of the view
-	Members []Member // Since is an age
+	Of      int      // total number of members of the view
+	Members []Member // Since holds the time spent in the state, not an instant
 }
 
-// PageError says that a datagram is not the answer to a query.
+// PageError is the error for a datagram that is not the answer to a query.
 type PageError struct {
 	Kind  uint8
 	Nonce uint32
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *PageError) Error() string {
 	return fmt.Sprintf("fleet: no answer to the question: kind %d, nonce %d", e.Kind, e.Nonce)
 }
 
-// DecodePage reads the answer to the query with that nonce.
+// DecodePage decodes the answer to the query with the given nonce.
 func DecodePage(b []byte, nonce uint32) (*Page, error) {
 	d, err := parse(b)
 	if err != nil {
@@ -71,10 +71,10 @@
 	return p, nil
 }
 
-// answerQuery sends a page of the view. It is no longer than the query: otherwise a router could be used to flood the owner
-// of a forged address.
+// answerQuery sends a page of the view. The page is no longer than the query; otherwise an attacker that forges the sender's
+// address could use the router to amplify a flood.
 func (v *View) answerQuery(to string, d *datagram, size int) {
-	if !v.replies.take(v.now) {
+	if !v.replies.allow(v.now) {
 		return
 	}
 	members := v.Members()
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -7,61 +7,62 @@
 )
 
 const (
-	maxProbes = 32 // probes without an acknowledgement
-	maxRelays = 64 // probes that are made for other members
+	maxProbes = 32 // maximum number of probes in flight
+	maxRelays = 64 // maximum number of probes in flight that other members requested
 
-	// indirectProbers is the number of members that are asked to probe for this router (SWIM's k).
+	// indirectProbers is the maximum number of members that this router asks for an indirect probe (SWIM's k).
 	indirectProbers = 3
-	// isolationRounds is the number of intervals without any member's datagram after which this router takes itself for cut
-	// off.
+	// isolationRounds is the number of intervals without a datagram from any member after which this router considers itself
+	// isolated.
 	isolationRounds = 8
 
-	// minPollDelay and maxPollDelay bound the time between polls of an address where no member is alive.
+	// minPollDelay and maxPollDelay bound the delay between polls of an address at which no member is alive. The delay is
+	// randomized by up to half in either direction.
 	minPollDelay Time = 400_000
 	maxPollDelay Time = 5_000_000
-	// maxPollsPerRound bounds the polls of one round, beside a first one.
+	// maxPollsPerRound is the maximum number of polls in a round in addition to the first one.
 	maxPollsPerRound = 3
-	// contactsPerPoll is the number of absent contacts that another poll in a round is made for.
+	// contactsPerPoll is the number of absent contacts for which a round has one additional poll.
 	contactsPerPoll = 4
 )
 
-// prober holds the probes that are out, those that are made for others, and whom to probe next.
+// prober holds the probes in flight, the probes in flight for other members, and the members to probe next.
 type prober struct {
 	probes []*probe
 	relays []relay
-	order  []string // names to be probed in this turn, the next one first
+	order  []string // names of the members still to be probed in this pass, the next one first
 }
 
-// probe is a ping that was not acknowledged yet.
+// probe is a ping that has not been acknowledged yet.
 type probe struct {
 	nonce    uint32
-	name     string // of the member
+	name     string // name of the member; empty if unknown
 	addr     string
-	resendAt Time // when it is sent again, and others are asked to probe
-	endsAt   Time // when it has failed
-	indirect int  // members that were asked to probe
-	nacks    int  // of them, those that got no acknowledgement either
-	poll     bool // the ping of an address where no member is known to be alive; its failure means nothing
+	resendAt Time // when the ping is resent and other members are asked to probe
+	endsAt   Time // when the probe fails
+	indirect int  // number of members that were asked to probe
+	nacks    int  // number of nacks from those members
+	poll     bool // a failure causes no suspicion; set for polls and for most notifications of suspects
 }
 
-// relay is a probe that is made for another member.
+// relay is a probe that another member requested.
 type relay struct {
 	nonce          uint32
 	requesterNonce uint32
 	requesterAddr  string
-	target         string // name of the member that is probed
+	target         string // name of the member probed
 	endsAt         Time
 }
 
 func (p *prober) full() bool { return len(p.probes) >= maxProbes }
 
-// abandonAll forgets all probes that are out.
+// abandonAll drops all probes in flight, including those for other members.
 func (p *prober) abandonAll() {
 	p.probes = p.probes[:0]
 	p.relays = p.relays[:0]
 }
 
-// nextTimeout returns when the next probe or relay is due.
+// nextTimeout returns the time of the next timeout of a probe or relay.
 func (p *prober) nextTimeout() Time {
 	at := Time(math.MaxInt64)
 	for _, probe := range p.probes {
@@ -73,7 +74,7 @@
 	return at
 }
 
-// takeRelay removes and returns the relay that an acknowledgement belongs to.
+// takeRelay removes and returns the relay that an acknowledgement answers.
 func (p *prober) takeRelay(nonce uint32, target string) (relay, bool) {
 	i := slices.IndexFunc(p.relays, func(r relay) bool { return r.nonce == nonce && r.target == target })
 	if i < 0 {
@@ -84,15 +85,15 @@
 	return found, true
 }
 
-// beginRound probes one member, polls addresses where none is alive, and compares digests from time to time.
+// beginRound probes one member, polls addresses at which no member is alive, and compares digests if a comparison is due.
 func (v *View) beginRound() {
 	v.rounds++
-	v.forgetLeft()
+	v.pruneLeft()
 	if v.retired {
 		return
 	}
 	if v.isolatedFor() > isolationRounds*v.cfg.Interval && !v.cfg.Plain {
-		// All members are out of reach for one cause: it takes no probe of each to find out.
+		// All members are unreachable for a single cause, so each is suspected without a probe.
 		for _, name := range v.agreement.names {
 			v.suspect(v.members[name], v.cfg.Name)
 		}
@@ -106,10 +107,11 @@
 	}
 }
 
-// isolatedFor returns for how long no datagram of a member was accepted.
+// isolatedFor returns the time since this router last accepted a datagram from a member, or since its start.
 func (v *View) isolatedFor() Time { return v.now - max(v.lastReceivedAt, v.startAt) }
 
-// nextMember returns the member to be probed: each once in random order, then each once in another order (SWIM, 4.3).
+// nextMember returns the next member to probe, or nil if there is none. It passes through all members in a random order that
+// changes with each pass (SWIM, 4.3).
 func (v *View) nextMember() *member {
 	if m := v.nextInOrder(); m != nil {
 		return m
@@ -125,7 +127,7 @@
 	return v.nextInOrder()
 }
 
-// nextInOrder returns the next member of this turn that can be probed, or nil at its end.
+// nextInOrder returns the next member of this pass that can be probed, or nil at the end of the pass.
 func (v *View) nextInOrder() *member {
 	for len(v.prober.order) > 0 {
 		name := v.prober.order[0]
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// randomMember returns a random member that is alive and not suspect, other than this router and one of that name; nil if
-// there is none.
+// randomMember returns a random member that is alive, not suspect, and neither this router nor the member named except. It
+// returns nil if there is none.
 func (v *View) randomMember(except string) *member {
 	var names []string
 	for name, m := range v.members { // any order: sorted below
@@ -153,8 +155,8 @@
 	return v.members[names[v.rng.IntN(len(names))]]
 }
 
-// pollContacts pings some of the addresses where no member is known to be alive, each with a growing delay. Without it faulty
-// members would be forgotten, and the two sides of a partition would never meet again.
+// pollContacts pings some of the addresses at which no member is known to be alive, each with a growing delay. Without polls no
+// router would contact faulty members, and the two sides of a partition would stay separate after the partition ends.
 func (v *View) pollContacts() {
 	var due []*contact
 	absent := 0
@@ -179,7 +181,7 @@
 	}
 }
 
-// comparePollTime orders contacts by when they are due, then by address.
+// comparePollTime orders contacts by the time of their next poll, then by address.
 func comparePollTime(a, b *contact) int {
 	if a.pollAt != b.pollAt {
 		return int(min(1, max(-1, a.pollAt-b.pollAt)))
@@ -187,13 +189,13 @@
 	return strings.Compare(a.addr, b.addr)
 }
 
-// pollAllSoon makes all contacts due: one of them has come back, or this router has.
+// pollAllSoon makes polls of all contacts due, because a faulty member or this router itself is reachable again.
 func (v *View) pollAllSoon() {
 	if v.now < v.lastPollAllAt+minPollDelay || v.cfg.Plain {
 		return
 	}
 	v.lastPollAllAt = v.now
-	for _, c := range v.contacts { // any order: each by itself
+	for _, c := range v.contacts { // any order: contacts are independent
 		c.pollDelay, c.pollAt = 0, min(c.pollAt, v.now)
 	}
 }
@@ -217,10 +219,10 @@
 	v.send(p.addr, datagram{header: header{kind: ping}, nonce: p.nonce}, v.members[p.name], MaxDatagramBytes)
 }
 
-// newNonce returns a random number that is not 0.
+// newNonce returns a random number other than 0.
 func (v *View) newNonce() uint32 { return max(1, v.rng.Uint32()) }
 
-// expireProbes sends probes again whose timeout is over, and ends those that have failed.
+// expireProbes probes indirectly where a probe's timeout has passed, and ends the probes that have failed.
 func (v *View) expireProbes() {
 	for _, p := range slices.Clone(v.prober.probes) {
 		switch {
@@ -233,8 +235,8 @@
 	}
 }
 
-// probeIndirectly pings once more, and asks other members to probe: the path between two routers may be broken, or a single
-// datagram lost.
+// probeIndirectly resends the ping and asks other members to probe, because the path between the two routers may be broken or a
+// single datagram may have been lost.
 func (v *View) probeIndirectly(p *probe) {
 	if !v.cfg.Plain {
 		v.sendPing(p)
@@ -251,14 +253,15 @@
 	}
 }
 
-// probeFailed suspects a member that has not acknowledged a probe.
+// probeFailed ends a probe that was not acknowledged and suspects the member, unless the probe was a poll.
 func (v *View) probeFailed(p *probe) {
 	v.prober.probes = slices.DeleteFunc(v.prober.probes, func(other *probe) bool { return other == p })
 	if p.poll {
 		return
 	}
 	if p.indirect > 0 && p.nacks == 0 && !v.cfg.Plain {
-		// The members that were asked would have sent a nack: this router may be the one that receives nothing.
+		// The members that were asked should have sent a nack. As none arrived, this router itself may be slow or unable to
+		// receive.
 		v.addAwareness(1)
 	}
 	if m := v.members[p.name]; m != nil && m.State.IsAlive() {
@@ -276,7 +279,7 @@
 	v.addAwareness(-1)
 }
 
-// relayPing probes a member for another one.
+// relayPing probes a member on behalf of another member.
 func (v *View) relayPing(from string, d *datagram) {
 	target := v.members[d.target]
 	if target == nil || target == v.self || target.Addr == "" || len(v.prober.relays) >= maxRelays {
@@ -287,7 +290,7 @@
 	v.send(target.Addr, datagram{header: header{kind: ping}, nonce: r.nonce}, target, MaxDatagramBytes)
 }
 
-// expireRelays sends a nack for each probe that was made for another member and was not acknowledged in time.
+// expireRelays sends a nack to the requester of each relay that was not acknowledged in time.
 func (v *View) expireRelays() {
 	v.prober.relays = slices.DeleteFunc(v.prober.relays, func(r relay) bool {
 		if v.now < r.endsAt {
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// maxIncarnationRaises bounds how often this router outbids another process of its name within raiseWindow. Two that
-	// run would outbid each other without end.
+	// maxIncarnationRaises is the maximum number of times within raiseWindow that this router raises its incarnation above the
+	// incarnation of another process with its name. Without the limit, two running processes would raise their incarnations endlessly.
 	maxIncarnationRaises      = 5
 	raiseWindow          Time = 10_000_000
 )
 
-// read decodes a datagram and reports whether it is worth handling.
+// read decodes a datagram and reports whether the view must handle it. It rejects senders that cannot be members.
 func (v *View) read(ev *DatagramReceived) (d datagram, ok bool) {
 	d, err := parse(ev.Data)
 	if err != nil {
-		v.counts.Garbage++
+		v.counts.Unreadable++
 		return d, false
 	}
 	if d.kind != query && v.contacts[ev.From] == nil && len(v.cfg.Seeds) == 0 && v.members[d.name] == nil {
-		v.counts.Foreign++
+		v.counts.NonMember++
 		return d, false
 	}
 	return d, true
 }
 
-// receive handles a datagram. Nothing in it is believed unless it is new and comes from a known address.
+// receive handles a datagram. Its content is trusted only if the datagram is new and comes from a known address.
 func (v *View) receive(ev *DatagramReceived, d *datagram) {
 	if d.kind == query {
 		v.answerQuery(ev.From, d, len(ev.Data))
@@ -41,8 +41,8 @@
 		v.receiveDuplicateName(ev.From, d)
 		return
 	}
-	if !v.plausible(d.incarnation) {
-		v.counts.Wrong++
+	if !v.plausibleIncarnation(d.incarnation) {
+		v.counts.OutOfRange++
 		return
 	}
 	m := v.members[d.name]
@@ -50,7 +50,7 @@
 		v.counts.Replayed++
 		return
 	}
-	v.counts.Taken++
+	v.counts.Accepted++
 	if v.isolatedFor() > isolationRounds*v.cfg.Interval {
 		v.pollAllSoon()
 	}
@@ -67,14 +67,14 @@
 	v.answer(m, ev.From, d, len(ev.Data))
 }
 
-// plausible reports whether a member can have an incarnation.
-func (v *View) plausible(incarnation uint64) bool {
+// plausibleIncarnation reports whether an incarnation is above 0 and not too far ahead of this router's clock.
+func (v *View) plausibleIncarnation(incarnation uint64) bool {
 	runFor := uint64(max(0, v.now-v.startAt)) / 1000
 	return incarnation > 0 && incarnation <= v.cfg.Start+runFor+maxIncarnationLead
 }
 
-// isReplay reports whether a datagram came before, or is of an earlier process of a member. Otherwise a recording could speak
-// for a member that is gone.
+// isReplay reports whether a datagram was received before or comes from an earlier process of a member. Without the check,
+// recorded datagrams could make a failed member appear alive.
 func (v *View) isReplay(m *member, d *datagram) bool {
 	if v.cfg.Defect == Replayable {
 		return false
@@ -85,7 +85,7 @@
 	return !m.replays.accept(d.sequence)
 }
 
-// memberAt returns the member that has sent a datagram, and notes its address. It returns nil where the view is full.
+// memberAt returns the member that sent a datagram and records its address. It returns nil if the view is full.
 func (v *View) memberAt(c *contact, m *member, d *datagram) *member {
 	if m == nil {
 		if m = v.addMember(d.name, d.incarnation, d.boot, announcedState(d.leaving)); m == nil {
@@ -108,7 +108,8 @@
 	return Alive
 }
 
-// applyHeader takes over what a member says of itself in each datagram, and notifies one that is suspect or faulty here.
+// applyHeader applies the state and incarnation in a datagram's header to its sender, and notifies a sender that this router holds
+// suspect or faulty.
 func (v *View) applyHeader(m *member, d *datagram) {
 	switch {
 	case d.incarnation > m.Incarnation:
@@ -121,32 +122,32 @@
 	}
 }
 
-// receiveDuplicateName handles a datagram of another router with this one's name. Both would refute each other without end,
-// and each would hide the other's failure: the one that started later stays.
+// receiveDuplicateName handles a datagram from another router with this router's name. Only the router that started later stays
+// in the view, because two routers with one name would refute each other endlessly and hide each other's failure.
 func (v *View) receiveDuplicateName(from string, d *datagram) {
-	if d.boot == v.self.boot || !v.plausible(d.incarnation) || v.retired {
-		v.counts.Foreign++
+	if d.boot == v.self.boot || !v.plausibleIncarnation(d.incarnation) || v.retired {
+		v.counts.NonMember++
 		return
 	}
-	// Both say for how long they have run, so that their clocks do not matter.
+	// Both routers send their run times, so the comparison does not depend on their clocks.
 	runs := v.runTime()
 	if d.runTime < runs || d.runTime == runs && d.boot > v.self.boot {
 		v.retired = true
-		v.do(Changed{})
+		v.addAction(Changed{})
 		v.log(slog.LevelError, "gossip name taken by later router", slog.String("address", from), slog.String("name", v.cfg.Name))
 		return
 	}
 	v.log(slog.LevelWarn, "gossip name shared with earlier router", slog.String("address", from), slog.String("name", v.cfg.Name))
-	v.send(from, datagram{header: header{kind: ack}}, nil, MaxDatagramBytes) // the other one has to find out
+	v.send(from, datagram{header: header{kind: ack}}, nil, MaxDatagramBytes) // informs the other router
 }
 
-// receiveFromUnknown handles a datagram from an address that is no contact's.
+// receiveFromUnknown handles a datagram from an address that is not a contact's.
 func (v *View) receiveFromUnknown(from string, d *datagram, size int) {
-	v.counts.Foreign++
+	v.counts.NonMember++
 	if m := v.members[d.name]; m != nil && m.boot == d.boot && d.kind == ping && m != v.self && !v.retired {
-		// A member at an address that is not configured here: nothing that it says is believed, but the acknowledgement
-		// keeps it from suspecting this router.
-		if v.replies.take(v.now) {
+		// The sender uses a member's name at an address that this router does not know. The datagram's content is not trusted,
+		// but the acknowledgement keeps the member from suspecting this router.
+		if v.replies.allow(v.now) {
 			v.send(from, datagram{header: header{kind: ack}, nonce: d.nonce}, nil, size)
 		}
 		return
@@ -154,12 +155,13 @@
 	if len(v.cfg.Seeds) == 0 && v.self.announcedAddr == "" || d.name == v.cfg.Name || v.retired {
 		return
 	}
-	v.introduce(from, d, size)
+	v.admitThroughSeed(from, d, size)
 }
 
-// introduce accepts a member that comes through a seed. It is pinged first and becomes a contact with its acknowledgement, as
-// anybody can claim an address. The ping is no longer than the datagram that caused it.
-func (v *View) introduce(from string, d *datagram, size int) {
+// admitThroughSeed admits a router that contacts this one from an unknown address, having found it through a seed. The router is
+// pinged first and becomes a contact when it acknowledges, because a sender's address can be forged. Updates are added to the
+// ping only up to the size of the datagram that caused it.
+func (v *View) admitThroughSeed(from string, d *datagram, size int) {
 	pinged := func(p *probe) bool { return p.nonce == d.nonce && p.addr == from }
 	if d.kind == ack && slices.ContainsFunc(v.prober.probes, pinged) {
 		if len(v.contacts) < MaxMembers {
@@ -168,7 +170,7 @@
 		v.probeAcknowledged(d.nonce, from, true)
 		return
 	}
-	if d.kind != ping || !v.replies.take(v.now) || v.prober.full() {
+	if d.kind != ping || !v.replies.allow(v.now) || v.prober.full() {
 		return
 	}
 	deadline := v.now + v.cfg.Interval
@@ -177,10 +179,10 @@
 	v.send(from, datagram{header: header{kind: ping}, nonce: p.nonce}, nil, size)
 }
 
-// applyUpdate handles one claim on a member.
+// applyUpdate handles a claim about a member.
 func (v *View) applyUpdate(u *update, from string) {
-	if !v.plausible(u.incarnation) {
-		v.counts.Wrong++
+	if !v.plausibleIncarnation(u.incarnation) {
+		v.counts.OutOfRange++
 		return
 	}
 	if u.name == v.cfg.Name {
@@ -211,11 +213,11 @@
 		if newer {
 			v.adopt(m, u.incarnation, u.boot, Alive)
 		}
-		v.applyAccusation(m, u, accuser(u, from))
+		v.applySuspectOrFaulty(m, u, suspectingRouter(u, from))
 	}
 }
 
-// applyUpdateOfUnknown adds a member that another router has named. A suspect is added as alive and then suspected.
+// applyUpdateOfUnknown adds a member that an update names. A suspect is added as alive and then suspected.
 func (v *View) applyUpdateOfUnknown(u *update, from string) {
 	state := u.state
 	if state == Suspect {
@@ -228,20 +230,21 @@
 	v.applyDetails(m, u)
 	v.broadcast(m)
 	if u.state == Suspect {
-		v.suspect(m, accuser(u, from))
+		v.suspect(m, suspectingRouter(u, from))
 	}
 }
 
-// accuser returns the router that suspects the member of an update.
-func accuser(u *update, from string) string {
+// suspectingRouter returns the router that suspects the member of an update: the one that the update names, otherwise the sender
+// of the datagram.
+func suspectingRouter(u *update, from string) string {
 	if u.by != "" {
 		return u.by
 	}
 	return from
 }
 
-// applyAccusation handles another router's claim that a member is suspect or faulty.
-func (v *View) applyAccusation(m *member, u *update, by string) {
+// applySuspectOrFaulty handles another router's claim that a member is suspect or faulty.
+func (v *View) applySuspectOrFaulty(m *member, u *update, by string) {
 	if !m.State.IsAlive() {
 		return
 	}
@@ -253,15 +256,15 @@
 		v.declareFaulty(m)
 		return
 	}
-	// The member has half of the minimum suspicion to refute. If the claim were believed at once, the two sides of a partition
-	// that has healed would declare each other's members faulty.
+	// The member has half of the minimum suspicion time, without the logarithm of the number of members, to refute the claim. If
+	// the claim were trusted at once, the two sides of a partition would declare each other's members faulty after it ends.
 	deadline := v.now + v.cfg.Interval*Time(v.cfg.Suspicion)/2
 	if m.suspicion.deadline == 0 {
 		m.suspicion.deadline = deadline
 	}
 }
 
-// applyDetails takes over what a member has announced of itself beside its state.
+// applyDetails applies the info and the address that a member has announced about itself.
 func (v *View) applyDetails(m *member, u *update) {
 	if u.boot == m.boot && u.revision > m.revision {
 		m.revision, m.Info = u.revision, u.info
@@ -279,20 +282,21 @@
 	}
 }
 
-// applyUpdateOfSelf refutes claims on this router.
+// applyUpdateOfSelf handles a claim about this router. It refutes claims that this router has failed or left, and raises this
+// router's incarnation above the incarnation of another process with the same name.
 func (v *View) applyUpdateOfSelf(u *update) {
 	switch {
-	case v.retired || v.gone:
+	case v.retired || v.ended:
 	case u.boot != v.self.boot:
-		v.outbidOtherProcess(u.incarnation)
+		v.raiseAboveOtherProcess(u.incarnation)
 	case u.state != Alive && u.state != Leaving && u.incarnation >= v.self.Incarnation:
 		v.refute(u.incarnation)
 	}
 }
 
-// outbidOtherProcess raises this router's incarnation above that of another process of its name. After a restart with a
-// clock that is behind, the earlier process would otherwise be taken for the later one.
-func (v *View) outbidOtherProcess(incarnation uint64) {
+// raiseAboveOtherProcess raises this router's incarnation above the incarnation of another process with its name. Otherwise, after a
+// restart with a clock that is behind, other routers would take the earlier process for the later one.
+func (v *View) raiseAboveOtherProcess(incarnation uint64) {
 	if v.now > v.raisesSince+raiseWindow {
 		v.incarnationRaises, v.raisesSince = 0, v.now
 	}
@@ -302,7 +306,7 @@
 	}
 }
 
-// answer does what a member's datagram asks for.
+// answer handles the kind of a member's datagram: it answers requests and matches answers to probes and relays.
 func (v *View) answer(m *member, from string, d *datagram, size int) {
 	if v.retired {
 		return
@@ -326,6 +330,6 @@
 	case digests:
 		v.answerDigests(from, d, size)
 	case differences:
-		v.compareSoon()
+		v.compareNextRound()
 	}
 }
--- a/internal/gossip/replay_window.go
+++ b/internal/gossip/replay_window.go
@@ -1,15 +1,15 @@
 package gossip
 
-// replayWindowBits is how far behind the largest number an unseen one is still accepted.
+// replayWindowBits is the number of sequence numbers up to the largest one accepted that the window tracks.
 const replayWindowBits = 64
 
-// replayWindow rejects datagrams that come more than once, by their sequence numbers (RFC 4303, 3.4.3).
+// replayWindow rejects datagrams with a sequence number that was received before, or that is too old (RFC 4303, 3.4.3).
 type replayWindow struct {
-	largest uint64 // number that was accepted
-	seen    uint64 // bit i stands for the number largest-i
+	largest uint64 // largest sequence number that was accepted
+	seen    uint64 // bit i is set if the number largest-i was accepted
 }
 
-// accept reports whether a number is new, and marks it as seen.
+// accept reports whether a sequence number is new and within the window, and records it.
 func (w *replayWindow) accept(number uint64) bool {
 	if number > w.largest {
 		w.advance(number)
@@ -23,7 +23,7 @@
 	return true
 }
 
-// advance moves the window up to a number, which is seen.
+// advance moves the window up to number and records it.
 func (w *replayWindow) advance(number uint64) {
 	shift := number - w.largest
 	w.largest = number
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// leftRetention is for how long a member that left is remembered. Until then its incarnation rejects old claims that it
-	// is alive.
+	// leftRetention is how long a view keeps a member that left, so that the member's incarnation rejects old claims that the
+	// member is alive.
 	leftRetention Time = 600_000_000
-	// leaveNotices is the number of members that a router notifies when it leaves.
+	// leaveNotices is the number of pings that a router sends to random members when it leaves.
 	leaveNotices = 3
 )
 
-// member is what this router knows of a member, itself included.
+// member is this router's record of a member, or of itself.
 type member struct {
 	Member
-	boot           uint32 // of its process, as it announced it
-	revision       uint64 // of Info; it counts up with each change in one process
-	announcedState State  // Alive or Leaving: its state where nobody suspects it
-	announcedAddr  string // the address that it announced of itself
+	boot           uint32 // random number of the member's process, as announced
+	revision       uint64 // revision of Info; increases with each change within one process; 0 if Info is unknown
+	announcedState State  // Alive or Leaving: the state that the member announced
+	announcedAddr  string // address that the member announced
 	replays        replayWindow
-	suspicion      suspicion // meaningful while it is suspect
-	notifiedAt     Time      // when it was notified last that it is suspected or faulty
-	unsettledAt    Time      // when it announced last that it is not settled, or another digest; 0 if it did otherwise since
+	suspicion      suspicion // valid only while the member is suspect
+	notifiedAt     Time      // when the member was last notified that it is suspect or faulty
+	unsettledAt    Time      // when the member last announced an unsettled view or another digest; 0 if it has agreed since
 }
 
 // contact is an address that this router may send to.
 type contact struct {
 	addr       string
-	name       string // who answered there last; empty where nobody did
+	name       string // name of the member last seen at addr or announced with it; empty if unknown
 	configured bool
-	pollAt     Time // when it is polled next, while no member that is alive is there
-	pollDelay  Time // before pollAt; it doubles with each poll
+	pollAt     Time // time of the next poll, while no member is alive at addr
+	pollDelay  Time // delay before pollAt, without its random part; doubles with each poll
 }
 
-// setState changes a member's state, and the digest with it.
+// setState sets a member's state and updates the view's digest.
 func (v *View) setState(m *member, s State) {
 	v.agreement.digest ^= m.digest()
 	before := m.State
@@ -49,14 +49,15 @@
 	v.agreement.digest ^= m.digest()
 	if before.IsAlive() != s.IsAlive() || (before == Left) != (s == Left) {
 		v.agreement.namesStale = true
-		v.do(Changed{})
+		v.addAction(Changed{})
 	} else if before != s && s != Suspect && before != Suspect {
-		v.do(Changed{})
+		v.addAction(Changed{})
 	}
 }
 
-// digest is a member's part in the digest of a view. A suspect counts as what it announced, as suspicions come and go at each
-// router by themselves. A member that left does not count, as each router forgets it in its own time.
+// digest returns a member's contribution to the digest of a view. A suspect contributes the state that it announced, because
+// suspicions begin and end at each router independently. A member that left contributes nothing, because each router removes the
+// member at a different time.
 func (m *member) digest() uint64 {
 	s := m.State
 	switch s {
@@ -68,17 +69,17 @@
 	return rendezvous.Mix(rendezvous.Hash(m.Name) ^ rendezvous.Mix(m.Incarnation*8+uint64(s)) ^ uint64(m.boot)<<17)
 }
 
-// setIncarnation changes a member's incarnation, and the digest with it.
+// setIncarnation sets a member's incarnation and updates the view's digest.
 func (v *View) setIncarnation(m *member, incarnation uint64) {
 	v.agreement.digest ^= m.digest()
 	m.Incarnation = incarnation
 	v.agreement.digest ^= m.digest()
 }
 
-// addMember adds a member that was unknown. It returns nil where the view is full.
+// addMember adds an unknown member. It returns nil if the view is full.
 func (v *View) addMember(name string, incarnation uint64, boot uint32, s State) *member {
 	if len(v.members) >= MaxMembers {
-		v.counts.Wrong++
+		v.counts.OutOfRange++
 		return nil
 	}
 	m := &member{
@@ -92,13 +93,13 @@
 	v.members[name] = m
 	v.agreement.digest ^= m.digest()
 	v.agreement.namesStale = true
-	v.do(Changed{})
+	v.addAction(Changed{})
 	v.log(slog.LevelInfo, "gossip member added",
 		slog.String("member", name), slog.String("state", s.String()), slog.Uint64("incarnation", incarnation))
 	return m
 }
 
-// adopt takes over a newer incarnation or process of a member, with the state that it announced.
+// adopt applies a newer incarnation or process of a member, with the state that the member announced.
 func (v *View) adopt(m *member, incarnation uint64, boot uint32, s State) {
 	before := m.State
 	v.agreement.digest ^= m.digest()
@@ -120,19 +121,19 @@
 	v.broadcast(m)
 }
 
-// refute contradicts a claim on this router by an incarnation above the claimed one.
+// refute refutes a claim about this router by announcing an incarnation above the claimed one.
 func (v *View) refute(claimed uint64) {
 	v.counts.Refuted++
 	if !v.cfg.Plain {
 		v.addAwareness(1)
 	}
-	if v.cfg.Defect == NotRaised {
+	if v.cfg.Defect == IncarnationNotRaised {
 		return
 	}
 	v.raiseIncarnation(claimed + 1)
 }
 
-// raiseIncarnation raises this router's incarnation, at least to a number.
+// raiseIncarnation raises this router's incarnation by at least one and at least to the given number.
 func (v *View) raiseIncarnation(to uint64) {
 	v.setIncarnation(v.self, max(v.self.Incarnation+1, to))
 	v.agreement.namesStale = true
@@ -140,21 +141,21 @@
 }
 
 // leave announces that this router drains, or that it has ended.
-func (v *View) leave(gone bool) {
-	if v.gone {
+func (v *View) leave(ended bool) {
+	if v.ended {
 		return
 	}
 	if v.self.State != Leaving {
 		v.setState(v.self, Leaving)
 		v.raiseIncarnation(0)
 	}
-	if gone {
+	if ended {
 		v.setIncarnation(v.self, v.self.Incarnation+1)
 		v.setState(v.self, Left)
 		v.broadcast(v.self)
-		v.gone = true
+		v.ended = true
 	}
-	// Some members are notified at once, as nobody probes a router that has ended.
+	// Some members are notified at once, because no router probes a router that has ended.
 	for range leaveNotices {
 		if m := v.randomMember(""); m != nil {
 			v.send(m.Addr, datagram{header: header{kind: ping}, nonce: v.newNonce()}, nil, MaxDatagramBytes)
@@ -175,7 +176,7 @@
 			v.contacts[address] = &contact{addr: address, configured: true}
 		}
 	}
-	for address, c := range v.contacts { // any order: each by itself
+	for address, c := range v.contacts { // any order: contacts are independent
 		if c.configured && !configured[address] {
 			v.removeContact(address, c)
 		}
@@ -183,7 +184,7 @@
 	v.cfg.Peers = addresses
 }
 
-// removeContact removes an address that is not configured any more.
+// removeContact removes an address that is no longer configured.
 func (v *View) removeContact(address string, c *contact) {
 	delete(v.contacts, address)
 	if m := v.members[c.name]; m != nil && m.Addr == address {
@@ -191,9 +192,9 @@
 	}
 }
 
-// forgetLeft drops members that left long ago.
-func (v *View) forgetLeft() {
-	for name, m := range v.members { // any order: each by itself
+// pruneLeft removes members that left more than leftRetention ago.
+func (v *View) pruneLeft() {
+	for name, m := range v.members { // any order: members are independent
 		if m.State != Left || m == v.self || v.now <= m.Since+leftRetention {
 			continue
 		}
@@ -204,7 +205,7 @@
 	}
 }
 
-// Members returns the members by name, this router included.
+// Members returns the members sorted by name, this router included.
 func (v *View) Members() []Member {
 	list := make([]Member, 0, len(v.members))
 	for _, m := range v.members {
--- a/internal/gossip/suspicion.go
+++ b/internal/gossip/suspicion.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// confirmations is the number of other routers whose suspicion shortens one to its minimum (Lifeguard's K).
+	// confirmations is the number of other routers that must confirm a suspicion to shorten it to its minimum time (Lifeguard's K).
 	confirmations = 3
-	// maxTimeoutFactor is the maximum time of a suspicion that nobody confirms, in minimum times.
+	// maxTimeoutFactor is the ratio of the maximum time of a suspicion, which applies without confirmation, to its minimum time.
 	maxTimeoutFactor = 6
-	// directProbers is the mean number of routers that probe a suspect themselves.
+	// directProbers is the mean number of routers whose notification of a suspect counts as a probe.
 	directProbers = 4
 )
 
-// suspicion is why and since when a member is suspect.
+// suspicion records the routers that suspect a member, and the times of the suspicion.
 type suspicion struct {
-	by       []string // routers that suspect it; the first began the suspicion
+	by       []string // routers that suspect the member; the first one began the suspicion
 	since    Time
-	deadline Time // where another router has declared it faulty, its time to refute that; else 0
+	deadline Time // when the time to refute ends after another router declared the member faulty; otherwise 0
 }
 
-// begin begins a suspicion that nobody holds yet.
+// begin begins a suspicion, without any router that suspects the member.
 func (s *suspicion) begin(now Time) { s.by, s.since, s.deadline = s.by[:0], now, 0 }
 
 // clear ends a suspicion.
 func (s *suspicion) clear() { s.by, s.deadline = s.by[:0], 0 }
 
-// postpone moves a suspicion by a time in which it could not be refuted.
+// postpone extends a suspicion by a time in which the member could not refute it.
 func (s *suspicion) postpone(d Time) {
 	s.since += d
 	if s.deadline > 0 {
@@ -37,7 +37,7 @@
 	}
 }
 
-// suspect puts a member under suspicion, or confirms a suspicion, by a router.
+// suspect begins a suspicion of a member, or confirms an existing one, on behalf of the router by.
 func (v *View) suspect(m *member, by string) {
 	if m == v.self || !m.State.IsAlive() {
 		return
@@ -56,21 +56,21 @@
 	v.notifySuspect(m)
 }
 
-// notifySuspect probes a member that is suspect or faulty, so that it can refute that (Lifeguard, IV-C).
+// notifySuspect pings a member that is suspect or faulty, so that the member can refute the claim (Lifeguard, IV-C).
 func (v *View) notifySuspect(m *member) {
 	recently := m.notifiedAt > 0 && v.now < m.notifiedAt+v.cfg.Interval/2
 	if v.cfg.Plain || m.Addr == "" || recently || v.prober.full() {
 		return
 	}
 	m.notifiedAt = v.now
-	// A few routers count the probe as one of their own, so that a suspicion is confirmed or refuted soon; how many does not
-	// depend on the number of members.
+	// At directProbers routers on average, regardless of the number of members, the ping counts as a probe whose failure confirms
+	// the suspicion. This confirms or refutes suspicions early.
 	direct := v.rng.Float64() < directProbers/float64(len(v.members))
 	v.probe(m.Name, m.Addr, !direct)
 }
 
-// suspicionDeadline is when a suspicion ends that nobody refutes: the more routers suspect the member themselves, the sooner
-// (Lifeguard, IV-B).
+// suspicionDeadline returns when a suspicion ends if the member does not refute it. The suspicion is shorter the more routers have
+// confirmed it (Lifeguard, IV-B).
 func (v *View) suspicionDeadline(m *member) Time {
 	scale := math.Max(1, math.Log10(float64(len(v.agreement.names))+1))
 	minTimeout := float64(v.cfg.Suspicion) * scale * float64(v.cfg.Interval)
@@ -78,12 +78,12 @@
 		return m.suspicion.since + Time(minTimeout)
 	}
 	maxTimeout := maxTimeoutFactor * minTimeout
-	// Where too few routers are left that could confirm a suspicion, it counts as confirmed: a router that is cut off would
-	// wait for the maximum time with each member.
+	// Confirmations count as given if too few routers remain that could give them. Otherwise an isolated router would wait for the
+	// maximum time for each member.
 	confirmed := float64(max(0, len(m.suspicion.by)-1, confirmations-v.countConfirmers()))
 	timeout := max(minTimeout, maxTimeout-(maxTimeout-minTimeout)*math.Log(confirmed+1)/math.Log(confirmations+1))
 	deadline := m.suspicion.since + Time(timeout)
-	if v.cfg.Defect == NoTimeout {
+	if v.cfg.Defect == SuspicionNeverExpires {
 		return math.MaxInt64 / 4
 	}
 	if m.suspicion.deadline > 0 {
@@ -92,7 +92,7 @@
 	return deadline
 }
 
-// countConfirmers returns the number of other members that could confirm a suspicion, up to confirmations.
+// countConfirmers returns the number of other members that could confirm a suspicion, at most confirmations.
 func (v *View) countConfirmers() int {
 	count := 0
 	for _, m := range v.members { // any order: a count
@@ -106,7 +106,7 @@
 	return count
 }
 
-// suspects returns the names of suspects in order, so that equal events give equal actions.
+// suspects returns the sorted names of the suspects. The order makes equal events give equal actions.
 func (v *View) suspects() []string {
 	var names []string
 	for name, m := range v.members { // any order: sorted below
@@ -118,7 +118,7 @@
 	return names
 }
 
-// expireSuspicions declares members faulty whose suspicion has ended.
+// expireSuspicions declares the members faulty whose suspicion has timed out.
 func (v *View) expireSuspicions() {
 	for _, name := range v.suspects() {
 		if m := v.members[name]; v.now >= v.suspicionDeadline(m) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// declareFaulty ends a suspicion that nobody refuted. A member that was leaving has left.
+// declareFaulty sets the state of a member that did not refute a suspicion: Left if the member was leaving, otherwise Faulty.
 func (v *View) declareFaulty(m *member) {
 	by := slices.Clone(m.suspicion.by)
 	if m.announcedState == Leaving {
--- a/internal/gossip/transport/transport.go
+++ b/internal/gossip/transport/transport.go
@@ -1,4 +1,5 @@
-// Package transport connects a view of the package gossip with a machine: its datagrams, clock and log. It makes no decisions.
+// Package transport runs a gossip view on a machine: it connects the view to the machine's datagrams, clock and log, and makes no
+// decisions of the protocol.
 package transport
 
 import (
@@ -11,20 +12,20 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// Transport runs a view on a machine. All calls are made in the machine's loop.
+// Transport runs a view on a machine. All of its methods must be called in the machine's event loop.
 type Transport struct {
 	machine   machine.Machine
 	logger    *slog.Logger
 	view      *gossip.View
 	conn      machine.PacketConn
-	timer     machine.Timer // of the view's Wake; nil before the first one
+	timer     machine.Timer // timer of the view's latest Wake; nil before the first Wake
 	onChanged func()        // may be nil
 	closed    bool
 }
 
-// Start listens at an address and joins the other routers. The caller sets the configuration but for Start, Boot and Seed,
-// which come from the machine. onChanged is called after the view has changed, and may be nil. An error of the address is
-// wrapped: machine's errors are found by errors.Is.
+// Start listens at an address and joins the other routers. Start sets the fields Start, Boot and Seed of cfg from the machine; the
+// caller sets all others. The transport calls onChanged, which may be nil, after the view has changed. An error about the listen
+// address wraps the machine's error, which callers can test with errors.Is.
 func Start(m machine.Machine, listen string, cfg gossip.Config, onChanged func()) (*Transport, error) {
 	cfg.Start, cfg.Boot, cfg.Seed = uint64(max(1, m.Wall()/1000)), uint32(m.Entropy()), m.Entropy()
 	view, err := gossip.New(cfg)
@@ -51,13 +52,14 @@
 	}
 }
 
-// handle passes an event to the view and carries out its actions in order. onChanged comes last, as it may call the transport.
+// handle passes an event to the view and performs the view's actions in order. onChanged is called last, because it may call the
+// transport.
 func (t *Transport) handle(event gossip.Event) {
 	changed := false
 	for _, action := range t.view.Handle(t.machine.Now(), event) {
 		switch action := action.(type) {
 		case gossip.Send:
-			t.conn.Send(action.To, action.Data) // one that the machine does not take is as one lost on its way
+			t.conn.Send(action.To, action.Data) // a datagram that the machine rejects counts as lost on the network
 		case gossip.Wake:
 			t.setTimer(action.At)
 		case gossip.Changed:
@@ -78,7 +80,7 @@
 	t.timer = t.machine.At(at, t.onTimer)
 }
 
-// UpdateInfo changes what this router announces of itself.
+// UpdateInfo replaces the data that this router announces about itself.
 func (t *Transport) UpdateInfo(info gossip.Info) { t.handle(&gossip.UpdateInfo{Info: info}) }
 
 // Peers replaces the configured addresses.
@@ -87,12 +89,12 @@
 // Leave announces that this router drains.
 func (t *Transport) Leave() { t.handle(&gossip.Leave{}) }
 
-// Close announces that this router ends, and closes the address. Calls after the first do nothing.
+// Close announces that this router ends, and stops listening. Calls after the first do nothing.
 func (t *Transport) Close() {
 	if t.closed {
 		return
 	}
-	t.handle(&gossip.Leave{Gone: true})
+	t.handle(&gossip.Leave{Ended: true})
 	t.closed = true
 	if t.timer != nil {
 		t.timer.Stop()
@@ -100,8 +102,8 @@
 	t.conn.Close()
 }
 
-// View returns the view, which the caller only reads.
+// View returns the view, which the caller must only read.
 func (t *Transport) View() *gossip.View { return t.view }
 
-// Addr returns the address that the transport listens at.
+// Addr returns the address at which the transport listens.
 func (t *Transport) Addr() string { return t.conn.Addr() }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -7,49 +7,49 @@
 	"slices"
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never Time = math.MaxInt64 / 2
 
-// View is one router's view. Use New.
+// View is one router's view of all routers. New creates a View.
 type View struct {
 	cfg     Config
 	rng     *rand.Rand
-	now     Time // of the present event
-	started bool // the first event has come
-	startAt Time // when it came
-	gone    bool // this router has ended
-	retired bool // another router with its name has started later
-
-	actions     []Action // of the present event
-	buffers     [][]byte // of datagrams to be sent; reused at the next event
+	now     Time // time of the current event
+	started bool // the first event has been handled
+	startAt Time // time of the first event
+	ended   bool // this router has ended
+	retired bool // another router with this router's name has started later
+
+	actions     []Action // actions for the current event
+	buffers     [][]byte // buffers of datagrams to send; reused at the next event
 	usedBuffers int
 
 	self     *member
-	members  map[string]*member // this router included
+	members  map[string]*member // by name, this router included
 	contacts map[string]*contact
 
 	nextRoundAt Time
-	wakeAt      Time   // of the Wake that was returned last
-	rounds      int    // rounds that have begun
-	sequence    uint64 // of datagrams sent and updates queued
+	wakeAt      Time   // time of the latest Wake
+	rounds      int    // number of rounds begun
+	sequence    uint64 // latest sequence number of datagrams sent and updates queued
 
 	prober    prober
-	awareness int // local health score; 0 is healthy, each point stretches timeouts by their length
+	awareness int // local health score; 0 is healthy, and each point extends a timeout by its base length
 	updates   []*queuedUpdate
 	agreement agreement
 
 	compareRound int // the round in which digests are compared next
 	replies      replyLimiter
 
-	incarnationRaises int  // since raisesSince, because of another process with this name
-	raisesSince       Time // when the first of them was
-	lastReceivedAt    Time // when a member's datagram was accepted last
-	lastPollAllAt     Time // when all contacts were made due last
+	incarnationRaises int  // raises since raisesSince because of another process with this router's name
+	raisesSince       Time // start of the window that incarnationRaises counts in
+	lastReceivedAt    Time // when a member's datagram was last accepted
+	lastPollAllAt     Time // when polls of all contacts were last made due
 
 	counts Counts
 }
 
-// New returns a view of a router that knows no member yet. The error names a field that is out of range.
+// New returns the view of a router that knows no other member yet. The error names a field of cfg that is out of range.
 func New(cfg Config) (*View, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -76,18 +76,18 @@
 	return v, nil
 }
 
-// Handle takes one event and returns what is to be done, in order. The slice is valid until the next call.
+// Handle handles one event and returns the resulting actions in order. The slice is valid until the next call.
 func (v *View) Handle(now Time, ev Event) []Action {
 	v.now, v.actions, v.usedBuffers = now, v.actions[:0], 0
 	var received datagram
 	if ev, is := ev.(*DatagramReceived); is {
 		var ok bool
-		// A datagram that is not accepted must cost little, as anybody can send many.
+		// Rejecting a datagram must be cheap, because any host can send many.
 		if received, ok = v.read(ev); !ok {
 			return nil
 		}
 	}
-	v.resume()
+	v.startOrDetectStall()
 	switch ev := ev.(type) {
 	case *DatagramReceived:
 		v.receive(ev, &received)
@@ -97,11 +97,11 @@
 		v.self.revision++
 		v.broadcast(v.self)
 	case *Leave:
-		v.leave(ev.Gone)
+		v.leave(ev.Ended)
 	case *Peers:
 		v.replacePeers(ev.Peers)
 	}
-	if !v.gone {
+	if !v.ended {
 		v.runDue()
 	}
 	v.updateSettled()
@@ -109,8 +109,9 @@
 	return v.actions
 }
 
-// resume starts the view at its first event. Later it detects that this process did not run for a while.
-func (v *View) resume() {
+// startOrDetectStall starts the view at its first event. At later events it detects a stall: the event comes more than an
+// interval after the requested wake time.
+func (v *View) startOrDetectStall() {
 	if v.started {
 		if late := v.now - v.wakeAt; late > v.cfg.Interval && !v.cfg.Plain {
 			v.recoverFromStall(late)
@@ -118,13 +119,13 @@
 		return
 	}
 	v.started, v.startAt = true, v.now
-	// Routers that are started together must not probe at the same instants.
+	// The random offset keeps routers that start together from probing at the same instants.
 	v.nextRoundAt = v.now + Time(v.rng.Int64N(v.cfg.Interval))
 	v.agreement.settledChangedAt, v.self.Since = v.now, v.now
 	v.broadcast(v.self)
 }
 
-// runDue does what is due: a round, probes and relays that time out, suspicions that end.
+// runDue begins a round if one is due and handles timeouts of probes, relays and suspicions.
 func (v *View) runDue() {
 	if v.now >= v.nextRoundAt {
 		v.nextRoundAt = max(v.nextRoundAt+v.cfg.Interval, v.now+v.cfg.Interval/2)
@@ -135,9 +136,9 @@
 	v.expireSuspicions()
 }
 
-// requestWake asks for the next Tick.
+// requestWake requests the next Tick.
 func (v *View) requestWake() {
-	if v.gone {
+	if v.ended {
 		v.wakeAt = never
 		return
 	}
@@ -148,17 +149,17 @@
 		}
 	}
 	v.wakeAt = max(at, v.now+1)
-	v.do(Wake{v.wakeAt})
+	v.addAction(Wake{v.wakeAt})
 }
 
-// Retired reports whether another router with this one's name has started later.
+// Retired reports whether another router with this router's name has started later.
 func (v *View) Retired() bool { return v.retired }
 
 // Counts returns the view's counters.
 func (v *View) Counts() Counts { return v.counts }
 
-func (v *View) do(a Action) { v.actions = append(v.actions, a) }
+func (v *View) addAction(a Action) { v.actions = append(v.actions, a) }
 
 func (v *View) log(level slog.Level, message string, attrs ...slog.Attr) {
-	v.do(Log{Level: level, Message: message, Attrs: attrs})
+	v.addAction(Log{Level: level, Message: message, Attrs: attrs})
 }
