--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -132,6 +132,27 @@
 	})
 }
 
+// TestAnswerToUnknownAddressIsNoLongerThanItsDatagram checks the bound of FuzzDatagram with an input that it found: a contact's
+// datagram, received again from an unknown address under the name that is now a member's.
+func TestAnswerToUnknownAddressIsNoLongerThanItsDatagram(t *testing.T) {
+	b := []byte("\x01\x01\n\x03000\x15000000 0")
+	v, err := New(testConfig())
+	if err != nil {
+		t.Fatal(err)
+	}
+	v.Handle(1_000_000, &DatagramReceived{From: "10.0.0.2:7946", Data: b})
+	const unknown = "10.9.9.9:1"
+	sent := 0
+	for _, a := range v.Handle(2_000_000, &DatagramReceived{From: unknown, Data: b}) {
+		if s, is := a.(Send); is && s.To == unknown {
+			sent += len(s.Data)
+		}
+	}
+	if sent > len(b) {
+		t.Errorf("got answers of %d bytes to an unknown sender, want at most the %d bytes received", sent, len(b))
+	}
+}
+
 func testConfig() Config {
 	c := DefaultConfig()
 	c.Name, c.Start, c.Boot, c.Seed = "n0", 1_796_000_000_000, 1, 1
