--- a/cmd/starlingwinch/state_test.go
+++ b/cmd/starlingwinch/state_test.go
@@ -5,12 +5,14 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
 	"starlingwinch/decide"
+	"starlingwinch/internal/machine"
 	"starlingwinch/internal/snapshot"
 	"starlingwinch/internal/snapshotstore"
 )
@@ -83,6 +85,25 @@
 	}
 }
 
+// waitStored waits until the folder has two generations of snapshots, and one that is valid holds the cache of the
+// configuration. A router that starts writes snapshots without caches until it has its endpoint list.
+func waitStored(t *testing.T, folder string) {
+	t.Helper()
+	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		info, err := os.Stat(filepath.Join(folder, "state.2"))
+		if err != nil || !info.Mode().IsRegular() {
+			continue
+		}
+		for _, row := range snapshotstore.Verify(machine.Files(), folder, time.Now().UnixMicro()) {
+			holdsCache := slices.ContainsFunc(row.Snapshot.Caches, func(c snapshot.Endpoint) bool { return c.ID == "c1" })
+			if row.InUse && row.Rejected == nil && holdsCache {
+				return
+			}
+		}
+	}
+	t.Fatal("no snapshot with the cache of the configuration is written to ", folder)
+}
+
 // TestSnapshotsSurviveKillAndReload kills the program and starts it again, and moves the folder at SIGHUP; a file of 1
 // GB, a link and a hundred thousand other files in the folder do no harm.
 func TestSnapshotsSurviveKillAndReload(t *testing.T) {
@@ -113,16 +134,7 @@
 	s := start(t, command(t, "run", "--config", config, "--operator", toml))
 	s.wait(t, "state.1 is not used: too large: more than 16777216 bytes; set aside as set-aside.1")
 	s.wait(t, "state.2 is not used: not a regular file; set aside as set-aside.2")
-	written := func(folder string) {
-		t.Helper()
-		for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-			if info, err := os.Stat(filepath.Join(folder, "state.2")); err == nil && info.Mode().IsRegular() {
-				return
-			}
-		}
-		t.Fatal("nothing is written to ", folder)
-	}
-	written(dir)
+	waitStored(t, dir)
 	s.cmd.Process.Kill()
 	s.cmd.Wait()
 	s = start(t, command(t, "run", "--config", config, "--operator", toml))
@@ -130,7 +142,7 @@
 	name(other)
 	s.cmd.Process.Signal(syscall.SIGHUP)
 	s.wait(t, `msg="snapshot folder changed" folder=`+other)
-	written(other)
+	waitStored(t, other)
 	s.end(t)
 	if code, _, errs := outcome(t, "state", "verify", other); code != 0 {
 		t.Errorf("after a drain: %s", errs)
