--- a/internal/hooks/config.go
+++ b/internal/hooks/config.go
@@ -13,7 +13,7 @@
 	"starlingwinch/internal/plugin/worker"
 )
 
-// File is an operators' file of the kind "hooks", as it is written.
+// File is the decoded form of an operators' file of the kind "hooks".
 type File struct {
 	Folder          string              `toml:"folder" min:"1" max:"4096" doc:"where the hooks' files are"`
 	MaxWaitFraction float64             `toml:"wait_share" min:"0.001" max:"0.9" doc:"of the time that a client waits, a request waits for all hooks together at most"`
@@ -23,7 +23,7 @@
 	Hooks           []Entry             `toml:"hook"`
 }
 
-// Defaults are the values for hooks whose own entry leaves them out.
+// Defaults holds the values for hooks whose entries leave them unset.
 type Defaults struct {
 	OnFailure   string              `toml:"on_failure" words:"pass,refuse" doc:"what becomes of a request that a hook could not judge"`
 	RetryAfter  time.Duration       `toml:"refuse_wait" min:"0s" max:"1m" doc:"for which a client stays away that is refused so"`
@@ -39,7 +39,7 @@
 	LogLineSize int                 `toml:"log_line" min:"16" max:"512" doc:"bytes of a line"`
 }
 
-// Entry is one hook of a File. Hooks are called in the order of their entries.
+// Entry configures one hook of a File. Hooks are called in the order of their entries.
 type Entry struct {
 	File       string   `toml:"file" min:"1" max:"255" doc:"its file in the folder; .wasm for WebAssembly, .star for a script"`
 	Points     []string `toml:"points" max:"3" doc:"it is asked at these alone: request, answered, list; empty for all that it has"`
@@ -57,19 +57,19 @@
 	CPUFraction float64             `toml:"share" min:"0" max:"1" doc:"0 for that of each"`
 }
 
-// maxHooks bounds the hooks of a set, as each has a process.
+// maxHooks is the maximum number of hooks in a set. Each hook may need a process.
 const maxHooks = 16
 
-// scriptEngine is the engine whose hooks can't run inside the router.
+// scriptEngine is the name of the engine whose hooks can't run inside the router.
 const scriptEngine = "script"
 
-// The words of isolation and on_failure that differ from the defaults.
+// Values of isolation and on_failure that differ from the defaults.
 const (
 	isolationInside = "inside"
 	onFailureRefuse = "refuse"
 )
 
-// DefaultFile returns the values that apply where no file sets them: no hooks.
+// DefaultFile returns the values that apply where no file sets them. The default has no hooks.
 func DefaultFile() File {
 	budget := plugin.DefaultBudget
 	return File{
@@ -94,17 +94,17 @@
 	}
 }
 
-// Kind is the kind "hooks" of operators' files.
+// Kind defines the kind "hooks" of operators' files.
 var Kind = operatorconfig.Define("hooks", "the operators' own hooks, and what they may use", DefaultFile(), checkFile)
 
-// pointNames are the points that an entry may name.
+// pointNames maps the names that an entry may list to points.
 var pointNames = map[string]plugin.Point{
 	"request":  plugin.OnRequest,
 	"answered": plugin.Answered,
 	"list":     plugin.ListChanged,
 }
 
-// checkFile checks what the range of no single value covers.
+// checkFile checks the constraints that span several values or that a range cannot express.
 func checkFile(f File, report operatorconfig.ReportFunc) {
 	if len(f.Hooks) > maxHooks {
 		report("hook", "%d hooks (wanted at most %d)", len(f.Hooks), maxHooks)
@@ -113,7 +113,7 @@
 	names := map[string]bool{}
 	for i, e := range f.Hooks {
 		if e.File == "" {
-			report(fmt.Sprintf("hook[%d]", i), "it names no file")
+			report(fmt.Sprintf("hook[%d]", i), "file name is missing")
 			continue
 		}
 		h := f.hook(e)
@@ -122,20 +122,20 @@
 		total += operatorconfig.Size(h.Budget.Memory) + worker.MemoryOverhead
 	}
 	if total > f.MaxMemory {
-		report("memory_most", "below what the hooks may take together (%s, wanted at least %s)", f.MaxMemory, total)
+		report("memory_most", "less than the total memory limit of the hooks (%s, wanted at least %s)", f.MaxMemory, total)
 	}
 }
 
-// checkEntry checks one entry that names a file. duplicate says that an entry before has the same name.
+// checkEntry checks one entry that names a file. duplicate reports whether an earlier entry has the same hook name.
 func checkEntry(i int, e Entry, h Hook, duplicate bool, report operatorconfig.ReportFunc) {
 	key := func(name string) string { return fmt.Sprintf("hook[%d].%s", i, name) }
 	switch {
 	case e.File != filepath.Base(e.File) || strings.HasPrefix(e.File, "."):
-		report(key("file"), "not a file's name alone (%.64q)", e.File)
+		report(key("file"), "not a plain file name (%.64q)", e.File)
 	case engineOf(e.File) == nil:
-		report(key("file"), "unknown ending (%.64q, wanted %s)", e.File, fileExtensions())
+		report(key("file"), "unknown file extension (%.64q, wanted %s)", e.File, fileExtensions())
 	case duplicate:
-		report(key("file"), "a hook of this name stands twice (%.64q)", h.Name)
+		report(key("file"), "duplicate hook name (%.64q)", h.Name)
 	}
 	for _, point := range e.Points {
 		if _, known := pointNames[point]; !known {
@@ -143,14 +143,14 @@
 		}
 	}
 	if h.Inside && h.Engine == scriptEngine {
-		report(key("isolation"), "a script can't be bounded inside the router (inside, wanted process)")
+		report(key("isolation"), "a script can't be limited inside the router (inside, wanted process)")
 	}
 	if h.Inside && (h.Budget.Depth == 0 || h.Budget.Steps == 0) {
-		report(key("isolation"), "inside the router, each.depth and steps must bound a module (0)")
+		report(key("isolation"), "each.depth and steps must limit a module that runs inside the router (0)")
 	}
 }
 
-// engineOf returns the engine that runs a file, by its extension; nil for none.
+// engineOf returns the engine for the extension of a file, or nil if the extension is unknown.
 func engineOf(file string) plugin.Engine {
 	for _, e := range worker.Engines {
 		if e.FileExtension() == filepath.Ext(file) {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// fileExtensions returns the extensions of all engines, as a text for errors.
+// fileExtensions returns the file extensions of all engines, formatted for an error message.
 func fileExtensions() string {
 	var all []string
 	for _, e := range worker.Engines {
@@ -169,10 +169,10 @@
 	return configerror.OneOf(all)
 }
 
-// hookName returns the name of a hook: its file's, without the extension.
+// hookName returns the name of a hook, which is the name of its file without the extension.
 func hookName(file string) string { return strings.TrimSuffix(file, filepath.Ext(file)) }
 
-// hook returns an entry's hook, with the defaults and without the code.
+// hook returns the hook that an entry configures, with the defaults applied and without the code.
 func (f File) hook(e Entry) Hook {
 	defaults := f.Defaults
 	microseconds := func(d time.Duration) plugin.Time { return d.Microseconds() }
@@ -209,17 +209,17 @@
 	return h
 }
 
-// firstSet returns an entry's own value, or the default where that is zero.
-func firstSet[T comparable](own, byDefault T) T {
+// firstSet returns value, or defaultValue if value is zero.
+func firstSet[T comparable](value, defaultValue T) T {
 	var zero T
-	if own == zero {
-		return byDefault
+	if value == zero {
+		return defaultValue
 	}
-	return own
+	return value
 }
 
-// Read reads the hooks' files and returns their configuration. It blocks on the disk, and starts nothing. The error names each
-// file that can't be read.
+// Read reads the code of all hooks and returns their configuration. Read blocks on the disk and starts no workers. The error
+// names each file that can't be read.
 func (f File) Read() (Config, error) {
 	c := Config{MaxWaitFraction: f.MaxWaitFraction, MaxWait: f.MaxWait.Microseconds()}
 	var faults configerror.List
--- a/internal/hooks/hooks.go
+++ b/internal/hooks/hooks.go
@@ -1,7 +1,7 @@
-// Package hooks runs operators' hooks beside a router: it has their workers evaluate requests, and delivers the verdicts.
-// Package policy decides what is to be done; this package does it, on a machine.Machine, and never blocks.
+// Package hooks runs operators' hooks for a router. It sends requests to the workers that run the hooks, and delivers the
+// verdicts. Package policy makes the decisions; this package carries them out on a machine.Machine and never blocks.
 //
-// Where there are no hooks, it holds nothing, starts nothing and costs a comparison for each request.
+// Without configured hooks, the package holds no state and starts no worker, and each request costs one comparison.
 package hooks
 
 import (
@@ -19,76 +19,76 @@
 // Time is an instant or a span in microseconds.
 type Time = machine.Time
 
-// Verdict is what all hooks together say of a request.
+// Verdict is the combined verdict of all hooks on a request.
 type Verdict = plugin.Verdict
 
-// Config is a set of hooks, in the order in which they are called.
+// Config describes a set of hooks, in the order in which the router calls them.
 type Config struct {
 	Hooks           []Hook
 	MaxWaitFraction float64 // limit of a request's wait for all hooks together, as a fraction of its time left
 	MaxWait         Time    // limit of the same wait, as a span
 
-	// Command is the command line of this program that runs a worker: its standard input is worker.Main's. Empty
-	// stands for CommandName.
+	// Command holds the arguments with which this program runs as a worker, that is, calls worker.Main on its standard
+	// input. Empty stands for CommandName.
 	Command []string
-	// Inside is worker.Serve, for hooks that run inside the router. Nil where none may; then they have processes. With
-	// one processor it is to be nil: a module that loops keeps the router's loop from running for some 30 ms, until the
-	// scheduler preempts it.
+	// Inside serves a worker inside the router by calling worker.Serve. If Inside is nil, every hook runs in a process.
+	// Inside must be nil on a machine with one processor, where a module that loops blocks the event loop of the router
+	// for some 30 ms, until the scheduler preempts the module.
 	Inside func(io.ReadWriteCloser)
 }
 
-// CommandName is the hidden command of the program that runs a worker.
+// CommandName is the hidden command of the program that runs it as a worker.
 const CommandName = "hook-worker"
 
-// Hook is one hook with its code.
+// Hook is the configuration and code of one hook.
 type Hook struct {
 	policy.Hook
-	Engine     string // the name of the engine that runs it
-	Code       []byte // the content of its file
+	Engine     string // name of the engine that runs the hook
+	Code       []byte // content of the file of the hook
 	Budget     plugin.Budget
-	WantsValue bool // it is handed the value of a request
-	Inside     bool // it runs inside the router, where Config.Inside allows that
+	WantsValue bool // the hook receives the value of each request
+	Inside     bool // the hook runs inside the router, if Config.Inside is set
 }
 
-// Request is one that hooks may evaluate.
+// Request is a request that hooks may evaluate.
 type Request struct {
 	ID                       int64 // unique among open requests
 	Verb, Class, Tenant, Key string
-	TimeLeft                 Time // until its client stops waiting
-	Size                     int  // bytes of its value
-	// Value returns the value. It is called in the loop, for hooks that want it, until there is a verdict or the
-	// request is cancelled. Nil stands for none.
+	TimeLeft                 Time // until the client stops waiting
+	Size                     int  // of the value, in bytes
+	// Value returns the value of the request. Hooks calls Value in the event loop, for hooks with WantsValue, but not
+	// after the verdict or the cancellation of the request. Nil stands for no value.
 	Value func() []byte
 }
 
-// Answer is a final answer that is about to leave.
+// Answer describes the final answer to a request, at the time when the router is about to send it.
 type Answer struct {
 	Verb, Class, Tenant, Key string
-	Size                     int // bytes of the request's value
+	Size                     int // of the value of the request, in bytes
 	Outcome                  plugin.Outcome
-	Took                     Time // since the request was read
+	Took                     Time // since the router read the request
 }
 
-// Hooks are the hooks of one router. All methods are called in the loop of its machine.
+// Hooks runs the hooks of one router. All methods must be called in the event loop of its machine.
 type Hooks struct {
 	machine   machine.Machine
 	logger    *slog.Logger
 	policy    *policy.Policy
-	onVerdict map[int64]func(Verdict) // of open requests, by their numbers
-	configs   map[int]Config          // of the sets that the policy refers to, by their numbers
-
-	workers       map[int]*workerConnection // by their numbers
-	pendingWrites []*workerConnection       // those with bytes to send at the end of this turn
-	timer         machine.Timer             // calls onTimer; nil for none
-	turnPosted    bool                      // runTurn is to come
-	turnFunc      func()                    // runTurn, made once
-	timerFunc     func()                    // onTimer, made once
-	reply         wire.Reply                // of the frame that is being handled; used again for each
-	onClosed      func()                    // called once no worker is left after Close; nil before and after
+	onVerdict map[int64]func(Verdict) // callbacks of open requests, by request ID
+	configs   map[int]Config          // sets that the policy refers to, by set number
+
+	workers       map[int]*workerConnection // by worker number
+	pendingWrites []*workerConnection       // connections with bytes to send at the end of this turn
+	timer         machine.Timer             // calls onTimer; nil if no timer is set
+	turnPosted    bool                      // runTurn is posted and has not run yet
+	turnFunc      func()                    // runTurn, bound once to avoid an allocation
+	timerFunc     func()                    // onTimer, bound once to avoid an allocation
+	reply         wire.Reply                // decoded reply of the present frame; reused for each frame
+	onClosed      func()                    // called once after Close when no worker is left; nil otherwise
 }
 
-// New returns the hooks of a router, with a first set. Its workers start meanwhile; until they have loaded, requests wait for
-// them as they do for hooks that are slow. The error says why cfg is not a valid set.
+// New returns the hooks of a router and starts the workers of the first set. Until the workers have loaded their hooks,
+// requests wait for them as for slow hooks. The error describes why cfg is not a valid set.
 func New(m machine.Machine, cfg Config, logger *slog.Logger) (*Hooks, error) {
 	h := &Hooks{
 		machine:   m,
@@ -105,11 +105,11 @@
 	return h, h.Reload(cfg)
 }
 
-// Reload has a set of hooks take over in one step, once all of it has loaded. Where one does not load, the log names it
-// and the set before stays. The error says why cfg is not a valid set.
+// Reload loads a set of hooks and makes it active in one step, after all its hooks have loaded. If a hook fails to load, its
+// name is logged and the present set stays active. The error describes why cfg is not a valid set.
 func (h *Hooks) Reload(cfg Config) error {
 	if len(cfg.Hooks) > maxHooks {
-		return fmt.Errorf("hooks: %d of them (wanted at most %d)", len(cfg.Hooks), maxHooks)
+		return fmt.Errorf("hooks: too many hooks: %d (wanted at most %d)", len(cfg.Hooks), maxHooks)
 	}
 	s := policy.Settings{MaxWaitFraction: cfg.MaxWaitFraction, MaxWait: cfg.MaxWait}
 	for _, hook := range cfg.Hooks {
@@ -123,16 +123,16 @@
 	return nil
 }
 
-// Idle reports whether there are no hooks: then no request is evaluated, and notifications go nowhere.
+// Idle reports whether no hooks are configured. If so, no request is evaluated and notifications are dropped.
 func (h *Hooks) Idle() bool { return h.policy.Idle() }
 
-// Evaluate has hooks evaluate a request. It reports false where no hook does: then the request goes on at once. Otherwise
-// onVerdict is called once, in a later turn of the loop, unless the request is cancelled before.
+// Evaluate starts the evaluation of a request by the hooks. It reports false if no hook evaluates the request, which then
+// proceeds at once. Otherwise onVerdict is called once, in a later turn, unless the request is cancelled before.
 func (h *Hooks) Evaluate(r Request, onVerdict func(Verdict)) bool {
 	if h.policy.Idle() {
 		return false
 	}
-	taken := h.policy.Evaluate(h.machine.Now(), policy.Request{ID: r.ID, Value: r.Value, Call: plugin.Call{
+	accepted := h.policy.Evaluate(h.machine.Now(), policy.Request{ID: r.ID, Value: r.Value, Call: plugin.Call{
 		Point:    plugin.OnRequest,
 		Now:      h.machine.Now(),
 		Verb:     r.Verb,
@@ -142,14 +142,14 @@
 		Size:     r.Size,
 		TimeLeft: r.TimeLeft,
 	}})
-	if taken {
+	if accepted {
 		h.onVerdict[r.ID] = onVerdict
 		h.postTurn()
 	}
-	return taken
+	return accepted
 }
 
-// Cancel closes a request whose client has left: its onVerdict is not called any more.
+// Cancel closes a request whose client has disconnected. Its onVerdict is not called after that.
 func (h *Hooks) Cancel(id int64) {
 	if _, open := h.onVerdict[id]; open {
 		delete(h.onVerdict, id)
@@ -158,7 +158,7 @@
 	}
 }
 
-// Answered has hooks see a final answer.
+// Answered notifies hooks of a final answer.
 func (h *Hooks) Answered(a Answer) {
 	if h.policy.Idle() {
 		return
@@ -175,7 +175,7 @@
 	})
 }
 
-// ListChanged has hooks see how many caches there are, and how many of them are serving.
+// ListChanged notifies hooks of the number of caches, and of how many of the caches are serving.
 func (h *Hooks) ListChanged(caches, serving int) {
 	if h.policy.Idle() {
 		return
@@ -183,22 +183,22 @@
 	h.notify(plugin.Call{Point: plugin.ListChanged, Caches: caches, ServingCaches: serving})
 }
 
-// notify has hooks see an event that needs no verdict.
+// notify notifies hooks of an event that needs no verdict.
 func (h *Hooks) notify(c plugin.Call) {
 	c.Now = h.machine.Now()
 	h.policy.Notify(c.Now, c)
 	h.postTurn()
 }
 
-// Close ends all hooks. Open requests have their verdicts by on_failure, and workers a third of a second to unload; then
-// onClosed is called. No request is taken from here on.
+// Close stops all hooks. Open requests receive verdicts according to on_failure, and workers have a third of a second to
+// unload. Then onClosed is called. After Close no request is evaluated.
 func (h *Hooks) Close(onClosed func()) {
 	h.onClosed = onClosed
 	h.policy.Close(h.machine.Now())
 	h.postTurn()
 }
 
-// Ready reports whether each hook is up.
+// Ready reports whether all hooks of the active set are up.
 func (h *Hooks) Ready() bool {
 	for _, status := range h.policy.Status() {
 		if status.State != policy.StateUp {
@@ -208,10 +208,10 @@
 	return true
 }
 
-// Status returns the status of each hook, in the order in which they are called.
+// Status returns the status of each hook, in the order in which the router calls the hooks.
 func (h *Hooks) Status() []policy.HookStatus { return h.policy.Status() }
 
-// Left returns how many records of each kind are held.
+// Left returns the number of records of each kind that the hooks still hold.
 func (h *Hooks) Left() map[string]int {
 	left := h.policy.Left()
 	left["verdicts owed"] = len(h.onVerdict)
@@ -220,7 +220,7 @@
 	return left
 }
 
-// postTurn has runTurn come after the present turn of the loop, so that the calls of one turn go to a worker in one write.
+// postTurn schedules runTurn after the present turn, so that the calls of one turn go to a worker in one write.
 func (h *Hooks) postTurn() {
 	if !h.turnPosted {
 		h.turnPosted = true
@@ -228,20 +228,20 @@
 	}
 }
 
-// runTurn carries out what has gathered since postTurn.
+// runTurn carries out the actions that have accumulated since postTurn.
 func (h *Hooks) runTurn() {
 	h.turnPosted = false
 	h.executeActions()
 }
 
-// onTimer is called at the time that the policy has set.
+// onTimer runs at the time that the policy has set.
 func (h *Hooks) onTimer() {
 	h.timer = nil
 	h.policy.Tick(h.machine.Now())
 	h.executeActions()
 }
 
-// executeActions carries out all actions of the policy, and then sends the calls among them.
+// executeActions carries out all pending actions of the policy, and then writes the calls to the workers.
 func (h *Hooks) executeActions() {
 	for {
 		a, more := h.policy.Next()
@@ -276,7 +276,7 @@
 	}
 }
 
-// deliver hands a request its verdict, unless it was cancelled.
+// deliver calls the onVerdict of a request, unless the request was cancelled.
 func (h *Hooks) deliver(id int64, v Verdict) {
 	onVerdict := h.onVerdict[id]
 	delete(h.onVerdict, id)
@@ -285,7 +285,7 @@
 	}
 }
 
-// stopTimer stops the timer, where it is set.
+// stopTimer stops the timer if one is set.
 func (h *Hooks) stopTimer() {
 	if h.timer != nil {
 		h.timer.Stop()
@@ -293,7 +293,7 @@
 	}
 }
 
-// finishClose reports the end of Close.
+// finishClose stops the timer and calls the onClosed of Close.
 func (h *Hooks) finishClose() {
 	h.stopTimer()
 	if onClosed := h.onClosed; onClosed != nil {
--- a/internal/hooks/hooks_test.go
+++ b/internal/hooks/hooks_test.go
@@ -14,7 +14,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// virtualHarness is a router's place on a virtual host.
+// virtualHarness runs Hooks on a simulated host with simulated workers.
 type virtualHarness struct {
 	t           *testing.T
 	world       *sim.World
@@ -42,11 +42,11 @@
 func (f *virtualHarness) advance(d Time) { f.world.Run(f.world.Now() + d) }
 
 func (f *virtualHarness) evaluate(id int64, class string) bool {
-	inside := true
-	defer func() { inside = false }()
+	evaluating := true
+	defer func() { evaluating = false }()
 	return f.hooks.Evaluate(Request{ID: id, Class: class, TimeLeft: sim.Second}, func(v Verdict) {
-		if inside {
-			f.t.Error("a verdict came from within Ask")
+		if evaluating {
+			f.t.Error("the verdict was delivered during Evaluate")
 		}
 		f.verdicts[id] = append(f.verdicts[id], v)
 		f.deliveredAt[id] = f.world.Now()
@@ -60,10 +60,10 @@
 			return
 		}
 	}
-	f.t.Errorf("no line says %q: %q", text, f.lines)
+	f.t.Errorf("no log line contains %q: %q", text, f.lines)
 }
 
-// wantNothingLeft fails where something is left.
+// wantNothingLeft checks that no records, descriptors and timers are left.
 func (f *virtualHarness) wantNothingLeft() {
 	f.t.Helper()
 	for name, n := range f.hooks.Left() { // any order
@@ -86,7 +86,7 @@
 	f.hooks.Close(func() { closed = f.world.Now() })
 	f.advance(sim.Second)
 	if closed == 0 || closed-began > 400*sim.Millisecond {
-		f.t.Errorf("closed after %d ms", (closed-began)/1000)
+		f.t.Errorf("closed after %d ms, want at most 400", (closed-began)/1000)
 	}
 	f.wantNothingLeft()
 }
@@ -107,15 +107,15 @@
 	}}
 	f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
 	if f.hooks.Ready() {
-		t.Error("ready before its worker is up")
+		t.Error("ready before its worker has loaded the hook")
 	}
 	f.advance(20 * sim.Millisecond)
 	if !f.hooks.Ready() || !f.evaluate(1, "read") {
-		t.Fatal("not ready, or not taken")
+		t.Fatal("the hook is not ready, or the request is not accepted")
 	}
 	f.advance(sim.Millisecond)
 	if got := f.verdicts[1]; len(got) != 1 || got[0].Decision != plugin.Reject || got[0].RetryAfter != 7000 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want one rejection with RetryAfter 7000", got)
 	}
 	f.close()
 }
@@ -124,14 +124,14 @@
 	f := newVirtualHarness(t, 1, &hookstest.Script{}, Config{})
 	n := testing.AllocsPerRun(100, func() {
 		if f.hooks.Evaluate(Request{ID: 1, Class: "read"}, nil) {
-			t.Error("taken")
+			t.Error("request accepted without hooks")
 		}
 		f.hooks.Answered(Answer{})
 		f.hooks.ListChanged(9, 9)
 		f.hooks.Cancel(1)
 	})
 	if n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("got %v allocations, want 0", n)
 	}
 	f.wantNothingLeft()
 	f.close()
@@ -145,11 +145,11 @@
 	f.advance(20 * sim.Millisecond)
 	began := f.world.Now()
 	f.evaluate(1, "bad")
-	f.evaluate(2, "good") // behind it, at the same hook
+	f.evaluate(2, "good") // queued behind request 1 at the same hook
 	f.advance(100 * sim.Millisecond)
-	for id, most := range map[int64]Time{1: 20 * sim.Millisecond, 2: 50 * sim.Millisecond} { // any order
-		if len(f.verdicts[id]) != 1 || f.verdicts[id][0].Decision != plugin.Pass || f.deliveredAt[id]-began > most {
-			t.Errorf("request %d: %+v after %d us", id, f.verdicts[id], f.deliveredAt[id]-began)
+	for id, maxWait := range map[int64]Time{1: 20 * sim.Millisecond, 2: 50 * sim.Millisecond} { // any order
+		if len(f.verdicts[id]) != 1 || f.verdicts[id][0].Decision != plugin.Pass || f.deliveredAt[id]-began > maxWait {
+			t.Errorf("request %d: got %+v after %d us, want one pass within %d us", id, f.verdicts[id], f.deliveredAt[id]-began, maxWait)
 		}
 	}
 	f.wantLog(policy.ErrCallTimeout.Error())
@@ -158,8 +158,8 @@
 
 func TestWorkerThatViolatesProtocolIsReplaced(t *testing.T) {
 	for name, act := range map[string]hookstest.Act{ // any order
-		"rubbish": {Say: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "twice": {Twice: true}, "dies": {Die: true},
-		"no verdict": {Verdict: Verdict{Decision: 9}},
+		"invalid frame": {Say: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "duplicate reply": {Twice: true}, "exit": {Die: true},
+		"unknown decision": {Verdict: Verdict{Decision: 9}},
 	} {
 		s := &hookstest.Script{Call: func(string, *plugin.Call) hookstest.Act { return act }}
 		f := newVirtualHarness(t, 1, s, config(hookNamed("a")))
@@ -167,10 +167,10 @@
 		f.evaluate(1, "read")
 		f.advance(100 * sim.Millisecond)
 		if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Decision != plugin.Pass {
-			t.Errorf("%s: %+v", name, f.verdicts[1])
+			t.Errorf("%s: got %+v, want one pass", name, f.verdicts[1])
 		}
 		if f.hooks.Status()[0].Counts.Restarts == 0 {
-			t.Errorf("%s: the worker was kept", name)
+			t.Errorf("%s: the worker was not replaced", name)
 		}
 		f.close()
 	}
@@ -194,11 +194,11 @@
 	f.advance(20 * sim.Millisecond)
 	f.close()
 	if len(seen) != 3 || seen[0].Outcome != plugin.OutcomeFailed || seen[1].ServingCaches != 8 || seen[2].Point != plugin.Unload {
-		t.Errorf("%+v", seen)
+		t.Errorf("got calls %+v, want Answered, ListChanged and Unload", seen)
 	}
 }
 
-func TestValueIsHandedToHooksThatWantIt(t *testing.T) {
+func TestValueIsSentOnlyToHooksThatWantIt(t *testing.T) {
 	var seen [][]byte
 	s := &hookstest.Script{Call: func(_ string, c *plugin.Call) hookstest.Act {
 		seen = append(seen, append([]byte(nil), c.Value...))
@@ -208,10 +208,10 @@
 	b.WantsValue = true
 	f := newVirtualHarness(t, 1, s, config(a, b))
 	f.advance(20 * sim.Millisecond)
-	f.hooks.Evaluate(Request{ID: 1, TimeLeft: sim.Second, Value: func() []byte { return []byte("59 for OE1XYZ") }}, func(Verdict) {})
+	f.hooks.Evaluate(Request{ID: 1, TimeLeft: sim.Second, Value: func() []byte { return []byte("some value") }}, func(Verdict) {})
 	f.advance(20 * sim.Millisecond)
-	if len(seen) != 2 || len(seen[0]) > 0 || string(seen[1]) != "59 for OE1XYZ" {
-		t.Errorf("%q", seen)
+	if len(seen) != 2 || len(seen[0]) > 0 || string(seen[1]) != "some value" {
+		t.Errorf("got values %q, want one only for the second hook", seen)
 	}
 	f.close()
 }
@@ -232,7 +232,7 @@
 	f.close()
 	for id := range int64(40) {
 		if len(f.verdicts[id]) != 1 {
-			t.Errorf("request %d has %d verdicts", id, len(f.verdicts[id]))
+			t.Errorf("request %d has %d verdicts, want 1", id, len(f.verdicts[id]))
 		}
 	}
 }
@@ -250,8 +250,8 @@
 	f.hooks.Reload(config(hookNamed("b"), hookNamed("bad")))
 	f.advance(20 * sim.Millisecond)
 	f.wantLog(`msg="hook set not loaded" hook=bad cause="other contract: it was built for version 2"`)
-	if rows := f.hooks.Status(); len(rows) != 1 || rows[0].Name != "a" || !f.hooks.Ready() {
-		t.Errorf("%+v", rows)
+	if status := f.hooks.Status(); len(status) != 1 || status[0].Name != "a" || !f.hooks.Ready() {
+		t.Errorf("got %+v, want only the ready hook a", status)
 	}
 	f.close()
 }
@@ -265,7 +265,7 @@
 	f.evaluate(1, "read")
 	f.advance(100 * sim.Millisecond)
 	if len(f.verdicts[1]) != 1 || f.verdicts[1][0].Decision != plugin.Reject {
-		t.Errorf("%+v", f.verdicts[1])
+		t.Errorf("got %+v, want one rejection", f.verdicts[1])
 	}
 	f.close()
 }
@@ -277,12 +277,12 @@
 	f.advance(20 * sim.Millisecond)
 	f.wantLog(`msg="hook runs in a process, not inside the router" hook=a`)
 	if !f.hooks.Ready() {
-		t.Error("it does not run")
+		t.Error("the hook does not run")
 	}
 	f.close()
 }
 
-// randomlyBrokenHooks plays hooks by chance.
+// randomlyBrokenHooks returns a script of hooks that fail at random in load and in calls.
 func randomlyBrokenHooks(r *rand.Rand) *hookstest.Script {
 	return &hookstest.Script{
 		Load: func(string) (plugin.Points, hookstest.Act) {
@@ -313,24 +313,24 @@
 	}
 }
 
-// TestBrokenHooksOfSeedsHaveOneVerdictInTime checks that each run has one verdict a request, in time, and leaves nothing over;
-// and that equal seeds give equal runs.
+// TestBrokenHooksOfSeedsHaveOneVerdictInTime checks that requests of randomly failing hooks each have one verdict in time, that
+// Close leaves nothing over, and that equal seeds give equal runs.
 func TestBrokenHooksOfSeedsHaveOneVerdictInTime(t *testing.T) {
-	play := func(seed uint64) uint64 {
+	run := func(seed uint64) uint64 {
 		r := rand.New(rand.NewPCG(seed, 2))
 		strict := hookNamed("strict")
 		strict.OnFailure = policy.RejectOnFailure
 		f := newVirtualHarness(t, seed, randomlyBrokenHooks(r), config(hookNamed("a"), strict))
-		began, gone := map[int64]Time{}, map[int64]bool{}
+		began, cancelled := map[int64]Time{}, map[int64]bool{}
 		for id := range int64(300) {
 			if f.evaluate(id, "read") {
 				began[id] = f.world.Now()
 			}
 			f.hooks.Answered(Answer{Class: "read"})
 			if r.IntN(20) == 0 {
-				x := r.Int64N(id + 1)
-				gone[x] = gone[x] || len(f.verdicts[x]) == 0
-				f.hooks.Cancel(x)
+				request := r.Int64N(id + 1)
+				cancelled[request] = cancelled[request] || len(f.verdicts[request]) == 0
+				f.hooks.Cancel(request)
 			}
 			if r.IntN(100) == 0 {
 				f.hooks.Reload(config(hookNamed("c"), hookNamed("d")))
@@ -340,15 +340,15 @@
 		f.close()
 		for id, at := range began { // any order
 			n := len(f.verdicts[id])
-			if n > 1 || n == 0 && !gone[id] || n == 1 && (gone[id] || f.deliveredAt[id]-at > 51*sim.Millisecond) {
-				t.Errorf("seed %d: request %d has %d verdicts, after %d us; client gone: %v", seed, id, n, f.deliveredAt[id]-at, gone[id])
+			if n > 1 || n == 0 && !cancelled[id] || n == 1 && (cancelled[id] || f.deliveredAt[id]-at > 51*sim.Millisecond) {
+				t.Errorf("seed %d: request %d has %d verdicts after %d us, cancelled: %v", seed, id, n, f.deliveredAt[id]-at, cancelled[id])
 			}
 		}
 		return f.world.TraceHash()
 	}
 	for seed := range uint64(100) {
-		if a, b := play(seed), play(seed); a != b {
-			t.Errorf("seed %d gives two runs", seed)
+		if a, b := run(seed), run(seed); a != b {
+			t.Errorf("seed %d: two runs have different traces", seed)
 		}
 		if t.Failed() {
 			t.Fatal(fmt.Sprint("seed ", seed))
--- a/internal/hooks/hookstest/hookstest.go
+++ b/internal/hooks/hookstest/hookstest.go
@@ -1,5 +1,5 @@
-// Package hookstest plays workers on a virtual machine, so that a test or the lab decides what a hook does, and when, without
-// an engine or a process.
+// Package hookstest simulates workers on a simulated machine, so that a test or the lab controls the behavior and the timing of
+// hooks without an engine or a process.
 package hookstest
 
 import (
@@ -10,84 +10,85 @@
 	"starlingwinch/internal/plugin/wire"
 )
 
-// readSize is the number of bytes that a player reads at a time.
+// readSize is the size in bytes of the buffer for one read.
 const readSize = 4096
 
-// Act is what a hook does with one call.
+// Act describes how a hook handles one call.
 type Act struct {
-	After   machine.Time // the delay from the call's turn to what follows
+	After   machine.Time // delay between the start of the call and its effect
 	Verdict plugin.Verdict
 	Fail    *plugin.Failure // a failure in place of the verdict
 	Hang    bool            // the call never returns
-	Die     bool            // the worker ends
-	Say     []byte          // bytes in place of a reply
+	Die     bool            // the worker exits
+	Say     []byte          // raw bytes to send in place of a reply
 	Twice   bool            // the reply is sent twice
 }
 
-// Script decides what hooks do. Both functions may be nil: then hooks load, have the point OnRequest, and pass.
+// Script defines the behavior of hooks. With nil functions, hooks load, have the point OnRequest, and let requests pass.
 type Script struct {
-	// Load decides how a hook loads: an Act whose Fail is set refuses it.
+	// Load returns the points of a hook and how it loads. The load fails if Act.Fail is set.
 	Load func(hook string) (plugin.Points, Act)
-	// Call decides what a hook does with a call.
+	// Call returns how a hook handles a call.
 	Call func(hook string, c *plugin.Call) Act
 
-	players []*player // those that may still run
+	workers []*worker // workers that may still run
 }
 
-// Up counts the workers that run, by their hooks; "" is for those that have not loaded one.
+// Up returns the number of running workers by hook name. The name "" stands for workers that have not loaded a hook yet.
 func (s *Script) Up() map[string]int {
 	s.removeEnded()
 	up := map[string]int{}
-	for _, p := range s.players {
-		up[p.hook]++
+	for _, w := range s.workers {
+		up[w.hook]++
 	}
 	return up
 }
 
-// removeEnded removes the players that have ended. One that was killed finds out by reading its connection.
+// removeEnded removes the workers that have ended. A worker detects that it was killed by reading from its connection.
 func (s *Script) removeEnded() {
-	s.players = slices.DeleteFunc(s.players, func(p *player) bool { return !p.read() })
+	s.workers = slices.DeleteFunc(s.workers, func(w *worker) bool { return !w.read() })
 }
 
-// Worker returns a function that plays a worker: the Worker of a sim.Host whose process is m.
+// Worker returns a function that starts a simulated worker. It serves as the Worker of a sim.Host whose process is m.
 func (s *Script) Worker(m func() machine.Machine) func(args []string, c machine.Conn) machine.Handler {
 	return func(_ []string, c machine.Conn) machine.Handler {
 		s.removeEnded()
-		p := &player{script: s, machine: m(), conn: c}
-		s.players = append(s.players, p)
-		return p
+		w := &worker{script: s, machine: m(), conn: c}
+		s.workers = append(s.workers, w)
+		return w
 	}
 }
 
-// player is one worker. It handles one call at a time, and the calls behind it wait.
-type player struct {
+// worker is one simulated worker. It handles one call at a time; later calls wait.
+type worker struct {
 	script   *Script
 	machine  machine.Machine
 	conn     machine.Conn
-	hook     string // empty until it has loaded one
-	received []byte // frames that are not yet handled
-	busy     bool   // a call runs, or hangs
+	hook     string // name of the loaded hook; empty before the load
+	received []byte // bytes of frames that are not handled yet
+	busy     bool   // a call is running or hangs
 	ended    bool
 }
 
-// Writable implements machine.Handler. Bytes that the connection does not take at once are lost, as replies are small.
-func (p *player) Writable() {}
+// Writable implements machine.Handler. It does nothing: replies are small, and bytes that the connection does not accept at
+// once are lost.
+func (w *worker) Writable() {}
 
 // Readable implements machine.Handler.
-func (p *player) Readable() {
-	if !p.read() {
-		p.end()
+func (w *worker) Readable() {
+	if !w.read() {
+		w.end()
 		return
 	}
-	p.handleFrames()
+	w.handleFrames()
 }
 
-// read takes what has come in, and reports whether more may come.
-func (p *player) read() bool {
+// read reads all available bytes and reports whether the connection is still open.
+func (w *worker) read() bool {
 	var buffer [readSize]byte
-	for !p.ended {
-		n, err := p.conn.Read(buffer[:])
-		p.received = append(p.received, buffer[:n]...)
+	for !w.ended {
+		n, err := w.conn.Read(buffer[:])
+		w.received = append(w.received, buffer[:n]...)
 		if err != nil {
 			return err == machine.ErrWait
 		}
@@ -95,16 +96,16 @@
 	return false
 }
 
-// end ends the worker.
-func (p *player) end() {
-	p.ended = true
-	p.conn.Close()
+// end stops the worker and closes its connection.
+func (w *worker) end() {
+	w.ended = true
+	w.conn.Close()
 }
 
-// handleFrames handles whole frames until a call takes time.
-func (p *player) handleFrames() {
-	for !p.busy && !p.ended {
-		kind, body, rest, err := wire.Next(p.received, wire.MaxFrameToWorker)
+// handleFrames handles complete frames until a call is delayed or the worker ends.
+func (w *worker) handleFrames() {
+	for !w.busy && !w.ended {
+		kind, body, rest, err := wire.Next(w.received, wire.MaxFrameToWorker)
 		if err != nil || kind == 0 {
 			return
 		}
@@ -112,22 +113,22 @@
 		act := Act{}
 		switch kind {
 		case wire.KindLoad:
-			act, frame = p.load(body)
+			act, frame = w.load(body)
 		case wire.KindCall:
-			act, frame = p.call(body)
+			act, frame = w.call(body)
 		}
-		p.received = append([]byte(nil), rest...)
-		p.perform(act, frame)
+		w.received = append([]byte(nil), rest...)
+		w.perform(act, frame)
 	}
 }
 
-// load returns what a hook does when it is loaded, and the frame that answers.
-func (p *player) load(body []byte) (act Act, frame []byte) {
+// load returns how the hook loads, and the reply frame.
+func (w *worker) load(body []byte) (act Act, frame []byte) {
 	load, _ := wire.ParseLoad(body)
-	p.hook = load.Name
+	w.hook = load.Name
 	points := plugin.Points(0).With(plugin.OnRequest)
-	if p.script.Load != nil {
-		points, act = p.script.Load(p.hook)
+	if w.script.Load != nil {
+		points, act = w.script.Load(w.hook)
 	}
 	if act.Fail != nil {
 		return act, wire.AppendLoadFailed(nil, act.Fail)
@@ -135,12 +136,12 @@
 	return act, wire.AppendLoaded(nil, points)
 }
 
-// call returns what a hook does with a call, and the frame that answers.
-func (p *player) call(body []byte) (act Act, frame []byte) {
+// call returns how the hook handles a call, and the reply frame.
+func (w *worker) call(body []byte) (act Act, frame []byte) {
 	var call plugin.Call
 	sequence, _ := wire.ParseCall(body, &call)
-	if p.script.Call != nil {
-		act = p.script.Call(p.hook, &call)
+	if w.script.Call != nil {
+		act = w.script.Call(w.hook, &call)
 	}
 	reply := wire.Reply{Sequence: sequence, RunTime: max(1, act.After), Verdict: act.Verdict}
 	if act.Fail != nil {
@@ -149,31 +150,31 @@
 	return act, wire.AppendReply(nil, &reply)
 }
 
-// perform carries out an act, at once or after its delay.
-func (p *player) perform(a Act, frame []byte) {
+// perform carries out an act, immediately or after its delay.
+func (w *worker) perform(a Act, frame []byte) {
 	if a.Hang {
-		p.busy = true
+		w.busy = true
 		return
 	}
 	if a.After > 0 {
-		p.busy = true
-		p.machine.At(p.machine.Now()+a.After, func() {
-			p.busy = false
+		w.busy = true
+		w.machine.At(w.machine.Now()+a.After, func() {
+			w.busy = false
 			a.After = 0
-			p.perform(a, frame)
-			p.handleFrames()
+			w.perform(a, frame)
+			w.handleFrames()
 		})
 		return
 	}
 	switch {
-	case p.ended:
+	case w.ended:
 	case a.Die:
-		p.end()
+		w.end()
 	case a.Say != nil:
-		p.conn.Write(a.Say)
+		w.conn.Write(a.Say)
 	case a.Twice:
-		p.conn.Write(append(frame[:len(frame):len(frame)], frame...))
+		w.conn.Write(append(frame[:len(frame):len(frame)], frame...))
 	default:
-		p.conn.Write(frame)
+		w.conn.Write(frame)
 	}
 }
--- a/internal/hooks/overrun_test.go
+++ b/internal/hooks/overrun_test.go
@@ -9,25 +9,25 @@
 	"starlingwinch/internal/plugin/wasmfile"
 )
 
-// BenchmarkOverrun measures how long after its budget a request of a hook that does not come back has its verdict, and how long
-// the next request of that hook waits.
+// BenchmarkOverrun measures, for a call that does not return, the delay between the end of its time budget and the verdict of its
+// request, and the wait of the next request for the same hook.
 func BenchmarkOverrun(b *testing.B) {
 	loop := &wasmfile.Module{Pages: 1}
 	loop.Func("hook_version", 0, 1, 0, wasmfile.I32Const(1))
 	loop.Func("hook_room", 1, 1, 0, wasmfile.I32Const(1024))
-	loop.Func("on_request", 1, 1, 0, wasmfile.LocalGet(0), wasmfile.I32Load(28), // the key's length
+	loop.Func("on_request", 1, 1, 0, wasmfile.LocalGet(0), wasmfile.I32Load(28), // length of the key
 		wasmfile.If(wasmfile.Loop(wasmfile.Br(0))), wasmfile.I32Const(0))
-	open := plugin.DefaultBudget
-	open.Steps = 1 << 40
-	bare := open
-	bare.Depth, bare.Steps = 0, 0
+	manySteps := plugin.DefaultBudget
+	manySteps.Steps = 1 << 40
+	unlimited := manySteps
+	unlimited.Depth, unlimited.Steps = 0, 0
 	for _, c := range []struct {
 		name, key string
 		hook      Hook
 	}{
-		{"ScriptLoop", "loop", scriptHook("x", moodyScript)},
-		{"ScriptBuiltIn", "sort", scriptHook("x", moodyScript)},
-		{"ScriptMemory", "swell", scriptHook("x", moodyScript)},
+		{"ScriptLoop", "loop", scriptHook("x", faultyScript)},
+		{"ScriptBuiltIn", "sort", scriptHook("x", faultyScript)},
+		{"ScriptMemory", "grow", scriptHook("x", faultyScript)},
 		{"ModuleLoop", "loop", Hook{Engine: "wasm", Code: loop.Bytes()}},
 		{"ModuleLoopInside", "loop", Hook{Engine: "wasm", Code: loop.Bytes(), Inside: true}},
 		{"ModuleRecursion", "x", Hook{Engine: "wasm", Code: endlessRecursion()}},
@@ -38,9 +38,9 @@
 			h := c.hook
 			h.Hook = hookNamed("x").Hook
 			h.OnFailure = policy.RejectOnFailure
-			h.Budget = open
+			h.Budget = manySteps
 			if c.name == "ModuleRecursionUncounted" {
-				h.Budget = bare
+				h.Budget = unlimited
 			}
 			if c.key == "sort" {
 				h.Budget.Memory = 1 << 30
--- a/internal/hooks/policy/api.go
+++ b/internal/hooks/policy/api.go
@@ -1,11 +1,12 @@
-// Package policy decides what becomes of requests that operators' hooks evaluate: which hook is called next, what counts
-// where one gives no verdict, when a worker is ended and a hook suspended, and when a new set of hooks takes over.
+// Package policy implements the decisions about operators' hooks: which hook evaluates a request next, which verdict applies
+// if a hook returns none, when to kill a worker or suspend a hook, and when a new set of hooks becomes active.
 //
-// A Policy is fed events and returns actions. It has no process, no socket, no clock and no goroutine: the time comes in
-// with each call, and equal calls give equal actions.
+// A Policy is a deterministic state machine that receives events and returns actions. It uses no process, socket, clock or
+// goroutine: each call passes the present time, and equal sequences of calls return equal actions.
 //
-// It promises for each request that it takes: exactly one verdict, no later than the request's MaxWaitFraction of its time
-// and the caller's next Tick, whatever the hooks and their workers do.
+// A Policy gives each request that it accepts exactly one verdict unless the caller cancels the request. The verdict comes at
+// the latest with the first Tick after the request has waited MaxWaitFraction of its time left, or MaxWait if that is less.
+// This holds for any behavior of the hooks and their workers.
 package policy
 
 import (
@@ -18,35 +19,35 @@
 // Time is an instant or a span in microseconds.
 type Time = plugin.Time
 
-// FailureMode is what counts for a request that a hook could not evaluate.
+// FailureMode defines how a request proceeds that a hook could not evaluate.
 type FailureMode uint8
 
 const (
-	PassOnFailure   FailureMode = iota // the request goes on, as after the verdict Pass
+	PassOnFailure   FailureMode = iota // the request proceeds, as after the verdict Pass
 	RejectOnFailure                    // the request is rejected, with the hook's RetryAfter
 )
 
-// Hook is an operator's configuration of one hook.
+// Hook is the configuration of one hook.
 type Hook struct {
 	Name        string
-	Classes     []string      // the classes of requests that it is called for; empty for all
-	Points      plugin.Points // the points that it is called at, load and unload aside; 0 for all that it has
+	Classes     []string      // request classes for which the hook is called; empty for all
+	Points      plugin.Points // points at which the hook is called, except load and unload; 0 for all points that it has
 	OnFailure   FailureMode
-	RetryAfter  Time    // the advice of a rejection on failure
-	Time        Time    // budget of a call
-	LoadTime    Time    // budget of load, and of unload
-	Queue       int     // limit of calls that are queued or running
-	CPUFraction float64 // fraction of one core that it may use over time
+	RetryAfter  Time    // sent with a rejection on failure
+	Time        Time    // time budget of a call
+	LoadTime    Time    // time budget of load, and of unload
+	Queue       int     // limit of calls that are queued or in flight
+	CPUFraction float64 // fraction of one core that the hook may use over time
 }
 
-// Settings are one set of hooks, in the order in which they are called.
+// Settings describes one set of hooks, in the order in which the router calls them.
 type Settings struct {
 	Hooks           []Hook
 	MaxWaitFraction float64 // limit of a request's wait for all hooks together, as a fraction of its time left
 	MaxWait         Time    // limit of the same wait, as a span
 }
 
-// Reasons why a worker was ended by the Policy.
+// Causes for which the Policy kills a worker.
 var (
 	ErrUnexpectedReply = errors.New("worker sent an unexpected reply")
 	ErrLoadedTwice     = errors.New("worker reported its hook as loaded twice")
@@ -54,21 +55,21 @@
 	ErrCallTimeout     = errors.New("worker killed: call went on beyond its budget")
 )
 
-// ActionKind is what an action asks its caller for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 const (
 	StartWorker    ActionKind = iota // start Worker for the hook with the index Hook of the set Set
-	KillWorker                       // end Worker at once; no event of it is wanted any more
+	KillWorker                       // kill Worker immediately; later events of Worker are ignored
 	SendCall                         // send Call to Worker, under Sequence
-	DeliverVerdict                   // hand the request RequestID its Verdict
-	SetTimer                         // call Tick at At, in place of the timer before
+	DeliverVerdict                   // deliver Verdict to the request RequestID
+	SetTimer                         // call Tick at At; replaces the previous timer
 	WriteLog                         // write Level, Message and Attrs to the log
-	ReleaseSet                       // forget the set Set: no action refers to it any more
-	FinishClose                      // after Close: no worker is left
+	ReleaseSet                       // release the set Set; no later action refers to it
+	FinishClose                      // Close has finished and no worker is left
 )
 
-// Action is one thing for the caller to do. Actions are carried out in order.
+// Action is an instruction to the caller, which must carry out actions in order.
 type Action struct {
 	Kind      ActionKind
 	Worker    int
@@ -79,7 +80,7 @@
 	At        Time
 	Verdict   plugin.Verdict // DeliverVerdict
 
-	// WriteLog.
+	// Fields of WriteLog.
 	Level   slog.Level
 	Message string
 	Attrs   []slog.Attr
@@ -87,8 +88,8 @@
 	call *call
 }
 
-// Call returns what a SendCall hands over; nil where its worker was ended meanwhile. The caller uses it at once and keeps
-// nothing of it, as the Policy uses calls again.
+// Call returns the call of a SendCall, or nil if the worker has been killed since. The caller must not retain the call, because
+// the Policy reuses calls.
 func (a *Action) Call() *plugin.Call {
 	if a.call == nil || a.call.sequence != a.Sequence {
 		return nil
@@ -96,8 +97,8 @@
 	return &a.call.data
 }
 
-// Value returns the value of a SendCall's request, for a hook that wants it; nil once the request's client has left, as its
-// buffer is used again.
+// Value returns the value of the request of a SendCall, for a hook that wants the value. It returns nil after the client has
+// disconnected, because the buffer of the value is then reused.
 func (a *Action) Value() []byte {
 	if a.call == nil || a.call.sequence != a.Sequence || a.call.value == nil {
 		return nil
@@ -105,19 +106,19 @@
 	return a.call.value()
 }
 
-// Request is one that hooks may evaluate.
+// Request is a request that hooks may evaluate.
 type Request struct {
 	ID    int64 // unique among open requests
 	Call  plugin.Call
-	Value func() []byte // returns its value; called until the request has its verdict or is cancelled
+	Value func() []byte // returns the value of the request; not called after the verdict or the cancellation
 }
 
 // Reply is a worker's reply to a call.
 type Reply struct {
 	Sequence uint64             // of the call
-	RunTime  Time               // how long the call ran
-	Failed   bool               // then Kind and Text hold the failure, and Verdict has log lines alone
-	Kind     plugin.FailureKind // Failed
-	Text     string             // Failed
+	RunTime  Time               // duration of the call
+	Failed   bool               // if set, Kind and Text describe the failure, and Verdict holds only log lines
+	Kind     plugin.FailureKind // only if Failed
+	Text     string             // only if Failed
 	Verdict  *plugin.Verdict
 }
--- a/internal/hooks/policy/call.go
+++ b/internal/hooks/policy/call.go
@@ -2,28 +2,28 @@
 
 import "starlingwinch/internal/plugin"
 
-// call is a request on its way through a set's hooks, or one notification of one hook.
+// call is a request that passes through the hooks of a set, or a notification to one hook.
 type call struct {
 	isRequest bool
-	id        int64 // isRequest: the caller's number of the request
+	id        int64 // isRequest: ID of the request
 	data      plugin.Call
-	value     func() []byte  // isRequest: returns the request's value; nil once the client has left
-	set       *set           // isRequest: the set that evaluates it to the end
-	hookIndex int            // isRequest: the set's hook that evaluates it, or the next one
-	hook      *hook          // the hook that has it; nil between hooks, and where the reply is not wanted any more
-	sent      bool           // it is in flight at a worker
-	sequence  uint64         // its number at the worker that has it
-	attempts  int            // how often the present hook was sent it
-	deadline  Time           // isRequest: when the request has waited long enough
-	verdict   plugin.Verdict // isRequest: of the hooks so far
+	value     func() []byte  // isRequest: returns the value of the request; nil after the client has disconnected
+	set       *set           // isRequest: set that evaluates the request until its verdict
+	hookIndex int            // isRequest: index of the present hook, or of the next one if there is no present hook
+	hook      *hook          // hook that queues or evaluates the call; nil between hooks, and after the request is closed
+	sent      bool           // the call is in flight at a worker
+	sequence  uint64         // sequence number of the last send to a worker
+	attempts  int            // number of sends to the present hook
+	deadline  Time           // isRequest: end of the wait for verdicts of hooks
+	verdict   plugin.Verdict // isRequest: combined verdict of the hooks so far
 
-	previous, next *call // isRequest: its neighbours among the open requests
+	previous, next *call // isRequest: links of the list of open requests
 }
 
-// maxFreeCalls bounds the calls that are kept for use again.
+// maxFreeCalls is the maximum number of calls in the free list.
 const maxFreeCalls = 256
 
-// newCall returns an empty call.
+// newCall returns an empty call, from the free list if possible.
 func (p *Policy) newCall() *call {
 	if n := len(p.freeCalls); n > 0 {
 		c := p.freeCalls[n-1]
@@ -33,7 +33,7 @@
 	return &call{}
 }
 
-// releaseCall takes back a call that nothing refers to any more.
+// releaseCall clears a call that is no longer referenced, and returns it to the free list.
 func (p *Policy) releaseCall(c *call) {
 	*c = call{}
 	if len(p.freeCalls) < maxFreeCalls {
@@ -41,7 +41,7 @@
 	}
 }
 
-// addOpen adds a request to the open ones, as the newest.
+// addOpen appends a request to the list of open requests.
 func (p *Policy) addOpen(c *call) {
 	c.previous = p.newest
 	if p.newest != nil {
@@ -52,7 +52,7 @@
 	p.newest = c
 }
 
-// removeOpen takes a request out of the open ones.
+// removeOpen removes a request from the list of open requests.
 func (p *Policy) removeOpen(c *call) {
 	if c.previous != nil {
 		c.previous.next = c.next
--- a/internal/hooks/policy/harness_test.go
+++ b/internal/hooks/policy/harness_test.go
@@ -13,13 +13,13 @@
 
 const ms = 1000
 
-// harness is a Policy whose actions are carried out by a test.
+// harness runs a Policy in a test and records the actions that it emits.
 type harness struct {
 	t            *testing.T
 	policy       *Policy
 	now          Time
 	timer        Time
-	workers      map[int]int // to the hook's number
+	workers      map[int]int // hook index by worker number
 	sentCalls    map[int][]Action
 	verdicts     map[int64][]plugin.Verdict
 	lines        []string
@@ -41,9 +41,10 @@
 	return f
 }
 
-// executeActions carries out the actions of the Policy.
+// executeActions carries out all pending actions of the Policy. A SendCall without a call is valid only if a later action in the
+// same batch kills its worker.
 func (f *harness) executeActions() {
-	void := map[int]bool{}
+	sentWithoutCall := map[int]bool{}
 	for {
 		a, ok := f.policy.Next()
 		if !ok {
@@ -57,10 +58,10 @@
 			delete(f.sentCalls, a.Worker)
 		case SendCall:
 			if _, ok := f.workers[a.Worker]; !ok {
-				f.t.Errorf("worker %d is asked and does not run", a.Worker)
+				f.t.Errorf("got a call for worker %d, which does not run", a.Worker)
 			}
 			if a.Call() == nil {
-				void[a.Worker] = true
+				sentWithoutCall[a.Worker] = true
 				break
 			}
 			f.sentCalls[a.Worker] = append(f.sentCalls[a.Worker], a)
@@ -76,9 +77,9 @@
 			f.closed++
 		}
 	}
-	for w := range void { // any order
+	for w := range sentWithoutCall { // any order
 		if _, runs := f.workers[w]; runs {
-			f.t.Errorf("worker %d was asked without a call, and not ended", w)
+			f.t.Errorf("worker %d got a SendCall without a call and was not killed", w)
 		}
 	}
 }
@@ -93,14 +94,14 @@
 
 var requestPoint = plugin.Points(0).With(plugin.OnRequest)
 
-// load loads hooks and has their workers come up.
+// load loads hooks and reports their workers as loaded.
 func (f *harness) load(hooks ...Hook) {
 	f.policy.Load(f.now, settings(hooks...))
 	f.executeActions()
 	f.loadWorkers(requestPoint)
 }
 
-// loadWorkers has all workers come up that are not.
+// loadWorkers reports all workers as loaded that are not loaded yet.
 func (f *harness) loadWorkers(points plugin.Points) {
 	for _, id := range f.running() {
 		if w := f.policy.workers[id]; w != nil && !w.loaded {
@@ -119,7 +120,7 @@
 	return ids
 }
 
-// workerOf is the worker of a hook.
+// workerOf returns the newest worker of a hook.
 func (f *harness) workerOf(hook int) int {
 	f.t.Helper()
 	for _, id := range slices.Backward(f.running()) {
@@ -132,12 +133,12 @@
 }
 
 func (f *harness) evaluate(id int64, class string) bool {
-	taken := f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: class, TimeLeft: 1000 * ms}})
+	accepted := f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: class, TimeLeft: 1000 * ms}})
 	f.executeActions()
-	return taken
+	return accepted
 }
 
-// reply answers the first call that a worker has.
+// reply sends the reply of a worker to its oldest call.
 func (f *harness) reply(worker int, r Reply) {
 	f.t.Helper()
 	calls := f.sentCalls[worker]
@@ -154,7 +155,7 @@
 	f.executeActions()
 }
 
-// advance advances the clock, with a Tick at each time that the Policy has set.
+// advance advances the clock, and calls Tick at each time that the Policy has set.
 func (f *harness) advance(d Time) {
 	end := f.now + d
 	for f.timer > 0 && f.timer <= end {
@@ -166,19 +167,19 @@
 	f.now = end
 }
 
-// wantVerdict fails where a request has not got this one verdict.
-func (f *harness) wantVerdict(id int64, say plugin.Decision, wait Time) {
+// wantVerdict checks that a request has exactly one verdict with the given decision and retry delay.
+func (f *harness) wantVerdict(id int64, decision plugin.Decision, retryAfter Time) {
 	f.t.Helper()
 	got := f.verdicts[id]
-	if len(got) != 1 || got[0].Decision != say || got[0].RetryAfter != wait {
-		f.t.Errorf("request %d has the verdicts %+v, want one %s with wait %d", id, got, say, wait)
+	if len(got) != 1 || got[0].Decision != decision || got[0].RetryAfter != retryAfter {
+		f.t.Errorf("request %d: got verdicts %+v, want one %s with RetryAfter %d", id, got, decision, retryAfter)
 	}
 }
 
 func (f *harness) wantNoVerdict(id int64) {
 	f.t.Helper()
 	if got := f.verdicts[id]; len(got) > 0 {
-		f.t.Errorf("request %d has the verdicts %+v", id, got)
+		f.t.Errorf("request %d: got verdicts %+v, want none", id, got)
 	}
 }
 
@@ -189,5 +190,5 @@
 			return
 		}
 	}
-	f.t.Errorf("no line says %q: %q", text, f.lines)
+	f.t.Errorf("no log line contains %q: %q", text, f.lines)
 }
--- a/internal/hooks/policy/hook.go
+++ b/internal/hooks/policy/hook.go
@@ -8,24 +8,24 @@
 	"starlingwinch/internal/plugin"
 )
 
-// hook is one hook of a set: its queue, its worker and the rules that bound it.
+// hook is the state of one hook of a set: its queue, its worker and its limits.
 type hook struct {
 	Hook
 	set    *set
-	index  int           // its place in the set
-	points plugin.Points // the points that it is called at; all until its first worker has loaded it
-	worker *worker       // nil while it is suspended, and once its set has ended
-	queue  []*call       // calls that no worker has yet, the oldest first
+	index  int           // index in the set
+	points plugin.Points // points at which the hook is called; all points until its first worker has loaded it
+	worker *worker       // nil while the hook is suspended, and after its worker was killed for good
+	queue  []*call       // calls that are not sent to a worker yet, oldest first
 
 	suspension suspension
 	cpu        cpuQuota
 	logLimiter logLimiter
 
 	counts Counts
-	tags   map[string]int // how often it named each tag
+	tags   map[string]int // number of uses of each tag
 }
 
-// newHook returns a hook without a worker.
+// newHook returns a hook that has no worker yet.
 func newHook(s *set, index int, configuration Hook, now Time) *hook {
 	return &hook{
 		Hook:       configuration,
@@ -38,17 +38,17 @@
 	}
 }
 
-// handlesClass reports whether the operator has it called for a class.
+// handlesClass reports whether the hook is configured for a class.
 func (h *hook) handlesClass(class string) bool {
 	return len(h.Classes) == 0 || slices.Contains(h.Classes, class)
 }
 
-// evaluatesClass reports whether it evaluates requests of a class.
+// evaluatesClass reports whether the hook evaluates requests of a class.
 func (h *hook) evaluatesClass(class string) bool {
 	return h.points.Has(plugin.OnRequest) && h.handlesClass(class)
 }
 
-// wantsNotification reports whether it is called at a point without a verdict.
+// wantsNotification reports whether the hook receives a notification, which is a call without a verdict.
 func (h *hook) wantsNotification(data *plugin.Call) bool {
 	if !h.points.Has(data.Point) {
 		return false
@@ -56,7 +56,7 @@
 	return data.Point != plugin.Answered || h.handlesClass(data.Class)
 }
 
-// pendingCalls returns how many calls are queued or in flight.
+// pendingCalls returns the number of calls that are queued or in flight.
 func (h *hook) pendingCalls() int {
 	n := len(h.queue)
 	if h.worker != nil {
@@ -65,18 +65,18 @@
 	return n
 }
 
-// acceptsCall reports whether it takes one more call. The queue is bounded, as each request in it would wait for a hook that
-// is stuck.
+// acceptsCall reports whether the hook accepts another call. The queue is bounded, because every queued request would wait for a
+// hook that is stuck.
 func (h *hook) acceptsCall(now Time) bool {
 	return h.worker != nil && h.pendingCalls() < h.Queue && h.cpu.allowsCall(now)
 }
 
-// acceptsNotification reports whether it takes one more notification. Half of the queue is reserved for requests.
+// acceptsNotification reports whether the hook accepts another notification. Half of the queue is reserved for requests.
 func (h *hook) acceptsNotification(now Time) bool {
 	return h.acceptsCall(now) && h.pendingCalls() < max(1, h.Queue/2)
 }
 
-// enqueue has a call wait for the worker, or sends it at once.
+// enqueue adds a call to the queue, and sends it immediately if the worker has capacity.
 func (h *hook) enqueue(p *Policy, c *call) {
 	c.hook = h
 	h.counts.Calls++
@@ -84,7 +84,7 @@
 	h.dispatch(p)
 }
 
-// dispatch sends queued calls, as far as the worker takes them.
+// dispatch sends queued calls to the worker, up to maxInFlight calls in flight.
 func (h *hook) dispatch(p *Policy) {
 	w := h.worker
 	if w == nil || !w.loaded || w.unloading {
@@ -97,7 +97,7 @@
 	h.queue = append(h.queue[:0], h.queue[n:]...)
 }
 
-// removeQueued takes a call out of the queue. It reports false where the worker has it.
+// removeQueued removes a call from the queue. It reports false if the call is not queued because it is in flight at the worker.
 func (h *hook) removeQueued(c *call) bool {
 	i := slices.Index(h.queue, c)
 	if i < 0 {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// failQueued ends what is queued without a verdict of this hook.
+// failQueued removes all queued calls and applies the FailureMode of the hook to them.
 func (h *hook) failQueued(p *Policy) {
 	queue := h.queue
 	h.queue = nil
@@ -117,8 +117,7 @@
 	}
 }
 
-// passQueuedRequests hands requests that wait for this hook on to the next one, where the hook turns out not to have the
-// point OnRequest.
+// passQueuedRequests moves queued requests to the next hook. It is called if the loaded hook does not have the point OnRequest.
 func (h *hook) passQueuedRequests(p *Policy) {
 	queue := h.queue
 	h.queue = nil
@@ -133,7 +132,8 @@
 	}
 }
 
-// recordFailure notes a failure, and suspends the hook after too many. A hook whose set is unloading is only logged.
+// recordFailure records a failure and suspends the hook after too many failures. If the set is unloading, the failure is only
+// logged.
 func (h *hook) recordFailure(p *Policy, weight float64, cause error) {
 	tooMany := h.suspension.recordFailure(weight)
 	if !tooMany || h.set.state == setUnloading {
@@ -143,7 +143,7 @@
 	h.suspend(p, cause)
 }
 
-// suspend ends the hook's worker and leaves the hook out for a while.
+// suspend kills the worker of the hook and starts a suspension, during which the hook accepts no calls.
 func (h *hook) suspend(p *Policy, cause error) {
 	h.suspension.start(p.now)
 	h.counts.Suspended++
@@ -156,7 +156,7 @@
 	h.failQueued(p)
 }
 
-// onTimer ends a suspension, or a worker whose deadline has passed.
+// onTimer ends a suspension that is due, and handles the failure of a worker whose deadline has passed.
 func (h *hook) onTimer(p *Policy) {
 	if h.suspension.endIfDue(p.now) && h.set.state != setUnloading {
 		h.startWorker(p)
@@ -173,7 +173,8 @@
 	p.workerFailed(w, ErrCallTimeout)
 }
 
-// log logs a line of the hook, or about it, as far as its rate allows. The line says how many before it were suppressed.
+// log logs a line from or about the hook, subject to its rate limit. The line holds the number of lines that were suppressed
+// since the last logged line.
 func (h *hook) log(p *Policy, level slog.Level, message string, detail slog.Attr) {
 	suppressed, ok := h.logLimiter.take(p.now)
 	if !ok {
--- a/internal/hooks/policy/policy.go
+++ b/internal/hooks/policy/policy.go
@@ -6,11 +6,11 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Policy is the state of all hooks of one router. It is not safe for use by more than one goroutine.
+// Policy holds the state of all hooks of one router. It is not safe for concurrent use.
 type Policy struct {
-	now           Time // of the event that is being handled
-	active        *set // evaluates new requests; nil where there are no hooks
-	loading       *set // takes over from active once it has loaded; nil for none
+	now           Time // time of the event that is being handled
+	active        *set // evaluates new requests; nil if there are no hooks
+	loading       *set // replaces active after it has loaded; nil for none
 	retiring      []*set
 	closed        bool // Close was called
 	closeReported bool // FinishClose was emitted
@@ -19,15 +19,15 @@
 	lastWorker   int
 	lastSequence uint64
 	workers      map[int]*worker
-	requests     map[int64]*call // open requests, by their numbers
-	oldest       *call           // of the open requests, which are linked in the order in which they came
-	newest       *call           // of the open requests
-	freeCalls    []*call         // for use again
-	hookBuffer   []*hook         // for allHooks
+	requests     map[int64]*call // open requests, by ID
+	oldest       *call           // head of the list of open requests, in order of arrival
+	newest       *call           // tail of the list of open requests
+	freeCalls    []*call         // free list
+	hookBuffer   []*hook         // result buffer of allHooks
 
 	actions      []Action
-	actionsTaken int  // how many of actions were handed out
-	timerAt      Time // when the timer that was set fires; 0 for none
+	actionsTaken int  // number of actions that Next has returned
+	timerAt      Time // time of the present timer; 0 for none
 }
 
 // New returns a Policy without hooks.
@@ -35,7 +35,8 @@
 	return &Policy{workers: map[int]*worker{}, requests: map[int64]*call{}}
 }
 
-// Next takes the next action off the list; false where there is none. The caller takes all of them after each event.
+// Next removes and returns the next pending action, and reports false if there is none. The caller must call Next after each
+// event until it reports false.
 func (p *Policy) Next() (Action, bool) {
 	if p.actionsTaken == len(p.actions) {
 		clear(p.actions)
@@ -46,18 +47,19 @@
 	return p.actions[p.actionsTaken-1], true
 }
 
-// emit adds an action to the list.
+// emit appends an action to the pending actions.
 func (p *Policy) emit(a Action) { p.actions = append(p.actions, a) }
 
-// log emits a log line.
+// log emits a WriteLog action.
 func (p *Policy) log(level slog.Level, message string, attrs ...slog.Attr) {
 	p.emit(Action{Kind: WriteLog, Level: level, Message: message, Attrs: attrs})
 }
 
-// Idle reports whether there are no hooks: Evaluate would take no request.
+// Idle reports whether there is no active set, in which case Evaluate accepts no request.
 func (p *Policy) Idle() bool { return p.active == nil }
 
-// Notify has the active hooks see an event that needs no verdict. A hook that is busy misses it.
+// Notify sends the active hooks an event that needs no verdict. A hook that does not accept it, because it is busy, suspended
+// or beyond its CPU quota, misses the event.
 func (p *Policy) Notify(now Time, data plugin.Call) {
 	if p.active == nil {
 		return
@@ -77,7 +79,7 @@
 	}
 }
 
-// HandleReply takes a worker's reply. A worker whose reply is not to its oldest call in flight is ended.
+// HandleReply handles a reply of a worker. It kills the worker if the reply does not match its oldest call in flight.
 func (p *Policy) HandleReply(now Time, workerID int, r Reply) {
 	p.now = now
 	w := p.workers[workerID]
@@ -105,7 +107,7 @@
 	p.releaseRetired()
 }
 
-// finishCall ends a call as its reply says.
+// finishCall finishes a call according to its reply.
 func (p *Policy) finishCall(c *call, w *worker, r Reply) {
 	h := w.hook
 	switch {
@@ -113,7 +115,7 @@
 		h.counts.FailedCalls++
 		h.recordFailure(p, callFailureWeight, &plugin.Failure{Kind: r.Kind, Text: r.Text})
 		p.applyFailureMode(c, h)
-	case c.hook == nil: // its request is closed
+	case c.hook == nil: // the request is already closed
 		p.releaseCall(c)
 	case !c.isRequest:
 		h.suspension.recordSuccess()
@@ -128,7 +130,8 @@
 	}
 }
 
-// allHooks returns the hooks of all sets, in an order that depends on events alone. The list is valid until the next call.
+// allHooks returns the hooks of all sets, in an order that depends only on the sequence of events. The slice is valid until the
+// next call.
 func (p *Policy) allHooks() []*hook {
 	all := p.hookBuffer[:0]
 	for _, s := range p.retiring {
@@ -144,10 +147,10 @@
 	return all
 }
 
-// Left returns how many records of each kind the Policy holds.
+// Left returns the number of records of each kind that the Policy holds.
 func (p *Policy) Left() map[string]int {
 	calls := 0
-	for _, w := range p.workers { // any order: a sum
+	for _, w := range p.workers { // any order: the result is a sum
 		calls += len(w.inFlight)
 	}
 	for _, h := range p.allHooks() {
--- a/internal/hooks/policy/policy_test.go
+++ b/internal/hooks/policy/policy_test.go
@@ -9,39 +9,39 @@
 	"starlingwinch/internal/plugin"
 )
 
-func TestEvaluateTakesNothingWithoutHooks(t *testing.T) {
+func TestEvaluateAcceptsNothingWithoutHooks(t *testing.T) {
 	f := newHarness(t)
 	if f.evaluate(1, "read") || !f.policy.Idle() {
-		t.Error("taken")
+		t.Error("request accepted without hooks")
 	}
 	h := hookNamed("a")
 	h.Classes = []string{"put"}
 	f.load(h)
 	if f.evaluate(2, "read") {
-		t.Error("taken by a hook for another class")
+		t.Error("request accepted by a hook for another class")
 	}
 	if n := testing.AllocsPerRun(100, func() { f.policy.Evaluate(f.now, Request{Call: plugin.Call{Class: "read"}}) }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("got %v allocations, want 0", n)
 	}
 }
 
-func TestHooksAreCalledInOrderAndVerdictsAddUp(t *testing.T) {
+func TestHooksAreCalledInOrderAndVerdictsAreMerged(t *testing.T) {
 	f := newHarness(t)
 	f.load(hookNamed("a"), hookNamed("b"))
 	f.evaluate(1, "read")
 	if len(f.sentCalls[f.workerOf(1)]) > 0 {
-		t.Error("the second hook is asked with the first")
+		t.Error("the second hook is called before the first has replied")
 	}
 	f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Tenant: "club", Tags: []string{"x"}}})
 	f.wantNoVerdict(1)
 	calls := f.sentCalls[f.workerOf(1)]
 	if len(calls) != 1 || calls[0].Call().Tenant != "club" {
-		t.Fatalf("the second hook is asked %+v", calls)
+		t.Fatalf("second hook got calls %+v, want one with tenant club", calls)
 	}
 	f.reply(f.workerOf(1), Reply{Verdict: &plugin.Verdict{Tags: []string{"y"}, Log: []string{"seen"}}})
 	f.wantVerdict(1, plugin.Pass, 0)
 	if v := f.verdicts[1][0]; v.Tenant != "club" || !slices.Equal(v.Tags, []string{"x", "y"}) {
-		t.Errorf("%+v", v)
+		t.Errorf("got verdict %+v, want tenant club and tags x and y", v)
 	}
 	f.wantLog(`msg="hook message" hook=b text=seen`)
 }
@@ -53,10 +53,10 @@
 	f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Decision: plugin.Reject, RetryAfter: 9}})
 	f.wantVerdict(1, plugin.Reject, 9)
 	f.evaluate(2, "read")
-	f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Decision: plugin.Fail, Text: "no such call"}})
+	f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Decision: plugin.Fail, Text: "invalid request"}})
 	f.wantVerdict(2, plugin.Fail, 0)
 	if len(f.sentCalls[f.workerOf(1)]) > 0 {
-		t.Error("the second hook was asked")
+		t.Error("the second hook was called")
 	}
 }
 
@@ -77,14 +77,14 @@
 	f := newHarness(t)
 	strict := hookNamed("strict")
 	strict.OnFailure = RejectOnFailure
-	strict.Time = 1000 * ms // slower than the client waits
+	strict.Time = 1000 * ms // longer than the request may wait
 	f.load(strict)
 	f.evaluate(1, "read")
 	f.advance(49 * ms)
 	f.wantNoVerdict(1)
 	f.advance(1 * ms)
 	f.wantVerdict(1, plugin.Reject, 0)
-	f.reply(f.workerOf(0), Reply{}) // too late
+	f.reply(f.workerOf(0), Reply{}) // after the deadline
 	f.wantVerdict(1, plugin.Reject, 0)
 
 	f.policy.Evaluate(f.now, Request{ID: 2, Call: plugin.Call{TimeLeft: 100 * ms}})
@@ -102,14 +102,14 @@
 	first := f.workerOf(0)
 	f.advance(13 * ms)
 	if f.workerOf(0) == first {
-		t.Fatal("the worker runs on")
+		t.Fatal("the stuck worker was not replaced")
 	}
 	f.wantVerdict(0, plugin.Pass, 0)
 	f.wantNoVerdict(1)
 	f.loadWorkers(requestPoint)
 	f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Decision: plugin.Reject}})
 	f.wantVerdict(1, plugin.Reject, 0)
-	f.advance(13 * ms) // lost a second time
+	f.advance(13 * ms) // the worker is lost a second time
 	f.wantVerdict(2, plugin.Pass, 0)
 }
 
@@ -122,15 +122,15 @@
 	f.policy.Tick(f.now)
 	f.executeActions()
 	if f.workerOf(0) != worker {
-		t.Fatal("the worker was ended")
+		t.Fatal("the worker was killed after the first late tick")
 	}
-	for range 20 { // it stands still again and again: the worker is stuck all the same
+	for range 20 { // repeated stalls must not protect a stuck worker
 		f.now += 40 * ms
 		f.policy.Tick(f.now)
 		f.executeActions()
 	}
 	if f.workerOf(0) == worker {
-		t.Error("the worker is never ended")
+		t.Error("the stuck worker was not killed")
 	}
 }
 
@@ -141,14 +141,14 @@
 	f.load(h)
 	for id := range int64(20) {
 		if !f.evaluate(id, "read") {
-			t.Fatalf("request %d is not taken", id)
+			t.Fatalf("request %d is not accepted", id)
 		}
 	}
 	if n := len(f.sentCalls[f.workerOf(0)]); n != maxInFlight {
-		t.Errorf("%d calls are out", n)
+		t.Errorf("got %d calls in flight, want %d", n, maxInFlight)
 	}
 	if f.evaluate(20, "read") {
-		t.Error("one more is taken")
+		t.Error("a request beyond the queue limit is accepted")
 	}
 	h.OnFailure = RejectOnFailure
 	f = newHarness(t)
@@ -171,19 +171,19 @@
 			id++
 		}
 		if id > 100 || len(f.running()) > 0 {
-			t.Fatalf("after %d failures there are %d workers", id, len(f.running()))
+			t.Fatalf("after %d failures there are %d workers, want none", id, len(f.running()))
 		}
 		f.wantLog(fmt.Sprintf(`msg="hook suspended" hook=a suspended_for=%s cause="crashed: x"`, time.Duration(seconds<<20)*time.Microsecond))
 		f.advance(seconds<<20 + ms)
 		f.loadWorkers(requestPoint)
 	}
-	for range 300 { // good conduct wins it back
+	for range 300 { // enough successes to reduce the failure score to 0
 		f.evaluate(id, "read")
 		f.reply(f.workerOf(0), Reply{})
 		id++
 	}
 	if h := f.policy.active.hooks[0]; h.suspension.span != 0 || h.suspension.score != 0 {
-		t.Errorf("rest %d, score %v", h.suspension.span, h.suspension.score)
+		t.Errorf("got suspension span %d and score %v, want 0 and 0", h.suspension.span, h.suspension.score)
 	}
 }
 
@@ -192,7 +192,7 @@
 	f.load(hookNamed("a"))
 	for id := range int64(5000) {
 		if !f.evaluate(id, "read") {
-			t.Fatalf("request %d is not taken", id)
+			t.Fatalf("request %d is not accepted", id)
 		}
 		f.reply(f.workerOf(0), Reply{Failed: id%100 == 0})
 		f.now += ms
@@ -204,10 +204,10 @@
 	h := hookNamed("a")
 	h.CPUFraction = 0.1
 	f.load(h)
-	taken := 0
+	accepted := 0
 	for id := range int64(4000) { // 4 ms of work every 5 ms
 		if f.evaluate(id, "read") {
-			taken++
+			accepted++
 			calls := f.sentCalls[f.workerOf(0)]
 			f.sentCalls[f.workerOf(0)] = calls[1:]
 			f.policy.HandleReply(f.now, f.workerOf(0), Reply{Sequence: calls[0].Sequence, RunTime: 4 * ms, Verdict: &plugin.Verdict{}})
@@ -215,24 +215,24 @@
 		}
 		f.now += 5 * ms
 	}
-	if share := float64(taken) * 4 / (4000 * 5); share < 0.09 || share > 0.11 {
-		t.Errorf("it had %v of the core", share)
+	if share := float64(accepted) * 4 / (4000 * 5); share < 0.09 || share > 0.11 {
+		t.Errorf("the hook used %v of the core, want 0.09 to 0.11", share)
 	}
 }
 
 func TestCancelClosesRequest(t *testing.T) {
 	f := newHarness(t)
 	f.load(hookNamed("a"))
-	value := 0
+	valueReads := 0
 	for id := range int64(maxInFlight + 2) {
-		f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{TimeLeft: 1000 * ms}, Value: func() []byte { value++; return nil }})
+		f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{TimeLeft: 1000 * ms}, Value: func() []byte { valueReads++; return nil }})
 	}
 	f.policy.Cancel(f.now, 0)
-	f.policy.Cancel(f.now, maxInFlight+1) // waits in the queue
+	f.policy.Cancel(f.now, maxInFlight+1) // still queued
 	f.policy.Cancel(f.now, 99)
 	f.executeActions()
-	if a := f.sentCalls[f.workerOf(0)][0]; a.Value() != nil || value != 0 {
-		t.Error("the value of a client that has left is asked for")
+	if a := f.sentCalls[f.workerOf(0)][0]; a.Value() != nil || valueReads != 0 {
+		t.Error("the value of a cancelled request is read")
 	}
 	for range maxInFlight + 1 {
 		f.reply(f.workerOf(0), Reply{})
@@ -241,7 +241,7 @@
 	f.wantNoVerdict(maxInFlight + 1)
 	f.wantVerdict(1, plugin.Pass, 0)
 	if left := f.policy.Left(); left["requests"]+left["calls"] != 0 {
-		t.Errorf("left %v", left)
+		t.Errorf("left %v, want no requests and calls", left)
 	}
 }
 
@@ -259,25 +259,25 @@
 	}
 	f.executeActions()
 	if c := f.policy.Status()[0].Counts; c.Calls != 16 || c.MissedNotifications != 184 {
-		t.Errorf("%+v", c)
+		t.Errorf("got %+v, want 16 calls and 184 missed notifications", c)
 	}
 	if !f.evaluate(1, "read") {
-		t.Error("there is no room for a request")
+		t.Error("a request is not accepted although half of the queue is reserved")
 	}
 	for range 15 {
 		f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Log: []string{"seen"}}})
 	}
-	f.reply(f.workerOf(0), Reply{Failed: true, Kind: plugin.Crashed, Text: "in a look"})
+	f.reply(f.workerOf(0), Reply{Failed: true, Kind: plugin.Crashed, Text: "in a notification"})
 	f.reply(f.workerOf(0), Reply{})
 	f.wantVerdict(1, plugin.Pass, 0)
-	f.wantLog("crashed: in a look")
+	f.wantLog("crashed: in a notification")
 }
 
-func TestHookWithoutRequestPointIsPassed(t *testing.T) {
+func TestHookWithoutRequestPointIsSkipped(t *testing.T) {
 	f := newHarness(t)
 	f.policy.Load(f.now, settings(hookNamed("a"), hookNamed("b")))
 	f.executeActions()
-	f.evaluate(1, "read") // waits for the first, of which nothing is known yet
+	f.evaluate(1, "read") // queued at the first hook, whose points are not known yet
 	f.policy.WorkerLoaded(f.now, f.workerOf(0), plugin.Points(0).With(plugin.Answered))
 	f.executeActions()
 	f.policy.WorkerLoaded(f.now, f.workerOf(1), requestPoint)
@@ -309,7 +309,7 @@
 		f.reply(f.workerOf(0), Reply{Verdict: &plugin.Verdict{Log: []string{"a", "b", "c"}}})
 	}
 	if len(f.lines) != logBurst {
-		t.Errorf("%d lines", len(f.lines))
+		t.Errorf("got %d log lines, want %d", len(f.lines), logBurst)
 	}
 	f.now += 1000 * ms
 	f.evaluate(100, "read")
@@ -326,7 +326,7 @@
 	}
 	tags := f.policy.Status()[0].Tags
 	if len(tags) != maxTagNames+1 || tags[0] != (Tag{OtherTags, 11}) || tags[1] != (Tag{"club", maxTagNames + 10}) {
-		t.Errorf("%d tags, %v", len(tags), tags)
+		t.Errorf("got %d tags %v, want %d with the others counted as %s", len(tags), tags, maxTagNames+1, OtherTags)
 	}
 }
 
@@ -335,7 +335,7 @@
 	f.load(hookNamed("a"), hookNamed("b"))
 	v := &plugin.Verdict{}
 	id := int64(0)
-	once := func() {
+	evaluateOnce := func() {
 		id++
 		f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, Class: "read", TimeLeft: 1000 * ms}})
 		for {
@@ -349,9 +349,9 @@
 		}
 	}
 	for range 100 {
-		once()
+		evaluateOnce()
 	}
-	if n := testing.AllocsPerRun(1000, once); n > 0 {
-		t.Errorf("%v allocations", n)
+	if n := testing.AllocsPerRun(1000, evaluateOnce); n > 0 {
+		t.Errorf("got %v allocations, want 0", n)
 	}
 }
--- a/internal/hooks/policy/random_test.go
+++ b/internal/hooks/policy/random_test.go
@@ -9,12 +9,13 @@
 	"starlingwinch/internal/plugin"
 )
 
-// TestRandomEventsGiveOneVerdictInTime plays workers, clients and operators by chance.
+// TestRandomEventsGiveOneVerdictInTime generates random events of workers, clients and operators. It checks that each request
+// has one verdict by its deadline, none after a cancellation, and that Close leaves nothing over.
 func TestRandomEventsGiveOneVerdictInTime(t *testing.T) {
 	for seed := range uint64(400) {
 		f := newHarness(t)
 		r := rand.New(rand.NewPCG(seed, 1))
-		due, gone := map[int64]Time{}, map[int64]bool{}
+		deadlines, cancelled := map[int64]Time{}, map[int64]bool{}
 		set := func() Settings {
 			var hooks []Hook
 			for i := range r.IntN(4) {
@@ -33,16 +34,16 @@
 			switch n := r.IntN(100); {
 			case n < 40:
 				id++
-				left := Time(r.IntN(800 * ms))
-				if f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, TimeLeft: left}}) {
-					due[id] = f.now + min(50*ms, left/10)
+				timeLeft := Time(r.IntN(800 * ms))
+				if f.policy.Evaluate(f.now, Request{ID: id, Call: plugin.Call{Point: plugin.OnRequest, TimeLeft: timeLeft}}) {
+					deadlines[id] = f.now + min(50*ms, timeLeft/10)
 				}
 			case n < 45 && id > 0:
-				x := 1 + r.Int64N(id)
-				if len(f.verdicts[x]) == 0 {
-					gone[x] = true
+				request := 1 + r.Int64N(id)
+				if len(f.verdicts[request]) == 0 {
+					cancelled[request] = true
 				}
-				f.policy.Cancel(f.now, x)
+				f.policy.Cancel(f.now, request)
 			case n < 48:
 				f.policy.Notify(f.now, plugin.Call{Point: plugin.Answered})
 			case n < 52 && len(ids) > 0:
@@ -57,15 +58,16 @@
 				f.loadWorkers(requestPoint.With(plugin.Answered).With(plugin.Unload))
 			case len(ids) > 0:
 				if w := pick(); len(f.sentCalls[w]) > 0 {
-					say := []plugin.Decision{plugin.Pass, plugin.Pass, plugin.Reject, plugin.Fail}[r.IntN(4)]
-					f.reply(w, Reply{Failed: r.IntN(8) == 0, Verdict: &plugin.Verdict{Decision: say}})
+					decision := []plugin.Decision{plugin.Pass, plugin.Pass, plugin.Reject, plugin.Fail}[r.IntN(4)]
+					f.reply(w, Reply{Failed: r.IntN(8) == 0, Verdict: &plugin.Verdict{Decision: decision}})
 				}
 			}
 			f.executeActions()
-			for x, at := range due { // any order
-				n := len(f.verdicts[x])
-				if n > 1 || n > 0 && gone[x] || n == 0 && !gone[x] && at < f.now {
-					t.Fatalf("seed %d, step %d: request %d, due at %d, has %d verdicts at %d, client gone: %v", seed, step, x, at, n, f.now, gone[x])
+			for request, deadline := range deadlines { // any order
+				n := len(f.verdicts[request])
+				if n > 1 || n > 0 && cancelled[request] || n == 0 && !cancelled[request] && deadline < f.now {
+					t.Fatalf("seed %d, step %d: request %d with deadline %d has %d verdicts at %d, cancelled: %v",
+						seed, step, request, deadline, n, f.now, cancelled[request])
 				}
 			}
 		}
@@ -74,11 +76,11 @@
 		f.advance(1000 * ms)
 		left := f.policy.Left()
 		if f.closed != 1 || left["requests"]+left["workers"]+left["calls"]+left["old sets"] > 0 || len(f.running()) > 0 {
-			t.Fatalf("seed %d: closed %d, left %v, running %v", seed, f.closed, left, f.running())
+			t.Fatalf("seed %d: closed %d times, left %v, running %v; want closed once and nothing left", seed, f.closed, left, f.running())
 		}
-		for x := range due { // any order
-			if n := len(f.verdicts[x]); n != 1 && !gone[x] {
-				t.Fatalf("seed %d: request %d has %d verdicts", seed, x, n)
+		for request := range deadlines { // any order
+			if n := len(f.verdicts[request]); n != 1 && !cancelled[request] {
+				t.Fatalf("seed %d: request %d has %d verdicts, want 1", seed, request, n)
 			}
 		}
 	}
--- a/internal/hooks/policy/request.go
+++ b/internal/hooks/policy/request.go
@@ -2,8 +2,8 @@
 
 import "starlingwinch/internal/plugin"
 
-// Evaluate has hooks evaluate a request. It reports false where no hook does: then the request goes on at once, and no
-// verdict is delivered.
+// Evaluate starts the evaluation of a request by the active hooks. It reports false if no hook evaluates the request, which
+// then proceeds without a verdict.
 func (p *Policy) Evaluate(now Time, r Request) bool {
 	s := p.active
 	if s == nil {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Cancel closes a request whose client has left. No verdict is delivered for it.
+// Cancel closes a request whose client has disconnected. No verdict is delivered for the request.
 func (p *Policy) Cancel(now Time, id int64) {
 	p.now = now
 	if c := p.requests[id]; c != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// acceptVerdict adds a hook's verdict to the request's. A verdict other than Pass is final.
+// acceptVerdict merges the verdict of a hook into the verdict of the request. A decision other than Pass is final.
 func (p *Policy) acceptVerdict(c *call, h *hook, v *plugin.Verdict) {
 	h.countVerdict(v)
 	c.hook = nil
@@ -55,8 +55,8 @@
 	p.continueRequest(c)
 }
 
-// applyFailureMode ends a call that its hook gave no verdict for. An open request goes on as the hook's FailureMode says, and
-// a worker that was unloading is ended.
+// applyFailureMode finishes a call for which the hook returned no verdict. An open request is rejected or continued according to
+// the FailureMode of the hook. After an Unload call, the worker is killed.
 func (p *Policy) applyFailureMode(c *call, h *hook) {
 	if c.hook == nil || !c.isRequest {
 		unloaded := c.hook != nil && c.data.Point == plugin.Unload
@@ -76,7 +76,7 @@
 	p.continueRequest(c)
 }
 
-// continueRequest hands a request to the next hook, or delivers its verdict where there is none.
+// continueRequest passes a request to the next hook, or delivers its verdict if no hook is left or one rejects it.
 func (p *Policy) continueRequest(c *call) {
 	step := c.set.advance(p, c)
 	if step == rejected || c.hook == nil {
@@ -84,19 +84,20 @@
 	}
 }
 
-// reject sets the verdict of a hook that failed, where its FailureMode is RejectOnFailure.
+// reject sets the verdict for a hook that failed and whose FailureMode is RejectOnFailure.
 func (c *call) reject(h *hook) {
 	c.verdict.Decision, c.verdict.RetryAfter = plugin.Reject, h.RetryAfter
 }
 
-// deliver emits a request's one verdict and closes it.
+// deliver emits the only verdict of a request and closes the request.
 func (p *Policy) deliver(c *call) {
 	p.emit(Action{Kind: DeliverVerdict, RequestID: c.id, Verdict: c.verdict})
-	c.verdict = plugin.Verdict{} // its slices belong to the caller from here on
+	c.verdict = plugin.Verdict{} // the caller now owns the slices of the verdict
 	p.closeRequest(c)
 }
 
-// closeRequest ends a request, and takes it out of its hook's queue. A worker that has it replies to a closed request later.
+// closeRequest closes a request and removes it from the queue of its hook. If the call is in flight, it is only marked as
+// closed, and is released when the worker replies or is lost.
 func (p *Policy) closeRequest(c *call) {
 	delete(p.requests, c.id)
 	p.removeOpen(c)
@@ -113,7 +114,8 @@
 	p.releaseRetired()
 }
 
-// expire delivers the verdict of a request that has waited long enough: hooks that gave none count by their FailureMode.
+// expire delivers the verdict of a request whose deadline has passed. The FailureMode applies for each hook that has not
+// evaluated the request.
 func (p *Policy) expire(c *call) {
 	for _, h := range c.set.hooks[c.hookIndex:] {
 		if !h.evaluatesClass(c.data.Class) {
--- a/internal/hooks/policy/set.go
+++ b/internal/hooks/policy/set.go
@@ -6,34 +6,35 @@
 	"starlingwinch/internal/plugin"
 )
 
-// set is one configuration of hooks, from its loading to its unloading.
+// set is the state of one configuration of hooks, from loading to unloading.
 type set struct {
 	Settings
-	number       int // by which the caller knows it
+	number       int // identifies the set to the caller
 	state        setState
 	hooks        []*hook
-	openRequests int // requests that this set evaluates
+	openRequests int // open requests that this set evaluates
 }
 
-// setState is where a set is in its life.
+// setState is the lifecycle state of a set.
 type setState uint8
 
 const (
-	setLoading   setState = iota // it loads beside the active set
-	setServing                   // it is active, or retired with requests open
-	setUnloading                 // its workers unload and end
+	setLoading   setState = iota // loading while another set is active
+	setServing                   // active, or retired with open requests
+	setUnloading                 // its workers unload and exit
 )
 
-// progress is what became of a request that was handed on in its set.
-type progress uint8
+// advanceResult is the result of set.advance for a request.
+type advanceResult uint8
 
 const (
-	advanced progress = iota // a hook has the request, or no further hook evaluates it: then its hook is nil
-	rejected                 // a hook that takes no call rejects it, by its FailureMode
+	advanced advanceResult = iota // a hook has accepted the request, or call.hook is nil because no further hook evaluates it
+	rejected                      // a hook that accepts no call rejects the request by its FailureMode
 )
 
-// Load has a set of hooks load beside the active one, and take over in one step once all of it has loaded. The first set
-// takes over at once, and its hooks count as failed until they have loaded. It returns the set's number.
+// Load starts to load a set of hooks, and returns the number of the set. The set replaces the active one in one step after all
+// its hooks have loaded. The first set becomes active immediately: requests wait in the queues of its hooks until the hooks
+// have loaded, and the FailureMode of a hook applies to requests whose wait ends before.
 func (p *Policy) Load(now Time, settings Settings) int {
 	p.now = now
 	p.lastSet++
@@ -65,7 +66,7 @@
 	return s.number
 }
 
-// WorkerLoaded takes the news that a worker has loaded its hook, which has these points.
+// WorkerLoaded handles the event that a worker has loaded its hook, which has the given points.
 func (p *Policy) WorkerLoaded(now Time, workerID int, points plugin.Points) {
 	p.now = now
 	w := p.workers[workerID]
@@ -95,7 +96,7 @@
 	p.releaseRetired()
 }
 
-// WorkerEnded takes the news that a worker has ended by itself, or could not load its hook.
+// WorkerEnded handles the event that a worker has exited, could not be used any further, or could not load its hook.
 func (p *Policy) WorkerEnded(now Time, workerID int, cause error) {
 	p.now = now
 	if w := p.workers[workerID]; w != nil {
@@ -103,7 +104,7 @@
 	}
 }
 
-// isLoaded reports whether each hook has a worker that has loaded it.
+// isLoaded reports whether all hooks of the set have a worker that has loaded them.
 func (s *set) isLoaded() bool {
 	for _, h := range s.hooks {
 		if h.worker == nil || !h.worker.loaded {
@@ -113,7 +114,7 @@
 	return true
 }
 
-// failLoading gives up a set of which one hook did not load. The active set stays.
+// failLoading discards a set after one of its hooks failed to load. The active set stays.
 func (s *set) failLoading(p *Policy, h *hook, cause error) {
 	p.log(slog.LevelError, "hook set not loaded", slog.String("hook", h.Name), slog.Any("cause", cause))
 	if p.loading == s {
@@ -122,7 +123,7 @@
 	p.discard(s)
 }
 
-// discard ends a set that never evaluated a request.
+// discard kills the workers of a set that has not evaluated any request, and releases the set.
 func (p *Policy) discard(s *set) {
 	s.state = setUnloading
 	for _, h := range s.hooks {
@@ -131,7 +132,7 @@
 	p.emit(Action{Kind: ReleaseSet, Set: s.number})
 }
 
-// activate has a set take over; nil for none. Requests that are open in the active set finish there.
+// activate makes a set the active one; nil leaves no active set. The previous set is retired and finishes its open requests.
 func (p *Policy) activate(s *set) {
 	if p.active != nil {
 		p.retiring = append(p.retiring, p.active)
@@ -142,8 +143,8 @@
 	p.active = s
 }
 
-// releaseRetired unloads retired sets without open requests and releases those that have unloaded. After Close it reports
-// the end of the last one.
+// releaseRetired unloads retired sets without open requests, and releases sets that have unloaded. After Close, it emits
+// FinishClose once no set and no worker is left.
 func (p *Policy) releaseRetired() {
 	remaining := p.retiring[:0]
 	for _, s := range p.retiring {
@@ -164,8 +165,8 @@
 	}
 }
 
-// unload has the set's workers unload their hooks, and ends those whose hooks do not have the point. No request is open in
-// the set, so that the queues hold notifications alone.
+// unload sends Unload to the workers of the set, and kills workers whose hooks do not have that point or are not loaded. The
+// set has no open requests, so the queues hold only notifications, which are dropped.
 func (s *set) unload(p *Policy) {
 	s.state = setUnloading
 	for _, h := range s.hooks {
@@ -190,7 +191,7 @@
 	}
 }
 
-// hasStopped reports whether no worker of the set is left.
+// hasStopped reports whether the set has no workers left.
 func (s *set) hasStopped() bool {
 	for _, h := range s.hooks {
 		if h.worker != nil {
@@ -200,8 +201,8 @@
 	return true
 }
 
-// Close ends all hooks: open requests get the verdicts of their hooks' FailureModes at once, and workers have a short time
-// to unload. No request and no set is taken from here on.
+// Close stops all hooks. Open requests immediately receive verdicts according to the FailureModes of their hooks, and workers
+// have a short time to unload. After Close, no request and no set is accepted.
 func (p *Policy) Close(now Time) {
 	if p.closed {
 		return
@@ -219,9 +220,9 @@
 	p.releaseRetired()
 }
 
-// advance hands a request to the next hook that evaluates it, from its hookIndex on. Hooks that take no call count by their
-// FailureMode.
-func (s *set) advance(p *Policy, c *call) progress {
+// advance passes a request to the next hook that evaluates it, starting with hookIndex. The FailureMode applies for each hook
+// that accepts no call.
+func (s *set) advance(p *Policy, c *call) advanceResult {
 	for ; c.hookIndex < len(s.hooks); c.hookIndex++ {
 		h := s.hooks[c.hookIndex]
 		if !h.evaluatesClass(c.data.Class) {
--- a/internal/hooks/policy/status.go
+++ b/internal/hooks/policy/status.go
@@ -7,29 +7,29 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Counts are what has happened at a hook since its set was loaded.
+// Counts holds the event counts of a hook since its set was created.
 type Counts struct {
-	Calls               int  // calls, notifications among them
+	Calls               int  // calls, including notifications
 	Passed              int  // verdicts that let a request pass
-	Rejected            int  // verdicts that reject a request
-	FailedRequests      int  // verdicts that fail a request
-	FailedCalls         int  // calls that gave no verdict
-	TimedOut            int  // requests that waited to their deadline
-	Skipped             int  // requests that found the hook without a worker, beyond its CPU fraction or its queue full
-	MissedNotifications int  // notifications that did
-	Restarts            int  // workers that were lost
-	Suspended           int  // suspensions
-	RunTime             Time // of its calls
+	Rejected            int  // verdicts that rejected a request
+	FailedRequests      int  // verdicts that failed a request
+	FailedCalls         int  // calls that returned no verdict
+	TimedOut            int  // requests without a verdict of the hook at their deadline
+	Skipped             int  // requests that the hook did not accept: no worker, CPU quota exceeded or queue full
+	MissedNotifications int  // notifications that the hook did not accept
+	Restarts            int  // workers that failed
+	Suspended           int  // number of suspensions
+	RunTime             Time // total run time of calls
 }
 
-// State is whether a hook takes calls.
+// State is the state of a hook.
 type State string
 
-// The states of a hook.
+// States of a hook.
 const (
-	StateUp        State = "up"        // its worker has loaded it
-	StateStarting  State = "starting"  // its worker has not loaded it yet
-	StateSuspended State = "suspended" // it failed too often
+	StateUp        State = "up"        // the worker has loaded the hook
+	StateStarting  State = "starting"  // the worker has not loaded the hook yet
+	StateSuspended State = "suspended" // the hook failed too often
 )
 
 // HookStatus is the status of one hook of the active set.
@@ -38,22 +38,22 @@
 	State        State
 	PendingCalls int // calls that are queued or in flight
 	Counts       Counts
-	Tags         []Tag // in the order of their names
+	Tags         []Tag // sorted by name
 }
 
-// Tag is a name that a hook gives requests, and how often it did.
+// Tag is the name of a tag that a hook sets on requests, and the number of its uses.
 type Tag struct {
 	Name  string
 	Count int
 }
 
-// OtherTags is the tag that counts those beyond the bound on names.
+// OtherTags is the name that counts all tags beyond the first maxTagNames names.
 const OtherTags = "(others)"
 
-// maxTagNames bounds the names of tags that are counted by themselves for one hook.
+// maxTagNames is the maximum number of tag names that are counted separately for one hook.
 const maxTagNames = 64
 
-// countVerdict counts a verdict and its tags.
+// countVerdict adds a verdict and its tags to the counts.
 func (h *hook) countVerdict(v *plugin.Verdict) {
 	switch v.Decision {
 	case plugin.Pass:
@@ -72,7 +72,7 @@
 	}
 }
 
-// Status returns the status of each hook of the active set, in the order in which they are called.
+// Status returns the status of each hook of the active set, in the order in which the router calls the hooks.
 func (p *Policy) Status() []HookStatus {
 	if p.active == nil {
 		return nil
@@ -84,7 +84,7 @@
 	return all
 }
 
-// status returns the hook's status.
+// status returns the status of the hook.
 func (h *hook) status() HookStatus {
 	status := HookStatus{Name: h.Name, State: StateUp, PendingCalls: h.pendingCalls(), Counts: h.counts}
 	switch {
--- a/internal/hooks/policy/timer.go
+++ b/internal/hooks/policy/timer.go
@@ -1,9 +1,11 @@
 package policy
 
-// maxTimerDelay is the delay of a Tick from which on the machine counts as having stood still, and its workers with it.
+// maxTimerDelay is the longest delay of a Tick in µs after which the Policy still enforces worker deadlines. A longer delay
+// means that the machine was stalled, and the workers with it.
 const maxTimerDelay Time = 5_000
 
-// Tick handles all that is due: the caller calls it at the time of the last SetTimer. A call at another time does no harm.
+// Tick handles all deadlines that have passed. The caller must call Tick at the time of the last SetTimer; calls at other times
+// are harmless.
 func (p *Policy) Tick(now Time) {
 	p.now = now
 	delay := now - p.timerAt
@@ -37,7 +39,7 @@
 	}
 }
 
-// rearmTimer sets the timer to the earliest time at which something is due.
+// rearmTimer sets the timer to the earliest deadline.
 func (p *Policy) rearmTimer() {
 	for c := p.oldest; c != nil; c = c.next {
 		p.armTimer(c.deadline)
--- a/internal/hooks/policy/worker.go
+++ b/internal/hooks/policy/worker.go
@@ -3,22 +3,22 @@
 import "starlingwinch/internal/plugin"
 
 const (
-	maxInFlight           = 16      // calls that a worker has at a time: each is lost with it, and each batch has a fixed cost
-	maxAttempts           = 2       // sendings of a call whose worker was lost while other calls were before it
-	interruptGrace   Time = 8_000   // beyond a call's budget, for the worker itself to interrupt the call
-	startupAllowance Time = 5 << 20 // beyond LoadTime, for a process to start and an engine to prepare code
-	maxUnloadTime    Time = 300_000 // of an unload, as a graceful shutdown waits for it
+	maxInFlight           = 16      // calls; a lost worker loses all of them, while fewer would mean more batches, each of a fixed cost
+	maxAttempts           = 2       // sends of a call that was in flight behind another call when its worker was lost
+	interruptGrace   Time = 8_000   // µs; added to the time budget of a call, for the worker itself to interrupt the call
+	startupAllowance Time = 5 << 20 // µs; added to LoadTime, for a process to start and an engine to compile code
+	maxUnloadTime    Time = 300_000 // µs; limit of an unload, because a graceful shutdown waits for it
 )
 
-// worker runs one hook, and is known to the caller by its number.
+// worker is the state of a worker, which runs one hook. The caller identifies the worker by its number.
 type worker struct {
 	id               int
 	hook             *hook
-	loaded           bool    // it has loaded its hook
-	inFlight         []*call // sent and not yet replied to, the oldest first
+	loaded           bool    // the worker has loaded its hook
+	inFlight         []*call // calls that are sent and have no reply yet, oldest first
 	deadline         Time    // of the oldest call in flight, or of the load; 0 for none
-	deadlineExtended bool    // the deadline was extended once, as the machine stood still
-	unloading        bool    // it was sent the point Unload
+	deadlineExtended bool    // the deadline was extended after a stall of the machine
+	unloading        bool    // the worker was sent the point Unload
 }
 
 // startWorker starts a worker for the hook.
@@ -31,7 +31,7 @@
 	p.armTimer(w.deadline)
 }
 
-// send sends a call to the worker.
+// send emits a SendCall and adds the call to the calls in flight.
 func (w *worker) send(p *Policy, c *call) {
 	p.lastSequence++
 	c.sequence = p.lastSequence
@@ -44,7 +44,7 @@
 	p.emit(Action{Kind: SendCall, Worker: w.id, Set: w.hook.set.number, Hook: w.hook.index, Sequence: c.sequence, call: c})
 }
 
-// resetDeadline sets the deadline for the oldest call in flight.
+// resetDeadline sets the deadline for the oldest call in flight, or clears it if no call is in flight.
 func (w *worker) resetDeadline(p *Policy) {
 	w.deadlineExtended = false
 	if len(w.inFlight) == 0 {
@@ -59,8 +59,8 @@
 	p.armTimer(w.deadline)
 }
 
-// extendDeadline extends a deadline once, after the machine stood still: the worker had no time either, and would be killed
-// for it.
+// extendDeadline extends the deadline once after a stall of the machine. The worker could not run during the stall either, and
+// would otherwise be killed for the lost time.
 func (w *worker) extendDeadline(now Time) {
 	if w.deadline > 0 && !w.deadlineExtended {
 		w.deadline = max(w.deadline, now+interruptGrace)
@@ -68,17 +68,17 @@
 	}
 }
 
-// workerFailed ends a worker that has failed, and starts another one in its place. The oldest call in flight is the one that
-// it failed in. Calls behind it are queued again, as a hook that fails in one call of a hundred would otherwise take the
-// verdicts of all calls in flight with it.
+// workerFailed kills a worker that has failed, and starts a replacement unless the hook is suspended or its set ends. The worker
+// failed in its oldest call in flight. The calls behind it are queued again; otherwise a hook that fails in one call of a
+// hundred would lose the verdicts of all calls in flight.
 func (p *Policy) workerFailed(w *worker, cause error) {
 	h := w.hook
 	inFlight, loaded := w.inFlight, w.loaded
 	w.inFlight = nil
 	p.killWorker(w)
 	h.counts.Restarts++
-	again := p.retryable(h, inFlight)
-	h.queue = append(again, h.queue...)
+	retried := p.retryable(h, inFlight)
+	h.queue = append(retried, h.queue...)
 	switch {
 	case h.set.state == setLoading:
 		h.set.failLoading(p, h, cause)
@@ -89,7 +89,7 @@
 		h.suspend(p, cause)
 	default:
 		h.recordFailure(p, workerLossWeight, cause)
-		// The failure may have ended the last request of a retired set, which is unloading then.
+		// The failure may have closed the last request of a retired set, which is then unloading.
 		if !h.suspension.active() && h.set.state != setUnloading {
 			h.startWorker(p)
 		}
@@ -97,14 +97,14 @@
 	p.releaseRetired()
 }
 
-// retryable returns the calls of a lost worker that are to be sent again, and ends the others.
+// retryable returns the calls of a lost worker that must be sent again, and finishes the others.
 func (p *Policy) retryable(h *hook, inFlight []*call) []*call {
-	var again []*call
+	var retried []*call
 	for i, c := range inFlight {
 		c.sent = false
 		switch {
 		case i > 0 && c.hook != nil && c.attempts < maxAttempts && c.data.Point != plugin.Unload:
-			again = append(again, c)
+			retried = append(retried, c)
 		case c.hook == nil:
 			p.releaseCall(c)
 		default:
@@ -114,10 +114,10 @@
 			p.applyFailureMode(c, h)
 		}
 	}
-	return again
+	return retried
 }
 
-// killWorker ends a worker. Calls that it has end without a verdict of its hook.
+// killWorker kills a worker, and applies the FailureMode of its hook to the calls in flight.
 func (p *Policy) killWorker(w *worker) {
 	if w == nil || p.workers[w.id] == nil {
 		return
--- a/internal/hooks/process_test.go
+++ b/internal/hooks/process_test.go
@@ -17,7 +17,7 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// TestMain is also the process of a worker.
+// TestMain runs the tests. With the argument CommandName, it runs as a worker process instead.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == CommandName {
 		if worker.Main() != nil {
@@ -28,10 +28,10 @@
 	os.Exit(m.Run())
 }
 
-// generousCallTime is a budget of time that a machine under load leaves to a call that is good.
+// generousCallTime is a time budget in µs within which a valid call returns even on a machine under load.
 const generousCallTime = 200_000
 
-// realHarness is a router's place on the real machine.
+// realHarness runs Hooks on the operating system with real workers.
 type realHarness struct {
 	t       testing.TB
 	machine *machine.Real
@@ -57,12 +57,13 @@
 	return r
 }
 
-// run runs the loop with f in it, until f's done is called.
+// run runs the event loop and calls f in it. It returns after f has called done and the hooks are closed, and fails after a
+// minute.
 func (r *realHarness) run(f func(done func())) {
 	r.t.Helper()
-	late := false
+	timedOut := false
 	r.machine.At(r.machine.Now()+60_000_000, func() {
-		late = true
+		timedOut = true
 		r.machine.Stop()
 	})
 	r.machine.Post(func() {
@@ -71,12 +72,12 @@
 		})
 	})
 	r.machine.Run()
-	if late {
-		r.t.Fatalf("it never came to an end: %v, %q", r.hooks.Left(), r.lines)
+	if timedOut {
+		r.t.Fatalf("the run did not end within a minute: left %v, log %q", r.hooks.Left(), r.lines)
 	}
 }
 
-// whenReady calls f once all hooks are up.
+// whenReady calls f after all hooks are up.
 func (r *realHarness) whenReady(f func()) {
 	if r.hooks.Ready() {
 		f()
@@ -88,10 +89,10 @@
 func (r *realHarness) evaluate(class, key string, done func(Verdict, Time)) {
 	r.lastID++
 	began := r.machine.Now()
-	taken := r.hooks.Evaluate(Request{ID: r.lastID, Verb: "C.GET", Class: class, Key: key, TimeLeft: 10_000_000}, func(v Verdict) {
+	accepted := r.hooks.Evaluate(Request{ID: r.lastID, Verb: "C.GET", Class: class, Key: key, TimeLeft: 10_000_000}, func(v Verdict) {
 		done(v, r.machine.Now()-began)
 	})
-	if !taken {
+	if !accepted {
 		r.machine.Post(func() { done(Verdict{}, 0) })
 	}
 }
@@ -103,7 +104,7 @@
 			return
 		}
 	}
-	r.t.Errorf("no line says %q: %q", text, r.lines)
+	r.t.Errorf("no log line contains %q: %q", text, r.lines)
 }
 
 func scriptHook(name, code string) Hook {
@@ -112,15 +113,15 @@
 	return h
 }
 
-// moodyScript misbehaves as the key of a request asks it to.
-const moodyScript = `
+// faultyScript fails in the way that the key of a request names.
+const faultyScript = `
 def on_request(r):
     if r.key == "loop":
         for i in range(1 << 40):
             pass
     if r.key == "sort":
         return refuse(len(sorted(range(20 << 20))))
-    if r.key == "swell":
+    if r.key == "grow":
         s = "x"
         for i in range(40):
             s += s
@@ -138,7 +139,7 @@
     return [][1]
 `
 
-// endlessRecursion is a module that recurses without end.
+// endlessRecursion returns a module whose on_request calls itself without end.
 func endlessRecursion() []byte {
 	m := &wasmfile.Module{Pages: 1}
 	m.Func("hook_version", 0, 1, 0, wasmfile.I32Const(1))
@@ -147,15 +148,15 @@
 	return m.Bytes()
 }
 
-func TestBrokenHooksAnswerByOnFailureAndServeOn(t *testing.T) {
-	h := scriptHook("moody", moodyScript)
+func TestOnFailureAppliesToFailedCallsAndHookRecovers(t *testing.T) {
+	h := scriptHook("faulty", faultyScript)
 	h.OnFailure, h.RetryAfter = policy.RejectOnFailure, 1000
 	h.Budget.Steps = 1 << 40
 	h.Time, h.Budget.Time = generousCallTime, generousCallTime
 	deep := Hook{Hook: h.Hook, Engine: "wasm", Code: endlessRecursion(), Budget: h.Budget}
 	deep.Name, deep.Classes = "deep", []string{"deep"}
-	deep.Budget.Depth, deep.Budget.Steps = 0, 0 // what is left is the end of its process
-	h.Classes = []string{"moody"}
+	deep.Budget.Depth, deep.Budget.Steps = 0, 0 // only killing the process stops the call
+	h.Classes = []string{"faulty"}
 	cfg := config(h, deep)
 	cfg.MaxWaitFraction, cfg.MaxWait = 0.5, 5_000_000
 	r := newRealHarness(t, cfg)
@@ -169,13 +170,13 @@
 			}
 			key := keys[0]
 			keys = keys[1:]
-			r.evaluate("moody", key, func(v Verdict, took Time) {
+			r.evaluate("faulty", key, func(v Verdict, took Time) {
 				want := Time(1000)
 				if key == "ok" || key == "log" {
 					want = 5000
 				}
 				if v.Decision != plugin.Reject || v.RetryAfter != want {
-					t.Errorf("%s: %+v, want a refusal with %d", key, v, want)
+					t.Errorf("%s: got %+v, want a rejection with RetryAfter %d", key, v, want)
 				}
 				t.Logf("%s took %d us", key, took)
 				next()
@@ -183,22 +184,22 @@
 		}
 		r.whenReady(next)
 	})
-	r.wantLog("its budget") // by the worker itself, or with its process where it came too late to that
-	r.wantLog(`hook=moody cause="crashed: moody:`)
-	r.wantLog(`hook=moody cause="gave no verdict: a value of the type int`)
-	r.wantLog(`msg="hook message" hook=moody text="(497 more lines dropped)"`)
-	r.wantLog(`hook=moody cause="crashed: moody:24:14`) // at unload
+	r.wantLog("its budget") // interrupted by the worker, or killed with its process if the worker is too slow
+	r.wantLog(`hook=faulty cause="crashed: faulty:`)
+	r.wantLog(`hook=faulty cause="gave no verdict: a value of the type int`)
+	r.wantLog(`msg="hook message" hook=faulty text="(497 more lines dropped)"`)
+	r.wantLog(`hook=faulty cause="crashed: faulty:24:14`) // at unload
 }
 
 func TestUninterruptibleCallEndsWithItsProcess(t *testing.T) {
-	for _, key := range []string{"sort", "swell", "recurse"} {
-		h := scriptHook("moody", moodyScript)
-		h.Classes = []string{"moody"}
+	for _, key := range []string{"sort", "grow", "recurse"} {
+		h := scriptHook("faulty", faultyScript)
+		h.Classes = []string{"faulty"}
 		h.OnFailure, h.RetryAfter = policy.RejectOnFailure, 1000
 		h.Budget.Steps = 1 << 40
 		h.Time, h.Budget.Time = generousCallTime, generousCallTime
 		if key == "sort" {
-			h.Budget.Memory = 1 << 30 // time is what ends it
+			h.Budget.Memory = 1 << 30 // so that the time budget ends the call, not the memory limit
 		}
 		if key == "recurse" {
 			h.Engine, h.Code = "wasm", endlessRecursion()
@@ -209,18 +210,18 @@
 		r := newRealHarness(t, cfg)
 		r.run(func(done func()) {
 			r.whenReady(func() {
-				r.evaluate("moody", key, func(v Verdict, took Time) {
+				r.evaluate("faulty", key, func(v Verdict, took Time) {
 					if v.Decision != plugin.Reject || v.RetryAfter != 1000 {
-						t.Errorf("%s: %+v", key, v)
+						t.Errorf("%s: got %+v, want a rejection with RetryAfter 1000", key, v)
 					}
 					t.Logf("%s took %d us, budget %d us", key, took, h.Time)
 					if h.Engine == "wasm" {
 						done()
 						return
 					}
-					r.evaluate("moody", "ok", func(v Verdict, took Time) { // waits for the next worker
+					r.evaluate("faulty", "ok", func(v Verdict, took Time) { // waits for the replacement worker
 						if v.Decision != plugin.Reject || v.RetryAfter != 5000 {
-							t.Errorf("%s: after it %+v", key, v)
+							t.Errorf("after %s: got %+v, want a rejection with RetryAfter 5000", key, v)
 						}
 						t.Logf("after %s: %d us", key, took)
 						done()
@@ -229,7 +230,7 @@
 			})
 		})
 		if left := r.hooks.Left(); left["workers"]+left["worker processes"]+left["requests"] > 0 {
-			t.Errorf("left %v", left)
+			t.Errorf("left %v, want no workers and requests", left)
 		}
 	}
 }
@@ -252,28 +253,28 @@
 					bad.Code = []byte(code + "def on_request(r):\n    pass\n")
 				}
 				r.hooks.Reload(config(good, bad))
-				var look func()
-				look = func() {
+				var waitForLog func()
+				waitForLog = func() {
 					if len(r.lines) == 0 {
-						r.machine.At(r.machine.Now()+1000, look)
+						r.machine.At(r.machine.Now()+1000, waitForLog)
 						return
 					}
 					r.evaluate("read", "k", func(v Verdict, _ Time) {
 						if v.Decision != plugin.Reject {
-							t.Errorf("the old set says %+v", v)
+							t.Errorf("old set: got %+v, want a rejection", v)
 						}
 						done()
 					})
 				}
-				look()
+				waitForLog()
 			})
 		})
 		r.wantLog(want)
 	}
 }
 
-// BenchmarkPass measures a pass verdict as the router sees it: processor time of this process and of all for each request,
-// requests coming one by one or eight in a turn.
+// BenchmarkPass measures the processor time of the router process and the elapsed time for each request that passes the hooks,
+// with one request or eight requests in a turn.
 func BenchmarkPass(b *testing.B) {
 	pass := &wasmfile.Module{Pages: 1}
 	pass.Func("hook_version", 0, 1, 0, wasmfile.I32Const(1))
@@ -304,9 +305,9 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	cfg := config()
 	for i := range hooks {
-		own := h
-		own.Name = fmt.Sprint("h", i)
-		cfg.Hooks = append(cfg.Hooks, own)
+		hook := h
+		hook.Name = fmt.Sprint("h", i)
+		cfg.Hooks = append(cfg.Hooks, hook)
 	}
 	r := newRealHarness(b, cfg)
 	b.ReportAllocs()
@@ -348,7 +349,7 @@
 	})
 }
 
-// processorTime is the processor time of this process in ns.
+// processorTime returns the processor time that this process has used, in ns.
 func processorTime(b *testing.B) int64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/hooks/worker_connection.go
+++ b/internal/hooks/worker_connection.go
@@ -12,35 +12,36 @@
 )
 
 const (
-	maxIdleBuffer = 64 << 10 // bytes of capacity that an empty buffer keeps
-	minReadSpace  = 4 << 10  // bytes of free capacity that a read is offered at least
-	readBufferAdd = 8 << 10  // bytes by which the buffer for reading grows
+	maxIdleBuffer = 64 << 10 // bytes; larger buffers are freed once empty
+	minReadSpace  = 4 << 10  // bytes; minimum free capacity for a read
+	readBufferAdd = 8 << 10  // bytes by which the read buffer grows
 
-	maxStartCause      = 200 // bytes of the reason why a worker did not start
-	maxConnectionCause = 100 // bytes of the reason why a connection was lost
+	maxStartCause      = 200 // bytes; limit of the error text of a failed start
+	maxConnectionCause = 100 // bytes; limit of the error text of a lost connection
 )
 
-// errWorkerExited is the end of a worker that nobody killed.
+// errWorkerExited is the cause for a worker that exited without being killed by the router.
 var errWorkerExited = errors.New("worker exited: out of memory, or a crash of its engine")
 
-// workerEnvironment is the environment of a worker's process. It writes no dump of what a hook did to its engine. The second
-// processor is for the timer that interrupts a call: with one it fires up to 10 ms late, when the scheduler preempts the hook.
+// workerEnvironment is the environment of a worker process. GOTRACEBACK=none suppresses the stack dump after a hook crashes its
+// engine. The second processor of GOMAXPROCS=2 runs the timer that interrupts a call; with one processor the timer fires up to
+// 10 ms late, when the scheduler preempts the hook.
 var workerEnvironment = []string{"GOMAXPROCS=2", "GOTRACEBACK=none"}
 
-// workerConnection is the router's end of a worker. It implements machine.Handler.
+// workerConnection is the connection of the router to a worker. It implements machine.Handler.
 type workerConnection struct {
 	hooks        *Hooks
-	id           int // the policy's number of the worker
+	id           int // number of the worker in the policy
 	hook         *Hook
 	process      machine.Process
 	conn         machine.Conn // nil until the worker has started
-	received     []byte       // not yet handled
+	received     []byte       // bytes that are not parsed yet
 	unsent       []byte
-	writePending bool // it is among Hooks.pendingWrites
-	ended        bool // the policy has killed it
+	writePending bool // the connection is in Hooks.pendingWrites
+	ended        bool // the policy has killed the worker
 }
 
-// startWorker starts a worker for a hook of a set.
+// startWorker starts a worker for the hook that the action names.
 func (h *Hooks) startWorker(a *policy.Action) {
 	cfg := h.configs[a.Set]
 	w := &workerConnection{hooks: h, id: a.Worker, hook: &cfg.Hooks[a.Hook]}
@@ -55,7 +56,7 @@
 	w.process = h.machine.Spawn(spec, w.onStarted)
 }
 
-// killWorker ends a worker at once.
+// killWorker kills a worker immediately.
 func (h *Hooks) killWorker(id int) {
 	if w := h.workers[id]; w != nil {
 		delete(h.workers, id)
@@ -64,7 +65,7 @@
 	}
 }
 
-// sendCall adds a call to those that are written at the end of the turn.
+// sendCall encodes a call into the write buffer of its worker, to be written at the end of the turn.
 func (h *Hooks) sendCall(a *policy.Action) {
 	w, call := h.workers[a.Worker], a.Call()
 	if w == nil || call == nil {
@@ -74,14 +75,14 @@
 		call.Value = a.Value()
 	}
 	w.unsent = wire.AppendCall(w.unsent, a.Sequence, call)
-	call.Value = nil // the buffer belongs to the client's connection
+	call.Value = nil // the buffer belongs to the client connection
 	if !w.writePending {
 		w.writePending = true
 		h.pendingWrites = append(h.pendingWrites, w)
 	}
 }
 
-// flushWrites sends the calls of this turn.
+// flushWrites writes the calls of this turn to their workers.
 func (h *Hooks) flushWrites() {
 	for _, w := range h.pendingWrites {
 		w.writePending = false
@@ -91,7 +92,7 @@
 	h.pendingWrites = h.pendingWrites[:0]
 }
 
-// onStarted is called once the worker has started, or could not be started.
+// onStarted handles the result of starting the worker, and sends the worker its hook.
 func (w *workerConnection) onStarted(c machine.Conn, err error) machine.Handler {
 	if err != nil {
 		w.onEnded(fmt.Errorf("worker not started: %s", plugin.Plain(err.Error(), maxStartCause)))
@@ -104,7 +105,8 @@
 	return w
 }
 
-// write sends as much as the connection takes. An error shows as the connection's end in Readable.
+// write writes as many unsent bytes as the connection accepts. It ignores write errors, because Readable then sees the end of
+// the connection.
 func (w *workerConnection) write() {
 	if w.conn == nil || w.ended {
 		return
@@ -119,7 +121,7 @@
 // Writable implements machine.Handler.
 func (w *workerConnection) Writable() { w.write() }
 
-// Readable implements machine.Handler: it handles all frames that have come.
+// Readable implements machine.Handler. It handles all frames that have arrived.
 func (w *workerConnection) Readable() {
 	for !w.ended {
 		err := w.read()
@@ -134,7 +136,7 @@
 	w.hooks.executeActions()
 }
 
-// read reads once from the connection.
+// read performs one read from the connection and grows the read buffer if needed.
 func (w *workerConnection) read() error {
 	if cap(w.received)-len(w.received) < minReadSpace {
 		w.received = append(make([]byte, 0, len(w.received)+readBufferAdd), w.received...)
@@ -144,7 +146,7 @@
 	return err
 }
 
-// connectionError returns the reason why a worker is lost whose connection ended with err.
+// connectionError returns the cause to report for a worker whose connection ended with err.
 func connectionError(err error) error {
 	if err == io.EOF {
 		return errWorkerExited
@@ -152,11 +154,11 @@
 	return fmt.Errorf("worker connection lost: %s", plugin.Plain(err.Error(), maxConnectionCause))
 }
 
-// handleFrames handles all whole frames that have come. It reports false once the worker has ended.
+// handleFrames handles all complete frames in the read buffer. It reports false once the worker has ended.
 func (w *workerConnection) handleFrames() bool {
-	rest := w.received
+	remaining := w.received
 	for !w.ended {
-		kind, body, after, err := wire.Next(rest, wire.MaxFrameToRouter)
+		kind, body, after, err := wire.Next(remaining, wire.MaxFrameToRouter)
 		if err == nil && kind == 0 {
 			break
 		}
@@ -167,13 +169,13 @@
 			w.onEnded(fmt.Errorf("worker violated its protocol: %w", err))
 			return false
 		}
-		rest = after
+		remaining = after
 	}
-	w.received = w.received[:copy(w.received, rest)]
+	w.received = w.received[:copy(w.received, remaining)]
 	return !w.ended
 }
 
-// handleFrame hands one frame to the policy.
+// handleFrame parses one frame and passes its content to the policy.
 func (w *workerConnection) handleFrame(kind byte, body []byte) error {
 	h, now := w.hooks, w.hooks.machine.Now()
 	switch kind {
@@ -208,7 +210,7 @@
 	return nil
 }
 
-// onEnded reports to the policy that the worker is of no more use.
+// onEnded reports to the policy that the worker has ended or is unusable.
 func (w *workerConnection) onEnded(cause error) {
 	w.hooks.policy.WorkerEnded(w.hooks.machine.Now(), w.id, cause)
 	w.hooks.executeActions()
