--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -253,6 +253,14 @@
 					t.Errorf("got list %+v, want version 8 with one endpoint", l)
 				}
 				next := routertest.Receive(t, calls, "next call")
+				if c.ends && strings.Contains(c.wire, "Content-Length:") && next.Conn == call.Conn {
+					// The call was sent before the close, because the length ends the answer. The watch must repeat it.
+					early := next
+					next = routertest.Receive(t, calls, "repeated call")
+					if next.RequestURI != early.RequestURI {
+						t.Errorf("got call %s, want %s again", next.RequestURI, early.RequestURI)
+					}
+				}
 				if !strings.Contains(next.RequestURI, "after=8&") || (next.Conn == call.Conn) == c.ends {
 					t.Errorf("got call %s, connection reused %v, want a call after 8, %v", next.RequestURI, next.Conn == call.Conn, !c.ends)
 				}
