--- a/internal/plugin/api.go
+++ b/internal/plugin/api.go
@@ -1,34 +1,34 @@
-// Package plugin is the contract between the router and the hooks of its operators: at which points a hook is called, what it
-// is handed, and what it may decide. It is free of any engine; the engines below it (wasm, script) run hooks in one way each,
-// and plugintest checks them all against this contract.
+// Package plugin defines the contract between the router and its operators' hooks: the points at which a hook is called, the
+// data that a call passes, and the verdicts that a hook may return. The package depends on no engine. Each engine (wasm,
+// script) runs hooks of one kind of file, and plugintest checks every engine against this contract.
 //
-// A hook evaluates a request before the router decides anything on it. It never sends, never answers with a value, never
-// touches another request, and reaches no network, no file and no clock beyond what it is handed. What it rejects was never
-// sent, so a rejection by a hook is as safe to retry as one of the router's own. All that it passes goes on through the
-// decision module as if there were no hooks, and the command to a cache goes on unchanged.
+// A hook evaluates a request before the router makes any decision on the request. A hook can't send requests, answer with a
+// value or change another request, and has no access to the network, files or clocks other than the time in its call. A
+// rejected request was never sent, so a rejection by a hook is as safe to retry as a rejection by the router. A passed request
+// is decided as if there were no hooks, and its command reaches the cache unchanged.
 //
-// The contract has a version, which a hook names. A hook that was built for another one is not loaded.
+// The contract has a version, which each hook declares. A hook that was built for another version is not loaded.
 package plugin
 
-// Version is the version of this contract.
+// Version is the version of the contract that this package defines.
 const Version = 1
 
-// Time is a span in microseconds.
+// Time is a time or a duration in microseconds.
 type Time = int64
 
-// Point is a moment at which a hook is called.
+// Point is an event for which a hook is called.
 type Point uint8
 
 const (
-	Load        Point = iota // the hook begins: before any other call, once for each instance
-	OnRequest                // a request was read and is not yet decided on: the one point with a verdict
-	Answered                 // a final answer is about to leave: a notification
-	ListChanged              // the list of caches has changed: a notification
-	Unload                   // the hook ends: after any other call, unless its worker is killed
-	pointCount               // how many points there are
+	Load        Point = iota // initialization: before any other call, once for each instance
+	OnRequest                // a request was read and is not yet decided; the only point with a verdict
+	Answered                 // a final answer is about to be sent: a notification
+	ListChanged              // the list of caches changed: a notification
+	Unload                   // shutdown: after any other call; omitted where the worker is killed
+	pointCount               // the number of points
 )
 
-// String returns the name of the point in hooks.toml and in what commands print.
+// String returns the name of the point in hooks.toml and in the output of commands.
 func (p Point) String() string {
 	if p >= pointCount {
 		return "no point"
@@ -45,17 +45,17 @@
 // With returns the set with p added.
 func (s Points) With(p Point) Points { return s | 1<<p }
 
-// Outcome is the kind of a final answer.
+// Outcome classifies a final answer.
 type Outcome uint8
 
 const (
-	OutcomeServed   Outcome = iota // with a value
-	OutcomeRejected                // it never ran, and the client may try again
-	OutcomeFailed                  // with an error that promises nothing
-	outcomeCount                   // how many outcomes there are
+	OutcomeServed   Outcome = iota // answered with a value
+	OutcomeRejected                // not carried out; the client may retry
+	OutcomeFailed                  // answered with an error that does not say whether the request was carried out
+	outcomeCount                   // the number of outcomes
 )
 
-// String returns the name that hooks are handed.
+// String returns the outcome's name in the contract with hooks.
 func (o Outcome) String() string {
 	if o >= outcomeCount {
 		return "no outcome"
@@ -63,40 +63,40 @@
 	return [...]string{"served", "refused", "failed"}[o]
 }
 
-// Call is one call of a hook: the point and what is known there. Fields that do not belong to a point are zero. The hook
-// retains nothing of it.
+// Call holds the arguments of one call of a hook. Fields that do not belong to the point are zero. Hook.Call retains no
+// reference to a Call.
 type Call struct {
 	Point Point
-	Now   Time // on a monotonic clock with an arbitrary zero; it does not advance during a call
+	Now   Time // on a monotonic clock with an arbitrary zero; constant during a call
 
 	// OnRequest and Answered.
-	Verb   string // such as C.GET
-	Class  string // as the settings name it, "" where the client named none
-	Tenant string // at Answered, the one that a hook may have set
+	Verb   string // the command, such as C.GET
+	Class  string // the class's name in the settings; "" where the client named none
+	Tenant string // at Answered, the tenant that a hook set, if any
 	Key    string
 	Size   int // bytes of the value
 
-	TimeLeft Time   // OnRequest: until the client stops waiting
-	Value    []byte // OnRequest: only for a hook whose operator set wants_value
+	TimeLeft Time   // OnRequest: the time until the client stops waiting
+	Value    []byte // OnRequest: set only if the operator set wants_value for the hook
 
 	Outcome Outcome // Answered
-	Took    Time    // Answered: since the request was read
+	Took    Time    // Answered: the time since the request was read
 
-	// ListChanged: how many caches there are, and how many of them are serving.
+	// ListChanged: the number of caches in the list, and the number of them that are serving.
 	Caches, ServingCaches int
 }
 
-// Decision is what becomes of a request. Its numbers are part of the contract.
+// Decision says how a hook disposes of a request. Its numbers are part of the contract.
 type Decision uint8
 
 const (
-	Pass      Decision = iota // the request goes on, to the next hook or to the router
-	Reject                    // the request is rejected: it was never sent, and the client may try again
-	Fail                      // the request fails with a text; it was never sent either, but the answer does not promise that
-	decisions                 // how many decisions there are
+	Pass      Decision = iota // the request continues to the next hook, or to the router after the last one
+	Reject                    // the request is rejected: it was never sent, and the client may retry
+	Fail                      // the request fails with a text: it was never sent, but the answer does not guarantee that to the client
+	decisions                 // the number of decisions
 )
 
-// String returns the decision's name in what commands print and in scripts.
+// String returns the decision's name in the output of commands and in scripts.
 func (s Decision) String() string {
 	if s >= decisions {
 		return "no verdict"
@@ -104,17 +104,17 @@
 	return [...]string{"pass", "refuse", "fail"}[s]
 }
 
-// Verdict is what a hook returns. After a notification, Decision is Pass, and Tenant and Tags are empty.
+// Verdict is the result of a call. After a notification, Decision is Pass, and Tenant and Tags are empty.
 type Verdict struct {
 	Decision   Decision
-	RetryAfter Time     // Reject: how long the client is asked to stay away; 0 for no advice
-	Text       string   // Fail
-	Tenant     string   // the tenant that the request counts for from here on; "" for no change
-	Tags       []string // names of the hook's own for the request, which are counted
+	RetryAfter Time     // Reject: the delay that the client is asked to wait before a retry; 0 for no advice
+	Text       string   // Fail: the text of the answer
+	Tenant     string   // the tenant that the request is attributed to after this hook; "" for no change
+	Tags       []string // labels that the hook assigns to the request; the router counts requests by tag
 	Log        []string // lines for the router's log
 }
 
-// Bounds of calls and verdicts, whatever the budget. A verdict beyond them is invalid.
+// Bounds of calls and verdicts, which hold for every budget. A verdict that exceeds them is invalid.
 const (
 	MaxRetryAfter Time = 60_000_000 // µs
 	MaxText            = 256        // bytes of the text of a failure, and of a tenant
@@ -122,23 +122,23 @@
 	MaxTags            = 8          // tags of a verdict
 	MaxLogLine         = 512        // bytes of a log line
 	MaxLogLines        = 16         // log lines of a call
-	MaxString          = 1024       // bytes of a verb, class, tenant or key that a hook is handed
-	MaxValue           = 64 << 10   // bytes of a value that a hook is handed
+	MaxString          = 1024       // bytes of a verb, class, tenant or key that is passed to a hook
+	MaxValue           = 64 << 10   // bytes of a value that is passed to a hook
 	MaxCode            = 8 << 20    // bytes of a hook's file
 )
 
-// Budget is what a hook may use. The engine and its worker enforce it.
+// Budget limits the resources of a hook. The engine and its worker enforce the limits.
 type Budget struct {
-	Time        Time  // of a call
-	LoadTime    Time  // of load, and of unload
-	Steps       int64 // of a script, or function calls inside a WebAssembly module, in one call; 0 for no bound
-	Depth       int   // of nested function calls in a WebAssembly module; 0 for no bound
+	Time        Time  // the duration of a call
+	LoadTime    Time  // the duration of loading, and of unloading
+	Steps       int64 // a script's steps, or function calls inside a WebAssembly module, in one call; 0 for no bound
+	Depth       int   // nested function calls in a WebAssembly module; 0 for no bound
 	Memory      int64 // bytes of the hook's own data
-	LogLines    int   // of the log, in one call: more are dropped, and the last line says so
-	LogLineSize int   // bytes of a line: the rest is cut off
+	LogLines    int   // log lines in one call: further lines are dropped, and the last line reports their number
+	LogLineSize int   // bytes of a log line: longer lines are truncated
 }
 
-// DefaultBudget is a budget for a hook that decides by what it is handed alone.
+// DefaultBudget is a budget for a hook that decides by the arguments of the call alone.
 var DefaultBudget = Budget{
 	Time:        5_000,
 	LoadTime:    1_000_000,
@@ -149,20 +149,20 @@
 	LogLineSize: 200,
 }
 
-// FailureKind is what went wrong with a hook. Its numbers are part of the frames between router and worker.
+// FailureKind classifies the failure of a hook. Its numbers are part of the frames between router and worker.
 type FailureKind uint8
 
 const (
-	NotLoadable      FailureKind = iota // its file is not a hook: malformed, too large, without a point, or with unknown imports
-	VersionMismatch                     // it was built for another version of the contract
-	Crashed                             // it trapped, or raised an error
-	BudgetExceeded                      // it used up its time, its steps or its depth, and was interrupted
-	MemoryExceeded                      // it used up its memory
-	InvalidVerdict                      // what it returned is not a verdict
-	failureKindCount                    // how many kinds there are
+	NotLoadable      FailureKind = iota // the file is not a hook: malformed, too large, without a point, or with unknown imports
+	VersionMismatch                     // the hook was built for another version of the contract
+	Crashed                             // the hook trapped or raised an error
+	BudgetExceeded                      // the hook exceeded its time, steps or depth, and was interrupted
+	MemoryExceeded                      // the hook exceeded its memory
+	InvalidVerdict                      // the hook returned an invalid verdict
+	failureKindCount                    // the number of kinds
 )
 
-// String returns the kind's wording in logs and in what commands print.
+// String returns the description of the kind in logs and in the output of commands.
 func (k FailureKind) String() string {
 	if k >= failureKindCount {
 		return "failed"
@@ -171,7 +171,7 @@
 		"gave no verdict"}[k]
 }
 
-// Failure is the error of an engine. Its text is fit for a log: one line, without control characters.
+// Failure is the error that an engine returns. Text is safe to log: it is one line without control characters.
 type Failure struct {
 	Kind FailureKind
 	Text string
@@ -186,21 +186,22 @@
 	Name() string
 	// FileExtension returns the extension of the engine's files, with the dot.
 	FileExtension() string
-	// Load checks a hook, compiles it and calls it at the point Load. The error is a *Failure that names the cause.
-	// The hook's own code is interrupted after the budget's LoadTime; the engine's compilation, whose input is bounded
-	// in size, is not.
+	// Load validates and compiles a hook and calls it at the point Load. The error is a *Failure with the cause.
+	// The hook's code is interrupted after the budget's LoadTime. Compilation by the engine is not interrupted, but the
+	// size of its input is bounded.
 	Load(name string, code []byte, b Budget) (Hook, error)
 }
 
-// Hook is a hook that is loaded. Its methods are called by one goroutine at a time, except for Interrupt.
+// Hook is a loaded hook. Only one goroutine at a time may call its methods, except for Interrupt.
 type Hook interface {
-	// Points returns the points that the hook has.
+	// Points returns the points that the hook implements.
 	Points() Points
-	// Call calls the hook and fills v, in place of what it held. The error is a *Failure; then v holds log lines at most,
-	// the instance is discarded, and the next Call begins with a new one.
+	// Call calls the hook and overwrites v with its verdict. The error is a *Failure; v then holds no more than log lines,
+	// the instance is discarded, and the next Call starts a new instance.
 	Call(c *Call, v *Verdict) error
-	// Interrupt has the running call end soon with BudgetExceeded, and does nothing between calls. Any goroutine may call it.
+	// Interrupt makes the running call fail soon with BudgetExceeded, and has no effect between calls. Any goroutine may
+	// call Interrupt.
 	Interrupt()
-	// Close releases the hook's resources. It does not call the hook: Unload is a Call.
+	// Close releases the hook's resources. Close does not call the hook at the point Unload, which takes a Call.
 	Close()
 }
--- a/internal/plugin/draft.go
+++ b/internal/plugin/draft.go
@@ -6,16 +6,16 @@
 	"unicode/utf8"
 )
 
-// Draft is a verdict in the making. Engines have hooks write into a Draft alone, so that all of them accept the same verdicts
-// with the same bounds. Each method's error is a *Failure: the reason why the hook has failed.
+// Draft builds and validates a verdict. Every engine builds verdicts with a Draft, so all engines accept the same verdicts
+// with the same bounds. The error of each method is a *Failure with the reason why the hook failed.
 type Draft struct {
 	Budget       Budget
 	Point        Point
 	verdict      *Verdict
-	droppedLines int // lines that were dropped
+	droppedLines int // the number of log lines beyond the budget
 }
 
-// Begin resets v and drafts into it.
+// Begin resets v and starts building the verdict of a call at point p in v.
 func (d *Draft) Begin(p Point, v *Verdict) {
 	v.Reset()
 	d.Point, d.verdict, d.droppedLines = p, v, 0
@@ -28,8 +28,8 @@
 	*v = Verdict{Tags: v.Tags[:0], Log: v.Log[:0]}
 }
 
-// Log adds a line. A line beyond the budget is cut off or dropped, as a hook could fill the router's memory and log with one
-// call; a hook that logs too much has not failed.
+// Log adds a log line. Lines beyond the budget are truncated or dropped, because one call could otherwise fill the router's
+// memory and log. Excessive logging is not a failure of the hook.
 func (d *Draft) Log(line string) {
 	lines := min(d.Budget.LogLines, MaxLogLines)
 	if len(d.verdict.Log) >= lines {
@@ -39,13 +39,13 @@
 	d.verdict.Log = append(d.verdict.Log, Plain(line, min(d.Budget.LogLineSize, MaxLogLine)))
 }
 
-// AddTag adds a name of the hook's own for the request. A name that was added before has no effect.
+// AddTag adds a tag to the request. A repeated tag has no effect.
 func (d *Draft) AddTag(name string) error {
 	if err := d.requireVerdictPoint("tag"); err != nil {
 		return err
 	}
 	if !isName(name, MaxTag) {
-		return invalidVerdict("a tag is no name (%q, wanted 1 to %d of letters, digits, _ - . : and /)", excerpt(name), MaxTag)
+		return invalidVerdict("invalid tag (%q, wanted 1 to %d of letters, digits, _ - . : and /)", excerpt(name), MaxTag)
 	}
 	for _, t := range d.verdict.Tags {
 		if t == name {
@@ -59,19 +59,19 @@
 	return nil
 }
 
-// SetTenant has the request count for another tenant.
+// SetTenant attributes the request to another tenant.
 func (d *Draft) SetTenant(name string) error {
 	if err := d.requireVerdictPoint("tenant"); err != nil {
 		return err
 	}
 	if !isName(name, MaxText) {
-		return invalidVerdict("a tenant is no name (%q, wanted 1 to %d of letters, digits, _ - . : and /)", excerpt(name), MaxText)
+		return invalidVerdict("invalid tenant (%q, wanted 1 to %d of letters, digits, _ - . : and /)", excerpt(name), MaxText)
 	}
 	d.verdict.Tenant = strings.Clone(name)
 	return nil
 }
 
-// SetText sets the text of the answer where the request fails.
+// SetText sets the text of the answer for the decision Fail.
 func (d *Draft) SetText(text string) error {
 	if err := d.requireVerdictPoint("text"); err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// SetRetryAfter sets how long a client that is rejected is asked to stay away.
+// SetRetryAfter sets the delay that a rejected client is asked to wait before a retry.
 func (d *Draft) SetRetryAfter(t Time) error {
 	if err := d.requireVerdictPoint("wait"); err != nil {
 		return err
@@ -95,14 +95,15 @@
 	return nil
 }
 
-// Finish sets the decision, which is a number of the contract, and ends the draft.
+// Finish sets the decision from its number in the contract and completes the verdict. RetryAfter is retained only for Reject,
+// and Text only for Fail.
 func (d *Draft) Finish(decision int64) error {
 	if decision < 0 || decision >= int64(decisions) {
-		return invalidVerdict("the number %d (wanted 0, 1 or 2)", decision)
+		return invalidVerdict("decision %d (wanted 0, 1 or 2)", decision)
 	}
 	d.verdict.Decision = Decision(decision)
 	if d.Point != OnRequest && d.verdict.Decision != Pass {
-		return invalidVerdict("%s at the point %s, which only looks", d.verdict.Decision, d.Point)
+		return invalidVerdict("%s at the point %s, which has no verdict", d.verdict.Decision, d.Point)
 	}
 	if d.verdict.Decision != Reject {
 		d.verdict.RetryAfter = 0
@@ -114,14 +115,14 @@
 	return nil
 }
 
-// Discard empties the verdict except for its log lines, after the hook has failed.
+// Discard empties the verdict of a failed call except for its log lines.
 func (d *Draft) Discard() {
 	d.reportDroppedLines()
 	clear(d.verdict.Tags)
 	*d.verdict = Verdict{Tags: d.verdict.Tags[:0], Log: d.verdict.Log}
 }
 
-// reportDroppedLines replaces the last line by one with the number of lines that were dropped.
+// reportDroppedLines replaces the last log line by the number of dropped lines, which includes the replaced line.
 func (d *Draft) reportDroppedLines() {
 	if d.droppedLines > 0 && len(d.verdict.Log) > 0 {
 		d.verdict.Log[len(d.verdict.Log)-1] = fmt.Sprintf("(%d more lines dropped)", d.droppedLines+1)
@@ -130,19 +131,20 @@
 }
 
 // requireVerdictPoint returns an error at a point that has no verdict.
-func (d *Draft) requireVerdictPoint(what string) error {
+func (d *Draft) requireVerdictPoint(operation string) error {
 	if d.Point != OnRequest {
-		return invalidVerdict("%s at the point %s, which only looks", what, d.Point)
+		return invalidVerdict("%s at the point %s, which has no verdict", operation, d.Point)
 	}
 	return nil
 }
 
-// invalidVerdict returns the failure of a hook whose verdict is not one of the contract.
+// invalidVerdict returns the failure of a hook whose verdict violates the contract.
 func invalidVerdict(format string, args ...any) error {
 	return &Failure{InvalidVerdict, fmt.Sprintf(format, args...)}
 }
 
-// Plain returns a text truncated to limit bytes, in one line and without the control characters of terminals.
+// Plain returns text truncated to limit bytes at a character boundary. Line separators, terminal control characters and
+// invalid UTF-8 are replaced by question marks.
 func Plain(text string, limit int) string {
 	if len(text) > limit {
 		cut := limit
@@ -162,7 +164,7 @@
 // maxExcerpt bounds the bytes of a hook's text in a failure.
 const maxExcerpt = 40
 
-// excerpt returns the beginning of a text, for a failure.
+// excerpt returns the beginning of a text for use in a failure.
 func excerpt(text string) string { return Plain(text, maxExcerpt) }
 
 // isName reports whether a text is a valid name of at most limit bytes for logs, counts and arguments of commands.
--- a/internal/plugin/draft_test.go
+++ b/internal/plugin/draft_test.go
@@ -17,20 +17,20 @@
 func TestDraftRejectsInvalidVerdicts(t *testing.T) {
 	long := strings.Repeat("x", MaxText+1)
 	for what, f := range map[string]func(*Draft) error{ // any order
-		"an empty tag":      func(d *Draft) error { return d.AddTag("") },
-		"a long tag":        func(d *Draft) error { return d.AddTag(long[:MaxTag+1]) },
-		"a tag with a line": func(d *Draft) error { return d.AddTag("a\nb") },
-		"an empty tenant":   func(d *Draft) error { return d.SetTenant("") },
-		"a long tenant":     func(d *Draft) error { return d.SetTenant(long) },
-		"a long text":       func(d *Draft) error { return d.SetText(long) },
-		"a long wait":       func(d *Draft) error { return d.SetRetryAfter(MaxRetryAfter + 1) },
-		"a wait below 0":    func(d *Draft) error { return d.SetRetryAfter(-1) },
-		"a verdict below 0": func(d *Draft) error { return d.Finish(-1) },
-		"an unknown one":    func(d *Draft) error { return d.Finish(3) },
+		"an empty tag":       func(d *Draft) error { return d.AddTag("") },
+		"a long tag":         func(d *Draft) error { return d.AddTag(long[:MaxTag+1]) },
+		"a tag with a line":  func(d *Draft) error { return d.AddTag("a\nb") },
+		"an empty tenant":    func(d *Draft) error { return d.SetTenant("") },
+		"a long tenant":      func(d *Draft) error { return d.SetTenant(long) },
+		"a long text":        func(d *Draft) error { return d.SetText(long) },
+		"a long wait":        func(d *Draft) error { return d.SetRetryAfter(MaxRetryAfter + 1) },
+		"a wait below 0":     func(d *Draft) error { return d.SetRetryAfter(-1) },
+		"a verdict below 0":  func(d *Draft) error { return d.Finish(-1) },
+		"an unknown verdict": func(d *Draft) error { return d.Finish(3) },
 	} {
 		d, _ := draft(OnRequest)
 		if err := f(d); err == nil {
-			t.Errorf("%s is taken", what)
+			t.Errorf("%s: got no error", what)
 		}
 	}
 	for _, p := range []Point{Load, Answered, ListChanged, Unload} {
@@ -39,13 +39,13 @@
 			"tag": d.AddTag("a"), "tenant": d.SetTenant("a"), "text": d.SetText("a"), "wait": d.SetRetryAfter(1), "end": d.Finish(1),
 		} {
 			if err == nil {
-				t.Errorf("%s is taken at the point %s", what, p)
+				t.Errorf("%s at the point %s: got no error", what, p)
 			}
 		}
 	}
 }
 
-func TestDraftFinishDropsWhatDecisionDoesNotUse(t *testing.T) {
+func TestDraftFinishClearsUnusedFields(t *testing.T) {
 	d, v := draft(OnRequest)
 	d.SetRetryAfter(5)
 	d.SetText("why")
@@ -65,7 +65,7 @@
 	}
 	d.Begin(OnRequest, v)
 	if len(v.Log) > 0 {
-		t.Errorf("the next one begins with %q", v.Log)
+		t.Errorf("the next draft begins with the log lines %q", v.Log)
 	}
 }
 
@@ -74,11 +74,11 @@
 		"a\r\nb\x1b[2J\x00": "a??b?[2J?", "Öé": "Öé", "\xff\xfe": "??", "a\u2028b\u0085": "a?b?",
 	} {
 		if got := Plain(text, 100); got != want {
-			t.Errorf("%q became %q", text, got)
+			t.Errorf("%q: got %q, want %q", text, got, want)
 		}
 	}
 	if got := Plain("ÖÖÖ", 5); got != "ÖÖ" {
-		t.Errorf("cut to %q", got)
+		t.Errorf("truncated to %q, want two characters", got)
 	}
 }
 
@@ -96,23 +96,23 @@
 }
 
 func TestInterruptGuardReachesRunningCallOnly(t *testing.T) {
-	var w InterruptGuard
+	var g InterruptGuard
 	stopped := 0
 	stop := func() { stopped++ }
-	w.Interrupt()
-	w.Begin(stop)
-	if w.End() || stopped != 0 {
-		t.Error("an interrupt from before has reached it")
+	g.Interrupt()
+	g.Begin(stop)
+	if g.End() || stopped != 0 {
+		t.Error("an interrupt before the call reached the call")
 	}
-	w.Begin(stop)
-	w.Interrupt()
-	w.Interrupt()
-	if !w.End() || stopped != 1 {
-		t.Errorf("stopped %d times", stopped)
+	g.Begin(stop)
+	g.Interrupt()
+	g.Interrupt()
+	if !g.End() || stopped != 1 {
+		t.Errorf("stopped %d times, want an interrupted call that is stopped once", stopped)
 	}
-	w.Interrupt()
-	w.Begin(stop)
-	if w.End() || stopped != 1 {
-		t.Error("an interrupt from before has reached it")
+	g.Interrupt()
+	g.Begin(stop)
+	if g.End() || stopped != 1 {
+		t.Error("an interrupt between calls reached the next call")
 	}
 }
--- a/internal/plugin/interrupt_guard.go
+++ b/internal/plugin/interrupt_guard.go
@@ -2,22 +2,21 @@
 
 import "sync"
 
-// InterruptGuard lets Interrupt reach the call that runs and no other: an interrupt that comes as a call ends must not end the
-// next one.
+// InterruptGuard restricts Interrupt to the running call: an interrupt that arrives as a call ends must not stop the next call.
 type InterruptGuard struct {
 	mu          sync.Mutex
-	stop        func() // ends the running call; nil between calls
+	stop        func() // stops the running call; nil between calls
 	interrupted bool   // the running call was interrupted
 }
 
-// Begin is called as a call begins. stop ends the call; it must not block.
+// Begin marks the beginning of a call. Interrupt calls stop, which must stop the call and must not block.
 func (g *InterruptGuard) Begin(stop func()) {
 	g.mu.Lock()
 	g.stop, g.interrupted = stop, false
 	g.mu.Unlock()
 }
 
-// End is called as the call ends, and reports whether it was interrupted.
+// End marks the end of the call and reports whether the call was interrupted.
 func (g *InterruptGuard) End() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -25,7 +24,7 @@
 	return g.interrupted
 }
 
-// Interrupt ends the running call, if there is one.
+// Interrupt stops the running call, if there is one. Further interrupts of the same call have no effect.
 func (g *InterruptGuard) Interrupt() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/plugin/plugintest/bench.go
+++ b/internal/plugin/plugintest/bench.go
@@ -6,8 +6,8 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Bench measures an engine with the suite's hooks: a call that passes, a call that adds to its verdict, a load, and
-// a crash with the new instance after it.
+// Bench benchmarks an engine with the suite's hooks: a call that passes the request, a call that adds a tag, loading a hook,
+// and a crash followed by the creation of a new instance.
 func Bench(b *testing.B, e plugin.Engine, hooks map[string][]byte) {
 	load := func(b *testing.B, name string, budget plugin.Budget) plugin.Hook {
 		h, err := e.Load(name, hooks[name], budget)
@@ -29,10 +29,10 @@
 			}
 		}
 	}
-	open := plugin.DefaultBudget
-	open.Depth, open.Steps = 0, 0
+	withoutLimits := plugin.DefaultBudget
+	withoutLimits.Depth, withoutLimits.Steps = 0, 0
 	b.Run("Pass", calls("P1", plugin.DefaultBudget))
-	b.Run("PassWithoutCounting", calls("P1", open))
+	b.Run("PassWithoutCounting", calls("P1", withoutLimits))
 	b.Run("Tag", calls("T1", plugin.DefaultBudget))
 	b.Run("Load", func(b *testing.B) {
 		b.ReportAllocs()
@@ -50,7 +50,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			if err := h.Call(&c, &v); err == nil {
-				b.Fatal("no crash")
+				b.Fatal("got no error, want a crash")
 			}
 		}
 	})
--- a/internal/plugin/plugintest/plugintest.go
+++ b/internal/plugin/plugintest/plugintest.go
@@ -1,5 +1,5 @@
-// Package plugintest checks what every engine of package plugin must do: one suite of tests for all of them. An engine
-// brings the hooks that the suite calls, written for that engine.
+// Package plugintest is a test suite for the engines of package plugin. Each engine provides the hooks that the suite calls,
+// written for that engine.
 package plugintest
 
 import (
@@ -12,43 +12,44 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Hooks are the hooks that an engine brings, by name, with what each does. In all other cases a hook passes.
+// Hooks describes the hooks that an engine must provide, by name. In all cases that a description omits, the hook passes the
+// request.
 var Hooks = map[string]string{
 	"judge": "on_request, by the first byte of the key: R refuses with a wait of 250 ms; F fails with the text " +
-		`"no such call"; T tags "club" and "club", and names the tenant "guests"; L logs "seen"`,
+		`"no such call"; T tags "club" twice and sets the tenant "guests"; L logs "seen"`,
 	"echo": "on_request fails with a text, by the first byte of the key: v its verb, c its class, t its tenant, k its " +
-		"key, V its value, if there is one; s refuses with a wait of as many ms as its size",
-	"count":         "on_request counts its calls since the load, and refuses with as many ms of wait; with C it counts and then crashes",
-	"crash":         `on_request tags "club" and logs "before", and then crashes`,
-	"looks":         `on_answered logs the outcome's first letter (s, r, f); on_list logs "list"; on_load logs nothing`,
-	"loop":          "on_request loops for ever where the key begins with L",
-	"recurse":       "on_request calls itself for ever, or the like",
-	"swell":         "on_request takes memory for ever",
-	"wordless":      "on_request gives back what is no verdict",
-	"judging look":  "on_answered refuses",
-	"tagging look":  `on_answered tags "club"`,
-	"long line":     "on_request logs a line of a megabyte",
-	"many lines":    "on_request logs 10,000 lines",
-	"long tag":      "on_request tags a name of 65 bytes",
-	"bad tag":       `on_request tags "a b"`,
-	"many tags":     "on_request tags nine names",
-	"long wait":     "on_request refuses with a wait of 60,001 ms",
-	"load crash":    "on_load crashes",
-	"load loop":     "on_load loops for ever",
-	"unload crash":  "on_request is there, and on_unload crashes",
-	"answer crash":  "on_answered crashes",
-	"alien":         "it is of version 2 of the contract",
-	"pointless":     "it has no point",
-	"versionless":   "it says no version",
-	"bad shape":     "its on_request takes no parameter",
-	"unknown words": "it uses a word that the contract does not have, such as send",
+		"key, V its value, if there is one; s refuses with a wait in ms that equals its size",
+	"count":                  "on_request counts its calls since the load, and refuses with that many ms of wait; with C it counts and then crashes",
+	"crash":                  `on_request tags "club" and logs "before", and then crashes`,
+	"notifications":          `on_answered logs the outcome's first letter (s, r, f); on_list logs "list"; on_load logs nothing`,
+	"loop":                   "on_request loops forever where the key begins with L",
+	"recurse":                "on_request recurses without end, directly or indirectly",
+	"allocate":               "on_request allocates memory without end",
+	"invalid decision":       "on_request returns a value that is not a verdict",
+	"rejecting notification": "on_answered refuses",
+	"tagging notification":   `on_answered tags "club"`,
+	"long line":              "on_request logs a line of a megabyte",
+	"many lines":             "on_request logs 10,000 lines",
+	"long tag":               "on_request tags a name of 65 bytes",
+	"bad tag":                `on_request tags "a b"`,
+	"many tags":              "on_request tags nine names",
+	"long wait":              "on_request refuses with a wait of 60,001 ms",
+	"load crash":             "on_load crashes",
+	"load loop":              "on_load loops forever",
+	"unload crash":           "on_request is defined, and on_unload crashes",
+	"answered crash":         "on_answered crashes",
+	"other version":          "the hook is built for version 2 of the contract",
+	"no point":               "the hook defines no point",
+	"no version":             "the hook declares no version",
+	"bad signature":          "on_request has no parameter",
+	"unknown function":       "the hook uses a function that the contract does not have, such as send",
 }
 
 // Run tests an engine with its hooks.
 func Run(t *testing.T, e plugin.Engine, hooks map[string][]byte) {
 	for name := range Hooks { // any order
 		if hooks[name] == nil {
-			t.Errorf("the engine brings no hook %q", name)
+			t.Errorf("the engine does not provide the hook %q", name)
 		}
 	}
 	s := suite{e, hooks}
@@ -81,10 +82,10 @@
 	hooks  map[string][]byte
 }
 
-// budget is generous, for a machine under load: the suite tests that calls end, and not how soon.
+// budget is generous, so that the tests pass on a loaded machine: the suite tests that calls end, not how soon.
 var budget = plugin.Budget{Time: 250_000, LoadTime: 500_000, Steps: 2_000_000, Depth: 64, Memory: 4 << 20, LogLines: 4, LogLineSize: 40}
 
-// load loads a hook, which is closed at the end of the test.
+// load loads a hook and closes it at the end of the test.
 func (s suite) load(t *testing.T, name string) *timedHook {
 	t.Helper()
 	h, err := s.engine.Load(name, s.hooks[name], budget)
@@ -96,7 +97,7 @@
 	return timed
 }
 
-// timedHook is a hook whose calls are interrupted after the budget's time, as a worker does.
+// timedHook interrupts the calls of a hook after the budget's time, like a worker.
 type timedHook struct{ plugin.Hook }
 
 // call calls the hook and returns its verdict.
@@ -112,20 +113,20 @@
 	return plugin.Call{Point: plugin.OnRequest, Verb: "C.GET", Class: "call-lookup", Tenant: "acme", Key: key, Size: 17, TimeLeft: 480_000}
 }
 
-// checkVerdict checks a verdict.
+// checkVerdict checks that a call succeeded with the given verdict.
 func checkVerdict(t *testing.T, what string, v plugin.Verdict, err error, decision plugin.Decision, retryAfter plugin.Time, text string) {
 	t.Helper()
 	if err != nil || v.Decision != decision || v.RetryAfter != retryAfter || v.Text != text {
-		t.Errorf("%s: %+v, %v; want %s, wait %d, text %q", what, v, err, decision, retryAfter, text)
+		t.Errorf("%s: got verdict %+v, error %v; want %s, wait %d, text %q", what, v, err, decision, retryAfter, text)
 	}
 }
 
-// checkFailure checks that an error is a failure of one of these kinds, and that its text is fit for a log.
+// checkFailure checks that an error is a failure of one of the given kinds with a text that is safe to log.
 func checkFailure(t *testing.T, what string, err error, kinds ...plugin.FailureKind) {
 	t.Helper()
 	var f *plugin.Failure
 	if !errors.As(err, &f) {
-		t.Errorf("%s: %v, want a failure of the kind %v", what, err, kinds)
+		t.Errorf("%s: got error %v, want a failure of one of the kinds %v", what, err, kinds)
 		return
 	}
 	found := false
@@ -133,10 +134,10 @@
 		found = found || f.Kind == k
 	}
 	if !found {
-		t.Errorf("%s: %v, want the kind %v", what, err, kinds)
+		t.Errorf("%s: got failure %v, want one of the kinds %v", what, err, kinds)
 	}
 	if f.Text == "" || len(f.Text) > 400 || strings.ContainsAny(f.Text, "\r\n\x1b\x00") || !utf8.ValidString(f.Text) {
-		t.Errorf("%s: the text %q is not fit for a log", what, f.Text)
+		t.Errorf("%s: the text %q is not safe to log", what, f.Text)
 	}
 }
 
@@ -150,7 +151,7 @@
 		v, err := h.call(request("P1"))
 		checkVerdict(t, "P", v, err, plugin.Pass, 0, "")
 		if v.Tenant != "" || len(v.Tags)+len(v.Log) > 0 {
-			t.Errorf("a pass says %+v", v)
+			t.Errorf("P: got %+v, want an empty verdict", v)
 		}
 		v, err = h.call(request("R1"))
 		checkVerdict(t, "R", v, err, plugin.Reject, 250_000, "")
@@ -159,19 +160,19 @@
 		v, err = h.call(request("T1"))
 		checkVerdict(t, "T", v, err, plugin.Pass, 0, "")
 		if v.Tenant != "guests" || len(v.Tags) != 1 || v.Tags[0] != "club" {
-			t.Errorf("T says %+v", v)
+			t.Errorf("T: got %+v, want the tenant guests and the tag club", v)
 		}
 		v, err = h.call(request("L1"))
 		checkVerdict(t, "L", v, err, plugin.Pass, 0, "")
 		if len(v.Log) != 1 || v.Log[0] != "seen" {
-			t.Errorf("L says %+v", v)
+			t.Errorf("L: got %+v, want the log line seen", v)
 		}
 	}
 	v, err := h.call(request(""))
 	checkVerdict(t, "an empty key", v, err, plugin.Pass, 0, "")
 }
 
-// testFields checks what a hook is handed of a request.
+// testFields checks the fields of a request that are passed to a hook.
 func testFields(t *testing.T, s suite) {
 	h := s.load(t, "echo")
 	long := strings.Repeat("x", 200)
@@ -185,7 +186,7 @@
 	checkVerdict(t, "s", v, err, plugin.Reject, 17_000, "")
 }
 
-// testValue checks that a hook sees a value only where the call has one.
+// testValue checks that a hook receives a value only if the call has one, also after a call with a value.
 func testValue(t *testing.T, s suite) {
 	h := s.load(t, "echo")
 	v, err := h.call(request("V"))
@@ -195,25 +196,25 @@
 	v, err = h.call(c)
 	checkVerdict(t, "with a value", v, err, plugin.Fail, 0, "de OE1XYZ 599")
 	v, err = h.call(request("V"))
-	checkVerdict(t, "without one, after one that had one", v, err, plugin.Pass, 0, "")
+	checkVerdict(t, "without a value, after a call with a value", v, err, plugin.Pass, 0, "")
 }
 
-// testInvalidVerdicts checks that verdicts beyond the bounds of the contract are failures.
+// testInvalidVerdicts checks that verdicts that exceed the bounds of the contract are failures.
 func testInvalidVerdicts(t *testing.T, s suite) {
-	for _, name := range []string{"wordless", "long tag", "bad tag", "many tags", "long wait"} {
+	for _, name := range []string{"invalid decision", "long tag", "bad tag", "many tags", "long wait"} {
 		v, err := s.load(t, name).call(request("A"))
 		checkFailure(t, name, err, plugin.InvalidVerdict)
 		if v.Decision != plugin.Pass || len(v.Tags) > 0 || v.Tenant != "" || v.RetryAfter != 0 {
-			t.Errorf("%s: says %+v all the same", name, v)
+			t.Errorf("%s: got verdict %+v with the failure, want an empty one", name, v)
 		}
 	}
-	for _, name := range []string{"judging look", "tagging look"} {
+	for _, name := range []string{"rejecting notification", "tagging notification"} {
 		_, err := s.load(t, name).call(plugin.Call{Point: plugin.Answered})
 		checkFailure(t, name, err, plugin.InvalidVerdict)
 	}
 }
 
-// testLogBounds checks that log lines beyond the budget are cut off or dropped.
+// testLogBounds checks that log lines beyond the budget are truncated or dropped.
 func testLogBounds(t *testing.T, s suite) {
 	v, err := s.load(t, "long line").call(request("A"))
 	checkVerdict(t, "long line", v, err, plugin.Pass, 0, "")
@@ -229,7 +230,7 @@
 
 // testNotifications checks the points without a verdict.
 func testNotifications(t *testing.T, s suite) {
-	h := s.load(t, "looks")
+	h := s.load(t, "notifications")
 	if h.Points().Has(plugin.OnRequest) || !h.Points().Has(plugin.Answered) || !h.Points().Has(plugin.ListChanged) {
 		t.Errorf("points %b", h.Points())
 	}
@@ -244,7 +245,7 @@
 		t.Errorf("list: %+v, %v", v, err)
 	}
 	v, err = h.call(request("A"))
-	checkVerdict(t, "a point that it does not have", v, err, plugin.Pass, 0, "")
+	checkVerdict(t, "a point that the hook does not have", v, err, plugin.Pass, 0, "")
 }
 
 // testNewInstance checks that a call after a crash runs in a new instance.
@@ -262,33 +263,33 @@
 	}
 }
 
-// testVerdictOfCrash checks that a crashed call leaves its log lines alone.
+// testVerdictOfCrash checks that a crashed call returns its log lines but no verdict.
 func testVerdictOfCrash(t *testing.T, s suite) {
 	v, err := s.load(t, "crash").call(request("A"))
 	checkFailure(t, "crash", err, plugin.Crashed)
 	if v.Decision != plugin.Pass || len(v.Tags) != 0 || v.Tenant != "" {
-		t.Errorf("says %+v", v)
+		t.Errorf("got verdict %+v after a crash, want an empty one", v)
 	}
 	if len(v.Log) != 1 || v.Log[0] != "before" {
-		t.Errorf("its lines are lost: %q", v.Log)
+		t.Errorf("got log lines %q after a crash, want the line before", v.Log)
 	}
-	_, err = s.load(t, "answer crash").call(plugin.Call{Point: plugin.Answered})
-	checkFailure(t, "answer crash", err, plugin.Crashed)
+	_, err = s.load(t, "answered crash").call(plugin.Call{Point: plugin.Answered})
+	checkFailure(t, "answered crash", err, plugin.Crashed)
 }
 
-// testEndlessCalls checks that calls without end are ended.
+// testEndlessCalls checks that endless loops, recursion and allocation are stopped.
 func testEndlessCalls(t *testing.T, s suite) {
 	_, err := s.load(t, "loop").call(request("L"))
 	checkFailure(t, "loop", err, plugin.BudgetExceeded)
 	_, err = s.load(t, "recurse").call(request("A"))
 	checkFailure(t, "recurse", err, plugin.BudgetExceeded, plugin.Crashed)
-	_, err = s.load(t, "swell").call(request("A"))
-	checkFailure(t, "swell", err, plugin.BudgetExceeded, plugin.Crashed, plugin.MemoryExceeded)
+	_, err = s.load(t, "allocate").call(request("A"))
+	checkFailure(t, "allocate", err, plugin.BudgetExceeded, plugin.Crashed, plugin.MemoryExceeded)
 	_, err = s.engine.Load("load loop", s.hooks["load loop"], budget)
 	checkFailure(t, "load loop", err, plugin.BudgetExceeded)
 }
 
-// testCallAfterInterrupt checks that a hook serves on after an interrupt.
+// testCallAfterInterrupt checks that a hook handles calls after an interrupt.
 func testCallAfterInterrupt(t *testing.T, s suite) {
 	h := s.load(t, "loop")
 	for range 2 {
@@ -309,16 +310,16 @@
 	}
 }
 
-// testLoadFailures checks the kinds of failures to load.
+// testLoadFailures checks the kind of failure of each hook that must not load.
 func testLoadFailures(t *testing.T, s suite) {
 	for name, kind := range map[string]plugin.FailureKind{ // any order
-		"load crash": plugin.Crashed, "alien": plugin.VersionMismatch, "pointless": plugin.NotLoadable, "versionless": plugin.NotLoadable,
-		"bad shape": plugin.NotLoadable, "unknown words": plugin.NotLoadable,
+		"load crash": plugin.Crashed, "other version": plugin.VersionMismatch, "no point": plugin.NotLoadable, "no version": plugin.NotLoadable,
+		"bad signature": plugin.NotLoadable, "unknown function": plugin.NotLoadable,
 	} {
 		h, err := s.engine.Load(name, s.hooks[name], budget)
 		checkFailure(t, name, err, kind)
 		if h != nil {
-			t.Errorf("%s: there is a hook with the error", name)
+			t.Errorf("%s: got a hook with the error, want nil", name)
 		}
 	}
 }
@@ -335,11 +336,11 @@
 	whole := s.hooks["judge"]
 	for _, code := range [][]byte{nil, []byte("x"), []byte("\x00asm"), []byte("def def"), whole[:len(whole)/2], whole[:len(whole)-1],
 		make([]byte, plugin.MaxCode+1), []byte(strings.Repeat("(", 200_000))} {
-		h, err := s.engine.Load("rubbish", code, budget)
+		h, err := s.engine.Load("malformed", code, budget)
 		if h != nil {
 			h.Close() // a truncated script may be valid
 			continue
 		}
-		checkFailure(t, "rubbish", err, plugin.NotLoadable)
+		checkFailure(t, "malformed", err, plugin.NotLoadable)
 	}
 }
--- a/internal/plugin/script/engine.go
+++ b/internal/plugin/script/engine.go
@@ -1,9 +1,8 @@
-// Package script runs hooks that are Starlark scripts (github.com/bazelbuild/starlark, spec.md): a text file that needs
-// no tool chain. values.go is the contract in terms of a script.
+// Package script runs hooks that are Starlark scripts (github.com/bazelbuild/starlark, spec.md). A script is a text file that
+// needs no tool chain. values.go documents the interface of a script.
 //
-// The language has no files, no clock, no randomness and no threads, and is used without recursion and without while. It has
-// no bound on memory, and some of its built-in functions can't be interrupted: a script is to run in a process that can be
-// killed.
+// The language has no files, clock, randomness or threads, and recursion and while loops are disabled. The interpreter does not
+// bound memory, and some of its built-in functions can't be interrupted, so a script must run in a process that can be killed.
 package script
 
 import (
@@ -21,10 +20,10 @@
 )
 
 const (
-	maxSource      = 256 << 10 // bytes of a script: the parser recurses for each nested bracket
-	loadStepFactor = 100       // steps of a load, as a multiple of those of a call
-	maxErrorText   = 200       // bytes of an error of the interpreter
-	maxValueText   = 40        // bytes of a script's value, or its type, in a failure
+	maxSource      = 256 << 10 // bytes of a script; the parser recurses for each nested bracket
+	loadStepFactor = 100       // the step limit of loading, as a multiple of the limit of a call
+	maxErrorText   = 200       // bytes of an interpreter's error in a failure
+	maxValueText   = 40        // bytes of a script's value or type in a failure
 )
 
 // Engine implements plugin.Engine.
@@ -62,21 +61,21 @@
 	name     string
 	budget   plugin.Budget
 	points   plugin.Points
-	draft    plugin.Draft        // of the present call's verdict
-	builtins starlark.StringDict // the names that the contract provides
+	draft    plugin.Draft        // the verdict of the current call
+	builtins starlark.StringDict // the functions that the contract provides
 	program  *starlark.Program
-	instance *instance // nil after a call that failed
+	instance *instance // nil after a failed call
 	guard    plugin.InterruptGuard
 }
 
-// instance is a script that has run once, with the state that it has built up since.
+// instance is a script whose top level has run, with the script's state since then.
 type instance struct {
 	thread *starlark.Thread
-	calls  [len(functions)]*starlark.Function // by point; nil where the script has none
+	calls  [len(functions)]*starlark.Function // by point; nil where the script defines no function
 	stop   func()                             // interrupts the running call
 }
 
-// functions are the names of the functions that a script defines for the points.
+// functions are the names of a script's functions by point.
 var functions = [...]string{
 	plugin.Load:        "on_load",
 	plugin.OnRequest:   "on_request",
@@ -85,7 +84,7 @@
 	plugin.Unload:      "on_unload",
 }
 
-// newInstance runs the script from its beginning and calls it at the point Load, within LoadTime.
+// newInstance runs the top level of the script and calls the script at the point Load. Both are interrupted after LoadTime.
 func (h *hook) newInstance() error {
 	in := &instance{thread: &starlark.Thread{Name: h.name, Print: func(_ *starlark.Thread, s string) { h.draft.Log(s) }}}
 	var late atomic.Bool
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// setStepLimit bounds the steps of the next call; 0 is no bound.
+// setStepLimit bounds the interpreter steps of the next call; 0 is no bound.
 func (in *instance) setStepLimit(steps int64) {
 	in.thread.Steps = 0
 	if steps == 0 {
@@ -125,15 +124,15 @@
 	in.thread.SetMaxExecutionSteps(uint64(steps))
 }
 
-// bindFunctions checks the script's version and finds its functions for the points.
+// bindFunctions checks the script's contract version and looks up its functions for the points.
 func (h *hook) bindFunctions(in *instance, globals starlark.StringDict) error {
 	version, found := globals["version"]
 	if !found {
-		return notLoadable("it does not set version: it is no hook of this contract")
+		return notLoadable("it does not set version: it is not a hook of this contract")
 	}
 	n, err := starlark.AsInt32(version)
 	if err != nil {
-		return notLoadable("its version is no number (%s)", plugin.Plain(version.String(), maxValueText))
+		return notLoadable("its version is not a number (%s)", plugin.Plain(version.String(), maxValueText))
 	}
 	if n != plugin.Version {
 		return &plugin.Failure{Kind: plugin.VersionMismatch, Text: fmt.Sprintf(
@@ -151,7 +150,7 @@
 			want = 0
 		}
 		if !ok || f.NumParams() != want || f.HasVarargs() || f.HasKwargs() {
-			return notLoadable("its %s is no function of %d parameters", name, want)
+			return notLoadable("its %s is not a function with %d parameters", name, want)
 		}
 		in.calls[p] = f
 		points = points.With(plugin.Point(p))
@@ -184,12 +183,12 @@
 	err := h.call(h.instance, c)
 	if err != nil {
 		h.draft.Discard()
-		h.instance = nil // a call that failed may have left its values inconsistent
+		h.instance = nil // a failed call may leave the script's state inconsistent
 	}
 	return err
 }
 
-// call calls the instance at one point.
+// call calls the instance's function for the point of c.
 func (h *hook) call(in *instance, c *plugin.Call) error {
 	var args starlark.Tuple
 	if c.Point != plugin.Load && c.Point != plugin.Unload {
@@ -205,7 +204,7 @@
 	return h.acceptResult(got)
 }
 
-// acceptResult takes the value that a function returned as the verdict.
+// acceptResult sets the verdict from the value that a function returned.
 func (h *hook) acceptResult(got starlark.Value) error {
 	switch got := got.(type) {
 	case starlark.NoneType:
@@ -230,7 +229,7 @@
 // Close implements plugin.Hook.
 func (h *hook) Close() { h.instance = nil }
 
-// classify returns the failure for an error of the interpreter.
+// classify converts an error of the interpreter to a failure.
 func (h *hook) classify(err error, in *instance, interrupted bool, steps int64) error {
 	if interrupted {
 		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it was interrupted"}
@@ -245,12 +244,12 @@
 	return &plugin.Failure{Kind: plugin.Crashed, Text: errorText(err)}
 }
 
-// notLoadable returns the failure of a file that is not a hook.
+// notLoadable returns the failure of a file that is not a valid hook.
 func notLoadable(format string, args ...any) error {
 	return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(format, args...)}
 }
 
-// errorText returns an error in one line, with its place in the script.
+// errorText returns an error in one line, with its position in the script if the position is known.
 func errorText(err error) string {
 	var eval *starlark.EvalError
 	if errors.As(err, &eval) {
--- a/internal/plugin/script/script_test.go
+++ b/internal/plugin/script/script_test.go
@@ -53,7 +53,7 @@
     log("before")
     return [][1]
 `),
-	"looks": []byte(v1 + `
+	"notifications": []byte(v1 + `
 def on_answered(r):
     log(r.outcome[0])
 def on_list(r):
@@ -67,26 +67,26 @@
         for i in range(1 << 40):
             pass
 `),
-	"recurse":       []byte(v1 + "def on_request(r):\n    return on_request(r)\n"),
-	"swell":         []byte(v1 + "kept = []\ndef on_request(r):\n    for i in range(1 << 40):\n        kept.append(i)\n"),
-	"wordless":      []byte(v1 + "def on_request(r):\n    return 7\n"),
-	"judging look":  []byte(v1 + "def on_answered(r):\n    return refuse()\n"),
-	"tagging look":  []byte(v1 + "def on_answered(r):\n    tag('club')\n"),
-	"long line":     []byte(v1 + "def on_request(r):\n    log('x' * (1 << 20))\n"),
-	"many lines":    []byte(v1 + "def on_request(r):\n    for i in range(10000):\n        log('line')\n"),
-	"long tag":      []byte(v1 + "def on_request(r):\n    tag('x' * 65)\n"),
-	"bad tag":       []byte(v1 + "def on_request(r):\n    tag('a b')\n"),
-	"many tags":     []byte(v1 + "def on_request(r):\n    for i in range(9):\n        tag('t%d' % i)\n"),
-	"long wait":     []byte(v1 + "def on_request(r):\n    return refuse(60001)\n"),
-	"load crash":    []byte(v1 + "def on_load():\n    return 1 // 0\ndef on_request(r):\n    pass\n"),
-	"load loop":     []byte(v1 + "def on_load():\n    for i in range(1 << 40):\n        pass\ndef on_request(r):\n    pass\n"),
-	"unload crash":  []byte(v1 + "def on_unload():\n    return 1 // 0\ndef on_request(r):\n    pass\n"),
-	"answer crash":  []byte(v1 + "def on_answered(r):\n    return 1 // 0\n"),
-	"alien":         []byte("version = 2\ndef on_request(r):\n    pass\n"),
-	"pointless":     []byte(v1),
-	"versionless":   []byte("def on_request(r):\n    pass\n"),
-	"bad shape":     []byte(v1 + "def on_request():\n    pass\n"),
-	"unknown words": []byte(v1 + "def on_request(r):\n    send(r)\n"),
+	"recurse":                []byte(v1 + "def on_request(r):\n    return on_request(r)\n"),
+	"allocate":               []byte(v1 + "values = []\ndef on_request(r):\n    for i in range(1 << 40):\n        values.append(i)\n"),
+	"invalid decision":       []byte(v1 + "def on_request(r):\n    return 7\n"),
+	"rejecting notification": []byte(v1 + "def on_answered(r):\n    return refuse()\n"),
+	"tagging notification":   []byte(v1 + "def on_answered(r):\n    tag('club')\n"),
+	"long line":              []byte(v1 + "def on_request(r):\n    log('x' * (1 << 20))\n"),
+	"many lines":             []byte(v1 + "def on_request(r):\n    for i in range(10000):\n        log('line')\n"),
+	"long tag":               []byte(v1 + "def on_request(r):\n    tag('x' * 65)\n"),
+	"bad tag":                []byte(v1 + "def on_request(r):\n    tag('a b')\n"),
+	"many tags":              []byte(v1 + "def on_request(r):\n    for i in range(9):\n        tag('t%d' % i)\n"),
+	"long wait":              []byte(v1 + "def on_request(r):\n    return refuse(60001)\n"),
+	"load crash":             []byte(v1 + "def on_load():\n    return 1 // 0\ndef on_request(r):\n    pass\n"),
+	"load loop":              []byte(v1 + "def on_load():\n    for i in range(1 << 40):\n        pass\ndef on_request(r):\n    pass\n"),
+	"unload crash":           []byte(v1 + "def on_unload():\n    return 1 // 0\ndef on_request(r):\n    pass\n"),
+	"answered crash":         []byte(v1 + "def on_answered(r):\n    return 1 // 0\n"),
+	"other version":          []byte("version = 2\ndef on_request(r):\n    pass\n"),
+	"no point":               []byte(v1),
+	"no version":             []byte("def on_request(r):\n    pass\n"),
+	"bad signature":          []byte(v1 + "def on_request():\n    pass\n"),
+	"unknown function":       []byte(v1 + "def on_request(r):\n    send(r)\n"),
 }
 
 func TestScriptEngineMeetsContract(t *testing.T) { plugintest.Run(t, Engine{}, hooks) }
@@ -94,24 +94,24 @@
 func TestScriptHasNoOtherFunctions(t *testing.T) {
 	for _, line := range []string{`load("os", "open")`, `open("x")`, `import os`, `time.now()`, `json.decode("1")`} {
 		if _, err := (Engine{}).Load("x", []byte(v1+line+"\ndef on_request(r):\n    pass\n"), plugin.DefaultBudget); err == nil {
-			t.Errorf("%s is taken", line)
+			t.Errorf("%s: got no error for an undefined function", line)
 		}
 	}
 }
 
-func TestUnknownAttributeErrorNamesItsPlace(t *testing.T) {
+func TestUnknownAttributeErrorNamesPosition(t *testing.T) {
 	h, err := Engine{}.Load("club.star", []byte(v1+"def on_request(r):\n    return fail(r.class_name)\n"), plugin.DefaultBudget)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = h.Call(&plugin.Call{Point: plugin.OnRequest}, &plugin.Verdict{})
 	if want := "crashed: club.star:3:18: record has no .class_name field or method"; err == nil || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("got error %v, want %s", err, want)
 	}
 }
 
 func FuzzScriptLoad(f *testing.F) {
-	for _, name := range []string{"judge", "echo", "count", "looks"} {
+	for _, name := range []string{"judge", "echo", "count", "notifications"} {
 		f.Add(hooks[name])
 	}
 	b := plugin.DefaultBudget
--- a/internal/plugin/script/values.go
+++ b/internal/plugin/script/values.go
@@ -8,25 +8,26 @@
 	"starlingwinch/internal/plugin"
 )
 
-// The contract in Starlark, version 1. A script sets `version = 1` and defines at least one function for a point. Each gets
-// one record, except for on_load and on_unload, which get nothing:
+// The interface of Starlark scripts, version 1 of the contract. A script sets `version = 1` and defines at least one of
+// on_request, on_answered and on_list. These functions have one parameter, a record; on_load and on_unload have none:
 //
 //	def on_request(r)    returns None (pass), refuse(wait_ms) or fail(text)
-//	def on_answered(r)   returns None, as the others do
+//	def on_answered(r)   returns None, like the functions below
 //	def on_list(r)
 //	def on_load()
 //	def on_unload()
 //
-// A record has the attributes of its point alone: verb, request_class, tenant, key, size, time_left and value (None where the
-// operator has not set wants_value) of a request; the first five, outcome ("served", "refused" or "failed") and took
-// of an answer; caches and take_work of a list. now is in all of them. Times are in microseconds, but for wait_ms.
+// A record has only the attributes of its point. The record of on_request has verb, request_class, tenant, key, size,
+// time_left and value (None unless the operator set wants_value). The record of on_answered has the first five of these,
+// outcome ("served", "refused" or "failed") and took. The record of on_list has caches and take_work. All records have now.
+// Times are in microseconds, except for wait_ms, which is in milliseconds.
 //
 // Built-in functions:
 //
-//	tag(name), tenant(name)  in on_request alone
-//	log(text), print(...)    everywhere
+//	tag(name), tenant(name)  only in on_request
+//	log(text), print(...)    in all functions
 //
-// The state that a script holds in its own lists and dicts lasts from call to call, until one fails.
+// The state in a script's lists and dicts persists between calls until a call fails.
 
 // verdict is the value that refuse and fail return to a script.
 type verdict struct {
@@ -50,7 +51,7 @@
 // Hash implements starlark.Value.
 func (v verdict) Hash() (uint32, error) { return uint32(v.decision), nil }
 
-// predeclared returns the names that the contract provides to a script.
+// predeclared returns the built-in functions that the contract provides to a script.
 func (h *hook) predeclared() starlark.StringDict {
 	text := func(name string, take func(string) error) *starlark.Builtin {
 		return starlark.NewBuiltin(name, func(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple,
@@ -93,7 +94,7 @@
 	return verdict{decision: plugin.Fail, text: text}, nil
 }
 
-// record is the value that a point is handed. Each call has its own, as a script may retain it.
+// record is the argument of a script's function. Each call has a separate record, because a script may retain the record.
 type record struct{ c plugin.Call }
 
 // newRecord returns a record of a call.
@@ -112,7 +113,7 @@
 func (r *record) Truth() starlark.Bool { return true }
 
 // Hash implements starlark.Value.
-func (r *record) Hash() (uint32, error) { return 0, fmt.Errorf("a record has no hash") }
+func (r *record) Hash() (uint32, error) { return 0, fmt.Errorf("a record is not hashable") }
 
 // attributes are the names of a record's attributes, by point.
 var attributes = [...][]string{
@@ -125,7 +126,7 @@
 // AttrNames implements starlark.HasAttrs.
 func (r *record) AttrNames() []string { return attributes[r.c.Point] }
 
-// Attr implements starlark.HasAttrs. It returns nil for an unknown name, which the interpreter reports as an error.
+// Attr implements starlark.HasAttrs. It returns nil for an unknown name; the interpreter reports that as an error.
 func (r *record) Attr(name string) (starlark.Value, error) {
 	c := &r.c
 	known := false
--- a/internal/plugin/wasm/call_counter.go
+++ b/internal/plugin/wasm/call_counter.go
@@ -10,18 +10,18 @@
 	"starlingwinch/internal/plugin"
 )
 
-// callCounter bounds the function calls inside a module, in number and in depth. An interrupt takes effect in loops alone, so
-// that recursion without end would run on, and its stack grow to hundreds of megabytes.
+// callCounter bounds the number and the depth of function calls inside a module. An interrupt takes effect only in loops, so
+// without these bounds endless recursion would not stop, and its stack would grow to hundreds of megabytes.
 type callCounter struct {
 	maxDepth int   // 0 for no bound
-	maxSteps int64 // of a call of the hook; 0 for no bound
+	maxSteps int64 // function calls in one call of the hook; 0 for no bound
 
-	depth     int   // of the function that runs
+	depth     int   // the depth of the running function
 	steps     int64 // function calls since reset
 	stepLimit int64 // on steps since reset; 0 for no bound
 }
 
-// reset begins a call of the hook with a limit on function calls; 0 for no bound.
+// reset prepares the counter for a call of the hook with a limit on function calls; 0 is no bound.
 func (c *callCounter) reset(stepLimit int64) { c.depth, c.steps, c.stepLimit = 0, 0, stepLimit }
 
 // NewFunctionListener implements experimental.FunctionListenerFactory.
@@ -37,10 +37,10 @@
 	c.depth++
 	c.steps++
 	if c.maxDepth > 0 && c.depth > c.maxDepth {
-		panic(&plugin.Failure{Kind: plugin.BudgetExceeded, Text: fmt.Sprintf("more than %d calls within calls", c.maxDepth)})
+		panic(&plugin.Failure{Kind: plugin.BudgetExceeded, Text: fmt.Sprintf("more than %d nested function calls", c.maxDepth)})
 	}
 	if c.stepLimit > 0 && c.steps > c.stepLimit {
-		panic(&plugin.Failure{Kind: plugin.BudgetExceeded, Text: fmt.Sprintf("more than %d calls of functions", c.stepLimit)})
+		panic(&plugin.Failure{Kind: plugin.BudgetExceeded, Text: fmt.Sprintf("more than %d function calls", c.stepLimit)})
 	}
 }
 
--- a/internal/plugin/wasm/check.go
+++ b/internal/plugin/wasm/check.go
@@ -7,13 +7,14 @@
 	"starlingwinch/internal/plugin"
 )
 
-// Bounds of a module, beyond those of package plugin. A module that a compiler generates for this contract is far below them.
+// Bounds of a module, in addition to the bounds of package plugin. Modules that compilers generate for this contract are far
+// below these bounds.
 const (
 	maxMemories     = 1
 	maxTables       = 16
-	maxTableEntries = 1 << 16 // of a table
+	maxTableEntries = 1 << 16 // in one table
 	maxFunctions    = 1 << 16
-	maxLocals       = 4096 // of a function: they determine the size of its stack frame
+	maxLocals       = 4096 // in one function; locals determine the size of the stack frame
 	maxImports      = 256
 	maxExports      = 4096
 	pageSize        = 64 << 10
@@ -32,9 +33,9 @@
 
 var header = []byte("\x00asm\x01\x00\x00\x00")
 
-// checkModule checks a module's form and sizes before an engine compiles it: a few bytes may declare a table of a gigabyte, or
-// stack frames so large that a bound on the depth of calls bounds nothing, and an engine allocates the memory before any
-// function runs.
+// checkModule checks a module's structure and sizes before wazero compiles the module. A few bytes may declare a table of a
+// gigabyte, or stack frames so large that a bound on the call depth has no effect, and wazero allocates that memory before
+// any function runs.
 func checkModule(code []byte, b plugin.Budget) error {
 	if len(code) > plugin.MaxCode {
 		return notLoadable("a file of %d bytes (wanted at most %d)", len(code), plugin.MaxCode)
@@ -66,10 +67,10 @@
 
 // checkSection checks the counts and sizes of one section.
 func checkSection(id byte, r *reader, b plugin.Budget) error {
-	count := func(what string, limit uint32) uint32 {
-		n := r.uint(what)
+	count := func(items string, limit uint32) uint32 {
+		n := r.uint(items)
 		if n > limit && r.err == nil {
-			r.err = notLoadable("%d %s (wanted at most %d)", n, what, limit)
+			r.err = notLoadable("%d %s (wanted at most %d)", n, items, limit)
 		}
 		return n
 	}
@@ -82,7 +83,7 @@
 		count("functions", maxFunctions)
 	case sectionTable:
 		for range count("tables", maxTables) {
-			if r.byte() == 0x40 { // a table with an initial value: the engine checks its form
+			if r.byte() == 0x40 { // a table with an initial value, whose encoding wazero checks
 				return r.err
 			}
 			if entries := r.limits(); entries > maxTableEntries {
@@ -106,7 +107,7 @@
 	return r.err
 }
 
-// checkLocals checks the locals of each of n functions.
+// checkLocals checks the number of locals of each of n functions.
 func checkLocals(r *reader, n uint32) error {
 	for i := uint32(0); i < n && r.err == nil; i++ {
 		size := r.uint("size of a function")
@@ -126,26 +127,26 @@
 			}
 		}
 		if r.err == nil && r.at > end {
-			return notLoadable("byte %d: the locals of function %d are longer than it", r.at, i)
+			return notLoadable("byte %d: the locals of function %d exceed its size", r.at, i)
 		}
 		r.at = end
 	}
 	return r.err
 }
 
-// notLoadable returns the failure of a file that is not a hook.
+// notLoadable returns the failure of a file that is not a valid hook.
 func notLoadable(format string, args ...any) error {
 	return &plugin.Failure{Kind: plugin.NotLoadable, Text: fmt.Sprintf(format, args...)}
 }
 
-// reader reads the numbers of a module. After an error it returns zeros.
+// reader decodes the numbers of a module. After an error its methods return zeros.
 type reader struct {
 	b   []byte
 	at  int   // the offset of the next byte
-	err error // the first one
+	err error // the first error
 }
 
-// left returns how many bytes are not yet read.
+// left returns the number of unread bytes.
 func (r *reader) left() int { return len(r.b) - r.at }
 
 // byte reads one byte.
@@ -161,14 +162,14 @@
 	return r.b[r.at-1]
 }
 
-// uint reads a u32 in LEB128. what names it in an error.
-func (r *reader) uint(what string) uint32 {
-	n := r.long(what, 32)
+// uint reads a u32 in LEB128. field names the number in an error.
+func (r *reader) uint(field string) uint32 {
+	n := r.long(field, 32)
 	return uint32(n)
 }
 
-// long reads an unsigned number of so many bits in LEB128.
-func (r *reader) long(what string, bits uint) uint64 {
+// long reads an unsigned number of up to the given bits in LEB128. field names the number in an error.
+func (r *reader) long(field string, bits uint) uint64 {
 	var n uint64
 	for shift := uint(0); ; shift += 7 {
 		c := r.byte()
@@ -176,7 +177,7 @@
 			return 0
 		}
 		if shift >= bits || shift+7 > bits && c&0x7f>>(bits-shift) != 0 {
-			r.err = notLoadable("byte %d: %s: a number is too large", r.at, what)
+			r.err = notLoadable("byte %d: %s: a number is too large", r.at, field)
 			return 0
 		}
 		n |= uint64(c&0x7f) << shift
@@ -186,7 +187,7 @@
 	}
 }
 
-// limits reads the bounds of a memory or a table, and returns the lower one.
+// limits reads the limits of a memory or a table and returns the lower limit.
 func (r *reader) limits() uint64 {
 	flags := r.byte()
 	bits := uint(32)
--- a/internal/plugin/wasm/engine.go
+++ b/internal/plugin/wasm/engine.go
@@ -1,7 +1,7 @@
-// Package wasm runs hooks that are WebAssembly modules (Core Specification 2.0), with wazero's compiler. abi.go is
-// the contract in terms of a module.
+// Package wasm runs hooks that are WebAssembly modules (Core Specification 2.0) with wazero's compiler. abi.go documents the
+// interface of a module.
 //
-// It never hands a module a file, a socket, a clock or randomness, and never uses an instance again in which a call failed.
+// A module has no access to files, sockets, clocks or randomness. An instance is discarded after a call that failed.
 package wasm
 
 import (
@@ -21,9 +21,9 @@
 )
 
 const (
-	minBuffer    = 512 // bytes that a module is asked to allocate for calls at least
-	maxErrorText = 200 // bytes of an error of the engine
-	maxNameText  = 40  // bytes of a name of the module in a failure
+	minBuffer    = 512 // minimum bytes that a module is asked to allocate for calls
+	maxErrorText = 200 // bytes of an error of wazero in a failure
+	maxNameText  = 40  // bytes of a name from the module in a failure
 )
 
 // Engine implements plugin.Engine.
@@ -35,7 +35,7 @@
 // FileExtension implements plugin.Engine.
 func (Engine) FileExtension() string { return ".wasm" }
 
-// Load implements plugin.Engine. Each hook has a runtime of its own: nothing of one reaches another.
+// Load implements plugin.Engine. Each hook has a separate runtime, so hooks are isolated from each other.
 func (Engine) Load(name string, code []byte, b plugin.Budget) (plugin.Hook, error) {
 	if err := checkModule(code, b); err != nil {
 		return nil, err
@@ -54,28 +54,28 @@
 	name   string
 	budget plugin.Budget
 	points plugin.Points
-	draft  plugin.Draft // of the present call's verdict
+	draft  plugin.Draft // the verdict of the current call
 
 	runtime  wazero.Runtime
 	module   wazero.CompiledModule
-	instance *instance // nil after a call that failed
+	instance *instance // nil after a failed call
 	guard    plugin.InterruptGuard
 	counter  callCounter
 }
 
-// instance is a module with a memory of its own. It is discarded after a call that failed.
+// instance is an instantiated module with its memory. It is discarded after a failed call.
 type instance struct {
 	module        api.Module
 	memory        api.Memory
 	allocate      api.Function               // hook_room
 	calls         [len(exports)]api.Function // by point; nil where the module has none
-	bufferAddress uint32                     // of the buffer that the module has allocated
-	bufferSize    int                        // of that buffer in bytes; 0 before the first
+	bufferAddress uint32                     // address of the buffer that the module allocated
+	bufferSize    int                        // size of that buffer in bytes; 0 before the first allocation
 	stack         [1]uint64                  // the parameter and the result of a call
 	stop          func()                     // interrupts the running call
 }
 
-// load compiles the module, checks it and makes the first instance.
+// load compiles and checks the module and creates the first instance.
 func (h *hook) load(code []byte) error {
 	ctx := context.Background()
 	if h.countsCalls() {
@@ -83,7 +83,7 @@
 	}
 	h.counter.maxDepth, h.counter.maxSteps = h.budget.Depth, h.budget.Steps
 	h.runtime = wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfigCompiler().
-		WithCloseOnContextDone(true). // loops check for an interrupt
+		WithCloseOnContextDone(true). // makes loops check for an interrupt
 		WithMemoryLimitPages(uint32(max(1, h.budget.Memory/pageSize))).
 		WithDebugInfoEnabled(false))
 	var err error
@@ -106,10 +106,10 @@
 	return h.newInstance()
 }
 
-// countsCalls reports whether function calls are counted, which costs each of them a fifth of a microsecond.
+// countsCalls reports whether function calls are counted, which adds 0.2 µs to each function call.
 func (h *hook) countsCalls() bool { return h.budget.Depth > 0 || h.budget.Steps > 0 }
 
-// imports reports whether the module imports functions of another one.
+// imports reports whether the hook's module imports functions of the named module.
 func (h *hook) imports(module string) bool {
 	for _, f := range h.module.ImportedFunctions() {
 		if from, _, _ := f.Import(); from == module {
@@ -119,7 +119,7 @@
 	return false
 }
 
-// checkSignatures checks what the module imports and exports, and sets the hook's points.
+// checkSignatures checks the signatures of the module's imports and exports and sets the hook's points.
 func (h *hook) checkSignatures() error {
 	hostFunctions := map[string]string{"log": "ii:", "tag": "ii:", "tenant": "ii:", "text": "ii:", "wait": "i:"}
 	for _, f := range h.module.ImportedFunctions() {
@@ -127,21 +127,21 @@
 		switch want, known := hostFunctions[name]; {
 		case from == wasiModule:
 		case from != hostModule || !known:
-			return notLoadable("it imports %q of %q, which no router has", plugin.Plain(name, maxNameText), plugin.Plain(from, maxNameText))
+			return notLoadable("it imports %q of %q, which the router does not provide", plugin.Plain(name, maxNameText), plugin.Plain(from, maxNameText))
 		case signature(f) != want:
-			return notLoadable("it imports %s with a wrong shape (%s, wanted %s)", name, signature(f), want)
+			return notLoadable("it imports %s with a wrong signature (%s, wanted %s)", name, signature(f), want)
 		}
 	}
 	functions := h.module.ExportedFunctions()
 	has := func(name, want string) (bool, error) {
 		f := functions[name]
 		if f != nil && signature(f) != want {
-			return true, notLoadable("its function %s has a wrong shape (%s, wanted %s)", name, signature(f), want)
+			return true, notLoadable("its function %s has a wrong signature (%s, wanted %s)", name, signature(f), want)
 		}
 		return f != nil, nil
 	}
 	if found, err := has(exportVersion, ":i"); !found || err != nil {
-		return firstOf(err, notLoadable("it does not export %s: it is no hook of this contract", exportVersion))
+		return firstOf(err, notLoadable("it does not export %s: it is not a hook of this contract", exportVersion))
 	}
 	if found, err := has(exportAllocate, "i:i"); !found || err != nil {
 		return firstOf(err, notLoadable("it does not export %s", exportAllocate))
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// newInstance makes an instance and calls it at the point Load, within LoadTime.
+// newInstance instantiates the module and calls it at the point Load. Both are interrupted after LoadTime.
 func (h *hook) newInstance() error {
 	span := time.Duration(h.budget.LoadTime) * time.Microsecond
 	ctx, cancel := context.WithTimeout(context.Background(), span)
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// initialize checks the version of a new instance, and calls it at the point Load.
+// initialize checks the contract version of a new instance and calls the instance at the point Load.
 func (h *hook) initialize(ctx context.Context, in *instance) error {
 	h.counter.reset(0)
 	if err := in.module.ExportedFunction(exportVersion).CallWithStack(ctx, in.stack[:]); err != nil {
@@ -236,7 +236,7 @@
 			return h.classify(err, ctx)
 		}
 		if n := int32(in.stack[0]); n != 0 {
-			return &plugin.Failure{Kind: plugin.Crashed, Text: fmt.Sprintf("on_load gave %d", n)}
+			return &plugin.Failure{Kind: plugin.Crashed, Text: fmt.Sprintf("on_load returned %d", n)}
 		}
 	}
 	return nil
@@ -268,7 +268,7 @@
 	return err
 }
 
-// call calls an instance so that it can be interrupted.
+// call calls an instance and lets Interrupt stop the call.
 func (h *hook) call(in *instance, c *plugin.Call) error {
 	ctx := context.Background()
 	h.guard.Begin(in.stop)
@@ -279,7 +279,7 @@
 	return err
 }
 
-// invoke passes a call to an instance and takes its verdict.
+// invoke passes a call to an instance and completes the verdict with the instance's result.
 func (h *hook) invoke(ctx context.Context, in *instance, c *plugin.Call) error {
 	h.counter.reset(h.budget.Steps)
 	in.stack[0] = 0
@@ -294,8 +294,8 @@
 	return h.draft.Finish(int64(int32(in.stack[0])))
 }
 
-// passCall writes a call into the instance's memory, and its address onto the stack. A call that needs a larger buffer than
-// the last one has the module allocate it.
+// passCall writes a call into the instance's memory and the address of the call onto the stack. If the call does not fit into
+// the buffer, passCall first asks the module to allocate a larger one.
 func (h *hook) passCall(ctx context.Context, in *instance, c *plugin.Call) error {
 	if n := callBytes(c); n > in.bufferSize {
 		n = max(n, minBuffer)
@@ -307,14 +307,14 @@
 	}
 	b, ok := in.memory.Read(in.bufferAddress, uint32(in.bufferSize))
 	if !ok || in.bufferAddress == 0 {
-		return &plugin.Failure{Kind: plugin.Crashed, Text: "hook_room gave a room that lies outside of its memory"}
+		return &plugin.Failure{Kind: plugin.Crashed, Text: "hook_room returned a buffer outside of its memory"}
 	}
 	writeCall(b, in.bufferAddress, c)
 	in.stack[0] = uint64(in.bufferAddress)
 	return nil
 }
 
-// closeInstance discards the instance: after a trap its memory may be inconsistent.
+// closeInstance discards the instance, whose memory may be inconsistent after a trap.
 func (h *hook) closeInstance() {
 	if h.instance != nil {
 		h.instance.module.Close(context.Background())
@@ -330,10 +330,10 @@
 	}
 }
 
-// interruptedExitCode is the exit code of an instance that was interrupted.
+// interruptedExitCode is the exit code of an interrupted instance.
 const interruptedExitCode = 0xffff0001
 
-// classify returns the failure for an error of the engine.
+// classify converts an error of wazero to a failure.
 func (h *hook) classify(err error, ctx context.Context) error {
 	var own *plugin.Failure
 	if errors.As(err, &own) {
@@ -344,12 +344,12 @@
 		if ctx.Err() != nil || exit.ExitCode() == interruptedExitCode {
 			return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it was interrupted"}
 		}
-		return &plugin.Failure{Kind: plugin.Crashed, Text: fmt.Sprintf("it ended itself with exit code %d", exit.ExitCode())}
+		return &plugin.Failure{Kind: plugin.Crashed, Text: fmt.Sprintf("it exited with code %d", exit.ExitCode())}
 	}
 	return &plugin.Failure{Kind: plugin.Crashed, Text: errorText(err)}
 }
 
-// errorText returns the first line of an engine's error.
+// errorText returns the first line of an error as a text for a failure.
 func errorText(err error) string {
 	text, _, _ := strings.Cut(err.Error(), "\n")
 	return plugin.Plain(text, maxErrorText)
--- a/internal/plugin/wasm/wasm_test.go
+++ b/internal/plugin/wasm/wasm_test.go
@@ -9,29 +9,29 @@
 	. "starlingwinch/internal/plugin/wasmfile"
 )
 
-// Words that each module of the tests imports, by their index.
+// Indices of the host functions that each test module imports.
 const (
-	wordLog = iota
-	wordTag
-	wordTenant
-	wordText
-	wordWait
+	hostLog = iota
+	hostTag
+	hostTenant
+	hostText
+	hostWait
 )
 
-// Texts in the memory of each module.
+// Addresses of texts, and of the call buffer, in the memory of each test module.
 const (
-	atNoSuchCall = 1024
-	atClub       = 1040
-	atGuests     = 1048
-	atSeen       = 1056
-	atBefore     = 1064
-	atList       = 1072
-	atSpaced     = 1080
-	atXs         = 2048 // many of them
-	room         = 8192
+	atNoSuchCall  = 1024
+	atClub        = 1040
+	atGuests      = 1048
+	atSeen        = 1056
+	atBefore      = 1064
+	atList        = 1072
+	atSpaced      = 1080
+	atXs          = 2048 // 128 times x
+	bufferAddress = 8192
 )
 
-// module begins a module with all that each needs but the points.
+// module returns a module with everything that a hook needs except for the points.
 func module(version int32) *Module {
 	m := &Module{Pages: 2}
 	for _, name := range []string{"log", "tag", "tenant", "text"} {
@@ -39,7 +39,7 @@
 	}
 	m.Import("starlingwinch", "wait", 1, 0)
 	m.Func("hook_version", 0, 1, 0, I32Const(version))
-	m.Func("hook_room", 1, 1, 0, I32Const(room))
+	m.Func("hook_room", 1, 1, 0, I32Const(bufferAddress))
 	m.Data(atNoSuchCall, []byte("no such call"))
 	m.Data(atClub, []byte("club"))
 	m.Data(atGuests, []byte("guests"))
@@ -51,7 +51,7 @@
 	return m
 }
 
-// on is a module with one point that takes a call.
+// on returns a module with one point that has a call as parameter.
 func on(point string, locals uint32, body ...Code) []byte {
 	m := module(1)
 	m.Func(point, 1, 1, locals, body...)
@@ -64,20 +64,24 @@
 	forever = Loop(Br(0))
 )
 
-// say calls a host function with a text.
-func say(word uint32, at, n int32) Code { return Seq(I32Const(at), I32Const(n), Call(word)) }
+// callWithText calls a host function with a text in memory.
+func callWithText(function uint32, at, n int32) Code {
+	return Seq(I32Const(at), I32Const(n), Call(function))
+}
 
-// field calls a host function with a text of the call.
-func field(word, at uint32) Code { return Seq(call, I32Load(at), call, I32Load(at+4), Call(word)) }
+// callWithField calls a host function with a text field of the call.
+func callWithField(function, at uint32) Code {
+	return Seq(call, I32Load(at), call, I32Load(at+4), Call(function))
+}
 
-// begins does something where the key begins with c.
-func begins(c byte, then ...Code) Code {
+// ifKeyBegins executes then if the key begins with c.
+func ifKeyBegins(c byte, then ...Code) Code {
 	return Seq(call, I32Load(offsetKey+4), If(call, I32Load(offsetKey), I32Load8U(0), I32Const(int32(c)), I32Eq, If(then...)))
 }
 
-func give(n int32) Code { return Seq(I32Const(n), Return) }
+func returnNumber(n int32) Code { return Seq(I32Const(n), Return) }
 
-// point2 is a module with an extra point that takes nothing.
+// withPoint returns a module with on_request and another point without parameters.
 func withPoint(name string, body ...Code) []byte {
 	m := module(1)
 	m.Func("on_request", 1, 1, 0, pass)
@@ -86,77 +90,79 @@
 }
 
 func hooks() map[string][]byte {
-	looks := module(1)
+	notifications := module(1)
 	letter := Seq(
-		I32Const(room+4096), I32Const('s'), I32Store8(0), call, I32Load(offsetOutcome), I32Const(1), I32Eq,
-		If(I32Const(room+4096), I32Const('r'), I32Store8(0)), call, I32Load(offsetOutcome), I32Const(2), I32Eq,
-		If(I32Const(room+4096), I32Const('f'), I32Store8(0)), say(wordLog, room+4096, 1), pass)
-	looks.Func("on_answered", 1, 1, 0, letter)
-	looks.Func("on_list", 1, 1, 0, say(wordLog, atList, 4), pass)
-	looks.Func("on_load", 0, 1, 0, pass)
+		I32Const(bufferAddress+4096), I32Const('s'), I32Store8(0), call, I32Load(offsetOutcome), I32Const(1), I32Eq,
+		If(I32Const(bufferAddress+4096), I32Const('r'), I32Store8(0)), call, I32Load(offsetOutcome), I32Const(2), I32Eq,
+		If(I32Const(bufferAddress+4096), I32Const('f'), I32Store8(0)), callWithText(hostLog, bufferAddress+4096, 1), pass)
+	notifications.Func("on_answered", 1, 1, 0, letter)
+	notifications.Func("on_list", 1, 1, 0, callWithText(hostLog, atList, 4), pass)
+	notifications.Func("on_load", 0, 1, 0, pass)
 
 	recurse := module(1)
 	recurse.Func("on_request", 1, 1, 0, call, Call(7))
 
-	versionless := &Module{Pages: 1}
-	versionless.Func("hook_room", 1, 1, 0, I32Const(room))
-	versionless.Func("on_request", 1, 1, 0, pass)
+	noVersion := &Module{Pages: 1}
+	noVersion.Func("hook_room", 1, 1, 0, I32Const(bufferAddress))
+	noVersion.Func("on_request", 1, 1, 0, pass)
 
-	alien := module(2)
-	alien.Func("on_request", 1, 1, 0, pass)
+	otherVersion := module(2)
+	otherVersion.Func("on_request", 1, 1, 0, pass)
 
-	shape := module(1)
-	shape.Func("on_request", 0, 1, 0, pass)
+	badSignature := module(1)
+	badSignature.Func("on_request", 0, 1, 0, pass)
 
-	words := &Module{Pages: 1}
-	words.Import("starlingwinch", "send", 1, 1)
-	words.Func("hook_version", 0, 1, 0, I32Const(1))
-	words.Func("hook_room", 1, 1, 0, I32Const(room))
-	words.Func("on_request", 1, 1, 0, call, Call(0))
+	unknownFunction := &Module{Pages: 1}
+	unknownFunction.Import("starlingwinch", "send", 1, 1)
+	unknownFunction.Func("hook_version", 0, 1, 0, I32Const(1))
+	unknownFunction.Func("hook_room", 1, 1, 0, I32Const(bufferAddress))
+	unknownFunction.Func("on_request", 1, 1, 0, call, Call(0))
 
-	var nine Code
+	var nineTags Code
 	for i := range int32(9) {
-		nine = Seq(nine, say(wordTag, atXs, i+1))
+		nineTags = Seq(nineTags, callWithText(hostTag, atXs, i+1))
 	}
 	const counter = 512
 	return map[string][]byte{
 		"judge": on("on_request", 0,
-			begins('R', I32Const(250), Call(wordWait), give(1)),
-			begins('F', say(wordText, atNoSuchCall, 12), give(2)),
-			begins('T', say(wordTag, atClub, 4), say(wordTag, atClub, 4), say(wordTenant, atGuests, 6)),
-			begins('L', say(wordLog, atSeen, 4)), pass),
+			ifKeyBegins('R', I32Const(250), Call(hostWait), returnNumber(1)),
+			ifKeyBegins('F', callWithText(hostText, atNoSuchCall, 12), returnNumber(2)),
+			ifKeyBegins('T', callWithText(hostTag, atClub, 4), callWithText(hostTag, atClub, 4), callWithText(hostTenant, atGuests, 6)),
+			ifKeyBegins('L', callWithText(hostLog, atSeen, 4)), pass),
 		"echo": on("on_request", 0,
-			begins('v', field(wordText, offsetVerb), give(2)), begins('c', field(wordText, offsetClass), give(2)),
-			begins('t', field(wordText, offsetTenant), give(2)), begins('k', field(wordText, offsetKey), give(2)),
-			begins('V', call, I32Load(offsetValue), If(field(wordText, offsetValue), give(2))),
-			begins('s', call, I32Load(offsetSize), Call(wordWait), give(1)), pass),
+			ifKeyBegins('v', callWithField(hostText, offsetVerb), returnNumber(2)),
+			ifKeyBegins('c', callWithField(hostText, offsetClass), returnNumber(2)),
+			ifKeyBegins('t', callWithField(hostText, offsetTenant), returnNumber(2)),
+			ifKeyBegins('k', callWithField(hostText, offsetKey), returnNumber(2)),
+			ifKeyBegins('V', call, I32Load(offsetValue), If(callWithField(hostText, offsetValue), returnNumber(2))),
+			ifKeyBegins('s', call, I32Load(offsetSize), Call(hostWait), returnNumber(1)), pass),
 		"count": on("on_request", 0,
 			I32Const(counter), I32Const(counter), I32Load(0), I32Const(1), I32Add, I32Store(0),
-			begins('C', Unreachable), I32Const(counter), I32Load(0), Call(wordWait), I32Const(1)),
-		"crash": on("on_request", 0, say(wordTag, atClub, 4), say(wordLog, atBefore, 6), Unreachable),
-		"looks": looks.Bytes(),
-		"loop":  on("on_request", 0, begins('L', forever), pass),
-
-		"recurse":       recurse.Bytes(),
-		"swell":         on("on_request", 0, Loop(I32Const(1), MemoryGrow, Drop, Br(0)), pass),
-		"wordless":      on("on_request", 0, I32Const(7)),
-		"judging look":  on("on_answered", 0, I32Const(1)),
-		"tagging look":  on("on_answered", 0, say(wordTag, atClub, 4), pass),
-		"long line":     on("on_request", 0, I32Const(31), MemoryGrow, Drop, say(wordLog, atXs, 1<<20), pass),
-		"many lines":    on("on_request", 1, Loop(say(wordLog, atSeen, 4), LocalGet(1), I32Const(1), I32Add, LocalTee(1), I32Const(10000), I32LtU, BrIf(0)), pass),
-		"long tag":      on("on_request", 0, say(wordTag, atXs, 65), pass),
-		"bad tag":       on("on_request", 0, say(wordTag, atSpaced, 3), pass),
-		"many tags":     on("on_request", 0, nine, pass),
-		"long wait":     on("on_request", 0, I32Const(60001), Call(wordWait), I32Const(1)),
-		"load crash":    withPoint("on_load", Unreachable),
-		"load loop":     withPoint("on_load", forever, Unreachable),
-		"unload crash":  withPoint("on_unload", Unreachable),
-		"answer crash":  on("on_answered", 0, Unreachable),
-		"alien":         alien.Bytes(),
-		"pointless":     module(1).Bytes(),
-		"versionless":   versionless.Bytes(),
-		"bad shape":     shape.Bytes(),
-		"unknown words": words.Bytes(),
+			ifKeyBegins('C', Unreachable), I32Const(counter), I32Load(0), Call(hostWait), I32Const(1)),
+		"crash":         on("on_request", 0, callWithText(hostTag, atClub, 4), callWithText(hostLog, atBefore, 6), Unreachable),
+		"notifications": notifications.Bytes(),
+		"loop":          on("on_request", 0, ifKeyBegins('L', forever), pass),
+
+		"recurse":                recurse.Bytes(),
+		"allocate":               on("on_request", 0, Loop(I32Const(1), MemoryGrow, Drop, Br(0)), pass),
+		"invalid decision":       on("on_request", 0, I32Const(7)),
+		"rejecting notification": on("on_answered", 0, I32Const(1)),
+		"tagging notification":   on("on_answered", 0, callWithText(hostTag, atClub, 4), pass),
+		"long line":              on("on_request", 0, I32Const(31), MemoryGrow, Drop, callWithText(hostLog, atXs, 1<<20), pass),
+		"many lines":             on("on_request", 1, Loop(callWithText(hostLog, atSeen, 4), LocalGet(1), I32Const(1), I32Add, LocalTee(1), I32Const(10000), I32LtU, BrIf(0)), pass),
+		"long tag":               on("on_request", 0, callWithText(hostTag, atXs, 65), pass),
+		"bad tag":                on("on_request", 0, callWithText(hostTag, atSpaced, 3), pass),
+		"many tags":              on("on_request", 0, nineTags, pass),
+		"long wait":              on("on_request", 0, I32Const(60001), Call(hostWait), I32Const(1)),
+		"load crash":             withPoint("on_load", Unreachable),
+		"load loop":              withPoint("on_load", forever, Unreachable),
+		"unload crash":           withPoint("on_unload", Unreachable),
+		"answered crash":         on("on_answered", 0, Unreachable),
+		"other version":          otherVersion.Bytes(),
+		"no point":               module(1).Bytes(),
+		"no version":             noVersion.Bytes(),
+		"bad signature":          badSignature.Bytes(),
+		"unknown function":       unknownFunction.Bytes(),
 	}
 }
 
@@ -170,16 +176,16 @@
 		return m.Bytes()
 	}
 	for want, code := range map[string][]byte{ // any order
-		"a table of 10000000 entries (wanted at most 65536)":     with(func(m *Module) { m.Table = 10_000_000 }),
-		"it asks for 65536 KiB of memory (its budget is 16384":   with(func(m *Module) { m.Pages = 1024 }),
-		"function 3 has more than 4096 locals":                   with(func(m *Module) { m.Func("", 0, 0, 50_000) }),
-		"a file of 8388609 bytes (wanted at most 8388608)":       make([]byte, plugin.MaxCode+1),
-		"not a WebAssembly module of version 1":                  []byte("\x00asm\x0d\x00\x01\x00"),
-		"section 1 is cut off":                                   []byte("\x00asm\x01\x00\x00\x00\x01\x7f"),
-		"a number is too large":                                  []byte("\x00asm\x01\x00\x00\x00\x01\xff\xff\xff\xff\xff\x01"),
-		"unknown section 99":                                     []byte("\x00asm\x01\x00\x00\x00\x63\x00"),
-		"4294967295 functions (wanted at most 65536)":            []byte("\x00asm\x01\x00\x00\x00\x03\x05\xff\xff\xff\xff\x0f"),
-		"it imports \"fd_open\" of \"env\", which no router has": with(func(m *Module) {}),
+		"a table of 10000000 entries (wanted at most 65536)":                   with(func(m *Module) { m.Table = 10_000_000 }),
+		"it asks for 65536 KiB of memory (its budget is 16384":                 with(func(m *Module) { m.Pages = 1024 }),
+		"function 3 has more than 4096 locals":                                 with(func(m *Module) { m.Func("", 0, 0, 50_000) }),
+		"a file of 8388609 bytes (wanted at most 8388608)":                     make([]byte, plugin.MaxCode+1),
+		"not a WebAssembly module of version 1":                                []byte("\x00asm\x0d\x00\x01\x00"),
+		"section 1 is cut off":                                                 []byte("\x00asm\x01\x00\x00\x00\x01\x7f"),
+		"a number is too large":                                                []byte("\x00asm\x01\x00\x00\x00\x01\xff\xff\xff\xff\xff\x01"),
+		"unknown section 99":                                                   []byte("\x00asm\x01\x00\x00\x00\x63\x00"),
+		"4294967295 functions (wanted at most 65536)":                          []byte("\x00asm\x01\x00\x00\x00\x03\x05\xff\xff\xff\xff\x0f"),
+		"it imports \"fd_open\" of \"env\", which the router does not provide": with(func(m *Module) {}),
 	} {
 		if strings.HasPrefix(want, "it imports") {
 			m := &Module{Pages: 1}
@@ -188,7 +194,7 @@
 		}
 		_, err := Engine{}.Load("x", code, plugin.DefaultBudget)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("got error %v, want %s", err, want)
 		}
 	}
 }
@@ -206,27 +212,27 @@
 		defer h.Close()
 		err = h.Call(&plugin.Call{Point: plugin.OnRequest}, &plugin.Verdict{})
 		if err == nil || !strings.Contains(err.Error(), "outside of its memory") {
-			t.Errorf("room at %d: %v", at, err)
+			t.Errorf("buffer at %d: got error %v", at, err)
 		}
 	}
 }
 
 func TestTextOutsideMemoryFailsCall(t *testing.T) {
 	for _, text := range [][2]int32{{-1, 4}, {2<<16 - 2, 4}, {0, -1}} {
-		h, err := Engine{}.Load("x", on("on_request", 0, say(wordTag, text[0], text[1]), pass), plugin.DefaultBudget)
+		h, err := Engine{}.Load("x", on("on_request", 0, callWithText(hostTag, text[0], text[1]), pass), plugin.DefaultBudget)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer h.Close()
 		err = h.Call(&plugin.Call{Point: plugin.OnRequest}, &plugin.Verdict{})
 		if err == nil || !strings.Contains(err.Error(), "outside of its memory") {
-			t.Errorf("a text at %d of %d bytes: %v", text[0], text[1], err)
+			t.Errorf("text at %d of %d bytes: got error %v", text[0], text[1], err)
 		}
 	}
 }
 
 func FuzzModuleLoad(f *testing.F) {
-	for _, name := range []string{"judge", "echo", "count", "looks", "pointless"} {
+	for _, name := range []string{"judge", "echo", "count", "notifications", "no point"} {
 		f.Add(hooks()[name])
 	}
 	b := plugin.DefaultBudget
--- a/internal/plugin/wasmfile/wasmfile.go
+++ b/internal/plugin/wasmfile/wasmfile.go
@@ -1,12 +1,12 @@
-// Package wasmfile writes small WebAssembly modules (Core Specification, chapter 5) for tests, examples and scaffolds,
-// without a tool chain. It knows only what those need, and checks nothing: a module that makes no sense is what some
-// tests want.
+// Package wasmfile writes small WebAssembly modules (Core Specification, chapter 5) for tests, examples and scaffolds without
+// a tool chain. It supports only the instructions and sections that these modules need. It does not validate a module, because
+// some tests need invalid modules.
 package wasmfile
 
 // Code is a sequence of instructions.
 type Code []byte
 
-// Seq joins sequences of instructions.
+// Seq concatenates sequences of instructions.
 func Seq(parts ...Code) Code {
 	var all Code
 	for _, p := range parts {
@@ -52,13 +52,13 @@
 // LocalTee stores the value on top of the stack in a local and leaves it there.
 func LocalTee(i uint32) Code { return append(Code{0x22}, unsigned(i)...) }
 
-// I32Load loads 4 bytes at an offset from the address on the stack.
+// I32Load loads 4 bytes at the offset at from the address on the stack, as the other loads and stores do.
 func I32Load(at uint32) Code { return append(Code{0x28, 0x00}, unsigned(at)...) }
 
 // I64Load loads 8 bytes.
 func I64Load(at uint32) Code { return append(Code{0x29, 0x00}, unsigned(at)...) }
 
-// I32Load8U loads one byte, without sign.
+// I32Load8U loads one byte, zero-extended.
 func I32Load8U(at uint32) Code { return append(Code{0x2d, 0x00}, unsigned(at)...) }
 
 // I32Store stores 4 bytes.
@@ -70,22 +70,22 @@
 // I32Store8 stores the lowest byte.
 func I32Store8(at uint32) Code { return append(Code{0x3a, 0x00}, unsigned(at)...) }
 
-// Call calls a function by its index: imports come first.
+// Call calls a function by its index. Imported functions have the first indices.
 func Call(f uint32) Code { return append(Code{0x10}, unsigned(f)...) }
 
-// If does then where the top of the stack is not 0.
+// If executes then if the number on top of the stack is not 0.
 func If(then ...Code) Code { return Seq(Code{0x04, 0x40}, Seq(then...), Code{0x0b}) }
 
-// Loop is a block that Br(0) in its body begins anew.
+// Loop returns a block that Br(0) in its body restarts.
 func Loop(body ...Code) Code { return Seq(Code{0x03, 0x40}, Seq(body...), Code{0x0b}) }
 
-// Block is a block that Br(0) in its body leaves.
+// Block returns a block that Br(0) in its body leaves.
 func Block(body ...Code) Code { return Seq(Code{0x02, 0x40}, Seq(body...), Code{0x0b}) }
 
-// Br branches to the block so many levels out.
+// Br branches to the enclosing block at the given level; 0 is the innermost block.
 func Br(level uint32) Code { return append(Code{0x0c}, unsigned(level)...) }
 
-// BrIf branches as Br does, where the number on the stack is not 0.
+// BrIf branches like Br if the number on top of the stack is not 0.
 func BrIf(level uint32) Code { return append(Code{0x0d}, unsigned(level)...) }
 
 // I32 is the type of a 32-bit number.
@@ -104,7 +104,7 @@
 	sectionData     = 11
 )
 
-// Module is a module that is being built. Its sections are entries that are already encoded.
+// Module builds a module. The entries of its sections are already encoded.
 type Module struct {
 	imports [][]byte
 	types   [][]byte
@@ -113,22 +113,22 @@
 	bodies  [][]byte
 	data    [][]byte
 
-	Pages    uint32 // of memory, 64 KiB each; 0 for no memory
-	MaxPages uint32 // to which the memory may grow; 0 for no bound
-	Table    uint32 // entries; 0 for no table
+	Pages    uint32 // pages of memory, 64 KiB each; 0 for no memory
+	MaxPages uint32 // the maximum size of the memory in pages; 0 for no bound
+	Table    uint32 // entries of the table; 0 for no table
 	Start    int    // the index of the start function; 0 for none
 }
 
-// Import adds a function of another module, with parameters and results of the type I32, and returns its index. All imports
-// come before the first Func.
+// Import imports a function of another module with parameters and results of the type I32, and returns the function's index.
+// All imports must be added before the first Func.
 func (m *Module) Import(from, name string, params, results int) uint32 {
 	b := append(text(from), text(name)...)
 	m.imports = append(m.imports, append(append(b, 0x00), m.typeIndex(params, results)...))
 	return uint32(len(m.imports) - 1)
 }
 
-// Func adds a function, exported where it has a name, and returns its index. Its locals have the type I32, and their indices
-// follow those of the parameters.
+// Func adds a function and returns the function's index. A function with a name is exported. Locals have the type I32, and
+// their indices follow the indices of the parameters.
 func (m *Module) Func(name string, params, results int, locals uint32, body ...Code) uint32 {
 	i := uint32(len(m.imports) + len(m.funcs))
 	m.funcs = append(m.funcs, m.typeIndex(params, results))
@@ -146,14 +146,14 @@
 	return i
 }
 
-// Data has the memory hold bytes from an address on.
+// Data initializes the memory at address with b.
 func (m *Module) Data(address int32, b []byte) {
 	d := append([]byte{0x00}, I32Const(address)...)
 	d = append(append(d, 0x0b), unsigned(uint32(len(b)))...)
 	m.data = append(m.data, append(d, b...))
 }
 
-// Bytes returns the module's file.
+// Bytes returns the encoded module.
 func (m *Module) Bytes() []byte {
 	out := []byte("\x00asm\x01\x00\x00\x00")
 	section := func(id byte, items [][]byte) {
@@ -190,7 +190,7 @@
 	return out
 }
 
-// typeIndex returns the index of a function type, which is added where the module does not have it.
+// typeIndex returns the encoded index of a function type, and adds the type if the module does not have it yet.
 func (m *Module) typeIndex(params, results int) []byte {
 	t := []byte{0x60}
 	for _, n := range []int{params, results} {
@@ -208,10 +208,10 @@
 	return unsigned(uint32(len(m.types) - 1))
 }
 
-// text returns a text with its length in front.
+// text encodes a string with its length as prefix.
 func text(s string) []byte { return append(unsigned(uint32(len(s))), s...) }
 
-// unsigned returns a number in LEB128.
+// unsigned encodes an unsigned number in LEB128.
 func unsigned(n uint32) []byte {
 	var b []byte
 	for n >= 0x80 {
@@ -221,7 +221,7 @@
 	return append(b, byte(n))
 }
 
-// signed returns a signed number in LEB128.
+// signed encodes a signed number in LEB128.
 func signed(n int64) []byte {
 	var b []byte
 	for {
--- a/internal/plugin/wire/wire.go
+++ b/internal/plugin/wire/wire.go
@@ -1,10 +1,10 @@
-// Package wire is the protocol between the router and a worker that runs one hook for it: frames over a stream, each
-// of a length (4 bytes, little endian), a kind (1 byte) and a body. Numbers in bodies are varints; texts and lists have
-// their lengths in front.
+// Package wire implements the protocol between the router and a worker that runs one hook. Frames are sent over a stream. A
+// frame consists of a length (4 bytes, little endian), a kind (1 byte) and a body. Numbers in bodies are varints; texts and
+// lists are prefixed with their lengths.
 //
-// The router sends one Load and then Calls; the worker replies to the Load with Loaded or LoadFailed, and to each Call, in
-// their order, with a Reply. Neither side trusts the other: a frame that is too long, truncated or followed by bytes that
-// belong to nothing is an error, after which the connection is of no use.
+// The router sends one Load and then Calls. The worker replies to the Load with Loaded or LoadFailed, and to each Call with a
+// Reply, in the order of the Calls. Neither side trusts the other: a frame that is too long, or whose body is truncated or
+// followed by excess bytes, is an error, after which the connection must not be used.
 package wire
 
 import (
@@ -20,20 +20,20 @@
 	KindLoad       = 1 // router to worker: a hook with its code and budget
 	KindCall       = 2 // router to worker: one call of the hook
 	KindLoaded     = 3 // worker to router: the points of the hook
-	KindLoadFailed = 4 // worker to router: why the hook did not load
+	KindLoadFailed = 4 // worker to router: the reason why the hook did not load
 	KindReply      = 5 // worker to router: the result of a call
 )
 
-// Bounds of frames in bytes, without the length.
+// Bounds of frames in bytes, without the length prefix.
 const (
-	MaxFrameToWorker = plugin.MaxCode + 4096 // the code, and what is beside it in a Load
-	MaxFrameToRouter = 16 << 10              // a verdict at all of its bounds
+	MaxFrameToWorker = plugin.MaxCode + 4096 // the code and the other fields of a Load
+	MaxFrameToRouter = 16 << 10              // a verdict with every field at its bound
 )
 
-// lengthSize is the size in bytes of a frame's length.
+// lengthSize is the size in bytes of a frame's length prefix.
 const lengthSize = 4
 
-// Values of the byte in front of what may be absent, and of the byte that says whether a call failed.
+// Values of the byte before an optional field, and of the byte that says whether a call failed.
 const (
 	absent    = 0
 	present   = 1
@@ -47,7 +47,7 @@
 	ErrMalformedFrame = errors.New("wire: a frame is malformed")
 )
 
-// Next takes the first whole frame off b, with a length up to limit. kind is 0 where there is no whole frame yet.
+// Next splits the first frame, whose length is at most limit, from b. kind is 0 if b does not hold a complete frame yet.
 func Next(b []byte, limit int) (kind byte, body, rest []byte, err error) {
 	if len(b) < lengthSize {
 		return 0, nil, b, nil
@@ -65,7 +65,7 @@
 	return b[lengthSize], b[lengthSize+1 : end], b[end:], nil
 }
 
-// Missing returns how many bytes at least are missing from the first frame of b; 0 where it is whole.
+// Missing returns the minimum number of bytes that are missing from the first frame of b, or 0 if the frame is complete.
 func Missing(b []byte) int {
 	if len(b) < lengthSize {
 		return lengthSize - len(b)
@@ -74,7 +74,7 @@
 	return int(max(0, lengthSize+n-int64(len(b))))
 }
 
-// beginFrame appends the head of a frame that begins at start. Its body is appended next, and endFrame ends it.
+// beginFrame appends the header of a frame and returns the frame's offset. The caller appends the body and calls endFrame.
 func beginFrame(b []byte, kind byte) (frame []byte, start int) {
 	start = len(b)
 	return append(b, 0, 0, 0, 0, kind), start
@@ -86,9 +86,9 @@
 	return b
 }
 
-// Load is the first message to a worker: the hook that it runs.
+// Load is the first message to a worker. It describes the hook that the worker runs.
 type Load struct {
-	Name   string // of the hook, for its errors
+	Name   string // the name of the hook, for errors
 	Engine string // the name of the engine that runs it
 	Budget plugin.Budget
 	Code   []byte
@@ -117,13 +117,13 @@
 	return l, r.end()
 }
 
-// budgetField refers to one number of a budget, of either type.
+// budgetField refers to one number of a budget. Exactly one of its pointers is not nil.
 type budgetField struct {
 	wide   *int64
 	narrow *int
 }
 
-// get returns a pointer to the number.
+// get returns a pointer to the number, or to a copy if the field is narrow.
 func (f budgetField) get() *int64 {
 	if f.wide != nil {
 		return f.wide
@@ -141,7 +141,7 @@
 	}
 }
 
-// budgetFields returns the numbers of a budget in their order on the wire.
+// budgetFields returns the fields of a budget in their order on the wire.
 func budgetFields(b *plugin.Budget) []budgetField {
 	return []budgetField{{wide: &b.Time}, {wide: &b.LoadTime}, {wide: &b.Steps}, {narrow: &b.Depth}, {wide: &b.Memory},
 		{narrow: &b.LogLines}, {narrow: &b.LogLineSize}}
@@ -169,7 +169,7 @@
 	return endFrame(b, start)
 }
 
-// appendRequest appends what a call at OnRequest or Answered says of the request.
+// appendRequest appends the fields of a request, which calls at OnRequest and Answered have in common.
 func appendRequest(b []byte, c *plugin.Call) []byte {
 	b = appendText(b, truncate(c.Verb))
 	b = appendText(b, truncate(c.Class))
@@ -178,7 +178,7 @@
 	return appendNumber(b, int64(c.Size))
 }
 
-// appendValue appends a request's value, which is nil where the hook does not want it.
+// appendValue appends the value of a request; nil if the value is not passed to the hook.
 func appendValue(b, value []byte) []byte {
 	if value == nil {
 		return append(b, absent)
@@ -187,8 +187,8 @@
 	return appendText(b, value[:min(len(value), plugin.MaxValue)])
 }
 
-// ParseCall reads the body of a Call frame into c. The call's value shares the body's memory. Texts that are equal to those
-// that c held before are not copied.
+// ParseCall reads the body of a Call frame into c. The call's value shares the body's memory. A text that equals the previous
+// text of the same field of c is not copied.
 func ParseCall(body []byte, c *plugin.Call) (sequence uint64, err error) {
 	r := reader{b: body}
 	old := *c
@@ -218,7 +218,7 @@
 	return sequence, r.end()
 }
 
-// request reads what appendRequest appended.
+// request reads the fields that appendRequest writes.
 func (r *reader) request(c, old *plugin.Call) {
 	c.Verb = r.textOrSame(old.Verb)
 	c.Class = r.textOrSame(old.Class)
@@ -227,7 +227,7 @@
 	c.Size = r.int()
 }
 
-// value reads what appendValue appended. A value of no bytes is not nil.
+// value reads the value that appendValue writes. An empty value is not nil.
 func (r *reader) value() []byte {
 	switch r.byte() {
 	case absent:
@@ -273,9 +273,9 @@
 
 // Reply is the result of a call.
 type Reply struct {
-	Sequence uint64             // of the call
-	RunTime  plugin.Time        // how long the call ran
-	Failed   bool               // then Kind and Text hold the failure, and Verdict has log lines alone
+	Sequence uint64             // the sequence number of the call
+	RunTime  plugin.Time        // the duration of the call
+	Failed   bool               // if set, Kind and Text hold the failure, and Verdict holds only log lines
 	Kind     plugin.FailureKind // Failed
 	Text     string             // Failed
 	Verdict  plugin.Verdict
@@ -313,8 +313,8 @@
 	return b
 }
 
-// ParseReply reads the body of a Reply frame into p. It checks the verdict as an engine checks that of a hook, since a worker
-// that a hook has taken over may send anything. A reply that passes a request without more is read without allocating.
+// ParseReply reads the body of a Reply frame into p. ParseReply validates the verdict like an engine does, because a worker
+// that is compromised by its hook may send arbitrary bytes. Reading a reply that only passes a request does not allocate.
 func ParseReply(body []byte, p *Reply) error {
 	r := reader{b: body}
 	p.Verdict.Reset()
@@ -340,7 +340,7 @@
 	return r.end()
 }
 
-// verdict reads what appendVerdict appended, and returns its decision.
+// verdict reads the verdict that appendVerdict writes, and returns its decision.
 func (r *reader) verdict(draft *plugin.Draft) (decision int64) {
 	decision = int64(r.byte())
 	r.check(draft.SetRetryAfter(r.number()))
@@ -356,28 +356,28 @@
 	return decision
 }
 
-// check notes that the body holds what is not a verdict.
+// check marks the body as malformed if err, an error of the draft, is not nil.
 func (r *reader) check(err error) {
 	if err != nil {
 		r.malformed = true
 	}
 }
 
-// truncate truncates a text to what a hook is handed.
+// truncate limits a text to the length that is passed to a hook.
 func truncate(s string) string { return s[:min(len(s), plugin.MaxString)] }
 
-// appendText appends a text with its length in front.
+// appendText appends a text with its length as prefix.
 func appendText[T string | []byte](b []byte, s T) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// appendNumber appends a number; one below 0 as 0.
+// appendNumber appends a number. A negative number is written as 0.
 func appendNumber(b []byte, n int64) []byte { return binary.AppendUvarint(b, uint64(max(0, n))) }
 
-// reader reads a body. After an error it returns zeros.
+// reader decodes a body. After an error its methods return zeros.
 type reader struct {
-	b         []byte // what is not yet read
-	malformed bool   // an error was met
+	b         []byte // the unread rest of the body
+	malformed bool   // set after an error
 }
 
 // byte reads one byte.
@@ -391,7 +391,7 @@
 	return c
 }
 
-// number reads a number.
+// number reads a number of up to 63 bits.
 func (r *reader) number() int64 {
 	if r.malformed {
 		return 0
@@ -408,7 +408,7 @@
 // int reads a number that fits into 32 bits.
 func (r *reader) int() int { return r.count(math.MaxInt32) }
 
-// count reads a number up to limit.
+// count reads a number that is at most limit.
 func (r *reader) count(limit int) int {
 	n := r.number()
 	if n > int64(limit) {
@@ -418,7 +418,7 @@
 	return int(n)
 }
 
-// text reads a text of up to limit bytes. It shares the body's memory.
+// text reads a text of up to limit bytes. The result shares the body's memory.
 func (r *reader) text(limit int) []byte {
 	n := r.count(limit)
 	if r.malformed || n > len(r.b) {
@@ -430,7 +430,7 @@
 	return s
 }
 
-// textOrSame reads a text, and returns the old one where they are equal, as that takes no memory.
+// textOrSame reads a text, and returns old if both are equal, which avoids an allocation.
 func (r *reader) textOrSame(old string) string {
 	s := r.text(plugin.MaxString)
 	if string(s) != old {
@@ -439,7 +439,7 @@
 	return old
 }
 
-// end returns an error unless the whole body was read without one.
+// end returns an error unless the body was read completely and without an error.
 func (r *reader) end() error {
 	if r.malformed || len(r.b) > 0 {
 		return ErrMalformedFrame
--- a/internal/plugin/wire/wire_test.go
+++ b/internal/plugin/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/plugin"
 )
 
-// body takes the one frame out of b.
+// body returns the body of the only frame in b.
 func body(t *testing.T, b []byte, kind byte) []byte {
 	t.Helper()
 	got, body, rest, err := Next(b, MaxFrameToWorker)
@@ -47,14 +47,14 @@
 	}
 	f := plugin.Failure{Kind: plugin.VersionMismatch, Text: "it was built for version 2"}
 	if got, err := ParseLoadFailed(body(t, AppendLoadFailed(nil, &f), KindLoadFailed)); err != nil || *got != f {
-		t.Errorf("refused %+v, %v", got, err)
+		t.Errorf("load failed %+v, %v", got, err)
 	}
 	if got, err := ParseLoaded(body(t, AppendLoaded(nil, 6), KindLoaded)); err != nil || got != 6 {
 		t.Errorf("loaded %d, %v", got, err)
 	}
 }
 
-// same compares replies; an empty list is none.
+// same reports whether two replies are equal; nil and empty lists are equal.
 func same(a, b Reply) bool {
 	list := func(s []string) string { return strings.Join(s, "\n") }
 	av, bv := a.Verdict, b.Verdict
@@ -65,17 +65,17 @@
 
 func TestParseReplyRejectsInvalidVerdicts(t *testing.T) {
 	for what, v := range map[string]plugin.Verdict{ // any order
-		"say":    {Decision: 9},
-		"wait":   {Decision: plugin.Reject, RetryAfter: plugin.MaxRetryAfter + 1000},
-		"tag":    {Tags: []string{"a b"}},
-		"tenant": {Tenant: "a\r\nb"},
-		"text":   {Decision: plugin.Fail, Text: strings.Repeat("x", plugin.MaxText+1)},
-		"tags":   {Tags: strings.Split("a b c d e f g h i", " ")},
-		"lines":  {Log: make([]string, plugin.MaxLogLines+1)},
-		"line":   {Log: []string{strings.Repeat("x", plugin.MaxLogLine+1)}},
+		"decision": {Decision: 9},
+		"wait":     {Decision: plugin.Reject, RetryAfter: plugin.MaxRetryAfter + 1000},
+		"tag":      {Tags: []string{"a b"}},
+		"tenant":   {Tenant: "a\r\nb"},
+		"text":     {Decision: plugin.Fail, Text: strings.Repeat("x", plugin.MaxText+1)},
+		"tags":     {Tags: strings.Split("a b c d e f g h i", " ")},
+		"lines":    {Log: make([]string, plugin.MaxLogLines+1)},
+		"line":     {Log: []string{strings.Repeat("x", plugin.MaxLogLine+1)}},
 	} {
 		if err := ParseReply(body(t, AppendReply(nil, &Reply{Verdict: v}), KindReply), &Reply{}); err != ErrMalformedFrame {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: got error %v, want %v", what, err, ErrMalformedFrame)
 		}
 	}
 	var got Reply
@@ -84,14 +84,14 @@
 		t.Fatal(err)
 	}
 	if got.Verdict.Text != "a??-OK?[2J" || got.Verdict.Log[0] != "a?b" {
-		t.Errorf("passed on as it came: %+v", got.Verdict)
+		t.Errorf("control characters are not replaced: got %+v", got.Verdict)
 	}
 }
 
 func TestNextRejectsInvalidLengths(t *testing.T) {
 	for _, b := range []string{"\x00\x00\x00\x00", "\xff\xff\xff\xff\x05"} {
 		if _, _, _, err := Next([]byte(b), MaxFrameToRouter); err == nil {
-			t.Errorf("%q is taken", b)
+			t.Errorf("%q: got no error for an invalid length", b)
 		}
 	}
 	whole := AppendCall(nil, 1, &plugin.Call{Point: plugin.Unload})
@@ -130,7 +130,7 @@
 			}
 			out := AppendReply(nil, &p)
 			if err := ParseReply(out[5:], &again); err != nil || !same(p, again) {
-				t.Errorf("%+v comes back as %+v, %v", p, again, err)
+				t.Errorf("%+v is read back as %+v, %v", p, again, err)
 			}
 		}
 	})
@@ -144,11 +144,11 @@
 		if seq, err := ParseCall(b, &c); err == nil {
 			out := AppendCall(nil, seq, &c)
 			if s, err := ParseCall(out[5:], &again); err != nil || s != seq || !reflect.DeepEqual(c, again) {
-				t.Errorf("%+v comes back as %+v, %v", c, again, err)
+				t.Errorf("%+v is read back as %+v, %v", c, again, err)
 			}
 		}
 		if l, err := ParseLoad(b); err == nil && len(l.Code) > len(b) {
-			t.Error("code that is longer than the frame")
+			t.Error("the code is longer than the frame")
 		}
 	})
 }
--- a/internal/plugin/worker/client.go
+++ b/internal/plugin/worker/client.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	callGrace                 = 10 * time.Millisecond // beyond a call's budget, for the worker to interrupt it and reply
-	loadAllowance plugin.Time = 5_000_000             // beyond LoadTime, for the process to start and the engine to compile
+	callGrace                 = 10 * time.Millisecond // time beyond a call's budget for the worker to interrupt the call and reply
+	loadAllowance plugin.Time = 5_000_000             // time beyond LoadTime for the process to start and the engine to compile
 )
 
-// Client calls the hook of a worker process, one call after the other, and blocks until each reply. It is for the commands
-// that help to write hooks; a router never blocks on a worker.
+// Client is a blocking client of a worker process. It makes one call at a time and waits for the reply. Commands for authors
+// of hooks use it; a router never blocks on a worker.
 type Client struct {
 	cmd          *exec.Cmd
 	conn         *os.File
-	received     []byte        // frames that are not yet handled
-	lastSequence uint64        // of the calls
-	grace        time.Duration // beyond a call's budget, for the reply to come
+	received     []byte        // bytes of frames that are not yet handled
+	lastSequence uint64        // the sequence number of the last call
+	grace        time.Duration // time beyond a call's budget for the reply to arrive
 }
 
-// NewClient starts a worker process: the program's own, with the arguments that have it run Main.
+// NewClient starts a worker process. The process runs the current executable with args, which must make it call Main.
 func NewClient(args ...string) (*Client, error) {
 	ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -47,10 +47,10 @@
 	return &Client{cmd: cmd, conn: near, grace: callGrace}, nil
 }
 
-// Pid returns the number of the worker's process.
+// Pid returns the process ID of the worker.
 func (c *Client) Pid() int { return c.cmd.Process.Pid }
 
-// Load loads a hook. The error is a *plugin.Failure, unless the worker itself or its connection failed.
+// Load loads a hook and returns its points. The error is a *plugin.Failure unless the worker's protocol or connection failed.
 func (c *Client) Load(l wire.Load) (plugin.Points, error) {
 	kind, body, err := c.exchange(wire.AppendLoad(nil, &l), l.Budget.LoadTime+loadAllowance)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return 0, wire.ErrMalformedFrame
 }
 
-// Call calls the hook, with a budget of time. The error is a *plugin.Failure, unless the connection failed.
+// Call calls the hook with the given time budget. The error is a *plugin.Failure unless the protocol or connection failed.
 func (c *Client) Call(call *plugin.Call, budget plugin.Time) (wire.Reply, error) {
 	c.lastSequence++
 	kind, body, err := c.exchange(wire.AppendCall(nil, c.lastSequence, call), budget)
@@ -89,7 +89,7 @@
 	return r, nil
 }
 
-// exchange sends a frame and waits for one, for the budget and the client's grace.
+// exchange sends a frame and waits for a reply frame, for no longer than the budget and the client's grace.
 func (c *Client) exchange(frame []byte, budget plugin.Time) (byte, []byte, error) {
 	c.conn.SetDeadline(time.Now().Add(time.Duration(budget)*time.Microsecond + c.grace))
 	if _, err := c.conn.Write(frame); err != nil {
@@ -113,10 +113,10 @@
 	}
 }
 
-// connectionFailure returns the reason why there is no reply.
+// connectionFailure converts an error of the connection to the failure that explains the missing reply.
 func connectionFailure(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it could not be interrupted: a router ends its worker"}
+		return &plugin.Failure{Kind: plugin.BudgetExceeded, Text: "it could not be interrupted: a router kills its worker"}
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) {
 		return &plugin.Failure{Kind: plugin.MemoryExceeded, Text: "its worker ended: out of memory, or a crash of its engine"}
@@ -124,7 +124,7 @@
 	return fmt.Errorf("worker: %w", err)
 }
 
-// Close kills the worker.
+// Close closes the connection, kills the worker and waits for its process to end.
 func (c *Client) Close() {
 	c.conn.Close()
 	c.cmd.Process.Kill()
--- a/internal/plugin/worker/confine.go
+++ b/internal/plugin/worker/confine.go
@@ -12,24 +12,25 @@
 	"starlingwinch/internal/plugin"
 )
 
-// MemoryOverhead is the memory in bytes that a worker takes beside its hook's: the engine, and a module while it is compiled.
+// MemoryOverhead is the memory in bytes that a worker uses in addition to the memory of its hook: the engine, and the
+// compilation of a module.
 const MemoryOverhead = 12 << 20
 
 const (
-	arenaSize            = 64 << 20 // bytes of address space that the Go runtime reserves at a time for its heap
-	paddingChunk         = 4 << 20  // bytes of address space that fillArena takes at a time
-	garbageAllowance     = 3 << 20  // bytes of garbage between two runs of the collector
-	reservedAddressSpace = 24 << 20 // bytes of address space beside the heap: threads, compiled code, the runtime itself
-	niceIncrement        = 5        // by which a worker's priority is below the router's (setpriority(2))
-	maxStack             = 4 << 20  // bytes of a goroutine's stack: a parser recurses on nested brackets
+	arenaSize            = 64 << 20 // bytes of address space that the Go runtime reserves for its heap at a time
+	paddingChunk         = 4 << 20  // bytes of address space that fillArena allocates at a time
+	garbageAllowance     = 3 << 20  // bytes of garbage between two garbage collections
+	reservedAddressSpace = 24 << 20 // bytes of address space outside of the heap: threads, compiled code, the runtime
+	niceIncrement        = 5        // nice value of a worker, for a priority below the router's (setpriority(2))
+	maxStack             = 4 << 20  // bytes of a goroutine's stack: a parser recurses for nested brackets
 )
 
-// padding is address space that is reserved and never touched.
+// padding reserves address space. Its memory is never written, so it occupies no physical pages.
 var padding [][]byte
 
-// Main is the program of a worker process: it serves its standard input, and returns when that ends. It ignores the signals
-// that stop a service, which are sent to all of the service's processes: the router calls its hooks until its graceful
-// shutdown is over.
+// Main is the main function of a worker process: it serves the connection on standard input and returns when the connection
+// ends. It ignores the signals that stop a service: a service manager sends them to all processes of the service, and the
+// router needs its hooks until its graceful shutdown is complete.
 func Main() error {
 	signal.Ignore(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	lowerPriority()
@@ -37,13 +38,14 @@
 	return Serve(os.Stdin, Confine)
 }
 
-// Confine bounds the memory of this process for good, by the hook's budget and MemoryOverhead. A process that exceeds it ends
-// with the runtime's "out of memory", or as the kernel refuses it a page. The kernel enforces the bound, as no script engine
-// does: a string that is doubled over and over takes gigabytes within a second.
+// Confine permanently limits the memory of this process to the hook's budget and MemoryOverhead. A process that exceeds the
+// limit ends with the runtime's "out of memory" or because the kernel refuses to map a page. The kernel enforces the limit
+// because script engines can't: a string that a script doubles repeatedly takes gigabytes within a second.
 //
-// The limit is on address space, which the runtime reserves by whole arenas. So the present arena is filled up, and part of
-// the next one up to the bound, by bytes that are never touched and cost nothing; and the collector's memory limit is set to
-// the bound, so that it runs before the bound is reached rather than at twice the size of the heap.
+// The limit applies to address space, which the runtime reserves one arena at a time. Confine therefore fills the current arena,
+// and the part of the following arenas that exceeds the allowed size, with memory that is never written and costs nothing.
+// Confine also sets the garbage collector's memory limit to the allowed size, so that a collection runs before the limit is
+// reached instead of at twice the size of the heap.
 func Confine(b plugin.Budget) {
 	allowed := b.Memory + MemoryOverhead
 	arenas := (allowed + arenaSize - 1) / arenaSize
@@ -55,7 +57,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	debug.SetMemoryLimit(int64(m.Sys-m.HeapReleased) + allowed - MemoryOverhead/3)
-	debug.SetGCPercent(max(1, int(garbageAllowance*100/m.HeapAlloc))) // of which nearly all is ballast
+	debug.SetGCPercent(max(1, int(garbageAllowance*100/m.HeapAlloc))) // nearly all of HeapAlloc is padding
 	space, err := addressSpace()
 	if err != nil {
 		return
@@ -65,8 +67,8 @@
 	syscall.Setrlimit(syscall.RLIMIT_CORE, &syscall.Rlimit{})
 }
 
-// fillArena takes address space until the runtime reserves another arena: the present one is partly used. It reports false
-// where the process's address space is not known.
+// fillArena allocates address space until the runtime reserves another arena, because the current arena is partly used. It
+// returns false if the size of the process's address space is unknown.
 func fillArena() bool {
 	before, err := addressSpace()
 	for range arenaSize / paddingChunk {
@@ -93,7 +95,7 @@
 	return pages * int64(os.Getpagesize()), err
 }
 
-// lowerPriority lowers the priority of all threads; those that start later inherit it.
+// lowerPriority lowers the priority of all threads of the process. Threads that start later inherit the priority.
 func lowerPriority() {
 	threads, err := os.ReadDir("/proc/self/task")
 	if err != nil {
--- a/internal/plugin/worker/worker.go
+++ b/internal/plugin/worker/worker.go
@@ -1,8 +1,8 @@
-// Package worker runs one hook for a router, at the other end of a connection (package wire). It is the program of
-// the processes that hooks run in, and of the goroutines where an operator has them run inside the router.
+// Package worker runs one hook for a router at the other end of a connection (package wire). A worker is a process, or a
+// goroutine of the router where the operator configures that.
 //
-// It interrupts a call that exceeds its time, and serves on. A call that can't be interrupted ends when the router kills the
-// process.
+// The worker interrupts a call that exceeds its time and then serves further calls. A call that can't be interrupted ends when
+// the router kills the worker's process.
 package worker
 
 import (
@@ -17,10 +17,10 @@
 	"starlingwinch/internal/plugin/wire"
 )
 
-// Engines are all engines of this program.
+// Engines are the engines that a worker can run.
 var Engines = []plugin.Engine{wasm.Engine{}, script.Engine{}}
 
-// EngineOf returns the engine of this name; nil where there is none.
+// EngineOf returns the engine with the given name, or nil if there is none.
 func EngineOf(name string) plugin.Engine {
 	for _, e := range Engines {
 		if e.Name() == name {
@@ -30,26 +30,27 @@
 	return nil
 }
 
-// Bounds of a batch of replies, which are sent in one write.
+// Bounds of a batch of replies. A batch is sent in one write.
 const (
 	maxBatchBytes = 8 << 10          // bytes
-	maxBatchDelay = time.Millisecond // for which a reply waits while the next call runs
+	maxBatchDelay = time.Millisecond // how long a reply waits while the next call runs
 )
 
-// minReadSpace is the free capacity in bytes that a read is offered at least.
+// minReadSpace is the minimum free capacity of a read buffer in bytes.
 const minReadSpace = 4096
 
-// idleTimer is a time that the timer of a server never reaches: it is reset for each call.
+// idleTimer is the initial duration of a server's timer, which each call resets; the timer does nothing if it expires
+// between calls.
 const idleTimer = time.Hour
 
-// maxCause and maxEngineName bound the bytes of an error, and of an engine's name, in a failure.
+// Bounds, in bytes, of an error's text and of an engine's name in a failure.
 const (
 	maxCause      = 200
 	maxEngineName = 40
 )
 
-// Serve replies to the router until the connection ends. confine, where it is not nil, is called with the hook's budget before
-// the hook is loaded.
+// Serve serves the router's requests until the connection ends. If confine is not nil, Serve calls it with the hook's budget
+// before loading the hook.
 func Serve(conn io.ReadWriter, confine func(plugin.Budget)) error {
 	s := &server{conn: conn, confine: confine}
 	defer func() {
@@ -78,19 +79,19 @@
 type server struct {
 	conn     io.ReadWriter
 	confine  func(plugin.Budget) // nil for none
-	hook     plugin.Hook         // nil until it is loaded
+	hook     plugin.Hook         // nil until the hook is loaded
 	budget   plugin.Budget
-	received []byte      // frames that are not yet handled
-	call     plugin.Call // the present one; used again for each
-	reply    wire.Reply  // to the present call; used again for each
+	received []byte      // bytes of frames that are not yet handled
+	call     plugin.Call // the current call; reused
+	reply    wire.Reply  // the reply to the current call; reused
 
-	mu       sync.Mutex  // guards the fields below, which the timer's goroutine uses too
-	unsent   []byte      // the batch of replies
+	mu       sync.Mutex  // guards the fields below, which the timer's goroutine also uses
+	unsent   []byte      // the batch of replies that are not yet sent
 	timer    *time.Timer // calls onTimer while a call runs
 	deadline time.Time   // when the running call is interrupted; zero between calls
 }
 
-// read reads once, with capacity for the first whole frame.
+// read reads from the connection once, into a buffer with capacity for the rest of the first frame.
 func (s *server) read() error {
 	space := max(minReadSpace, wire.Missing(s.received))
 	if cap(s.received)-len(s.received) < space {
@@ -104,7 +105,7 @@
 	return err
 }
 
-// handleFrames handles all whole frames that have come.
+// handleFrames handles all complete frames that were received.
 func (s *server) handleFrames() error {
 	rest := s.received
 	for {
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// handleFrame handles one frame: a Load first, and Calls after it.
+// handleFrame handles one frame. The first frame must be a Load, and all others must be Calls.
 func (s *server) handleFrame(kind byte, body []byte) error {
 	switch {
 	case kind == wire.KindLoad && s.hook == nil:
@@ -135,7 +136,7 @@
 	return wire.ErrMalformedFrame
 }
 
-// load loads the hook and replies. A hook that does not load ends the worker.
+// load loads the hook and sends the reply. The worker ends if the hook does not load.
 func (s *server) load(body []byte) error {
 	l, err := wire.ParseLoad(body)
 	if err != nil {
@@ -183,7 +184,8 @@
 	return s.queueReply()
 }
 
-// startTimer has the call that begins interrupted after its budget, and replies in the batch sent before.
+// startTimer starts the timer of a call: onTimer sends the batched replies after maxBatchDelay and interrupts the call after
+// the duration span.
 func (s *server) startTimer(now time.Time, span time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,15 +209,15 @@
 	return nil
 }
 
-// onTimer is called while a call runs: after maxBatchDelay to send the replies in the batch, which would otherwise wait for
-// a call that does not return, and once the call's budget is used up to interrupt it.
+// onTimer runs when the timer expires during a call. After maxBatchDelay it sends the batched replies, which would otherwise
+// wait for a call that may never return. At the deadline it interrupts the call.
 func (s *server) onTimer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.deadline.IsZero() {
 		return
 	}
-	s.send() // a connection that fails here also fails the next send, which returns the error
+	s.send() // on a failed connection the next send fails too and returns the error
 	if left := time.Until(s.deadline); left > 0 {
 		s.timer.Reset(left)
 		return
@@ -223,14 +225,14 @@
 	s.hook.Interrupt()
 }
 
-// flush sends the batch.
+// flush sends the batched replies.
 func (s *server) flush() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.send()
 }
 
-// send sends the batch; the caller holds mu.
+// send sends the batched replies. The caller must hold mu.
 func (s *server) send() error {
 	if len(s.unsent) == 0 {
 		return nil
@@ -240,7 +242,7 @@
 	return err
 }
 
-// asFailure returns an error as the contract's Failure.
+// asFailure converts an error to a *plugin.Failure.
 func asFailure(err error) *plugin.Failure {
 	var f *plugin.Failure
 	if errors.As(err, &f) {
--- a/internal/plugin/worker/worker_test.go
+++ b/internal/plugin/worker/worker_test.go
@@ -17,7 +17,7 @@
 
 const workerCommand = "hook-worker"
 
-// TestMain is also the process of a worker.
+// TestMain runs the worker's Main if the test binary was started as a worker process.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == workerCommand {
 		if Main() != nil {
@@ -36,8 +36,8 @@
 	cmd      *exec.Cmd
 }
 
-// startInside runs a worker in a goroutine.
-func startInside(t testing.TB) *peer {
+// startGoroutine runs a worker in a goroutine.
+func startGoroutine(t testing.TB) *peer {
 	near, far := net.Pipe()
 	done := make(chan error, 1)
 	go func() {
@@ -51,7 +51,7 @@
 	return &peer{t: t, conn: near}
 }
 
-// startProcess runs one in a process of its own.
+// startProcess runs a worker in a separate process.
 func startProcess(t testing.TB) *peer {
 	ends, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// next is the next frame; kind 0 stands for the end.
+// next returns the next frame; kind 0 is the end of the connection.
 func (p *peer) next() (byte, []byte) {
 	p.t.Helper()
 	for {
@@ -106,7 +106,7 @@
 	p.send(wire.AppendLoad(nil, &wire.Load{Name: "test", Engine: engine, Budget: b, Code: []byte(code)}))
 	if kind, body := p.next(); kind != wire.KindLoaded {
 		f, _ := wire.ParseLoadFailed(body)
-		p.t.Fatalf("the load gave kind %d, %v", kind, f)
+		p.t.Fatalf("load: got frame of kind %d, failure %v", kind, f)
 	}
 }
 
@@ -120,7 +120,7 @@
 	var r wire.Reply
 	kind, body := p.next()
 	if kind != wire.KindReply {
-		p.t.Fatalf("kind %d, want a reply", kind)
+		p.t.Fatalf("got frame of kind %d, want a reply", kind)
 	}
 	if err := wire.ParseReply(body, &r); err != nil {
 		p.t.Fatal(err)
@@ -128,7 +128,7 @@
 	return r
 }
 
-const moody = `
+const testScript = `
 version = 1
 def on_request(r):
     if r.key == "loop":
@@ -136,7 +136,7 @@
             pass
     if r.key == "crash":
         return [][1]
-    if r.key == "swell":
+    if r.key == "double":
         s = "x"
         for i in range(40):
             s += s
@@ -149,12 +149,12 @@
     return refuse(7)
 `
 
-// generousBudget is a generous budget, for a machine under load.
+// generousBudget lets the tests pass on a loaded machine.
 var generousBudget = plugin.Budget{Time: 100_000, LoadTime: 2_000_000, Steps: 1 << 40, Depth: 64, Memory: 8 << 20, LogLines: 4, LogLineSize: 100}
 
 func TestWorkerRepliesInOrder(t *testing.T) {
-	for name, p := range map[string]*peer{"inside": startInside(t), "process": startProcess(t)} { // any order
-		p.load("script", moody, generousBudget)
+	for name, p := range map[string]*peer{"goroutine": startGoroutine(t), "process": startProcess(t)} { // any order
+		p.load("script", testScript, generousBudget)
 		var batch []byte
 		for seq := range uint64(300) {
 			batch = wire.AppendCall(batch, seq, &plugin.Call{Point: plugin.OnRequest, Key: "A"})
@@ -169,11 +169,11 @@
 	}
 }
 
-func TestWorkerInterruptsLoopAndServesOn(t *testing.T) {
-	for name, p := range map[string]*peer{"inside": startInside(t), "process": startProcess(t)} { // any order
+func TestWorkerServesCallsAfterInterruptedLoop(t *testing.T) {
+	for name, p := range map[string]*peer{"goroutine": startGoroutine(t), "process": startProcess(t)} { // any order
 		b := generousBudget
 		b.Time = 20_000
-		p.load("script", moody, b)
+		p.load("script", testScript, b)
 		for seq, key := range []string{"A", "loop", "A", "crash", "A"} {
 			p.call(uint64(seq), key)
 			r := p.reply()
@@ -189,9 +189,9 @@
 	p := startProcess(t)
 	b := generousBudget
 	b.Time = 30_000_000
-	p.load("script", moody, b)
+	p.load("script", testScript, b)
 	p.call(1, "A")
-	p.call(2, "loop") // for as long as this test lasts
+	p.call(2, "loop") // runs until the test ends
 	if r := p.reply(); r.Sequence != 1 {
 		t.Errorf("got %+v", r)
 	}
@@ -199,14 +199,14 @@
 
 func TestWorkerEndsAtMemoryBound(t *testing.T) {
 	if raceEnabled {
-		t.Skip("with the race detector a process takes address space as it likes")
+		t.Skip("the race detector reserves large amounts of address space")
 	}
-	for _, key := range []string{"swell", "sort", "list"} {
+	for _, key := range []string{"double", "sort", "list"} {
 		for _, memory := range []int64{1 << 20, 16 << 20, 60 << 20} {
 			b := generousBudget
 			b.Memory, b.Time = memory, 60_000_000
 			p := startProcess(t)
-			p.load("script", moody, b)
+			p.load("script", testScript, b)
 			base := peak(t, p)
 			p.call(1, "A")
 			p.reply()
@@ -215,16 +215,17 @@
 			p.cmd.Wait()
 			most := p.cmd.ProcessState.SysUsage().(*syscall.Rusage).Maxrss << 10
 			if kind != 0 || most > base+memory+MemoryOverhead+4<<20 {
-				t.Errorf("%s with %d MiB: frame %d, peak %d KiB after %d KiB", key, memory>>20, kind, most>>10, base>>10)
+				t.Errorf("%s with %d MiB: got frame %d, peak %d KiB after %d KiB", key, memory>>20, kind, most>>10, base>>10)
 			}
 			t.Logf("%s with %d MiB: peak %d KiB after %d KiB", key, memory>>20, most>>10, base>>10)
 		}
 	}
 }
 
-// peak is the most memory that the worker has taken (proc(5), VmHWM).
+// peak returns the peak resident memory of the worker in bytes (proc(5), VmHWM).
 func peak(t testing.TB, p *peer) int64 { return status(t, p, "VmHWM:") }
 
+// status returns a field of the worker's status, in bytes (proc(5)).
 func status(t testing.TB, p *peer, field string) int64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -241,7 +242,7 @@
 
 func TestWorkerIgnoresServiceSignals(t *testing.T) {
 	p := startProcess(t)
-	p.load("script", moody, generousBudget)
+	p.load("script", testScript, generousBudget)
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		if err := p.cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
@@ -268,10 +269,10 @@
 		}
 		f, err := wire.ParseLoadFailed(body)
 		if err != nil || !strings.Contains(f.Error(), want) {
-			t.Errorf("%v, %v; want %s", f, err, want)
+			t.Errorf("got failure %v, error %v; want %s", f, err, want)
 		}
 		if kind, _ := p.next(); kind != 0 {
-			t.Errorf("%s: a frame of kind %d after it", want, kind)
+			t.Errorf("%s: got a frame of kind %d after the failure, want the end", want, kind)
 		}
 	}
 }
@@ -279,12 +280,12 @@
 func TestWorkerEndsOnUnexpectedFrame(t *testing.T) {
 	call := wire.AppendCall(nil, 1, &plugin.Call{Point: plugin.Unload})
 	for what, b := range map[string][]byte{ // any order
-		"a call before the load": call, "rubbish": []byte("GET / HTTP/1.1\r\n\r\n"), "an empty frame": make([]byte, 8),
+		"a call before the load": call, "not a frame": []byte("GET / HTTP/1.1\r\n\r\n"), "an empty frame": make([]byte, 8),
 	} {
 		p := startProcess(t)
 		p.conn.Write(b)
 		if kind, _ := p.next(); kind != 0 {
-			t.Errorf("%s: kind %d", what, kind)
+			t.Errorf("%s: got a frame of kind %d, want the end", what, kind)
 		}
 	}
 }
@@ -328,7 +329,7 @@
 	})
 }
 
-// cpu is the processor time of the worker in ns, as far as the kernel counts: 10 ms.
+// cpu returns the processor time of the worker in ns, with the kernel's resolution of 10 ms.
 func cpu(b *testing.B, p *peer) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
