--- a/examples/hooks/callsigns.star
+++ b/examples/hooks/callsigns.star
@@ -1,5 +1,5 @@
-# Refuses lookups and writes whose key is no callsign: 3 to 12 letters and digits, with a letter and a digit among them,
-# and perhaps parts before or after a slash (OE1XYZ, K2A, F/OE1XYZ/P). For installations whose keys are callsigns.
+# Fails requests whose key is not a callsign. A callsign has 3 to 12 letters and digits with at least one of each, and optional
+# parts before and after it that are separated by slashes (OE1XYZ, K2A, F/OE1XYZ/P). For installations whose keys are callsigns.
 
 version = 1
 
--- a/examples/hooks/callsigns/callsigns.c
+++ b/examples/hooks/callsigns/callsigns.c
@@ -1,5 +1,5 @@
-// Refuses what is no callsign, as callsigns.star does, in a module of some hundred bytes. Any compiler for WebAssembly
-// will do:
+// Fails requests whose key is not a callsign, like callsigns.star, in a module of a few hundred bytes. Any compiler for
+// WebAssembly can build the module:
 //
 //   clang --target=wasm32 -O2 -nostdlib -Wl,--no-entry -o callsigns.wasm callsigns/callsigns.c
 
@@ -8,7 +8,7 @@
 
 typedef struct { const char *at; int length; } text;
 
-// What a call is handed. Addresses are 4 bytes in WebAssembly.
+// The arguments of a call. Addresses are 4 bytes in WebAssembly.
 typedef struct {
     text verb, class, tenant, key, value;
     int size, outcome;
@@ -16,16 +16,16 @@
     int caches, take_work;
 } call;
 
-IMPORT("text") void say(const char *at, int length);
+IMPORT("text") void set_text(const char *at, int length);
 
-static char room[8192];
+static char buffer[8192];
 
 EXPORT("hook_version") int hook_version(void) { return 1; }
 
-EXPORT("hook_room") void *hook_room(int size) { return size <= (int)sizeof room ? room : 0; }
+EXPORT("hook_room") void *hook_room(int size) { return size <= (int)sizeof buffer ? buffer : 0; }
 
 static int is_callsign(text key) {
-    int letters = 0, digits = 0, good = 0;
+    int letters = 0, digits = 0, valid = 0;
     if (key.length > 24) return 0;
     for (int i = 0; i <= key.length; i++) {
         char c = i < key.length ? key.at[i] : '/';
@@ -35,18 +35,18 @@
             letters++;
         } else if (c == '/') {
             int length = letters + digits;
-            if (letters && digits && length >= 3 && length <= 12) good = 1;
+            if (letters && digits && length >= 3 && length <= 12) valid = 1;
             letters = digits = 0;
         } else {
             return 0;
         }
     }
-    return good;
+    return valid;
 }
 
 EXPORT("on_request") int on_request(const call *c) {
     static const char why[] = "not a callsign";
     if (is_callsign(c->key)) return 0;
-    say(why, sizeof why - 1);
+    set_text(why, sizeof why - 1);
     return 2;
 }
--- a/examples/hooks/club.star
+++ b/examples/hooks/club.star
@@ -1,9 +1,9 @@
-# Tags confirmations that come from a club's shared station, and counts them as the club's. The router's counts show how many
-# there were: hook club, tag club.
+# Tags confirmations from a club's shared station and attributes them to the club's tenant. The router counts them under the
+# hook club and the tag club.
 
 version = 1
 
-# The tenants that log from a shared station, with the club that each belongs to.
+# The tenants of the shared stations, with the tenant of the club that each station belongs to.
 stations = {
     "shack-1": "club-rajkot",
     "shack-2": "club-rajkot",
--- a/examples/hooks/clubgo/doc.go
+++ b/examples/hooks/clubgo/doc.go
@@ -1,6 +1,6 @@
 //go:build !wasip1
 
-// A hook in Go, which is built for WebAssembly alone: see main.go.
+// Command clubgo is a hook in Go, which is built only for WebAssembly; see main.go.
 package main
 
 func main() {}
--- a/examples/hooks/clubgo/main.go
+++ b/examples/hooks/clubgo/main.go
@@ -1,6 +1,6 @@
 //go:build wasip1
 
-// A hook in Go: confirmations that come from a club's shared station are tagged, and count as the club's.
+// Command clubgo is a hook in Go that tags confirmations from a club's shared station and attributes them to the club's tenant.
 //
 //	GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o club.wasm ./examples/hooks/clubgo
 package main
@@ -11,7 +11,7 @@
 	"starlingwinch/hook"
 )
 
-// stations are the tenants that log from a club's shared station, with the club that each belongs to.
+// stations maps the tenant of each shared station to the tenant of the club that the station belongs to.
 var stations = map[string]string{"shack-1": "club-rajkot", "shack-2": "club-rajkot", "fieldday": "club-surat"}
 
 func init() {
--- a/examples/hooks/hooks_test.go
+++ b/examples/hooks/hooks_test.go
@@ -1,4 +1,4 @@
-// Package hooks_test tries the examples as a router does.
+// Package hooks_test runs the example hooks in their engines.
 package hooks_test
 
 import (
@@ -29,7 +29,7 @@
 	return h
 }
 
-func ask(t *testing.T, h plugin.Hook, c plugin.Call) plugin.Verdict {
+func call(t *testing.T, h plugin.Hook, c plugin.Call) plugin.Verdict {
 	t.Helper()
 	var v plugin.Verdict
 	if err := h.Call(&c, &v); err != nil {
@@ -42,35 +42,35 @@
 	for name, h := range map[string]plugin.Hook{ // any order
 		"script": load(t, script.Engine{}, "callsigns.star"), "wasm": load(t, wasm.Engine{}, "callsigns.wasm"),
 	} {
-		for key, good := range map[string]bool{ // any order
+		for key, valid := range map[string]bool{ // any order
 			"OE1XYZ": true, "K2A": true, "oe1xyz": true, "F/OE1XYZ/P": true, "OE1XYZ/M": true,
 			"": false, "OE": false, "OEXYZ": false, "12345": false, "OE1 XYZ": false, "OE1XYZ\r\n": false, "/": false,
 			"A1BCDEFGHIJKLMN": false, strings.Repeat("A1B/", 10): false, "OE1XYZ-7": false, "Ö1XYZ": false,
 		} {
-			v := ask(t, h, plugin.Call{Point: plugin.OnRequest, Key: key})
-			if (v.Decision == plugin.Pass) != good || !good && v.Text != "not a callsign" {
+			v := call(t, h, plugin.Call{Point: plugin.OnRequest, Key: key})
+			if (v.Decision == plugin.Pass) != valid || !valid && v.Text != "not a callsign" {
 				t.Errorf("%s: %q: %+v", name, key, v)
 			}
 		}
 	}
 }
 
-func clubs(t *testing.T, h plugin.Hook) {
+func checkClubTags(t *testing.T, h plugin.Hook) {
 	for _, c := range []struct{ tenant, class, club string }{
 		{"shack-1", "confirm-contact", "club-rajkot"}, {"shack-1", "call-lookup", ""}, {"acme", "confirm-contact", ""},
 	} {
-		v := ask(t, h, plugin.Call{Point: plugin.OnRequest, Class: c.class, Tenant: c.tenant})
+		v := call(t, h, plugin.Call{Point: plugin.OnRequest, Class: c.class, Tenant: c.tenant})
 		if v.Decision != plugin.Pass || v.Tenant != c.club || (len(v.Tags) == 1 && v.Tags[0] == "club") != (c.club != "") {
 			t.Errorf("%+v: %+v", c, v)
 		}
 	}
 }
 
-func TestClub(t *testing.T) { clubs(t, load(t, script.Engine{}, "club.star")) }
+func TestClub(t *testing.T) { checkClubTags(t, load(t, script.Engine{}, "club.star")) }
 
 func TestClubInGo(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it builds with Go's tool chain")
+		t.Skip("the test runs the Go tool chain")
 	}
 	file := filepath.Join(t.TempDir(), "club.wasm")
 	cmd := exec.Command("go", "build", "-buildmode=c-shared", "-o", file, "./clubgo")
@@ -79,14 +79,14 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	h := load(t, wasm.Engine{}, file)
-	for range 300 { // over some collections of its own
-		clubs(t, h)
+	for range 300 { // enough calls for several garbage collections inside the module
+		checkClubTags(t, h)
 	}
 	long := strings.Repeat("x", 1024)
-	ask(t, h, plugin.Call{Point: plugin.OnRequest, Key: long, Verb: long, Class: long, Tenant: long, Value: make([]byte, 64<<10)})
-	ask(t, h, plugin.Call{Point: plugin.Answered, Key: long, Outcome: plugin.OutcomeFailed})
-	ask(t, h, plugin.Call{Point: plugin.ListChanged, Caches: 9})
-	ask(t, h, plugin.Call{Point: plugin.Unload})
+	call(t, h, plugin.Call{Point: plugin.OnRequest, Key: long, Verb: long, Class: long, Tenant: long, Value: make([]byte, 64<<10)})
+	call(t, h, plugin.Call{Point: plugin.Answered, Key: long, Outcome: plugin.OutcomeFailed})
+	call(t, h, plugin.Call{Point: plugin.ListChanged, Caches: 9})
+	call(t, h, plugin.Call{Point: plugin.Unload})
 }
 
 func TestRate(t *testing.T) {
@@ -97,13 +97,13 @@
 		if i%3 == 0 {
 			tenant = "club"
 		}
-		if v := ask(t, h, plugin.Call{Point: plugin.Answered, Tenant: tenant, Now: now}); len(v.Log) > 0 {
-			t.Fatalf("it says %q after %d answers", v.Log, i)
+		if v := call(t, h, plugin.Call{Point: plugin.Answered, Tenant: tenant, Now: now}); len(v.Log) > 0 {
+			t.Fatalf("got log lines %q after %d answers, want none within the first minute", v.Log, i)
 		}
 		now += 500_000
 	}
 	now += 500_000
-	v := ask(t, h, plugin.Call{Point: plugin.Answered, Tenant: "acme", Now: now})
+	v := call(t, h, plugin.Call{Point: plugin.Answered, Tenant: "acme", Now: now})
 	if len(v.Log) != 1 || v.Log[0] != "busiest tenant acme: 80 answers in 60 s (2 tenants)" {
 		t.Errorf("%q", v.Log)
 	}
--- a/examples/hooks/rate.star
+++ b/examples/hooks/rate.star
@@ -1,15 +1,15 @@
-# Shows the busiest tenant's rate in the log, once a minute. It looks at answers and judges nothing.
+# Logs the rate of the busiest tenant once a minute. The hook only observes answers and returns no verdict.
 
 version = 1
 
 MINUTE = 60 * 1000 * 1000 # µs
-MOST = 1000 # tenants that are counted: what a hook keeps is its own to bound
+MAX_TENANTS = 1000 # a hook must bound its own state
 
 counts = {}
 state = {"since": 0}
 
 def on_answered(r):
-    if r.tenant in counts or len(counts) < MOST:
+    if r.tenant in counts or len(counts) < MAX_TENANTS:
         counts[r.tenant] = counts.get(r.tenant, 0) + 1
     if state["since"] == 0:
         state["since"] = r.now
--- a/hook/hook.go
+++ b/hook/hook.go
@@ -4,7 +4,7 @@
 //
 //	GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o club.wasm .
 //
-// A hook imports this package and registers its functions in an init function. Its main is empty and never runs.
+// A hook imports this package and registers its functions in an init function. The main function is empty and never runs.
 //
 //	func init() {
 //		hook.OnRequest(func(r *hook.Request) hook.Verdict {
@@ -16,14 +16,15 @@
 //	}
 //	func main() {}
 //
-// The module holds Go's own runtime: it has 1.8 MB or more, takes a second to load, and its worker takes 50 MiB
-// meanwhile. An operator has to allow that (memory, load_time). docs/operators/hooks.md names languages that make
+// The module contains the Go runtime. It has at least 1.8 MB and takes a second to load, during which its worker uses 50 MiB.
+// The operator must allow that in the settings memory and load_time. docs/operators/hooks.md lists languages that compile to
 // small modules.
 package hook
 
 import "unsafe"
 
-// Request is what OnRequest is handed. It is valid during the call alone: a hook that retains a part of it copies that.
+// Request is the argument of the function that OnRequest registers. A Request is valid only during the call; a hook
+// that retains a part of it must copy that part.
 type Request struct {
 	Now      int64 // µs on a monotonic clock with an arbitrary zero
 	Verb     string
@@ -39,12 +40,12 @@
 type Outcome int
 
 const (
-	Served  Outcome = iota // with a value
-	Refused                // it never ran, and the client may try again
-	Failed                 // with an error that promises nothing
+	Served  Outcome = iota // answered with a value
+	Refused                // not carried out; the client may retry
+	Failed                 // answered with an error that does not say whether the request was carried out
 )
 
-// Answer is what OnAnswered is handed.
+// Answer is the argument of the function that OnAnswered registers.
 type Answer struct {
 	Now     int64
 	Verb    string
@@ -56,24 +57,24 @@
 	Took    int64 // µs since the request was read
 }
 
-// List is what OnList is handed.
+// List is the argument of the function that OnList registers.
 type List struct {
 	Now      int64
-	Caches   int // that are listed
-	TakeWork int // of them, those that are serving
+	Caches   int // the number of listed caches
+	TakeWork int // the number of listed caches that are serving
 }
 
-// Verdict is what becomes of a request.
+// Verdict is a hook's decision on a request.
 type Verdict int32
 
 const (
-	Pass    Verdict = 0 // it goes on
-	refused Verdict = 1 // of Refuse
-	failed  Verdict = 2 // of Fail
+	Pass    Verdict = 0 // the request continues to the next hook, or to the router after the last one
+	refused Verdict = 1 // returned by Refuse
+	failed  Verdict = 2 // returned by Fail
 )
 
-// Refuse rejects the request: the client learns that it was not carried out, and is asked to stay away for waitMS
-// milliseconds (0 for no advice, at most 60,000).
+// Refuse rejects the request. The answer says that the request was not carried out, and asks the client to wait waitMS
+// milliseconds before a retry (0 for no advice, at most 60,000).
 func Refuse(waitMS int) Verdict {
 	wait(int32(waitMS))
 	return refused
@@ -85,28 +86,29 @@
 	return failed
 }
 
-// Tag gives the request a name of the hook's own, which the router counts: at most 64 letters, digits, _ - . : and /.
+// Tag adds a tag to the request. The router counts requests by tag. A tag consists of 1 to 64 letters, digits, _ - . : and /.
 func Tag(name string) { tag(name) }
 
-// Tenant has the request count for another tenant from here on.
+// Tenant attributes the request to another tenant for the hooks that follow and for the router.
 func Tenant(name string) { tenant(name) }
 
 // Log adds a line to the router's log.
 func Log(line string) { log(line) }
 
-// OnRequest registers the function that decides on requests. It is called in an init function, as are the others.
+// OnRequest registers the function that decides on requests. OnRequest and the other registrations are called in an init
+// function.
 func OnRequest(f func(*Request) Verdict) { request = f }
 
-// OnAnswered registers the function that is notified of final answers.
+// OnAnswered registers the function that is called for each final answer.
 func OnAnswered(f func(*Answer)) { answered = f }
 
-// OnList registers the function that is notified of changes of the list of caches.
+// OnList registers the function that is called when the list of caches changes.
 func OnList(f func(*List)) { list = f }
 
-// OnLoad registers the function that is called first. With an error, the hook is not loaded.
+// OnLoad registers the function that is called before all others. If it returns an error, the hook is not loaded.
 func OnLoad(f func() error) { load = f }
 
-// OnUnload registers the function that is called last.
+// OnUnload registers the function that is called after all others.
 func OnUnload(f func()) { unload = f }
 
 var (
@@ -132,19 +134,20 @@
 //go:wasmimport starlingwinch wait
 func wait(ms int32)
 
-// room is where the router writes what a call is handed. The router asks for more where a call is longer.
-var room []byte
+// buffer is the memory into which the router writes the arguments of a call. The router requests a larger buffer for a call
+// that does not fit.
+var buffer []byte
 
 //go:wasmexport hook_version
 func version() int32 { return 1 }
 
 //go:wasmexport hook_room
-func makeRoom(size int32) int32 {
-	room = make([]byte, size)
-	return int32(uintptr(unsafe.Pointer(unsafe.SliceData(room))))
+func allocateBuffer(size int32) int32 {
+	buffer = make([]byte, size)
+	return int32(uintptr(unsafe.Pointer(unsafe.SliceData(buffer))))
 }
 
-// call is the layout of what the router writes, little endian as WebAssembly is.
+// call is the layout of the record that the router writes. It is little endian, like WebAssembly.
 type call struct {
 	verb, class, tenant, key, value span
 	size, outcome                   int32
@@ -152,32 +155,33 @@
 	caches, takeWork                int32
 }
 
-// span is a text: its address and its length.
-type span struct{ at, n uint32 }
+// span is the address and the length of a text.
+type span struct{ address, length uint32 }
 
 func (s span) bytes() []byte {
-	if s.at == 0 {
+	if s.address == 0 {
 		return nil
 	}
-	start := uint32(uintptr(unsafe.Pointer(unsafe.SliceData(room))))
-	return room[s.at-start:][:s.n]
+	start := uint32(uintptr(unsafe.Pointer(unsafe.SliceData(buffer))))
+	return buffer[s.address-start:][:s.length]
 }
 
 // String returns a copy of the text.
 func (s span) String() string { return string(s.bytes()) }
 
-func given() *call { return (*call)(unsafe.Pointer(unsafe.SliceData(room))) }
+// currentCall returns the record of the current call.
+func currentCall() *call { return (*call)(unsafe.Pointer(unsafe.SliceData(buffer))) }
 
 //go:wasmexport on_request
 func onRequest(int32) int32 {
-	c := given()
+	c := currentCall()
 	return int32(request(&Request{Now: c.now, Verb: c.verb.String(), Class: c.class.String(), Tenant: c.tenant.String(),
 		Key: c.key.String(), Size: int(c.size), TimeLeft: c.timeLeft, Value: c.value.bytes()}))
 }
 
 //go:wasmexport on_answered
 func onAnswered(int32) int32 {
-	c := given()
+	c := currentCall()
 	answered(&Answer{Now: c.now, Verb: c.verb.String(), Class: c.class.String(), Tenant: c.tenant.String(),
 		Key: c.key.String(), Size: int(c.size), Outcome: Outcome(c.outcome), Took: c.took})
 	return 0
@@ -185,7 +189,7 @@
 
 //go:wasmexport on_list
 func onList(int32) int32 {
-	c := given()
+	c := currentCall()
 	list(&List{Now: c.now, Caches: int(c.caches), TakeWork: int(c.takeWork)})
 	return 0
 }
