--- a/internal/plugin/plugintest/bench.go
+++ b/internal/plugin/plugintest/bench.go
@@ -19,7 +19,7 @@
 	}
 	calls := func(key string, budget plugin.Budget) func(b *testing.B) {
 		return func(b *testing.B) {
-			h := load(b, "judge", budget)
+			h := load(b, "verdicts", budget)
 			c, v := request(key), plugin.Verdict{}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -37,7 +37,7 @@
 	b.Run("Load", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			h, err := e.Load("judge", hooks["judge"], plugin.DefaultBudget)
+			h, err := e.Load("verdicts", hooks["verdicts"], plugin.DefaultBudget)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/plugin/plugintest/plugintest.go
+++ b/internal/plugin/plugintest/plugintest.go
@@ -15,7 +15,7 @@
 // Hooks describes the hooks that an engine must provide, by name. In all cases that a description omits, the hook passes the
 // request.
 var Hooks = map[string]string{
-	"judge": "on_request, by the first byte of the key: R refuses with a wait of 250 ms; F fails with the text " +
+	"verdicts": "on_request, by the first byte of the key: R refuses with a wait of 250 ms; F fails with the text " +
 		`"no such call"; T tags "club" twice and sets the tenant "guests"; L logs "seen"`,
 	"echo": "on_request fails with a text, by the first byte of the key: v its verb, c its class, t its tenant, k its " +
 		"key, V its value, if there is one; s refuses with a wait in ms that equals its size",
@@ -143,7 +143,7 @@
 
 // testVerdicts checks the verdicts of OnRequest.
 func testVerdicts(t *testing.T, s suite) {
-	h := s.load(t, "judge")
+	h := s.load(t, "verdicts")
 	if !h.Points().Has(plugin.OnRequest) || h.Points().Has(plugin.Answered) {
 		t.Errorf("points %b", h.Points())
 	}
@@ -333,7 +333,7 @@
 
 // testMalformedFiles checks that malformed files do not load.
 func testMalformedFiles(t *testing.T, s suite) {
-	whole := s.hooks["judge"]
+	whole := s.hooks["verdicts"]
 	for _, code := range [][]byte{nil, []byte("x"), []byte("\x00asm"), []byte("def def"), whole[:len(whole)/2], whole[:len(whole)-1],
 		make([]byte, plugin.MaxCode+1), []byte(strings.Repeat("(", 200_000))} {
 		h, err := s.engine.Load("malformed", code, budget)
--- a/internal/plugin/script/script_test.go
+++ b/internal/plugin/script/script_test.go
@@ -10,7 +10,7 @@
 const v1 = "version = 1\n"
 
 var hooks = map[string][]byte{
-	"judge": []byte(v1 + `
+	"verdicts": []byte(v1 + `
 def on_request(r):
     if r.key.startswith("R"):
         return refuse(250)
@@ -111,7 +111,7 @@
 }
 
 func FuzzScriptLoad(f *testing.F) {
-	for _, name := range []string{"judge", "echo", "count", "notifications"} {
+	for _, name := range []string{"verdicts", "echo", "count", "notifications"} {
 		f.Add(hooks[name])
 	}
 	b := plugin.DefaultBudget
--- a/internal/plugin/wasm/wasm_test.go
+++ b/internal/plugin/wasm/wasm_test.go
@@ -124,7 +124,7 @@
 	}
 	const counter = 512
 	return map[string][]byte{
-		"judge": on("on_request", 0,
+		"verdicts": on("on_request", 0,
 			ifKeyBegins('R', I32Const(250), Call(hostWait), returnNumber(1)),
 			ifKeyBegins('F', callWithText(hostText, atNoSuchCall, 12), returnNumber(2)),
 			ifKeyBegins('T', callWithText(hostTag, atClub, 4), callWithText(hostTag, atClub, 4), callWithText(hostTenant, atGuests, 6)),
@@ -232,7 +232,7 @@
 }
 
 func FuzzModuleLoad(f *testing.F) {
-	for _, name := range []string{"judge", "echo", "count", "notifications", "no point"} {
+	for _, name := range []string{"verdicts", "echo", "count", "notifications", "no point"} {
 		f.Add(hooks()[name])
 	}
 	b := plugin.DefaultBudget
