--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs routers on the simulator's protocol: batches of messages on standard input, one reply a line on
-// standard output. It exits with 1 at a malformed line, which it names on standard error.
+// Command simhost runs routers for the simulator. It reads batches of messages from standard input and writes one reply per line
+// to standard output. At a malformed line it prints an error that names the line and exits with code 1.
 package main
 
 import (
--- a/cmd/starlingwinch/check.go
+++ b/cmd/starlingwinch/check.go
@@ -13,16 +13,16 @@
 	"starlingwinch/internal/settings"
 )
 
-// checkCommand returns the command "check", which checks files.
+// checkCommand returns the command "check", which validates configuration files.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Name all that is wrong with files, and change and start nothing",
-		Long: "Checks files of the platform (JSON) and of operators (TOML), and names all that is wrong with them on\n" +
-			"standard error, a line each. Ends with 0 where nothing is wrong, else with 1.",
+		Short: "Validate configuration files without starting a router",
+		Long: "Validates the platform's file (JSON) and operators' files (TOML), and prints each fault as one line on\n" +
+			"standard error. Exits 0 if there is no fault, otherwise 1.",
 		Args: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{cmd.CommandPath() + ": a FILE is wanted; see " + cmd.CommandPath() + " --help"}
+				return usageError{cmd.CommandPath() + ": a FILE is required; see " + cmd.CommandPath() + " --help"}
 			}
 			return nil
 		},
@@ -31,19 +31,19 @@
 			defer stdout.flush(commandFlushTimeout)
 			var faults configerror.List
 			for _, path := range args {
-				what, err := check(path)
+				description, err := check(path)
 				if err != nil {
 					addFault(&faults, err)
 					continue
 				}
-				fmt.Fprintf(stdout, "%s: good (%s)\n", configerror.Plain(path), what)
+				fmt.Fprintf(stdout, "%s: good (%s)\n", configerror.Plain(path), description)
 			}
 			return faults.Err()
 		},
 	}
 }
 
-// check checks one file, and returns what kind of file it is.
+// check validates one file, and returns a description of its kind.
 func check(path string) (string, error) {
 	raw, err := operatorconfig.Read(path, maxConfigBytes)
 	if err != nil {
@@ -58,7 +58,8 @@
 	return "platform's file", faults.Err()
 }
 
-// isPlatform reports whether a file is the platform's, by its name or else by how it begins. Others are operators' files.
+// isPlatform reports whether a file is the platform's, by its extension, or by its first character if it has another extension.
+// All other files are operators' files.
 func isPlatform(path string, raw []byte) bool {
 	switch filepath.Ext(path) {
 	case ".json":
--- a/cmd/starlingwinch/commands_test.go
+++ b/cmd/starlingwinch/commands_test.go
@@ -21,7 +21,7 @@
 	"starlingwinch/internal/gossip"
 )
 
-// binary is the program, built once.
+// binary builds the program once and returns its path.
 var binary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "starlingwinch")
 	if err != nil {
@@ -43,14 +43,14 @@
 	os.Exit(code)
 }
 
-// command prepares a run of the program without the variable that names the platform's file.
+// command returns a command that runs the program, without BALANCER_CONFIG in its environment.
 func command(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
 	bin, err := binary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(stop)
 	cmd := exec.CommandContext(ctx, bin, args...)
 	for _, v := range os.Environ() {
@@ -61,7 +61,7 @@
 	return cmd
 }
 
-// outcome runs the program to its end, and returns its exit code and output.
+// outcome runs the program until it exits, and returns its exit code and output.
 func outcome(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	cmd := command(t, args...)
@@ -90,13 +90,13 @@
 		{"rn --config x", `starlingwinch: unknown flag "--config" (did you mean "run --config"?); see starlingwinch --help`},
 		{"run --confg x", `starlingwinch run: unknown flag "--confg" (did you mean "--config"?); see starlingwinch run --help`},
 		{"run --operator", `starlingwinch run: flag needs an argument: --operator; see starlingwinch run --help`},
-		{"run --config=", `starlingwinch run: --config: a FILE is wanted; see starlingwinch run --help`},
-		{"run config.json", `starlingwinch run: unknown word "config.json" (it takes none)`},
+		{"run --config=", `starlingwinch run: --config: a FILE is required; see starlingwinch run --help`},
+		{"run config.json", `starlingwinch run: unexpected argument "config.json" (the command takes none)`},
 		{"--config x", `starlingwinch: unknown flag "--config" (did you mean "run --config"?); see starlingwinch --help`},
 		{"-q", `starlingwinch: unknown flag "-q"; see starlingwinch --help`},
-		{"check", `starlingwinch check: a FILE is wanted; see starlingwinch check --help`},
+		{"check", `starlingwinch check: a FILE is required; see starlingwinch check --help`},
 		{"help rnu", `starlingwinch: unknown command "rnu" (did you mean "run"?); see starlingwinch help`},
-		{"version now", `starlingwinch version: unknown word "now" (it takes none)`},
+		{"version now", `starlingwinch version: unexpected argument "now" (the command takes none)`},
 	} {
 		code, stdout, stderr := outcome(t, strings.Fields(c.args)...)
 		if code != exitUsage || stdout != "" || stderr != c.want+"\n" {
@@ -127,21 +127,21 @@
 }
 
 func TestCheckDetectsFileKindsAndNamesAllFaults(t *testing.T) {
-	sound := fmt.Sprintf(config, "127.0.0.1:6379")
-	good, bare := file(t, "config.json", sound), file(t, "config", sound)
-	code, stdout, stderr := outcome(t, "check", good, bare, "../../deploy/limits.toml")
-	want := good + ": good (platform's file)\n" + bare + ": good (platform's file)\n" +
+	valid := fmt.Sprintf(config, "127.0.0.1:6379")
+	good, noExtension := file(t, "config.json", valid), file(t, "config", valid)
+	code, stdout, stderr := outcome(t, "check", good, noExtension, "../../deploy/limits.toml")
+	want := good + ": good (platform's file)\n" + noExtension + ": good (platform's file)\n" +
 		"../../deploy/limits.toml: good (operators' file, kind limits)\n"
 	if code != 0 || stdout != want || stderr != "" {
 		t.Errorf("exit code %d\n%s%s", code, stdout, stderr)
 	}
-	bad := file(t, "bad.json", strings.NewReplacer(`"aim":500000`, `"aim":500`, `"rules"`, `"rule"`).Replace(sound))
-	slip := file(t, "slip", "kind = \"limits\"\n[clients]\nidle_tim = \"3s\"\n")
-	code, stdout, stderr = outcome(t, "check", bad, good, slip, "none.toml", "-")
+	bad := file(t, "bad.json", strings.NewReplacer(`"aim":500000`, `"aim":500`, `"rules"`, `"rule"`).Replace(valid))
+	typo := file(t, "typo", "kind = \"limits\"\n[clients]\nidle_tim = \"3s\"\n")
+	code, stdout, stderr = outcome(t, "check", bad, good, typo, "none.toml", "-")
 	want = bad + ": settings.categories[0].aim: looks like milliseconds; microseconds are wanted " +
 		"(500, wanted at least 5000 µs)\n" +
 		bad + ": settings.rule: unknown field (did you mean \"rules\"?)\n" +
-		slip + ":3:1: clients.idle_tim: unknown key (did you mean \"idle_time\"?)\n" +
+		typo + ":3:1: clients.idle_tim: unknown key (did you mean \"idle_time\"?)\n" +
 		"starlingwinch: stat none.toml: no such file or directory\n" +
 		"starlingwinch: stat -: no such file or directory\n"
 	if code != exitFailure || stdout != good+": good (platform's file)\n" || stderr != want {
@@ -177,12 +177,12 @@
 
 func TestStartLogsAllFaultsTogether(t *testing.T) {
 	path := file(t, "config.json", fmt.Sprintf(config, "nowhere"))
-	slip := file(t, "slip.toml", "kind = \"limits\"\n[clients]\npipelined = 0\n")
+	typo := file(t, "typo.toml", "kind = \"limits\"\n[clients]\npipelined = 0\n")
 	twice := file(t, "twice.toml", "kind = \"limits\"\n")
-	code, _, stderr := outcome(t, "run", "--config", path, "--operator", slip, "--operator", twice, "--operator", twice)
+	code, _, stderr := outcome(t, "run", "--config", path, "--operator", typo, "--operator", twice, "--operator", twice)
 	want := path + `: listen: not an address ("nowhere", wanted IP:PORT)` + "\n" +
-		slip + ":3:1: clients.pipelined: out of range (0, wanted 1 to 4096)\n" +
-		twice + ": kind: limits is also the kind of " + twice + "; one file of a kind is wanted\n"
+		typo + ":3:1: clients.pipelined: out of range (0, wanted 1 to 4096)\n" +
+		twice + ": kind: limits is also the kind of " + twice + "; one file of a kind is allowed\n"
 	if got := unstamped(t, stderr); code != exitFailure || got != want {
 		t.Errorf("exit code %d\n%s\nwant\n%s", code, got, want)
 	}
@@ -190,14 +190,14 @@
 
 var stamp = regexp.MustCompile(`^\d{4}/\d\d/\d\d \d\d:\d\d:\d\d \[\d+\] `)
 
-// unstamped removes the time and the process from the lines of a log; each line must have them.
+// unstamped removes the time and the process ID from each line of a log, and checks that each line has them.
 func unstamped(t *testing.T, log string) string {
 	t.Helper()
 	var text strings.Builder
 	for line := range strings.Lines(log) {
 		found := stamp.FindString(line)
 		if found == "" {
-			t.Errorf("a line without time and process: %q", line)
+			t.Errorf("a line without time and process ID: %q", line)
 		}
 		text.WriteString(line[len(found):])
 	}
@@ -205,8 +205,8 @@
 }
 
 func TestUnknownPlatformFieldIsWarning(t *testing.T) {
-	sound := fmt.Sprintf(config, "127.0.0.1:0")
-	path := file(t, "config.json", strings.Replace(sound, `"instances"`, `"newKey":1,"instances"`, 1))
+	valid := fmt.Sprintf(config, "127.0.0.1:0")
+	path := file(t, "config.json", strings.Replace(valid, `"instances"`, `"newKey":1,"instances"`, 1))
 	cmd := command(t, "run", "--config", path)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -222,7 +222,7 @@
 	s.end(t)
 }
 
-// TestUnreadStderrDoesNotBlockExit runs the program with a full pipe as its standard error.
+// TestUnreadStderrDoesNotBlockExit checks that the program exits when its standard error is a full pipe that nothing reads.
 func TestUnreadStderrDoesNotBlockExit(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -230,7 +230,7 @@
 	}
 	defer r.Close()
 	defer w.Close()
-	fill(t, w)
+	fillPipe(t, w)
 	cmd := command(t, "run", "--config", "none.json")
 	cmd.Stderr = w
 	var exit *exec.ExitError
@@ -239,8 +239,8 @@
 	}
 }
 
-// fill writes to a pipe until it is full.
-func fill(t *testing.T, w *os.File) {
+// fillPipe writes to a pipe until it is full.
+func fillPipe(t *testing.T, w *os.File) {
 	t.Helper()
 	raw, err := w.SyscallConn()
 	if err != nil {
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestNonBlockingWriterDropsOverflow writes more than the queue holds while nobody reads: the first writes arrive in
-// order, the others are dropped.
+// TestNonBlockingWriterDropsOverflow writes more than the queue holds while there is no reader. The first writes must arrive in
+// order; the others are dropped.
 func TestNonBlockingWriterDropsOverflow(t *testing.T) {
 	r, w := io.Pipe()
 	o := newNonBlockingWriter(w)
@@ -267,7 +267,7 @@
 		fmt.Fprintln(o, i)
 	}
 	go func() {
-		o.flush(patience)
+		o.flush(testTimeout)
 		w.Close()
 	}()
 	text, err := io.ReadAll(r)
@@ -276,7 +276,7 @@
 	}
 	lines := strings.Fields(string(text))
 	if len(lines) < maxQueuedWrites || len(lines) > maxQueuedWrites+1 || lines[0] != "0" || lines[5] != "5" {
-		t.Errorf("%d lines were kept, the first %q", len(lines), lines[:min(6, len(lines))])
+		t.Errorf("got %d lines, the first %q", len(lines), lines[:min(6, len(lines))])
 	}
 }
 
@@ -295,7 +295,7 @@
 	}{
 		{[]string{"storm", "explain", calm}, 1, "no line of the log tells of a storm"},
 		{[]string{"storm", "explain", "none.log"}, 1, "none.log"},
-		{[]string{"storm", "explain"}, 2, "one LOGFILE is wanted"},
+		{[]string{"storm", "explain"}, 2, "one LOGFILE is required"},
 		{[]string{"storm", "explian"}, 2, "did you mean"},
 	} {
 		if code, _, stderr := outcome(t, c.args...); code != c.code || !strings.Contains(stderr, c.want) {
@@ -305,17 +305,17 @@
 }
 
 func TestFleetViewNamesFault(t *testing.T) {
-	nobody := file(t, "config.json", `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"categories":`+
+	noPeers := file(t, "config.json", `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"categories":`+
 		`[{"name":"read","effect":"read_like","aim":500000,"hardLimit":1000000,"worth":1}]}}`)
 	for _, c := range []struct {
 		args []string
 		code int
 		want string
 	}{
-		{[]string{"fleet", "view"}, 2, "one ADDR or --config FILE is wanted"},
-		{[]string{"fleet", "view", "here"}, 2, `"here" is no address`},
-		{[]string{"fleet", "view", "127.0.0.1:1", "--config", nobody}, 2, "one ADDR or --config FILE is wanted"},
-		{[]string{"fleet", "view", "--config", nobody}, 1, "peer_listen: not there"},
+		{[]string{"fleet", "view"}, 2, "one ADDR or --config FILE is required"},
+		{[]string{"fleet", "view", "here"}, 2, `"here" is not an address`},
+		{[]string{"fleet", "view", "127.0.0.1:1", "--config", noPeers}, 2, "one ADDR or --config FILE is required"},
+		{[]string{"fleet", "view", "--config", noPeers}, 1, "peer_listen: missing"},
 		{[]string{"fleet", "view", "127.0.0.1:1"}, 1, "no answer from 127.0.0.1:1"},
 		{[]string{"fleet", "veiw"}, 2, "did you mean"},
 	} {
--- a/cmd/starlingwinch/compatibility_test.go
+++ b/cmd/starlingwinch/compatibility_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// TestKeysAreThoseOfEarlierRelease holds the keys, units, defaults, ranges and texts of all operators' files as release ea855d0
-// lists them: kind, path, unit, default, range, doc.
-func TestKeysAreThoseOfEarlierRelease(t *testing.T) {
+// TestKeysMatchEarlierRelease checks that the keys, units, defaults, ranges and texts of all operators' files are the same as in
+// release ea855d0. Each line of the list has kind, path, unit, default, range and doc.
+func TestKeysMatchEarlierRelease(t *testing.T) {
 	text, err := os.ReadFile("testdata/ea855d0.keys")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, listed, _ := strings.Cut(string(text), "\n") // without the comment at its head
+	_, listed, _ := strings.Cut(string(text), "\n") // without the comment in the first line
 	want := strings.Split(strings.TrimSuffix(listed, "\n"), "\n")
 	var got []string
 	for _, kind := range kinds {
--- a/cmd/starlingwinch/daemon.go
+++ b/cmd/starlingwinch/daemon.go
@@ -14,74 +14,74 @@
 	"starlingwinch/internal/router"
 )
 
-// Bounds of the wait for files that are being replaced, in microseconds.
+// Interval and limit of the retries while files are missing or incomplete, in microseconds.
 const (
 	filesRetryInterval = 50_000
 	maxFilesWait       = 2_000_000
 )
 
-// errLogged stands for an error that is in the log already: nothing more is printed.
+// errLogged stands for an error that was logged. Its text is empty, so main prints nothing more.
 var errLogged = errors.New("")
 
-// unfinishedError wraps an error about files that may exist, or be complete, in a moment.
+// unfinishedError wraps an error about files that are missing or incomplete and may be complete in a moment.
 type unfinishedError struct{ error }
 
 // Unwrap returns the wrapped error.
 func (e unfinishedError) Unwrap() error { return e.error }
 
-// isUnfinished reports whether a file is missing or ends too early, as it does for a moment while it is being replaced.
+// isUnfinished reports whether the error says that a file is missing or truncated, which happens briefly while it is replaced.
 func isUnfinished(err error) bool {
 	return errors.Is(err, fs.ErrNotExist) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// checkJSONComplete returns io.ErrUnexpectedEOF where a JSON text ends too early.
+// checkJSONComplete returns io.ErrUnexpectedEOF if a JSON text is empty or truncated.
 func checkJSONComplete(raw []byte) error {
 	d := json.NewDecoder(strings.NewReader(string(raw)))
 	var value json.RawMessage
 	err := d.Decode(&value)
 	if errors.Is(err, io.EOF) {
-		return io.ErrUnexpectedEOF // there is nothing at all
+		return io.ErrUnexpectedEOF // the text is empty
 	}
 	return err
 }
 
-// daemonState is a phase in the life of the process. The states follow one another in this order; the router's own states
-// (see package router) lie within daemonRunning.
+// daemonState is a state of the process. The states follow in this order; the states of the router (see package router) are all
+// within daemonRunning.
 type daemonState uint8
 
 const (
-	// daemonReadingFiles holds from the start until the files were read for the first time.
+	// daemonReadingFiles lasts from the start until the files have been read for the first time.
 	daemonReadingFiles daemonState = iota
-	// daemonWaitingForFiles holds while a file is missing or incomplete, as it is for a moment while it is being replaced.
-	// The files are read again until filesDeadline.
+	// daemonWaitingForFiles lasts while a file is missing or incomplete, which happens briefly while it is replaced. The
+	// files are read again until filesDeadline.
 	daemonWaitingForFiles
-	// daemonRunning holds while there is a router.
+	// daemonRunning lasts while there is a router.
 	daemonRunning
-	// daemonFailed holds once the process ends for an error.
+	// daemonFailed is the state after an error, which ends the process.
 	daemonFailed
 )
 
-// daemon is the process on the machine's loop: it reads the files, starts the router, and passes signals on to it.
+// daemon runs on the machine's event loop. It reads the files, starts the router and forwards signals to it.
 type daemon struct {
 	m      *machine.Real
 	logger *slog.Logger
 	inputs inputs
 	state  daemonState
-	err    error // why the process ends, once it has failed
+	err    error // the error that ends the process; set in daemonFailed
 
-	filesDeadline machine.Time // until then, files that are missing or incomplete are read again
+	filesDeadline machine.Time // missing or incomplete files are read again until this time
 	cfg           *router.Config
 	warnings      []string
 }
 
-// begin begins to read the files, once, as the first thing on the loop.
+// begin starts to read the files. It is the first call on the event loop and runs once.
 func (d *daemon) begin(s inputs) {
 	d.inputs = s
 	d.filesDeadline = d.m.Now() + maxFilesWait
 	d.readFiles()
 }
 
-// readFiles reads the files beside the loop, and goes on to the start, to another reading or to the end.
+// readFiles reads the files outside the event loop. Then it starts the router, waits to read them again, or fails.
 func (d *daemon) readFiles() {
 	var err error
 	d.m.Work(func() { d.cfg, d.warnings, err = d.inputs.load() }, func() {
@@ -96,9 +96,9 @@
 	})
 }
 
-// waitForFiles is the transition to daemonWaitingForFiles. It happens when a file is missing or incomplete, and again at each
-// reading that finds it so; the next reading follows after filesRetryInterval. Until then SIGTERM ends the process, and SIGHUP
-// changes nothing, as it asks for another reading.
+// waitForFiles is the transition to daemonWaitingForFiles. The daemon calls it each time a file is found missing or incomplete;
+// the files are read again after filesRetryInterval. During the wait SIGTERM ends the process, and SIGHUP is ignored, since the files
+// are read again anyway.
 func (d *daemon) waitForFiles(cause error) {
 	if d.state != daemonWaitingForFiles {
 		d.state = daemonWaitingForFiles
@@ -112,12 +112,12 @@
 	d.m.At(d.m.Now()+filesRetryInterval, d.readFiles)
 }
 
-// start is the transition to daemonRunning, once the files are read: it starts the router, and has signals reach it. An
-// error of the router's start ends the process.
+// start is the transition to daemonRunning, after the files have been read. It starts the router and forwards signals to it. If
+// the router does not start, the process ends.
 func (d *daemon) start() {
 	d.cfg.Limits.Apply()
 	r, err := router.Start(d.m, d.cfg)
-	if err != nil { // what was only a warning may explain the error in the file's own terms
+	if err != nil { // a warning may name the setting that causes the error
 		d.fail(errors.New(strings.Join(append(d.warnings, "starlingwinch: "+err.Error()), "\n")))
 		return
 	}
@@ -134,8 +134,8 @@
 	})
 }
 
-// fail is the transition to daemonFailed, from any state. It logs the error, a line each, and ends the process. The lines go
-// through the machine's log as they are: on a way of their own they could overtake lines that were logged before.
+// fail is the transition to daemonFailed, from any state. It logs each line of the error and ends the process. The lines go
+// through the machine's log, because lines that are written directly could overtake lines that were logged earlier.
 func (d *daemon) fail(err error) {
 	d.state = daemonFailed
 	for line := range strings.SplitSeq(err.Error(), "\n") {
--- a/cmd/starlingwinch/documents_test.go
+++ b/cmd/starlingwinch/documents_test.go
@@ -10,10 +10,11 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-var row = regexp.MustCompile("(?m)^\\| `([a-z_.\\[\\]]+)` \\| ([^|]*) \\| `([^|]*)` \\| ([^|]*) \\| ([^|]*) \\|$")
+// keyRow matches the row of a key in the table of a page.
+var keyRow = regexp.MustCompile("(?m)^\\| `([a-z_.\\[\\]]+)` \\| ([^|]*) \\| `([^|]*)` \\| ([^|]*) \\| ([^|]*) \\|$")
 
-// TestOperatorKeysMatchDocuments compares the documents of the kinds with their keys, units, defaults and ranges, in
-// both directions.
+// TestOperatorKeysMatchDocuments checks that the pages of the kinds list exactly their keys, with the same units, defaults and
+// ranges.
 func TestOperatorKeysMatchDocuments(t *testing.T) {
 	for _, kind := range kinds {
 		page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operators", kind.Name+".md"))
@@ -21,28 +22,28 @@
 			t.Errorf("kind %s has no page: %v", kind.Name, err)
 			continue
 		}
-		told := map[string][]string{}
-		for _, m := range row.FindAllStringSubmatch(string(page), -1) {
-			if told[m[1]] != nil {
-				t.Errorf("%s.md tells of %s twice", kind.Name, m[1])
+		documented := map[string][]string{}
+		for _, m := range keyRow.FindAllStringSubmatch(string(page), -1) {
+			if documented[m[1]] != nil {
+				t.Errorf("%s.md lists %s twice", kind.Name, m[1])
 			}
-			told[m[1]] = m[2:5]
+			documented[m[1]] = m[2:5]
 		}
 		for _, key := range kind.Keys() {
 			want := []string{key.Unit, key.Default, key.Range()}
-			if got := told[key.Path]; strings.Join(got, "|") != strings.Join(want, "|") {
-				t.Errorf("%s.md tells %q of %s, want %q", kind.Name, got, key.Path, want)
+			if got := documented[key.Path]; strings.Join(got, "|") != strings.Join(want, "|") {
+				t.Errorf("%s.md: %s: got %q, want %q", kind.Name, key.Path, got, want)
 			}
-			delete(told, key.Path)
+			delete(documented, key.Path)
 		}
-		for path := range told {
-			t.Errorf("%s.md tells of %s, which nothing reads", kind.Name, path)
+		for path := range documented {
+			t.Errorf("%s.md lists %s, which is not a key", kind.Name, path)
 		}
 	}
 }
 
-// TestShippedFilesHoldDefaults holds each key of the shipped files at its default, with a comment, and finds no fault
-// in them.
+// TestShippedFilesHoldDefaults checks that the files in deploy/ are valid and hold each key with its default value and a comment
+// above it.
 func TestShippedFilesHoldDefaults(t *testing.T) {
 	for _, kind := range kinds {
 		path := filepath.Join("..", "..", "deploy", kind.Name+".toml")
@@ -54,10 +55,10 @@
 		if file, err := kinds.Parse(path, raw); err != nil || file.Kind != kind.Name {
 			t.Errorf("%s: kind %q, %v", path, file.Kind, err)
 		}
-		stand := map[string]string{}
+		values := map[string]string{}
 		table, before := "", ""
 		for _, line := range strings.Split(string(raw), "\n") {
-			line = strings.TrimPrefix(line, "#: ") // an entry of a list, of which there is none by default
+			line = strings.TrimPrefix(line, "#: ") // an entry of a list, which is empty by default
 			name, value, isKey := strings.Cut(line, " = ")
 			switch {
 			case strings.HasPrefix(line, "[["):
@@ -65,7 +66,7 @@
 			case strings.HasPrefix(line, "["):
 				table = strings.Trim(line, "[]") + "."
 			case isKey && !strings.HasPrefix(line, "#") && name != "kind":
-				stand[table+name] = value
+				values[table+name] = value
 				if !strings.HasPrefix(before, "#") {
 					t.Errorf("%s: %s has no comment", path, name)
 				}
@@ -73,18 +74,18 @@
 			before = line
 		}
 		for _, key := range kind.Keys() {
-			if got := stand[key.Path]; got != key.Default {
-				t.Errorf("%s: %s stands at %q, its default is %q", path, key.Path, got, key.Default)
+			if got := values[key.Path]; got != key.Default {
+				t.Errorf("%s: %s: got %q, want the default %q", path, key.Path, got, key.Default)
 			}
-			delete(stand, key.Path)
+			delete(values, key.Path)
 		}
-		for key := range stand {
-			t.Errorf("%s: %s is not read", path, key)
+		for key := range values {
+			t.Errorf("%s: %s is not a key", path, key)
 		}
 	}
 }
 
-// TestOperatorKindsListed finds each kind on the page of all kinds.
+// TestOperatorKindsListed checks that configuration.md lists each kind.
 func TestOperatorKindsListed(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operators", "configuration.md"))
 	if err != nil {
--- a/cmd/starlingwinch/files_test.go
+++ b/cmd/starlingwinch/files_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// TestStartWaitsForReplacedFiles starts while the platform's file, or an operators' one, is missing or incomplete, and
-// completes it a moment later.
+// TestStartWaitsForReplacedFiles starts the program while the platform's file or an operators' file is missing or incomplete. The
+// program must wait, and serve after the file is complete.
 func TestStartWaitsForReplacedFiles(t *testing.T) {
-	whole := fmt.Sprintf(config, "127.0.0.1:0")
-	for name, first := range map[string]string{"Missing": "", "Empty": "x", "Half": whole[:len(whole)/2]} {
+	complete := fmt.Sprintf(config, "127.0.0.1:0")
+	for name, first := range map[string]string{"Missing": "", "Empty": "x", "Half": complete[:len(complete)/2]} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -22,7 +22,7 @@
 			}
 			s := startLogged(t, command(t, "run", "--config", path))
 			s.wait(t, "reason=waiting-for-files")
-			write(t, path+".next", whole)
+			write(t, path+".next", complete)
 			if err := os.Rename(path+".next", path); err != nil {
 				t.Fatal(err)
 			}
@@ -33,7 +33,7 @@
 	t.Run("OperatorsFile", func(t *testing.T) {
 		t.Parallel()
 		path := filepath.Join(t.TempDir(), "limits.toml")
-		s := startLogged(t, command(t, "run", "--config", file(t, "config.json", whole), "--operator", path))
+		s := startLogged(t, command(t, "run", "--config", file(t, "config.json", complete), "--operator", path))
 		s.wait(t, "reason=waiting-for-files")
 		write(t, path, "kind = \"limits\"\n")
 		s.waitServing(t)
--- a/cmd/starlingwinch/fleet.go
+++ b/cmd/starlingwinch/fleet.go
@@ -17,10 +17,10 @@
 	"starlingwinch/internal/gossip"
 )
 
-// Bounds of a query for a view.
+// Timeout, number of tries and interval of the queries for a view.
 const (
-	viewPageTimeout = 300 * time.Millisecond // for one page of the view
-	maxViewTries    = 5                      // of each page
+	viewPageTimeout = 300 * time.Millisecond // for the answer with one page of the view
+	maxViewTries    = 5                      // queries of each page
 	viewInterval    = time.Second
 )
 
@@ -28,7 +28,7 @@
 func fleetCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "fleet",
-		Short: "Tell of the routers of a tier",
+		Short: "Show the routers of a fleet",
 		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
@@ -36,13 +36,13 @@
 	var asJSON, watch bool
 	view := &cobra.Command{
 		Use:   "view ADDR|--config FILE [--json] [--watch]",
-		Short: "Ask a running router which routers there are, and whether all see the same",
-		Long: "Asks by datagrams, as an observer that never becomes a member, and prints each router that it knows. Exits 1 where\n" +
-			"no whole answer came: the router is not there, or keeps no view.",
+		Short: "Print the fleet's routers as one router sees them, and whether all routers agree",
+		Long: "Queries a running router by datagrams, without becoming a member, and prints each router that it knows. Exits 1 if\n" +
+			"there is no complete answer: the router is not running, or it has no view.",
 		Args: func(cmd *cobra.Command, args []string) error {
 			hasAddress, hasConfig := len(args) == 1, s.config != ""
 			if len(args) > 1 || hasAddress == hasConfig {
-				return usageError{cmd.CommandPath() + ": one ADDR or --config FILE is wanted; see " + cmd.CommandPath() + " --help"}
+				return usageError{cmd.CommandPath() + ": one ADDR or --config FILE is required; see " + cmd.CommandPath() + " --help"}
 			}
 			return nil
 		},
@@ -65,18 +65,18 @@
 			return watchView(cmd.OutOrStdout(), cmd.ErrOrStderr(), addr, show)
 		},
 	}
-	view.Flags().StringVar(&s.config, "config", "", "the platform's `FILE` of the router that is asked, for its peer_listen")
-	view.Flags().BoolVar(&asJSON, "json", false, "one line of JSON for each view")
-	view.Flags().BoolVar(&watch, "watch", false, "ask again each second until interrupted")
+	view.Flags().StringVar(&s.config, "config", "", "the platform's `FILE` of the router; its peer_listen is queried")
+	view.Flags().BoolVar(&asJSON, "json", false, "print each view as one line of JSON")
+	view.Flags().BoolVar(&watch, "watch", false, "query the router each second until interrupted")
 	cmd.AddCommand(view)
 	return cmd
 }
 
-// viewAddress returns the gossip address to query: the argument, or that of the configuration.
+// viewAddress returns the gossip address to query: the argument, or peer_listen of the configuration.
 func (s inputs) viewAddress(args []string) (string, error) {
 	if len(args) == 1 {
 		if _, err := netip.ParseAddrPort(args[0]); err != nil {
-			return "", usageError{fmt.Sprintf("starlingwinch fleet view: %q is no address (wanted IP:PORT)", args[0])}
+			return "", usageError{fmt.Sprintf("starlingwinch fleet view: %q is not an address (wanted IP:PORT)", args[0])}
 		}
 		return args[0], nil
 	}
@@ -85,22 +85,22 @@
 		return "", err
 	}
 	if cfg.PeerListen == "" {
-		return "", fmt.Errorf("%s: peer_listen: not there: no router can be asked by this file", s.config)
+		return "", fmt.Errorf("%s: peer_listen: missing: a router with this file can't be queried", s.config)
 	}
 	return cfg.PeerListen, nil
 }
 
-// view is a router's whole view of the cluster.
+// view is a router's complete view of the cluster.
 type view struct {
 	Router  string
 	Settled bool            // all routers have the same view
-	For     gossip.Time     // for how long it has been settled, or not settled
+	For     gossip.Time     // duration since Settled last changed
 	Digest  uint64          // of the view
-	Members []gossip.Member // Since is an age
+	Members []gossip.Member // with the age of the state in Since
 }
 
-// queryView queries a router for all pages of its view. A page is queried again where no answer comes, as datagrams get
-// lost. A view that changes meanwhile is read again from its beginning.
+// queryView queries a router for all pages of its view. It queries a page again if there is no answer, because datagrams may be
+// lost, and starts again at the first page if the view changes between two pages.
 func queryView(addr string) (*view, error) {
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
@@ -129,13 +129,13 @@
 			return v, nil
 		}
 		if len(page.Members) == 0 {
-			return nil, fmt.Errorf("fleet view: %s tells %d routers of %d", addr, len(v.Members), page.Of)
+			return nil, fmt.Errorf("fleet view: %s sent %d of %d routers", addr, len(v.Members), page.Of)
 		}
 	}
 	return nil, fmt.Errorf("fleet view: the view of %s changes faster than it can be read", addr)
 }
 
-// queryPage queries one page and waits for it.
+// queryPage queries the page that begins at index first, and waits up to viewPageTimeout for the answer with this nonce.
 func queryPage(conn net.Conn, first int, nonce uint32) (*gossip.Page, error) {
 	if _, err := conn.Write(gossip.EncodeQuery(first, nonce)); err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 	}
 }
 
-// watchView prints a view each viewInterval until it is interrupted. The error is that of the last query.
+// watchView prints a view each viewInterval until it is interrupted. It returns the error of the last query.
 func watchView(out, errs io.Writer, addr string, show func(io.Writer, *view) error) error {
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt)
@@ -175,7 +175,7 @@
 	}
 }
 
-// summary returns the view in one line.
+// summary returns the state of the view and the number of its routers as one line.
 func (v *view) summary() string {
 	state := "not settled"
 	if v.Settled {
@@ -184,7 +184,7 @@
 	return fmt.Sprintf("%s: %s for %.1fs, digest %016x, %d routers", v.Router, state, float64(v.For)/1e6, v.Digest, len(v.Members))
 }
 
-// printView prints a view as a table.
+// printView prints a view as a summary and a table of its routers.
 func printView(out io.Writer, v *view) error {
 	var text strings.Builder
 	fmt.Fprintln(&text, v.summary())
@@ -201,7 +201,7 @@
 	return err
 }
 
-// memberDocument is a router in the output of --json.
+// memberDocument is the JSON form of a router in the output of --json.
 type memberDocument struct {
 	Router      string  `json:"router"`
 	State       string  `json:"state"`
--- a/cmd/starlingwinch/handover_test.go
+++ b/cmd/starlingwinch/handover_test.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// addresses counts the addresses that the tests of hand-overs use.
+// addresses counts the addresses that ownAddress has returned.
 var addresses atomic.Uint32
 
-// ownAddress returns an address that no other test and no outgoing connection uses: a loopback address of this process's own,
-// and a port below those that the system assigns.
+// ownAddress returns an address that no other test and no outgoing connection uses: the loopback address depends on the process
+// ID, and the port is below the range of ports that the system assigns.
 func ownAddress() string {
 	id := uint32(os.Getpid())
 	return net.JoinHostPort(fmt.Sprintf("127.%d.%d.%d", 1+id>>8%200, id%256, 1+addresses.Add(1)%250), "6379")
 }
 
-// handOver is a router process whose successors use the same name, address and files.
+// handOver is a router process with successors that use the same name, address and files.
 type handOver struct {
 	t    *testing.T
 	addr string
@@ -32,7 +32,7 @@
 	old  *started
 }
 
-// newHandOver starts the first process. files are the texts of operators' files; %s in them is a folder of the test's own.
+// newHandOver starts the first process. files are the texts of operators' files; %s in them stands for a new temporary folder.
 func newHandOver(t *testing.T, files ...string) *handOver {
 	t.Helper()
 	h := &handOver{t: t, addr: ownAddress()}
@@ -53,7 +53,7 @@
 	return h
 }
 
-// start starts a successor.
+// start starts a process with the same arguments as the first one.
 func (h *handOver) start() *started {
 	h.t.Helper()
 	return startLogged(h.t, command(h.t, h.args...))
@@ -68,29 +68,29 @@
 	}
 }
 
-// waits waits until a process logs that it waits for its address.
-func (h *handOver) waits(s *started) {
+// awaitWaiting waits until a process logs that it waits for its address.
+func (h *handOver) awaitWaiting(s *started) {
 	h.t.Helper()
 	s.wait(h.t, "reason=waiting-for-address")
 }
 
-// serves waits until a process serves, and sends it a PING.
-func (h *handOver) serves(s *started) {
+// awaitServing waits until a process serves at the address, and checks that it answers a PING.
+func (h *handOver) awaitServing(s *started) {
 	h.t.Helper()
 	if s.waitServing(h.t) != h.addr {
-		h.t.Errorf("it serves elsewhere than at %s", h.addr)
+		h.t.Errorf("the process does not serve at %s", h.addr)
 	}
 	answer := ask(h.t, h.addr, "PING")
-	for limit := time.Now().Add(patience); strings.HasPrefix(answer, "-LOADING") && time.Now().Before(limit); {
-		answer = ask(h.t, h.addr, "PING") // discovery has not failed yet
+	for limit := time.Now().Add(testTimeout); strings.HasPrefix(answer, "-LOADING") && time.Now().Before(limit); {
+		answer = ask(h.t, h.addr, "PING") // the router has no endpoint list until the call to discovery fails
 	}
 	if answer != "+PONG" {
 		h.t.Errorf("PING: %q", answer)
 	}
 }
 
-// ended waits for a process's end and its exit code.
-func (h *handOver) ended(s *started, code int) (log string) {
+// awaitExit waits until a process exits, checks its exit code, and returns the rest of its log.
+func (h *handOver) awaitExit(s *started, code int) (log string) {
 	h.t.Helper()
 	var rest bytes.Buffer
 	rest.ReadFrom(s.log)
@@ -99,19 +99,19 @@
 	if errors.As(err, &exit) && exit.ExitCode() == code || err == nil && code == 0 {
 		return rest.String()
 	}
-	h.t.Errorf("it ended with %v, want exit code %d\n%s", err, code, rest.String())
+	h.t.Errorf("the process ended with %v, want exit code %d\n%s", err, code, rest.String())
 	return rest.String()
 }
 
 const fleetSettings = "kind = \"fleet\"\nenabled = true\n"
 const stateSettings = "kind = \"state\"\nfolder = \"%s\"\n"
 
-// shortWait is an operators' file by which a start waits no longer than a predecessor may take to end.
+// shortWait is an operators' file with which a process waits for its address only as long as a predecessor may take to end.
 const shortWait = "kind = \"limits\"\n[clients]\naddress_time = \"0s\"\n"
 
-// TestStartWaitsForPredecessor starts a process beside its predecessor. Whatever that one does meanwhile, the new one
-// never ends for what it still holds (the address, the gossip address, the lock of the snapshot folder), and serves
-// once it has the address.
+// TestStartWaitsForPredecessor starts a process while its predecessor listens, drains, is stopped or was killed. The predecessor
+// may still hold the address, the gossip address or the lock of the snapshot folder. The new process must not exit because of
+// that, and must serve as soon as it has the address.
 func TestStartWaitsForPredecessor(t *testing.T) {
 	for _, files := range []struct {
 		name  string
@@ -119,49 +119,49 @@
 	}{{"Plain", nil}, {"DatagramAddress", []string{fleetSettings}}, {"StateFolder", []string{stateSettings}}} {
 		t.Run(files.name, func(t *testing.T) {
 			t.Parallel()
-			t.Run("Listens", func(t *testing.T) {
+			t.Run("Listening", func(t *testing.T) {
 				h := newHandOver(t, files.files...)
 				next := h.start()
-				h.waits(next)
+				h.awaitWaiting(next)
 				h.signal(h.old, syscall.SIGTERM)
-				h.ended(h.old, 0)
-				h.serves(next)
+				h.awaitExit(h.old, 0)
+				h.awaitServing(next)
 				next.end(t)
 			})
-			t.Run("Drains", func(t *testing.T) {
+			t.Run("Draining", func(t *testing.T) {
 				h := newHandOver(t, files.files...)
 				h.signal(h.old, syscall.SIGTERM)
 				h.old.wait(t, "msg=draining")
 				next := h.start()
-				h.serves(next)
-				h.ended(h.old, 0)
+				h.awaitServing(next)
+				h.awaitExit(h.old, 0)
 				next.end(t)
 			})
-			t.Run("StandsStill", func(t *testing.T) {
+			t.Run("Stopped", func(t *testing.T) {
 				h := newHandOver(t, files.files...)
 				h.signal(h.old, syscall.SIGSTOP, syscall.SIGTERM)
 				next := h.start()
-				h.waits(next)
+				h.awaitWaiting(next)
 				h.signal(h.old, syscall.SIGKILL)
-				h.serves(next)
+				h.awaitServing(next)
 				next.end(t)
 			})
-			t.Run("IsKilled", func(t *testing.T) {
+			t.Run("Killed", func(t *testing.T) {
 				h := newHandOver(t, files.files...)
 				h.signal(h.old, syscall.SIGKILL)
 				next := h.start()
-				h.serves(next)
+				h.awaitServing(next)
 				next.end(t)
 			})
 		})
 	}
 }
 
-// TestLogWithoutReaderDoesNotEndRouter ends the process that reads the log: the router goes on serving and drains.
+// TestLogWithoutReaderDoesNotEndRouter closes the reading end of the log. The router must continue to serve, and drain at SIGTERM.
 func TestLogWithoutReaderDoesNotEndRouter(t *testing.T) {
 	h := newHandOver(t)
 	h.old.out.Close()
-	h.signal(h.old, syscall.SIGHUP, syscall.SIGHUP) // each has lines logged
+	h.signal(h.old, syscall.SIGHUP, syscall.SIGHUP) // each signal makes the router log
 	for range 3 {
 		if answer := ask(t, h.addr, "PING"); answer != "+PONG" {
 			t.Fatalf("PING: %q", answer)
@@ -173,19 +173,20 @@
 	}
 }
 
-// TestLogLinesNameProcess has two processes write into one log.
+// TestLogLinesNameProcess checks that each log line holds the process ID, as two processes may write to one log during a
+// hand-over.
 func TestLogLinesNameProcess(t *testing.T) {
 	h := newHandOver(t)
 	h.signal(h.old, syscall.SIGTERM)
-	log := h.ended(h.old, 0)
+	log := h.awaitExit(h.old, 0)
 	for line := range strings.Lines(log) {
 		if !strings.Contains(line, fmt.Sprintf(" [%d] ", h.old.cmd.Process.Pid)) {
-			t.Errorf("a line without its process: %q", line)
+			t.Errorf("a line without the process ID: %q", line)
 		}
 	}
 }
 
-// ask sends one command on a connection of its own, and returns the answer.
+// ask sends a command on a new connection, and returns the answer.
 func ask(t *testing.T, addr, command string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -193,7 +194,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(nc, "%s\r\n", command)
 	var b [64]byte
 	n, err := nc.Read(b[:])
@@ -203,8 +204,8 @@
 	return strings.TrimSpace(string(b[:n]))
 }
 
-// TestSignalsWhileWaitingForAddress sends signals to a process that waits for its address: SIGTERM ends it at once
-// with 0, SIGHUP has it read its files.
+// TestSignalsWhileWaitingForAddress sends signals to a process that waits for its address. SIGTERM must end the process at once
+// with exit code 0, and SIGHUP must make it read its files again.
 func TestSignalsWhileWaitingForAddress(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{{syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGTERM}, {syscall.SIGHUP, syscall.SIGTERM},
 		{syscall.SIGTERM, syscall.SIGHUP}} {
@@ -212,30 +213,30 @@
 			t.Parallel()
 			h := newHandOver(t)
 			next := h.start()
-			h.waits(next)
+			h.awaitWaiting(next)
 			h.signal(next, signals...)
-			h.ended(next, 0)
+			h.awaitExit(next, 0)
 			if answer := ask(t, h.addr, "PING"); answer != "+PONG" {
-				t.Errorf("the process before answers %q", answer)
+				t.Errorf("PING to the predecessor: %q", answer)
 			}
 			h.old.end(t)
 		})
 	}
-	t.Run("Reads", func(t *testing.T) {
+	t.Run("Reload", func(t *testing.T) {
 		t.Parallel()
 		h := newHandOver(t)
 		next := h.start()
-		h.waits(next)
+		h.awaitWaiting(next)
 		h.signal(next, syscall.SIGHUP)
 		next.wait(t, `msg="discovery address unchanged"`)
 		h.signal(next, syscall.SIGTERM)
-		h.ended(next, 0)
+		h.awaitExit(next, 0)
 		h.old.end(t)
 	})
 }
 
-// TestAddressInUseFailsStart has a process that is no predecessor hold the address: the start ends with one line that
-// names it, after all other lines.
+// TestAddressInUseFailsStart starts the program while another program holds its address. The start must fail, and the last line of
+// the log must name the address.
 func TestAddressInUseFailsStart(t *testing.T) {
 	addr := ownAddress()
 	holder, err := net.Listen("tcp", addr)
@@ -246,8 +247,8 @@
 	h := &handOver{t: t, addr: addr, args: []string{"run", "--config", file(t, "config.json", fmt.Sprintf(config, addr)),
 		"--operator", file(t, "limits.toml", shortWait)}}
 	next := h.start()
-	h.waits(next)
-	lines := strings.Split(strings.TrimSpace(h.ended(next, 1)), "\n")
+	h.awaitWaiting(next)
+	lines := strings.Split(strings.TrimSpace(h.awaitExit(next, 1)), "\n")
 	last := lines[len(lines)-1]
 	if !strings.Contains(last, addr) || !strings.Contains(last, "address already in use") {
 		t.Errorf("the last line is %q", last)
--- a/cmd/starlingwinch/hook.go
+++ b/cmd/starlingwinch/hook.go
@@ -20,8 +20,8 @@
 	"starlingwinch/internal/plugin/worker"
 )
 
-// runWorker runs a worker for hooks where the command line says so, and reports whether it did. main calls it before
-// anything else, as a worker logs nothing and has to start fast.
+// runWorker runs a worker for hooks if the command line asks for one, and reports whether it did. main calls it before
+// anything else, because a worker logs nothing and must start fast.
 func runWorker(args []string) bool {
 	if len(args) != 2 || args[1] != hooks.CommandName {
 		return false
@@ -32,7 +32,8 @@
 	return true
 }
 
-// loadHooks returns the configuration of hooks, with the hooks' own files read, for a router with so many processors.
+// loadHooks returns the configuration of hooks, with the code of the hooks read from their files. With more than one processor,
+// a hook may also run inside the router's process.
 func loadHooks(files []operatorconfig.File, processors int) (hooks.Config, error) {
 	cfg, err := operatorconfig.Get[hooks.File](files, hooks.Kind).Read()
 	if processors > 1 {
@@ -44,17 +45,17 @@
 	return cfg, err
 }
 
-// hookCommand returns the command "hook", which helps to write hooks.
+// hookCommand returns the command "hook", whose subcommands create, check, run and measure hooks.
 func hookCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "hook new|check|run|bench",
-		Short: "Help to write hooks: a scaffold, a check, a dry run, a measurement",
-		Long: "Hooks are small programs of an operator's own that judge requests before the router does. These commands\n" +
-			"help to write them; deploy/hooks.toml switches them on. Each runs a hook as a router does, in a process of its\n" +
-			"own with the budget that the flags say.",
+		Short: "Create, check, run and measure hooks",
+		Long: "Hooks are small programs by an operator that pass, refuse or fail requests before the router handles them. These\n" +
+			"commands help to write hooks; deploy/hooks.toml enables them. As in a router, a hook runs in a separate process,\n" +
+			"with the budget that the flags set.",
 		Args: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{cmd.CommandPath() + ": a command is wanted; see " + cmd.CommandPath() + " --help"}
+				return usageError{cmd.CommandPath() + ": a command is required; see " + cmd.CommandPath() + " --help"}
 			}
 			return noArgs(cmd, args)
 		},
@@ -64,9 +65,9 @@
 	return cmd
 }
 
-// hookTrial is a hook that a command loads into a worker and calls.
+// hookTrial loads a hook into a worker and calls it, for the commands check, run and bench.
 type hookTrial struct {
-	// The flags.
+	// Set by flags.
 	time   time.Duration
 	load   time.Duration
 	memory string
@@ -77,20 +78,20 @@
 	code   []byte
 	budget plugin.Budget
 	client *worker.Client
-	points plugin.Points // at which the hook wants to be called
-	loaded time.Duration // how long loading took
+	points plugin.Points // that the hook handles
+	loaded time.Duration // duration of the load
 }
 
-// flags adds the flags for the hook's budget to a command.
+// flags adds the flags that set the hook's budget to a command.
 func (t *hookTrial) flags(cmd *cobra.Command) {
 	u := hooks.DefaultFile().Defaults
-	cmd.Flags().DurationVar(&t.time, "time", u.Time, "budget of a call, as `SPAN`")
-	cmd.Flags().DurationVar(&t.load, "load-time", u.LoadTime, "budget of load, as `SPAN`")
-	cmd.Flags().StringVar(&t.memory, "memory", u.Memory.String(), "bound of its memory, as `SIZE`")
-	cmd.Flags().Int64Var(&t.steps, "steps", int64(u.Steps), "budget of steps; 0 for no bound")
+	cmd.Flags().DurationVar(&t.time, "time", u.Time, "time budget of a call, as `SPAN`")
+	cmd.Flags().DurationVar(&t.load, "load-time", u.LoadTime, "time budget of loading the hook, as `SPAN`")
+	cmd.Flags().StringVar(&t.memory, "memory", u.Memory.String(), "limit of the hook's memory, as `SIZE`")
+	cmd.Flags().Int64Var(&t.steps, "steps", int64(u.Steps), "limit of the steps of a call; 0 for no limit")
 }
 
-// start reads a hook and loads it in a worker.
+// start reads a hook's file and loads the hook into a worker.
 func (t *hookTrial) start(cmd *cobra.Command, path string) error {
 	err := t.parseBudget(cmd)
 	if err != nil {
@@ -98,7 +99,7 @@
 	}
 	engine := engineOf(path)
 	if engine == nil {
-		return fmt.Errorf("%s: unknown ending (wanted .wasm or .star)", configerror.Plain(path))
+		return fmt.Errorf("%s: unknown file extension (wanted .wasm or .star)", configerror.Plain(path))
 	}
 	if t.code, err = operatorconfig.Read(path, plugin.MaxCode); err != nil {
 		return err
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// parseBudget sets the budget from the flags.
+// parseBudget sets the budget from the flags. The error is a usageError that names the flag.
 func (t *hookTrial) parseBudget(cmd *cobra.Command) error {
 	usage := func(flag, text string) error {
 		return usageError{fmt.Sprintf("%s: --%s: %s", cmd.CommandPath(), flag, text)}
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// engineOf returns the engine that runs a hook's file, by its ending; nil for none.
+// engineOf returns the engine for a file by its extension, or nil if there is none.
 func engineOf(path string) (engine plugin.Engine) {
 	for _, e := range worker.Engines {
 		if filepath.Ext(path) == e.FileExtension() {
@@ -149,7 +150,7 @@
 	return engine
 }
 
-// pointNames returns the names of a set of points.
+// pointNames returns the names of a set of points, separated by commas.
 func pointNames(s plugin.Points) string {
 	var all []string
 	for _, p := range []plugin.Point{plugin.Load, plugin.OnRequest, plugin.Answered, plugin.ListChanged, plugin.Unload} {
@@ -165,7 +166,7 @@
 	var t hookTrial
 	cmd := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Load a hook as a router does, and name what is wrong with it",
+		Short: "Load a hook as a router does, and report its faults",
 		Args:  oneArg("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := t.start(cmd, args[0]); err != nil {
@@ -184,7 +185,7 @@
 	return cmd
 }
 
-// tryPoints calls the hook once at each of its points, with all texts empty.
+// tryPoints calls the hook once at each point that it handles, with empty texts.
 func (t *hookTrial) tryPoints() error {
 	for _, p := range []plugin.Point{plugin.OnRequest, plugin.Answered, plugin.ListChanged, plugin.Unload} {
 		if !t.points.Has(p) {
@@ -195,7 +196,7 @@
 			budget = t.budget.LoadTime
 		}
 		if _, err := t.client.Call(&plugin.Call{Point: p, TimeLeft: 1_000_000}, budget); err != nil {
-			return fmt.Errorf("at the point %s, with nothing but empty texts: %w", p, err)
+			return fmt.Errorf("at the point %s, called with empty texts: %w", p, err)
 		}
 	}
 	return nil
@@ -208,14 +209,15 @@
 	var value bool
 	cmd := &cobra.Command{
 		Use:   "run FILE --requests FILE",
-		Short: "Ask a hook about recorded requests, and tell what it says",
-		Long: "Asks a hook about each line of a file of recorded requests (JSON, one object a line: point, verb, class,\n" +
-			"tenant, key, time_left_ms, size, value, outcome, took_ms, caches, take_work, now_ms; what is left out is empty) and\n" +
-			"tells its verdicts. Nothing is sent anywhere. Exits 1 where a call gave no verdict.",
+		Short: "Call a hook with recorded requests and print its verdicts",
+		Long: "Calls a hook with each line of a file of recorded requests (JSON, one object per line: point, verb, class,\n" +
+			"tenant, key, time_left_ms, size, value, outcome, took_ms, caches, take_work, now_ms) and prints its verdicts.\n" +
+			"Fields may be omitted: point is then request, time_left_ms 1000 and outcome served; all others are empty. No request\n" +
+			"is sent. Exits 1 if a call returned no verdict.",
 		Args: oneArg("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if path == "" {
-				return usageError{cmd.CommandPath() + ": --requests: a FILE is wanted; see " + cmd.CommandPath() + " --help"}
+				return usageError{cmd.CommandPath() + ": --requests: a FILE is required; see " + cmd.CommandPath() + " --help"}
 			}
 			calls, err := readRequests(path, value)
 			if err != nil {
@@ -230,11 +232,11 @@
 	}
 	t.flags(cmd)
 	cmd.Flags().StringVar(&path, "requests", "", "the `FILE` of recorded requests")
-	cmd.Flags().BoolVar(&value, "wants-value", false, "hand the values over")
+	cmd.Flags().BoolVar(&value, "wants-value", false, "pass the values of the requests to the hook")
 	return cmd
 }
 
-// dryRun calls the hook with each recorded request and prints its verdicts.
+// dryRun calls the hook with each recorded request and prints its verdicts. It returns an error if a call gave no verdict.
 func (t *hookTrial) dryRun(out io.Writer, calls []plugin.Call) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "LINE\tPOINT\tKEY\tVERDICT\tTOOK\tWORDS")
@@ -252,7 +254,7 @@
 		}
 		counts[verdict]++
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d us\t%s\n", i+1, c.Point, configerror.Plain(c.Key), verdict, r.RunTime, text)
-		if err != nil && r.Sequence == 0 { // the worker has ended
+		if err != nil && r.Sequence == 0 { // the worker has exited
 			break
 		}
 	}
@@ -260,15 +262,15 @@
 	fmt.Fprintf(out, "%s: calls %d pass %d refuse %d fail %d none %d not_asked %d\n", t.name, len(calls), counts["pass"],
 		counts["refuse"], counts["fail"], counts["none"], counts["not asked"])
 	if counts["none"] > 0 {
-		return errors.New(t.name + ": a call gave no verdict")
+		return errors.New(t.name + ": a call returned no verdict")
 	}
 	return nil
 }
 
-// describeVerdict returns what a verdict holds beside its kind.
+// describeVerdict returns the fields of a verdict besides its decision as one text.
 func describeVerdict(v *plugin.Verdict) string {
-	var words []string
-	add := func(format string, args ...any) { words = append(words, fmt.Sprintf(format, args...)) }
+	var parts []string
+	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
 	if v.RetryAfter > 0 {
 		add("wait %d ms", v.RetryAfter/1000)
 	}
@@ -284,5 +286,5 @@
 	for _, line := range v.Log {
 		add("log %q", line)
 	}
-	return strings.Join(words, "; ")
+	return strings.Join(parts, "; ")
 }
--- a/cmd/starlingwinch/hook_bench.go
+++ b/cmd/starlingwinch/hook_bench.go
@@ -14,13 +14,13 @@
 	"starlingwinch/internal/plugin"
 )
 
-// defaultBenchTime is how long a measurement lasts where no flag says otherwise.
+// defaultBenchTime is the default of --for: the duration of a measurement.
 const defaultBenchTime = 2 * time.Second
 
-// maxBenchCalls bounds the calls of a measurement.
+// maxBenchCalls limits the calls of a measurement.
 const maxBenchCalls = 1 << 20
 
-// defaultCall is the request that a hook is called with where none was recorded.
+// defaultCall is the request for a measurement without recorded requests.
 var defaultCall = plugin.Call{
 	Point:    plugin.OnRequest,
 	Verb:     "C.GET",
@@ -38,7 +38,7 @@
 	span := defaultBenchTime
 	cmd := &cobra.Command{
 		Use:   "bench FILE [--requests FILE] [--for SPAN]",
-		Short: "Measure what a hook costs: its load, its calls, its memory",
+		Short: "Measure a hook's load time, call times and memory",
 		Args:  oneArg("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if span < 10*time.Millisecond || span > 10*time.Minute {
@@ -59,44 +59,45 @@
 		},
 	}
 	t.flags(cmd)
-	cmd.Flags().StringVar(&path, "requests", "", "the `FILE` of recorded requests; without it, one lookup")
-	cmd.Flags().BoolVar(&value, "wants-value", false, "hand the values over")
-	cmd.Flags().DurationVar(&span, "for", defaultBenchTime, "how long, as `SPAN`")
+	cmd.Flags().StringVar(&path, "requests", "", "the `FILE` of recorded requests; by default one lookup is repeated")
+	cmd.Flags().BoolVar(&value, "wants-value", false, "pass the values of the requests to the hook")
+	cmd.Flags().DurationVar(&span, "for", defaultBenchTime, "duration of the measurement, as `SPAN`")
 	return cmd
 }
 
-// measure calls the hook for a span of time and prints what the calls cost.
+// measure calls the hook repeatedly for a span of time. It prints the load time, quantiles of the times that the hook ran and of
+// the round trips to the worker, and the worker's memory.
 func (t *hookTrial) measure(out io.Writer, calls []plugin.Call, span time.Duration) error {
 	calls = slices.DeleteFunc(calls, func(c plugin.Call) bool { return !t.points.Has(c.Point) })
 	if len(calls) == 0 {
-		return fmt.Errorf("%s: it has none of the points that the requests are for", t.name)
+		return fmt.Errorf("%s: the hook handles none of the points of the requests", t.name)
 	}
-	var spent, trip []time.Duration
-	none := 0
-	for began := time.Now(); time.Since(began) < span && len(trip) < maxBenchCalls; {
+	var runTimes, roundTrips []time.Duration
+	noVerdicts := 0
+	for began := time.Now(); time.Since(began) < span && len(roundTrips) < maxBenchCalls; {
 		sent := time.Now()
-		r, err := t.client.Call(&calls[len(trip)%len(calls)], t.budget.Time)
+		r, err := t.client.Call(&calls[len(roundTrips)%len(calls)], t.budget.Time)
 		if err != nil {
 			if r.Sequence == 0 {
-				return fmt.Errorf("%s: call %d: %w", t.name, len(trip)+1, err)
+				return fmt.Errorf("%s: call %d: %w", t.name, len(roundTrips)+1, err)
 			}
-			none++
+			noVerdicts++
 		}
-		trip = append(trip, time.Since(sent))
-		spent = append(spent, time.Duration(r.RunTime)*time.Microsecond)
+		roundTrips = append(roundTrips, time.Since(sent))
+		runTimes = append(runTimes, time.Duration(r.RunTime)*time.Microsecond)
 	}
-	us := func(all []time.Duration, part float64) float64 {
-		slices.Sort(all)
-		return float64(all[int(part*float64(len(all)-1))].Nanoseconds()) / 1000
+	microseconds := func(durations []time.Duration, quantile float64) float64 {
+		slices.Sort(durations)
+		return float64(durations[int(quantile*float64(len(durations)-1))].Nanoseconds()) / 1000
 	}
-	fmt.Fprintf(out, "%s: calls %d none %d load_ms %.1f ", t.name, len(trip), none,
+	fmt.Fprintf(out, "%s: calls %d none %d load_ms %.1f ", t.name, len(roundTrips), noVerdicts,
 		float64(t.loaded.Microseconds())/1000)
-	fmt.Fprintf(out, "call_p50_us %.0f call_p99_us %.0f trip_p50_us %.0f trip_p99_us %.0f worker_MiB %.1f\n", us(spent, 0.5),
-		us(spent, 0.99), us(trip, 0.5), us(trip, 0.99), float64(processMemory(t.client.Pid()))/(1<<20))
+	fmt.Fprintf(out, "call_p50_us %.0f call_p99_us %.0f trip_p50_us %.0f trip_p99_us %.0f worker_MiB %.1f\n", microseconds(runTimes, 0.5),
+		microseconds(runTimes, 0.99), microseconds(roundTrips, 0.5), microseconds(roundTrips, 0.99), float64(processMemory(t.client.Pid()))/(1<<20))
 	return nil
 }
 
-// processMemory returns the private memory of a process in bytes (proc(5), RssAnon); 0 where that is not known.
+// processMemory returns the private memory of a process in bytes (proc(5), RssAnon), or 0 if it is unknown.
 func processMemory(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/starlingwinch/hook_new.go
+++ b/cmd/starlingwinch/hook_new.go
@@ -16,8 +16,9 @@
 //go:embed scaffold
 var scaffolds embed.FS
 
-// scaffold is the file that a hook begins as, by engine, with the command that comes next.
-var scaffold = map[string]struct{ file, ending, next string }{
+// templates maps an engine to the template file of a new hook, the extension of the file that is written, and the command to run
+// on that file next.
+var templates = map[string]struct{ file, extension, next string }{
 	"script": {"scaffold/hook.star", ".star", "bin/starlingwinch hook check NAME.star"},
 	"wasm":   {"scaffold/hook.c", ".c", "clang --target=wasm32 -O2 -nostdlib -Wl,--no-entry -o NAME.wasm NAME.c"},
 }
@@ -27,26 +28,26 @@
 	engine := "script"
 	cmd := &cobra.Command{
 		Use:   "new NAME [--engine script|wasm]",
-		Short: "Write the file that a hook begins as",
-		Long: "Writes NAME.star, or NAME.c for WebAssembly, into the present folder; a file that is there already stays as\n" +
-			"it is. docs/operators/hooks.md names other languages.",
+		Short: "Write a template for a new hook",
+		Long: "Writes NAME.star, or NAME.c for WebAssembly, to the current folder. Does not overwrite an existing file.\n" +
+			"docs/operators/hooks.md names other languages.",
 		Args: oneArg("NAME"),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			s, known := scaffold[engine]
+			s, known := templates[engine]
 			if !known {
-				return usageError{fmt.Sprintf("%s: --engine: unknown word %s (wanted script or wasm)%s", cmd.CommandPath(),
+				return usageError{fmt.Sprintf("%s: --engine: unknown value %s (wanted script or wasm)%s", cmd.CommandPath(),
 					configerror.Quote(engine), configerror.DidYouMean(engine, []string{"script", "wasm"}))}
 			}
 			name := args[0]
 			if !isHookName(name) {
-				return usageError{fmt.Sprintf("%s: %s is no name for a hook (wanted 1 to 64 of letters, digits, _ and -)",
+				return usageError{fmt.Sprintf("%s: %s is not a valid name of a hook (wanted 1 to 64 letters, digits, _ and -)",
 					cmd.CommandPath(), configerror.Quote(name))}
 			}
 			text, err := scaffolds.ReadFile(s.file)
 			if err != nil {
 				return err
 			}
-			path := name + s.ending
+			path := name + s.extension
 			if err := writeNew(path, strings.ReplaceAll(string(text), "NAME", name)); err != nil {
 				return err
 			}
@@ -54,15 +55,15 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&engine, "engine", engine, "`ENGINE` that runs it: script or wasm")
+	cmd.Flags().StringVar(&engine, "engine", engine, "`ENGINE` that runs the hook: script or wasm")
 	return cmd
 }
 
-// writeNew writes a new file; a file that exists stays as it is.
+// writeNew writes a new file. It returns an error if the file exists.
 func writeNew(path, text string) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if errors.Is(err, fs.ErrExist) {
-		return fmt.Errorf("%s: is there already, and stays as it is", path)
+		return fmt.Errorf("%s: the file exists and is not changed", path)
 	}
 	if err != nil {
 		return err
@@ -71,7 +72,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// isHookName reports whether a name may be that of a hook.
+// isHookName reports whether a name is valid for a hook.
 func isHookName(name string) bool {
 	if len(name) == 0 || len(name) > 64 {
 		return false
--- a/cmd/starlingwinch/hook_requests.go
+++ b/cmd/starlingwinch/hook_requests.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxRecordedBytes    = 64 << 20 // bytes of a file of recorded requests
-	maxRecordedRequests = 1 << 20  // lines of it
+	maxRecordedBytes    = 64 << 20 // size of a file of recorded requests
+	maxRecordedRequests = 1 << 20  // number of requests in a file
 )
 
 // recordedRequest is one line of a file of recorded requests.
@@ -33,13 +33,14 @@
 	Now      float64 `json:"now_ms"`
 }
 
-// The values of point and outcome in a line, at the indexes of plugin.Point and plugin.Outcome.
+// The values of the fields point and outcome. The indexes are the values of plugin.Point and plugin.Outcome.
 var (
 	recordedPoints   = []string{"", "request", "answered", "list"}
 	recordedOutcomes = []string{"served", "refused", "failed"}
 )
 
-// readRequests reads a file of recorded requests, with their values where the hook wants them. The error names the line.
+// readRequests reads a file of recorded requests. The parameter value says whether the calls hold the requests' values. The error
+// names the line.
 func readRequests(path string, value bool) ([]plugin.Call, error) {
 	raw, err := operatorconfig.Read(path, maxRecordedBytes)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return calls, nil
 }
 
-// parseRequest reads one line.
+// parseRequest parses one line of a file of recorded requests.
 func parseRequest(line []byte, value bool) (plugin.Call, error) {
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
@@ -74,9 +75,9 @@
 	outcome := slices.Index(recordedOutcomes, r.Outcome)
 	switch {
 	case point < 0:
-		return plugin.Call{}, fmt.Errorf("point: unknown word %.40q (wanted request, answered or list)", r.Point)
+		return plugin.Call{}, fmt.Errorf("point: unknown value %.40q (wanted request, answered or list)", r.Point)
 	case outcome < 0:
-		return plugin.Call{}, fmt.Errorf("outcome: unknown word %.40q (wanted served, refused or failed)", r.Outcome)
+		return plugin.Call{}, fmt.Errorf("outcome: unknown value %.40q (wanted served, refused or failed)", r.Outcome)
 	case r.Size < 0 || r.Caches < 0 || r.TakeWork < 0:
 		return plugin.Call{}, fmt.Errorf("size, caches and take_work: below 0")
 	}
--- a/cmd/starlingwinch/hook_test.go
+++ b/cmd/starlingwinch/hook_test.go
@@ -9,10 +9,10 @@
 	"starlingwinch/internal/operatorconfig"
 )
 
-// hookIn runs a hook command in a folder of its own.
+// hookIn runs a hook command in the folder dir.
 func hookIn(t *testing.T, dir string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
-	if _, err := binary(); err != nil { // it is built where its sources are
+	if _, err := binary(); err != nil { // the build must run in the folder of the sources, so before Chdir
 		t.Fatal(err)
 	}
 	t.Chdir(dir)
@@ -24,12 +24,12 @@
 	if code, out, errs := hookIn(t, dir, "new", "club"); code != 0 || !strings.HasPrefix(out, "club.star: written; next:\n") {
 		t.Fatalf("code %d, %s%s", code, out, errs)
 	}
-	// A busy machine takes longer than the usual budget of 5 ms, which is not what is checked here.
+	// On a busy machine a call may exceed the default budget of 5 ms. This test does not check the budget, so it sets a longer one.
 	code, out, errs := hookIn(t, dir, "check", "club.star", "--time", "1s")
 	if want := "club.star: good (contract 1; points: request; "; code != 0 || !strings.HasPrefix(out, want) {
 		t.Errorf("code %d, %s%s", code, out, errs)
 	}
-	if code, _, errs := hookIn(t, dir, "new", "club"); code != 1 || errs != "club.star: is there already, and stays as it is\n" {
+	if code, _, errs := hookIn(t, dir, "new", "club"); code != 1 || errs != "club.star: the file exists and is not changed\n" {
 		t.Errorf("code %d, %s", code, errs)
 	}
 	if code, out, errs := hookIn(t, dir, "new", "club", "--engine", "wasm"); code != 0 || !strings.Contains(out, "-o club.wasm club.c") {
@@ -43,15 +43,15 @@
 
 func TestHookCommandUsageErrors(t *testing.T) {
 	for line, want := range map[string]string{ // any order
-		"":                            "starlingwinch hook: a command is wanted; see starlingwinch hook --help",
+		"":                            "starlingwinch hook: a command is required; see starlingwinch hook --help",
 		"chekc":                       `starlingwinch hook: unknown command "chekc" (did you mean "check"?)`,
-		"new":                         "starlingwinch hook new: one NAME is wanted",
-		"new ../x":                    `starlingwinch hook new: "../x" is no name for a hook`,
-		"new a --engine lua":          `starlingwinch hook new: --engine: unknown word "lua" (wanted script or wasm)`,
-		"check":                       "starlingwinch hook check: one FILE is wanted",
+		"new":                         "starlingwinch hook new: one NAME is required",
+		"new ../x":                    `starlingwinch hook new: "../x" is not a valid name of a hook`,
+		"new a --engine lua":          `starlingwinch hook new: --engine: unknown value "lua" (wanted script or wasm)`,
+		"check":                       "starlingwinch hook check: one FILE is required",
 		"check a.star --memory 1B":    `starlingwinch hook check: --memory: out of range ("1B", wanted 1MiB to 1GiB)`,
 		"check a.star --time 2s":      "starlingwinch hook check: --time: out of range (2s, wanted 100us to 1s)",
-		"run a.star":                  "starlingwinch hook run: --requests: a FILE is wanted",
+		"run a.star":                  "starlingwinch hook run: --requests: a FILE is required",
 		"bench a.star --for 1ns":      "starlingwinch hook bench: --for: out of range (1ns, wanted 10ms to 10m)",
 		"check a.star --load-time 1m": "starlingwinch hook check: --load-time: out of range (1m0s, wanted 10ms to 30s)",
 	} {
@@ -64,23 +64,23 @@
 
 func TestHookCheckNamesFault(t *testing.T) {
 	for want, text := range map[string]string{ // any order
-		"does not load: a.star:":                                            "version = 1\ndef",
-		"other contract: it was built for version 9":                        "version = 9\ndef on_request(r):\n    pass\n",
-		"at the point request, with nothing but empty texts: crashed: a:3:": "version = 1\ndef on_request(r):\n    return r.key[0]\n",
-		"at the point unload, with nothing but empty texts: crashed":        "version = 1\ndef on_request(r):\n    pass\ndef on_unload():\n    return 1 // 0\n",
-		"overran its budget":                                                "version = 1\ndef on_request(r):\n    for i in range(1 << 40):\n        pass\n",
+		"does not load: a.star:":                                       "version = 1\ndef",
+		"other contract: it was built for version 9":                   "version = 9\ndef on_request(r):\n    pass\n",
+		"at the point request, called with empty texts: crashed: a:3:": "version = 1\ndef on_request(r):\n    return r.key[0]\n",
+		"at the point unload, called with empty texts: crashed":        "version = 1\ndef on_request(r):\n    pass\ndef on_unload():\n    return 1 // 0\n",
+		"overran its budget":                                           "version = 1\ndef on_request(r):\n    for i in range(1 << 40):\n        pass\n",
 	} {
 		path := file(t, "a.star", text)
 		code, _, errs := outcome(t, "hook", "check", path)
 		for tries := 0; tries < 5 && strings.Contains(errs, "overran its budget") && want != "overran its budget"; tries++ {
-			code, _, errs = outcome(t, "hook", "check", path) // on a machine that others keep busy
+			code, _, errs = outcome(t, "hook", "check", path) // on a busy machine a call may exceed its budget
 		}
 		want = strings.Replace(want, "a.star:", "a:", 1)
 		if code != exitFailure || !strings.Contains(errs, want) {
 			t.Errorf("code %d, %s\nwant %s", code, errs, want)
 		}
 	}
-	if code, _, errs := outcome(t, "hook", "check", file(t, "a.lua", "")); code != 1 || !strings.Contains(errs, "unknown ending") {
+	if code, _, errs := outcome(t, "hook", "check", file(t, "a.lua", "")); code != 1 || !strings.Contains(errs, "unknown file extension") {
 		t.Errorf("code %d, %s", code, errs)
 	}
 }
--- a/cmd/starlingwinch/kernel.go
+++ b/cmd/starlingwinch/kernel.go
@@ -4,5 +4,5 @@
 
 import "starlingwinch/internal/machine"
 
-// kernel is the system calls that the program is run on; nil stands for the system's own.
+// kernel returns nil: the program uses the system calls of the operating system.
 func kernel() (*machine.Kernel, error) { return nil, nil }
--- a/cmd/starlingwinch/kernel_faults.go
+++ b/cmd/starlingwinch/kernel_faults.go
@@ -11,10 +11,12 @@
 	"starlingwinch/internal/machine/faultkernel"
 )
 
-// faultsVariable says which calls fail, in the words of faultkernel.Parse. Only a trial build looks at it.
+// faultsVariable names the environment variable that holds the failure rates of system calls, in the syntax of
+// faultkernel.Parse. Only builds with the tag faultkernel read it.
 const faultsVariable = "STARLINGWINCH_FAULTS"
 
-// kernel is the system's own with calls that fail. Each process draws by its own sequence.
+// kernel returns the system calls of the operating system, some of which fail at random at the given rates. Each process has its
+// own random sequence.
 func kernel() (*machine.Kernel, error) {
 	text := os.Getenv(faultsVariable)
 	if text == "" {
--- a/cmd/starlingwinch/kernel_test.go
+++ b/cmd/starlingwinch/kernel_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestProductBuildHasNoFaultKernel checks that only a build with the tag contains system calls that fail on demand.
+// TestProductBuildHasNoFaultKernel checks that only a build with the tag faultkernel contains the injection of system call
+// failures.
 func TestProductBuildHasNoFaultKernel(t *testing.T) {
 	const name = "starlingwinch/internal/machine/faultkernel"
 	for tags, want := range map[string]bool{"": false, "faultkernel": true} {
--- a/cmd/starlingwinch/main.go
+++ b/cmd/starlingwinch/main.go
@@ -1,5 +1,5 @@
 // Command starlingwinch routes clients' requests to a fleet of cache servers.
-// Without arguments it serves as the file says that BALANCER_CONFIG names; `starlingwinch help` lists its commands.
+// Without arguments it serves with the configuration file that BALANCER_CONFIG names; `starlingwinch help` lists its commands.
 package main
 
 import (
@@ -18,11 +18,11 @@
 
 // Exit codes.
 const (
-	exitFailure = 1 // a file is not valid, or the router could not go on
+	exitFailure = 1 // a file is not valid, or the router failed
 	exitUsage   = 2 // the command line is not valid; nothing was done
 )
 
-// usageError says what is wrong with the command line. The program exits with exitUsage.
+// usageError is an error in the command line. The program then exits with exitUsage.
 type usageError struct{ text string }
 
 // Error implements error.
@@ -32,7 +32,7 @@
 	if runWorker(os.Args) {
 		return
 	}
-	// A SIGHUP that comes before anything handles it would end the program.
+	// Without a handler, a SIGHUP before the machine handles signals would terminate the program.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	stderr := newNonBlockingWriter(os.Stderr)
 	log.SetOutput(stderr)
@@ -48,7 +48,7 @@
 	os.Exit(exitCode(err))
 }
 
-// exitCode returns the code that the program exits with after an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	if errors.As(err, new(usageError)) {
 		return exitUsage
@@ -56,13 +56,13 @@
 	return exitFailure
 }
 
-// rootCommand returns the command line. Each command has a file of its own.
+// rootCommand returns the root command with all its subcommands. Each subcommand has its own source file.
 func rootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "starlingwinch",
 		Short: "Routes clients' requests to a fleet of cache servers",
-		Long: "Routes clients' requests to a fleet of cache servers. Without a command it serves, as the file\n" +
-			"says that BALANCER_CONFIG names.",
+		Long: "Routes clients' requests to a fleet of cache servers. Without a command it serves with the\n" +
+			"configuration file that BALANCER_CONFIG names.",
 		Args:              noArgs,
 		SilenceErrors:     true,
 		SilenceUsage:      true,
@@ -84,7 +84,7 @@
 	return cmd
 }
 
-// noArgs refuses arguments, which are mistyped commands: a mistyped command must not start a router.
+// noArgs rejects all arguments. An argument is likely a mistyped command, which must not start a router.
 func noArgs(cmd *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return nil
@@ -94,13 +94,13 @@
 		known = append(known, c.Name())
 	}
 	if len(known) == 0 {
-		return usageError{fmt.Sprintf("%s: unknown word %s (it takes none)", cmd.CommandPath(), configerror.Quote(args[0]))}
+		return usageError{fmt.Sprintf("%s: unexpected argument %s (the command takes none)", cmd.CommandPath(), configerror.Quote(args[0]))}
 	}
 	return usageError{fmt.Sprintf("%s: unknown command %s%s; see %s help", cmd.CommandPath(), configerror.Quote(args[0]),
 		configerror.DidYouMean(args[0], known), cmd.Root().Name())}
 }
 
-// flagError returns the usage error for an error of the flag parser.
+// flagError converts an error of the flag parser to a usageError, with a suggestion if the flag is unknown.
 func flagError(cmd *cobra.Command, err error) error {
 	text := configerror.Plain(err.Error())
 	var unknown *pflag.NotExistError
@@ -114,17 +114,17 @@
 	return usageError{fmt.Sprintf("%s: %s; see %s --help", cmd.CommandPath(), text, cmd.CommandPath())}
 }
 
-// flagSuggestion returns the text that suggests the flag most like an unknown one, of the command or of one of its
-// subcommands; empty where none is alike.
+// flagSuggestion returns a text that suggests the flag most similar to an unknown flag, among the flags of the command and
+// of its subcommands. It returns "" if no flag is similar.
 func flagSuggestion(cmd *cobra.Command, name string) string {
 	var known []string
-	commandLine := map[string]string{} // the flag with the subcommand that takes it, by flag
+	commandLine := map[string]string{} // by flag: the flag, after the name of the subcommand that has it
 	for _, c := range append([]*cobra.Command{cmd}, cmd.Commands()...) {
 		c.Flags().VisitAll(func(f *pflag.Flag) {
 			flag := "--" + f.Name
 			if commandLine[flag] == "" {
 				known = append(known, flag)
-			} else if c.Name() != "run" { // of several subcommands with that flag, run is the one most often meant
+			} else if c.Name() != "run" { // if several subcommands have the flag, suggest run, the most used one
 				return
 			}
 			commandLine[flag] = flag
@@ -144,7 +144,7 @@
 func helpCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "help [COMMAND]",
-		Short: "Tell what the program or a command of it does",
+		Short: "Print the help of the program or of a command",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			about, rest, err := cmd.Root().Find(args)
 			if err != nil || len(rest) > 0 {
--- a/cmd/starlingwinch/main_test.go
+++ b/cmd/starlingwinch/main_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+// testTimeout limits the run time of each started program and each wait.
+const testTimeout = 30 * time.Second
 
 const config = `{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"1f",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -24,7 +25,7 @@
  "settings":{"instances":1,"discovery":"automatic","categories":[{"name":"read","effect":"read_like","dedupScope":"all",
   "aim":500000,"hardLimit":1000000,"worth":1}],"limits":{"maxAttempts":1},"rules":{"drainGrace":1000000}}}`
 
-// program prepares a run that serves with the given configuration.
+// program returns a command that runs the program with the given configuration.
 func program(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	cmd := command(t)
@@ -32,21 +33,21 @@
 	return cmd
 }
 
-// Beginnings of log lines that tests wait for, up to the value of the first field.
+// Parts of log lines that tests wait for, up to the value of the first field.
 const (
 	servingLine    = "msg=serving address="
 	discoveryMoved = `msg="discovery address changed" address=`
 )
 
-// started is the running program.
+// started is a running program.
 type started struct {
 	cmd  *exec.Cmd
 	addr string
 	log  *bufio.Reader
-	out  io.Closer // the end of the log that is read
+	out  io.Closer // the reading end of the log
 
-	moves    int    // how often the log said that discovery moves
-	lastMove string // ... and where to, last
+	discoveryChanges int    // number of log lines about a changed address of discovery
+	lastDiscovery    string // the address in the last of these lines
 }
 
 func start(t *testing.T, cmd *exec.Cmd) *started {
@@ -56,7 +57,7 @@
 	return s
 }
 
-// startLogged starts a program whose log is read, and waits for nothing.
+// startLogged starts a program with a pipe for its log. It does not wait until the program serves.
 func startLogged(t *testing.T, cmd *exec.Cmd) *started {
 	t.Helper()
 	stderr, err := cmd.StderrPipe()
@@ -66,12 +67,12 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	kill := time.AfterFunc(patience, func() { cmd.Process.Kill() }) // a program that hangs must not hang the test
+	kill := time.AfterFunc(testTimeout, func() { cmd.Process.Kill() }) // a program that hangs must not block the test
 	t.Cleanup(func() { kill.Stop() })
 	return &started{cmd: cmd, log: bufio.NewReader(stderr), out: stderr}
 }
 
-// wait reads the log up to a line that holds the text, and returns what follows it.
+// wait reads the log up to a line that holds the text, and returns the rest of that line.
 func (s *started) wait(t *testing.T, text string) string {
 	t.Helper()
 	for {
@@ -93,14 +94,14 @@
 	return address
 }
 
-// note records what a line of the log says of discovery.
+// note records the address of discovery if the log line reports a change of it.
 func (s *started) note(line string) {
 	if _, addr, ok := strings.Cut(strings.TrimSpace(line), discoveryMoved); ok {
-		s.moves, s.lastMove = s.moves+1, addr
+		s.discoveryChanges, s.lastDiscovery = s.discoveryChanges+1, addr
 	}
 }
 
-// end sends SIGTERM and waits for the program.
+// end sends SIGTERM and checks that the program exits with code 0.
 func (s *started) end(t *testing.T) {
 	t.Helper()
 	if err := s.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -122,7 +123,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprint(nc, "*1\r\n$4\r\nPING\r\n")
 	if line, err := bufio.NewReader(nc).ReadString('\n'); line != "+PONG\r\n" {
 		t.Fatalf("PING: %q, %v", line, err)
@@ -130,8 +131,8 @@
 	s.end(t)
 }
 
-// TestReloadUnderLoad reloads valid and invalid files at SIGHUP: the invalid ones change nothing, clients notice
-// neither, and a drain goes on.
+// TestReloadUnderLoad reloads valid and invalid files at SIGHUP while a client sends commands. Invalid files must change nothing,
+// the client must see no error, and a SIGHUP during a drain must not stop the drain.
 func TestReloadUnderLoad(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0"))
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
@@ -144,7 +145,7 @@
 				return err
 			}
 			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(patience))
+			nc.SetDeadline(time.Now().Add(testTimeout))
 			r := bufio.NewReader(nc)
 			for {
 				select {
@@ -183,8 +184,8 @@
 	s.end(t)
 }
 
-// TestSignalsBeforeConfigurationReadHandled sends signals before the files are read. The program starts and handles
-// them in their order; an unhandled signal would end it.
+// TestSignalsBeforeConfigurationReadHandled sends signals before the files are read. The program must start and handle the signals
+// in their order; an unhandled signal would end the program.
 func TestSignalsBeforeConfigurationReadHandled(t *testing.T) {
 	cmd := program(t, "")
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "BALANCER_CONFIG=")
@@ -196,9 +197,9 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	kill := time.AfterFunc(patience, func() { cmd.Process.Kill() })
+	kill := time.AfterFunc(testTimeout, func() { cmd.Process.Kill() })
 	defer kill.Stop()
-	file, err := os.OpenFile(path, os.O_WRONLY, 0) // once the program reads it
+	file, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program reads the pipe
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,9 +210,9 @@
 	}
 	fmt.Fprintf(file, config, "127.0.0.1:0")
 	file.Close()
-	// The reload reads a pipe that nobody writes to; the drain does not wait for it.
+	// The reload blocks on the pipe, which has no writer now; the drain must not wait for the reload.
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program ended with %v, want exit code 0", err)
 	}
 	if text := log.String(); !strings.Contains(text, servingLine) || !strings.Contains(text, "msg=draining") {
 		t.Errorf("log: %q", text)
--- a/cmd/starlingwinch/members.go
+++ b/cmd/starlingwinch/members.go
@@ -16,19 +16,19 @@
 	"starlingwinch/internal/router"
 )
 
-// defaultMembersWait is how long the sources have to answer where no flag says otherwise.
+// defaultMembersWait is the default of --wait: the time that the sources have to answer.
 const defaultMembersWait = 3 * time.Second
 
-// membersCommand returns the command "members", which prints what the sources of the endpoint list say.
+// membersCommand returns the command "members", which prints the answers of the endpoint list's sources.
 func membersCommand() *cobra.Command {
 	var s inputs
 	wait := defaultMembersWait
 	cmd := &cobra.Command{
 		Use:   "members [--config FILE] [--operator FILE]... [--wait SPAN]",
-		Short: "Tell what the sources of the list of caches say, and what a router would make of it",
-		Long: "Asks the platform's discovery, a registry and a file, as the files say, until each has answered or the wait is over,\n" +
-			"and prints one table of the sources and one of the caches. It serves nothing and changes nothing. Exits 1 where\n" +
-			"a source did not answer.",
+		Short: "Print the caches that each source of the endpoint list reports, and the list that a router would use",
+		Long: "Queries the configured sources (the platform's discovery, a registry, a file) until each has answered or the wait is\n" +
+			"over, and prints a table of the sources and a table of the caches. Serves and changes nothing. Exits 1 if a source\n" +
+			"did not answer.",
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if wait < 10*time.Millisecond || wait > 10*time.Minute {
@@ -38,11 +38,11 @@
 		},
 	}
 	s.flags(cmd)
-	cmd.Flags().DurationVar(&wait, "wait", defaultMembersWait, "`SPAN` in which the sources have to answer")
+	cmd.Flags().DurationVar(&wait, "wait", defaultMembersWait, "wait at most `SPAN` for the sources to answer")
 	return cmd
 }
 
-// members queries the sources and prints what they say. The error names a source that did not answer.
+// members queries the sources and prints their answers. The error names a source that did not answer.
 func (s inputs) members(out, errs io.Writer, wait time.Duration) error {
 	cfg, warnings, err := s.load()
 	if err != nil {
@@ -68,11 +68,11 @@
 		}
 	})
 	m.Run()
-	rows, words := l.sources.Table()
-	printSources(out, words)
+	rows, sources := l.sources.Table()
+	printSources(out, sources)
 	fmt.Fprintln(out)
 	printCaches(out, rows, m.Now())
-	for _, w := range words {
+	for _, w := range sources {
 		if w.Age < 0 || w.UnavailableFor >= 0 {
 			return fmt.Errorf("%s did not answer: %s", w.Name, firstNonEmpty(w.Reason, "no answer within "+wait.String()))
 		}
@@ -80,29 +80,29 @@
 	return nil
 }
 
-// sourceWaiter implements endpointsource.Owner: it stops the machine once each source has answered.
+// sourceWaiter implements endpointsource.Owner. It stops the machine after each source has answered or failed.
 type sourceWaiter struct {
 	m       *machine.Real
 	sources *endpointsource.Sources
 }
 
-// Publish implements endpointsource.Owner. The table has what it brings.
+// Publish implements endpointsource.Owner. It does nothing, as the command prints the sources' table.
 func (l *sourceWaiter) Publish(endpoints.Publish) {}
 
-// DiscoveryAnswered implements endpointsource.Owner.
+// DiscoveryAnswered implements endpointsource.Owner. It does nothing.
 func (l *sourceWaiter) DiscoveryAnswered() {}
 
-// DiscoveryFailed implements endpointsource.Owner.
+// DiscoveryFailed implements endpointsource.Owner. It does nothing.
 func (l *sourceWaiter) DiscoveryFailed(error) {}
 
-// DiscoveryCallEnded implements endpointsource.Owner.
+// DiscoveryCallEnded implements endpointsource.Owner. It does nothing.
 func (l *sourceWaiter) DiscoveryCallEnded(string, int64, int) {}
 
-// ProcessEvents implements endpointsource.Owner: it ends the wait once all sources have answered or failed, and no removal
-// waits to be confirmed.
+// ProcessEvents implements endpointsource.Owner. It ends the wait after all sources have answered or failed and no removal waits
+// for confirmation.
 func (l *sourceWaiter) ProcessEvents() {
-	_, words := l.sources.Table()
-	for _, w := range words {
+	_, sources := l.sources.Table()
+	for _, w := range sources {
 		if w.Age < 0 && w.UnavailableFor < 0 || w.Unconfirmed > 0 {
 			return
 		}
@@ -110,11 +110,11 @@
 	l.m.Stop()
 }
 
-// printSources prints the table of sources.
-func printSources(out io.Writer, words []endpoints.SourceRow) {
+// printSources prints the state of each source as a table.
+func printSources(out io.Writer, sources []endpoints.SourceRow) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SOURCE\tANSWERED\tCACHES\tTAKE WORK\tHELD BACK\tSTATE")
-	for _, w := range words {
+	for _, w := range sources {
 		state := "answers"
 		if w.UnavailableFor >= 0 {
 			state = "lost: " + w.Reason
@@ -126,7 +126,7 @@
 	t.Flush()
 }
 
-// printCaches prints the table of caches.
+// printCaches prints the status of each cache, with its reason and the claims of the sources, as a table.
 func printCaches(out io.Writer, rows []endpoints.Row, now endpoints.Time) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "CACHE\tADDRESS\tZONE\tROUTER SEES\tWHY\tSOURCES SAY")
@@ -135,30 +135,30 @@
 		if r.SuppressedUntil > now {
 			why = fmt.Sprintf("%s; held down for %s", why, formatSpan(r.SuppressedUntil-now))
 		}
-		var says []string
+		var claims []string
 		for _, w := range r.Claims {
-			word := fmt.Sprintf("%s: %s", w.Source, firstNonEmpty(w.Reason, statusTexts[w.Status]))
+			claim := fmt.Sprintf("%s: %s", w.Source, firstNonEmpty(w.Reason, statusTexts[w.Status]))
 			if w.LastSeenAge >= 0 {
-				word += ", last heard of " + formatAgo(w.LastSeenAge)
+				claim += ", last heard of " + formatAgo(w.LastSeenAge)
 			}
 			if w.Stale {
-				word += " (old list)"
+				claim += " (old list)"
 			}
 			if w.Unconfirmed {
-				word += " (left out, unconfirmed)"
+				claim += " (left out, unconfirmed)"
 			}
-			says = append(says, word)
+			claims = append(claims, claim)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Address, r.Zone, statusTexts[r.Status], why,
-			strings.Join(says, "; "))
+			strings.Join(claims, "; "))
 	}
 	t.Flush()
 }
 
-// statusTexts are the statuses as the tables show them.
+// statusTexts maps a cache's status to its text in the tables.
 var statusTexts = map[decide.Status]string{decide.Serving: "takes work", decide.Draining: "drains", decide.Removed: "has gone"}
 
-// firstNonEmpty returns the first text that is not empty.
+// firstNonEmpty returns the first text that is not empty, or "".
 func firstNonEmpty(texts ...string) string {
 	for _, text := range texts {
 		if text != "" {
@@ -168,12 +168,12 @@
 	return ""
 }
 
-// formatSpan returns a span, rounded to a tenth of a second.
+// formatSpan formats a duration, rounded to a tenth of a second.
 func formatSpan(t endpoints.Time) string {
 	return (time.Duration(t) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
-// formatAgo returns an age; below 0 it is unknown.
+// formatAgo formats an age. It returns "never" for a negative age, which stands for an unknown one.
 func formatAgo(t endpoints.Time) string {
 	if t < 0 {
 		return "never"
--- a/cmd/starlingwinch/members_test.go
+++ b/cmd/starlingwinch/members_test.go
@@ -15,7 +15,7 @@
 	"starlingwinch/internal/testbench/standin/registry"
 )
 
-// startRegistry runs a registry with two instances of log-cache, the second one drained.
+// startRegistry runs a registry with two instances of log-cache; the second one is OUT_OF_SERVICE.
 func startRegistry(t *testing.T) (url string) {
 	t.Helper()
 	m, err := machine.New(machine.Options{Log: io.Discard})
@@ -46,7 +46,8 @@
 	return "http://" + addr + r.Base()
 }
 
-// TestMembersPrintsRegistry prints what a registry says, where a cache that drains takes no requests.
+// TestMembersPrintsRegistry checks that the command members prints the caches of a registry, and shows an instance that is
+// OUT_OF_SERVICE as draining.
 func TestMembersPrintsRegistry(t *testing.T) {
 	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0"))
 	dir := t.TempDir()
@@ -81,7 +82,7 @@
 			t.Errorf("no %q in\n%s", want, out)
 		}
 	}
-	// Nothing listens at the platform's address, which is queried by default.
+	// Nothing listens at the address of the platform's discovery, which is a source by default.
 	out, err = run(file)
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(out, "discovery did not answer") {
--- a/cmd/starlingwinch/reload_test.go
+++ b/cmd/starlingwinch/reload_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestReloadsApplyInOrderOfSignals holds up the first reload while it reads (its file is a pipe) and sends a second
-// signal for a newer file: the newer file is the one in effect at the end.
+// TestReloadsApplyInOrderOfSignals blocks the first reload while it reads its file, which is a pipe, and sends a second SIGHUP for
+// a newer file. The newer file must be in effect at the end.
 func TestReloadsApplyInOrderOfSignals(t *testing.T) {
 	first := fmt.Sprintf(config, "127.0.0.1:0")
 	at := func(port int) string {
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	s.hangUp(t)
-	older, err := os.OpenFile(path, os.O_WRONLY, 0) // waits until the program reads
+	older, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program reads the pipe
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,16 +35,16 @@
 		t.Fatal(err)
 	}
 	s.hangUp(t)
-	s.wait(t, `msg="reload queued"`) // the second signal was taken
+	s.wait(t, `msg="reload queued"`) // the second signal has been handled
 	if _, err := older.WriteString(at(2)); err != nil {
 		t.Fatal(err)
 	}
 	older.Close()
-	for s.moves < 2 {
+	for s.discoveryChanges < 2 {
 		s.wait(t, discoveryMoved)
 	}
 	s.end(t)
-	if last := s.lastMove; last != "127.0.0.1:3" {
-		t.Errorf("discovery is at %s in the end, the newest file says 127.0.0.1:3", last)
+	if last := s.lastDiscovery; last != "127.0.0.1:3" {
+		t.Errorf("got discovery address %s, want 127.0.0.1:3 of the newest file", last)
 	}
 }
--- a/cmd/starlingwinch/run.go
+++ b/cmd/starlingwinch/run.go
@@ -30,7 +30,7 @@
 	"starlingwinch/internal/structuredlog"
 )
 
-// kinds are the kinds of operators' files. Each subsystem that has one is listed here.
+// kinds lists the kinds of operators' files, one for each subsystem that has such a file.
 var kinds = operatorconfig.Registry{
 	limits.Kind,
 	endpoints.Kind,
@@ -44,13 +44,13 @@
 
 const (
 	configVariable = "BALANCER_CONFIG"
-	maxConfigBytes = 16 << 20 // of the platform's file, whose endpoint list alone may have 8 MiB
-	maxWarnings    = 20       // of one reading of the files that are logged
+	maxConfigBytes = 16 << 20 // size of the platform's file; its endpoint list alone may have 8 MiB
+	maxWarnings    = 20       // number of warnings that are logged each time the files are read
 )
 
-// inputs names the files that a router is started with.
+// inputs holds the paths of the configuration files that a router is started with.
 type inputs struct {
-	config   string   // the platform's file; "" for the one that BALANCER_CONFIG names
+	config   string   // the platform's file; if "", the file that BALANCER_CONFIG names
 	operator []string // the operators' files
 }
 
@@ -59,13 +59,13 @@
 	var s inputs
 	cmd := &cobra.Command{
 		Use:   "run [--config FILE] [--operator FILE]...",
-		Short: "Serve",
-		Long: "Serves until SIGTERM, which drains. SIGHUP reads the files again: a new address of discovery and a new\n" +
-			"folder of the state take effect at once, all else waits for a restart.",
+		Short: "Serve clients' requests",
+		Long: "Serves until SIGTERM, at which the router drains and exits. At SIGHUP it reads the files again: a new address\n" +
+			"of discovery and a new snapshot folder take effect at once, all other changes at the next restart.",
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if cmd.Flags().Changed("config") && s.config == "" {
-				return usageError{cmd.CommandPath() + ": --config: a FILE is wanted; see " + cmd.CommandPath() + " --help"}
+				return usageError{cmd.CommandPath() + ": --config: a FILE is required; see " + cmd.CommandPath() + " --help"}
 			}
 			return s.run()
 		},
@@ -74,17 +74,17 @@
 	return cmd
 }
 
-// flags adds the flags for the files to a command.
+// flags adds the flags that name the configuration files to a command.
 func (s *inputs) flags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&s.config, "config", "", "the platform's `FILE` (JSON); without it, the one that "+
+	cmd.Flags().StringVar(&s.config, "config", "", "the platform's `FILE` (JSON); by default the file that "+
 		configVariable+" names")
 	cmd.Flags().StringArrayVar(&s.operator, "operator", nil, "an operators' `FILE` (TOML), such as deploy/limits.toml; "+
-		"may stand several times")
+		"may be repeated")
 }
 
 // run serves until a signal ends it.
 func (s inputs) run() error {
-	// The machine is made before the files are read: a signal that came meanwhile would otherwise end the process.
+	// The machine is created before the files are read, because a signal during the reading would otherwise end the process.
 	k, err := kernel()
 	if err != nil {
 		return fmt.Errorf("starlingwinch: %w", err)
@@ -93,7 +93,7 @@
 	if err != nil {
 		return fmt.Errorf("starlingwinch: %w", err)
 	}
-	// Without a handler, the first write to a log whose reader has gone would end the program.
+	// Without a handler for SIGPIPE, the first write to a log pipe without a reader would end the program.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGPIPE)
 	d := daemon{m: m, logger: structuredlog.New(m), state: daemonReadingFiles}
 	m.Post(func() { d.begin(s) })
@@ -101,8 +101,8 @@
 	return d.err
 }
 
-// reloader reads the files again at each SIGHUP, beside the loop, and has the router take them over. It reads one set of files
-// at a time: of two that were read side by side the older might be taken over last.
+// reloader reads the files again at each SIGHUP, outside the event loop, and applies them to the router. It runs one reload at a
+// time, because of two concurrent reloads the one with the older files might be applied last.
 type reloader struct {
 	inputs inputs
 	m      machine.Machine
@@ -110,10 +110,10 @@
 	router *router.Router
 
 	isReading bool // files are being read
-	isQueued  bool // a signal has come since the reading began: the files are read again after it
+	isQueued  bool // a signal arrived during the reading, so the files are read again afterwards
 }
 
-// begin reads the files, or has them read again after the reading that is under way. Each SIGHUP calls it.
+// begin handles a SIGHUP: it starts a reload, or queues one if a reload is running.
 func (l *reloader) begin() {
 	if l.isReading {
 		l.isQueued = true
@@ -134,7 +134,7 @@
 	})
 }
 
-// apply has the router take over what was read. Where the files are not valid, the router keeps its configuration.
+// apply passes the new configuration to the router. If the files are not valid, the router keeps its configuration.
 func (l *reloader) apply(next *router.Config, warnings []string, err error) {
 	if err != nil {
 		l.logger.Error("reload failed", "cause", oneLine(err))
@@ -144,7 +144,7 @@
 	l.router.Reload(next)
 }
 
-// logWarnings logs what is wrong with the files and does not keep the router from serving.
+// logWarnings logs the faults in the files with which the router can still serve, at most maxWarnings of them.
 func logWarnings(logger *slog.Logger, warnings []string) {
 	for i, warning := range warnings {
 		if i == maxWarnings {
@@ -155,10 +155,10 @@
 	}
 }
 
-// oneLine returns an error's text, which may have several lines, as one.
+// oneLine returns the text of an error with its lines joined by semicolons.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
-// load reads all files. The error names all that is wrong with any of them, a line each.
+// load reads all files. The error lists the faults of all files, one on each line.
 func (s inputs) load() (*router.Config, []string, error) {
 	var faults configerror.List
 	cfg, warnings, isPlatformUnfinished := s.loadPlatformFile(&faults)
@@ -177,8 +177,8 @@
 	return cfg, warnings, nil
 }
 
-// loadOperatorFiles reads the operators' files, of which there may be one of each kind. isUnfinishedFile says that one may
-// exist, or be complete, in a moment.
+// loadOperatorFiles reads the operators' files, at most one of each kind. isUnfinishedFile reports that a file is missing or
+// incomplete and may be complete in a moment.
 func (s inputs) loadOperatorFiles(faults *configerror.List) (files []operatorconfig.File, isUnfinishedFile bool) {
 	pathOfKind := map[string]string{}
 	for _, path := range s.operator {
@@ -190,7 +190,7 @@
 		}
 		if first, isTaken := pathOfKind[file.Kind]; isTaken {
 			faults.Add(configerror.Error{File: path, Field: "kind", Text: fmt.Sprintf("%s is also the kind of %s; "+
-				"one file of a kind is wanted", file.Kind, configerror.Plain(first))})
+				"one file of a kind is allowed", file.Kind, configerror.Plain(first))})
 		}
 		pathOfKind[file.Kind] = path
 		files = append(files, file)
@@ -198,7 +198,7 @@
 	return files, isUnfinishedFile
 }
 
-// applyOperatorFiles puts the operators' files, or their defaults, into the configuration.
+// applyOperatorFiles sets the configuration's fields from the operators' files, or from the defaults of kinds without a file.
 func applyOperatorFiles(cfg *router.Config, files []operatorconfig.File) (err error) {
 	cfg.OperatorLimits = operatorconfig.Get[limits.Limits](files, limits.Kind)
 	cfg.Endpoints = operatorconfig.Get[endpoints.Config](files, endpoints.Kind)
@@ -215,8 +215,8 @@
 	return err
 }
 
-// loadPlatformFile reads the platform's file. What the router can serve with is a warning, all else a fault. isUnfinishedFile
-// says that the file may exist, or be complete, in a moment.
+// loadPlatformFile reads the platform's file. Problems with which the router can serve are returned as warnings, all others are
+// added to faults. isUnfinishedFile reports that the file is missing or incomplete and may be complete in a moment.
 func (s inputs) loadPlatformFile(faults *configerror.List) (cfg *router.Config, warnings []string, isUnfinishedFile bool) {
 	path := s.config
 	if path == "" {
@@ -237,7 +237,7 @@
 	if cfg, err = router.ParseConfig(raw); err == nil {
 		return cfg, found.Lines(), false
 	}
-	if found.Empty() { // the check lacks what the router refuses
+	if found.Empty() { // settings.Check has no rule for the error that the router reports
 		found.Add(configerror.Error{File: path, Text: err.Error()})
 	}
 	faults.Join(found)
@@ -265,7 +265,7 @@
 	return raw, nil
 }
 
-// addFault adds the faults of one file, or the error that kept it from being read.
+// addFault adds the faults of one file, or the error if the file could not be read.
 func addFault(faults *configerror.List, err error) {
 	var found *configerror.List
 	if errors.As(err, &found) {
--- a/cmd/starlingwinch/size_test.go
+++ b/cmd/starlingwinch/size_test.go
@@ -11,8 +11,8 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestThousandRoutersAndCaches starts the program among 1,024 routers, all of them in its gossip view, before 1,024
-// caches.
+// TestThousandRoutersAndCaches starts a router with 1,024 other routers, all of them in its gossip view, and 1,024 caches,
+// and checks that the router serves requests.
 func TestThousandRoutersAndCaches(t *testing.T) {
 	const size = 1024
 	cache := routertest.NewCache(t)
@@ -21,7 +21,7 @@
 	var peers, lines []string
 	for i := range size {
 		lines = append(lines, routertest.Host(fmt.Sprintf("cache-%04d", i), cache.Addr(), "in_service"))
-		peers = append(peers, fmt.Sprintf(`"127.1.%d.%d:9"`, i/250, i%250+1)) // nobody is there: what is sent there is lost
+		peers = append(peers, fmt.Sprintf(`"127.1.%d.%d:9"`, i/250, i%250+1)) // no listener: datagrams to it are lost
 	}
 	own := fmt.Sprintf("127.2.0.1:%d", freePacketPort(t))
 	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1f","peer_listen":%q,"peers":[%q,%s],
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	r := bufio.NewReader(nc)
 	for i := range 200 {
 		fmt.Fprint(nc, routertest.Words("C.GET", fmt.Sprint("key", i), fmt.Sprint("r", i), "c=read,d=20000"))
@@ -58,7 +58,7 @@
 	s.end(t)
 }
 
-// freePacketPort returns a port for datagrams that was free a moment ago.
+// freePacketPort returns a UDP port that was free at the time of the call.
 func freePacketPort(t *testing.T) int {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.2.0.1:0")
--- a/cmd/starlingwinch/state.go
+++ b/cmd/starlingwinch/state.go
@@ -19,23 +19,23 @@
 func stateCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "state",
-		Short: "Tell what a router has kept of what it knew",
+		Short: "Print and check the snapshots that a router has stored",
 		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "show FILE",
-		Short: "Print one file of a state's folder as tables, with ages",
+		Short: "Print a stored snapshot as tables, with the age of each value",
 		Args:  oneArg("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return showState(cmd.OutOrStdout(), args[0], time.Now())
 		},
 	}, &cobra.Command{
 		Use:   "verify FOLDER",
-		Short: "Tell of each file of a state's folder whether it is sound, and change nothing",
-		Long: "Tells of each file of a state's folder whether it is sound: of those that a router reads when it starts, and of\n" +
-			"those that were set aside. Changes nothing. Exits 1 where one that a router reads is not sound, or where\n" +
-			"the folder can't be read.",
+		Short: "Report whether each file of a snapshot folder is valid; change nothing",
+		Long: "Reports whether each file of a snapshot folder is valid: the files that a router reads when it starts, and the\n" +
+			"files that were set aside. Changes nothing. Exits 1 if a file that a router reads is not valid, or if the\n" +
+			"folder can't be read.",
 		Args: oneArg("FOLDER"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return verifyState(cmd.OutOrStdout(), args[0], time.Now())
@@ -44,17 +44,17 @@
 	return cmd
 }
 
-// oneArg accepts exactly one argument; what names it in the usage error.
-func oneArg(what string) cobra.PositionalArgs {
+// oneArg accepts exactly one argument. The usage error calls the argument by the given name.
+func oneArg(name string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != 1 {
-			return usageError{fmt.Sprintf("%s: one %s is wanted; see %s --help", cmd.CommandPath(), what, cmd.CommandPath())}
+			return usageError{fmt.Sprintf("%s: one %s is required; see %s --help", cmd.CommandPath(), name, cmd.CommandPath())}
 		}
 		return nil
 	}
 }
 
-// showState prints one file as tables.
+// showState prints the snapshot in one file as tables.
 func showState(out io.Writer, path string, now time.Time) error {
 	f, state, err := snapshotstore.Read(machine.Files(), path)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// showCaches prints the table of caches.
+// showCaches prints the caches of a snapshot as a table.
 func showCaches(out io.Writer, caches []snapshot.Endpoint, now snapshot.Time) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "CACHE\tSTARTED\tAGE\tLIMIT\tLATE\tERRORS\tPROBES\tKEYS\tAGE OF KEYS")
@@ -106,7 +106,7 @@
 	t.Flush()
 }
 
-// verifyState prints whether each file of a folder is sound. The error says that one in use is not.
+// verifyState prints whether each file of a folder is valid. It returns an error if a file that a router reads is not valid.
 func verifyState(out io.Writer, folder string, now time.Time) error {
 	info, err := os.Stat(folder)
 	if err != nil {
@@ -135,14 +135,14 @@
 	t.Flush()
 	switch {
 	case bad > 0:
-		return fmt.Errorf("%s: %d of %d files that a router reads are not sound", configerror.Plain(folder), bad, bad+good)
+		return fmt.Errorf("%s: %d of %d files that a router reads are not valid", configerror.Plain(folder), bad, bad+good)
 	case good == 0:
-		fmt.Fprintln(out, "no state is kept here")
+		fmt.Fprintln(out, "the folder holds no snapshot")
 	}
 	return nil
 }
 
-// formatAge returns how long before or after now an instant is.
+// formatAge formats the time between an instant and now, such as "3s ago" or, for a later instant, "in 3s".
 func formatAge(now, then snapshot.Time) string {
 	if then > now {
 		return "in " + snapshotstore.FormatSpan(then-now)
--- a/cmd/starlingwinch/state_test.go
+++ b/cmd/starlingwinch/state_test.go
@@ -17,7 +17,7 @@
 	"starlingwinch/internal/snapshotstore"
 )
 
-// stateFile writes a snapshot of this age.
+// stateFile writes a snapshot that is as old as age.
 func stateFile(t *testing.T, path, router string, age time.Duration) {
 	t.Helper()
 	at := time.Now().Add(-age).UnixMicro()
@@ -64,7 +64,7 @@
 
 func TestStateVerify(t *testing.T) {
 	dir := t.TempDir()
-	if code, out, _ := outcome(t, "state", "verify", dir); code != 0 || !strings.Contains(out, "no state is kept here") {
+	if code, out, _ := outcome(t, "state", "verify", dir); code != 0 || !strings.Contains(out, "the folder holds no snapshot") {
 		t.Errorf("an empty folder: %d, %q", code, out)
 	}
 	stateFile(t, filepath.Join(dir, "state.1"), "n0", 0)
@@ -80,8 +80,8 @@
 	if code, _, errs := outcome(t, "state", "verify", dir+"/none"); code != exitFailure || errs == "" {
 		t.Errorf("no folder: %d, %q", code, errs)
 	}
-	if code, _, errs := outcome(t, "state", "verify"); code != exitUsage || !strings.Contains(errs, "one FOLDER is wanted") {
-		t.Errorf("no word: %d, %q", code, errs)
+	if code, _, errs := outcome(t, "state", "verify"); code != exitUsage || !strings.Contains(errs, "one FOLDER is required") {
+		t.Errorf("no argument: %d, %q", code, errs)
 	}
 }
 
@@ -89,7 +89,7 @@
 // configuration. A router that starts writes snapshots without caches until it has its endpoint list.
 func waitStored(t *testing.T, folder string) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		info, err := os.Stat(filepath.Join(folder, "state.2"))
 		if err != nil || !info.Mode().IsRegular() {
 			continue
@@ -104,19 +104,20 @@
 	t.Fatal("no snapshot with the cache of the configuration is written to ", folder)
 }
 
-// TestSnapshotsSurviveKillAndReload kills the program and starts it again, and moves the folder at SIGHUP; a file of 1
-// GB, a link and a hundred thousand other files in the folder do no harm.
+// TestSnapshotsSurviveKillAndReload checks that a router restores its snapshot after SIGKILL, and writes to a new folder
+// after SIGHUP. In the folder stand a file of 1 GiB and a symbolic link to /dev/zero under the snapshots' names, which the
+// router sets aside, and 100,000 other files, which it ignores.
 func TestSnapshotsSurviveKillAndReload(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
 	config := file(t, "config.json", fmt.Sprintf(config, "127.0.0.1:0"))
 	toml := filepath.Join(t.TempDir(), "state.toml")
-	name := func(folder string) {
+	setFolder := func(folder string) {
 		text := fmt.Sprintf("kind = \"state\"\nfolder = %q\nevery = \"50ms\"\n", folder)
 		if err := os.WriteFile(toml, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	name(dir)
+	setFolder(dir)
 	for i := range 100_000 {
 		if err := os.WriteFile(filepath.Join(dir, fmt.Sprint("other.", i)), nil, 0o600); err != nil {
 			t.Fatal(err)
@@ -139,7 +140,7 @@
 	s.cmd.Wait()
 	s = start(t, command(t, "run", "--config", config, "--operator", toml))
 	s.wait(t, `msg="snapshot restored" caches=1 age=`)
-	name(other)
+	setFolder(other)
 	s.cmd.Process.Signal(syscall.SIGHUP)
 	s.wait(t, `msg="snapshot folder changed" folder=`+other)
 	waitStored(t, other)
--- a/cmd/starlingwinch/storm.go
+++ b/cmd/starlingwinch/storm.go
@@ -8,17 +8,17 @@
 	"starlingwinch/internal/retrystorm"
 )
 
-// stormCommand returns the command "storm", which explains what a log says of retry storms.
+// stormCommand returns the command "storm", which explains the retry storms that a log records.
 func stormCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "storm",
-		Short: "Tell of storms of retries and reconnects",
+		Short: "Explain storms of retries and reconnects",
 		Args:  noArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "explain LOGFILE",
-		Short: "Tell in plain words which storms a router's log shows, and what caused each change",
+		Short: "Describe the storms that a router's log records, and the cause of each change",
 		Args:  oneArg("LOGFILE"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			log, err := os.Open(args[0])
--- a/cmd/starlingwinch/version.go
+++ b/cmd/starlingwinch/version.go
@@ -14,7 +14,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Tell which build this is",
+		Short: "Print the version, revision and compiler of this build",
 		Args:  noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			info, _ := debug.ReadBuildInfo()
@@ -24,7 +24,7 @@
 	}
 }
 
-// version returns the version, revision and compiler of a build in one line.
+// version returns the version, revision and compiler of a build as one line.
 func version(info *debug.BuildInfo) string {
 	if info == nil {
 		return "starlingwinch, unknown build"
@@ -51,7 +51,7 @@
 	return text + ", " + info.GoVersion
 }
 
-// buildDigest returns a digest of the version, by which routers see whether others run the same program.
+// buildDigest returns a digest of the version. Routers compare it to detect members that run a different build.
 func buildDigest() uint32 {
 	f := fnv.New32a()
 	if info, known := debug.ReadBuildInfo(); known {
--- a/cmd/starlingwinch/writer.go
+++ b/cmd/starlingwinch/writer.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	maxQueuedWrites = 256 // writes that wait for a reader; further ones are dropped
+	maxQueuedWrites = 256 // writes that wait for a reader; when the queue is full, further writes are dropped
 
-	commandFlushTimeout = 2 * time.Second       // after a command, and after an error
+	commandFlushTimeout = 2 * time.Second       // at the end of a command, and after an error
 	exitFlushTimeout    = 40 * time.Millisecond // at a regular end of the daemon: SIGKILL may follow 50 ms later
 )
 
-// nonBlockingWriter writes to a stream that may have no reader, in order, and never waits: a full pipe would otherwise stop
-// the program, even at its last line.
+// nonBlockingWriter writes to a stream in order and never blocks. Otherwise a full pipe that nothing reads would block the
+// program, even at its last line.
 type nonBlockingWriter struct {
 	queue     chan []byte
-	unwritten sync.WaitGroup // writes in the queue, and the one under way
+	unwritten sync.WaitGroup // writes in the queue, and the current write
 }
 
-// newNonBlockingWriter returns a writer to a stream. Its goroutine ends with the program.
+// newNonBlockingWriter returns a writer to a stream and starts its goroutine, which runs until the program ends.
 func newNonBlockingWriter(w io.Writer) *nonBlockingWriter {
 	o := &nonBlockingWriter{queue: make(chan []byte, maxQueuedWrites)}
 	go func() {
@@ -32,7 +32,7 @@
 	return o
 }
 
-// Write queues a text, which is written in one piece, or drops it where the queue is full. It never fails.
+// Write queues a copy of b, which is then written by one call, or drops it if the queue is full. It never returns an error.
 func (o *nonBlockingWriter) Write(b []byte) (int, error) {
 	o.unwritten.Add(1)
 	select {
@@ -43,7 +43,7 @@
 	return len(b), nil
 }
 
-// flush waits until the queue is written, up to a timeout.
+// flush waits until all queued writes are done or the timeout expires.
 func (o *nonBlockingWriter) flush(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
