--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -1,5 +1,5 @@
-// Package configerror describes what is wrong with a configuration file: all errors at once, each on a line of its own with the
-// file, the position and the field. It reads no files.
+// Package configerror holds the errors of a configuration file. A List reports all errors at once, one per line, each with the
+// file, the position and the field. The package reads no files.
 package configerror
 
 import (
@@ -11,13 +11,13 @@
 	"unicode/utf8"
 )
 
-// Error is one error of a file. It is a part of a List, which is what functions return as an error.
+// Error is one error of a file. Error itself does not implement the error interface: functions return a *List.
 type Error struct {
-	File   string // path; empty where it is not known
-	Line   int    // counted from 1; 0 where only the field is known
+	File   string // path; empty if unknown
+	Line   int    // counted from 1; 0 if only the field is known
 	Column int    // in characters, counted from 1
-	Field  string // path of the key, as clients.idle_time; empty for the file as a whole
-	Text   string // what is wrong, and what is wanted
+	Field  string // path of the key, such as clients.idle_time; empty if the error concerns no single key
+	Text   string // description of the error and of the valid values
 }
 
 // String returns the error as one line.
@@ -36,17 +36,17 @@
 	return b.String() + e.Text
 }
 
-// MaxErrors is the number of errors that a List holds.
+// MaxErrors is the maximum number of errors that a List holds.
 const MaxErrors = 100
 
-// List collects errors, and is an error itself. What comes after the first MaxErrors is counted only, as a large file may have
-// one in each line. The zero value is an empty list.
+// List collects errors and implements error. Errors beyond the first MaxErrors are only counted, because a large file may have
+// an error in each line. The zero value is an empty list.
 type List struct {
 	errors  []Error
-	dropped int // errors that were counted only
+	dropped int // number of errors beyond MaxErrors
 }
 
-// Add adds an error.
+// Add appends an error, or only counts it if the list already holds MaxErrors.
 func (l *List) Add(e Error) {
 	if len(l.errors) == MaxErrors {
 		l.dropped++
@@ -55,7 +55,7 @@
 	l.errors = append(l.errors, e)
 }
 
-// Join adds the errors of another list.
+// Join appends the errors of another list, and adds its count of dropped errors.
 func (l *List) Join(other List) {
 	for _, e := range other.errors {
 		l.Add(e)
@@ -63,17 +63,17 @@
 	l.dropped += other.dropped
 }
 
-// In sets the file of all errors.
+// In sets the file of all errors in the list.
 func (l *List) In(file string) {
 	for i := range l.errors {
 		l.errors[i].File = file
 	}
 }
 
-// All returns the errors that are held. The caller may change them in place.
+// All returns the errors that the list holds. The caller may modify them in place.
 func (l *List) All() []Error { return l.errors }
 
-// Empty reports whether nothing is wrong.
+// Empty reports whether the list has no errors.
 func (l *List) Empty() bool { return len(l.errors) == 0 }
 
 // Sort orders the errors by their positions in the file.
@@ -84,7 +84,7 @@
 	})
 }
 
-// Lines returns the errors as lines, with one more for those that were counted only.
+// Lines returns one line per error, and a last line with the number of dropped errors if there are any.
 func (l *List) Lines() []string {
 	var lines []string
 	for _, e := range l.errors {
@@ -96,10 +96,10 @@
 	return lines
 }
 
-// Error implements error; the text has a line for each error.
+// Error implements error. The text is the result of Lines, joined by line breaks.
 func (l *List) Error() string { return strings.Join(l.Lines(), "\n") }
 
-// Err returns the list as an error, or nil where it is empty.
+// Err returns the list as an error, or nil if the list is empty.
 func (l *List) Err() error {
 	if l.Empty() {
 		return nil
@@ -107,20 +107,20 @@
 	return l
 }
 
-// Position returns the line and the column of an offset in bytes, both counted from 1.
+// Position converts a byte offset to a line and a column in characters, both counted from 1.
 func Position(raw []byte, offset int) (line, column int) {
 	before := raw[:max(0, min(offset, len(raw)))]
-	begin := bytes.LastIndexByte(before, '\n') + 1
-	return bytes.Count(before, []byte("\n")) + 1, utf8.RuneCount(before[begin:]) + 1
+	lineStart := bytes.LastIndexByte(before, '\n') + 1
+	return bytes.Count(before, []byte("\n")) + 1, utf8.RuneCount(before[lineStart:]) + 1
 }
 
-// maxQuotedBytes is how much of a word is shown.
+// maxQuotedBytes is the length to which Quote truncates a word.
 const maxQuotedBytes = 60
 
-// maxPlainBytes is the length of a name that is shown whole.
+// maxPlainBytes is the maximum length of a name that Plain returns unquoted.
 const maxPlainBytes = 4 * maxQuotedBytes
 
-// Quote returns a word of a file in quotes, shortened where it is long.
+// Quote returns a word of a file in quotes, truncated to maxQuotedBytes.
 func Quote(word string) string {
 	if len(word) > maxQuotedBytes {
 		return strconv.Quote(word[:maxQuotedBytes]) + "..."
@@ -128,8 +128,8 @@
 	return strconv.Quote(word)
 }
 
-// Plain returns a name as it is, or in quotes where it is empty, long or has characters that a terminal would not show as they
-// are: a name with line ends could forge lines of the report.
+// Plain returns a name unchanged. It quotes a name that is empty, longer than maxPlainBytes, or has characters that a terminal
+// would not print literally: a name with line breaks could forge lines of the report.
 func Plain(name string) string {
 	for _, r := range name {
 		if r < ' ' || r == 0x7f || r == utf8.RuneError || r == '\u2028' || r == '\u2029' {
@@ -142,7 +142,7 @@
 	return name
 }
 
-// OneOf returns a choice of words as text: "a, b or c".
+// OneOf joins alternatives for a message: "a, b or c".
 func OneOf(words []string) string {
 	if len(words) < 2 {
 		return strings.Join(words, "")
--- a/internal/configerror/suggest.go
+++ b/internal/configerror/suggest.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// maxComparedBytes bounds the words that are compared, as the work grows with the square of their length.
+// maxComparedBytes is the maximum length of words that Suggest compares, because the cost of a comparison grows with the square
+// of the length.
 const maxComparedBytes = 64
 
-// Suggest returns the known word that is most similar to a word, or nothing where none is similar. Of equal distances the first
-// one wins.
+// Suggest returns the known word that is most similar to the given word, or "" if no known word is similar. Of several known
+// words at the same distance it returns the first.
 func Suggest(word string, known []string) string {
 	if len(word) > maxComparedBytes {
 		return ""
@@ -23,7 +24,7 @@
 	return best
 }
 
-// DidYouMean returns the suggestion for a word as the end of a message, or nothing.
+// DidYouMean returns the suggestion for a word as the end of an error message, or "" if there is no suggestion.
 func DidYouMean(word string, known []string) string {
 	if suggested := Suggest(word, known); suggested != "" {
 		return " (did you mean " + Quote(suggested) + "?)"
@@ -31,32 +32,32 @@
 	return ""
 }
 
-// normalize drops case and separators: maxAttempts, max_attempts and max-attempts are one name.
+// normalize removes case and separators, so that maxAttempts, max_attempts and max-attempts compare equal.
 func normalize(word string) string {
 	return strings.NewReplacer("_", "", "-", "").Replace(strings.ToLower(word))
 }
 
-// distance returns the number of bytes to add, remove, change or swap with a neighbour (optimal string alignment, after Damerau
-// and Levenshtein).
+// distance returns the Damerau-Levenshtein distance of two words in bytes, as optimal string alignment: the number of insertions,
+// deletions, substitutions and swaps of adjacent bytes that turn one word into the other.
 func distance(a, b string) int {
-	// Rows of the matrix of distances between prefixes of a and b: the present one and the two before.
-	before, last, row := make([]int, len(b)+1), make([]int, len(b)+1), make([]int, len(b)+1)
-	for j := range last {
-		last[j] = j
+	// The current and the two previous rows of the matrix of distances between the prefixes of a and b.
+	beforePrevious, previous, row := make([]int, len(b)+1), make([]int, len(b)+1), make([]int, len(b)+1)
+	for j := range previous {
+		previous[j] = j
 	}
 	for i := 1; i <= len(a); i++ {
 		row[0] = i
 		for j := 1; j <= len(b); j++ {
-			change := last[j-1]
+			substitution := previous[j-1]
 			if a[i-1] != b[j-1] {
-				change++
+				substitution++
 			}
-			row[j] = min(last[j]+1, row[j-1]+1, change)
+			row[j] = min(previous[j]+1, row[j-1]+1, substitution)
 			if i > 1 && j > 1 && a[i-1] == b[j-2] && a[i-2] == b[j-1] {
-				row[j] = min(row[j], before[j-2]+1)
+				row[j] = min(row[j], beforePrevious[j-2]+1)
 			}
 		}
-		before, last, row = last, row, before
+		beforePrevious, previous, row = previous, row, beforePrevious
 	}
-	return last[len(b)]
+	return previous[len(b)]
 }
--- a/internal/operatorconfig/keys.go
+++ b/internal/operatorconfig/keys.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Key describes one key of a kind of file, for documents and messages.
+// Key describes one key of a kind of file, for documentation and error messages.
 type Key struct {
-	Path    string   // clients.idle_time; entries of lists of tables as members[].name
-	Unit    string   // what its values are
-	Default string   // in the form of the file
-	Min     string   // in the form of the file; empty where there is no bound
-	Max     string   // as Min
-	Words   []string // the only values of a text; nil for any
+	Path    string   // such as clients.idle_time, or members[].name in a list of tables
+	Unit    string   // kind of the values, such as duration or count
+	Default string   // as written in the file
+	Min     string   // as written in the file; empty if there is no lower bound
+	Max     string   // as written in the file; empty if there is no upper bound
+	Words   []string // allowed values of a text; nil if any text is allowed
 	Doc     string
 }
 
-// Range describes the values that a key may have; empty for any.
+// Range describes the allowed values of a key. It is empty if all values are allowed.
 func (k Key) Range() string {
 	switch {
 	case len(k.Words) > 0:
@@ -35,25 +35,25 @@
 	return k.Min + " to " + k.Max
 }
 
-// Keys returns the keys of a kind, in the order of its struct.
+// Keys returns the keys of a kind, in the order of the struct's fields.
 func (k Kind) Keys() []Key { return keys("", reflect.ValueOf(k.defaults)) }
 
-// keys returns the keys of a table at a path.
-func keys(at string, v reflect.Value) []Key {
+// keys returns the keys of the table at a path.
+func keys(path string, v reflect.Value) []Key {
 	var all []Key
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		name := keyName(f)
-		path, value := joined(at, name), v.Field(i)
+		keyPath, value := joinPath(path, name), v.Field(i)
 		switch {
 		case isTable(f.Type):
-			all = append(all, keys(path, value)...)
+			all = append(all, keys(keyPath, value)...)
 			continue
 		case f.Type.Kind() == reflect.Slice && isTable(f.Type.Elem()):
-			all = append(all, keys(path+"[]", reflect.New(f.Type.Elem()).Elem())...)
+			all = append(all, keys(keyPath+"[]", reflect.New(f.Type.Elem()).Elem())...)
 			continue
 		}
-		key := Key{Path: path, Unit: unit(f.Type), Default: show(value), Min: f.Tag.Get("min"),
+		key := Key{Path: keyPath, Unit: unit(f.Type), Default: formatValue(value), Min: f.Tag.Get("min"),
 			Max: f.Tag.Get("max"), Doc: f.Tag.Get("doc")}
 		if words := f.Tag.Get("words"); words != "" {
 			key.Words = strings.Split(words, ",")
@@ -63,43 +63,45 @@
 	return all
 }
 
-// keyName returns the name of a field in the file. Every field of a kind's struct is a key.
+// keyName returns the name of a field's key in the file. Every field of a kind's struct must be a key.
 func keyName(f reflect.StructField) string {
 	name := f.Tag.Get("toml")
 	if name == "" || !f.IsExported() {
-		panic(fmt.Sprintf("operatorconfig: field %s is no key: it has no name in its tag, or is not exported", f.Name))
+		panic(fmt.Sprintf("operatorconfig: field %s is not a key: it has no toml tag or is not exported", f.Name))
 	}
 	return name
 }
 
-// joined returns the path of a key in a table.
-func joined(at, name string) string {
-	if at == "" {
+// joinPath returns the path of a key in the table at path.
+func joinPath(path, name string) string {
+	if path == "" {
 		return name
 	}
-	return at + "." + name
+	return path + "." + name
 }
 
 var (
-	durationType = reflect.TypeFor[time.Duration]()
-	sizeType     = reflect.TypeFor[Size]()
-	textual      = reflect.TypeFor[encoding.TextUnmarshaler]()
+	durationType        = reflect.TypeFor[time.Duration]()
+	sizeType            = reflect.TypeFor[Size]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
-// isTextual reports whether values of a type are read from text by their own method.
-func isTextual(t reflect.Type) bool { return reflect.PointerTo(t).Implements(textual) }
+// isTextUnmarshaler reports whether pointers to a type implement encoding.TextUnmarshaler.
+func isTextUnmarshaler(t reflect.Type) bool {
+	return reflect.PointerTo(t).Implements(textUnmarshalerType)
+}
 
-// isTable reports whether values of a type are tables of the file.
-func isTable(t reflect.Type) bool { return t.Kind() == reflect.Struct && !isTextual(t) }
+// isTable reports whether values of a type are tables in the file.
+func isTable(t reflect.Type) bool { return t.Kind() == reflect.Struct && !isTextUnmarshaler(t) }
 
-// unit describes the values of a type.
+// unit returns the Unit of keys of a type.
 func unit(t reflect.Type) string {
 	switch {
 	case t == durationType:
 		return "duration"
 	case t == sizeType:
 		return "size"
-	case isTextual(t):
+	case isTextUnmarshaler(t):
 		return "text"
 	}
 	switch t.Kind() {
@@ -114,11 +116,11 @@
 	case reflect.Slice:
 		return "list of " + unit(t.Elem())
 	}
-	panic("operatorconfig: no key can be a " + t.String())
+	panic("operatorconfig: unsupported type of a key: " + t.String())
 }
 
-// show returns a value in the form of the file.
-func show(v reflect.Value) string {
+// formatValue formats a value as written in the file.
+func formatValue(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case time.Duration:
 		return strconv.Quote(FormatDuration(x))
@@ -133,14 +135,14 @@
 	if v.Kind() == reflect.Slice {
 		var items []string
 		for i := range v.Len() {
-			items = append(items, show(v.Index(i)))
+			items = append(items, formatValue(v.Index(i)))
 		}
 		return "[" + strings.Join(items, ", ") + "]"
 	}
 	return fmt.Sprint(v.Interface())
 }
 
-// clone returns a deep copy, so that what one file sets does not change the defaults.
+// clone returns a deep copy, so that decoding a file into it does not change the defaults.
 func clone(v reflect.Value) reflect.Value {
 	out := reflect.New(v.Type()).Elem()
 	out.Set(v)
--- a/internal/operatorconfig/locate.go
+++ b/internal/operatorconfig/locate.go
@@ -8,16 +8,16 @@
 	"starlingwinch/internal/configerror"
 )
 
-// locate sets the lines and columns of errors by their paths. The library's decoder has no positions, so this walks over its
-// syntax tree, which is an unstable part of the library: an error for which it gives no position goes without one.
+// locate sets the lines and columns of errors by their paths. The decoder of the TOML library reports no positions, so locate
+// walks the syntax tree, which is part of the library's unstable API. An error whose path is not in the tree stays without a position.
 func locate(raw []byte, errors []configerror.Error) {
-	wanted := map[string][]int{}
+	byPath := map[string][]int{}
 	for i, e := range errors {
 		if e.Line == 0 {
-			wanted[e.Field] = append(wanted[e.Field], i)
+			byPath[e.Field] = append(byPath[e.Field], i)
 		}
 	}
-	w := walker{raw: raw, errors: errors, wanted: wanted, entries: map[string]int{}}
+	w := walker{raw: raw, errors: errors, byPath: byPath, entries: map[string]int{}}
 	var p unstable.Parser
 	p.Reset(raw)
 	table := ""
@@ -33,53 +33,54 @@
 	}
 }
 
-// walker walks over the syntax tree of a file.
+// walker walks the syntax tree of a file and sets the positions of errors.
 type walker struct {
 	raw     []byte
 	errors  []configerror.Error
-	wanted  map[string][]int // indices of the errors without a position, by path
-	entries map[string]int   // numbers of entries so far of lists of tables, by path
+	byPath  map[string][]int // indices of the errors without a position, by path
+	entries map[string]int   // number of entries read of each list of tables, by path
 }
 
-// key marks the keys of a node and returns the path of the last one. The key of a list of tables stands for its latest entry.
-func (w *walker) key(at string, node *unstable.Node, entry bool) string {
+// key sets the positions of errors at the keys of a node and returns the path of the node's last key. The key of a list of tables
+// refers to the most recent entry of the list; if isEntry is set, the last key begins a new entry.
+func (w *walker) key(path string, node *unstable.Node, isEntry bool) string {
 	for it := node.Key(); it.Next(); {
 		part := it.Node()
-		at = joined(at, configerror.Plain(string(part.Data)))
-		if entry && it.IsLast() {
-			w.entries[at]++
+		path = joinPath(path, configerror.Plain(string(part.Data)))
+		if isEntry && it.IsLast() {
+			w.entries[path]++
 		}
-		w.mark(at, part.Raw.Offset)
-		if n := w.entries[at]; n > 0 {
-			at = fmt.Sprintf("%s[%d]", at, n-1)
-			w.mark(at, part.Raw.Offset)
+		w.setPosition(path, part.Raw.Offset)
+		if n := w.entries[path]; n > 0 {
+			path = fmt.Sprintf("%s[%d]", path, n-1)
+			w.setPosition(path, part.Raw.Offset)
 		}
 	}
-	return at
+	return path
 }
 
-// value marks the items of a list and the keys of a table that are written inline.
-func (w *walker) value(at string, node *unstable.Node) {
+// value sets the positions of errors inside a value: in the items of a list and in the keys of an inline table.
+func (w *walker) value(path string, node *unstable.Node) {
 	switch node.Kind {
 	case unstable.Array:
 		i := 0
 		for it := node.Children(); it.Next(); i++ {
-			path := fmt.Sprintf("%s[%d]", at, i)
+			itemPath := fmt.Sprintf("%s[%d]", path, i)
 			if item := it.Node(); item.Raw.Length > 0 {
-				w.mark(path, item.Raw.Offset)
+				w.setPosition(itemPath, item.Raw.Offset)
 			}
-			w.value(path, it.Node())
+			w.value(itemPath, it.Node())
 		}
 	case unstable.InlineTable:
 		for it := node.Children(); it.Next(); {
-			w.value(w.key(at, it.Node(), false), it.Node().Value())
+			w.value(w.key(path, it.Node(), false), it.Node().Value())
 		}
 	}
 }
 
-// mark sets the position of the errors at a path. The first position counts.
-func (w *walker) mark(path string, offset uint32) {
-	for _, i := range w.wanted[path] {
+// setPosition sets the position of the errors at a path. An error that already has a position keeps it.
+func (w *walker) setPosition(path string, offset uint32) {
+	for _, i := range w.byPath[path] {
 		if w.errors[i].Line == 0 {
 			w.errors[i].Line, w.errors[i].Column = configerror.Position(w.raw, int(offset))
 		}
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,13 +1,13 @@
-// Package operatorconfig reads the files that operators write: deploy/NAME.toml, one for each subsystem. A subsystem defines its
-// kind of file once, as a struct with defaults and a check. The unit, default, range and meaning of each key come from that
-// struct, for reading, for `starlingwinch check` and for the tests of the documents.
+// Package operatorconfig reads the configuration files that operators write: deploy/NAME.toml, one for each subsystem. A subsystem
+// defines its kind of file once, as a struct with defaults and a check. The decoder, `starlingwinch check` and the tests of the
+// documentation take the unit, default, range and description of each key from that struct.
 //
-// A file names its kind with its key `kind`, whatever the file's name. Reading is strict: an unknown key, a wrong type and a
-// figure out of range are errors, and all of them are reported at once with line and column. Nothing is started.
+// The key `kind` of a file names its kind; the file's name has no meaning. Decoding is strict: an unknown key, a wrong type and a
+// number out of range are errors, and one call reports all errors with line and column. Decoding starts nothing.
 //
-// It is an edge: the words of the files stand in the struct tags of each kind, and the fields bear the terms of the code.
+// The names of keys in files stand only in the struct tags of each kind. The struct's fields have the names that the code uses.
 //
-// The language is TOML 1.0, read with github.com/pelletier/go-toml/v2.
+// The format is TOML 1.0, parsed by github.com/pelletier/go-toml/v2.
 package operatorconfig
 
 import (
@@ -23,38 +23,38 @@
 	"starlingwinch/internal/configerror"
 )
 
-// MaxFileBytes is the size limit of a file.
+// MaxFileBytes is the maximum size of a file.
 const MaxFileBytes = 1 << 20
 
 // kindKey is the top-level key that names the kind of a file.
 const kindKey = "kind"
 
-// Kind is a kind of file. Define makes one.
+// Kind is a kind of configuration file. Use Define to create a Kind.
 type Kind struct {
-	Name     string // the value of the file's key `kind`
-	Doc      string // what it is for, in one line
+	Name     string // value of the key `kind` in files
+	Doc      string // purpose of the file, in one line
 	defaults any
-	check    func(v any, bad ReportFunc)
+	check    func(v any, report ReportFunc)
 }
 
-// ReportFunc reports an error that a key's range does not cover, at the key's path (clients.idle_time).
+// ReportFunc reports an error that the range of a key does not cover. The key is a path such as clients.idle_time.
 type ReportFunc func(key, format string, args ...any)
 
-// Define makes a kind of the struct T. Each field that is a key has the tags
+// Define returns a kind of file that is decoded into the struct T. The fields of T have these tags:
 //
-//	toml:"idle_time"          its name
-//	min:"100ms" max:"1m"      its range, in the form of the file; for a text its length, for a list its entries
-//	words:"first,last"        the only values of a text
-//	doc:"..."                 what it is for
-//	secret:"true"             no error shows its value; for texts and lists of texts
+//	toml:"idle_time"          name of the key
+//	min:"100ms" max:"1m"      range of the value, as written in the file; for a text or a list, range of its length
+//	words:"first,last"        allowed values of a text
+//	doc:"..."                 description of the key
+//	secret:"true"             keeps the value out of error messages; for texts and lists of texts
 //
-// A key may be a bool, an integer, a float, a time.Duration, a Size, a string, what unmarshals itself from text, a
-// list of these, a struct (a table), or a list of structs. check may be nil; it is called with values inside their ranges.
-// Define panics where a tag is wrong.
-func Define[T any](name, doc string, defaults T, check func(v T, bad ReportFunc)) Kind {
+// A key may be a bool, an integer, a float, a time.Duration, a Size, a string, an encoding.TextUnmarshaler, a list of these,
+// a struct (a table), or a list of structs. The check function may be nil; it runs only if all values are inside their ranges.
+// Define panics if a key has no name, no doc or an unsupported type.
+func Define[T any](name, doc string, defaults T, check func(v T, report ReportFunc)) Kind {
 	k := Kind{Name: name, Doc: doc, defaults: defaults}
 	if check != nil {
-		k.check = func(v any, bad ReportFunc) { check(v.(T), bad) }
+		k.check = func(v any, report ReportFunc) { check(v.(T), report) }
 	}
 	for _, key := range k.Keys() {
 		if key.Doc == "" {
@@ -64,14 +64,14 @@
 	return k
 }
 
-// File is a file that was read without errors.
+// File is a decoded file without errors.
 type File struct {
 	Path  string
 	Kind  string
-	Value any // of the kind's struct
+	Value any // of the kind's struct type
 }
 
-// Registry holds the kinds of files that a program knows.
+// Registry lists the kinds of files that a program accepts.
 type Registry []Kind
 
 func (r Registry) names() []string {
@@ -91,7 +91,7 @@
 	return r.Parse(path, raw)
 }
 
-// Parse reads the text of a file. The error is a *configerror.List with everything that is wrong.
+// Parse decodes the content of a file. The error is a *configerror.List with all errors of the file.
 func (r Registry) Parse(path string, raw []byte) (File, error) {
 	var found configerror.List
 	file, ok := r.parse(raw, &found)
@@ -103,7 +103,7 @@
 	return File{}, &found
 }
 
-// parse reads the text of a file, and reports whether it has no errors.
+// parse decodes the content of a file, adds the errors to found, and reports whether there are none.
 func (r Registry) parse(raw []byte, found *configerror.List) (File, bool) {
 	if len(raw) > MaxFileBytes {
 		found.Add(configerror.Error{Text: fmt.Sprintf("too large (%d bytes, wanted at most %d)", len(raw), MaxFileBytes)})
@@ -130,29 +130,29 @@
 	return File{}, false
 }
 
-// syntaxError describes what the TOML library says of a text that it can't read.
+// syntaxError converts a decoding error of the TOML library.
 func syntaxError(err error) configerror.Error {
 	described := configerror.Error{Text: "not TOML: " + configerror.Plain(strings.TrimPrefix(err.Error(), "toml: "))}
-	var at *toml.DecodeError
-	if errors.As(err, &at) {
-		described.Line, described.Column = at.Position()
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		described.Line, described.Column = decodeErr.Position()
 	}
 	return described
 }
 
-// decode returns the kind's struct with what a document sets, and adds the errors of the document.
+// decode returns the kind's defaults overridden by the values of a document, and adds the errors of the document to found.
 func (k Kind) decode(doc map[string]any, found *configerror.List) any {
 	value := reflect.New(reflect.TypeOf(k.defaults)).Elem()
 	value.Set(clone(reflect.ValueOf(k.defaults)))
 	d := decoder{errors: found}
 	d.table("", doc, value)
 	if found.Empty() && k.check != nil {
-		k.check(value.Interface(), d.bad)
+		k.check(value.Interface(), d.report)
 	}
 	return value.Interface()
 }
 
-// kind finds the kind that a document names.
+// kind returns the kind that a document names.
 func (r Registry) kind(doc map[string]any) (Kind, *configerror.Error) {
 	names := r.names()
 	known := configerror.OneOf(names)
@@ -173,7 +173,7 @@
 		configerror.Quote(name), known, configerror.DidYouMean(name, names))}
 }
 
-// Get returns the value of a kind from the files of a start, or else the defaults of the kind.
+// Get returns the value of the first file of a kind, or the defaults of the kind if there is no such file.
 func Get[T any](files []File, k Kind) T {
 	for _, f := range files {
 		if v, ok := f.Value.(T); ok && f.Kind == k.Name {
@@ -183,7 +183,8 @@
 	return clone(reflect.ValueOf(k.defaults)).Interface().(T)
 }
 
-// Read reads a regular file of a bounded size. Reading a device might never end, and a pipe that nobody writes to would block.
+// Read reads a regular file of at most maxBytes. It rejects devices and pipes: reading a device might never end, and reading a
+// pipe without a writer would block.
 func Read(path string, maxBytes int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -14,7 +14,7 @@
 	"starlingwinch/internal/configerror"
 )
 
-// sample has a key of each shape.
+// sample has a key of each type.
 type sample struct {
 	Wait    time.Duration  `toml:"wait" min:"10ms" max:"1m" doc:"a duration"`
 	Room    Size           `toml:"room" min:"1KiB" max:"1MiB" doc:"a size"`
@@ -35,33 +35,33 @@
 	High int `toml:"high" min:"0" doc:"the upper end"`
 }
 
-func standard() sample {
+func sampleDefaults() sample {
 	return sample{Wait: time.Second, Room: 64 << 10, Count: 3, Order: "first", Label: "x", Zones: []string{"a"},
 		Part: part{Low: 1, High: 2}}
 }
 
 var registry = Registry{
-	Define("sample", "for the tests", standard(), func(v sample, bad ReportFunc) {
+	Define("sample", "for the tests", sampleDefaults(), func(v sample, report ReportFunc) {
 		if v.Part.Low > v.Part.High {
-			bad("part.low", "above part.high (%d, wanted at most %d)", v.Part.Low, v.Part.High)
+			report("part.low", "above part.high (%d, wanted at most %d)", v.Part.Low, v.Part.High)
 		}
 	}),
 	Define("other", "for the tests too", part{}, nil),
 }
 
-// parse returns the faults of a file, a line each.
+// parse returns the decoded file, or one line for each error.
 func parse(text string) (File, []string) {
 	file, err := registry.Parse("f", []byte(text))
-	var faults *configerror.List
-	if errors.As(err, &faults) {
-		return file, faults.Lines()
+	var list *configerror.List
+	if errors.As(err, &list) {
+		return file, list.Lines()
 	}
 	return file, nil
 }
 
-// TestParseOverridesDefaults checks a file with keys of all shapes, and that the defaults stay as they are.
+// TestParseOverridesDefaults checks a file with keys of all types, and that parsing does not change the defaults.
 func TestParseOverridesDefaults(t *testing.T) {
-	file, faults := parse(`kind = "sample"
+	file, errorLines := parse(`kind = "sample"
 wait = "1.5s"
 room = "2KiB"
 share = 1
@@ -75,22 +75,22 @@
 [[members]]
 high = 5
 `)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	if len(errorLines) > 0 {
+		t.Fatal(errorLines)
 	}
-	want := standard()
+	want := sampleDefaults()
 	want.Wait, want.Room, want.Share, want.On, want.Order = 1500*time.Millisecond, 2<<10, 1, true, "last"
 	want.Address, want.Zones = netip.MustParseAddrPort("127.0.0.1:5"), []string{"b", "c"}
 	want.Part.High, want.Members = 9, []part{{Low: 4}, {High: 5}}
 	if got := Get[sample]([]File{file}, registry[0]); !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if got := Get[sample](nil, registry[0]); !reflect.DeepEqual(got, standard()) {
-		t.Errorf("a file has changed the defaults: %+v", got)
+	if got := Get[sample](nil, registry[0]); !reflect.DeepEqual(got, sampleDefaults()) {
+		t.Errorf("defaults after parsing a file: got %+v, want %+v", got, sampleDefaults())
 	}
 }
 
-// TestParseReportsErrorWithPosition checks the message and the position of each error.
+// TestParseReportsErrorWithPosition checks the message, the line and the column of each error.
 func TestParseReportsErrorWithPosition(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`on = true`, `f: kind: missing (wanted sample or other)`},
@@ -129,42 +129,42 @@
 		{"kind = \"sample\"\non = true\non = true", `f:3:1: not TOML: key on is already defined`},
 		{"kind = \"sample\"\non =", `f:2:4: not TOML: expected value, not end of input`},
 	} {
-		_, faults := parse(c.text)
-		if len(faults) != 1 || faults[0] != c.want {
-			t.Errorf("%s\n got  %s\n want %s", c.text, strings.Join(faults, "\n      "), c.want)
+		_, errorLines := parse(c.text)
+		if len(errorLines) != 1 || errorLines[0] != c.want {
+			t.Errorf("%s\n got  %s\n want %s", c.text, strings.Join(errorLines, "\n      "), c.want)
 		}
 	}
 }
 
-// TestParseReportsAllErrorsInOrder checks that one call reports them all, in the order of the file.
+// TestParseReportsAllErrorsInOrder checks that one call reports all errors in the order of their positions.
 func TestParseReportsAllErrorsInOrder(t *testing.T) {
-	_, faults := parse("kind = \"sample\"\nzzz = 1\ncount = 0\nwait = 5\n[part]\nlow = true\nhihg = 1\n")
-	if len(faults) != 5 {
-		t.Fatalf("%d faults:\n%s", len(faults), strings.Join(faults, "\n"))
+	_, errorLines := parse("kind = \"sample\"\nzzz = 1\ncount = 0\nwait = 5\n[part]\nlow = true\nhihg = 1\n")
+	if len(errorLines) != 5 {
+		t.Fatalf("got %d errors, want 5:\n%s", len(errorLines), strings.Join(errorLines, "\n"))
 	}
-	for i, line := range faults {
+	for i, line := range errorLines {
 		if want := fmt.Sprintf("f:%d:1: ", []int{2, 3, 4, 6, 7}[i]); !strings.HasPrefix(line, want) {
-			t.Errorf("fault %d: %s, want it at %s", i, line, want)
+			t.Errorf("error %d: got %s, want prefix %s", i, line, want)
 		}
 	}
 }
 
-// TestSizesAndDurationsRoundTrip checks that they are read as they are shown.
+// TestSizesAndDurationsRoundTrip checks that ParseSize inverts Size.String, and checks the shortest forms of durations.
 func TestSizesAndDurationsRoundTrip(t *testing.T) {
 	for _, size := range []Size{0, 1, 1023, 1 << 10, 3 << 20, 5 << 30, 1<<62 + 1} {
 		if got, err := ParseSize(size.String()); err != nil || got != size {
-			t.Errorf("%d is shown as %s and read as %d, %v", int64(size), size, int64(got), err)
+			t.Errorf("size %d, formatted as %s: parsed as %d, %v", int64(size), size, int64(got), err)
 		}
 	}
 	for d, want := range map[time.Duration]string{time.Minute: "1m", time.Hour: "1h", 90 * time.Minute: "1h30m",
 		0: "0s", 2500 * time.Millisecond: "2.5s", 10 * time.Second: "10s", time.Hour + time.Second: "1h0m1s"} {
 		if got := FormatDuration(d); got != want {
-			t.Errorf("%v is shown as %s", d, got)
+			t.Errorf("FormatDuration(%v): got %s, want %s", d, got, want)
 		}
 	}
 }
 
-// TestLoadReadsBoundedRegularFiles checks a large file, a folder, a device and a missing file.
+// TestLoadReadsBoundedRegularFiles checks that Load rejects a file above MaxFileBytes, a directory, a device and a missing file.
 func TestLoadReadsBoundedRegularFiles(t *testing.T) {
 	dir := t.TempDir()
 	large := filepath.Join(dir, "large.toml")
@@ -173,12 +173,12 @@
 	}
 	for _, path := range []string{large, dir, "/dev/zero", filepath.Join(dir, "none.toml")} {
 		if _, err := registry.Load(path); err == nil {
-			t.Errorf("%s was read", path)
+			t.Errorf("Load(%s) succeeded, want an error", path)
 		}
 	}
 }
 
-// TestKeysDescribeKind checks path, unit, default, range and meaning of keys of all shapes.
+// TestKeysDescribeKind checks path, unit, default, range and description of keys of all types.
 func TestKeysDescribeKind(t *testing.T) {
 	var got []string
 	for _, k := range registry[0].Keys() {
@@ -196,31 +196,32 @@
 	}
 }
 
-// FuzzParse checks that the report of any text is bounded and has no forged lines, and that values are in range.
+// FuzzParse checks for any input that the number of error lines is bounded, that no error spans two lines, and that decoded values
+// are in range.
 func FuzzParse(f *testing.F) {
 	f.Add("kind = \"sample\"\nwait = \"1s\"\n[part]\nlow = 1\n[[members]]\nhigh = 2\n")
 	f.Add("kind = \"sample\"\npart = { low = [ { x = 1 } ], \"a.b\" = 1979-05-27 }\nzones = [[1], {}]\n")
 	f.Add("kind = \"other\"\nlow = 0x10\nhigh = +inf\n\"\\u2028\" = ''\n[a.b]\n[[c.d]]\n[c.d.e]\n")
 	f.Add("kind = \"sample\"\nmembers = [{low=1}, 5]\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		file, faults := parse(text)
-		if len(faults) > configerror.MaxErrors+1 {
-			t.Errorf("%d lines", len(faults))
+		file, errorLines := parse(text)
+		if len(errorLines) > configerror.MaxErrors+1 {
+			t.Errorf("got %d error lines, want at most %d", len(errorLines), configerror.MaxErrors+1)
 		}
-		for _, line := range faults {
+		for _, line := range errorLines {
 			if strings.ContainsAny(line, "\n\r") {
-				t.Errorf("a report of two lines: %q", line)
+				t.Errorf("error with a line break: %q", line)
 			}
 		}
-		if (file.Value == nil) != (len(faults) > 0) {
-			t.Errorf("value %v with faults %v", file.Value, faults)
+		if (file.Value == nil) != (len(errorLines) > 0) {
+			t.Errorf("got value %v with errors %v, want either a value or errors", file.Value, errorLines)
 		}
 		v, ok := file.Value.(sample)
 		if !ok {
 			return
 		}
 		if v.Count < 1 || v.Count > 10 || !(v.Share >= 0 && v.Share <= 1) || v.Wait < 10*time.Millisecond {
-			t.Errorf("out of range: %+v", v)
+			t.Errorf("value out of range: %+v", v)
 		}
 	})
 }
--- a/internal/operatorconfig/units.go
+++ b/internal/operatorconfig/units.go
@@ -10,16 +10,16 @@
 
 var errNotSize = errors.New("not a size")
 
-// Size is a number of bytes, written as "64KiB".
+// Size is a number of bytes. Its text form has a binary unit, such as "64KiB".
 type Size int64
 
-// sizeUnits are the units of sizes, the largest first.
+// sizeUnits lists the units of sizes in descending order.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// String returns the size in the largest unit that shows it exactly.
+// String formats the size in the largest unit that represents it exactly.
 func (s Size) String() string {
 	for _, u := range sizeUnits {
 		if int64(s)%u.bytes == 0 && (s != 0 || u.bytes == 1) {
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// ParseSize reads a size: digits and one of B, KiB, MiB, GiB. Units of 1000 are errors, as many who write them mean 1024.
+// ParseSize parses digits followed by B, KiB, MiB or GiB. It rejects units of 1000, because their writers often mean 1024.
 func ParseSize(text string) (Size, error) {
 	for _, u := range sizeUnits {
 		digits, ok := strings.CutSuffix(text, u.name)
@@ -45,7 +45,7 @@
 	return 0, errNotSize
 }
 
-// FormatDuration returns a duration in its shortest form: "2.5s", "1m", "4ms".
+// FormatDuration formats a duration in its shortest form: "2.5s", "1m", "4ms".
 func FormatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
