--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,16 +12,16 @@
 	"starlingwinch/internal/configerror"
 )
 
-// Check reports everything that is wrong with a configuration file, in the file's own words. It is stricter than Parse, which
-// skips unknown keys: an operator runs it to find misspelled ones before a router starts.
+// Check returns all errors of a configuration file, under the names of the file's keys. It is stricter than Parse, which ignores
+// unknown keys: operators run Check before a router starts, to find misspelled keys.
 func Check(raw []byte) configerror.List {
 	c := &checker{}
 	var content json.RawMessage
 	if err := json.Unmarshal(raw, &content); err != nil {
 		line, column := 1, 1
-		var bad *json.SyntaxError
-		if errors.As(err, &bad) {
-			line, column = configerror.Position(raw, int(bad.Offset)-1)
+		var syntaxErr *json.SyntaxError
+		if errors.As(err, &syntaxErr) {
+			line, column = configerror.Position(raw, int(syntaxErr.Offset)-1)
 		}
 		c.errors.Add(configerror.Error{Line: line, Column: column, Text: "not JSON: " + err.Error()})
 		return c.errors
@@ -32,15 +32,15 @@
 	return c.errors
 }
 
-// checker walks over a file that is JSON, token by token, so that its memory is bounded by the schema and not by the file.
+// checker checks a valid JSON file token by token, so that the schema and not the size of the file bounds its memory.
 type checker struct {
 	dec    *json.Decoder
 	errors configerror.List
-	names  map[string]int // indices of the entries of the present array, by name; the first of each counts
+	names  map[string]int // index of the first entry of each name in the current array
 }
 
-// values are the valid scalars of an object by name, as string, bool, int64 or float64. The value of a scalar itself has the
-// name "", and so has the length of an array.
+// values holds the valid scalars of an object by key, as string, bool, int64 or float64. For the check of a single scalar, or of
+// an array, it holds the scalar, or the length of the array, under the key "".
 type values map[string]any
 
 func (v values) text(name string) string {
@@ -53,139 +53,139 @@
 	return n, ok
 }
 
-// bad reports an error at a path.
-func (c *checker) bad(at, format string, args ...any) {
-	c.errors.Add(configerror.Error{Field: at, Text: fmt.Sprintf(format, args...)})
+// report adds an error at a path.
+func (c *checker) report(path, format string, args ...any) {
+	c.errors.Add(configerror.Error{Field: path, Text: fmt.Sprintf(format, args...)})
 }
 
-// value checks the next value and returns it; nil where it is no scalar, or not valid.
-func (c *checker) value(at string, f *field) any {
+// value checks the next value. It returns a valid scalar, and nil for any other value.
+func (c *checker) value(path string, f *field) any {
 	token, err := c.dec.Token()
-	if err != nil { // the file is JSON, so this is a depth or a size that the decoder refuses
-		c.bad(at, "unreadable: %v", err)
+	if err != nil { // the file is valid JSON, so it exceeds a limit of the decoder on depth or size
+		c.report(path, "unreadable: %v", err)
 		return nil
 	}
 	var v any
 	switch t := token.(type) {
 	case json.Delim:
 		switch {
-		case t == '{' && f.shape == object:
-			c.object(at, f)
-		case t == '[' && f.shape == array:
-			c.array(at, f)
+		case t == '{' && f.kind == object:
+			c.object(path, f)
+		case t == '[' && f.kind == array:
+			c.array(path, f)
 		default:
 			c.skip(1)
-			c.wrong(at, f, map[json.Delim]string{'{': "an object", '[': "an array"}[t])
+			c.wrongType(path, f, map[json.Delim]string{'{': "an object", '[': "an array"}[t])
 		}
 		return nil
 	case nil:
-		c.wrong(at, f, "null")
+		c.wrongType(path, f, "null")
 		return nil
 	case string:
-		v = c.text(at, f, t)
+		v = c.text(path, f, t)
 	case bool:
-		if f.shape != truth {
-			c.wrong(at, f, strconv.FormatBool(t))
+		if f.kind != boolean {
+			c.wrongType(path, f, strconv.FormatBool(t))
 			return nil
 		}
 		v = t
 	case json.Number:
-		v = c.number(at, f, string(t))
+		v = c.number(path, f, string(t))
 	}
-	if v != nil && f.checkWhole != nil {
-		f.checkWhole(c, at, values{"": v})
+	if v != nil && f.validate != nil {
+		f.validate(c, path, values{"": v})
 	}
 	return v
 }
 
-// wrong reports a value of the wrong type.
-func (c *checker) wrong(at string, f *field, got string) {
-	if at == "" {
-		at = "the file"
+// wrongType reports a value of the wrong type.
+func (c *checker) wrongType(path string, f *field, got string) {
+	if path == "" {
+		path = "the file"
 	}
-	c.bad(at, "wrong type (%s, wanted %s)", got, f.wanted())
+	c.report(path, "wrong type (%s, wanted %s)", got, f.wanted())
 }
 
-// wanted describes what a field holds, for messages.
+// wanted describes the valid values of a field for error messages.
 func (f *field) wanted() string {
-	switch f.shape {
+	switch f.kind {
 	case object:
 		return "an object"
 	case array:
 		return "an array"
-	case truth:
+	case boolean:
 		return "true or false"
 	case address:
 		return "IP:PORT in quotes"
 	case text:
-		if len(f.words) > 0 {
-			return configerror.OneOf(f.words)
+		if len(f.choices) > 0 {
+			return configerror.OneOf(f.choices)
 		}
 		return "a text in quotes"
 	}
 	return f.bounds()
 }
 
-// bounds describes the range and the unit of a number.
+// bounds describes the range and the unit of a number for error messages.
 func (f *field) bounds() string {
-	kind := ""
-	if f.shape == integer {
-		kind = "whole numbers "
+	prefix := ""
+	if f.kind == integer {
+		prefix = "whole numbers "
 	}
-	s := kind + plainNumber(f.lo) + " to " + plainNumber(f.hi)
+	s := prefix + formatNumber(f.lo) + " to " + formatNumber(f.hi)
 	if f.unit != "" {
 		s += " " + f.unit
 	}
 	return s
 }
 
-func plainNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// object checks the keys of an object, whose brace has been read.
-func (c *checker) object(at string, f *field) {
-	found, valid := map[string]bool{}, values{}
+// object checks the keys of an object after its opening brace.
+func (c *checker) object(path string, f *field) {
+	seen, valid := map[string]bool{}, values{}
 	for c.dec.More() {
 		token, err := c.dec.Token()
 		name, ok := token.(string)
 		if err != nil || !ok {
-			c.bad(at, "unreadable: %v", err)
+			c.report(path, "unreadable: %v", err)
 			return
 		}
-		path := joined(at, name)
+		childPath := joinPath(path, name)
 		child := f.child(name)
 		switch {
 		case child == nil:
-			c.bad(path, "unknown field%s", configerror.DidYouMean(name, f.names()))
+			c.report(childPath, "unknown field%s", configerror.DidYouMean(name, f.names()))
 			c.skip(0)
 			continue
-		case found[name]:
-			c.bad(path, "stands twice; the last one would count")
+		case seen[name]:
+			c.report(childPath, "duplicate key; the last value would apply")
 		}
-		found[name] = true
-		if v := c.value(path, child); v != nil {
+		seen[name] = true
+		if v := c.value(childPath, child); v != nil {
 			valid[name] = v
 		}
 	}
 	c.dec.Token()
 	for i := range f.fields {
-		if child := &f.fields[i]; child.required && !found[child.name] {
-			c.bad(joined(at, child.name), "missing (wanted %s)", child.wanted())
+		if child := &f.fields[i]; child.required && !seen[child.name] {
+			c.report(joinPath(path, child.name), "missing (wanted %s)", child.wanted())
 		}
 	}
-	if f.checkWhole != nil {
-		f.checkWhole(c, at, valid)
+	if f.validate != nil {
+		f.validate(c, path, valid)
 	}
 }
 
-// joined returns the path of an object's key.
-func joined(at, name string) string {
-	if at == "" {
+// joinPath returns the path of a key in the object at path.
+func joinPath(path, name string) string {
+	if path == "" {
 		return configerror.Plain(name)
 	}
-	return at + "." + configerror.Plain(name)
+	return path + "." + configerror.Plain(name)
 }
 
-// child returns the key of that name, or nil.
+// child returns the field of an object's key, or nil if the key is unknown.
 func (f *field) child(name string) *field {
 	for i := range f.fields {
 		if f.fields[i].name == name {
@@ -204,8 +204,9 @@
 	return names
 }
 
-// array checks the items of an array, whose bracket has been read. Names of its items are its own.
-func (c *checker) array(at string, f *field) {
+// array checks the items of an array after its opening bracket. Names must be unique only inside the array, so names of an outer
+// array are set aside until it returns.
+func (c *checker) array(path string, f *field) {
 	outer := c.names
 	c.names = map[string]int{}
 	defer func() { c.names = outer }()
@@ -213,18 +214,18 @@
 	for ; c.dec.More(); n++ {
 		if float64(n) >= f.hi {
 			c.skip(1)
-			c.bad(at, "too long (wanted at most %s entries)", plainNumber(f.hi))
+			c.report(path, "too long (wanted at most %s entries)", formatNumber(f.hi))
 			return
 		}
-		c.value(fmt.Sprintf("%s[%d]", at, n), f.items)
+		c.value(fmt.Sprintf("%s[%d]", path, n), f.items)
 	}
 	c.dec.Token()
-	if f.checkWhole != nil {
-		f.checkWhole(c, at, values{"": int64(n)})
+	if f.validate != nil {
+		f.validate(c, path, values{"": int64(n)})
 	}
 }
 
-// skip passes over the rest of so many open objects and arrays; with depth 0, over one value.
+// skip reads to the end of the given number of open objects and arrays; with depth 0, it reads one value.
 func (c *checker) skip(depth int) {
 	for {
 		token, err := c.dec.Token()
@@ -243,73 +244,73 @@
 	}
 }
 
-// text checks a text and returns it; nil where it is not valid.
-func (c *checker) text(at string, f *field, s string) any {
+// text checks a text. It returns the text, or nil if the text is not valid.
+func (c *checker) text(path string, f *field, s string) any {
 	switch {
-	case f.shape == address:
+	case f.kind == address:
 		if reason := addressError(s, f.callable); reason != "" {
-			c.bad(at, "%s (%s, wanted IP:PORT)", reason, configerror.Quote(s))
+			c.report(path, "%s (%s, wanted IP:PORT)", reason, configerror.Quote(s))
 			return nil
 		}
-	case f.shape != text:
-		c.wrong(at, f, "the text "+configerror.Quote(s))
+	case f.kind != text:
+		c.wrongType(path, f, "the text "+configerror.Quote(s))
 		return nil
 	case len(s) > maxTextBytes:
-		c.bad(at, "too long (%d bytes, wanted at most %d)", len(s), maxTextBytes)
+		c.report(path, "too long (%d bytes, wanted at most %d)", len(s), maxTextBytes)
 		return nil
-	case len(f.words) > 0:
-		for _, w := range f.words {
-			if s == w {
+	case len(f.choices) > 0:
+		for _, choice := range f.choices {
+			if s == choice {
 				return s
 			}
 		}
-		c.bad(at, "unknown %s (%s, wanted %s)%s", f.wordsAre, configerror.Quote(s), configerror.OneOf(f.words),
-			configerror.DidYouMean(s, f.words))
+		c.report(path, "unknown %s (%s, wanted %s)%s", f.choiceNoun, configerror.Quote(s), configerror.OneOf(f.choices),
+			configerror.DidYouMean(s, f.choices))
 		return nil
 	}
 	return s
 }
 
-// addressError says why an address can't be used, or nothing.
+// addressError returns the reason why an address is not valid, or "" if it is valid.
 func addressError(s string, callable bool) string {
 	a, err := netip.ParseAddrPort(s)
 	switch {
 	case err != nil:
 		return "not an address"
 	case callable && a.Port() == 0:
-		return "port 0 can't be called"
+		return "port 0 is not allowed"
 	}
 	return ""
 }
 
-// number checks a number and returns it; nil where it is not valid.
-func (c *checker) number(at string, f *field, s string) any {
-	if f.shape != integer && f.shape != number {
-		c.wrong(at, f, "the number "+cut(s))
+// number checks a number. It returns an int64 or a float64 by the field's type, or nil if the number is not valid.
+func (c *checker) number(path string, f *field, s string) any {
+	if f.kind != integer && f.kind != number {
+		c.wrongType(path, f, "the number "+truncate(s))
 		return nil
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsInf(v, 0) || v < f.lo || v > f.hi {
-		c.bad(at, "out of range (%s, wanted %s)", cut(s), f.bounds())
+		c.report(path, "out of range (%s, wanted %s)", truncate(s), f.bounds())
 		return nil
 	}
-	if f.shape == number {
+	if f.kind == number {
 		return v
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		c.bad(at, "not a whole number (%s, wanted %s)", cut(s), f.bounds())
+		c.report(path, "not a whole number (%s, wanted %s)", truncate(s), f.bounds())
 		return nil
 	}
 	if n > 0 && n < f.minMicros {
-		c.bad(at, "looks like milliseconds; microseconds are wanted (%d, wanted at least %d µs)", n, f.minMicros)
+		c.report(path, "looks like milliseconds; microseconds are wanted (%d, wanted at least %d µs)", n, f.minMicros)
 		return nil
 	}
 	return n
 }
 
-// cut shortens a number for messages, as it may be as long as the file.
-func cut(s string) string {
+// truncate shortens a number for error messages, because the number may be as long as the file.
+func truncate(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "..."
 	}
--- a/internal/settings/compatibility_test.go
+++ b/internal/settings/compatibility_test.go
@@ -9,8 +9,7 @@
 	"starlingwinch/decide"
 )
 
-// TestParseReadsPlatformSettings reads each field that a router uses of a configuration in the platform's form, in which
-// every key stands.
+// TestParseReadsPlatformSettings parses the settings of a file that holds every key, and checks each field that a router uses.
 func TestParseReadsPlatformSettings(t *testing.T) {
 	raw, err := os.ReadFile("testdata/good.json")
 	if err != nil {
@@ -48,14 +47,14 @@
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v\nwant %+v", got, want)
+		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	if want := (Transport{MaxOpenRequests: 20_000, DialTimeout: 200_000, Keepalive: 60_000_000}); transport != want {
-		t.Errorf("read %+v\nwant %+v", transport, want)
+		t.Errorf("got  %+v\nwant %+v", transport, want)
 	}
 }
 
-// TestParseChoices reads the values that the file of every key can't hold at once.
+// TestParseChoices checks values that the file with every key can't hold at the same time.
 func TestParseChoices(t *testing.T) {
 	const class = `"categories":[{"name":"n","effect":"idempotency_key","dedupScope":"cell","aim":1,"hardLimit":2}]`
 	for _, c := range []struct {
@@ -68,9 +67,9 @@
 		{"scope cell", `{` + class + `}`, func(s decide.Settings, _ Transport) bool {
 			return s.Classes[0].Semantics == decide.IdempotentByKey && s.Classes[0].DeduplicationScope == decide.DeduplicatedInCell
 		}},
-		{"no attempts named", `{}`, func(s decide.Settings, _ Transport) bool { return s.MaxAttempts == 1 }},
-		{"attempts 0", `{"limits":{"maxAttempts":0}}`, func(s decide.Settings, _ Transport) bool { return s.MaxAttempts == 0 }},
-		{"retryAfter not passed on", `{"limits":{"maxRetryAfter":9}}`, func(s decide.Settings, _ Transport) bool { return s.MaxRetryAfter == 0 }},
+		{"maxAttempts absent", `{}`, func(s decide.Settings, _ Transport) bool { return s.MaxAttempts == 1 }},
+		{"maxAttempts 0", `{"limits":{"maxAttempts":0}}`, func(s decide.Settings, _ Transport) bool { return s.MaxAttempts == 0 }},
+		{"maxRetryAfter without retryAfter", `{"limits":{"maxRetryAfter":9}}`, func(s decide.Settings, _ Transport) bool { return s.MaxRetryAfter == 0 }},
 		{"peer messages", `{"limits":{"peerMessages":true}}`, func(_ decide.Settings, transport Transport) bool {
 			return transport.PeerMessages
 		}},
@@ -81,7 +80,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s, transport, err := Parse(json.RawMessage(c.raw))
 			if err != nil || !c.check(s, transport) {
-				t.Errorf("read %+v, %+v, %v", s, transport, err)
+				t.Errorf("got %+v, %+v, %v", s, transport, err)
 			}
 		})
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads and checks what a platform configures a router with. It is an edge: the platform's words end here,
-// in the struct tags of platformSettings and the names of the schema, and convert turns them into the terms of the package
-// decide.
+// Package settings parses and checks the configuration that a platform gives to a router. The platform's names stand only in
+// this package, in the struct tags of platformSettings and in the schema; the convert methods translate them into the terms of
+// the package decide.
 //
-// Parse is tolerant, as a platform may send more than a router knows. Check is strict, and reports everything that is wrong
-// at once. Neither reads a file or starts anything.
+// Parse ignores unknown keys, because a platform may send keys that a router does not use. Check is strict and reports all
+// errors at once. Neither function opens files or starts anything.
 package settings
 
 import (
@@ -14,8 +14,8 @@
 	"starlingwinch/decide"
 )
 
-// platformSettings is the platform's form of the settings. Keys that it does not name are skipped. Times are microseconds,
-// and 0 where they are left out.
+// platformSettings is the JSON form of the settings. Decoding ignores keys without a field. Times are microseconds, and 0 if the
+// key is absent.
 type platformSettings struct {
 	Routers   int             `json:"instances"`
 	Discovery string          `json:"discovery"` // discoverySubscribe, or automatic
@@ -39,21 +39,21 @@
 	LateWeightFraction float64 `json:"lateWorth"`
 }
 
-// platformLimits are what a router may do, and how much of it.
+// platformLimits holds the features that a router may use, and limits on them.
 type platformLimits struct {
 	AllowCancel       bool  `json:"cancel"`
 	AllowHealthChecks bool  `json:"probes"`
 	AllowHedging      bool  `json:"secondCopies"`
-	AllowRetryAfter   bool  `json:"retryAfter"` // rejections may name a time to stay away, up to MaxRetryAfter
+	AllowRetryAfter   bool  `json:"retryAfter"` // rejections may carry a retry-after time of at most MaxRetryAfter
 	PeerMessages      bool  `json:"peerMessages"`
-	MaxAttempts       *int  `json:"maxAttempts"` // nil where it is left out, which is one attempt
+	MaxAttempts       *int  `json:"maxAttempts"` // nil if absent, which means one attempt
 	MaxRetryAfter     int64 `json:"maxRetryAfter"`
 	MaxOpenRequests   int   `json:"maxOpen"`
 	DialTimeout       int64 `json:"dialTimeout"`
 	Keepalive         int64 `json:"keepalive"`
 }
 
-// platformRules are what holds of caches and the endpoint list.
+// platformRules holds the properties of caches and of the endpoint list.
 type platformRules struct {
 	PollInterval         int64   `json:"askEvery"`
 	SlowStartWindow      int64   `json:"cold"`
@@ -62,45 +62,46 @@
 	SlowStartMinCapacity float64 `json:"startCapacity"`
 }
 
-// platformCosts are points that are lost by what a router does.
+// platformCosts holds the penalty points for actions of a router.
 type platformCosts struct {
 	HealthCheck float64 `json:"probe"`
 	Connection  float64 `json:"connection"`
 	Dial        float64 `json:"handshake"`
 }
 
-// The platform's words that stand for something other than the default.
+// Values of Discovery and Weights that change the default behaviour.
 const (
 	discoverySubscribe = "subscribe"
 	weightsLive        = "live"
 )
 
-// semantics are the platform's words for decide.Semantics. Any other word means NonIdempotent, which promises least.
+// semantics maps the platform's names to decide.Semantics. Any other name means NonIdempotent, the semantics with the fewest
+// guarantees.
 var semantics = map[string]decide.Semantics{
 	"read_like":       decide.Idempotent,
 	"idempotency_key": decide.IdempotentByKey,
 	"non_idempotent":  decide.NonIdempotent,
 }
 
-// deduplicationScopes are the platform's words for decide.DeduplicationScope. Any other word means the cell, the smallest one.
+// deduplicationScopes maps the platform's names to decide.DeduplicationScope. Any other name means the cell, the smallest scope.
 var deduplicationScopes = map[string]decide.DeduplicationScope{
 	"all":  decide.DeduplicatedEverywhere,
 	"zone": decide.DeduplicatedInZone,
 	"cell": decide.DeduplicatedInCell,
 }
 
-// Transport holds the settings that bind the code which carries decisions out. The simulator enforces them by itself; a
-// router has to. 0 stands for a setting that is left out.
+// Transport holds the settings for the code that executes decisions. The simulator enforces these limits itself; outside the
+// simulator, the router's transport must enforce them. A value of 0 means that the setting is absent.
 type Transport struct {
-	MaxOpenRequests int         // requests that a router may have open
-	DialTimeout     decide.Time // a connection that is not established by then has failed
-	PeerMessages    bool        // routers may send messages to one another
-	Keepalive       decide.Time // a cache closes a connection that was idle for so long
+	MaxOpenRequests int         // maximum number of open requests of a router
+	DialTimeout     decide.Time // a connection that is not established within this time has failed
+	PeerMessages    bool        // whether routers may send messages to one another
+	Keepalive       decide.Time // idle time after which a cache closes a connection
 }
 
 var errNoSettings = errors.New("no settings")
 
-// Parse reads the settings of one router. Those that are left out have the values that allow the router least.
+// Parse parses the settings of one router. Absent settings get the most restrictive values.
 func Parse(raw json.RawMessage) (decide.Settings, Transport, error) {
 	if len(raw) == 0 {
 		return decide.Settings{}, Transport{}, errNoSettings
@@ -112,7 +113,7 @@
 	return p.convert(), p.transport(), nil
 }
 
-// convert returns the settings in the terms of the package decide.
+// convert returns the settings for the package decide.
 func (p *platformSettings) convert() decide.Settings {
 	s := decide.Settings{
 		Routers:           p.Routers,
@@ -145,7 +146,7 @@
 	return s
 }
 
-// convert returns a class in the terms of the package decide.
+// convert returns the class for the package decide.
 func (c *platformClass) convert() decide.Class {
 	return decide.Class{
 		Name:               c.Name,
@@ -159,7 +160,7 @@
 	}
 }
 
-// transport returns the settings that do not concern decisions.
+// transport returns the settings for the code that executes decisions.
 func (p *platformSettings) transport() Transport {
 	return Transport{
 		MaxOpenRequests: p.Limits.MaxOpenRequests,
@@ -169,11 +170,12 @@
 	}
 }
 
-// DescribeJSONError returns a decoder's error in words that name no Go types. Callers print it beside the name of what was read.
+// DescribeJSONError converts an error of the JSON decoder to one whose text names no Go types. The text does not say which input
+// was decoded, so callers add that.
 func DescribeJSONError(err error) error {
-	var t *json.UnmarshalTypeError
-	if errors.As(err, &t) {
-		return fmt.Errorf("wrong shape: %s where %q is read", t.Value, t.Field)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Errorf("wrong type: %s in field %q", typeErr.Value, typeErr.Field)
 	}
 	return fmt.Errorf("not JSON: %w", err)
 }
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -8,13 +8,13 @@
 	"starlingwinch/decide"
 )
 
-// exception is a panic of the decision module, as an action.
+// exception reports a panic of the router as an action.
 type exception struct {
 	decide.Action
 	text string
 }
 
-// appendAction writes an action as one JSON object in the simulator's words. Its fields are in a fixed order.
+// appendAction appends an action in the simulator's format: one JSON object whose fields have a fixed order.
 func appendAction(b []byte, instance int64, action decide.Action) []byte {
 	w := objectWriter{buffer: b}
 	switch a := action.(type) {
@@ -50,7 +50,7 @@
 		w.text("server", a.Cache)
 	case decide.Watch:
 		w.begin("Follow", instance)
-		w.truth("enable", true)
+		w.boolean("enable", true)
 	case decide.Log:
 		w.begin("JournalLine", instance)
 		w.text("reasonText", a.String())
@@ -64,7 +64,8 @@
 	return w.end()
 }
 
-// objectWriter writes an object with a single key, whose value is an object that begins with the instance.
+// objectWriter writes an object with a single key, the name of the action. The key's value is an object whose first field is the
+// instance.
 type objectWriter struct{ buffer []byte }
 
 func (w *objectWriter) begin(name string, instance int64) {
@@ -85,14 +86,14 @@
 	w.buffer = strconv.AppendInt(w.buffer, v, 10)
 }
 
-func (w *objectWriter) truth(name string, v bool) {
+func (w *objectWriter) boolean(name string, v bool) {
 	w.key(name)
 	w.buffer = strconv.AppendBool(w.buffer, v)
 }
 
 func (w *objectWriter) text(name, v string) {
 	w.key(name)
-	quoted, _ := json.Marshal(v) // a string is always encoded
+	quoted, _ := json.Marshal(v) // encoding a string does not fail
 	w.buffer = append(w.buffer, quoted...)
 }
 
--- a/internal/simwire/compatibility_test.go
+++ b/internal/simwire/compatibility_test.go
@@ -9,11 +9,12 @@
 	"starlingwinch/decide"
 )
 
-// logText is the text of a line for the log, which is no part of the protocol.
+// logText matches the text of a log line in a reply. The protocol does not fix this text.
 var logText = regexp.MustCompile(`("JournalLine":\{"i":\d+,"reasonText":)"(?:[^"\\]|\\.)*"`)
 
-// TestRepliesAreThoseOfEarlierRelease plays a session of messages and compares each line with the reply of release ea855d0.
-func TestRepliesAreThoseOfEarlierRelease(t *testing.T) {
+// TestRepliesMatchEarlierRelease replays a recorded session of messages and compares each reply, except for the text of log lines,
+// with the reply of release ea855d0.
+func TestRepliesMatchEarlierRelease(t *testing.T) {
 	messages, err := os.ReadFile("testdata/ea855d0.messages")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +29,7 @@
 	}
 	got, want := strings.Split(out, "\n"), strings.Split(string(replies), "\n")
 	if len(got) != len(want) {
-		t.Fatalf("%d lines, want %d", len(got), len(want))
+		t.Fatalf("got %d lines, want %d", len(got), len(want))
 	}
 	for i := range want {
 		if withoutLogText(got[i]) != withoutLogText(want[i]) {
@@ -39,8 +40,8 @@
 
 func withoutLogText(line string) string { return logText.ReplaceAllString(line, `$1""`) }
 
-// TestActionsAreWrittenAsByEarlierRelease holds the form of each action.
-func TestActionsAreWrittenAsByEarlierRelease(t *testing.T) {
+// TestActionsMatchEarlierRelease checks the JSON of each action.
+func TestActionsMatchEarlierRelease(t *testing.T) {
 	for want, action := range map[string]decide.Action{
 		`{"CallOut":{"i":3,"tid":8,"server":"s\"1","stopAt":77}}`: decide.Send{ID: 8, Cache: `s"1`, AttemptDeadline: 77, WriteDeadline: 5},
 		`{"CallOut":{"i":3,"tid":8,"server":"s"}}`:                decide.Send{ID: 8, Cache: "s"},
@@ -54,7 +55,7 @@
 		`{"Follow":{"i":3,"enable":true}}`:                        decide.Watch{},
 	} {
 		if got := string(appendAction(nil, 3, action)); got != want {
-			t.Errorf("%T is written as %s, want %s", action, got, want)
+			t.Errorf("%T: got %s, want %s", action, got, want)
 		}
 	}
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,6 +1,6 @@
-// Package simwire runs routers on the simulator's line protocol: batches of messages come in, and each is answered by one line
-// with the actions that the routers want. It is an edge: the simulator's words end here, in the struct tags and tables of
-// message.go and in action.go. The package translates and checks forms; it makes no decisions.
+// Package simwire runs routers on the simulator's line protocol. Each input line is a batch of messages; the reply is one line with
+// the actions of the routers. The simulator's names stand only in this package: in the struct tags and tables of message.go, and
+// in action.go. The package translates and validates messages; it makes no routing decisions.
 package simwire
 
 import (
@@ -16,14 +16,14 @@
 	"starlingwinch/internal/settings"
 )
 
-// bufferBytes is the size of the buffers of input and output.
+// bufferBytes is the size of each of the input and output buffers.
 const bufferBytes = 1 << 20
 
-// Host runs the routers of one process, which share nothing else. Use NewHost.
+// Host runs the routers of one process. The routers share no state but the defined endpoint lists. Use NewHost to create a Host.
 type Host struct {
 	routers map[int64]*decide.Router    // by instance
-	lists   map[int64][]decide.Endpoint // endpoint lists by the simulator's id
-	line    int                         // number of the line that was read last
+	lists   map[int64][]decide.Endpoint // endpoint lists by the simulator's list ID
+	line    int                         // number of the last line read
 }
 
 // NewHost returns a Host without routers.
@@ -31,7 +31,7 @@
 	return &Host{routers: map[int64]*decide.Router{}, lists: map[int64][]decide.Endpoint{}}
 }
 
-// LineError says which line of the input is wrong, and how.
+// LineError is the error of a malformed input line.
 type LineError struct {
 	Line  int // counted from 1
 	Cause error
@@ -49,7 +49,7 @@
 	errNoInstance      = errors.New("i: no instance")
 )
 
-// Run answers each line of in with one line on out, until in ends. The error of a malformed line is a *LineError.
+// Run answers each line of in with one line on out until in ends. It returns a *LineError for a malformed line.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferBytes)
 	writer := bufio.NewWriterSize(out, bufferBytes)
@@ -69,7 +69,7 @@
 	}
 }
 
-// answer writes the reply to one line.
+// answer processes one line and writes the reply.
 func (h *Host) answer(line []byte, writer *bufio.Writer) error {
 	h.line++
 	if len(bytes.TrimSpace(line)) == 0 {
@@ -85,7 +85,7 @@
 	return writer.Flush()
 }
 
-// batch is one line of the input.
+// batch is the content of one input line.
 type batch struct {
 	Now      *int64              `json:"now"` // microseconds
 	Number   *int64              `json:"batch"`
@@ -114,7 +114,7 @@
 		}
 		for _, action := range actions {
 			if _, ok := action.(decide.CancelTimer); ok {
-				continue // the protocol has no message for it; a timer that comes all the same does nothing
+				continue // the protocol has no message to cancel a timer; a cancelled timer that expires has no effect
 			}
 			if !first {
 				reply = append(reply, ',')
@@ -126,9 +126,9 @@
 	return append(reply, "]}\n"...), nil
 }
 
-// handle handles one message. It returns the instance that the message is for, and the actions that it wants.
+// handle processes one message. It returns the instance that the message addresses and the actions of that instance's router.
 func (h *Host) handle(now int64, raw []byte) (instance int64, actions []decide.Action, err error) {
-	name, body, err := split(raw)
+	name, body, err := splitMessage(raw)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -161,13 +161,13 @@
 	return instance, handleEvent(router, now, event), nil
 }
 
-// start starts a router, in place of an earlier one of that instance.
+// start creates the router of an instance, and replaces an earlier router of the same instance.
 func (h *Host) start(instance int64, m *message) error {
-	set, _, err := settings.Parse(m.Info)
+	routerSettings, _, err := settings.Parse(m.Info)
 	if err != nil {
 		return fmt.Errorf("%s: %w", messageNewInstance, err)
 	}
-	router, err := decide.New(set, m.Seed)
+	router, err := decide.New(routerSettings, m.Seed)
 	if err != nil {
 		delete(h.routers, instance)
 		return fmt.Errorf("%s: %w", messageNewInstance, err)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// handleEvent passes an event to a router. A panic becomes an exception, so that the simulator can report it.
+// handleEvent passes an event to a router. It converts a panic to an exception action, so that the simulator can report the panic.
 func handleEvent(router *decide.Router, now int64, event decide.Event) (actions []decide.Action) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -186,8 +186,8 @@
 	return router.Handle(now, event)
 }
 
-// split takes an object with a single key apart: the name of a message, and its content.
-func split(raw []byte) (string, json.RawMessage, error) {
+// splitMessage returns the name and the content of a message, which is an object with the name as its only key.
+func splitMessage(raw []byte) (string, json.RawMessage, error) {
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &object); err != nil {
 		return "", nil, settings.DescribeJSONError(err)
@@ -197,7 +197,7 @@
 	}
 	var name string
 	var body json.RawMessage
-	for name, body = range object { // any order: there is one
+	for name, body = range object { // exactly one key
 	}
 	if len(body) == 0 || body[0] != '{' {
 		return "", nil, fmt.Errorf("%s: want an object", name)
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -10,11 +10,11 @@
 	"starlingwinch/internal/settings"
 )
 
-// Names of messages, with what each becomes.
+// Names of messages, each with its meaning or the event that it becomes.
 const (
-	messageNewInstance       = "NewInstance" // a router starts
-	messageExit              = "Exit"        // a router ends
-	messageDefineList        = "DefineList"  // an endpoint list, which Registry messages refer to
+	messageNewInstance       = "NewInstance" // starts a router
+	messageExit              = "Exit"        // ends a router
+	messageDefineList        = "DefineList"  // defines an endpoint list for Registry messages
 	messageEndpointList      = "Registry"    // decide.EndpointList
 	messageRequest           = "WorkItem"    // decide.Request
 	messageResponseStarted   = "UnderWay"    // decide.ResponseStarted
@@ -31,16 +31,16 @@
 	messageHealthCheckResult: true, messagePeer: true,
 }
 
-// message holds the fields of all messages to an instance; each kind uses its own. Times are microseconds.
+// message holds the fields of all messages to an instance. Each kind of message uses some of them. Times are microseconds.
 type message struct {
 	Instance    *int64             `json:"i"`
 	Seed        uint64             `json:"seed"`
-	Info        json.RawMessage    `json:"info"` // settings of a new instance; of an attempt, a number of which 2 and more mean a miss
+	Info        json.RawMessage    `json:"info"` // for a new instance, its settings; for an attempt, a number, of which minMissInfo and more mean a miss
 	List        int64              `json:"rosterId"`
 	Update      string             `json:"scope"` // a key of updateKinds
 	ID          int64              `json:"tid"`
 	Class       string             `json:"tierClass"`
-	Tenant      any                `json:"tenant"` // counts where it is a text
+	Tenant      any                `json:"tenant"` // ignored unless it is a string
 	Key         *uint64            `json:"entity"`
 	Deadline    int64              `json:"dropDead"`
 	Cost        int64              `json:"costGuess"`
@@ -50,7 +50,7 @@
 	Result      string             `json:"stateCode"` // a key of results
 	Elapsed     int64              `json:"elapsed"`
 	Last        bool               `json:"last"`
-	Load        map[string]float64 `json:"feedback"` // by loadUtilization and loadErrorRate
+	Load        map[string]float64 `json:"feedback"` // keys are loadUtilization and loadErrorRate
 	TimerToken  int64              `json:"cookie"`
 	SenderIndex int                `json:"originPeer"`
 	Data        string             `json:"data"`
@@ -65,7 +65,7 @@
 // minMissInfo is the smallest info of an attempt's result that means a cache miss.
 const minMissInfo = 2
 
-// updateKinds are the simulator's words for decide.UpdateKind.
+// updateKinds maps the simulator's names to decide.UpdateKind.
 var updateKinds = map[string]decide.UpdateKind{
 	"D": decide.DeltaUpdate,
 	"F": decide.FullUpdate,
@@ -73,7 +73,7 @@
 	"X": decide.FailedUpdate,
 }
 
-// results are the simulator's words for decide.Result.
+// results maps the simulator's names to decide.Result.
 var results = map[string]decide.Result{
 	"served":          decide.Served,
 	"server_error":    decide.Errored,
@@ -86,14 +86,14 @@
 	"not_stored":      decide.NotStored,
 }
 
-// statuses are the simulator's words for decide.Status.
+// statuses maps the simulator's names to decide.Status.
 var statuses = map[string]decide.Status{
 	"up":       decide.Serving,
 	"draining": decide.Draining,
 	"removed":  decide.Removed,
 }
 
-// event returns a message to a router that runs as an event.
+// event converts a message to a running router into an event.
 func (h *Host) event(name string, m *message) (decide.Event, error) {
 	switch name {
 	case messageEndpointList:
@@ -125,7 +125,7 @@
 	return nil, fmt.Errorf("unknown message %q", name)
 }
 
-// endpointList returns an update of the endpoint list. A failed one has no endpoints.
+// endpointList converts a message into an update of the endpoint list. A failed update has no endpoints.
 func (h *Host) endpointList(m *message) (decide.Event, error) {
 	kind, ok := updateKinds[m.Update]
 	if !ok {
@@ -158,13 +158,14 @@
 	return result, nil
 }
 
-// isMiss reports whether the cache had to fetch. Info that is no number means that it had not.
+// isMiss reports whether the attempt was a cache miss, so that the cache fetched from the origin. Info that is not a number means no
+// miss.
 func (m *message) isMiss() bool {
 	info, err := strconv.Atoi(string(m.Info))
 	return err == nil && info >= minMissInfo
 }
 
-// load returns a cache's report of its load. A utilisation that is not reported is below 0.
+// load returns a cache's load report. An absent utilization becomes -1.
 func (m *message) load() decide.LoadReport {
 	report := decide.LoadReport{Utilization: -1, ErrorRate: m.Load[loadErrorRate]}
 	if utilization, ok := m.Load[loadUtilization]; ok {
@@ -179,11 +180,11 @@
 	Endpoints []listedEndpoint `json:"hosts"`
 }
 
-// listedEndpoint is one cache of a list.
+// listedEndpoint is one cache of a listDefinition.
 type listedEndpoint struct {
 	Cell      int      `json:"unitGroup"`
 	StartedAt int64    `json:"startTime"`
-	Weight    *float64 `json:"size"` // nil where it is left out, which is 1
+	Weight    *float64 `json:"size"` // nil if absent, which means 1
 	Zone      string   `json:"failureDomain"`
 	Status    string   `json:"condition"` // a key of statuses
 	Cache     string   `json:"server"`
@@ -191,7 +192,7 @@
 
 var errNoListID = errors.New("no rosterId")
 
-// defineList stores an endpoint list for the Registry messages to come.
+// defineList stores an endpoint list for later Registry messages.
 func (h *Host) defineList(body []byte) error {
 	var definition listDefinition
 	if err := json.Unmarshal(body, &definition); err != nil {
@@ -215,7 +216,7 @@
 func (e *listedEndpoint) convert() (decide.Endpoint, error) {
 	status, ok := statuses[e.Status]
 	if !ok || e.Cache == "" {
-		return decide.Endpoint{}, fmt.Errorf("bad entry %q with condition %q", e.Cache, e.Status)
+		return decide.Endpoint{}, fmt.Errorf("invalid host %q with condition %q", e.Cache, e.Status)
 	}
 	endpoint := decide.Endpoint{ID: e.Cache, Zone: e.Zone, Cell: e.Cell, Weight: 1, StartedAt: e.StartedAt, Status: status}
 	if e.Weight != nil {
