--- a/internal/discovery/entry.go
+++ b/internal/discovery/entry.go
@@ -11,7 +11,7 @@
 
 const (
 	microsecondsPerMillisecond = 1000
-	maxStartMilliseconds       = math.MaxInt64 / 2000 // prevents the overflow of a start time in µs
+	maxStartMilliseconds       = math.MaxInt64 / 2000 // prevents the overflow of a start time in µs, which is at most half of math.MaxInt64
 )
 
 // statuses maps discovery's values for an endpoint's status to decide's.
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -6,7 +6,7 @@
 const maxCallBurst = 10
 
 // callLimiter is a token bucket that limits the rate of a watch's calls: after a burst, the interval is retry.CallPause. Without the
-// limit, a watch would call without a pause a discovery that answers every call immediately.
+// limit, a watch would call discovery without a pause if discovery answered every call immediately.
 type callLimiter struct {
 	tokens    float64 // calls that may be made without a delay
 	updatedAt Time    // time of the latest refill of tokens
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -169,7 +169,8 @@
 	}
 }
 
-// parse parses a list outside the event loop, because parsing a large list takes long.
+// parse parses a list outside the event loop, because parsing a large list takes long. Changes that do not follow the watch's
+// version are an error.
 func (w *Watch) parse(body []byte) {
 	var list List
 	var err error
--- a/internal/endpoints/damping.go
+++ b/internal/endpoints/damping.go
@@ -17,8 +17,8 @@
 	MaxSuppress Time    // longest time of one suppression
 }
 
-// DefaultDamping returns parameters that suppress an endpoint at its third flap in quick succession, for 15 s at first and
-// for at most a minute. One restart is one flap. The fleet is small, so a suppression of 15 minutes, as in RFC 2439, would
+// DefaultDamping returns parameters that suppress an endpoint at its third flap in quick succession, for about 15 s at first
+// and for at most a minute. One restart is one flap. The fleet is small, so a suppression of 15 minutes, as in RFC 2439, would
 // cost more than the moved keys.
 func DefaultDamping() Damping {
 	return Damping{Penalty: 1000, Suppress: 2000, Reuse: 1000, HalfLife: 10_000_000, MaxSuppress: 60_000_000}
--- a/internal/endpoints/mass_removal.go
+++ b/internal/endpoints/mass_removal.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// omittedEndpoints returns the endpoints, sorted by ID, that a source knows and that its list of this turn does not name.
+// omittedEndpoints returns the endpoints, sorted by ID, on which the source has a claim other than Removed and which its list of
+// this turn does not name.
 func (m *Merger) omittedEndpoints(sourceIndex int) []*endpoint {
 	var omitted []*endpoint
 	for _, e := range m.endpoints { // any order: sorted below
@@ -158,8 +159,9 @@
 	slices.SortFunc(all, func(a, b *endpoint) int { return strings.Compare(a.id, b.id) })
 }
 
-// removeConfirmed removes the omitted endpoints that an earlier list has also omitted, if this list counts as a confirmation.
-// It returns the endpoints that are omitted for the first time.
+// removeConfirmed removes the omitted endpoints whose earlier omission this list confirms: the list answers a Confirm (repeat),
+// or comes at least ConfirmWithin after the omission. Other endpoints omitted before stay unconfirmed. removeConfirmed returns
+// the endpoints that are omitted for the first time.
 func (m *Merger) removeConfirmed(sourceIndex int, omitted []*endpoint, repeat bool) []*endpoint {
 	firstTime := omitted[:0]
 	for _, e := range omitted {
--- a/internal/endpoints/merger.go
+++ b/internal/endpoints/merger.go
@@ -295,13 +295,13 @@
 	}
 }
 
-// minRemovedRetention is the minimum time for which the Merger retains a removed endpoint and the reason for its removal,
-// unless there are more than MaxRemoved.
+// minRemovedRetention is the minimum time for which the Merger retains a removed endpoint and the reason for its removal, which
+// Table returns for the operators' tables. If there are more than MaxRemoved, the oldest are deleted earlier.
 const minRemovedRetention Time = 600_000_000 // microseconds
 
 // forgetRemoved deletes endpoints that were removed so long ago that their penalty has decayed below half of Reuse, and the
-// oldest removed endpoints beyond MaxRemoved. Without this limit, memory would grow indefinitely where endpoints come and go
-// under ever new IDs.
+// oldest removed endpoints beyond MaxRemoved. Without MaxRemoved, the number of removed endpoints would have no limit where
+// endpoints come and go under ever new IDs.
 func (m *Merger) forgetRemoved() {
 	retention := max(minRemovedRetention, m.options.Damping.MaxSuppress+m.options.Damping.HalfLife)
 	for m.removed.Len() > 0 {
@@ -314,6 +314,7 @@
 	}
 }
 
+// forget deletes an endpoint, its claims and its flap history.
 func (m *Merger) forget(e *endpoint) {
 	delete(m.endpoints, e.id)
 	if e.flaps.queueIndex >= 0 {
--- a/internal/endpoints/options.go
+++ b/internal/endpoints/options.go
@@ -35,8 +35,9 @@
 	low, high float64
 }
 
-// check returns an error that names the first option that is out of range. Options that the operators' file can set have the
-// file's names.
+// check returns an error that names the first option that is out of range. It names options that the operators' file can set
+// after the file's keys: Damping.Longest is MaxSuppress, and Loss stands for MassRemoval. The values are those of the fields, so
+// durations are in µs, and Loss.Share is a fraction where the file has a percentage, loss.percent.
 func (o *Options) check() error {
 	if err := o.checkSources(); err != nil {
 		return err
--- a/internal/endpointsource/discovery.go
+++ b/internal/endpointsource/discovery.go
@@ -173,8 +173,9 @@
 	}
 }
 
-// CatchUp fetches the full list of an agent at once, after the process was paused. The agent's list counts as known to the
-// router whether or not a call is in flight, and a call that was in flight may have been answered before the latest change.
+// CatchUp fetches the full list of an agent at once, after the process was paused. It does nothing unless lists are pushed to an
+// agent. The agent's list counts as known to the router whether or not a call is in flight, and a call that was in flight may
+// have been answered before the latest change, so waiting for a call is not enough.
 func (s *Sources) CatchUp() {
 	if !s.cfg.DiscoveryOptions.Pushed || s.stopped {
 		return
--- a/internal/eureka/config.go
+++ b/internal/eureka/config.go
@@ -104,6 +104,8 @@
 	c.Register.check(report)
 }
 
+// checkURLs reports URLs that ParseURL rejects, and servers listed twice. URLs that differ only in user and password name the
+// same server.
 func (c Config) checkURLs(report operatorconfig.ReportFunc) {
 	seen := map[string]bool{}
 	for i, text := range c.URLs {
--- a/internal/gossip/agreement.go
+++ b/internal/gossip/agreement.go
@@ -20,7 +20,7 @@
 	// unsettledRetention is how long after a member announced an unsettled view or another digest this router sends it the
 	// agreed members.
 	unsettledRetention Time = 2_000_000
-	// agreedFieldOverhead is the number of bytes that the field of agreed members takes besides the bit set.
+	// agreedFieldOverhead is the maximum number of bytes that the field of agreed members takes besides the bit set.
 	agreedFieldOverhead = 3
 )
 
@@ -161,7 +161,8 @@
 	return !v.agreement.settled || receiver != nil && receiver.unsettledAt > 0 && v.now < receiver.unsettledAt+unsettledRetention
 }
 
-// appendAgreement appends this router's own state, which the receiver may not know yet, and the agreed members.
+// appendAgreement appends, if the receiver needs them and as far as they fit, this router's own state, which the receiver may not
+// know yet, and the agreed members.
 func (v *View) appendAgreement(b []byte, receiver *member, maxBytes int) []byte {
 	if !v.needsAgreement(receiver) {
 		return b
@@ -179,7 +180,8 @@
 	return b
 }
 
-// compareDigests sends the digests of the parts of this view to a random member.
+// compareDigests sends the digests of the parts of this view to a random member, and schedules the next comparison, which comes
+// earlier while the view is unsettled.
 func (v *View) compareDigests() {
 	v.compareRound = v.rounds + settledCompareRounds
 	if !v.agreement.settled {
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -63,8 +63,8 @@
 		u.revision == other.revision && u.by == other.by
 }
 
-// updateOf returns an update with this view's state of a member. If by names a router, the update claims that this router
-// suspects the member, or that the member is faulty. If by is empty, the update gives a suspect the state that the member
+// updateOf returns an update with this view's state of a member. If by is not empty, the update claims that the router by
+// suspects the member or holds it faulty. If by is empty, the update gives a suspect the state that the member
 // announced.
 func (v *View) updateOf(m *member, by string) update {
 	u := update{name: m.Name, state: m.State, incarnation: m.Incarnation, boot: m.boot, by: by}
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// randomMember returns a random member that is alive, not suspect, and neither this router nor the member named except. It
-// returns nil if there is none.
+// randomMember returns a random member that is alive or leaving and whose address is known, but neither this router nor the member
+// named except. It returns nil if there is none.
 func (v *View) randomMember(except string) *member {
 	var names []string
 	for name, m := range v.members { // any order: sorted below
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -57,7 +57,7 @@
 
 // digest returns a member's contribution to the digest of a view. A suspect contributes the state that it announced, because
 // suspicions begin and end at each router independently. A member that left contributes nothing, because each router removes the
-// member at a different time.
+// member at a different time. The factor 8 of the incarnation leaves room for the State.
 func (m *member) digest() uint64 {
 	s := m.State
 	switch s {
@@ -184,7 +184,8 @@
 	v.cfg.Peers = addresses
 }
 
-// removeContact removes an address that is no longer configured.
+// removeContact removes an address that is no longer configured. If the member last seen or announced there is still reached at
+// this address, the member's address is removed too.
 func (v *View) removeContact(address string, c *contact) {
 	delete(v.contacts, address)
 	if m := v.members[c.name]; m != nil && m.Addr == address {
--- a/internal/hooks/hooks.go
+++ b/internal/hooks/hooks.go
@@ -175,7 +175,7 @@
 	})
 }
 
-// ListChanged notifies hooks of the number of caches, and of how many of the caches are serving.
+// ListChanged notifies hooks that the list of caches has changed, and passes the number of caches and of those that are serving.
 func (h *Hooks) ListChanged(caches, serving int) {
 	if h.policy.Idle() {
 		return
@@ -208,7 +208,7 @@
 	return true
 }
 
-// Status returns the status of each hook, in the order in which the router calls the hooks.
+// Status returns the status of each hook of the active set, in the order in which the router calls the hooks.
 func (h *Hooks) Status() []policy.HookStatus { return h.policy.Status() }
 
 // Left returns the number of records of each kind that the hooks still hold.
--- a/internal/hooks/policy/hook.go
+++ b/internal/hooks/policy/hook.go
@@ -107,7 +107,7 @@
 	return true
 }
 
-// failQueued removes all queued calls and applies the FailureMode of the hook to them.
+// failQueued removes all queued calls. The FailureMode of the hook applies to the requests; notifications are dropped.
 func (h *hook) failQueued(p *Policy) {
 	queue := h.queue
 	h.queue = nil
@@ -169,7 +169,7 @@
 		p.workerFailed(w, ErrLoadTimeout)
 		return
 	}
-	h.cpu.charge(p.now, h.Time)
+	h.cpu.charge(p.now, h.Time) // the worker reports no run time for the call that it is killed in, so the whole budget is charged
 	p.workerFailed(w, ErrCallTimeout)
 }
 
--- a/internal/hooks/policy/status.go
+++ b/internal/hooks/policy/status.go
@@ -15,7 +15,7 @@
 	FailedRequests      int  // verdicts that failed a request
 	FailedCalls         int  // calls that returned no verdict
 	TimedOut            int  // requests without a verdict of the hook at their deadline
-	Skipped             int  // requests that the hook did not accept: no worker, CPU quota exceeded or queue full
+	Skipped             int  // requests not accepted (no worker, CPU quota exceeded or queue full), and calls removed by failQueued
 	MissedNotifications int  // notifications that the hook did not accept
 	Restarts            int  // workers that failed
 	Suspended           int  // number of suspensions
--- a/internal/hooks/worker_connection.go
+++ b/internal/hooks/worker_connection.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	maxIdleBuffer = 64 << 10 // bytes; larger buffers are freed once empty
+	maxIdleBuffer = 64 << 10 // bytes; larger write buffers are freed once empty
 	minReadSpace  = 4 << 10  // bytes; minimum free capacity for a read
-	readBufferAdd = 8 << 10  // bytes by which the read buffer grows
+	readBufferAdd = 8 << 10  // bytes; free capacity of the read buffer after it has grown
 
 	maxStartCause      = 200 // bytes; limit of the error text of a failed start
 	maxConnectionCause = 100 // bytes; limit of the error text of a lost connection
--- a/internal/httpclient/response.go
+++ b/internal/httpclient/response.go
@@ -35,9 +35,11 @@
 	return framedByClose
 }
 
+// isChunked reports whether a response's body has a transfer encoding. The only one that http.ReadResponse accepts is chunked.
 func isChunked(response *http.Response) bool { return len(response.TransferEncoding) > 0 }
 
-// parse parses the received bytes. closed is set if the server has closed the connection. parse reports whether the call has ended.
+// parse parses the received bytes. closed is set if the server has closed the connection. parse reports whether the attempt has
+// ended, that is, whether the call has ended or was sent a second time.
 func (k *call) parse(closed bool) (finished bool) {
 	if k.headerLength == 0 {
 		k.headerLength = headerLength(k.received)
@@ -67,7 +69,8 @@
 	return i + len(headerEnd)
 }
 
-// failWithoutHeader fails the call if its response can no longer have a valid header. It reports whether the call failed.
+// failWithoutHeader ends the attempt if its response can no longer have a valid header: the call fails or, if it is retriable and
+// nothing was received, is sent a second time. failWithoutHeader reports whether the attempt has ended.
 func (k *call) failWithoutHeader(closed bool) (failed bool) {
 	switch {
 	case closed && len(k.received) == 0:
@@ -91,7 +94,7 @@
 	return false
 }
 
-// parseResponse parses a response whose header is complete. It reports whether the call has ended.
+// parseResponse parses a response whose header is complete. It reports whether the attempt has ended.
 func (k *call) parseResponse(closed bool) (finished bool) {
 	var request *http.Request
 	if k.withoutBody {
@@ -133,7 +136,8 @@
 	return true
 }
 
-// skipInterim skips an interim response, such as 100, that the final response follows. It reports whether the call has ended.
+// skipInterim skips an interim response, such as 100, that the final response follows. It reports whether the attempt has
+// ended.
 func (k *call) skipInterim(closed bool) (finished bool) {
 	k.received = append([]byte(nil), k.received[k.headerLength:]...)
 	k.headerLength, k.framing = 0, framingUnknown
--- a/internal/retry/pacer.go
+++ b/internal/retry/pacer.go
@@ -36,10 +36,11 @@
 // Pacer computes the delays between the calls of one client. Use NewPacer.
 //
 // The mean delay is a sixth of the bound, and shorter for few clients whose calls are rejected. The mean delay of many clients
-// grows, up to the bound, after three bounds without an answer. With these delays, a service that can answer one call of each
-// client within the bound always has calls waiting, and rejections cost the service little. Exponential backoff would leave the
-// service idle near the end, because the last clients call rarely. With much shorter delays, the service would spend its time on
-// rejections. After several bounds without an answer, the service has a long outage or can't answer all clients within the bound.
+// grows after three bounds without an answer, up to three quarters of the bound, so that the longest delay with the jitter is the
+// bound. With these delays, a service that can answer one call of each client within the bound always has calls waiting, and
+// rejections cost the service little. Exponential backoff would leave the service idle near the end, because the last clients call
+// rarely. With much shorter delays, the service would spend its time on rejections. After several bounds without an answer, the
+// service has a long outage or can't answer all clients within the bound.
 //
 // If a client knows the time of the service's return, the delay is a fraction of the time that is left: as time passes, fewer
 // clients wait, and all of them together make about as many calls as before. The last clients are then rejected no more often
@@ -96,7 +97,7 @@
 	return p.fail(now, p.steadyDelay, random)
 }
 
-// Rejected records that the service rejected a call because it is down or overloaded. random is a random number in [0, 1).
+// Rejected records that the service is reachable but rejected a call. random is a random number in [0, 1).
 func (p *Pacer) Rejected(now Time, random float64) Failure {
 	p.reachability.recordRejected(now)
 	return p.fail(now, p.delayAfterRejection, random)
--- a/internal/retry/timeouts.go
+++ b/internal/retry/timeouts.go
@@ -43,8 +43,9 @@
 	RetryDelay    Time // from a failure to the next call; 0 if a Pacer decides the delay
 }
 
-// Draw returns the timeouts of a watch, drawn from a random number. Of the time between the end of a wait and the instant from
-// which the client counts as notified of the missed changes, half is for the answer and half for the next call.
+// Draw returns the timeouts of a watch. Unless Pushed is set, the wait is drawn from a random number, and at least
+// notifiedAfterWait passes between the end of a wait and the instant from which the client counts as notified of the missed
+// changes: at most half of it is for the answer, the rest for the next call.
 //
 // The wait differs between watches. Otherwise, watches that fall silent together would time out together, and all clients would
 // call at the same time a service that can answer only a few of them.
--- a/internal/retrystorm/detector.go
+++ b/internal/retrystorm/detector.go
@@ -169,7 +169,8 @@
 	d.unserved.put(identity(r), e, d.milliseconds(now))
 }
 
-// AttemptEnded counts an attempt, which either reached its cache or not.
+// AttemptEnded counts an attempt that has ended. reached is set if the cache answered, and unset if no connection to it came up.
+// The router reports no other attempts, such as those that the cache answered as not stored.
 func (d *Detector) AttemptEnded(reached bool) {
 	if reached {
 		d.window.current().reached++
--- a/internal/retrystorm/explain.go
+++ b/internal/retrystorm/explain.go
@@ -143,7 +143,8 @@
 	peak    Change // the maximum rates at the state changes of the current storm
 }
 
-// add describes the state change in a line of the log.
+// add writes the description of a state change, which was read from the given line of the log. Each change from Calm begins a new
+// numbered storm, even one that is not confirmed later.
 func (e *explainer) add(line int, c LoggedChange) {
 	e.changes++
 	if c.From == Calm {
--- a/internal/snapshotstore/store.go
+++ b/internal/snapshotstore/store.go
@@ -58,8 +58,8 @@
 }
 
 // Open locks the folder and returns the latest valid state of the router. ok reports whether there is such a state. The notes
-// name each rejected file and the reason. Open sets rejected files aside, except files of a newer program, which it leaves in
-// place. An error means that the folder can't be used.
+// name each rejected file and the reason. Open sets rejected files aside, except files of a newer program and files that
+// can't be renamed. An error means that the folder can't be used.
 func (s *Store) Open(d machine.Disk, now, maxAge Time) (state snapshot.Snapshot, ok bool, notes []string, err error) {
 	s.Close()
 	lock, err := d.Lock(s.path(lockName))
