--- a/decide/api.go
+++ b/decide/api.go
@@ -91,8 +91,9 @@
 	// MaxRetryAfter is the longest Reject.RetryAfter that clients honour; µs. 0 means that RetryAfter does
 	// not reach the clients.
 	MaxRetryAfter Time
-	// DrainGrace is the time after which no attempt to a draining or removed cache may still be in flight;
-	// µs. 0 selects one second.
+	// DrainGrace is the time, after the router counts as notified that a cache drains or is removed, from
+	// which no new attempt to that cache may start; µs. Attempts that have started may continue. 0 selects one
+	// second.
 	DrainGrace Time
 	// SlowStartWindow is the time in which a newly started cache warms up; µs.
 	SlowStartWindow Time
--- a/decide/health_check.go
+++ b/decide/health_check.go
@@ -44,12 +44,14 @@
 
 // earnHealthChecks adds the budget that one request earns.
 //
-// Low traffic per router: a check opens a connection, and the cost of the connection is included.
+// Low traffic per router: the cost of a check includes that of the dial, because each check opens a
+// connection. A request earns only lowTrafficHealthCheckFraction of healthCheckCostPerRequest.
 func (r *Router) earnHealthChecks() {
 	cost := r.settings.HealthCheckCost
 	if r.lowTraffic() {
 		cost = (cost + r.settings.DialCost) / lowTrafficHealthCheckFraction
 	}
+	// The minimum avoids a division by zero if checks cost nothing.
 	r.healthChecks.budget += healthCheckCostPerRequest / max(cost, 1e-9)
 }
 
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -80,8 +80,9 @@
 }
 
 // NewPlacement returns a function that maps the hash of a key to the ID of the first cache for the key, under
-// the condition that every cache serves and none is hot, at its limit or unhealthy. There must be at least
-// one cache. Stand-ins for a running fleet and plans for fleet changes use it.
+// the condition that the key is not hot, and that every cache serves, has warmed up, is healthy and has
+// capacity. There must be at least one cache. The simulated caches of the test bench use it to hold the keys
+// that a running fleet would hold.
 func NewPlacement(caches []Endpoint) func(key uint64) string {
 	var order rendezvous.Set[string]
 	for _, e := range caches {
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -138,7 +138,8 @@
 			t.Fatalf("hot key %d is sent to %s in zone %s first, want zone z1", key, c.ID, c.Zone)
 		}
 	}
-	// A key with one replica is sent to its first-ranked cache in any zone.
+	// A key with one replica is sent to its first-ranked cache in any zone. 1e6 requests for no key outweigh
+	// the assumed requests, so that almost every key has one replica.
 	h.router.hotKeys.requests, h.router.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
 	for key := range uint64(300) {
 		h.router.rankCaches(key)
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -57,6 +57,8 @@
 	preferred := h.request(1, "read", 42).Cache
 	h.serve(1, 0)
 	c := h.router.caches[preferred]
+	// The cache is at its limit. There is no retry token, and the origin is not idle (5 in flight exceed half
+	// of the limit of 9), so a request at an overloaded cache would not be sent to another one.
 	c.health.healthy, c.limit.value, c.sent.updatedAt = false, minConcurrency, h.now
 	h.router.retryBudget.tokens, h.router.origin.limit.value, h.router.origin.inFlight = 0, 9, 5
 	if s := h.request(2, "read", 42); s == nil || s.Cache == preferred {
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -198,8 +198,9 @@
 	}
 }
 
-// TestLowTrafficSlowStartAddsUpToCapacity checks that the attempts of many routers at a cache that warms up add up to
-// about its capacity. They would add up to almost none if hot keys were refused, as nearly every key counts as hot.
+// TestLowTrafficSlowStartAddsUpToCapacity checks that the attempts of many routers at a cache that warms up
+// add up to about its capacity. They would add up to almost nothing if hot keys were refused, as nearly every
+// key counts as hot.
 func TestLowTrafficSlowStartAddsUpToCapacity(t *testing.T) {
 	sent, sentToWarm := 0, 0
 	const routers, caches, perRouter = 300, 20, 30
--- a/decide/timers_test.go
+++ b/decide/timers_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// TestRequestTimersAreCancelledAtItsEnd checks that the timers of a request are cancelled with its final answer.
-// Otherwise, the timers of thousands of requests per second would hold the records of these requests.
-func TestRequestTimersAreCancelledAtItsEnd(t *testing.T) {
+// TestTimersAreCancelledAtEndOfRequest checks that the timers of a request are cancelled with its final
+// answer. Otherwise, the timers of thousands of requests per second would hold the records of these requests.
+func TestTimersAreCancelledAtEndOfRequest(t *testing.T) {
 	s := testSettings()
 	s.AllowHealthChecks = false
 	h := newHarness(t, s)
--- a/decide/zone_latency_test.go
+++ b/decide/zone_latency_test.go
@@ -10,6 +10,8 @@
 	h := newZonedHarness(t, 30)
 	id := int64(0)
 	zoneOfRequest := func(latency Time) string {
+		// Only the zone's latency may affect the choice. 1e6 requests for no key outweigh the assumed
+		// requests, so that almost every key has one replica.
 		h.router.hotKeys.requests, h.router.hotKeys.total = [2]map[uint64]int{{}, {}}, [2]int{1e6, 0}
 		h.router.timeliness.attempts, h.router.failover.tokens = 0, 0
 		for _, c := range h.router.caches {
--- a/internal/endpoints/mass_removal.go
+++ b/internal/endpoints/mass_removal.go
@@ -15,8 +15,8 @@
 	MinEndpoints  int     // with fewer serving endpoints, no list must be confirmed
 }
 
-// DefaultMassRemoval returns parameters that leave a fifth of the operators' drain grace of 1 s for the attempts that are
-// already in flight.
+// DefaultMassRemoval returns parameters that leave a fifth of the operators' drain grace of 1 s for the router to stop new
+// attempts.
 func DefaultMassRemoval() MassRemoval {
 	return MassRemoval{Fraction: 0.5, ConfirmWithin: 800_000, MinEndpoints: 4}
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -142,7 +142,7 @@
 	return "timeout-" + stateNames[c.state]
 }
 
-// close closes the connection and reports its requests without a reply to the handler.
+// close closes the connection, and reports to the handler the requests that the handler has not answered.
 func (c *connection) close() {
 	if c.closed {
 		return
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -28,7 +28,8 @@
 	s.machine.Post(onDrained)
 }
 
-// retire marks the connection to be closed as soon as it is between requests, and closes it at once if it is idle.
+// retire marks the connection to be closed as soon as it is between requests. If no bytes wait to be read, it closes the
+// connection at once if it is idle, or has been open for commandGrace without a command. Otherwise it starts the grace.
 func (c *connection) retire() {
 	if c.retired || c.closed {
 		return
@@ -54,8 +55,9 @@
 	c.server.machine.At(c.server.machine.Now()+commandGrace, c.graceOver)
 }
 
-// graceOver closes a retired connection without replies due when its grace ends. It reads first, as the rest of a command
-// may have arrived but not been read.
+// graceOver is called when the grace of a retired connection ends. It reads first, as the rest of a command may have
+// arrived but not been read. It then closes the connection, after an error reply if a command is incomplete, unless replies
+// are due, which are written first, or more bytes wait to be read, for which it starts the grace again.
 func (c *connection) graceOver() {
 	c.graceTimerSet = false
 	c.readIfPending()
--- a/internal/frontend/executing.go
+++ b/internal/frontend/executing.go
@@ -117,7 +117,7 @@
 }
 
 // rejectCommand replies to an invalid command with an error. It reports whether the connection stays open: after
-// MaxConsecutiveErrors invalid commands in a row, the connection is closed.
+// MaxConsecutiveErrors invalid commands without a valid request among them, the connection is closed.
 func (c *connection) rejectCommand(text string) bool {
 	c.replyLocally(redcon.AppendError(nil, errorPrefix+text))
 	c.consecutiveErrors++
--- a/internal/guard/actions.go
+++ b/internal/guard/actions.go
@@ -52,8 +52,8 @@
 	return true
 }
 
-// acceptSend tracks a new attempt. It withholds the Send if the request has ended: the loop sends no further attempts for that
-// request, so the loop's attempt numbers for it need not match the module's.
+// acceptSend tracks a new attempt. It withholds the Send if the request has ended or is unknown, and queues a NotSent result for
+// the module. The loop sends no further attempts for that request, so the loop's attempt numbers for it need not match the module's.
 func (c *Contract) acceptSend(action decide.Send) bool {
 	request := c.requests[action.ID]
 	if request == nil {
--- a/internal/guard/overdue.go
+++ b/internal/guard/overdue.go
@@ -114,7 +114,8 @@
 }
 
 // Check compares the Contract's counts with the module's and with onSockets, which returns the number of attempts, without health
-// checks, that the loop has in flight at a cache. The loop must call Check only when its event queue is empty.
+// checks, that the loop has in flight at a cache. It reports each difference as a breach. onSockets may be nil. The loop must call
+// Check only when its event queue is empty.
 func (c *Contract) Check(now decide.Time, onSockets func(cache string) int) {
 	c.now = now
 	if c.counter != nil {
--- a/internal/rankcache/numbering.go
+++ b/internal/rankcache/numbering.go
@@ -25,7 +25,7 @@
 	n.released = append(n.released, number)
 }
 
-// Item returns the item with a number.
+// Item returns the item to which the number is assigned.
 func (n *Numbering[T]) Item(number int) T { return n.items[number] }
 
 // UpperBound returns a number that is greater than all numbers assigned so far: the largest number of items held at one time.
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -204,8 +204,8 @@
 	return merged
 }
 
-// highestDraws finds the group's highest draws for a key, in descending order, and the indices of their items. Items with equal
-// draws are ordered by id. highestDraws returns the number of draws found.
+// highestDraws finds the group's firstRanks highest draws for a key (all of them in a smaller group), in descending order, and the
+// indices of their items. Items with equal draws are ordered by id. highestDraws returns the number of draws found.
 func (g *group[T]) highestDraws(key uint64, draws *[firstRanks]uint64, indices *[firstRanks]int) (count int) {
 	for i, hash := range g.hashes {
 		drawn := draw(key, hash)
--- a/internal/router/address_test.go
+++ b/internal/router/address_test.go
@@ -12,6 +12,7 @@
 // TestStartRetriesTransientListenErrors makes each system call that opens the listener fail. The router retries after a
 // transient error until it serves. A permanent error fails the start, and its text names the address.
 func TestStartRetriesTransientListenErrors(t *testing.T) {
+	// EMFILE is permanent: it lasts until this process closes a descriptor.
 	for _, c := range []struct {
 		errno       syscall.Errno
 		isTransient bool
--- a/internal/router/aperture.go
+++ b/internal/router/aperture.go
@@ -33,7 +33,8 @@
 	return &endpointSubset{aperture: covered, all: map[string]subsetEntry{}}
 }
 
-// restrict applies a change to the complete list, and returns the resulting change to the caches that the aperture covers.
+// restrict updates the complete list with a change, and returns the part of the change that concerns the covered caches. If the
+// change resizes the aperture, the result also adds the caches that are newly covered and removes those that no longer are.
 func (s *endpointSubset) restrict(list endpoints.Publish, logger *slog.Logger) endpoints.Publish {
 	for i, e := range list.Endpoints {
 		s.updateEntry(e, list.Addresses[i])
--- a/internal/router/aperture_test.go
+++ b/internal/router/aperture_test.go
@@ -90,6 +90,7 @@
 	}
 }
 
+// TestConfigReadsRouterNumberFromPeers checks that the router's number is the index, from 0, of its own address among the peers.
 func TestConfigReadsRouterNumberFromPeers(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", func(in map[string]any) {
 		in["peers"], in["peer_listen"] = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, "10.0.0.2:1"
--- a/internal/router/contract.go
+++ b/internal/router/contract.go
@@ -10,8 +10,8 @@
 )
 
 // repairContract delivers the events that the contract finds overdue: it aborts the attempt or fails the request that an event is
-// about, and queues the event itself unless aborting the attempt does so. If no event is pending afterwards, it checks the
-// contract's counts.
+// about, and queues the event itself unless aborting the attempt does so. It only queues a missing health check result. If no event
+// is pending afterwards, it checks the contract's counts.
 func (r *Router) repairContract() {
 	for _, event := range r.contract.Overdue(r.m.Now()) {
 		switch event := event.(type) {
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestRestartedDiscoveryAskedForFullList restarts discovery with versions that begin again at a low number. The router must
-// request the full list; otherwise it would watch for changes after a version that discovery never reaches.
+// request the full list; otherwise it would wait until discovery reaches the old version, and miss all changes before.
 func TestRestartedDiscoveryAskedForFullList(t *testing.T) {
 	cache := newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
--- a/internal/router/endpoint_list.go
+++ b/internal/router/endpoint_list.go
@@ -114,11 +114,12 @@
 	entry.StartedAt = max(1, r.m.Now()-r.age(listedStart))
 }
 
-// age returns the time since a start that the list gives by another machine's clock.
+// age returns the time since a cache's start, which the list gives by another machine's clock.
 //
 // Two clocks of this machine may agree with the other machine's clock: the current system clock, and the system clock as of the
 // start of this process, which the loop's clock continues. Either may be wrong by a clock step. The smaller age counts, so that a
-// newly started cache is never mistaken for a warm one. A negative age is ignored, because no start lies in the future.
+// newly started cache is not mistaken for a warm one if either clock agrees. A negative age counts only if both are negative, and
+// then as 0, because no start lies in the future.
 func (r *Router) age(start Time) Time {
 	bySystemClock, byProcessClock := r.m.Wall()-start, r.m.Now()-start
 	smaller, larger := min(bySystemClock, byProcessClock), max(bySystemClock, byProcessClock)
--- a/internal/router/request_end_test.go
+++ b/internal/router/request_end_test.go
@@ -10,9 +10,9 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestNothingSentForGoneClient disconnects a client while its request waits for the only connection to the cache: alone, with a
-// QUIT or an invalid command behind it, or with as many requests as a connection may have unanswered. The router must not send
-// the request and must release its record.
+// TestNothingSentForGoneClient disconnects a client while its request waits for the only connection to the cache: alone, followed
+// by a QUIT or an invalid command, or as the first of more requests than a connection may have unanswered. The router must not
+// send the request and must release its record.
 func TestNothingSentForGoneClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		pipelined int
--- a/internal/router/snapshot.go
+++ b/internal/router/snapshot.go
@@ -107,7 +107,8 @@
 	k.writeTimer = k.router.m.At(k.router.m.Now()+wait, k.startWrite)
 }
 
-// restoreTimeout lets the router serve before the snapshot is read.
+// restoreTimeout lets the router serve before the snapshot is read. A snapshot that is read later restores only values of single
+// caches.
 func (k *snapshotKeeper) restoreTimeout() {
 	k.ready, k.restoreTimedOut = true, true
 	k.router.logger.Warn("snapshot not read in time", "timeout", snapshotReadTimeout*time.Microsecond)
@@ -120,8 +121,8 @@
 	}
 }
 
-// logStoreError logs when snapshots can no longer be stored, with the cause, and when they are stored again. It logs each change
-// once.
+// logStoreError logs the first failure to store snapshots, with its cause, and the first success after it. A further failure is
+// not logged, even if its cause differs.
 func (k *snapshotKeeper) logStoreError(err error) {
 	switch {
 	case err != nil && k.storeError == "":
--- a/internal/router/snapshot_write.go
+++ b/internal/router/snapshot_write.go
@@ -36,7 +36,8 @@
 )
 
 // startWrite begins a write and sets the timer for the next one, after WriteInterval. It begins no write while gathering or disk
-// work is running.
+// work is running. It does nothing once the final write has started or the keeper is closed. It also drops unrestored values that
+// have expired.
 func (k *snapshotKeeper) startWrite() {
 	if k.finalState != finalWriteNotStarted || k.closed {
 		return
--- a/internal/router/standstill_test.go
+++ b/internal/router/standstill_test.go
@@ -8,9 +8,9 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestRemovalDuringPauseAppliedFirst pauses the event loop for longer than the drain grace. During the pause, clients send
+// TestDrainDuringPauseAppliedFirst pauses the event loop for longer than the drain grace. During the pause, clients send
 // requests and then discovery reports a drain. After the pause, the draining cache must receive none of the requests.
-func TestRemovalDuringPauseAppliedFirst(t *testing.T) {
+func TestDrainDuringPauseAppliedFirst(t *testing.T) {
 	const grace = 40 * time.Millisecond
 	leaving, staying := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestRemovalPushedDuringPauseAppliedFirst pauses the event loop. During the pause, the pending poll is answered without a change,
+// TestDrainPushedDuringPauseAppliedFirst pauses the event loop. During the pause, the pending poll is answered without a change,
 // and then a drain is pushed to the agent. The router counts as notified, so it must poll the agent before it sends a request.
-func TestRemovalPushedDuringPauseAppliedFirst(t *testing.T) {
+func TestDrainPushedDuringPauseAppliedFirst(t *testing.T) {
 	const grace = 400 * time.Millisecond
 	leaving, staying := newFakeCache(t), newFakeCache(t)
 	addr, calls := routertest.Discovery(t)
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -104,8 +104,8 @@
 	a.armTimer()
 }
 
-// maySend checks immediately before an attempt's first byte whether the attempt may be written. The cache's state, the deadlines
-// and the request may have changed while the attempt waited.
+// maySend checks immediately before an attempt's first byte whether the attempt may be written. While the attempt waited, the
+// cache may have been drained, a deadline may have passed, or the request may have ended.
 func (c *cache) maySend(a *Attempt) bool {
 	check := guard.WriteCheck{
 		Now:           c.pool.machine.Now(),
@@ -116,7 +116,7 @@
 	if check.MayWrite() != guard.Allowed {
 		return false
 	}
-	return a.Request == nil || a.Request.MaySend(check.Now)
+	return a.Request == nil || a.Request.MaySend(check.Now) // Request is nil for a health check
 }
 
 // dispatch writes waiting attempts to idle connections in FIFO order, and opens more connections if there are too few.
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -9,8 +9,8 @@
 // connection just as a request is written to it, the router can't tell whether that request has run.
 const keepaliveNumerator, keepaliveDenominator = 3, 4
 
-// maxIdleTime returns how long a connection may be idle. It exceeds the minimum rest time even if Keepalive is short, as a
-// connection could otherwise never be used again.
+// maxIdleTime returns how long a connection may be idle. It is at least twice the minimum rest time, even if Keepalive is short:
+// a connection could otherwise be closed before it has rested, and never be used again.
 func (p *Pool) maxIdleTime() Time {
 	return max(p.options.Keepalive*keepaliveNumerator/keepaliveDenominator, 2*p.options.Limits.MinRestTime.Microseconds())
 }
