--- a/internal/machine/machinetest/conns.go
+++ b/internal/machine/machinetest/conns.go
@@ -7,24 +7,25 @@
 	"starlingwinch/internal/machine"
 )
 
-func addresses(b *bench) {
+func connAddresses(b *bench) {
 	near, far := b.pair(true)
 	if near.conn.Local() != far.conn.Remote() || near.conn.Remote() != far.conn.Local() {
-		b.Errorf("near: %s to %s; far: %s to %s", near.conn.Local(), near.conn.Remote(), far.conn.Local(), far.conn.Remote())
+		b.Errorf("the ends disagree on their addresses: near has %s and %s, far has %s and %s",
+			near.conn.Local(), near.conn.Remote(), far.conn.Local(), far.conn.Remote())
 	}
 }
 
-func earlyBytes(b *bench) {
-	var in *[]*end
+func bytesBeforeAccept(b *bench) {
+	var accepted *[]*end
 	b.call(func() {
 		var l machine.Listener
-		l, in = b.listen(true)
+		l, accepted = b.listen(true)
 		b.dial(l.Addr(), func(e *end) { e.write("hello") })
 	})
-	b.wait("the bytes", func() bool { return len(*in) == 1 && string((*in)[0].got) == "hello" })
+	b.wait("the bytes", func() bool { return len(*accepted) == 1 && string((*accepted)[0].got) == "hello" })
 }
 
-// largeTransfer writes while nobody reads until a Write is short, and a megabyte at least.
+// largeTransfer writes at least a megabyte, and until a Write is short, before the peer starts to read.
 func largeTransfer(b *bench) {
 	const least, most = 1 << 20, 64 << 20
 	near, far := b.pair(false)
@@ -32,41 +33,41 @@
 	for i := range cap(chunk) {
 		chunk = append(chunk, byte(i*7>>3))
 	}
-	put, short := 0, 0
-	push := func() {
-		for put < least || short == 0 {
-			left := chunk[put%len(chunk):]
+	written, short := 0, 0
+	writeMore := func() {
+		for written < least || short == 0 {
+			left := chunk[written%len(chunk):]
 			n, err := near.conn.Write(left)
 			if err != nil {
 				b.Fatalf("Write: %v", err)
 			}
-			put += n
+			written += n
 			if n < len(left) {
 				short++
 				return
 			}
-			if put > most {
-				b.Fatalf("%d bytes were taken though nobody reads", put)
+			if written > most {
+				b.Fatalf("Write accepted %d bytes without a short write while the peer read nothing", written)
 			}
 		}
 		if err := near.conn.CloseWrite(); err != nil {
 			b.Errorf("CloseWrite: %v", err)
 		}
 	}
-	near.writable = push
-	b.call(push)
+	near.writable = writeMore
+	b.call(writeMore)
 	b.call(func() {
 		far.reads = true
 		far.readAll()
 	})
-	b.wait("the end", func() bool { return far.err == io.EOF })
-	if len(far.got) != put {
-		b.Fatalf("%d bytes came of %d", len(far.got), put)
+	b.wait("the end of the stream", func() bool { return far.err == io.EOF })
+	if len(far.got) != written {
+		b.Fatalf("received %d bytes, want %d", len(far.got), written)
 	}
-	for i := 0; i < put; i += len(chunk) {
-		part := far.got[i:min(i+len(chunk), put)]
+	for i := 0; i < written; i += len(chunk) {
+		part := far.got[i:min(i+len(chunk), written)]
 		if !bytes.Equal(part, chunk[:len(part)]) {
-			b.Fatalf("other bytes came after %d than were sent", i)
+			b.Fatalf("the chunk received at offset %d differs from the one sent", i)
 		}
 	}
 }
@@ -78,92 +79,92 @@
 			b.Errorf("CloseWrite: %v", err)
 		}
 		if _, err := near.conn.Write([]byte("x")); err == nil {
-			b.Error("a Write after CloseWrite was taken")
+			b.Error("Write after CloseWrite succeeded, want an error")
 		}
 	})
-	b.wait("the end", func() bool { return far.err == io.EOF })
+	b.wait("the end of the stream", func() bool { return far.err == io.EOF })
 	if string(far.got) != "question" {
-		b.Errorf("got %q", far.got)
+		b.Errorf("received %q, want %q", far.got, "question")
 	}
 	far.writeThen("answer", far.conn.Close)
 	b.wait("the answer", func() bool { return near.err == io.EOF })
 	if string(near.got) != "answer" {
-		b.Errorf("got %q", near.got)
+		b.Errorf("received %q, want %q", near.got, "answer")
 	}
 }
 
-func closeIsEnd(b *bench) {
+func closeEndsPeer(b *bench) {
 	near, far := b.pair(true)
-	near.writeThen("last words", near.conn.Close)
+	near.writeThen("last bytes", near.conn.Close)
 	b.wait("the end", func() bool { return far.err != nil })
-	if far.err != io.EOF || string(far.got) != "last words" {
-		b.Errorf("got %q, %v", far.got, far.err)
+	if far.err != io.EOF || string(far.got) != "last bytes" {
+		b.Errorf("received %q and error %v, want %q and EOF", far.got, far.err, "last bytes")
 	}
 }
 
-func closeUnread(b *bench) {
+func closeWithUnreadBytes(b *bench) {
 	near, far := b.pair(false)
-	b.call(func() { near.write("nobody reads this") })
+	b.call(func() { near.write("unread") })
 	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(far.conn.Close)
 	b.wait("the end", func() bool { return near.err != nil })
 	if near.err != io.EOF && near.err != machine.ErrReset {
-		b.Errorf("the other side read %v", near.err)
+		b.Errorf("the peer read error %v, want EOF or ErrReset", near.err)
 	}
-	ended := func() bool {
+	writeFails := func() bool {
 		_, err := near.conn.Write([]byte("x"))
 		return err != nil
 	}
-	b.wait("an error of Write", ended)
+	b.wait("an error from Write", writeFails)
 }
 
-func closeIsSilent(b *bench) {
+func noCallbackAfterClose(b *bench) {
 	near, far := b.pair(true)
 	b.call(func() {
-		far.write("crosses the close")
+		far.write("sent during the close")
 		near.conn.Close()
 		near.conn.Close()
 		if _, err := near.conn.Read(make([]byte, 9)); err != machine.ErrClosed {
-			b.Errorf("Read after Close gave %v", err)
+			b.Errorf("Read after Close: got error %v, want ErrClosed", err)
 		}
 		if _, err := near.conn.Write([]byte("x")); err != machine.ErrClosed {
-			b.Errorf("Write after Close gave %v", err)
+			b.Errorf("Write after Close: got error %v, want ErrClosed", err)
 		}
 		if near.conn.Quiet() {
-			b.Error("a closed connection is quiet")
+			b.Error("Quiet of a closed connection: got true, want false")
 		}
 	})
-	told := near.readableCalls
+	callsBefore := near.readableCalls
 	b.wait("the end", func() bool { return far.err != nil })
-	if near.readableCalls != told {
-		b.Error("a handler was called after Close")
+	if near.readableCalls != callsBefore {
+		b.Error("the handler was called after Close")
 	}
 }
 
-func quiet(b *bench) {
+func connQuiet(b *bench) {
 	near, far := b.pair(false)
 	b.call(func() {
-		if !b.quiet(far.conn) {
-			b.Error("a new connection is not quiet")
+		if !b.eventuallyQuiet(far.conn) {
+			b.Error("Quiet of a new connection: got false, want true")
 		}
 		near.write("ab")
 	})
-	near.flushed()
+	near.waitUntilFlushed()
 	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(func() {
 		if far.conn.Quiet() {
-			b.Error("quiet though bytes wait")
+			b.Error("Quiet with unread bytes: got true, want false")
 		}
 		far.readAll()
 		far.reads = true
 		if !b.TakesLess && (!far.conn.Quiet() || string(far.got) != "ab") {
-			b.Errorf("not quiet after all was read: %q", far.got)
+			b.Errorf("Quiet after reading %q: got false, want true after \"ab\"", far.got)
 		}
 	})
-	b.wait("all of it", func() bool { return string(far.got) == "ab" })
+	b.wait("all bytes", func() bool { return string(far.got) == "ab" })
 	b.call(func() {
-		if !b.quiet(far.conn) {
-			b.Errorf("not quiet after all was read: %q", far.got)
+		if !b.eventuallyQuiet(far.conn) {
+			b.Errorf("Quiet after reading %q: got false, want true after \"ab\"", far.got)
 		}
 		near.conn.Close()
 	})
@@ -171,57 +172,57 @@
 	b.call(func() {
 		far.readAll()
 		if !b.TakesLess && far.err != io.EOF {
-			b.Errorf("read %v in the call in which the end was seen", far.err)
+			b.Errorf("read after Quiet reported the end: got error %v, want EOF", far.err)
 		}
 	})
-	b.wait("the end to be read", func() bool { return far.err != nil })
+	b.wait("the read of the end", func() bool { return far.err != nil })
 	if far.err != io.EOF {
-		b.Errorf("read %v", far.err)
+		b.Errorf("read at the end: got error %v, want EOF", far.err)
 	}
 }
 
-func endUnread(b *bench) {
-	for how, leave := range map[string]func(machine.Conn){
+func endBeforeUnreadBytes(b *bench) {
+	for how, endConn := range map[string]func(machine.Conn){
 		"closed":      machine.Conn.Close,
 		"half closed": func(c machine.Conn) { c.CloseWrite() },
 	} {
 		near, far := b.pair(false)
 		b.call(func() {
 			if err := far.conn.End(); err != nil {
-				b.Errorf("an open connection has ended: %v", err)
+				b.Errorf("End of an open connection: got %v, want nil", err)
 			}
 			near.write("unread")
 		})
-		near.flushed()
+		near.waitUntilFlushed()
 		b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 		b.call(func() {
 			if err := far.conn.End(); err != nil {
-				b.Errorf("bytes are taken for the end: %v", err)
+				b.Errorf("End with unread bytes and no end: got %v, want nil", err)
 			}
-			leave(near.conn)
+			endConn(near.conn)
 		})
 		b.wait("the end, "+how, func() bool { return far.conn.End() == io.EOF })
 		b.call(func() {
 			far.readAll()
 			if !b.TakesLess && far.err == nil {
-				b.Errorf("%s: read %q, and no end in the same call", how, far.got)
+				b.Errorf("%s: read %q without the end in the same call", how, far.got)
 			}
 		})
 		far.reads = true
-		b.wait("what was unread", func() bool { return far.err != nil })
+		b.wait("the read of the end after the unread bytes", func() bool { return far.err != nil })
 		if string(far.got) != "unread" || far.err != io.EOF {
-			b.Errorf("%s: read %q, %v after it", how, far.got, far.err)
+			b.Errorf("%s: read %q and error %v, want %q and EOF", how, far.got, far.err, "unread")
 		}
 	}
 	near, far := b.pair(false)
-	b.call(func() { near.write("unread there") })
-	near.flushed()
+	b.call(func() { near.write("unread at far") })
+	near.waitUntilFlushed()
 	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(func() {
-		far.write("unread here")
+		far.write("unread at near")
 		near.reads = false
 	})
-	b.wait("bytes there", func() bool { return near.readableCalls > 0 })
-	b.call(near.conn.Close) // with bytes unread: it resets
+	b.wait("the bytes at near", func() bool { return near.readableCalls > 0 })
+	b.call(near.conn.Close) // resets the connection, as bytes are unread
 	b.wait("the reset", func() bool { return far.conn.End() == machine.ErrReset })
 }
--- a/internal/machine/machinetest/datagrams.go
+++ b/internal/machine/machinetest/datagrams.go
@@ -2,7 +2,7 @@
 
 import "starlingwinch/internal/machine"
 
-// send sends a datagram as soon as the machine takes it.
+// send sends a datagram, and retries while the machine accepts none.
 func send(p machine.PacketConn, to, text string) error {
 	for {
 		if err := p.Send(to, []byte(text)); err != machine.ErrWait {
@@ -17,7 +17,7 @@
 	b.call(func() {
 		var err error
 		far, err = b.B.ListenPacket(b.IPB+":0", func(from string, data []byte) {
-			defer b.turn()()
+			defer b.enterCallback()()
 			if err := send(far, from, "re: "+string(data)); err != nil {
 				b.Errorf("Send: %v", err)
 			}
@@ -26,10 +26,10 @@
 			b.Fatalf("ListenPacket: %v", err)
 		}
 		near, err = b.A.ListenPacket(b.IPA+":0", func(from string, data []byte) {
-			defer b.turn()()
+			defer b.enterCallback()()
 			got = string(data)
 			if from != far.Addr() {
-				b.Errorf("an answer came from %s, not %s", from, far.Addr())
+				b.Errorf("answer from %s, want from %s", from, far.Addr())
 			}
 		})
 		if err != nil {
@@ -41,13 +41,13 @@
 	})
 	b.wait("the answer", func() bool { return got != "" })
 	if got != "re: hello" {
-		b.Errorf("got %q", got)
+		b.Errorf("received %q, want %q", got, "re: hello")
 	}
 	b.call(func() {
 		near.Close()
 		near.Close()
 		if err := near.Send(far.Addr(), nil); err == nil {
-			b.Error("a closed PacketConn sent")
+			b.Error("Send after Close succeeded, want an error")
 		}
 	})
 }
--- a/internal/machine/machinetest/dials.go
+++ b/internal/machine/machinetest/dials.go
@@ -6,7 +6,7 @@
 	"starlingwinch/internal/machine"
 )
 
-func refused(b *bench) {
+func dialRefused(b *bench) {
 	var addr string
 	b.call(func() {
 		l, _ := b.listen(true)
@@ -17,27 +17,27 @@
 	b.call(func() { e = b.dial(addr, nil) })
 	b.wait("the refusal", func() bool { return e.err != nil })
 	if !errors.Is(e.err, machine.ErrRefused) {
-		b.Errorf("got %v", e.err)
+		b.Errorf("got error %v, want ErrRefused", e.err)
 	}
 }
 
-func badAddress(b *bench) {
+func dialInvalidAddress(b *bench) {
 	var e *end
 	b.call(func() {
-		e = b.dial("no address", nil)
+		e = b.dial("invalid address", nil)
 		if e.err != nil {
-			b.Error("Dial called back at once")
+			b.Error("Dial called done before it returned")
 		}
 	})
 	b.wait("the error", func() bool { return e.err != nil })
 }
 
-func cancelled(b *bench) {
+func dialCancelled(b *bench) {
 	var other *end
 	b.call(func() {
 		l, _ := b.listen(true)
 		d := b.A.Dial(l.Addr(), 5_000_000, func(machine.Conn, error) machine.Handler {
-			b.Error("a cancelled Dial was told")
+			b.Error("done was called after Cancel")
 			return nil
 		})
 		other = b.dial(l.Addr(), nil)
@@ -47,20 +47,20 @@
 	b.wait("the other connection", func() bool { return other.conn != nil })
 }
 
-func timesOut(b *bench) {
+func dialTimeout(b *bench) {
 	if b.Nowhere == "" {
-		b.Skip("the rig has no address that gives no answer")
+		b.Skip("the rig has no address that never answers")
 	}
 	var got error
 	b.call(func() {
 		b.A.Dial(b.Nowhere, 200_000, func(_ machine.Conn, err error) machine.Handler {
-			defer b.turn()()
+			defer b.enterCallback()()
 			got = err
 			return nil
 		})
 	})
 	b.wait("the timeout", func() bool { return got != nil })
 	if !errors.Is(got, machine.ErrTimeout) {
-		b.Errorf("got %v", got)
+		b.Errorf("got error %v, want ErrTimeout", got)
 	}
 }
--- a/internal/machine/machinetest/disk.go
+++ b/internal/machine/machinetest/disk.go
@@ -10,39 +10,40 @@
 	"starlingwinch/internal/machine"
 )
 
-// onDisk has f work on A's disk and waits for its end.
+// onDisk runs f with A's disk and waits for its end.
 func (b *bench) onDisk(f func(d machine.Disk)) {
 	b.Helper()
 	done := false
 	b.call(func() {
 		b.A.OnDisk(f, func() {
-			defer b.turn()()
+			defer b.enterCallback()()
 			done = true
 		})
 	})
-	b.wait("the end of a work on the disk", func() bool { return done })
+	b.wait("the end of work on the disk", func() bool { return done })
 }
 
-func (b *bench) file(name string) string { return filepath.Join(b.Folder, name) }
+// path returns the path of a name in the rig's folder.
+func (b *bench) path(name string) string { return filepath.Join(b.Folder, name) }
 
-// holds checks a file's content.
-func (b *bench) holds(d machine.Disk, name, content string) {
+// checkContent checks a file's content.
+func (b *bench) checkContent(d machine.Disk, name, content string) {
 	b.Helper()
-	if got, err := d.Read(b.file(name), 100); err != nil || string(got) != content {
-		b.Errorf("%s holds %q, %v; want %q", name, got, err, content)
+	if got, err := d.Read(b.path(name), 100); err != nil || string(got) != content {
+		b.Errorf("read %s: got %q and error %v, want %q", name, got, err, content)
 	}
 }
 
-// gone checks that a name is not taken.
-func (b *bench) gone(d machine.Disk, name string) {
+// checkMissing checks that no file has the name.
+func (b *bench) checkMissing(d machine.Disk, name string) {
 	b.Helper()
-	if _, err := d.Read(b.file(name), 100); !errors.Is(err, fs.ErrNotExist) {
-		b.Errorf("%s: %v, want that there is none", name, err)
+	if _, err := d.Read(b.path(name), 100); !errors.Is(err, fs.ErrNotExist) {
+		b.Errorf("read %s: got error %v, want ErrNotExist", name, err)
 	}
 }
 
-// good fails where a call failed.
-func (b *bench) good(err error) {
+// noError fails the test if a call returned an error.
+func (b *bench) noError(err error) {
 	b.Helper()
 	if err != nil {
 		b.Error(err)
@@ -50,112 +51,112 @@
 }
 
 func diskInOrder(b *bench) {
-	var did, told []int
-	var works atomic.Int64 // done so far: later works go on while an earlier one's end is told
+	var ran, reported []int
+	var finished atomic.Int64 // functions that have run: later ones may run before done of an earlier one is called
 	b.call(func() {
 		for i := range 10 {
 			b.A.OnDisk(func(machine.Disk) {
-				did = append(did, i)
-				works.Add(1)
+				ran = append(ran, i)
+				finished.Add(1)
 			}, func() {
-				defer b.turn()()
-				if told = append(told, i); int(works.Load()) < len(told) {
-					b.Error("done came before the work")
+				defer b.enterCallback()()
+				if reported = append(reported, i); int(finished.Load()) < len(reported) {
+					b.Error("done was called before the end of its work")
 				}
 			})
 		}
-		if len(told) > 0 {
-			b.Error("OnDisk called done at once")
+		if len(reported) > 0 {
+			b.Error("OnDisk called done before it returned")
 		}
 	})
-	b.wait("all works", func() bool { return len(told) == 10 })
-	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}; !slices.Equal(did, want) || !slices.Equal(told, want) {
-		b.Errorf("done in the order %v, told in the order %v", did, told)
+	b.wait("the end of all work", func() bool { return len(reported) == 10 })
+	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}; !slices.Equal(ran, want) || !slices.Equal(reported, want) {
+		b.Errorf("ran in the order %v and reported in the order %v, want %v", ran, reported, want)
 	}
 }
 
-func created(b *bench) {
+func createFile(b *bench) {
 	b.onDisk(func(d machine.Disk) {
-		b.good(d.Create(b.file("a"), []byte("ten bytes.")))
-		b.good(d.SyncFolder(b.Folder))
-		b.holds(d, "a", "ten bytes.")
-		if _, err := d.Read(b.file("a"), 9); !errors.Is(err, machine.ErrTooLong) {
-			b.Errorf("a file longer than the bound gave %v", err)
+		b.noError(d.Create(b.path("a"), []byte("ten bytes.")))
+		b.noError(d.SyncFolder(b.Folder))
+		b.checkContent(d, "a", "ten bytes.")
+		if _, err := d.Read(b.path("a"), 9); !errors.Is(err, machine.ErrTooLong) {
+			b.Errorf("read of a file longer than the limit: got error %v, want ErrTooLong", err)
 		}
 	})
 }
 
-func createdOnce(b *bench) {
+func createExisting(b *bench) {
 	b.onDisk(func(d machine.Disk) {
-		b.good(d.Create(b.file("a"), []byte("first")))
-		if err := d.Create(b.file("a"), []byte("second")); !errors.Is(err, fs.ErrExist) {
-			b.Errorf("a second file of the name: %v", err)
+		b.noError(d.Create(b.path("a"), []byte("first")))
+		if err := d.Create(b.path("a"), []byte("second")); !errors.Is(err, fs.ErrExist) {
+			b.Errorf("second Create of a name: got error %v, want ErrExist", err)
 		}
-		b.holds(d, "a", "first")
+		b.checkContent(d, "a", "first")
 	})
 }
 
-func renamed(b *bench) {
+func renameFile(b *bench) {
 	b.onDisk(func(d machine.Disk) {
-		b.good(d.Create(b.file("a"), []byte("a")))
-		b.good(d.Create(b.file("b"), []byte("b")))
-		b.good(d.Rename(b.file("a"), b.file("b")))
-		b.gone(d, "a")
-		b.holds(d, "b", "a")
-		if err := d.Rename(b.file("none"), b.file("b")); !errors.Is(err, fs.ErrNotExist) {
-			b.Errorf("a file that is not there was renamed: %v", err)
-		}
-		b.holds(d, "b", "a")
+		b.noError(d.Create(b.path("a"), []byte("a")))
+		b.noError(d.Create(b.path("b"), []byte("b")))
+		b.noError(d.Rename(b.path("a"), b.path("b")))
+		b.checkMissing(d, "a")
+		b.checkContent(d, "b", "a")
+		if err := d.Rename(b.path("none"), b.path("b")); !errors.Is(err, fs.ErrNotExist) {
+			b.Errorf("Rename of a missing file: got error %v, want ErrNotExist", err)
+		}
+		b.checkContent(d, "b", "a")
 	})
 }
 
-func removed(b *bench) {
+func removeFile(b *bench) {
 	b.onDisk(func(d machine.Disk) {
-		b.good(d.Create(b.file("a"), nil))
-		b.good(d.Remove(b.file("a")))
-		b.gone(d, "a")
-		if err := d.Remove(b.file("a")); !errors.Is(err, fs.ErrNotExist) {
-			b.Errorf("removed twice: %v", err)
+		b.noError(d.Create(b.path("a"), nil))
+		b.noError(d.Remove(b.path("a")))
+		b.checkMissing(d, "a")
+		if err := d.Remove(b.path("a")); !errors.Is(err, fs.ErrNotExist) {
+			b.Errorf("second Remove: got error %v, want ErrNotExist", err)
 		}
 	})
 }
 
-func links(b *bench) {
-	b.PutLink(b.file("link"))
+func symbolicLinks(b *bench) {
+	b.PutLink(b.path("link"))
 	b.onDisk(func(d machine.Disk) {
-		if got, err := d.Read(b.file("link"), 1000); !errors.Is(err, machine.ErrIrregular) {
-			b.Errorf("a link was read: %q, %v", got, err)
+		if got, err := d.Read(b.path("link"), 1000); !errors.Is(err, machine.ErrIrregular) {
+			b.Errorf("Read of a link: got %q and error %v, want ErrIrregular", got, err)
 		}
-		if err := d.Create(b.file("link"), nil); !errors.Is(err, fs.ErrExist) {
-			b.Errorf("a file was made where a link stands: %v", err)
+		if err := d.Create(b.path("link"), nil); !errors.Is(err, fs.ErrExist) {
+			b.Errorf("Create in place of a link: got error %v, want ErrExist", err)
 		}
-		if _, err := d.Lock(b.file("link")); err == nil {
-			b.Error("a link was locked")
+		if _, err := d.Lock(b.path("link")); err == nil {
+			b.Error("Lock of a link succeeded, want an error")
 		}
-		b.good(d.Create(b.file("a"), []byte("a")))
-		b.good(d.Rename(b.file("a"), b.file("link")))
-		b.holds(d, "link", "a")
+		b.noError(d.Create(b.path("a"), []byte("a")))
+		b.noError(d.Rename(b.path("a"), b.path("link")))
+		b.checkContent(d, "link", "a")
 	})
 }
 
-func locks(b *bench) {
+func lockFile(b *bench) {
 	b.onDisk(func(d machine.Disk) {
-		lock, err := d.Lock(b.file("lock"))
+		lock, err := d.Lock(b.path("lock"))
 		if err != nil {
 			b.Error(err)
 			return
 		}
-		if _, err := d.Lock(b.file("lock")); !errors.Is(err, machine.ErrLocked) {
-			b.Errorf("locked twice: %v", err)
+		if _, err := d.Lock(b.path("lock")); !errors.Is(err, machine.ErrLocked) {
+			b.Errorf("second Lock: got error %v, want ErrLocked", err)
 		}
 		if !lock.Holds() {
-			b.Error("a lock does not hold")
+			b.Error("Holds of an acquired lock: got false, want true")
 		}
 		lock.Release()
 		lock.Release()
-		again, err := d.Lock(b.file("lock"))
+		again, err := d.Lock(b.path("lock"))
 		if err != nil {
-			b.Errorf("a lock that was given back: %v", err)
+			b.Errorf("Lock after Release: %v", err)
 			return
 		}
 		again.Release()
@@ -164,32 +165,32 @@
 
 func lockRemoved(b *bench) {
 	b.onDisk(func(d machine.Disk) {
-		lock, err := d.Lock(b.file("lock"))
+		lock, err := d.Lock(b.path("lock"))
 		if err != nil {
 			b.Error(err)
 			return
 		}
 		defer lock.Release()
-		b.good(d.Remove(b.file("lock")))
+		b.noError(d.Remove(b.path("lock")))
 		if lock.Holds() {
-			b.Error("a lock holds whose file is gone")
+			b.Error("Holds after the file was removed: got true, want false")
 		}
-		b.good(d.Create(b.file("lock"), nil))
+		b.noError(d.Create(b.path("lock"), nil))
 		if lock.Holds() {
-			b.Error("a lock holds whose file is another one")
+			b.Error("Holds after the file was replaced: got true, want false")
 		}
 	})
 }
 
-func folderGone(b *bench) {
+func missingFolder(b *bench) {
 	b.RemoveFolder()
 	b.onDisk(func(d machine.Disk) {
-		_, lock := d.Lock(b.file("lock"))
-		_, read := d.Read(b.file("a"), 1)
-		for what, err := range map[string]error{"Lock": lock, "Read": read, "Create": d.Create(b.file("a"), nil),
-			"Remove": d.Remove(b.file("a")), "SyncFolder": d.SyncFolder(b.Folder)} {
+		_, lock := d.Lock(b.path("lock"))
+		_, read := d.Read(b.path("a"), 1)
+		for call, err := range map[string]error{"Lock": lock, "Read": read, "Create": d.Create(b.path("a"), nil),
+			"Remove": d.Remove(b.path("a")), "SyncFolder": d.SyncFolder(b.Folder)} {
 			if !errors.Is(err, fs.ErrNotExist) {
-				b.Errorf("%s in a folder that is gone: %v", what, err)
+				b.Errorf("%s in a missing folder: got error %v, want ErrNotExist", call, err)
 			}
 		}
 	})
--- a/internal/machine/machinetest/end.go
+++ b/internal/machine/machinetest/end.go
@@ -2,21 +2,21 @@
 
 import "starlingwinch/internal/machine"
 
-// end is one end of a connection under test; it reads all that comes, where reads is set.
+// end is one end of a connection under test. It is the handler of its connection.
 type end struct {
 	b             *bench
 	conn          machine.Conn
-	reads         bool
+	reads         bool // Readable reads all available bytes
 	got           []byte
-	err           error  // of the last read, ErrWait aside
-	readableCalls int    // calls of Readable
-	unsent        []byte // of a short write
-	writable      func()
+	err           error  // of Dial, Spawn or the last read, without ErrWait
+	readableCalls int    // number of calls of Readable
+	unsent        []byte // rest of a short write
+	writable      func() // called by Writable if unsent is empty
 }
 
 // Readable implements machine.Handler.
 func (e *end) Readable() {
-	defer e.b.turn()()
+	defer e.b.enterCallback()()
 	e.readableCalls++
 	if e.reads {
 		e.readAll()
@@ -25,13 +25,13 @@
 
 // Writable implements machine.Handler.
 func (e *end) Writable() {
-	defer e.b.turn()()
+	defer e.b.enterCallback()()
 	if len(e.unsent) > 0 {
 		e.writeRest()
 		return
 	}
 	if e.writable == nil && !e.b.TakesLess {
-		e.b.Error("Writable came though no Write was short")
+		e.b.Error("Writable was called without a short Write before")
 		return
 	}
 	if e.writable != nil {
@@ -47,7 +47,7 @@
 		e.got = append(e.got, buf[:n]...)
 		switch {
 		case err == nil && n == 0:
-			e.b.Error("Read gave neither bytes nor an error")
+			e.b.Error("Read returned neither bytes nor an error")
 			return
 		case err == nil:
 		case err == machine.ErrWait:
@@ -67,7 +67,7 @@
 		return
 	}
 	if n != len(s) || err != nil {
-		e.b.Errorf("a Write of %d bytes gave %d, %v", len(s), n, err)
+		e.b.Errorf("Write of %d bytes: got %d and error %v, want all bytes", len(s), n, err)
 	}
 }
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// quiet is Conn.Quiet. A machine that takes less at times may not be able to look.
-func (b *bench) quiet(c machine.Conn) bool {
+// eventuallyQuiet returns Conn.Quiet. With short transfers it repeats the call, because the call may fail at times.
+func (b *bench) eventuallyQuiet(c machine.Conn) bool {
 	for range 100 {
 		if c.Quiet() {
 			return true
@@ -91,13 +91,13 @@
 	return false
 }
 
-// writeThen writes and then does something else in the same call, unless the machine may take less: then what was written goes out
-// first.
+// writeThen writes s and then calls then. Both happen in one call, except on a machine with short transfers, where then is
+// called after all bytes were sent.
 func (e *end) writeThen(s string, then func()) {
 	e.b.Helper()
 	if e.b.TakesLess {
 		e.b.call(func() { e.write(s) })
-		e.flushed()
+		e.waitUntilFlushed()
 		e.b.call(then)
 		return
 	}
@@ -107,18 +107,18 @@
 	})
 }
 
-// flushed has what was written go out whole.
-func (e *end) flushed() {
+// waitUntilFlushed waits until all written bytes were sent.
+func (e *end) waitUntilFlushed() {
 	e.b.Helper()
 	e.b.wait("the rest of a write", func() bool { return len(e.unsent) == 0 })
 }
 
-// listen has the ends that come in at B put into a list, each ready to read.
+// listen opens a listener at B and returns it with a list to which the ends of accepted connections are added.
 func (b *bench) listen(reads bool) (machine.Listener, *[]*end) {
 	b.Helper()
 	ends := new([]*end)
 	l, err := b.B.Listen(b.IPB+":0", func(c machine.Conn) machine.Handler {
-		defer b.turn()()
+		defer b.enterCallback()()
 		e := &end{b: b, conn: c, reads: reads}
 		*ends = append(*ends, e)
 		return e
@@ -129,11 +129,11 @@
 	return l, ends
 }
 
-// dial connects A to an address. The result has an error or a connection some turns later.
+// dial connects A to an address. The result receives an error or a connection some turns later.
 func (b *bench) dial(addr string, then func(*end)) *end {
 	e := &end{b: b, reads: true}
 	b.A.Dial(addr, 5_000_000, func(c machine.Conn, err error) machine.Handler {
-		defer b.turn()()
+		defer b.enterCallback()()
 		e.conn, e.err = c, err
 		if err != nil {
 			return nil
@@ -146,15 +146,15 @@
 	return e
 }
 
-// pair is a connection that is up at both ends: near at A, far at B.
+// pair returns the ends of an established connection: near at A, far at B.
 func (b *bench) pair(farReads bool) (near, far *end) {
 	b.Helper()
-	var in *[]*end
+	var accepted *[]*end
 	b.call(func() {
 		var l machine.Listener
-		l, in = b.listen(farReads)
+		l, accepted = b.listen(farReads)
 		near = b.dial(l.Addr(), nil)
 	})
-	b.wait("the connection", func() bool { return near.conn != nil && len(*in) == 1 })
-	return near, (*in)[0]
+	b.wait("the connection", func() bool { return near.conn != nil && len(*accepted) == 1 })
+	return near, (*accepted)[0]
 }
--- a/internal/machine/machinetest/machinetest.go
+++ b/internal/machine/machinetest/machinetest.go
@@ -1,6 +1,6 @@
-// Package machinetest holds what every machine.Machine must do: one suite of tests for the real machine and for the
-// virtual one, so that what is tried on the one holds on the other. It waits for events and never for
-// a time to pass.
+// Package machinetest is a conformance test suite for implementations of machine.Machine. The real and the virtual machine
+// both run the suite, so that results obtained on one machine hold on the other. The tests wait for events, never for a fixed
+// time on the real clock.
 package machinetest
 
 import (
@@ -9,32 +9,32 @@
 	"starlingwinch/internal/machine"
 )
 
-// Rig is two machines that reach each other; they may be one and the same.
+// Rig describes two machines that can reach each other. A and B may be the same machine.
 type Rig struct {
 	A, B     machine.Machine
-	IPA, IPB string // the addresses to listen at
-	// RunUntil lets the machines run until the condition holds, which it looks at between turns of the
-	// loop. It reports false where that does not come about in good time.
+	IPA, IPB string // addresses to listen at
+	// RunUntil runs the machines until the condition holds, which it checks between turns of the loop. It returns false if the
+	// condition does not hold within a time limit.
 	RunUntil func(until func() bool) bool
-	// PutFile writes a file that A can read, and gives its name.
+	// PutFile writes a file that A can read and returns its name.
 	PutFile func(content []byte) string
-	// Folder is an empty folder of A.
+	// Folder is the path of an empty folder on A.
 	Folder string
-	// PutLink puts a symbolic link to something that can be read under a name.
+	// PutLink creates a symbolic link with the name to a readable file.
 	PutLink func(name string)
-	// RemoveFolder takes Folder away with all that is in it.
+	// RemoveFolder removes Folder with its content.
 	RemoveFolder func()
-	// Signal sends A's process a signal. Nil leaves those tests out.
+	// Signal sends a signal to A's process. If nil, the tests of signals are skipped.
 	Signal func(machine.Signal)
-	// Worker is how A starts one of the workers of the suite. Nil leaves those tests out.
+	// Worker returns the description with which A starts one of the suite's workers. If nil, the tests of workers are skipped.
 	Worker func(which string) machine.Worker
-	// TakesLess says that the machines may take less than they are given at any time, not only where much waits to be read.
+	// TakesLess reports that a transfer may be short at any time, not only when buffers are full.
 	TakesLess bool
-	// Nowhere is an address that gives no answer of any kind. Empty leaves those tests out.
+	// Nowhere is an address that never answers. If empty, the tests that need the address are skipped.
 	Nowhere string
 }
 
-// Run runs the suite. newRig is called for each test.
+// Run runs the suite with a new rig for each test.
 func Run(t *testing.T, newRig func(t *testing.T) Rig) {
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,77 +47,77 @@
 	name string
 	f    func(*bench)
 }{
-	{"TimersOfOneInstantFireInTheOrderInWhichTheyWereSet", timersInOrder},
-	{"TimersNeverFireEarly", timersNotEarly},
-	{"StoppedTimersDoNotFire", timersStopped},
-	{"APassedInstantIsALaterTurn", timerInThePast},
-	{"PostsRunLaterAndInOrder", postsInOrder},
-	{"WorkIsDoneBeforeItsDone", workThenDone},
-	{"BothEndsAgreeOnTheirAddresses", addresses},
-	{"WhatIsWrittenBeforeAcceptIsTold", earlyBytes},
-	{"AMegabyteComesWholeThroughShortWrites", largeTransfer},
-	{"AHalfClosedConnectionStillAnswers", halfClose},
-	{"AClosedConnectionReadsAsEndedOnTheOtherSide", closeIsEnd},
-	{"BytesLeftUnreadEndAConnectionForBoth", closeUnread},
-	{"NoCallComesAfterClose", closeIsSilent},
-	{"QuietTellsOfBytesAndOfTheEnd", quiet},
-	{"TheEndIsKnownThoughBytesBeforeItAreUnread", endUnread},
-	{"AListenerThatFinishesTakesInWhatWaits", finished},
-	{"AListenerThatIsClosedFirstDoesNotFinish", notFinished},
-	{"NobodyListeningIsRefused", refused},
-	{"ABadAddressFailsInALaterTurn", badAddress},
-	{"ACancelledDialIsNotTold", cancelled},
-	{"ADialThatNobodyAnswersTimesOut", timesOut},
-	{"APausedListenerTakesNothingIn", paused},
-	{"AClosedListenerRefusesAndKeepsWhatItTookIn", listenerClosed},
-	{"AnAddressIsListenedAtOnce", addressInUse},
+	{"TimersDueAtOneInstantFireInOrderOfSetting", timersInOrder},
+	{"TimersNeverFireEarly", timersNeverEarly},
+	{"StoppedTimersDoNotFire", stoppedTimers},
+	{"TimerInThePastFiresInALaterTurn", timerInThePast},
+	{"PostedFunctionsRunLaterInOrder", postsInOrder},
+	{"WorkEndsBeforeDoneIsCalled", workBeforeDone},
+	{"BothEndsOfAConnectionAgreeOnAddresses", connAddresses},
+	{"BytesWrittenBeforeAcceptAreReported", bytesBeforeAccept},
+	{"LargeTransferIsCompleteDespiteShortWrites", largeTransfer},
+	{"HalfClosedConnectionStillReceives", halfClose},
+	{"CloseIsReadAsEndByPeer", closeEndsPeer},
+	{"CloseWithUnreadBytesEndsBothDirections", closeWithUnreadBytes},
+	{"NoCallbackAfterClose", noCallbackAfterClose},
+	{"QuietReportsUnreadBytesAndEnd", connQuiet},
+	{"EndIsReportedBeforeUnreadBytesAreRead", endBeforeUnreadBytes},
+	{"FinishAcceptsQueuedConnections", listenerFinish},
+	{"ListenerClosedFirstDoesNotFinish", listenerCloseBeforeFinish},
+	{"DialWithoutListenerIsRefused", dialRefused},
+	{"DialOfInvalidAddressFailsInALaterTurn", dialInvalidAddress},
+	{"CancelledDialIsNotReported", dialCancelled},
+	{"UnansweredDialTimesOut", dialTimeout},
+	{"PausedListenerAcceptsNothing", listenerPaused},
+	{"ClosedListenerRefusesAndKeepsAcceptedConnections", listenerClosed},
+	{"ListenFailsForUsedAndForeignAddresses", listenErrors},
 	{"DatagramsCanBeAnswered", datagrams},
-	{"FilesAreReadUpToABound", files},
-	{"SignalsWaitForTheirHandler", signals},
-	{"AWorkerIsTalkedTo", workerEchoes},
-	{"AMegabyteComesBackFromAWorker", workerMegabyte},
-	{"AWorkersEndIsTheEndOfItsConnection", workerEnds},
-	{"AKilledWorkerSaysNothingMore", workerKilled},
-	{"AWorkerThatIsKilledBeforeItIsUpIsNotTold", workerKilledEarly},
-	{"AWorkerWithoutAHandlerEnds", workerUnwanted},
-	{"WorksOnTheDiskAreDoneInOrderEachBeforeItsDone", diskInOrder},
-	{"ACreatedFileIsReadBack", created},
-	{"NoFileIsCreatedWhereANameIsTaken", createdOnce},
-	{"ARenamedFileStandsUnderItsNewNameAlone", renamed},
-	{"ARemovedFileIsGone", removed},
-	{"NoCallFollowsALink", links},
-	{"ALockKeepsOthersOutUntilItIsReleased", locks},
-	{"ALockWhoseFileWasRemovedHoldsNoMore", lockRemoved},
-	{"AFolderThatIsGoneIsSaid", folderGone},
+	{"FilesAreReadUpToALimit", readFile},
+	{"SignalsAreQueuedUntilAHandlerIsSet", signals},
+	{"WorkerEchoesBytes", workerEchoes},
+	{"WorkerEchoesLargeTransfer", workerLargeTransfer},
+	{"WorkerExitEndsItsConnection", workerEnds},
+	{"KilledWorkerCausesNoCallback", workerKilled},
+	{"WorkerKilledBeforeStartIsNotReported", workerKilledEarly},
+	{"WorkerWithoutHandlerEnds", workerWithoutHandler},
+	{"DiskWorkRunsInOrderAndEndsBeforeDoneIsCalled", diskInOrder},
+	{"CreatedFileIsReadBack", createFile},
+	{"CreateFailsForExistingName", createExisting},
+	{"RenamedFileHasOnlyItsNewName", renameFile},
+	{"RemovedFileIsMissing", removeFile},
+	{"NoCallFollowsASymbolicLink", symbolicLinks},
+	{"LockExcludesOthersUntilReleased", lockFile},
+	{"LockDoesNotHoldAfterItsFileIsRemoved", lockRemoved},
+	{"CallsInAMissingFolderFail", missingFolder},
 }
 
-// bench is a rig with the helpers of the tests.
+// bench combines a rig with the helpers of the tests.
 type bench struct {
 	Rig
 	*testing.T
-	inside bool
+	inside bool // a callback or a call to the machine is in progress
 }
 
 // wait runs the machines until the condition holds.
 func (b *bench) wait(what string, until func() bool) {
 	b.Helper()
 	if !b.RunUntil(until) {
-		b.Fatalf("never came: %s", what)
+		b.Fatalf("timed out waiting for %s", what)
 	}
 }
 
-// turn notes that the machine calls its user, and fails where it does so within another call. The result is to
-// be called at the end.
-func (b *bench) turn() func() {
+// enterCallback records the start of a callback, and fails the test if the machine makes the callback within another call. The
+// returned function records the end.
+func (b *bench) enterCallback() func() {
 	if b.inside {
-		b.Error("the machine called its user from within a call")
+		b.Error("the machine made a callback within another call")
 	}
 	b.inside = true
 	return func() { b.inside = false }
 }
 
-// call makes calls to the machine as a user would, outside of its callbacks.
+// call runs f, which makes calls to the machine outside of callbacks.
 func (b *bench) call(f func()) {
-	defer b.turn()()
+	defer b.enterCallback()()
 	f()
 }
--- a/internal/machine/machinetest/time.go
+++ b/internal/machine/machinetest/time.go
@@ -17,27 +17,27 @@
 		for i := range 20 {
 			want = append(want, i)
 			b.A.At(at, func() {
-				defer b.turn()()
+				defer b.enterCallback()()
 				fired = append(fired, i)
 			})
 		}
 	})
 	b.wait("all timers", func() bool { return len(fired) == len(want) })
 	if !slices.Equal(fired, want) {
-		b.Errorf("fired in the order %v", fired)
+		b.Errorf("fired in the order %v, want %v", fired, want)
 	}
 }
 
-func timersNotEarly(b *bench) {
+func timersNeverEarly(b *bench) {
 	fired := 0
 	b.call(func() {
 		for i := range 10 {
 			at := b.A.Now() + machine.Time(1+700*(10-i))
 			b.A.At(at, func() {
-				defer b.turn()()
+				defer b.enterCallback()()
 				fired++
 				if now := b.A.Now(); now < at {
-					b.Errorf("a timer for %d fired at %d", at, now)
+					b.Errorf("a timer set for %d fired early, at %d", at, now)
 				}
 			})
 		}
@@ -45,15 +45,15 @@
 	b.wait("all timers", func() bool { return fired == 10 })
 }
 
-func timersStopped(b *bench) {
+func stoppedTimers(b *bench) {
 	var last, fired bool
-	var kept machine.Timer
+	var stoppedWhenFired machine.Timer
 	b.call(func() {
 		stopped := b.A.At(b.A.Now()+1000, func() { b.Error("a stopped timer fired") })
-		kept = b.A.At(b.A.Now()+1000, func() {
-			defer b.turn()()
+		stoppedWhenFired = b.A.At(b.A.Now()+1000, func() {
+			defer b.enterCallback()()
 			fired = true
-			kept.Stop()
+			stoppedWhenFired.Stop()
 		})
 		b.A.At(b.A.Now()+2000, func() { last = true })
 		stopped.Stop()
@@ -61,25 +61,25 @@
 	})
 	b.wait("the last timer", func() bool { return last })
 	if !fired {
-		b.Error("the timer beside the stopped one did not fire")
+		b.Error("the timer that was not stopped before it was due did not fire")
 	}
 	last = false
 	b.call(func() {
 		b.A.At(b.A.Now()+1000, func() { last = true })
-		kept.Stop()
+		stoppedWhenFired.Stop()
 	})
-	b.wait("a timer set before the Stop of one that has fired", func() bool { return last })
+	b.wait("a timer set before Stop of a fired timer", func() bool { return last })
 }
 
 func timerInThePast(b *bench) {
 	fired := false
 	b.call(func() {
 		b.A.At(b.A.Now()-1_000_000, func() {
-			defer b.turn()()
+			defer b.enterCallback()()
 			fired = true
 		})
 		if fired {
-			b.Error("At called back at once")
+			b.Error("At called the function before it returned")
 		}
 	})
 	b.wait("the timer", func() bool { return fired })
@@ -89,50 +89,50 @@
 	var ran []int
 	b.call(func() {
 		b.A.Post(func() {
-			defer b.turn()()
+			defer b.enterCallback()()
 			ran = append(ran, 0)
 			b.A.Post(func() { ran = append(ran, 2) })
 		})
 		b.A.Post(func() {
-			defer b.turn()()
+			defer b.enterCallback()()
 			ran = append(ran, 1)
 		})
 	})
-	b.wait("all posts", func() bool { return len(ran) == 3 })
+	b.wait("all posted functions", func() bool { return len(ran) == 3 })
 	if !slices.Equal(ran, []int{0, 1, 2}) {
-		b.Errorf("ran in the order %v", ran)
+		b.Errorf("ran in the order %v, want [0 1 2]", ran)
 	}
 }
 
-func workThenDone(b *bench) {
+func workBeforeDone(b *bench) {
 	worked, done := false, false
 	b.call(func() {
 		b.A.Work(func() { worked = true }, func() {
-			defer b.turn()()
+			defer b.enterCallback()()
 			done = true
 			if !worked {
-				b.Error("done came before the work")
+				b.Error("done was called before the end of the work")
 			}
 		})
 		if done {
-			b.Error("Work called done at once")
+			b.Error("Work called done before it returned")
 		}
 	})
 	b.wait("done", func() bool { return done })
 }
 
-func files(b *bench) {
+func readFile(b *bench) {
 	content := []byte("ten bytes.")
 	name := b.PutFile(content)
 	b.call(func() {
 		if got, err := b.A.ReadFile(name, 10); err != nil || !bytes.Equal(got, content) {
-			b.Errorf("ReadFile gave %q, %v", got, err)
+			b.Errorf("ReadFile: got %q and error %v, want %q", got, err, content)
 		}
 		if _, err := b.A.ReadFile(name, 9); err == nil {
-			b.Error("a file longer than the bound was read")
+			b.Error("ReadFile of a file longer than the limit succeeded, want an error")
 		}
 		if _, err := b.A.ReadFile(name+".none", 10); !errors.Is(err, fs.ErrNotExist) {
-			b.Errorf("a file that is not there gave %v", err)
+			b.Errorf("ReadFile of a missing file: got error %v, want ErrNotExist", err)
 		}
 	})
 }
@@ -145,14 +145,14 @@
 	b.Signal(machine.HangUp)
 	b.call(func() {
 		b.A.Signals(func(s machine.Signal) {
-			defer b.turn()()
+			defer b.enterCallback()()
 			got = append(got, s)
 		})
 	})
-	b.wait("the signal from before", func() bool { return len(got) == 1 })
+	b.wait("the signal sent before the handler was set", func() bool { return len(got) == 1 })
 	b.Signal(machine.Terminate)
 	b.wait("the second signal", func() bool { return len(got) == 2 })
 	if !slices.Equal(got, []machine.Signal{machine.HangUp, machine.Terminate}) {
-		b.Errorf("got %v", got)
+		b.Errorf("got signals %v, want HangUp and Terminate", got)
 	}
 }
--- a/internal/machine/machinetest/worker.go
+++ b/internal/machine/machinetest/worker.go
@@ -7,15 +7,15 @@
 	"starlingwinch/internal/machine"
 )
 
-// Workers that a rig plays: in a command line, the word after WorkerWord says which.
+// Workers that a rig must provide. On a command line, the argument after WorkerWord names the worker.
 const (
 	WorkerWord = "machinetest-worker"
-	EchoWorker = "echo" // sends back what comes, up to the end
-	DeafWorker = "deaf" // does nothing, for ever
-	EndWorker  = "end"  // says "bye" and ends
+	EchoWorker = "echo" // sends back all bytes that it receives, up to the end
+	IdleWorker = "idle" // sends nothing and never ends by itself
+	EndWorker  = "end"  // sends "bye" and ends
 )
 
-// PlayWorker plays one in a process or a goroutine of its own.
+// PlayWorker runs a worker in its own process or goroutine.
 func PlayWorker(which string, conn io.ReadWriter) {
 	switch which {
 	case EchoWorker:
@@ -31,19 +31,19 @@
 		}
 	case EndWorker:
 		conn.Write([]byte("bye"))
-	case DeafWorker:
+	case IdleWorker:
 		for b := make([]byte, 1); ; {
-			if _, err := conn.Read(b); err != nil { // where it runs inside a process, that is all of a Kill
+			if _, err := conn.Read(b); err != nil { // for a worker in a goroutine, Kill only closes the connection
 				return
 			}
 		}
 	}
 }
 
-// ByCommand is how a rig starts one by its command line.
+// ByCommand returns a worker that is started by its command line.
 func ByCommand(which string) machine.Worker { return machine.Worker{Args: []string{WorkerWord, which}} }
 
-// VirtualWorker plays one as a handler.
+// VirtualWorker returns a worker for a virtual machine, as a handler of its connection.
 func VirtualWorker(args []string, c machine.Conn) machine.Handler {
 	switch args[1] {
 	case EchoWorker:
@@ -52,19 +52,19 @@
 		c.Write([]byte("bye"))
 		return nil
 	}
-	return &deaf{}
+	return &idle{}
 }
 
-// deaf is a worker that reads nothing.
-type deaf struct{}
+// idle is a worker that reads and sends nothing.
+type idle struct{}
 
 // Readable implements machine.Handler.
-func (deaf) Readable() {}
+func (idle) Readable() {}
 
 // Writable implements machine.Handler.
-func (deaf) Writable() {}
+func (idle) Writable() {}
 
-// echo sends back what comes, as soon as that is taken.
+// echo is a worker that sends back all bytes that it receives, as fast as the connection accepts them.
 type echo struct {
 	c    machine.Conn
 	left []byte
@@ -100,7 +100,7 @@
 	var p machine.Process
 	b.call(func() {
 		p = b.A.Spawn(b.Worker(which), func(c machine.Conn, err error) machine.Handler {
-			defer b.turn()()
+			defer b.enterCallback()()
 			e.conn, e.err = c, err
 			if err != nil {
 				return nil
@@ -116,7 +116,7 @@
 
 func workerEchoes(b *bench) {
 	if b.Worker == nil {
-		b.Skip("no workers in this rig")
+		b.Skip("the rig has no workers")
 	}
 	e, p := b.spawn(EchoWorker, func(e *end) { e.write("early") })
 	b.wait("the echo", func() bool { return string(e.got) == "early" })
@@ -125,39 +125,39 @@
 	b.call(p.Kill)
 }
 
-// workerMegabyte has a megabyte go there and back through short writes.
-func workerMegabyte(b *bench) {
+// workerLargeTransfer sends a megabyte to a worker and back, with short writes.
+func workerLargeTransfer(b *bench) {
 	if b.Worker == nil {
-		b.Skip("no workers in this rig")
+		b.Skip("the rig has no workers")
 	}
-	const most = 1 << 20
+	const least = 1 << 20
 	chunk := make([]byte, 50_021)
 	for i := range chunk {
 		chunk[i] = byte(i * 7 >> 3)
 	}
-	put := 0
+	written := 0
 	var e *end
-	push := func() {
-		for put < most {
-			left := chunk[put%len(chunk):]
+	writeMore := func() {
+		for written < least {
+			left := chunk[written%len(chunk):]
 			n, err := e.conn.Write(left)
 			if err != nil {
 				b.Fatalf("Write: %v", err)
 			}
-			put += n
+			written += n
 			if n < len(left) {
 				return
 			}
 		}
 	}
 	e, p := b.spawn(EchoWorker, func(*end) {})
-	e.writable = push
+	e.writable = writeMore
 	b.wait("the worker", func() bool { return e.conn != nil })
-	b.call(push)
-	b.wait("all of it", func() bool { return put >= most && len(e.got) == put })
+	b.call(writeMore)
+	b.wait("all bytes", func() bool { return written >= least && len(e.got) == written })
 	for i, c := range e.got {
 		if c != chunk[i%len(chunk)] {
-			b.Fatalf("byte %d is not what was sent", i)
+			b.Fatalf("byte %d differs from the one sent", i)
 		}
 	}
 	b.call(p.Kill)
@@ -165,66 +165,66 @@
 
 func workerEnds(b *bench) {
 	if b.Worker == nil {
-		b.Skip("no workers in this rig")
+		b.Skip("the rig has no workers")
 	}
 	e, p := b.spawn(EndWorker, nil)
 	b.wait("the end", func() bool { return e.err != nil })
 	if string(e.got) != "bye" || e.err != io.EOF {
-		b.Errorf("got %q, %v; want what the worker said, and its end", e.got, e.err)
+		b.Errorf("received %q and error %v, want %q and EOF", e.got, e.err, "bye")
 	}
 	b.call(p.Kill)
 }
 
 func workerKilled(b *bench) {
 	if b.Worker == nil {
-		b.Skip("no workers in this rig")
+		b.Skip("the rig has no workers")
 	}
-	e, p := b.spawn(DeafWorker, nil)
+	e, p := b.spawn(IdleWorker, nil)
 	b.wait("the worker", func() bool { return e.conn != nil })
-	told := e.readableCalls
+	callsBefore := e.readableCalls
 	b.call(func() {
 		p.Kill()
 		p.Kill()
 		if _, err := e.conn.Write([]byte("x")); !errors.Is(err, machine.ErrClosed) {
-			b.Errorf("a Write after the Kill gave %v", err)
+			b.Errorf("Write after Kill: got error %v, want ErrClosed", err)
 		}
 	})
-	b.settle()
-	if e.readableCalls != told {
-		b.Error("the handler was called after the Kill")
+	b.waitForPendingEvents()
+	if e.readableCalls != callsBefore {
+		b.Error("the handler was called after Kill")
 	}
 }
 
 func workerKilledEarly(b *bench) {
 	if b.Worker == nil {
-		b.Skip("no workers in this rig")
+		b.Skip("the rig has no workers")
 	}
 	e, p := b.spawn(EchoWorker, nil)
 	b.call(p.Kill)
-	b.settle()
+	b.waitForPendingEvents()
 	if e.conn != nil || e.err != nil {
-		b.Errorf("done was called after the Kill: %v, %v", e.conn, e.err)
+		b.Errorf("done was called after Kill, with connection %v and error %v", e.conn, e.err)
 	}
 }
 
-func workerUnwanted(b *bench) {
+func workerWithoutHandler(b *bench) {
 	if b.Worker == nil {
-		b.Skip("no workers in this rig")
+		b.Skip("the rig has no workers")
 	}
-	told := false
+	done := false
 	b.call(func() {
-		b.A.Spawn(b.Worker(DeafWorker), func(c machine.Conn, err error) machine.Handler {
-			defer b.turn()()
-			told = true
+		b.A.Spawn(b.Worker(IdleWorker), func(c machine.Conn, err error) machine.Handler {
+			defer b.enterCallback()()
+			done = true
 			return nil
 		})
 	})
-	b.wait("the worker", func() bool { return told })
-	b.settle()
+	b.wait("the worker", func() bool { return done })
+	b.waitForPendingEvents()
 }
 
-// settle has another worker come up and end, by when all that was under way before has happened.
-func (b *bench) settle() {
+// waitForPendingEvents starts another worker and waits for its end, after which all events pending before have been handled.
+func (b *bench) waitForPendingEvents() {
 	e, p := b.spawn(EndWorker, nil)
 	b.wait("another worker's end", func() bool { return e.err != nil })
 	b.call(p.Kill)
