--- a/internal/machine/conn.go
+++ b/internal/machine/conn.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// conn is a connection that is up, over TCP or to a worker process.
+// conn is an established connection, over TCP or to a worker process.
 type conn struct {
 	m       *Real
-	fd      int // below 0 once it is closed
+	fd      int // negative once closed
 	slot    slotRef
 	handler Handler
 	local   netip.AddrPort
 	remote  netip.AddrPort
 
-	drained       bool // a read found nothing more, and no event has come since
-	ended         bool // the kernel reported the end or an error: there may be no more events
+	drained       bool // a read found nothing more, and no event has arrived since
+	ended         bool // the kernel reported the end or an error: no further event may follow
 	failed        bool // the kernel reported an error
-	writeBlocked  bool // a Write took less than it was given; Writable is owed
+	writeBlocked  bool // the last Write was short; the handler must be notified by Writable
 	broken        bool // a call returned an error: the connection is unusable
-	notifyPending bool // the handler will be notified again after a shortage of the kernel
+	notifyPending bool // a timer will notify the handler again after a shortage in the kernel
 	writeClosed   bool // CloseWrite was called
 }
 
 // event implements watcher.
 func (c *conn) event(mask uint32) {
-	blocked := c.writeBlocked // before Readable: what that writes gets an event of its own
+	blocked := c.writeBlocked // read before the call of Readable: a write in that call gets its own event
 	if mask&(eventIn|eventPeerClosed|eventErrorOrHangup) != 0 {
 		c.drained = false
 		c.noteEnd(mask)
@@ -39,7 +39,7 @@
 	}
 }
 
-// noteEnd records what an event says about the connection's end.
+// noteEnd records the end or the error that an event reports.
 func (c *conn) noteEnd(mask uint32) {
 	c.ended = c.ended || mask&(eventPeerClosed|eventErrorOrHangup) != 0
 	c.failed = c.failed || mask&syscall.EPOLLERR != 0
@@ -53,8 +53,8 @@
 	if len(b) == 0 {
 		return 0, nil
 	}
-	// Events are edge-triggered, so that only a read that found nothing may stop the reading: a short read need not be the
-	// last one. The end may have come with the event of the bytes, and has no other event then.
+	// Events are edge-triggered, so that reading may only stop after a read that found nothing: more bytes may follow a short
+	// read. The end may have been reported in the same event as the bytes and then causes no other event.
 	if c.drained && !c.ended {
 		return 0, ErrWait
 	}
@@ -69,7 +69,7 @@
 	case err != nil:
 		return 0, c.markBroken(err)
 	case n == 0 && c.broken:
-		// The kernel reports an error once. After a Write took it, a read finds what looks like an orderly end.
+		// The kernel reports an error only once. If a Write received the error, a read finds what looks like an orderly end.
 		return 0, ErrReset
 	case n == 0:
 		return 0, io.EOF
@@ -88,7 +88,7 @@
 	}
 	c.writeBlocked = false
 	sent := 0
-	// Only after EAGAIN does the kernel owe an event.
+	// The kernel sends an event for writing only after EAGAIN.
 	for sent < len(b) {
 		n, err := c.m.send(c.fd, b[sent:])
 		if err == syscall.EAGAIN {
@@ -108,8 +108,8 @@
 	return sent, nil
 }
 
-// notifyLater notifies the handler again after shortageRetryDelay: the kernel had no memory for a call, and sends no event
-// once it has.
+// notifyLater notifies the handler again after shortageRetryDelay. A call failed because the kernel had no memory, and the
+// kernel sends no event when memory is available again.
 func (c *conn) notifyLater() {
 	if c.notifyPending {
 		return
@@ -123,7 +123,7 @@
 	})
 }
 
-// markBroken marks the connection unusable, whatever the cause, and returns the contract's error.
+// markBroken marks the connection unusable for any cause and returns an error that wraps ErrReset.
 func (c *conn) markBroken(err error) error {
 	c.broken = true
 	if err == syscall.ECONNRESET || err == syscall.EPIPE {
@@ -141,20 +141,20 @@
 	if err == syscall.EAGAIN {
 		return true
 	}
-	// What was seen here may have come after the last event: a Read must not take the connection for drained any more.
+	// The input found here may have arrived after the last event, so that Read must no longer treat the connection as drained.
 	c.drained = false
 	if err != nil && !isShortage(err) {
-		// Peeking took the error off the socket, and the next read would find what looks like an orderly end.
+		// Peeking cleared the error of the socket: the next read would find what looks like an orderly end.
 		c.markBroken(err)
 	}
 	return false
 }
 
-// staleAfter is the age from which a turn's events no longer prove that a connection is open.
+// staleAfter is the age above which a turn's events no longer prove that a connection is open.
 const staleAfter = 5 * time.Millisecond
 
-// End implements Conn. The other side may leave while a turn is delayed, so that the kernel is asked again where the turn's
-// events are stale.
+// End implements Conn. The peer may close the connection while a turn is delayed, so that End queries the kernel if the
+// turn's events are stale.
 func (c *conn) End() error {
 	if c.fd >= 0 && !c.ended && !c.broken && time.Since(c.m.polledAt) > staleAfter {
 		c.checkEnd()
@@ -168,9 +168,9 @@
 	return nil
 }
 
-// checkEnd asks the kernel whether the connection has ended. It reads nothing, and the event of the end still comes.
+// checkEnd queries the kernel for the connection's end. It reads nothing, and the event for the end still follows.
 func (c *conn) checkEnd() {
-	const ends = syscall.EPOLLRDHUP | syscall.EPOLLERR | syscall.EPOLLHUP // poll's numbers are the same
+	const ends = syscall.EPOLLRDHUP | syscall.EPOLLERR | syscall.EPOLLHUP // poll(2) uses the same values
 	if happened, err := c.m.kernel.Poll(c.fd, syscall.EPOLLRDHUP); err == nil {
 		c.noteEnd(uint32(happened) & ends)
 	}
@@ -198,7 +198,7 @@
 	c.closeDescriptor()
 }
 
-// closeDescriptor implements watcher. The kernel's interest ends with the descriptor, of which there is no copy.
+// closeDescriptor implements watcher. Closing the descriptor also removes it from epoll, since no copy of it exists.
 func (c *conn) closeDescriptor() {
 	syscall.Close(c.fd)
 	c.fd = -1
@@ -211,7 +211,7 @@
 // Remote implements Conn.
 func (c *conn) Remote() string { return c.remote.String() }
 
-// attachHandler gives the connection its handler. One without a handler would be open for ever.
+// attachHandler sets the connection's handler. It closes a connection without a handler, which would otherwise stay open for ever.
 func (c *conn) attachHandler(h Handler) {
 	if h == nil {
 		c.Close()
--- a/internal/machine/dial.go
+++ b/internal/machine/dial.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// dialing is a connection that is coming up.
+// dialing is a connection that is being established.
 type dialing struct {
 	m             *Real
 	addr          string
 	remote        netip.AddrPort
-	fd            int // below 0 while there is no socket
+	fd            int // negative while there is no socket
 	slot          slotRef
-	deadlineTimer *timer // ends the attempt, or reports an error of the first call
-	retryTimer    *timer // the next connect after a shortage; nil once it has begun
+	deadlineTimer *timer // ends connecting, or reports an error of the first connect
+	retryTimer    *timer // makes the next connect after a shortage; nil once connecting has begun
 	done          func(Conn, error) Handler
 }
 
@@ -40,7 +40,7 @@
 	return d
 }
 
-// retryLater connects again after shortageRetryDelay: a shortage of this machine says nothing about the address.
+// retryLater connects again after shortageRetryDelay, because a shortage on this machine says nothing about the address.
 func (d *dialing) retryLater() {
 	d.retryTimer = d.m.at(d.m.Now()+shortageRetryDelay, func() {
 		d.retryTimer = nil
@@ -57,7 +57,7 @@
 // Blocked implements Dialing.
 func (d *dialing) Blocked() bool { return d.retryTimer != nil }
 
-// connect opens the socket and starts connecting. The error is the kernel's or one of the contract's.
+// connect opens the socket and starts connecting. It returns an error of the kernel or one of this package.
 func (d *dialing) connect() error {
 	var err error
 	if d.remote, err = parseAddress(d.addr); err != nil {
@@ -76,7 +76,7 @@
 		syscall.Close(fd)
 		return err
 	}
-	// Watched only from here on: a socket that has not begun to connect looks hung up.
+	// The socket is watched only after connect: epoll reports a hang-up for a socket that has not begun to connect.
 	if d.slot, err = d.m.attach(fd, connEvents, d); err != nil {
 		syscall.Close(fd)
 		return err
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// event implements watcher: the connection is up, or will never be.
+// event implements watcher. The connection is established or has failed.
 func (d *dialing) event(mask uint32) {
 	if mask&(eventOut|eventErrorOrHangup) == 0 {
 		return
@@ -101,8 +101,8 @@
 		return
 	}
 	local := localAddr(d.fd)
-	// A port without a listener may be the very port that the kernel gave this side, and TCP lets a socket connect to itself
-	// (RFC 9293, simultaneous open).
+	// The kernel may choose the destination port as the local port if the destination has no listener. TCP then connects the
+	// socket to itself (RFC 9293, simultaneous open).
 	if local == d.remote {
 		d.fail(ErrRefused)
 		return
@@ -115,21 +115,21 @@
 	done := d.done
 	d.done = nil
 	c.attachHandler(done(c, nil))
-	// Bytes or an end that came with the connection have no event of their own.
+	// Bytes or an end that arrived together with the connection cause no separate event.
 	if in := mask & (eventIn | eventPeerClosed | eventErrorOrHangup); in != 0 && c.fd >= 0 {
 		d.m.readClock()
 		c.event(in)
 	}
 }
 
-// fail reports that no connection came up.
+// fail reports that no connection was established.
 func (d *dialing) fail(err error) {
 	done := d.done
 	d.Cancel()
 	done(nil, fmt.Errorf("dial %s: %w", d.addr, err))
 }
 
-// Cancel implements Dialing. It does nothing once the outcome was reported.
+// Cancel implements Dialing. It does nothing after the outcome was reported.
 func (d *dialing) Cancel() {
 	d.done = nil
 	d.deadlineTimer.Stop()
--- a/internal/machine/disk.go
+++ b/internal/machine/disk.go
@@ -8,12 +8,13 @@
 	"syscall"
 )
 
-// realDisk is the files of this machine. os opens all with O_CLOEXEC: no child inherits a lock.
+// realDisk implements Disk with the files of this machine. Package os opens files with O_CLOEXEC, so that no child process
+// inherits a lock.
 type realDisk struct{}
 
-// Read implements Disk. O_NONBLOCK keeps the opening of a FIFO from waiting for a writer, and links are refused as they may
-// lead to a device that never ends.
-func (realDisk) Read(name string, most int64) ([]byte, error) {
+// Read implements Disk. O_NONBLOCK prevents open from waiting for the writer of a FIFO. Links are rejected because they may
+// lead to a device whose content never ends.
+func (realDisk) Read(name string, maxBytes int64) ([]byte, error) {
 	f, err := os.OpenFile(name, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if errors.Is(err, syscall.ELOOP) {
 		return nil, fmt.Errorf("%s: a symbolic link: %w", name, ErrIrregular)
@@ -29,12 +30,12 @@
 	if !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s: %w", name, ErrIrregular)
 	}
-	if info.Size() > most {
-		return nil, fmt.Errorf("%s: %d bytes, %w of %d", name, info.Size(), ErrTooLong, most)
+	if info.Size() > maxBytes {
+		return nil, fmt.Errorf("%s: %d bytes, %w of %d", name, info.Size(), ErrTooLong, maxBytes)
 	}
-	b, err := io.ReadAll(io.LimitReader(f, most+1)) // it may grow meanwhile
-	if err == nil && int64(len(b)) > most {
-		err = fmt.Errorf("%s: %w of %d", name, ErrTooLong, most)
+	b, err := io.ReadAll(io.LimitReader(f, maxBytes+1)) // the file may grow while it is read
+	if err == nil && int64(len(b)) > maxBytes {
+		err = fmt.Errorf("%s: %w of %d", name, ErrTooLong, maxBytes)
 	}
 	if err != nil {
 		return nil, err
@@ -42,7 +43,7 @@
 	return b, nil
 }
 
-// Create implements Disk. O_EXCL takes no link either.
+// Create implements Disk. O_EXCL also rejects links.
 func (realDisk) Create(name string, content []byte) error {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return &flock{f}, nil
 }
 
-// flock is a file with a lock on it.
+// flock is an open file that holds a lock.
 type flock struct{ f *os.File }
 
 // Holds implements Lock.
@@ -99,8 +100,8 @@
 	return err == nil && os.SameFile(mine, there)
 }
 
-// Release implements Lock. The file stays: whoever removed it could remove another's lock.
+// Release implements Lock. The file stays, because removing it could remove the lock of another process.
 func (l *flock) Release() { l.f.Close() }
 
-// Files are the files of this machine, for a program that runs no loop.
+// Files returns the files of this machine, for a program that runs no loop.
 func Files() Disk { return realDisk{} }
--- a/internal/machine/faultkernel/disk.go
+++ b/internal/machine/faultkernel/disk.go
@@ -6,7 +6,7 @@
 	"starlingwinch/internal/machine"
 )
 
-// faultyDisk is a disk that is full or failing at times.
+// faultyDisk is a disk on which calls fail at random as if the disk were full or defective.
 type faultyDisk struct {
 	machine.Disk
 	source *source
@@ -16,7 +16,7 @@
 	return d.source.fails(call, d.source.rates.Disk, syscall.ENOSPC, syscall.EIO)
 }
 
-// Create implements machine.Disk. A content that can't be written whole is left there in part.
+// Create implements machine.Disk. A failing call leaves a file with half of the content.
 func (d faultyDisk) Create(name string, content []byte) error {
 	err := d.fails("create")
 	if err == nil {
--- a/internal/machine/faultkernel/faultkernel.go
+++ b/internal/machine/faultkernel/faultkernel.go
@@ -1,6 +1,6 @@
-// Package faultkernel makes system calls of a machine fail as their manual pages say that they may: for a moment or for
-// a while, by chance drawn from a seed. It serves the machine's contract tests and trial builds of the router; no
-// product build has it.
+// Package faultkernel makes the system calls of a machine fail with errors that their manual pages document, once or for some
+// time, at random from a seed. It serves the machine's contract tests and trial builds of the router. Product builds do not
+// include it.
 package faultkernel
 
 import (
@@ -12,41 +12,41 @@
 	"starlingwinch/internal/machine"
 )
 
-// Rates say which calls fail and how often: each float is the probability for one call, 0 for never.
+// Rates configures which calls fail and how often. Each float is the probability for one call; 0 means never.
 type Rates struct {
-	ShortReads   float64 // a read takes fewer bytes than have come
-	MaxReadBytes int     // upper bound of a short read, in bytes; 0 stands for 1
-	ShortWrites  float64 // a send takes fewer bytes than there is room for
-	Interrupted  float64 // a call that may be interrupted by a signal is (EINTR)
+	ShortReads   float64 // a read returns fewer bytes than are available
+	MaxReadBytes int     // maximum size of a short read, in bytes; 0 means 1
+	ShortWrites  float64 // a send accepts fewer bytes than the buffer has space for
+	Interrupted  float64 // an interruptible call is interrupted by a signal (EINTR)
 	Accept       float64 // accept4: ECONNABORTED, ENFILE, ENOBUFS, ENOMEM, EPROTO
 	Socket       float64 // socket, and socketpair: ENFILE, ENOBUFS, ENOMEM
 	Connect      float64 // connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN
 	Register     float64 // epoll_ctl: ENOMEM, ENOSPC; epoll_create1 and eventfd2: ENFILE, ENOMEM
 	Wake         float64 // write to the eventfd: EINTR, EAGAIN
 	Memory       float64 // send and recv: ENOBUFS, ENOMEM
-	Broken       float64 // send and recv on a connection that was dialed: it is broken, ETIMEDOUT or EHOSTUNREACH
-	Disk         float64 // a change on the disk: ENOSPC, EIO; a content may be half written
+	Broken       float64 // send and recv on a dialed connection: it breaks with ETIMEDOUT or EHOSTUNREACH
+	Disk         float64 // a change on the disk: ENOSPC, EIO; Create may write half of the content
 
-	Stall float64 // the process stands still before a send, for up to 0.15 s
+	Stall float64 // the loop is suspended before a send, for up to 0.15 s
 
-	Burst time.Duration // for how long a call goes on failing once it has failed for a shortage
+	Burst time.Duration // how long a call keeps failing after it failed for a shortage
 
-	ClockStep  time.Duration // by which the system's clock is wrong
-	ClockAfter time.Duration // how long after the start the wrong time begins
+	ClockStep  time.Duration // by which the system clock is wrong
+	ClockAfter time.Duration // time from the start to the step
 }
 
-// source draws which calls fail. Calls come from the loop and from work beside it.
+// source draws which calls fail. The loop and work outside the loop use it concurrently.
 type source struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	rates  Rates
-	until  map[string]time.Time // calls that go on failing, and until when
-	dialed map[int]bool         // descriptors that were connected
-	broken map[int]error        // descriptors whose connection was broken, with the error
+	until  map[string]time.Time // calls that keep failing, and until when
+	dialed map[int]bool         // descriptors on which connect was called
+	broken map[int]error        // descriptors of broken connections, with the error
 }
 
-// Wrap gives a kernel whose calls fail. Equal seeds draw the same sequence; which call gets which draw depends on the
-// order of the calls, which is real time's.
+// Wrap returns a kernel whose calls fail at the given rates. Equal seeds give the same sequence of draws, but the assignment of
+// draws to calls depends on the order of the calls, which varies in real time.
 func Wrap(k machine.Kernel, seed uint64, rates Rates) machine.Kernel {
 	s := &source{random: rand.New(rand.NewPCG(seed, 1)), rates: rates, until: map[string]time.Time{},
 		dialed: map[int]bool{}, broken: map[int]error{}}
@@ -59,15 +59,15 @@
 	return k
 }
 
-// fails draws whether a call fails, and how.
-func (s *source) fails(call string, probability float64, how ...error) error {
+// fails draws whether a call fails, and returns one of the errors if it does.
+func (s *source) fails(call string, probability float64, causes ...error) error {
 	if probability <= 0 {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Now().Before(s.until[call]) {
-		return how[s.random.IntN(len(how))]
+		return causes[s.random.IntN(len(causes))]
 	}
 	if s.random.Float64() >= probability {
 		return nil
@@ -75,7 +75,7 @@
 	if s.rates.Burst > 0 {
 		s.until[call] = time.Now().Add(s.rates.Burst)
 	}
-	return how[s.random.IntN(len(how))]
+	return causes[s.random.IntN(len(causes))]
 }
 
 // interrupted draws whether a signal interrupts a call.
@@ -88,8 +88,8 @@
 	return s.random.Float64() < s.rates.Interrupted
 }
 
-// shortened draws how many of n bytes a call is given, from 1 on.
-func (s *source) shortened(n int, probability float64, most int) int {
+// shortened draws how many of n bytes a call may transfer, at least 1.
+func (s *source) shortened(n int, probability float64, maxBytes int) int {
 	if probability <= 0 || n < 2 {
 		return n
 	}
@@ -98,7 +98,7 @@
 	if s.random.Float64() >= probability {
 		return n
 	}
-	return 1 + s.random.IntN(min(n-1, max(1, most)))
+	return 1 + s.random.IntN(min(n-1, max(1, maxBytes)))
 }
 
 func (s *source) wrapPolling(k *machine.Kernel, real machine.Kernel) {
@@ -183,7 +183,7 @@
 	}
 }
 
-// forget drops what was known of a descriptor's former owner.
+// forget removes the state of a descriptor's former owner.
 func (s *source) forget(fd int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +199,7 @@
 		return real.Recv(fd, b[:s.shortened(len(b), s.rates.ShortReads, s.rates.MaxReadBytes)], flags)
 	}
 	k.Send = func(fd int, b []byte) (int, error) {
-		s.hold()
+		s.stall()
 		if err := s.transferFails("send", fd); err != nil {
 			return 0, err
 		}
@@ -222,19 +222,19 @@
 	}
 }
 
-// longestHold is for how long a process may stand still.
-const longestHold = 150 * time.Millisecond
+// maxStall is the maximum time for which the loop is suspended.
+const maxStall = 150 * time.Millisecond
 
-// hold draws whether the process stands still, and does so.
-func (s *source) hold() {
+// stall draws whether to suspend the loop, and sleeps if so.
+func (s *source) stall() {
 	if s.rates.Stall <= 0 {
 		return
 	}
 	s.mu.Lock()
-	holds := s.random.Float64() < s.rates.Stall
-	span := time.Duration(s.random.Int64N(int64(longestHold)))
+	stalls := s.random.Float64() < s.rates.Stall
+	span := time.Duration(s.random.Int64N(int64(maxStall)))
 	s.mu.Unlock()
-	if holds {
+	if stalls {
 		time.Sleep(span)
 	}
 }
@@ -259,11 +259,11 @@
 		return nil
 	}
 	s.broken[fd] = []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH}[s.random.IntN(2)]
-	syscall.Shutdown(fd, syscall.SHUT_RDWR) // the other side must see it too
+	syscall.Shutdown(fd, syscall.SHUT_RDWR) // makes the peer see the broken connection too
 	return s.broken[fd]
 }
 
-// wall is the system's clock, which steps.
+// wall returns the system clock with the configured step.
 func (s *source) wall(real func() time.Time) func() time.Time {
 	start := time.Now()
 	return func() time.Time {
--- a/internal/machine/file.go
+++ b/internal/machine/file.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// ReadFile implements Machine. O_NONBLOCK keeps the opening of a FIFO from blocking the loop until there is a writer.
-func (m *Real) ReadFile(name string, most int64) ([]byte, error) {
+// ReadFile implements Machine. O_NONBLOCK prevents open from blocking the loop until a FIFO has a writer.
+func (m *Real) ReadFile(name string, maxBytes int64) ([]byte, error) {
 	f, err := os.OpenFile(name, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
@@ -21,16 +21,16 @@
 	if !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s: not a regular file", name)
 	}
-	if info.Size() > most {
-		return nil, fmt.Errorf("%s: %d bytes, more than %d", name, info.Size(), most)
+	if info.Size() > maxBytes {
+		return nil, fmt.Errorf("%s: %d bytes, more than %d", name, info.Size(), maxBytes)
 	}
-	// The file may grow while it is read, and those of /proc have no size.
-	b, err := io.ReadAll(io.LimitReader(f, most+1))
+	// The file may grow while it is read, and files in /proc report no size.
+	b, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(b)) > most {
-		return nil, fmt.Errorf("%s: more than %d bytes", name, most)
+	if int64(len(b)) > maxBytes {
+		return nil, fmt.Errorf("%s: more than %d bytes", name, maxBytes)
 	}
 	return b, nil
 }
--- a/internal/machine/inbox.go
+++ b/internal/machine/inbox.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// maxReusedBatch is the capacity up to which a batch's memory is reused.
+// maxReusedBatch is the largest capacity, in functions, at which the memory of a batch is reused.
 const maxReusedBatch = 1024
 
 // wakePause is the delay before a failed write to the eventfd is retried.
 const wakePause = time.Millisecond
 
-// inbox holds the functions that were posted, from any goroutine, and wakes the loop for them.
+// inbox queues functions posted by any goroutine and wakes the loop to run them.
 type inbox struct {
 	mu      sync.Mutex
 	posted  []func()
-	reused  []func() // memory of the batch before
-	waiting bool     // the loop is about to wait, and nothing has woken it
+	reused  []func() // memory of the previous batch
+	waiting bool     // the loop waits or is about to, and no write has woken it yet
 	ended   bool
 	kernel  *Kernel
-	fd      int // an eventfd, below 0 once it is closed
+	fd      int // an eventfd; negative once closed
 }
 
 func (in *inbox) open(m *Real) error {
@@ -30,7 +30,7 @@
 	if in.fd, err = in.kernel.EventFD(); err != nil {
 		return os.NewSyscallError("eventfd2", err)
 	}
-	// Edge-triggered: each write is an event, so that the counter need never be read.
+	// With edge triggering each write is an event, so that the counter never has to be read.
 	if _, err := m.attach(in.fd, eventIn|eventEdge, wakeWatcher{}); err != nil {
 		syscall.Close(in.fd)
 		return err
@@ -61,7 +61,7 @@
 	in.wake()
 }
 
-// wake wakes the loop, once for all that comes until it is up.
+// wake wakes the loop. One write serves all functions posted until the loop runs.
 func (in *inbox) wake() {
 	if !in.waiting || in.fd < 0 {
 		return
@@ -75,7 +75,7 @@
 		in.waiting = false
 		return
 	}
-	// The loop still waits, and no other event need come for what was posted.
+	// The loop still waits, and no other event may ever wake it for the posted functions.
 	time.AfterFunc(wakePause, func() {
 		in.mu.Lock()
 		defer in.mu.Unlock()
@@ -83,7 +83,7 @@
 	})
 }
 
-// mayWait reports whether nothing was posted; from then on a put wakes the loop.
+// mayWait reports whether no function is posted. After it returns true, put wakes the loop.
 func (in *inbox) mayWait() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -91,7 +91,7 @@
 	return in.waiting
 }
 
-// take returns all that was posted, valid until the next take, and whether the loop goes on.
+// take returns all posted functions and whether the loop must continue. The slice is valid until the next take.
 func (in *inbox) take() ([]func(), bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/machine/inside.go
+++ b/internal/machine/inside.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// insideBufferBytes bounds the bytes that wait in each direction of a connection to a worker inside this process.
+// insideBufferBytes limits the bytes buffered in each direction of a connection to a worker inside this process.
 const insideBufferBytes = 256 << 10
 
-// insideConn is the loop's end of a connection to a worker that is a goroutine of this process. It avoids the four system
-// calls and two wake-ups of a round trip over a socket.
+// insideConn is the loop's end of a connection to a worker that runs in a goroutine of this process. Compared with a socket,
+// it saves four system calls and two wake-ups per round trip.
 type insideConn struct {
 	m            *Real
 	handler      Handler // nil after Close
-	writeBlocked bool    // a Write took less than it was given
-	notifyFunc   func()  // notify as a value, made once
+	writeBlocked bool    // the last Write was short
+	notifyFunc   func()  // the method value notify, allocated once
 
 	mu           sync.Mutex
-	wake         sync.Cond // the worker waits for out
+	wake         sync.Cond // the worker waits for bytes in out or for space in in
 	out, in      []byte
 	posted       bool // a call of notify has been posted
 	workerClosed bool // the worker closed its end
@@ -32,7 +32,7 @@
 	return c
 }
 
-// postNotify has the loop call notify. It is called with mu held.
+// postNotify posts a call of notify to the loop. The caller holds mu.
 func (c *insideConn) postNotify() {
 	if !c.posted && !c.closed {
 		c.posted = true
@@ -144,7 +144,7 @@
 // Remote implements Conn.
 func (c *insideConn) Remote() string { return "" }
 
-// insideEnd is the worker's end. Its calls block.
+// insideEnd is the worker's end of the connection. Its methods block.
 type insideEnd struct{ c *insideConn }
 
 // Read implements io.Reader.
--- a/internal/machine/kernel.go
+++ b/internal/machine/kernel.go
@@ -6,16 +6,16 @@
 	"unsafe"
 )
 
-// Kernel is the system calls that a real machine makes, each under the name of its manual page and with the errors that
-// page documents. The machine calls nothing else of the kernel's but what the standard library does on its behalf
-// (signals, and the processes of workers).
+// Kernel holds the system calls that a real machine makes. Each field is named after its manual page and returns the errors
+// that the page documents. Besides these calls, the machine closes and configures sockets directly, and the standard library
+// makes calls for signals and worker processes.
 //
-// RealKernel is Linux. Tests and trial builds pass a copy of it in which some calls fail (package faultkernel), so that
-// what the machine makes of an error does not depend on having the kernel in that state.
+// RealKernel returns the calls of Linux. Tests and trial builds pass a copy in which some calls fail (package faultkernel), so
+// that the handling of an error can be tested without bringing the kernel into the failing state.
 type Kernel struct {
 	EpollCreate func() (fd int, err error)
 	EpollCtl    func(epoll, op, fd int, event *syscall.EpollEvent) error
-	// EpollPoll is epoll_wait without waiting. As it can't block, the scheduler is not told of it.
+	// EpollPoll is epoll_wait without waiting. The call can't block, so that it bypasses the Go scheduler.
 	EpollPoll func(epoll int, events []syscall.EpollEvent) (n int, err error)
 	EpollWait func(epoll int, events []syscall.EpollEvent, milliseconds int) (n int, err error)
 	// Poll is poll(2) on one descriptor, without waiting.
@@ -35,7 +35,7 @@
 	// RecvMany is recvmmsg.
 	RecvMany func(fd int, messages []Message) (n int, err error)
 
-	// Wall is the system's clock, which may step.
+	// Wall is the system clock, which may step.
 	Wall func() time.Time
 	Disk Disk
 }
@@ -47,7 +47,7 @@
 	_      [4]byte
 }
 
-// RealKernel is Linux itself.
+// RealKernel returns the system calls of Linux.
 func RealKernel() Kernel {
 	return Kernel{
 		EpollCreate: func() (int, error) { return syscall.EpollCreate1(syscall.EPOLL_CLOEXEC) },
@@ -117,7 +117,7 @@
 	return p.revents, nil
 }
 
-// transfer is a send or a receive on a connected socket.
+// transfer makes a send or receive call on a connected socket.
 func transfer(call uintptr, fd int, b []byte, flags int) (int, error) {
 	n, _, errno := syscall.Syscall6(call, uintptr(fd),
 		uintptr(unsafe.Pointer(unsafe.SliceData(b))), uintptr(len(b)), uintptr(flags), 0, 0)
--- a/internal/machine/listener.go
+++ b/internal/machine/listener.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	backlog           = 4096   // the kernel's own bound, net.core.somaxconn, is lower or the same
-	maxAcceptsPerTurn = 64     // leaves time for the connections that are open
-	acceptBackoff     = 10_000 // microseconds without accepting after descriptors ran out
+	backlog           = 4096   // the kernel's own limit, net.core.somaxconn, is lower or equal
+	maxAcceptsPerTurn = 64     // leaves time for open connections
+	acceptBackoff     = 10_000 // pause of accepting after descriptors ran out, in microseconds
 )
 
-// listener takes connections in at an address.
+// listener accepts connections at an address.
 type listener struct {
 	m           *Real
-	fd          int // below 0 once it is closed
+	fd          int // negative once closed
 	slot        slotRef
 	addr        netip.AddrPort
 	accept      func(Conn) Handler
-	paused      bool   // by its owner
-	waiting     *timer // the end of a back-off; nil while none is on
+	paused      bool   // by the caller of Pause
+	waiting     *timer // ends a back-off; nil if there is none
 	done        func() // set by Finish: called once the queue is empty
-	acceptsLeft int    // connections that Finish still accepts
+	acceptsLeft int    // number of connections that Finish may still accept
 }
 
-// Listen implements Machine. At [::] it takes in IPv4 as well.
+// Listen implements Machine. A listener at [::] accepts IPv4 connections too.
 func (m *Real) Listen(addr string, accept func(Conn) Handler) (Listener, error) {
 	l, err := m.listen(addr, accept)
 	if err != nil {
@@ -52,7 +52,7 @@
 
 // open opens the socket.
 func (l *listener) open(ap netip.AddrPort) error {
-	fd, err := l.m.bound(ap, syscall.SOCK_STREAM)
+	fd, err := l.m.boundSocket(ap, syscall.SOCK_STREAM)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 			}
 			return
 		case syscall.EINTR, syscall.ECONNABORTED, syscall.EPROTO, syscall.EPERM:
-			// This one is gone; there may be others.
+			// This connection is gone; others may wait.
 		default:
 			l.backOff()
 			return
@@ -108,8 +108,8 @@
 	c.attachHandler(l.accept(c))
 }
 
-// backOff stops accepting for acceptBackoff. While descriptors have run out, the kernel goes on reporting the connection in
-// its queue: a loop that tried again at once would spin.
+// backOff stops accepting for acceptBackoff. While there are no descriptors, the kernel keeps reporting the connection in its
+// queue, so that an immediate retry would make the loop spin.
 func (l *listener) backOff() {
 	l.m.poll.unwatch(l.fd)
 	l.waiting = l.m.at(l.m.Now()+acceptBackoff, func() {
@@ -123,7 +123,7 @@
 		return
 	}
 	if err := l.m.poll.watch(l.fd, eventIn, l.slot); err != nil {
-		l.backOff() // the kernel has no memory for it at the moment
+		l.backOff() // the kernel has no memory to watch the socket at the moment
 		return
 	}
 	l.checkQueue()
@@ -150,8 +150,8 @@
 	l.watch()
 }
 
-// Finish implements Listener. A connection in the kernel's queue may have its request written already, and closing the
-// socket would reset it.
+// Finish implements Listener. Closing the socket resets the connections in the kernel's queue, whose clients may already have
+// sent a request.
 func (l *listener) Finish(done func()) {
 	if l.fd < 0 || l.done != nil {
 		return
@@ -160,14 +160,14 @@
 	l.checkQueue()
 }
 
-// checkQueue polls the queue for Finish: an empty queue causes no event.
+// checkQueue schedules an accept for Finish, since an empty queue causes no event.
 func (l *listener) checkQueue() {
 	if l.done != nil && !l.paused && l.waiting == nil {
 		l.m.Post(func() { l.event(eventIn) })
 	}
 }
 
-// finish ends a listener whose queue is empty.
+// finish closes a listener whose queue is empty.
 func (l *listener) finish() {
 	done := l.done
 	l.Close()
@@ -182,7 +182,7 @@
 	if l.waiting != nil {
 		l.waiting.Stop()
 	}
-	// The kernel's interest in the socket outlives this descriptor where another process shares the socket.
+	// Closing the descriptor does not remove the socket from epoll if another process shares the socket.
 	l.m.poll.unwatch(l.fd)
 	l.m.poll.release(l.slot)
 	l.closeDescriptor()
--- a/internal/machine/log.go
+++ b/internal/machine/log.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxQueuedLines = 256                    // queued for the log's reader; more are dropped
-	flushTimeout   = 100 * time.Millisecond // for the last lines, when the machine stops
+	maxQueuedLines = 256                    // lines queued for the log's reader; further lines are dropped
+	flushTimeout   = 100 * time.Millisecond // limit for writing the last lines when the machine stops
 )
 
-// logger writes lines in a goroutine of its own, so that a log whose reader stalls does not stall the loop. Each line has the
-// time and the process id: while a router is restarted, two processes write into one log.
+// logger writes lines in a separate goroutine, so that a stalled reader of the log does not stall the loop. Each line has the
+// time and the process id, because two processes write to one log while a router is restarted.
 type logger struct {
 	lines    chan string
 	dropped  atomic.Int64
@@ -46,7 +46,7 @@
 func (l *logger) run() {
 	defer close(l.finished)
 	for since := 0; ; since++ {
-		// Dropped lines came after those in the queue, so that they are reported behind them.
+		// The dropped lines are newer than the queued lines, so that their number is logged after the queued lines.
 		if len(l.lines) == 0 || since > maxQueuedLines {
 			l.logDropped()
 			since = 0
@@ -75,7 +75,7 @@
 	}
 }
 
-// close writes the queued lines, within flushTimeout.
+// close waits until the queued lines are written, for up to flushTimeout.
 func (l *logger) close() {
 	close(l.quit)
 	select {
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -1,18 +1,17 @@
-// Package machine is all that the router takes from the machine it runs on: its clock and timers,
-// its connections and datagrams, its files, its entropy, its signals and its log. The router and
-// the stand-ins are written against this page alone; New gives the real machine, package sim a
-// virtual one on which equal seeds give equal runs.
+// Package machine defines the interface between the router and the operating system: clock and timers, connections and
+// datagrams, files, entropy, signals and the log. The router and the stand-ins use only this interface. New returns the
+// real machine; package sim implements a virtual machine on which equal seeds give equal runs.
 //
-// A machine calls its users; they never wait. All calls, in both directions, are made in one
-// goroutine, the machine's loop; the exceptions are Post and Log, which any goroutine may call, and the work
-// of Work and OnDisk. Nothing that a call here does makes the machine call back before that call has
-// returned, so a user is never entered twice. Users start no goroutine and block on nothing.
+// A machine notifies its users by callbacks. All calls, in both directions, are made in one goroutine, the machine's event
+// loop. The exceptions are Post and Log, which any goroutine may call, and the functions that Work and OnDisk run. The
+// machine never calls back before a call to it has returned, so that user code is never re-entered. Users start no
+// goroutines and never block.
 //
-// Order is the machine's: what happens at one instant is told in the order in which it came
-// about, and timers that are due at one instant fire in the order in which they were set.
+// The machine determines the order of callbacks: events of one instant are reported in the order in which they happened,
+// and timers that are due at one instant fire in the order in which they were set.
 //
-// Errors may come wrapped, with the address or the kernel's words: compare them by errors.Is. ErrWait,
-// ErrClosed and io.EOF come bare.
+// Errors may be wrapped with an address or the kernel's error text, so that callers must compare them with errors.Is.
+// ErrWait, ErrClosed and io.EOF are returned unwrapped.
 package machine
 
 import (
@@ -20,231 +19,232 @@
 	"io"
 )
 
-// Time is an instant or a span in microseconds; instants are Unix time as the machine had it at
-// its start, counted on from there without the steps that its clock may make.
+// Time is an instant or a duration in microseconds. An instant is the Unix time at the machine's start plus the time elapsed
+// since then: steps of the system clock do not affect it.
 type Time = int64
 
-// ErrWait says that nothing can be read or written at once: the handler will be told when.
-var ErrWait = errors.New("machine: not at once")
+// ErrWait reports that a call would block. The handler is notified when the connection is ready.
+var ErrWait = errors.New("machine: operation would block")
 
-// ErrTimeout says that a connection did not come up in time.
+// ErrTimeout reports that a connection was not established within its timeout.
 var ErrTimeout = errors.New("machine: the connection did not come up in time")
 
-// ErrDescriptors says that the process holds as many descriptors as it may.
-var ErrDescriptors = errors.New("machine: no descriptor is left")
+// ErrDescriptors reports that the process has reached its limit of open descriptors.
+var ErrDescriptors = errors.New("machine: no file descriptor is left")
 
-// ErrShortage says that this machine had no memory, port or route for a connection until its timeout.
-var ErrShortage = errors.New("machine: nothing left to open a connection with")
+// ErrShortage reports that this machine had no memory, port or route for a connection until the connection's timeout.
+var ErrShortage = errors.New("machine: no memory, port or route for a connection")
 
-// ErrAddressInUse says that somebody else holds an address to listen at: often the process before, which ends soon.
+// ErrAddressInUse reports that another socket holds the listen address, often a socket of the previous process, which ends soon.
 var ErrAddressInUse = errors.New("machine: address already in use")
 
-// ErrAddressMissing says that an address to listen at is none of this machine's at the moment: its interface may be coming up.
+// ErrAddressMissing reports that this machine does not have the listen address at the moment: the interface may not be up yet.
 var ErrAddressMissing = errors.New("machine: not an address of this machine")
 
-// ErrNoWorker says that this machine starts no workers.
-var ErrNoWorker = errors.New("machine: no workers here")
+// ErrNoWorker reports that this machine can't start workers.
+var ErrNoWorker = errors.New("machine: workers are not supported")
 
-// ErrRefused says that nobody listens at the address.
+// ErrRefused reports that no process listens at the address.
 var ErrRefused = errors.New("machine: connection refused")
 
-// ErrReset says that the other side has broken the connection off.
+// ErrReset reports that the connection is broken, for example because the peer reset it.
 var ErrReset = errors.New("machine: connection reset")
 
-// ErrClosed says that this side has closed the connection.
+// ErrClosed reports that this side has closed the connection.
 var ErrClosed = errors.New("machine: connection closed by this side")
 
-// ErrLocked says that somebody else holds a lock.
+// ErrLocked reports that another process holds the lock.
 var ErrLocked = errors.New("machine: locked by another process")
 
-// ErrTooLong says that a file is longer than the reader takes.
-var ErrTooLong = errors.New("machine: longer than the bound")
+// ErrTooLong reports that a file is longer than the caller's limit.
+var ErrTooLong = errors.New("machine: longer than the limit")
 
-// ErrIrregular says that what stands under a name is not a regular file: a folder, a link, a device.
+// ErrIrregular reports that a name does not refer to a regular file, but for example to a folder, a link or a device.
 var ErrIrregular = errors.New("machine: not a regular file")
 
-// Signal is what an operator's tools tell a process.
+// Signal is a signal that an operator or an operator's tool sends to the process.
 type Signal uint8
 
 const (
-	Terminate Signal = iota // SIGTERM or an interrupt: drain and end
-	HangUp                  // SIGHUP: read the configuration again
+	Terminate Signal = iota // SIGTERM or SIGINT: drain and exit
+	HangUp                  // SIGHUP: reload the configuration
 )
 
-// Machine is one machine as a process sees it.
+// Machine is the interface that a process has to the machine it runs on.
 type Machine interface {
-	// Now is the time on a clock that never steps. It stands still while a call of the machine lasts.
+	// Now returns the time of a clock that never steps. The time does not advance during a callback.
 	Now() Time
-	// Wall is Unix time as the machine's clock has it at the moment: it may be wrong, and step.
+	// Wall returns the Unix time of the system clock, which may be wrong and may step.
 	Wall() Time
-	// Late is how much later it is than Now says: how long the call that goes on has taken, or the process has stood still in it.
+	// Late returns how far Now lags behind the real time: the time spent in the current callback, including any time for
+	// which the process was suspended in it.
 	Late() Time
-	// Resumed has f called where the loop goes on after at least a span in which it called nobody, before it calls anybody
-	// else: there was nothing to do, or the process stood still. Much may wait to be read then, in any order.
+	// Resumed registers f to be called before the first callback that follows an interval of at least after without
+	// callbacks. In such an interval the loop was idle or the process was suspended, so that much unread input may be
+	// pending, in any order.
 	Resumed(after Time, f func())
-	// Entropy is a number that nobody can guess; on a virtual machine the seed decides it.
+	// Entropy returns an unpredictable random number. On a virtual machine, the seed determines the number.
 	Entropy() uint64
 
-	// At has f called at t, or up to a millisecond later; where t has passed, in a later turn of the loop.
+	// At schedules a call of f at t, or up to a millisecond later. If t has passed, f is called in a later turn of the loop.
 	At(t Time, f func()) Timer
-	// Post has f called in a later turn of the loop. Any goroutine may call it.
+	// Post schedules a call of f in a later turn of the loop. Any goroutine may call Post.
 	Post(f func())
-	// Work has f run beside the loop, for what takes long, and then done in a turn of the loop. f must
-	// touch nothing that the loop uses meanwhile.
+	// Work runs f, a long computation, outside the loop and then calls done in a turn of the loop. f must not access
+	// anything that the loop uses at the same time.
 	Work(f, done func())
 
-	// Listen has accept called with each connection that comes in at the address, which is an IP
-	// address and a port (0 for any free one). accept names the connection's handler; one that gets
-	// none (nil) is closed. ErrAddressInUse, ErrAddressMissing and ErrShortage may pass by themselves; other errors last.
+	// Listen calls accept with each connection accepted at the address, which is an IP address and a port (0 for any free
+	// port). accept returns the connection's handler; nil closes the connection. ErrAddressInUse, ErrAddressMissing and
+	// ErrShortage may be transient; other errors are permanent.
 	Listen(addr string, accept func(Conn) Handler) (Listener, error)
-	// Dial opens a connection. done is called once: with a connection that is up, whose handler it
-	// names (nil closes it), or with the reason why none came up within the timeout. Until then the
-	// Dialing can be given up.
+	// Dial opens a connection. done is called once: with an established connection, for which done returns the handler (nil
+	// closes the connection), or with the reason why no connection was established within the timeout. Until done is called,
+	// the Dialing can be cancelled.
 	Dial(addr string, timeout Time, done func(Conn, error) Handler) Dialing
-	// ListenPacket has got called with each datagram that comes to the address. got must not keep b. Its errors are Listen's.
-	ListenPacket(addr string, got func(from string, b []byte)) (PacketConn, error)
-
-	// Spawn starts a worker: a process of this program's own, beside the loop, to which there is one
-	// connection and nothing else. done is called once: with the connection, whose handler it names (nil kills
-	// the worker), or with the reason why none came up. That the worker has ended, for whatever cause, is told
-	// as the end of the connection. Until Kill, it holds two descriptors.
+	// ListenPacket calls onPacket with each datagram received at the address. onPacket must not retain b. Listen returns the
+	// same errors.
+	ListenPacket(addr string, onPacket func(from string, b []byte)) (PacketConn, error)
+
+	// Spawn starts a worker: another process of this program that shares nothing but one connection with the router. done is
+	// called once: with the connection, for which done returns the handler (nil kills the worker), or with the reason why the
+	// worker could not be started. When the worker ends, for any reason, the connection ends. A worker holds two descriptors
+	// until Kill.
 	Spawn(w Worker, done func(Conn, error) Handler) Process
 
-	// OnDisk has f work on files beside the loop, and then done called in a turn of the loop. Such works are done one
-	// after another, in the order in which they came, and take as long as the disk does, which may be for ever: who
-	// gives one waits for its end before giving the next, with a bound of its own. f must touch nothing that the loop
-	// uses meanwhile, and keep the Disk no longer than its own run. Where the process ends, f ends anywhere.
+	// OnDisk runs f, which works on files, outside the loop and then calls done in a turn of the loop. The functions run one
+	// at a time, in the order of the calls. A function may block for as long as the disk does, possibly for ever: a caller
+	// waits for done, with a separate timeout, before it calls OnDisk again. f must not access anything that the loop uses
+	// at the same time, and must not use the Disk after f returns. If the process ends, f may stop at any point.
 	OnDisk(f func(Disk), done func())
-	// ReadFile is a regular file's content; one that is longer than most bytes is an error. It takes as
-	// long as the disk does.
-	ReadFile(name string, most int64) ([]byte, error)
-	// Signals has f called at each signal. Until then they are kept.
+	// ReadFile returns a regular file's content. A file longer than maxBytes is an error. The call blocks for as long
+	// as the disk does.
+	ReadFile(name string, maxBytes int64) ([]byte, error)
+	// Signals registers f to be called for each signal. Signals received earlier are queued and delivered to f.
 	Signals(f func(Signal))
-	// Log adds a line to the process's log. It never waits: where nobody reads the log, lines are
-	// dropped. Any goroutine may call it.
+	// Log adds a line to the process's log. Log never blocks: lines are dropped if the log's reader does not keep up. Any
+	// goroutine may call Log.
 	Log(line string)
 }
 
-// Timer is a call that is to come.
+// Timer is a scheduled call.
 type Timer interface {
-	// Stop takes it back. It holds nothing from then on; after the call it does nothing.
+	// Stop cancels the call. A stopped timer references nothing. After the scheduled call, Stop does nothing.
 	Stop()
 }
 
-// Handler is told of a connection. No call comes after the connection's Close.
+// Handler is notified of a connection's events. No method is called after the connection's Close.
 type Handler interface {
-	// Readable says that something has come since the last call: bytes, the end, or an error. It need
-	// not be said again for what was left unread: read up to ErrWait, or come back by yourself. It
-	// may be said in vain.
+	// Readable reports that bytes, the end or an error arrived since the last call. Input that is left unread may cause no
+	// further call: a handler reads until ErrWait or resumes reading by itself. The call may be spurious.
 	Readable()
-	// Writable says that a Write that took less than it was given can go on. It may be said in vain.
+	// Writable reports that writing can continue after a short Write. The call may be spurious.
 	Writable()
 }
 
-// Conn is a stream connection that is up: over TCP, or to a worker.
+// Conn is an established stream connection, over TCP or to a worker.
 type Conn interface {
-	// Read takes what has come, without waiting: ErrWait where that is nothing, io.EOF at the end,
-	// ErrReset where the connection broke.
+	// Read reads the bytes that have arrived, without blocking. It returns ErrWait if there are none, io.EOF at the end and
+	// ErrReset if the connection is broken.
 	Read(b []byte) (int, error)
-	// Write sends as much of b as the machine takes at once; n < len(b) with a nil error says that
-	// it takes no more for now. An error says that nothing more can be sent, ever; what had come before
-	// may still be there to be read.
+	// Write sends as much of b as is possible without blocking. n < len(b) with a nil error means that the send buffer is
+	// full. After an error, nothing more can be sent on the connection; bytes that arrived before may still be readable.
 	Write(b []byte) (n int, err error)
-	// Quiet reports whether the connection is open and nothing waits in it to be read: neither
-	// bytes nor the end. It takes nothing out.
+	// Quiet reports whether the connection is open and has nothing to read, neither bytes nor the end. It consumes nothing.
 	Quiet() bool
-	// End is nil while the other side may send more, io.EOF once it has ended its sending, and ErrReset once the
-	// connection broke, as far as the machine has told its handler: also where bytes that came before are still unread.
-	// It takes nothing out.
+	// End returns nil while the peer may send more, io.EOF after the peer has closed its sending side, and ErrReset after the
+	// connection broke, as far as the machine has notified the handler. Bytes that arrived before may still be unread. End
+	// consumes nothing.
 	End() error
-	// CloseWrite ends this side's sending; the other side reads what was sent and then the end.
+	// CloseWrite closes this side's sending direction. The peer reads all bytes sent before and then the end.
 	CloseWrite() error
-	// Close ends the connection and gives its descriptor back. Where bytes that have come were not read, the
-	// other side may see a reset instead of the end. A second call does nothing.
+	// Close closes the connection and its descriptor. If received bytes were left unread, the peer may see a reset instead of
+	// the end. A second call does nothing.
 	Close()
-	// Local and Remote are the two addresses. To a worker there are none.
+	// Local and Remote return the two addresses, which are empty for a connection to a worker.
 	Local() string
 	Remote() string
 }
 
-// Listener takes connections in at an address.
+// Listener accepts connections at an address.
 type Listener interface {
 	Addr() string
-	// Pause stops taking connections in, which wait in the machine's queue (or are refused where that
-	// is full), until Resume.
+	// Pause stops accepting connections until Resume. New connections wait in the machine's queue, or are refused if the queue
+	// is full.
 	Pause()
 	Resume()
-	// Finish takes in what waits in the queue, also where that takes until Resume or until there are descriptors, then
-	// ends it and calls done, in a later turn of the loop. What comes meanwhile is taken in too, up to as much as a queue
-	// holds. Where Close comes first, done is not called.
+	// Finish accepts the connections that wait in the queue, then closes the listener and calls done in a later turn of the
+	// loop. Accepting may have to wait for Resume or for descriptors. Connections that arrive before the close are accepted
+	// too, up to the capacity of one queue. If Close is called first, done is not called.
 	Finish(done func())
-	// Close ends it. Connections that wait in the queue are reset; those taken in stay.
+	// Close closes the listener. Connections that wait in the queue are reset; accepted connections stay open.
 	Close()
 }
 
-// Dialing is a connection that is coming up.
+// Dialing is a connection that is being established.
 type Dialing interface {
-	// Cancel gives it up: done is not called any more and the descriptor is given back.
+	// Cancel abandons the connection: done is not called after it, and the descriptor is closed.
 	Cancel()
-	// Blocked reports whether it has not begun yet, for a shortage of this machine: nothing has been sent yet.
+	// Blocked reports whether connecting has not begun because of a shortage on this machine. Nothing has been sent then.
 	Blocked() bool
 }
 
-// Worker says what a worker is to be.
+// Worker describes a worker to start.
 type Worker struct {
-	// Args is its command line, without the program's name. It finds its end of the connection, a stream that
-	// blocks, as its standard input; what it prints is lost.
+	// Args is the worker's command line, without the program's name. The worker's standard input is its end of the
+	// connection, a blocking stream; its output is discarded.
 	Args []string
-	// Env is all of its environment.
+	// Env is the worker's complete environment.
 	Env []string
-	// Inside, where it is set, is run in a goroutine of this process instead, with the other end of the connection,
-	// which it closes. A Kill only closes the connection: what does not come back from a loop is there for ever.
+	// Inside, if set, runs in a goroutine of this process instead of a worker process. Its argument is the worker's end of the
+	// connection, which Inside closes. Kill only closes the connection: a function that never returns keeps its goroutine
+	// for the life of the process.
 	Inside func(io.ReadWriteCloser)
 }
 
-// Process is a worker.
+// Process is a worker that was started.
 type Process interface {
-	// Kill ends it at once, whatever it does, and closes its connection; where it has not come up yet, done is
-	// not called any more. It is for workers that have ended too: it gives the descriptors back, soon. A
-	// second call does nothing.
+	// Kill ends the worker at once and closes its connection. If done was not called yet, it is never called. Kill must also
+	// be called for a worker that has ended, to release its descriptors, which happens soon after. A second call does nothing.
 	Kill()
 }
 
-// PacketConn sends datagrams, and takes them in. They get lost, late, twice or out of order.
+// PacketConn sends and receives datagrams, which may be lost, delayed, duplicated or reordered.
 type PacketConn interface {
 	Addr() string
-	// Send sends one, or gives ErrWait where the machine takes none for now; nobody tells when it
-	// does again. That it was sent says nothing of its arrival.
+	// Send sends a datagram, or returns ErrWait if the machine accepts none at the moment. No callback reports when sending is
+	// possible again. A nil error does not mean that the datagram arrives.
 	Send(to string, b []byte) error
 	Close()
 }
 
-// Disk is the machine's files as one work sees them. Calls wait for the disk. No call follows a symbolic link that stands
-// under a file's own name; folders on the way to it may be links. What fails may be wholly or partly done, but for Rename.
+// Disk gives a function run by OnDisk access to the machine's files. Calls block on the disk. No call follows a symbolic link
+// in the last element of a name; the folders before it may be links. A failed call may have completed or changed a part,
+// except for Rename.
 //
-// A loss of power loses what was not flushed: a file's content by Create, its name (made, changed or removed)
-// by SyncFolder. Until then any part of it may or may not be there afterwards, each for itself.
+// A loss of power loses data that was not flushed. Create flushes a file's content; SyncFolder flushes names that were
+// created, changed or removed. Before the flush, each part may or may not survive, independently of the others.
 type Disk interface {
-	// Read is a regular file's content: ErrIrregular for all else, ErrTooLong beyond most bytes.
-	Read(name string, most int64) ([]byte, error)
-	// Create makes a new file with that content, for this user alone, and flushes the content. It fails with
-	// fs.ErrExist where the name is taken by anything.
+	// Read returns a regular file's content. It returns ErrIrregular for anything else and ErrTooLong for more than maxBytes.
+	Read(name string, maxBytes int64) ([]byte, error)
+	// Create creates a file with the content, accessible only by this user, and flushes the content. It fails with fs.ErrExist
+	// if anything exists under the name.
 	Create(name string, content []byte) error
-	// Rename gives a file another name, in one step, also where another file has that.
+	// Rename renames a file atomically and replaces a file that has the new name.
 	Rename(from, to string) error
-	// Remove takes a file's name away, or an empty folder's.
+	// Remove removes a file or an empty folder.
 	Remove(name string) error
 	// SyncFolder flushes the names in a folder.
 	SyncFolder(folder string) error
-	// Lock takes the lock that a file stands for, which it makes where there is none: ErrLocked where another
-	// holds it. It ends with the process at the latest.
+	// Lock acquires the lock on a file, which it creates if necessary. It returns ErrLocked if another process holds the lock.
+	// The lock ends with the process at the latest.
 	Lock(name string) (Lock, error)
 }
 
-// Lock is a lock that is held. Its calls wait for the disk, and are for the work of OnDisk too.
+// Lock is an acquired lock. Its methods block on the disk and may only be called in functions run by OnDisk.
 type Lock interface {
-	// Holds reports whether it still keeps others out: not where its file was removed or replaced.
+	// Holds reports whether the lock still excludes other processes. It does not once its file was removed or replaced.
 	Holds() bool
-	// Release gives it back. A second call does nothing.
+	// Release releases the lock. A second call does nothing.
 	Release()
 }
--- a/internal/machine/packet.go
+++ b/internal/machine/packet.go
@@ -9,40 +9,40 @@
 const (
 	maxPacketBytes    = 2048 // longer datagrams are dropped
 	maxPacketsPerTurn = 64
-	burstPackets      = 30     // datagrams within burstWindow from which the socket pauses
+	burstPackets      = 30     // the socket pauses above this number of datagrams in burstWindow
 	burstWindow       = 15_000 // length of the window and of the pause, in microseconds
 )
 
-// packetConn sends datagrams, and takes them in, over UDP.
+// packetConn sends and receives datagrams over UDP.
 type packetConn struct {
-	m    *Real
-	fd   int // below 0 once it is closed
-	slot slotRef
-	addr netip.AddrPort
-	got  func(from string, b []byte)
+	m        *Real
+	fd       int // negative once closed
+	slot     slotRef
+	addr     netip.AddrPort
+	onPacket func(from string, b []byte)
 
 	windowStart   Time
-	windowPackets int // datagrams received in it
+	windowPackets int // datagrams received in the window
 	pause         *timer
 }
 
 // ListenPacket implements Machine.
-func (m *Real) ListenPacket(addr string, got func(from string, b []byte)) (PacketConn, error) {
-	p, err := m.listenPacket(addr, got)
+func (m *Real) ListenPacket(addr string, onPacket func(from string, b []byte)) (PacketConn, error) {
+	p, err := m.listenPacket(addr, onPacket)
 	if err != nil {
 		return nil, fmt.Errorf("listen for datagrams at %s: %w", addr, contractListenError(err))
 	}
 	return p, nil
 }
 
-func (m *Real) listenPacket(addr string, got func(string, []byte)) (*packetConn, error) {
+func (m *Real) listenPacket(addr string, onPacket func(string, []byte)) (*packetConn, error) {
 	ap, err := parseAddress(addr)
 	if err != nil {
 		return nil, err
 	}
-	p := &packetConn{m: m, got: got}
+	p := &packetConn{m: m, onPacket: onPacket}
 	err = m.retryShortage(func() (err error) {
-		p.fd, err = m.bound(ap, syscall.SOCK_DGRAM)
+		p.fd, err = m.boundSocket(ap, syscall.SOCK_DGRAM)
 		return err
 	})
 	if err != nil {
@@ -60,45 +60,45 @@
 // event implements watcher.
 func (p *packetConn) event(uint32) { p.pauseIfBusy(p.receiveAll()) }
 
-// receiveAll passes on what has come, and returns how many datagrams that were.
-func (p *packetConn) receiveAll() (taken int) {
-	for taken < maxPacketsPerTurn && p.fd >= 0 {
+// receiveAll passes up to about maxPacketsPerTurn waiting datagrams to onPacket and returns their number.
+func (p *packetConn) receiveAll() (received int) {
+	for received < maxPacketsPerTurn && p.fd >= 0 {
 		n, err := p.m.packets.receive(p.fd)
 		if err == syscall.EINTR {
 			continue
 		}
 		if err != nil {
-			return taken // nothing more, or an error that the call has taken off the socket
+			return received // no more datagrams, or an error that this call cleared from the socket
 		}
 		for i := 0; i < n && p.fd >= 0; i++ {
 			// A truncated datagram could be read as a complete one.
-			if from, b, whole := p.m.packets.packet(i); whole {
+			if from, b, complete := p.m.packets.packet(i); complete {
 				p.m.readClock()
-				p.got(from, b)
+				p.onPacket(from, b)
 			}
 		}
-		if taken += n; n < maxPacketsPerCall {
-			return taken
+		if received += n; n < maxPacketsPerCall {
+			return received
 		}
 	}
-	return taken
+	return received
 }
 
-// pauseIfBusy stops watching the socket for burstWindow where datagrams come fast: waking the loop for each of them would
-// cost more than reading them.
-func (p *packetConn) pauseIfBusy(taken int) {
+// pauseIfBusy stops watching the socket for burstWindow if datagrams arrive at a high rate. Waking the loop for each datagram
+// would cost more than reading the datagrams.
+func (p *packetConn) pauseIfBusy(received int) {
 	now := p.m.Now()
 	if now-p.windowStart > burstWindow {
 		p.windowStart, p.windowPackets = now, 0
 	}
-	if p.windowPackets += taken; p.windowPackets <= burstPackets || p.fd < 0 || p.pause != nil {
+	if p.windowPackets += received; p.windowPackets <= burstPackets || p.fd < 0 || p.pause != nil {
 		return
 	}
 	p.m.poll.unwatch(p.fd)
 	p.watchLater(burstWindow)
 }
 
-// watch registers the socket with the poller, later where the kernel has no memory for it.
+// watch registers the socket with the poller, or retries later if the kernel has no memory.
 func (p *packetConn) watch() {
 	if p.m.poll.watch(p.fd, eventIn, p.slot) != nil {
 		p.watchLater(shortageRetryDelay)
--- a/internal/machine/packets.go
+++ b/internal/machine/packets.go
@@ -7,11 +7,11 @@
 	"unsafe"
 )
 
-// maxPacketsPerCall bounds the datagrams that one system call receives. One call for each would make a flood of datagrams
-// expensive.
+// maxPacketsPerCall limits the datagrams that one system call receives. One call for each datagram would make a flood of
+// datagrams expensive.
 const maxPacketsPerCall = 16
 
-// receiveBuffers are the buffers of recvmmsg(2). A machine has one set, as all calls come from its loop.
+// receiveBuffers holds the buffers of recvmmsg(2). A machine needs one set, because only its loop makes the call.
 type receiveBuffers struct {
 	kernel   *Kernel
 	messages [maxPacketsPerCall]Message
@@ -21,7 +21,7 @@
 	senders  [maxPacketsPerCall]senderAddress // addresses of recent senders as text
 }
 
-// senderAddress is an address and its text.
+// senderAddress caches the text of an address.
 type senderAddress struct {
 	addr netip.AddrPort
 	text string
@@ -46,8 +46,8 @@
 	return p.kernel.RecvMany(fd, p.messages[:])
 }
 
-// packet returns the i-th datagram received and its sender. whole is false where it was truncated.
-func (p *receiveBuffers) packet(i int) (from string, b []byte, whole bool) {
+// packet returns the i-th datagram received and its sender. complete is false if the datagram was truncated.
+func (p *receiveBuffers) packet(i int) (from string, b []byte, complete bool) {
 	m := &p.messages[i]
 	return p.senderText(i), p.bytes[i][:m.n], m.header.Flags&syscall.MSG_TRUNC == 0
 }
--- a/internal/machine/poller.go
+++ b/internal/machine/poller.go
@@ -6,26 +6,26 @@
 	"syscall"
 )
 
-// Events of a descriptor. Connections are edge-triggered, which takes one epoll_ctl in a connection's life; listeners and
-// datagram sockets are level-triggered, so that what a turn leaves is reported again.
+// Events of a descriptor. Connections are edge-triggered, which needs only one epoll_ctl call per connection. Listeners and
+// datagram sockets are level-triggered, so that input left by one turn is reported again.
 const (
 	eventIn            = syscall.EPOLLIN
 	eventOut           = syscall.EPOLLOUT
-	eventErrorOrHangup = syscall.EPOLLERR | syscall.EPOLLHUP // the kernel reports these unasked
+	eventErrorOrHangup = syscall.EPOLLERR | syscall.EPOLLHUP // always reported by the kernel
 	eventPeerClosed    = syscall.EPOLLRDHUP
-	eventEdge          = 1 << 31 // EPOLLET, which package syscall has as a negative number
+	eventEdge          = 1 << 31 // EPOLLET, which package syscall defines as a negative number
 
 	connEvents = eventIn | eventOut | eventPeerClosed | eventEdge
 )
 
-// maxEventsPerTurn bounds the events of one turn; the others stay in the kernel.
+// maxEventsPerTurn limits the events fetched in one turn; further events stay in the kernel.
 const maxEventsPerTurn = 128
 
 // A watcher owns a descriptor and is notified of its events.
 type watcher interface {
 	// event is called in the loop with the events of epoll(7).
 	event(mask uint32)
-	// closeDescriptor closes the descriptor without notifying anyone. The poller calls it when the machine stops.
+	// closeDescriptor closes the descriptor without notifying any user. The poller calls it when the machine stops.
 	closeDescriptor()
 }
 
@@ -36,7 +36,7 @@
 }
 
 type slot struct {
-	generation int32 // counts the owners: events of former owners carry a smaller number
+	generation int32 // number of owners so far: events of former owners carry a smaller number
 	watcher    watcher
 }
 
@@ -58,7 +58,7 @@
 	return &poller{kernel: k, fd: fd}, nil
 }
 
-// allocate reserves a slot for w, before any descriptor is watched for it.
+// allocate reserves a slot for w. It must precede watch.
 func (p *poller) allocate(w watcher) slotRef {
 	if len(p.free) == 0 {
 		p.slots = append(p.slots, slot{})
@@ -72,16 +72,16 @@
 	return slotRef{i, s.generation}
 }
 
-// transfer gives w the slot of another watcher.
+// transfer assigns the slot of another watcher to w.
 func (p *poller) transfer(at slotRef, w watcher) { p.slots[at.index].watcher = w }
 
-// isCurrent reports whether a slot is still in use under the same generation.
+// isCurrent reports whether the slot still belongs to the owner of at.
 func (p *poller) isCurrent(at slotRef) bool {
 	s := &p.slots[at.index]
 	return s.generation == at.generation && s.watcher != nil
 }
 
-// release frees a slot: events already polled for it are dropped.
+// release frees a slot. Events already polled for the slot are dropped.
 func (p *poller) release(at slotRef) {
 	p.slots[at.index].watcher = nil
 	p.free = append(p.free, at.index)
@@ -93,14 +93,14 @@
 	return os.NewSyscallError("epoll_ctl", p.kernel.EpollCtl(p.fd, syscall.EPOLL_CTL_ADD, fd, &ev))
 }
 
-// unwatch removes fd; it is not an error where fd was not watched.
+// unwatch stops watching fd. A descriptor that is not watched is not an error.
 func (p *poller) unwatch(fd int) {
 	var ev syscall.EpollEvent
-	p.kernel.EpollCtl(p.fd, syscall.EPOLL_CTL_DEL, fd, &ev) // fails only where it was not watched
+	p.kernel.EpollCtl(p.fd, syscall.EPOLL_CTL_DEL, fd, &ev) // fails only if fd is not watched
 }
 
-// owner returns the watcher that an event is for, or nil. A handler may close a connection whose event was polled in the same
-// turn and open another that gets the same descriptor number: the generation tells the two apart.
+// owner returns the watcher of an event, or nil if the watcher is gone. A handler may close a connection whose event was
+// polled in the same turn and open another that gets the same descriptor number and slot. The generation distinguishes the two.
 func (p *poller) owner(ev *syscall.EpollEvent) watcher {
 	s := &p.slots[ev.Fd]
 	if s.generation != ev.Pad {
@@ -109,7 +109,7 @@
 	return s.watcher
 }
 
-// poll fetches the events that are there, without blocking.
+// poll fetches the pending events without blocking.
 func (p *poller) poll() {
 	n, err := p.kernel.EpollPoll(p.fd, p.events[:])
 	if err != nil {
@@ -118,10 +118,11 @@
 	p.n = n
 }
 
-// wait fetches events, and blocks for up to a span that is rounded up to a millisecond, or, below 0, until there is one.
+// wait fetches events. It blocks for up to limit, rounded up to a millisecond, or until there is an event if limit is
+// negative.
 //
-// It blocks in the system call rather than in the runtime's own poller, which costs more processor time a round trip
-// (docs/design/machine.md). The scheduler takes the processor away from a blocked call only after up to 10 ms: see Real.turn.
+// The loop blocks in the system call because the Go runtime's poller costs more processor time per round trip
+// (docs/design/machine.md). The scheduler may take up to 10 ms to reassign the processor of a blocked call: see Real.turn.
 func (p *poller) wait(limit Time) {
 	if p.poll(); p.n > 0 {
 		return
@@ -132,12 +133,12 @@
 	}
 	n, err := p.kernel.EpollWait(p.fd, p.events[:], int(ms))
 	if err != nil {
-		n = 0 // EINTR: the loop comes back
+		n = 0 // EINTR: the loop polls again in its next turn
 	}
 	p.n = n
 }
 
-// close closes all that is watched, and the poller.
+// close closes all watched descriptors and the poller.
 func (p *poller) close() {
 	for i := range p.slots {
 		if w := p.slots[i].watcher; w != nil {
--- a/internal/machine/real.go
+++ b/internal/machine/real.go
@@ -12,47 +12,47 @@
 	"time"
 )
 
-// Options say what a real machine is to use. The zero value is good.
+// Options configures a real machine. The zero value is valid.
 type Options struct {
-	Log         io.Writer // os.Stderr where it is nil
-	Descriptors int       // how many connections may be open at once; 0 is as many as the system lets
-	Kernel      *Kernel   // RealKernel where it is nil
+	Log         io.Writer // nil means os.Stderr
+	Descriptors int       // maximum number of open connections; 0 means only the system's limit applies
+	Kernel      *Kernel   // nil means RealKernel
 }
 
-// Real is the machine this process runs on: Linux, by its system calls (epoll(7), socket(7)).
+// Real implements Machine on Linux by its system calls (epoll(7), socket(7)).
 //
-// Its loop goes in turns: the events that the kernel has, then the functions posted before, then the
-// timers that were due when it was asked for the events, each kind bounded by what was there when its part of the turn began. Now is
-// read once before each call of a handler, function or timer and stands still while the call lasts.
-// Timers fire up to a millisecond late, which is the kernel's measure for a wait.
+// The loop runs in turns. A turn handles the events that the kernel reports, then the functions posted before, then the timers
+// that were due when the kernel was polled. Each of the three steps handles only items that existed when the step began. The
+// clock behind Now is read once before each callback and does not advance during the callback. Timers fire up to a
+// millisecond late, because the kernel's wait has a resolution of one millisecond.
 //
-// Until Run is called, the goroutine that called New takes the loop's place.
+// Until Run is called, the goroutine that called New takes the place of the loop.
 type Real struct {
 	kernel       Kernel
 	start        time.Time
 	startWall    Time // Unix time at the start
 	now          Time
 	running      bool
-	polledAt     time.Time // when the kernel was last asked for events
-	lastCall     Time      // when anybody was called last
-	resumed      func()    // to be called after a span without a call; nil for none
-	resumedAfter Time      // that span
+	polledAt     time.Time // when the kernel was last polled for events
+	lastCall     Time      // the time of the last callback
+	resumed      func()    // called after an interval without callbacks; nil for none
+	resumedAfter Time      // length of that interval
 
 	poll     *poller
 	timers   timers
-	conns    int // open ones and those coming up
+	conns    int // connections that are open or being established
 	maxConns int // upper bound on conns; 0 for none
 
-	workers map[*process]bool // those that run
+	workers map[*process]bool // the running workers
 
 	inbox         inbox
 	work          workQueue
 	disk          workQueue
 	signals       signals
 	log           *logger
-	peekBuffer    [1]byte         // what Conn.Quiet looks into
-	wokeGoroutine atomic.Bool     // Work or Log has given a goroutine something to do
-	packets       *receiveBuffers // what datagrams are received into; nil where none are
+	peekBuffer    [1]byte         // receives the byte that Conn.Quiet peeks at
+	wokeGoroutine atomic.Bool     // the loop made another goroutine runnable
+	packets       *receiveBuffers // nil until the first ListenPacket
 
 	mu    sync.Mutex
 	state state
@@ -68,7 +68,7 @@
 
 var _ Machine = (*Real)(nil)
 
-// New gives a machine whose loop does not run yet. Signals are taken from here on.
+// New returns a machine whose loop does not run yet. The machine receives the process's signals as soon as New is called.
 func New(opts Options) (*Real, error) {
 	m := &Real{kernel: RealKernel(), start: time.Now(), maxConns: opts.Descriptors, workers: map[*process]bool{}}
 	if opts.Kernel != nil {
@@ -76,7 +76,7 @@
 	}
 	m.startWall = m.kernel.Wall().UnixMicro()
 	m.now = m.startWall
-	// First of all: what follows may have to wait, and a SIGHUP that nobody takes ends the process.
+	// Signals come first: the calls below may block, and an unhandled SIGHUP ends the process.
 	m.signals.begin(m.Post)
 	if err := m.open(); err != nil {
 		m.signals.end()
@@ -92,7 +92,7 @@
 	return m, nil
 }
 
-// open opens the poller and what wakes it.
+// open opens the poller and the eventfd that wakes it.
 func (m *Real) open() error {
 	err := m.retryShortage(func() (err error) {
 		m.poll, err = newPoller(&m.kernel)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Run runs the loop until Stop is called, and then closes all that is open and has the last lines of
-// the log written, for which it waits 100 ms at most. A machine runs once.
+// Run runs the loop until Stop is called. It then closes all descriptors and waits up to 100 ms for the last log lines to be
+// written. A machine runs only once.
 func (m *Real) Run() {
 	if !m.changeState(ready, running) {
 		return
@@ -121,8 +121,8 @@
 	m.close()
 }
 
-// Stop has Run return soon. Any goroutine may call it, and more than once. Nothing is called from the turn's
-// end on, and what is posted is dropped; work that has begun goes on, but its end is told to nobody.
+// Stop makes Run return soon. Any goroutine may call Stop, and more than once. After the current turn there are no callbacks,
+// and posted functions are dropped. Work that has begun continues, but its done function is not called.
 func (m *Real) Stop() {
 	if m.changeState(ready, stopped) {
 		m.close()
@@ -141,7 +141,7 @@
 	return true
 }
 
-// turn is one round of the loop; false says that it was the last.
+// turn runs one turn of the loop and reports whether another turn follows.
 func (m *Real) turn() bool {
 	if m.mayWait() {
 		// On one processor, a goroutine made runnable in this turn would wait until the scheduler notices that the loop
@@ -156,13 +156,14 @@
 	}
 	m.polledAt = time.Now()
 	m.readClock()
-	polledNow, before := m.now, m.timers.set
-	posted, goesOn := m.inbox.take()
-	if !goesOn {
+	polledNow, setBefore := m.now, m.timers.setCount
+	posted, more := m.inbox.take()
+	if !more {
 		return false
 	}
 
-	// The ends of all connections are recorded first: a handler may act on a connection whose event comes later in this turn.
+	// The ends of all connections are recorded first, because a handler may use a connection whose event is handled later in
+	// this turn.
 	for i := range m.poll.n {
 		if c, ok := m.poll.owner(&m.poll.events[i]).(*conn); ok {
 			c.noteEnd(m.poll.events[i].Events)
@@ -170,7 +171,7 @@
 	}
 	for i := 0; i < m.poll.n; i++ {
 		ev := &m.poll.events[i]
-		m.beforeCall() // which may close what the event is for
+		m.beforeCall() // may close the connection that the event is for
 		if w := m.poll.owner(ev); w != nil {
 			w.event(ev.Events)
 		}
@@ -182,23 +183,26 @@
 		f()
 	}
 
-	// In a long turn, timers that bound a wait come due while what they wait for is still unread in the kernel. Of the timers
-	// set before the turn only those fire that were due when the kernel was polled. Timers set in the turn come behind them
-	// (At sees to that), so that a timer which sets itself again delays neither the turn nor the others.
+	// In a long turn, a timeout may become due while the input that it waits for is still unread in the kernel. Of the timers
+	// set before the turn, therefore, only those fire that were due when the kernel was polled. Timers set during the turn
+	// sort after them, because At never sets a timer in the past, so that a timer that sets itself again delays neither the
+	// turn nor other timers.
 	m.readClock()
-	now, set := m.now, m.timers.set
-	due := func(t *timer) bool { return t.nr < set && (t.at <= polledNow || t.nr >= before && t.at <= now) }
+	now, set := m.now, m.timers.setCount
+	due := func(t *timer) bool {
+		return t.sequence < set && (t.at <= polledNow || t.sequence >= setBefore && t.at <= now)
+	}
 	for t := m.timers.first(); t != nil && due(t); t = m.timers.first() {
 		if m.beforeCall(); t != m.timers.first() {
-			continue // it was taken back
+			continue // the timer was stopped
 		}
-		t.take()()
+		t.remove()()
 		m.readClock()
 	}
 	return true
 }
 
-// mayWait reports whether the loop may wait; from then on a Post wakes it.
+// mayWait reports whether the loop may block. After it returns true, Post wakes the loop.
 func (m *Real) mayWait() bool {
 	if t := m.timers.first(); t != nil {
 		m.readClock()
@@ -219,7 +223,8 @@
 
 func (m *Real) readClock() { m.now = m.startWall + time.Since(m.start).Microseconds() }
 
-// beforeCall reads the clock for the next call, and calls the function of Resumed after a long span without one.
+// beforeCall reads the clock for the next callback and, after a long interval without callbacks, calls the function set by
+// Resumed.
 func (m *Real) beforeCall() {
 	m.readClock()
 	before := m.lastCall
@@ -229,7 +234,7 @@
 	}
 }
 
-// close gives everything back.
+// close releases all resources.
 func (m *Real) close() {
 	m.signals.end()
 	m.work.end()
@@ -276,7 +281,7 @@
 // Post implements Machine.
 func (m *Real) Post(f func()) { m.inbox.put(f) }
 
-// Work implements Machine. Two of them run at a time; the others wait in the order in which they came.
+// Work implements Machine. Two functions run at a time; the others wait in the order of the calls.
 func (m *Real) Work(f, done func()) {
 	m.work.add(f, done)
 	m.wokeGoroutine.Store(true)
--- a/internal/machine/shortage.go
+++ b/internal/machine/shortage.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// A shortage is a failed call that says nothing about its object: the kernel has no descriptor, memory, port or route at the
-// moment. The call is made again after shortageRetryDelay.
+// A shortage is the failure of a call because the kernel has no descriptor, memory, port or route at the moment, which says
+// nothing about the call's object. The call is retried after shortageRetryDelay.
 const (
-	shortageRetryDelay = 10_000          // microseconds until a call that failed for a shortage is made again
-	maxStartRetry      = 3 * time.Second // how long RetryShortage goes on
+	shortageRetryDelay = 10_000          // delay before a call that failed for a shortage is retried, in microseconds
+	maxStartRetry      = 3 * time.Second // how long RetryShortage retries
 )
 
-// isShortage reports whether a call failed for a shortage of this machine that may pass by itself. EMFILE is none: it lasts
-// until the process closes a descriptor.
+// isShortage reports whether a call failed for a transient shortage on this machine. EMFILE is not transient: it lasts until
+// the process closes a descriptor.
 func isShortage(err error) bool {
 	for _, errno := range [...]syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EINTR} {
 		if errors.Is(err, errno) {
@@ -25,18 +25,18 @@
 }
 
 // isDialShortage is isShortage for socket and connect, which also fail while all local ports are taken (EAGAIN, EADDRNOTAVAIL)
-// or there is no route (ENETUNREACH): none of these is an answer of the other side.
+// or there is no route (ENETUNREACH). None of these errors is a response of the peer.
 func isDialShortage(err error) bool {
 	return isShortage(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.EAGAIN) ||
 		errors.Is(err, syscall.ENETUNREACH)
 }
 
-// IsTransientListenError reports whether an error of Listen or ListenPacket may pass by itself, so that the caller may try again.
+// IsTransientListenError reports whether an error of Listen or ListenPacket may be transient, so that the caller may retry.
 func IsTransientListenError(err error) bool {
 	return errors.Is(err, ErrAddressInUse) || errors.Is(err, ErrAddressMissing) || errors.Is(err, ErrShortage)
 }
 
-// listenError joins a sentinel of the contract and the kernel's error, whose text it has.
+// listenError joins a sentinel error of this package and the kernel's error. Its text equals the text of the kernel's error.
 type listenError struct {
 	kind  error
 	cause error
@@ -48,7 +48,7 @@
 // Unwrap returns the sentinel and the kernel's error.
 func (e *listenError) Unwrap() []error { return []error{e.kind, e.cause} }
 
-// contractListenError maps an error on the way to a listening socket to the contract's.
+// contractListenError maps an error of opening a listening socket to a sentinel error of this package, if there is one.
 func contractListenError(err error) error {
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE):
@@ -61,13 +61,13 @@
 	return err
 }
 
-// IsLocalDialError reports whether a dial failed for a cause on this machine, which says nothing about the address.
+// IsLocalDialError reports whether a dial failed for a cause on this machine, which says nothing about the peer.
 func IsLocalDialError(err error) bool {
 	return errors.Is(err, ErrDescriptors) || errors.Is(err, ErrShortage)
 }
 
-// RetryShortage repeats a call while it fails for a shortage, for up to maxStartRetry. It blocks, and is for the start of a process
-// and for work beside the loop, where one failed call would end the process or lose a signal.
+// RetryShortage repeats a call while the call fails for a shortage, for up to maxStartRetry. It blocks. It serves the start of
+// a process and work outside the loop, where one failed call would end the process or lose a signal.
 func RetryShortage(call func() error) error {
 	for end := time.Now().Add(maxStartRetry); ; {
 		err := call()
@@ -78,7 +78,7 @@
 	}
 }
 
-// retryShortage is RetryShortage before the loop runs. In the loop, which must not block, the first failure counts.
+// retryShortage is RetryShortage before the loop runs. In the loop, which must not block, it makes a single call.
 func (m *Real) retryShortage(call func() error) error {
 	if m.running {
 		return call()
@@ -86,8 +86,8 @@
 	return RetryShortage(call)
 }
 
-// attach has the poller watch a descriptor for w, now or as soon as the kernel has memory for it. Nothing is missed in
-// between: epoll reports what a descriptor is ready for when it is added.
+// attach registers a descriptor of w with the poller, now or as soon as the kernel has memory. No event is lost in between,
+// because epoll reports the current readiness of a descriptor that is added.
 func (m *Real) attach(fd int, mask uint32, w watcher) (slotRef, error) {
 	at := m.poll.allocate(w)
 	err := m.poll.watch(fd, mask, at)
@@ -103,7 +103,7 @@
 
 func (m *Real) attachLater(fd int, mask uint32, at slotRef) {
 	m.at(m.Now()+shortageRetryDelay, func() {
-		// The descriptor number may have been reused by now, under another slot.
+		// The descriptor number may have been reused for another slot.
 		if !m.poll.isCurrent(at) {
 			return
 		}
--- a/internal/machine/socket.go
+++ b/internal/machine/socket.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// parseAddress reads an IP address and a port. An IPv4-mapped IPv6 address becomes an IPv4 address.
+// parseAddress parses an IP address and a port. An IPv4-mapped IPv6 address becomes an IPv4 address.
 func parseAddress(addr string) (netip.AddrPort, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Addr().Zone() != "" {
@@ -21,7 +21,7 @@
 	return netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 }
 
-// socket opens a non-blocking socket of the address's family that no child process inherits.
+// socket opens a non-blocking socket of the address's family. Child processes do not inherit the socket.
 func (m *Real) socket(ap netip.AddrPort, kind int) (int, error) {
 	family := syscall.AF_INET6
 	if ap.Addr().Is4() {
@@ -30,8 +30,8 @@
 	return m.kernel.Socket(family, kind)
 }
 
-// bound opens a socket bound to an address. The IPv6 address of all interfaces accepts IPv4 peers too.
-func (m *Real) bound(ap netip.AddrPort, kind int) (int, error) {
+// boundSocket opens a socket boundSocket to an address. The IPv6 address of all interfaces accepts IPv4 peers too.
+func (m *Real) boundSocket(ap netip.AddrPort, kind int) (int, error) {
 	fd, err := m.socket(ap, kind)
 	if err != nil {
 		return -1, os.NewSyscallError("socket", err)
@@ -60,7 +60,7 @@
 	return &syscall.SockaddrInet6{Port: int(ap.Port()), Addr: ap.Addr().As16()}
 }
 
-// fromSockaddr is the zero AddrPort where sa is none of IP.
+// fromSockaddr converts an IP socket address. It returns the zero AddrPort for other addresses.
 func fromSockaddr(sa syscall.Sockaddr) netip.AddrPort {
 	switch sa := sa.(type) {
 	case *syscall.SockaddrInet4:
@@ -79,11 +79,12 @@
 	return fromSockaddr(sa)
 }
 
-// contractError maps an error of the kernel to one of the contract; others keep their text.
+// contractError maps an error of the kernel to a sentinel error of this package, if there is one, and otherwise adds the name of
+// the system call.
 func contractError(call string, err error) error {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) || err != error(errno) {
-		return err // an error of the contract, or one that names its call already
+		return err // a sentinel error, or an error that already names its call
 	}
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
--- a/internal/machine/timers.go
+++ b/internal/machine/timers.go
@@ -1,29 +1,28 @@
 package machine
 
-// timers is a heap of timers by when they are due and, at one instant, by when they were set.
+// timers is a heap of timers, ordered by the time at which they are due and then by the order in which they were set.
 type timers struct {
-	heap []*timer
-	set  uint64 // how many were ever set
+	heap     []*timer
+	setCount uint64 // number of timers set so far
 }
 
 type timer struct {
-	of  *timers
-	at  Time
-	nr  uint64
-	pos int // in the heap; below 0 once it is out
-	f   func()
+	owner    *timers
+	at       Time
+	sequence uint64
+	pos      int // index in the heap; negative once removed
+	f        func()
 }
 
-// add sets a timer.
 func (ts *timers) add(at Time, f func()) *timer {
-	t := &timer{of: ts, at: at, nr: ts.set, pos: len(ts.heap), f: f}
-	ts.set++
+	t := &timer{owner: ts, at: at, sequence: ts.setCount, pos: len(ts.heap), f: f}
+	ts.setCount++
 	ts.heap = append(ts.heap, t)
 	ts.up(t.pos)
 	return t
 }
 
-// first is the timer that is due next, or nil.
+// first returns the timer that is due next, or nil.
 func (ts *timers) first() *timer {
 	if len(ts.heap) == 0 {
 		return nil
@@ -32,15 +31,15 @@
 }
 
 // Stop implements Timer.
-func (t *timer) Stop() { t.take() }
+func (t *timer) Stop() { t.remove() }
 
-// take takes the timer out and returns what it was to call: nil where it is out already. A timer that
-// is out holds nothing, however long its owner keeps it.
-func (t *timer) take() func() {
+// remove removes the timer from the heap and returns its function, or nil if it was removed before. A removed timer references
+// nothing, so that an owner that holds it retains no memory.
+func (t *timer) remove() func() {
 	if t.pos < 0 {
 		return nil
 	}
-	ts, i, last := t.of, t.pos, len(t.of.heap)-1
+	ts, i, last := t.owner, t.pos, len(t.owner.heap)-1
 	ts.swap(i, last)
 	ts.heap[last] = nil
 	ts.heap = ts.heap[:last]
@@ -49,7 +48,7 @@
 		ts.up(i)
 	}
 	f := t.f
-	t.of, t.f, t.pos = nil, nil, -1
+	t.owner, t.f, t.pos = nil, nil, -1
 	return f
 }
 
@@ -58,7 +57,7 @@
 	if a.at != b.at {
 		return a.at < b.at
 	}
-	return a.nr < b.nr
+	return a.sequence < b.sequence
 }
 
 func (ts *timers) swap(i, j int) {
--- a/internal/machine/work.go
+++ b/internal/machine/work.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// defaultWorkers is the number of goroutines for Work: long work is rare, and the loop needs a processor for itself.
+// defaultWorkers is the maximum number of goroutines for Work. Long work is rare, and the loop needs a processor for itself.
 const defaultWorkers = 2
 
-// workQueue runs functions beside the loop. The queue has no bound: callers wait for the end of one work, such as writing a
-// file, before they give the next.
+// workQueue runs functions outside the loop. The queue has no limit, because callers wait for the end of one function, such as
+// writing a file, before they add the next.
 type workQueue struct {
 	post       func(func())
-	maxWorkers int // goroutines
+	maxWorkers int // maximum number of goroutines
 
 	mu    sync.Mutex
 	queue []job
@@ -32,7 +32,7 @@
 	}
 }
 
-// run works until the queue is empty, so that an idle machine has no worker goroutines.
+// run runs functions until the queue is empty, so that an idle machine has no worker goroutines.
 func (w *workQueue) run() {
 	for {
 		j, ok := w.next()
--- a/internal/machine/worker.go
+++ b/internal/machine/worker.go
@@ -8,17 +8,17 @@
 	"syscall"
 )
 
-// descriptorsPerWorker counts the connection, and the descriptor by which the runtime waits for the process to end.
+// descriptorsPerWorker counts the connection and the descriptor with which the Go runtime waits for the process to end.
 const descriptorsPerWorker = 2
 
-// ownExecutable is this program's file, also where its path was replaced since the start.
+// ownExecutable refers to this program's file even if the file at its path was replaced after the start.
 const ownExecutable = "/proc/self/exe"
 
-// process is a worker process. The loop owns all fields that mu does not guard.
+// process is a worker. Only the loop uses the fields that mu does not guard.
 type process struct {
 	m          *Real
-	conn       handledConn               // nil if none could be opened
-	done       func(Conn, error) Handler // nil once called, or after Kill
+	conn       handledConn               // nil if the connection could not be opened
+	done       func(Conn, error) Handler // nil after the call and after Kill
 	killCalled bool                      // Kill was called
 
 	mu     sync.Mutex
@@ -41,10 +41,10 @@
 	return p
 }
 
-// spawn starts the process, now or after a shortage that passes before the given time.
+// spawn starts the process. It retries during a shortage, up to the time until.
 func (p *process) spawn(w Worker, until Time) {
 	m := p.m
-	far, err := p.connect()
+	workerEnd, err := p.connect()
 	switch {
 	case isShortage(err) && m.Now() < until:
 		m.at(m.Now()+shortageRetryDelay, func() {
@@ -59,11 +59,11 @@
 	}
 	m.conns++
 	m.workers[p] = true
-	go p.run(w, far)
+	go p.run(w, workerEnd)
 	m.wokeGoroutine.Store(true)
 }
 
-// handledConn is a connection whose handler can be named.
+// handledConn is a connection whose handler can be set.
 type handledConn interface {
 	Conn
 	setHandler(Handler)
@@ -85,7 +85,7 @@
 	}
 }
 
-// connect opens the connection and returns the worker's end, which blocks.
+// connect opens the connection and returns the worker's end, a blocking stream.
 func (p *process) connect() (*os.File, error) {
 	m := p.m
 	if m.maxConns > 0 && m.conns+descriptorsPerWorker > m.maxConns {
@@ -120,18 +120,18 @@
 // Writable implements Handler.
 func (noHandler) Writable() {}
 
-// run starts the process and waits for its end, in a goroutine locked to its thread: the kernel kills the worker when that
+// run starts the process and waits for its end in a goroutine locked to its thread. The kernel kills the worker when that
 // thread ends (PR_SET_PDEATHSIG), so that no worker outlives a router that is killed.
-func (p *process) run(w Worker, far *os.File) {
+func (p *process) run(w Worker, workerEnd *os.File) {
 	runtime.LockOSThread()
 	cmd := exec.Command(ownExecutable)
 	cmd.Args = append([]string{os.Args[0]}, w.Args...)
 	cmd.Env = append([]string{}, w.Env...)
-	cmd.Stdin = far
-	// In a group of its own: an interrupt from the terminal is the router's to act on.
+	cmd.Stdin = workerEnd
+	// The worker has its own process group, so that an interrupt from the terminal reaches only the router.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	err := cmd.Start()
-	far.Close()
+	workerEnd.Close()
 	if err != nil {
 		p.m.Post(func() {
 			p.exited()
@@ -150,7 +150,7 @@
 	p.m.Post(p.exited)
 }
 
-// started reports how the start went.
+// started reports the outcome of the start to the caller of Spawn.
 func (p *process) started(err error) {
 	done := p.done
 	p.done = nil
@@ -172,14 +172,14 @@
 	p.m.Post(func() { p.notifyEarlyData(h) })
 }
 
-// notifyEarlyData notifies the handler of data that came before it was set.
+// notifyEarlyData notifies the handler of data that arrived before the handler was set.
 func (p *process) notifyEarlyData(h Handler) {
 	if !p.killCalled && p.conn.isOpen() {
 		h.Readable()
 	}
 }
 
-// exited is called in the loop once the process has been waited for.
+// exited runs in the loop after the process was waited for.
 func (p *process) exited() {
 	p.m.conns--
 	delete(p.m.workers, p)
@@ -198,7 +198,7 @@
 	}
 }
 
-// end kills the process. os.Process makes sure that a reused process id is not hit.
+// end kills the process. os.Process ensures that the signal never reaches another process with a reused process id.
 func (p *process) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
