--- a/internal/machine/bench_test.go
+++ b/internal/machine/bench_test.go
@@ -15,10 +15,10 @@
 
 const echoChild = "MACHINE_ECHO_CHILD"
 
-// TestMain is also the other side of the benchmarks: a process of its own, so that its processor time is not
-// counted, which echoes until its standard input ends.
+// TestMain also runs the echo server of the benchmarks, which serves until its standard input ends. The server is a
+// separate process, so that the benchmarks do not count its processor time.
 func TestMain(m *testing.M) {
-	if PlayWorker(os.Args) {
+	if RunNamedWorker(os.Args) {
 		return
 	}
 	if os.Getenv(echoChild) == "" {
@@ -41,7 +41,8 @@
 	io.Copy(io.Discard, os.Stdin)
 }
 
-func echoProcess(b *testing.B) string {
+// startEchoProcess starts the echo server in a child process and returns its address.
+func startEchoProcess(b *testing.B) string {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), echoChild+"=1", "GOMAXPROCS=4")
 	cmd.Stderr = os.Stderr
@@ -67,19 +68,19 @@
 	return strings.TrimSpace(addr)
 }
 
-// pinger sends one message, waits for its echo, and sends the next.
+// pinger is a Handler that sends a message, waits for the echo and then sends the next one.
 type pinger struct {
-	b    *testing.B
-	m    *Real
-	c    Conn
-	buf  [128]byte
-	got  int
-	left *int
-	late Timer
+	b            *testing.B
+	m            *Real
+	c            Conn
+	buf          [128]byte
+	got          int
+	remaining    *int
+	timeoutTimer Timer
 }
 
 func (p *pinger) ping() {
-	p.late = p.m.At(p.m.Now()+1_000_000, func() { p.b.Error("no echo within a second") })
+	p.timeoutTimer = p.m.At(p.m.Now()+1_000_000, func() { p.b.Error("no echo within a second") })
 	if n, err := p.c.Write(p.buf[:64]); n != 64 || err != nil {
 		p.b.Error(n, err)
 		p.m.Stop()
@@ -101,8 +102,8 @@
 			continue
 		}
 		p.got = 0
-		p.late.Stop()
-		if *p.left--; *p.left <= 0 {
+		p.timeoutTimer.Stop()
+		if *p.remaining--; *p.remaining <= 0 {
 			p.m.Stop()
 			return
 		}
@@ -112,8 +113,8 @@
 
 func (p *pinger) Writable() {}
 
-// BenchmarkRoundTrip is the price of a round trip of 64 bytes, each under a timer of its own as a router's
-// requests are: its time and this process's processor time.
+// BenchmarkRoundTrip measures the time and this process's processor time for a round trip of 64 bytes. Each round
+// trip has its own timer, like each request of a router.
 func BenchmarkRoundTrip(b *testing.B) {
 	for _, conns := range []int{1, 64} {
 		b.Run(fmt.Sprintf("conns=%d", conns), func(b *testing.B) { roundTrips(b, conns) })
@@ -121,12 +122,12 @@
 }
 
 func roundTrips(b *testing.B, conns int) {
-	addr := echoProcess(b)
+	addr := startEchoProcess(b)
 	m, err := New(Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	left := b.N
+	remaining := b.N
 	var all []*pinger
 	for range conns {
 		m.Dial(addr, 1_000_000, func(c Conn, err error) Handler {
@@ -135,13 +136,13 @@
 				m.Stop()
 				return nil
 			}
-			p := &pinger{b: b, m: m, c: c, left: &left}
+			p := &pinger{b: b, m: m, c: c, remaining: &remaining}
 			if all = append(all, p); len(all) == conns {
 				m.Post(func() {
 					b.ResetTimer()
-					before := used()
+					before := processorTime()
 					b.Cleanup(func() {
-						b.ReportMetric(float64(used()-before)/float64(b.N), "cpu-ns/op")
+						b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
 					})
 					for _, p := range all {
 						p.ping()
@@ -155,31 +156,31 @@
 	b.StopTimer()
 }
 
-// used is the processor time of this process.
-func used() time.Duration {
+// processorTime returns the processor time that this process has consumed.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkWork is how long a thing that is done beside the loop takes there and back, where the loop has nothing
-// else to do: on one processor the loop must make room.
+// BenchmarkWork measures the time from a call of Work to its completion callback while the event loop is otherwise
+// idle. On one processor the event loop must yield to the worker goroutine.
 func BenchmarkWork(b *testing.B) {
 	m, err := New(Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	n := 0
-	var again func()
-	again = func() {
+	var submit func()
+	submit = func() {
 		if n++; n > b.N {
 			m.Stop()
 			return
 		}
-		m.Work(func() {}, again)
+		m.Work(func() {}, submit)
 	}
-	m.Post(again)
-	before := used()
+	m.Post(submit)
+	before := processorTime()
 	m.Run()
-	b.ReportMetric(float64(used()-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
 }
--- a/internal/machine/conn_test.go
+++ b/internal/machine/conn_test.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// echo sends back what comes, in the order in which it came, and reads no more than it can send.
+// echo is a Handler that sends all received bytes back in order. It reads again only after it has sent all that it read before.
 type echo struct {
-	c     Conn
-	buf   [16 << 10]byte
-	rest  []byte
-	ended bool
-	short func() // told of each write that took less
+	c            Conn
+	buf          [16 << 10]byte
+	unsent       []byte
+	ended        bool
+	onShortWrite func() // called after each short write
 }
 
-func (e *echo) Readable() { e.work() }
-func (e *echo) Writable() { e.work() }
+func (e *echo) Readable() { e.relay() }
+func (e *echo) Writable() { e.relay() }
 
-func (e *echo) work() {
+func (e *echo) relay() {
 	for {
-		n, err := e.c.Write(e.rest)
+		n, err := e.c.Write(e.unsent)
 		if err != nil {
 			e.c.Close()
 			return
 		}
-		if e.rest = e.rest[n:]; len(e.rest) > 0 {
-			e.short()
+		if e.unsent = e.unsent[n:]; len(e.unsent) > 0 {
+			e.onShortWrite()
 			return
 		}
 		if e.ended {
@@ -50,16 +50,16 @@
 			e.c.Close()
 			return
 		}
-		e.rest = e.buf[:n]
+		e.unsent = e.buf[:n]
 	}
 }
 
 func TestConnEchoesThroughShortWritesUntilHalfClose(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	var once sync.Once
 	short := make(chan struct{})
 	addr, _ := r.listen(func(c Conn) Handler {
-		return &echo{c: c, short: func() { once.Do(func() { close(short) }) }}
+		return &echo{c: c, onShortWrite: func() { once.Do(func() { close(short) }) }}
 	})
 
 	const conns = 64
@@ -69,7 +69,7 @@
 		c.SetReadBuffer(32 << 10)
 		sent := make([]byte, 256<<10)
 		if i == 0 {
-			sent = make([]byte, 16<<20) // more than all buffers between hold
+			sent = make([]byte, 16<<20) // more than the socket buffers on both sides hold
 		}
 		rand.New(rand.NewSource(int64(i))).Read(sent)
 		all.Go(func() {
@@ -80,11 +80,11 @@
 		})
 		all.Go(func() {
 			if i == 0 {
-				await(t, "a short write", short) // before anything is read
+				await(t, "a short write", short) // must occur before the client reads anything
 			}
 			got, err := io.ReadAll(c)
 			if err != nil || !bytes.Equal(got, sent) {
-				t.Errorf("connection %d: %d of %d bytes came back, or others: %v", i, len(got), len(sent), err)
+				t.Errorf("connection %d: got %d bytes back, want the %d sent bytes unchanged: error %v", i, len(got), len(sent), err)
 			}
 		})
 	}
@@ -92,12 +92,12 @@
 }
 
 func TestShortWriteIsFollowedByWritable(t *testing.T) {
-	r := newRig(t, Options{})
-	rest := make([]byte, 16<<20) // more than all buffers between hold
+	r := startLoop(t, Options{})
+	rest := make([]byte, 16<<20) // more than the socket buffers on both sides hold
 	rand.New(rand.NewSource(1)).Read(rest)
 	want := bytes.Clone(rest)
-	h := &hooks{}
-	c, other := r.pair(h) // the other side sends nothing, so that Readable is no help
+	h := &funcHandler{}
+	c, other := r.pair(h) // the peer sends nothing, so that only Writable can continue the write
 	h.writable = func() {
 		n, err := c.Write(rest)
 		if err != nil {
@@ -107,44 +107,44 @@
 			c.Close()
 		}
 	}
-	r.do(func() {
+	r.runInLoop(func() {
 		h.writable()
 		if len(rest) == 0 {
-			t.Error("the machine took all at once: the test shows nothing")
+			t.Error("the first write took all bytes, want a short write")
 		}
 	})
 	if got, err := io.ReadAll(other); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%d of %d bytes came, or others: %v", len(got), len(want), err)
+		t.Errorf("got %d bytes, want the %d written bytes unchanged: error %v", len(got), len(want), err)
 	}
 }
 
 func TestConnAddressesAndCloseWrite(t *testing.T) {
-	for _, at := range loopbacks() {
-		t.Run(at, func(t *testing.T) { halfClose(t, at) })
+	for _, at := range loopbackAddresses() {
+		t.Run(at, func(t *testing.T) { testHalfClose(t, at) })
 	}
 }
 
-func halfClose(t *testing.T, at string) {
-	a, b := newRig(t, Options{}), newRig(t, Options{})
-	type seen struct {
+func testHalfClose(t *testing.T, at string) {
+	a, b := startLoop(t, Options{}), startLoop(t, Options{})
+	type connEnd struct {
 		local, remote string
 		got           []byte
 	}
-	ends := make(chan seen, 2)
+	ends := make(chan connEnd, 2)
 	var addr string
-	b.do(func() {
+	b.runInLoop(func() {
 		l, err := b.Listen(at, func(c Conn) Handler {
 			var got []byte
-			return &hooks{readable: func() {
+			return &funcHandler{readable: func() {
 				more, err := drain(c)
 				got = append(got, more...)
 				if err != io.EOF {
 					return
 				}
-				if _, err := c.Write([]byte("pong")); err != nil { // the other direction is open still
+				if _, err := c.Write([]byte("pong")); err != nil { // the peer closed only its own direction
 					t.Error(err)
 				}
-				ends <- seen{c.Local(), c.Remote(), got}
+				ends <- connEnd{c.Local(), c.Remote(), got}
 				c.Close()
 			}}
 		})
@@ -154,7 +154,7 @@
 		}
 		addr = l.Addr()
 	})
-	a.do(func() {
+	a.runInLoop(func() {
 		a.Dial(addr, 5_000_000, func(c Conn, err error) Handler {
 			if err != nil {
 				t.Error(err)
@@ -167,40 +167,40 @@
 				t.Error(err)
 			}
 			if _, err := c.Write([]byte("more")); err != ErrClosed {
-				t.Errorf("a write after CloseWrite gives %v", err)
+				t.Errorf("Write after CloseWrite: got error %v, want ErrClosed", err)
 			}
 			var got []byte
-			return &hooks{readable: func() {
+			return &funcHandler{readable: func() {
 				more, err := drain(c)
 				if got = append(got, more...); err == io.EOF {
-					ends <- seen{c.Remote(), c.Local(), got}
+					ends <- connEnd{c.Remote(), c.Local(), got}
 				}
 			}}
 		})
 	})
-	first, second := await(t, "the first end", ends), await(t, "the second end", ends)
+	first, second := await(t, "the end of stream at the first side", ends), await(t, "the end of stream at the second side", ends)
 	if string(first.got) != "ping" || string(second.got) != "pong" {
-		t.Errorf("%q and %q came", first.got, second.got)
+		t.Errorf("got %q and %q, want \"ping\" and \"pong\"", first.got, second.got)
 	}
 	if first.local != addr || first.local != second.local || first.remote != second.remote {
-		t.Errorf("the addresses differ: %+v, %+v, listener %s", first, second, addr)
+		t.Errorf("addresses do not match: first side %+v, second side %+v, listener %s", first, second, addr)
 	}
 }
 
 func TestPeerResetFailsReadAndWrite(t *testing.T) {
 	for _, writeFirst := range []bool{false, true} {
-		r := newRig(t, Options{})
-		told := make(chan struct{}, 8)
-		c, other := r.pair(&hooks{readable: func() { told <- struct{}{} }})
+		r := startLoop(t, Options{})
+		notified := make(chan struct{}, 8)
+		c, other := r.pair(&funcHandler{readable: func() { notified <- struct{}{} }})
 		other.SetLinger(0)
 		other.Close()
-		await(t, "word of the reset", told)
-		r.do(func() {
+		await(t, "the notification of the reset", notified)
+		r.runInLoop(func() {
 			if c.Quiet() {
-				t.Error("a broken connection is quiet")
+				t.Error("Quiet on a reset connection: got true, want false")
 			}
 		})
-		r.do(func() {
+		r.runInLoop(func() {
 			for i := range 4 {
 				var err error
 				if (i%2 == 0) == writeFirst {
@@ -208,9 +208,9 @@
 				} else {
 					_, err = c.Read(make([]byte, 1))
 				}
-				// The kernel tells it once, and that look was it: the machine keeps it.
+				// The kernel reports the reset once, to the call of Quiet above, so the machine must remember it.
 				if !errors.Is(err, ErrReset) {
-					t.Errorf("write first %v: call %d after a reset gives %v", writeFirst, i, err)
+					t.Errorf("write first %v: call %d after a reset: got error %v, want ErrReset", writeFirst, i, err)
 				}
 			}
 		})
@@ -218,108 +218,109 @@
 }
 
 func TestQuietConsumesNothing(t *testing.T) {
-	r := newRig(t, Options{})
-	told := make(chan struct{}, 8)
-	c, other := r.pair(&hooks{readable: func() { told <- struct{}{} }})
-	r.do(func() {
+	r := startLoop(t, Options{})
+	notified := make(chan struct{}, 8)
+	c, other := r.pair(&funcHandler{readable: func() { notified <- struct{}{} }})
+	r.runInLoop(func() {
 		if !c.Quiet() {
-			t.Error("a connection on which nothing came is not quiet")
+			t.Error("Quiet before any bytes arrived: got false, want true")
 		}
 	})
 	other.Write([]byte("abc"))
-	await(t, "word of the bytes", told)
-	r.do(func() {
-		for range 2 { // the first look takes nothing out
+	await(t, "the notification of the bytes", notified)
+	r.runInLoop(func() {
+		for range 2 { // the first call must not consume anything
 			if c.Quiet() {
-				t.Error("a connection is quiet although bytes wait in it")
+				t.Error("Quiet with unread bytes: got true, want false")
 			}
 		}
 		got, err := drain(c)
 		if string(got) != "abc" || err != ErrWait {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("drain: got %q and error %v, want \"abc\" and ErrWait", got, err)
 		}
 		if !c.Quiet() {
-			t.Error("a connection is not quiet although all was read")
+			t.Error("Quiet after all bytes were read: got false, want true")
 		}
 	})
 	other.CloseWrite()
-	await(t, "word of the end", told)
-	r.do(func() {
+	await(t, "the notification of the end of stream", notified)
+	r.runInLoop(func() {
 		if c.Quiet() {
-			t.Error("a connection that the other side has ended is quiet")
+			t.Error("Quiet after the peer closed its direction: got true, want false")
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("at the end Read gives %v", err)
+			t.Errorf("Read at the end of stream: got error %v, want io.EOF", err)
 		}
 		c.Close()
 		c.Close()
 		if c.Quiet() {
-			t.Error("a closed connection is quiet")
+			t.Error("Quiet after Close: got true, want false")
 		}
 		if _, err := c.Read(make([]byte, 1)); err != ErrClosed {
-			t.Errorf("after Close Read gives %v", err)
+			t.Errorf("Read after Close: got error %v, want ErrClosed", err)
 		}
 		if _, err := c.Write([]byte("x")); err != ErrClosed {
-			t.Errorf("after Close Write gives %v", err)
+			t.Errorf("Write after Close: got error %v, want ErrClosed", err)
 		}
 		if err := c.CloseWrite(); err != ErrClosed {
-			t.Errorf("after Close CloseWrite gives %v", err)
+			t.Errorf("CloseWrite after Close: got error %v, want ErrClosed", err)
 		}
 	})
 }
 
-// An end that arrives with the last bytes has no event of its own, as Read saves the call that would find it.
+// An end of stream that arrives together with the last bytes causes no separate event, and Read saves the system call that
+// would detect it. The handler must see the end nevertheless.
 func TestEndIsReadAfterLastBytes(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	ended := make(chan string, 1)
 	var c Conn
 	var got []byte
-	h := &hooks{readable: func() {
+	h := &funcHandler{readable: func() {
 		more, err := drain(c)
 		if got = append(got, more...); err == io.EOF {
 			ended <- string(got)
 		}
 	}}
 	c, other := r.pair(h)
-	r.do(func() { // both come within one turn
+	r.runInLoop(func() { // the bytes and the end of stream arrive within one turn
 		other.Write([]byte("last"))
 		other.CloseWrite()
-		unquiet(t, c)
+		waitUntilReadable(t, c)
 	})
-	if s := await(t, "the end", ended); s != "last" {
-		t.Errorf("%q came", s)
+	if s := await(t, "the end of stream", ended); s != "last" {
+		t.Errorf("got %q, want \"last\"", s)
 	}
 }
 
 func TestClosedConnGetsNoEventOfSameTurn(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	var conns [2]Conn
 	calls := 0
-	one := func() {
+	closeBoth := func() {
 		calls++
 		conns[0].Close()
 		conns[1].Close()
 	}
 	var others [2]*net.TCPConn
 	for i := range conns {
-		conns[i], others[i] = r.pair(&hooks{readable: one})
+		conns[i], others[i] = r.pair(&funcHandler{readable: closeBoth})
 	}
-	r.do(func() {
+	r.runInLoop(func() {
 		for _, o := range others {
 			o.Write([]byte("x"))
 		}
-		unquiet(t, conns[:]...)
+		waitUntilReadable(t, conns[:]...)
 	})
-	r.pass()
-	r.do(func() {
+	r.waitTurns()
+	r.runInLoop(func() {
 		if calls != 1 {
-			t.Errorf("%d calls came, of which one could be told before the Close", calls)
+			t.Errorf("got %d calls of Readable, want 1: the first call closes both connections", calls)
 		}
 	})
 }
 
 func TestEventOfClosedConnDoesNotReachReusedDescriptor(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -327,9 +328,9 @@
 	defer l.Close()
 	var conns [2]Conn
 	var fds []int
-	calls, wrong := 0, 0
-	up := make(chan Conn, 1)
-	one := func() {
+	calls, callsOfNew := 0, 0
+	connected := make(chan Conn, 1)
+	closeBoth := func() {
 		calls++
 		for _, c := range conns {
 			fds = append(fds, c.(*conn).fd)
@@ -340,35 +341,35 @@
 				t.Error(err)
 				return nil
 			}
-			up <- c
-			return &hooks{readable: func() { wrong++ }}
+			connected <- c
+			return &funcHandler{readable: func() { callsOfNew++ }}
 		})
 	}
 	var others [2]*net.TCPConn
 	for i := range conns {
-		conns[i], others[i] = r.pair(&hooks{readable: one})
+		conns[i], others[i] = r.pair(&funcHandler{readable: closeBoth})
 	}
-	r.do(func() {
-		fill(t, conns[0].(*conn).fd, conns[1].(*conn).fd)
+	r.runInLoop(func() {
+		occupyDescriptors(t, conns[0].(*conn).fd, conns[1].(*conn).fd)
 		for _, o := range others {
 			o.Write([]byte("x"))
 		}
-		unquiet(t, conns[:]...)
+		waitUntilReadable(t, conns[:]...)
 	})
-	c := await(t, "the new connection", up)
-	r.pass()
-	r.do(func() {
+	c := await(t, "the new connection", connected)
+	r.waitTurns()
+	r.runInLoop(func() {
 		if fd := c.(*conn).fd; fd != fds[0] && fd != fds[1] {
-			t.Errorf("the new connection has descriptor %d, not one of %v: the test shows nothing", fd, fds)
+			t.Errorf("the new connection has descriptor %d, want one of the closed descriptors %v", fd, fds)
 		}
-		if calls != 1 || wrong != 0 {
-			t.Errorf("the closed ones were called %d times, the new one %d times", calls, wrong)
+		if calls != 1 || callsOfNew != 0 {
+			t.Errorf("got %d calls for the closed connections and %d for the new one, want 1 and 0", calls, callsOfNew)
 		}
 	})
 }
 
-// fill takes all descriptors below the given ones that are free.
-func fill(t *testing.T, fds ...int) {
+// occupyDescriptors occupies every free descriptor below the highest of the given ones.
+func occupyDescriptors(t *testing.T, fds ...int) {
 	for {
 		fd, err := syscall.Open("/dev/null", syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
 		if err != nil {
@@ -383,10 +384,10 @@
 	}
 }
 
-// TestEndIsSeenWithinBlockedTurn: the process is held up in a turn, and the other side leaves meanwhile. The kernel told
-// of nothing when the turn began.
+// TestEndIsSeenWithinBlockedTurn guards against a connection that looks open because the peer closed it while a turn was
+// blocked: the kernel reported no event for it at the beginning of the turn.
 func TestEndIsSeenWithinBlockedTurn(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn){
+	for name, closePeer := range map[string]func(*net.TCPConn){
 		"closed":      func(c *net.TCPConn) { c.Close() },
 		"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"reset": func(c *net.TCPConn) {
@@ -395,16 +396,16 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, Options{})
-			c, other := r.pair(&hooks{})
-			r.do(func() {
+			r := startLoop(t, Options{})
+			c, other := r.pair(&funcHandler{})
+			r.runInLoop(func() {
 				if err := c.End(); err != nil {
-					t.Errorf("an open connection has ended: %v", err)
+					t.Errorf("End on an open connection: got %v, want nil", err)
 				}
-				leave(other)
-				for end := time.Now().Add(patience); c.End() == nil; {
+				closePeer(other)
+				for end := time.Now().Add(eventTimeout); c.End() == nil; {
 					if time.Now().After(end) {
-						t.Error("the end is not seen in this turn")
+						t.Error("End did not report the peer's close within the turn")
 						return
 					}
 				}
--- a/internal/machine/contract_test.go
+++ b/internal/machine/contract_test.go
@@ -12,11 +12,11 @@
 )
 
 func TestRealMachineContract(t *testing.T) {
-	keepsTheContract(t, machinetest.ByCommand, machine.RealKernel, false)
+	testContract(t, machinetest.ByCommand, machine.RealKernel, false)
 }
 
 func TestInProcessWorkersContract(t *testing.T) {
-	keepsTheContract(t, func(which string) machine.Worker {
+	testContract(t, func(which string) machine.Worker {
 		return machine.Worker{Inside: func(c io.ReadWriteCloser) {
 			defer c.Close()
 			machinetest.PlayWorker(which, c)
@@ -24,8 +24,8 @@
 	}, machine.RealKernel, false)
 }
 
-func keepsTheContract(t *testing.T, worker func(string) machine.Worker, kernel func() machine.Kernel, takesLess bool) {
-	nowhere := machine.FullAddress(t)
+func testContract(t *testing.T, worker func(string) machine.Worker, kernel func() machine.Kernel, partialTransfers bool) {
+	unresponsive := machine.FullBacklogAddress(t)
 	machinetest.Run(t, func(t *testing.T) machinetest.Rig {
 		k := kernel()
 		m, err := machine.New(machine.Options{Log: io.Discard, Kernel: &k})
@@ -67,13 +67,13 @@
 					t.Fatal(err)
 				}
 			},
-			TakesLess: takesLess,
-			Nowhere:   nowhere,
+			TakesLess: partialTransfers,
+			Nowhere:   unresponsive,
 		}
 	})
 }
 
-// runUntil makes turns until the condition holds, for 20 s at most.
+// runUntil runs turns until the condition holds and reports whether it held within 20 s.
 func runUntil(m *machine.Real, until func() bool) bool {
 	late := false
 	limit := m.At(m.Now()+20_000_000, func() { late = true })
--- a/internal/machine/dial_test.go
+++ b/internal/machine/dial_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// dial dials and returns how it went.
-func (r *rig) dial(addr string, timeout Time) (Conn, error) {
+// dial calls Dial in the event loop and returns the outcome.
+func (r *loopRig) dial(addr string, timeout Time) (Conn, error) {
 	r.t.Helper()
 	type outcome struct {
 		c   Conn
 		err error
 	}
 	out := make(chan outcome, 1)
-	r.do(func() {
-		inside := true
+	r.runInLoop(func() {
+		inDial := true
 		r.Dial(addr, timeout, func(c Conn, err error) Handler {
-			if inside {
-				r.t.Error("the outcome was told before Dial had returned")
+			if inDial {
+				r.t.Error("the callback ran before Dial returned")
 			}
 			out <- outcome{c, err}
-			return &hooks{}
+			return &funcHandler{}
 		})
-		inside = false
+		inDial = false
 	})
 	o := await(r.t, "the outcome of a dial", out)
 	return o.c, o.err
@@ -38,25 +38,25 @@
 		timeout    Time
 		want       error
 	}{
-		{"nobody listens", closedAddress(t), 5_000_000, ErrRefused},
-		{"never comes up", fullAddress(t), 20_000, ErrTimeout},
-		{"no time at all", fullAddress(t), 0, ErrTimeout},
-		{"no address", "localhost:1", 5_000_000, errNoIP},
-		{"a zone", "[fe80::1%lo]:1", 5_000_000, errNoIP},
+		{"no listener", closedAddress(t), 5_000_000, ErrRefused},
+		{"never completes", fullBacklogAddress(t), 20_000, ErrTimeout},
+		{"zero timeout", fullBacklogAddress(t), 0, ErrTimeout},
+		{"host name", "localhost:1", 5_000_000, errNoIP},
+		{"IPv6 zone", "[fe80::1%lo]:1", 5_000_000, errNoIP},
 		{"no port", "127.0.0.1", 5_000_000, errNoIP},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, Options{})
+			r := startLoop(t, Options{})
 			conn, err := r.dial(c.addr, c.timeout)
 			if conn != nil || !errors.Is(err, c.want) {
-				t.Errorf("%v, %v, want %v", conn, err, c.want)
+				t.Errorf("got connection %v and error %v, want no connection and error %v", conn, err, c.want)
 			}
 			if err != nil && !strings.Contains(err.Error(), c.addr) {
-				t.Errorf("%q does not name the address", err)
+				t.Errorf("error %q does not contain the address %s", err, c.addr)
 			}
-			r.do(func() {
+			r.runInLoop(func() {
 				if r.conns != 0 || r.timers.first() != nil {
-					t.Errorf("%d connections and timer %v are left", r.conns, r.timers.first())
+					t.Errorf("got %d connections and first timer %v, want none left", r.conns, r.timers.first())
 				}
 			})
 		})
@@ -64,67 +64,67 @@
 }
 
 func TestCancelledDialReportsNothingAndLeavesNoDescriptor(t *testing.T) {
-	r := newRig(t, Options{})
-	full, closed := fullAddress(t), closedAddress(t)
+	r := startLoop(t, Options{})
+	full, closed := fullBacklogAddress(t), closedAddress(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	r.do(func() {
-		before := descriptors(t)
-		told := func(Conn, error) Handler {
-			t.Error("the outcome of a cancelled dial was told")
+	r.runInLoop(func() {
+		before := openDescriptors(t)
+		failIfCalled := func(Conn, error) Handler {
+			t.Error("the callback of a cancelled dial was called")
 			return nil
 		}
 		var all []Dialing
 		for _, addr := range []string{full, closed, l.Addr().String(), "no address"} {
-			all = append(all, r.Dial(addr, 1_000, told))
+			all = append(all, r.Dial(addr, 1_000, failIfCalled))
 		}
-		if n := descriptors(t); n != before+3 {
-			t.Errorf("%d descriptors were opened, want 3: the test shows nothing", n-before)
+		if n := openDescriptors(t); n != before+3 {
+			t.Errorf("got %d opened descriptors, want 3", n-before)
 		}
 		for _, d := range all {
 			d.Cancel()
 			d.Cancel()
 		}
-		if n := descriptors(t); n != before {
-			t.Errorf("%d descriptors before, %d after", before, n)
+		if n := openDescriptors(t); n != before {
+			t.Errorf("got %[2]d descriptors after the cancellation, want %[1]d as before", before, n)
 		}
 		if r.timers.first() != nil || r.conns != 0 {
-			t.Errorf("%d connections and timer %v are left", r.conns, r.timers.first())
+			t.Errorf("got %d connections and first timer %v, want none left", r.conns, r.timers.first())
 		}
 	})
-	r.pass()
+	r.waitTurns()
 }
 
 func TestCancelAfterTheOutcomeDoesNothing(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	up := make(chan Conn, 1)
+	connected := make(chan Conn, 1)
 	var d Dialing
-	r.do(func() {
+	r.runInLoop(func() {
 		d = r.Dial(l.Addr().String(), 5_000_000, func(c Conn, err error) Handler {
 			d.Cancel()
-			up <- c
-			return &hooks{}
+			connected <- c
+			return &funcHandler{}
 		})
 	})
-	c := await(t, "the connection", up)
-	r.do(func() {
+	c := await(t, "the connection", connected)
+	r.runInLoop(func() {
 		d.Cancel()
 		if !c.Quiet() {
-			t.Error("cancelling a dial that had succeeded has closed its connection")
+			t.Error("Cancel after a successful dial closed the connection")
 		}
 	})
 }
 
 func TestBytesArrivingWithConnectionCallReadable(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,18 +132,18 @@
 	defer l.Close()
 	go func() {
 		if c, err := l.Accept(); err == nil {
-			c.Write([]byte("hello")) // and no more: nothing else may rouse the loop
+			c.Write([]byte("hello")) // nothing follows, so that no other event wakes the loop
 		}
 	}()
 	got := make(chan string, 1)
-	r.do(func() {
+	r.runInLoop(func() {
 		d := r.Dial(l.Addr().String(), 5_000_000, func(c Conn, err error) Handler {
 			if err != nil {
 				t.Error(err)
 				return nil
 			}
 			var all []byte
-			return &hooks{readable: func() {
+			return &funcHandler{readable: func() {
 				more, err := drain(c)
 				if err != ErrWait {
 					t.Error(err)
@@ -153,25 +153,25 @@
 				}
 			}}
 		})
-		// All must be there before the loop hears of the connection.
-		for end := time.Now().Add(patience); ; {
+		// All bytes must arrive before the event loop is notified of the connection.
+		for end := time.Now().Add(eventTimeout); ; {
 			var b [8]byte
 			if n, _ := r.recv(d.(*dialing).fd, b[:], syscall.MSG_PEEK); n == 5 {
 				return
 			}
 			if time.Now().After(end) {
-				t.Error("nothing came to be read")
+				t.Error("timed out waiting for 5 readable bytes")
 				return
 			}
 		}
 	})
 	if s := await(t, "the bytes", got); s != "hello" {
-		t.Errorf("%q came", s)
+		t.Errorf("got %q, want \"hello\"", s)
 	}
 }
 
 func TestDialsBeyondDescriptorLimitFailUntilOneCloses(t *testing.T) {
-	r := newRig(t, Options{Descriptors: 1})
+	r := startLoop(t, Options{Descriptors: 1})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -181,24 +181,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.do(func() {
+	r.runInLoop(func() {
 		if r.timers.first() != nil {
-			t.Error("the time limit of a dial that had succeeded is left")
+			t.Error("the timeout timer of a successful dial is still set")
 		}
 	})
 	if _, err := r.dial(l.Addr().String(), 5_000_000); !errors.Is(err, ErrDescriptors) {
-		t.Errorf("the second dial gives %v", err)
+		t.Errorf("second dial: got error %v, want ErrDescriptors", err)
 	}
-	r.do(first.Close)
+	r.runInLoop(first.Close)
 	if _, err := r.dial(l.Addr().String(), 5_000_000); err != nil {
-		t.Errorf("the dial after a Close gives %v", err)
+		t.Errorf("dial after Close: got error %v, want nil", err)
 	}
 }
 
 func TestSelfConnectedSocketCountsAsRefused(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	out := make(chan error, 1)
-	r.do(func() {
+	r.runInLoop(func() {
 		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Error(err)
@@ -223,6 +223,6 @@
 		}
 	})
 	if err := await(t, "the outcome", out); !errors.Is(err, ErrRefused) {
-		t.Errorf("it gives %v", err)
+		t.Errorf("got error %v, want ErrRefused", err)
 	}
 }
--- a/internal/machine/export_test.go
+++ b/internal/machine/export_test.go
@@ -1,17 +1,17 @@
 package machine
 
-// Turn makes one turn of the loop in the calling goroutine, for tests that look at things between turns.
+// Turn runs one turn of the event loop in the calling goroutine, for tests that inspect state between turns.
 func (m *Real) Turn() bool {
 	m.running = true
 	defer func() { m.running = false }()
 	return m.turn()
 }
 
-// FullAddress is where no connection comes up.
-var FullAddress = fullAddress
+// FullBacklogAddress returns the address of a listener whose backlog is full, so that a dial to it never completes.
+var FullBacklogAddress = fullBacklogAddress
 
-// PlayWorker plays the worker that a command line names, if it names one.
-var PlayWorker func(args []string) bool
+// RunNamedWorker runs the worker that the command line names and reports whether it names one.
+var RunNamedWorker func(args []string) bool
 
-// Held is how many descriptors are counted.
-func (m *Real) Held() int { return m.conns }
+// CountedDescriptors returns the number of descriptors that count toward the machine's limit.
+func (m *Real) CountedDescriptors() int { return m.conns }
--- a/internal/machine/failing_calls_test.go
+++ b/internal/machine/failing_calls_test.go
@@ -15,9 +15,9 @@
 	"starlingwinch/internal/machine/machinetest"
 )
 
-var faultSeed = flag.Uint64("fault-seed", 1, "what the failures of calls are drawn from")
+var faultSeed = flag.Uint64("fault-seed", 1, "seed of the random failures of system calls")
 
-// TestContractUnderFailingCalls holds the machine to its whole contract while calls of one kind, and of all, fail.
+// TestContractUnderFailingCalls checks the whole contract of the machine while system calls of one kind, or of all kinds, fail.
 func TestContractUnderFailingCalls(t *testing.T) {
 	for _, c := range []struct{ name, rates string }{
 		{"short reads", "short_reads=0.3,read_most=200"},
@@ -34,15 +34,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			seed := *faultSeed
-			keepsTheContract(t, machinetest.ByCommand, func() machine.Kernel {
+			testContract(t, machinetest.ByCommand, func() machine.Kernel {
 				seed++
-				return failing(t, seed, c.rates)
+				return faultyKernel(t, seed, c.rates)
 			}, strings.Contains(c.rates, "memory"))
 		})
 	}
 }
 
-func failing(t *testing.T, seed uint64, text string) machine.Kernel {
+func faultyKernel(t *testing.T, seed uint64, text string) machine.Kernel {
 	t.Helper()
 	_, rates, err := faultkernel.Parse(text)
 	if err != nil {
@@ -51,53 +51,54 @@
 	return faultkernel.Wrap(machine.RealKernel(), seed, rates)
 }
 
-// TestStartOutlastsFailingCalls opens what a router opens at its start while each call fails for its first times.
+// TestStartOutlastsFailingCalls opens everything that a router opens at startup while the first 20 system calls of each
+// kind fail with temporary errors.
 func TestStartOutlastsFailingCalls(t *testing.T) {
 	const failures = 20
-	momentary := []error{syscall.EINTR, syscall.EAGAIN, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+	temporaryErrors := []error{syscall.EINTR, syscall.EAGAIN, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
 	var failed [6]int
 	fails := func(call int) error {
 		if failed[call]++; failed[call] <= failures {
-			return momentary[failed[call]%len(momentary)]
+			return temporaryErrors[failed[call]%len(temporaryErrors)]
 		}
 		return nil
 	}
-	k, real := machine.RealKernel(), machine.RealKernel()
+	k, realKernel := machine.RealKernel(), machine.RealKernel()
 	k.EpollCreate = func() (int, error) {
 		if err := fails(0); err != nil {
 			return -1, err
 		}
-		return real.EpollCreate()
+		return realKernel.EpollCreate()
 	}
 	k.EventFD = func() (int, error) {
 		if err := fails(1); err != nil {
 			return -1, err
 		}
-		return real.EventFD()
+		return realKernel.EventFD()
 	}
 	k.EpollCtl = func(epoll, op, fd int, event *syscall.EpollEvent) error {
 		if err := fails(2); err != nil {
 			return err
 		}
-		return real.EpollCtl(epoll, op, fd, event)
+		return realKernel.EpollCtl(epoll, op, fd, event)
 	}
 	k.Socket = func(family, kind int) (int, error) {
 		if err := fails(3); err != nil {
 			return -1, err
 		}
-		return real.Socket(family, kind)
+		return realKernel.Socket(family, kind)
 	}
 	k.Bind = func(fd int, at syscall.Sockaddr) error {
 		if err := fails(4); err != nil {
 			return err
 		}
-		return real.Bind(fd, at)
+		return realKernel.Bind(fd, at)
 	}
 	k.Listen = func(fd, backlog int) error {
 		if err := fails(5); err != nil {
 			return err
 		}
-		return real.Listen(fd, backlog)
+		return realKernel.Listen(fd, backlog)
 	}
 	m, err := machine.New(machine.Options{Log: io.Discard, Kernel: &k})
 	if err != nil {
@@ -127,30 +128,30 @@
 	}
 	m.Post(func() { posted = true })
 	if !runUntil(m, func() bool { return accepted && received && posted }) {
-		t.Errorf("accepted %v, received a datagram %v, ran what was posted %v", accepted, received, posted)
+		t.Errorf("accepted a connection: %v, received a datagram: %v, ran the posted function: %v; want all true", accepted, received, posted)
 	}
 }
 
-// TestPostWakesLoopThroughFailingWrites: the write that wakes the loop is interrupted, or fails for no reason that lasts,
-// and nothing else would ever wake it.
+// TestPostWakesLoopThroughFailingWrites guards against a loop that sleeps forever because the write that wakes it was
+// interrupted or failed temporarily, while no other event would wake it.
 func TestPostWakesLoopThroughFailingWrites(t *testing.T) {
 	for _, failure := range []error{syscall.EINTR, syscall.EAGAIN, syscall.EIO} {
 		t.Run(fmt.Sprint(failure), func(t *testing.T) {
-			k, real := machine.RealKernel(), machine.RealKernel()
+			k, realKernel := machine.RealKernel(), machine.RealKernel()
 			var writes atomic.Int32
 			waits := make(chan struct{}, 1)
 			k.Write = func(fd int, b []byte) (int, error) {
 				if writes.Add(1) <= 3 {
 					return 0, failure
 				}
-				return real.Write(fd, b)
+				return realKernel.Write(fd, b)
 			}
 			k.EpollWait = func(epoll int, events []syscall.EpollEvent, milliseconds int) (int, error) {
 				select {
 				case waits <- struct{}{}:
 				default:
 				}
-				return real.EpollWait(epoll, events, milliseconds)
+				return realKernel.EpollWait(epoll, events, milliseconds)
 			}
 			m, err := machine.New(machine.Options{Log: io.Discard, Kernel: &k})
 			if err != nil {
@@ -161,19 +162,19 @@
 				m.Run()
 				close(ended)
 			}()
-			<-waits // the loop has nothing to do, and is about to wait for ever
+			<-waits // the loop is idle and about to wait without a timeout
 			ran := make(chan struct{})
 			m.Post(func() { close(ran) })
 			select {
 			case <-ran:
 			case <-time.After(5 * time.Second):
-				t.Error("what was posted was not run")
+				t.Error("the posted function did not run within 5 s")
 			}
 			m.Stop()
 			select {
 			case <-ended:
 			case <-time.After(5 * time.Second):
-				t.Error("the loop did not end")
+				t.Error("Run did not return within 5 s of Stop")
 			}
 		})
 	}
--- a/internal/machine/harness_test.go
+++ b/internal/machine/harness_test.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// patience is how long a test waits for what must come. It decides no verdict of a sound machine.
-const patience = 20 * time.Second
+// eventTimeout bounds each wait for an event that must occur. It does not affect the result on a correct machine.
+const eventTimeout = 20 * time.Second
 
-// await takes the next value, which must come.
+// await receives the next value from ch and fails the test if none arrives in time.
 func await[T any](t testing.TB, what string, ch <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(patience):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(eventTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// rig is a machine whose loop runs in a goroutine of its own until the test's end.
-type rig struct {
+// loopRig is a machine whose event loop runs in a separate goroutine until the test ends.
+type loopRig struct {
 	t *testing.T
 	*Real
 	ended chan struct{}
 }
 
-func newRig(t *testing.T, opts Options) *rig {
+func startLoop(t *testing.T, opts Options) *loopRig {
 	t.Helper()
 	if opts.Log == nil {
 		opts.Log = io.Discard
@@ -40,43 +40,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t, m, make(chan struct{})}
+	r := &loopRig{t, m, make(chan struct{})}
 	go func() {
 		m.Run()
 		close(r.ended)
 	}()
-	t.Cleanup(r.end)
+	t.Cleanup(r.stopAndWait)
 	return r
 }
 
-func (r *rig) end() {
+func (r *loopRig) stopAndWait() {
 	r.Stop()
-	await(r.t, "the end of Run", r.ended)
+	await(r.t, "Run to return", r.ended)
 }
 
-// do calls f in the loop and waits for its end.
-func (r *rig) do(f func()) {
+// runInLoop runs f in the event loop and waits for it to return.
+func (r *loopRig) runInLoop(f func()) {
 	r.t.Helper()
 	done := make(chan struct{})
 	r.Post(func() {
 		defer close(done)
 		f()
 	})
-	await(r.t, "a posted function", done)
+	await(r.t, "a posted function to return", done)
 }
 
-// pass lets the loop make a few whole turns.
-func (r *rig) pass() {
+// waitTurns waits until the event loop has run three functions that were posted one after another.
+func (r *loopRig) waitTurns() {
 	r.t.Helper()
 	for range 3 {
-		r.do(func() {})
+		r.runInLoop(func() {})
 	}
 }
 
-// listen has accept called with the connections that come in at a free port, and returns the address.
-func (r *rig) listen(accept func(Conn) Handler) (addr string, l Listener) {
+// listen opens a listener at a free port, which passes its connections to accept, and returns its address.
+func (r *loopRig) listen(accept func(Conn) Handler) (addr string, l Listener) {
 	r.t.Helper()
-	r.do(func() {
+	r.runInLoop(func() {
 		var err error
 		if l, err = r.Listen("127.0.0.1:0", accept); err != nil {
 			r.t.Error(err)
@@ -90,47 +90,47 @@
 	return addr, l
 }
 
-// pair is a connection that the machine took in, with the given handler, and its other end.
-func (r *rig) pair(h Handler) (Conn, *net.TCPConn) {
+// pair returns a connection that the machine accepted, with the given handler, and the client's end of it.
+func (r *loopRig) pair(h Handler) (Conn, *net.TCPConn) {
 	r.t.Helper()
-	in := make(chan Conn, 1)
+	accepted := make(chan Conn, 1)
 	addr, l := r.listen(func(c Conn) Handler {
-		in <- c
+		accepted <- c
 		return h
 	})
 	other := r.connect(addr)
-	c := await(r.t, "the connection", in)
-	r.do(l.Close)
+	c := await(r.t, "the accepted connection", accepted)
+	r.runInLoop(l.Close)
 	return c, other
 }
 
-func (r *rig) connect(addr string) *net.TCPConn {
+func (r *loopRig) connect(addr string) *net.TCPConn {
 	r.t.Helper()
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, eventTimeout)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	return c.(*net.TCPConn)
 }
 
-// hooks is a Handler made of functions; nil ones do nothing.
-type hooks struct{ readable, writable func() }
+// funcHandler is a Handler that calls the given functions; a nil function does nothing.
+type funcHandler struct{ readable, writable func() }
 
-func (h *hooks) Readable() {
+func (h *funcHandler) Readable() {
 	if h.readable != nil {
 		h.readable()
 	}
 }
 
-func (h *hooks) Writable() {
+func (h *funcHandler) Writable() {
 	if h.writable != nil {
 		h.writable()
 	}
 }
 
-// drain reads all that has come.
+// drain reads all received bytes and returns them with the error that ended the reading.
 func drain(c Conn) (got []byte, err error) {
 	var b [4096]byte
 	for {
@@ -142,9 +142,9 @@
 	}
 }
 
-// unquiet waits, in the loop and thus within one turn, until something waits to be read.
-func unquiet(t testing.TB, conns ...Conn) {
-	for end := time.Now().Add(patience); ; {
+// waitUntilReadable waits until every connection has something to read. It blocks the event loop, so that the wait ends in the same turn.
+func waitUntilReadable(t testing.TB, conns ...Conn) {
+	for end := time.Now().Add(eventTimeout); ; {
 		n := 0
 		for _, c := range conns {
 			if !c.Quiet() {
@@ -155,14 +155,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Error("nothing came to be read")
+			t.Error("timed out waiting for readable connections")
 			return
 		}
 	}
 }
 
-// fullAddress is where no connection comes up: its listener takes none in and its queue is full.
-func fullAddress(t *testing.T) string {
+// fullBacklogAddress returns the address of a listener that accepts nothing and whose backlog is full, so that a dial to it never completes.
+func fullBacklogAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -187,11 +187,11 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("the queue of a listener never got full")
+	t.Fatal("the backlog of the listener did not fill up after 10 connections")
 	return ""
 }
 
-// closedAddress is where nobody listens.
+// closedAddress returns an address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -202,8 +202,8 @@
 	return l.Addr().String()
 }
 
-// loopbacks is a free port of each family that this machine has.
-func loopbacks() []string {
+// loopbackAddresses returns a loopback address with port 0 for each address family that the host supports.
+func loopbackAddresses() []string {
 	all := []string{"127.0.0.1:0"}
 	if l, err := net.Listen("tcp", "[::1]:0"); err == nil {
 		l.Close()
--- a/internal/machine/real_test.go
+++ b/internal/machine/real_test.go
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// descriptors is how many the process holds.
-func descriptors(t testing.TB) int {
+// openDescriptors returns the number of open descriptors of the process.
+func openDescriptors(t testing.TB) int {
 	t.Helper()
 	d, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(d) - 1 // without the one that lists them
+	return len(d) - 1 // without the descriptor of the listed directory itself
 }
 
 func TestPostKeepsOrderOfEachGoroutine(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	const goroutines, each = 8, 5000
 	var got [goroutines][]int
 	var all sync.WaitGroup
@@ -37,50 +37,50 @@
 		})
 	}
 	all.Wait()
-	r.do(func() {
+	r.runInLoop(func() {
 		for g := range got {
 			if len(got[g]) != each || !slices.IsSorted(got[g]) {
-				t.Errorf("goroutine %d: %d of %d ran, or in another order", g, len(got[g]), each)
+				t.Errorf("goroutine %d: got %d functions run, want %d in the order of their posting", g, len(got[g]), each)
 			}
 		}
 	})
 }
 
 func TestNestedPostRunsInLaterTurn(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	order := make(chan string, 3)
-	r.do(func() {
+	r.runInLoop(func() {
 		r.Post(func() { order <- "posted" })
 		r.At(0, func() { order <- "timer" })
 		order <- "first"
 	})
 	for _, want := range []string{"first", "timer", "posted"} {
 		if got := await(t, want, order); got != want {
-			t.Errorf("%s came, want %s", got, want)
+			t.Errorf("got %s, want %s", got, want)
 		}
 	}
 }
 
 func TestWorkRunsTwoAtATimeAndEndsInLoop(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	const jobs = 20
 	var mu sync.Mutex
-	now, most := 0, 0
+	running, maxRunning := 0, 0
 	begun := make(chan struct{}, jobs)
-	hold := make(chan struct{})
-	ended := 0 // the loop's
+	release := make(chan struct{})
+	ended := 0 // accessed only by the event loop
 	all := make(chan struct{})
-	r.do(func() {
+	r.runInLoop(func() {
 		for range jobs {
 			r.Work(func() {
 				mu.Lock()
-				now++
-				most = max(most, now)
+				running++
+				maxRunning = max(maxRunning, running)
 				mu.Unlock()
 				begun <- struct{}{}
-				<-hold
+				<-release
 				mu.Lock()
-				now--
+				running--
 				mu.Unlock()
 			}, func() {
 				if ended++; ended == jobs {
@@ -91,16 +91,16 @@
 	})
 	await(t, "the first work", begun)
 	await(t, "the second work", begun)
-	r.pass() // the loop goes on meanwhile
-	close(hold)
+	r.waitTurns() // the loop must continue while both jobs are blocked
+	close(release)
 	await(t, "the end of all work", all)
-	if most != defaultWorkers {
-		t.Errorf("%d ran at a time", most)
+	if maxRunning != defaultWorkers {
+		t.Errorf("got %d jobs at a time, want %d", maxRunning, defaultWorkers)
 	}
 }
 
 func TestReadFileIsWholeOrFails(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	dir := t.TempDir()
 	file, fifo := filepath.Join(dir, "file"), filepath.Join(dir, "fifo")
 	if err := os.WriteFile(file, []byte("0123456789"), 0o600); err != nil {
@@ -109,9 +109,9 @@
 	if err := syscall.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.do(func() {
+	r.runInLoop(func() {
 		if b, err := r.ReadFile(file, 10); string(b) != "0123456789" || err != nil {
-			t.Errorf("%q, %v", b, err)
+			t.Errorf("got %q and error %v, want the whole file", b, err)
 		}
 		for _, c := range []struct {
 			name string
@@ -122,44 +122,44 @@
 			{dir, 1 << 20, "not a regular file"},
 			{fifo, 1 << 20, "not a regular file"},
 			{filepath.Join(dir, "none"), 1 << 20, "no such file"},
-			{"/proc/self/status", 10, "more than 10 bytes"}, // it has no size of its own
+			{"/proc/self/status", 10, "more than 10 bytes"}, // reports a size of 0
 		} {
 			b, err := r.ReadFile(c.name, c.most)
 			if b != nil || err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%s: %q, %v, want %q", c.name, b, err, c.want)
+				t.Errorf("%s: got %q and error %v, want no bytes and an error with %q", c.name, b, err, c.want)
 			} else if !strings.Contains(err.Error(), c.name) {
-				t.Errorf("%q does not name the file", err)
+				t.Errorf("error %q does not contain the file name %s", err, c.name)
 			}
 		}
 	})
 }
 
 func TestSignalsAreQueuedUntilHandlerIsSet(t *testing.T) {
-	r := newRig(t, Options{})
-	kept := func() (n int) {
-		r.do(func() { n = len(r.signals.pending) })
+	r := startLoop(t, Options{})
+	pendingSignals := func() (n int) {
+		r.runInLoop(func() { n = len(r.signals.pending) })
 		return n
 	}
 	for i, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		syscall.Kill(syscall.Getpid(), sig)
-		for end := time.Now().Add(patience); kept() <= i; {
+		for end := time.Now().Add(eventTimeout); pendingSignals() <= i; {
 			if time.Now().After(end) {
-				t.Fatalf("%v did not come", sig)
+				t.Fatalf("timed out waiting for signal %v", sig)
 			}
 		}
 	}
 	got := make(chan Signal, 8)
-	r.do(func() { r.Signals(func(s Signal) { got <- s }) })
+	r.runInLoop(func() { r.Signals(func(s Signal) { got <- s }) })
 	syscall.Kill(syscall.Getpid(), syscall.SIGINT)
 	for _, want := range []Signal{HangUp, Terminate, Terminate} {
 		if s := await(t, "a signal", got); s != want {
-			t.Errorf("signal %v came, want %v", s, want)
+			t.Errorf("got signal %v, want %v", s, want)
 		}
 	}
 }
 
-// gate is a log's reader that stands still until it is opened.
-type gate struct {
+// blockedWriter is a log writer that blocks until open is closed.
+type blockedWriter struct {
 	open    chan struct{}
 	entered chan struct{}
 	once    sync.Once
@@ -167,7 +167,7 @@
 	text    strings.Builder
 }
 
-func (g *gate) Write(b []byte) (int, error) {
+func (g *blockedWriter) Write(b []byte) (int, error) {
 	g.once.Do(func() { close(g.entered) })
 	<-g.open
 	g.mu.Lock()
@@ -175,72 +175,72 @@
 	return g.text.Write(b)
 }
 
-func (g *gate) lines() []string {
+func (g *blockedWriter) lines() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return strings.Split(strings.TrimSuffix(g.text.String(), "\n"), "\n")
 }
 
 func TestUnreadLogDropsAndCountsLines(t *testing.T) {
-	g := &gate{open: make(chan struct{}), entered: make(chan struct{})}
-	r := newRig(t, Options{Log: g})
+	g := &blockedWriter{open: make(chan struct{}), entered: make(chan struct{})}
+	r := startLoop(t, Options{Log: g})
 	r.Log("first")
 	await(t, "the first line's write", g.entered)
-	r.do(func() {
+	r.runInLoop(func() {
 		for i := range 300 {
 			r.Log(fmt.Sprintf("line %d", i))
 		}
 	})
 	close(g.open)
-	r.end()
+	r.stopAndWait()
 	lines := g.lines()
 	if want := 1 + maxQueuedLines + 1; len(lines) != want {
-		t.Fatalf("%d lines, want %d", len(lines), want)
+		t.Fatalf("got %d lines, want %d", len(lines), want)
 	}
 	for i, want := range map[int]string{0: "first", 1: "line 0", maxQueuedLines: "line 255", maxQueuedLines + 1: "44 lines dropped"} {
 		if !strings.HasSuffix(lines[i], " "+want) {
-			t.Errorf("line %d is %q, want %q", i, lines[i], want)
+			t.Errorf("line %d: got %q, want it to end with %q", i, lines[i], want)
 		}
 	}
 }
 
 func TestUnreadLogDoesNotDelayStop(t *testing.T) {
-	g := &gate{open: make(chan struct{}), entered: make(chan struct{})}
+	g := &blockedWriter{open: make(chan struct{}), entered: make(chan struct{})}
 	defer close(g.open)
-	r := newRig(t, Options{Log: g})
+	r := startLoop(t, Options{Log: g})
 	r.Log("stuck")
 	await(t, "the line's write", g.entered)
-	r.end()
+	r.stopAndWait()
 }
 
 func TestStopReleasesEverything(t *testing.T) {
-	// The runtime keeps a goroutine and descriptors of its own from the first use on.
+	// The Go runtime keeps a goroutine and descriptors after the first use, so use a machine once before counting.
 	if m, err := New(Options{Log: io.Discard}); err != nil {
 		t.Fatal(err)
 	} else {
 		m.Stop()
 		m.Run()
 	}
-	full, l := fullAddress(t), closedAddress(t)
-	settle := func() (fds, goroutines int) { return descriptors(t), runtime.NumGoroutine() }
-	fds, goroutines := settle()
+	full, l := fullBacklogAddress(t), closedAddress(t)
+	countResources := func() (fds, goroutines int) { return openDescriptors(t), runtime.NumGoroutine() }
+	fds, goroutines := countResources()
 
 	m, err := New(Options{Log: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
-	never := func(Conn, error) Handler {
-		t.Error("a callback came after Stop")
+	failIfCalled := func(Conn, error) Handler {
+		t.Error("a dial callback was called after Stop")
 		return nil
 	}
-	ln, err := m.Listen(l, func(c Conn) Handler { return &hooks{} })
+	ln, err := m.Listen(l, func(c Conn) Handler { return &funcHandler{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.ListenPacket("127.0.0.1:0", func(string, []byte) {}); err != nil {
 		t.Fatal(err)
 	}
-	m.Dial(full, 3600_000_000, never)
+	m.Dial(full, 3600_000_000, failIfCalled)
 	m.At(m.Now()+3600_000_000, func() { t.Error("a timer fired after Stop") })
 	m.Dial(ln.Addr(), 5_000_000, func(c Conn, err error) Handler {
 		if err != nil {
@@ -251,43 +251,43 @@
 			m.Stop()
 			m.Post(func() { t.Error("a posted function was called after Stop") })
 		})
-		return &hooks{}
+		return &funcHandler{}
 	})
 	ran := make(chan struct{})
 	go func() {
 		m.Run()
 		close(ran)
 	}()
-	await(t, "the end of Run", ran)
-	m.Run() // a second time it does nothing
+	await(t, "Run to return", ran)
+	m.Run() // a second call does nothing
 	m.Post(func() { t.Error("a posted function was called after Stop") })
 	m.Log("dropped")
 
-	// Goroutines that have nothing left to do are still on their way out.
-	for end := time.Now().Add(patience); ; runtime.Gosched() {
-		nowFds, nowGoroutines := settle()
+	// Goroutines that have finished their work may not have exited yet.
+	for end := time.Now().Add(eventTimeout); ; runtime.Gosched() {
+		nowFds, nowGoroutines := countResources()
 		if nowFds == fds && nowGoroutines <= goroutines {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d descriptors and %d goroutines before, %d and %d after",
-				fds, goroutines, nowFds, nowGoroutines)
+			t.Fatalf("got %d descriptors and %d goroutines after Stop, want %d and at most %d as before",
+				nowFds, nowGoroutines, fds, goroutines)
 		}
 	}
 }
 
 func TestEntropyAndWallClock(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	seen := map[uint64]bool{}
 	for range 1000 {
 		seen[r.Entropy()] = true
 	}
 	if len(seen) != 1000 {
-		t.Errorf("%d different numbers of 1000", len(seen))
+		t.Errorf("got %d different numbers in 1000 calls, want 1000", len(seen))
 	}
 	before := time.Now().UnixMicro()
 	wall := r.Wall()
 	if after := time.Now().UnixMicro(); wall < before || wall > after {
-		t.Errorf("the clock has %d, between %d and %d", wall, before, after)
+		t.Errorf("Wall: got %d, want a time from %d to %d", wall, before, after)
 	}
 }
--- a/internal/machine/resumed_test.go
+++ b/internal/machine/resumed_test.go
@@ -8,7 +8,8 @@
 	"starlingwinch/internal/testbench/routertest"
 )
 
-// TestResumedComesBeforeTheNextCall: a call that takes longer than the span is followed by the word of it, and then by the others.
+// TestResumedComesBeforeTheNextCall checks that after a call that takes longer than the span, the loop calls the function
+// registered with Resumed before any other pending call.
 func TestResumedComesBeforeTheNextCall(t *testing.T) {
 	const span = machine.Time(20_000)
 	loop := routertest.NewLoop(t, nil)
@@ -17,7 +18,7 @@
 		loop.Resumed(span, func() { calls <- "resumed" })
 		loop.Post(func() {
 			calls <- "long"
-			for loop.Late() < span { // the time that passes is what the test is about
+			for loop.Late() < span { // block the loop for longer than the span
 			}
 		})
 		loop.Post(func() { calls <- "next" })
@@ -26,10 +27,10 @@
 	for range 3 {
 		got = append(got, routertest.Receive(t, calls, "call"))
 	}
-	for got[0] == "resumed" { // this test may have been held up itself
+	for got[0] == "resumed" { // the host may have delayed the loop before the long call
 		got = append(got[1:], routertest.Receive(t, calls, "call"))
 	}
 	if want := []string{"long", "resumed", "next"}; !slices.Equal(got, want) {
-		t.Errorf("called %v, want %v", got, want)
+		t.Errorf("got calls %v, want %v", got, want)
 	}
 }
--- a/internal/machine/shortage_test.go
+++ b/internal/machine/shortage_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// TestRetryShortageRepeatsCallsThatMaySucceed, and no others.
+// TestRetryShortageRepeatsCallsThatMaySucceed checks that RetryShortage repeats a call after a temporary error and returns
+// any other error at once.
 func TestRetryShortageRepeatsCallsThatMaySucceed(t *testing.T) {
-	for failure, again := range map[error]bool{syscall.ENFILE: true, syscall.ENOMEM: true, syscall.EINTR: true,
+	for failure, temporary := range map[error]bool{syscall.ENFILE: true, syscall.ENOMEM: true, syscall.EINTR: true,
 		syscall.EAGAIN: true, syscall.ENOENT: false, syscall.EACCES: false, ErrIrregular: false} {
 		calls := 0
 		err := RetryShortage(func() error {
@@ -18,8 +19,8 @@
 			}
 			return nil
 		})
-		if again && (err != nil || calls != 3) || !again && (!errors.Is(err, failure) || calls != 1) {
-			t.Errorf("%v: %d calls, %v", failure, calls, err)
+		if temporary && (err != nil || calls != 3) || !temporary && (!errors.Is(err, failure) || calls != 1) {
+			t.Errorf("%v: got %d calls and error %v, want a retry: %v", failure, calls, err, temporary)
 		}
 	}
 }
--- a/internal/machine/timers_test.go
+++ b/internal/machine/timers_test.go
@@ -7,28 +7,28 @@
 )
 
 func TestTimersFireByTimeThenInOrderOfSetting(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	type mark struct {
-		at Time
-		nr int
+		at    Time
+		index int
 	}
 	var want, got []mark
 	done := make(chan struct{})
-	r.do(func() {
+	r.runInLoop(func() {
 		now := r.Now()
 		rng := rand.New(rand.NewSource(1))
 		var all []Timer
-		for nr := range 10_000 {
+		for index := range 10_000 {
 			at := now + rng.Int63n(5)*1_000
-			m := mark{at, nr}
+			m := mark{at, index}
 			all = append(all, r.At(at, func() { got = append(got, m) }))
 			want = append(want, m)
 		}
-		for nr := 9_999; nr >= 0; nr-- { // out of the middle of the heap too
+		for index := 9_999; index >= 0; index-- { // also removes timers from the middle of the heap
 			if rng.Intn(3) == 0 {
-				all[nr].Stop()
-				all[nr].Stop()
-				want = slices.Delete(want, nr, nr+1)
+				all[index].Stop()
+				all[index].Stop()
+				want = slices.Delete(want, index, index+1)
 			}
 		}
 		slices.SortStableFunc(want, func(a, b mark) int { return int(a.at - b.at) })
@@ -36,15 +36,15 @@
 	})
 	await(t, "the last timer", done)
 	if !slices.Equal(got, want) {
-		t.Errorf("%d timers fired, want %d, or in another order", len(got), len(want))
+		t.Errorf("got %d timers fired, want %d, ordered by time and then by setting", len(got), len(want))
 	}
 }
 
 func TestTimersOfOneInstantFireInOrderOfSetting(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	var got []int
 	done := make(chan struct{})
-	r.do(func() {
+	r.runInLoop(func() {
 		at := r.Now() + 1_000
 		for i := range 10_000 {
 			r.At(at, func() {
@@ -56,50 +56,50 @@
 	})
 	await(t, "the last timer", done)
 	if !slices.IsSorted(got) {
-		t.Error("they fired in another order")
+		t.Error("the timers did not fire in the order of setting")
 	}
 }
 
 func TestTimerInPastFiresInLaterTurn(t *testing.T) {
-	r := newRig(t, Options{})
-	again, posted := 0, 0
+	r := startLoop(t, Options{})
+	fired, firedBeforePosted := 0, 0
 	done := make(chan struct{})
-	r.do(func() {
-		var self func()
-		inside := true
-		self = func() {
-			if inside {
-				t.Error("a timer fired before At had returned")
+	r.runInLoop(func() {
+		var rearm func()
+		inAt := true
+		rearm = func() {
+			if inAt {
+				t.Error("a timer fired before At returned")
 			}
-			if again++; again < 1000 {
-				inside = true
-				r.At(0, self)
-				inside = false
+			if fired++; fired < 1000 {
+				inAt = true
+				r.At(0, rearm)
+				inAt = false
 			}
 		}
-		r.At(0, self)
-		inside = false
+		r.At(0, rearm)
+		inAt = false
 		r.At(r.Now(), func() {
-			if again > 2 {
-				t.Errorf("a timer that is due waited for %d others that were set later", again-1)
+			if fired > 2 {
+				t.Errorf("a due timer waited for %d timers that were set later, want at most 1", fired-1)
 			}
-			r.Post(func() { posted = again })
+			r.Post(func() { firedBeforePosted = fired })
 			close(done)
 		})
 	})
 	await(t, "the second timer", done)
-	r.pass()
-	r.do(func() {
-		if posted > 4 {
-			t.Errorf("a posted function waited for %d timers", posted)
+	r.waitTurns()
+	r.runInLoop(func() {
+		if firedBeforePosted > 4 {
+			t.Errorf("a posted function waited for %d timers, want at most 4", firedBeforePosted)
 		}
 	})
 }
 
 func TestTimerStoppedBySameInstantDoesNotFire(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	done := make(chan struct{})
-	r.do(func() {
+	r.runInLoop(func() {
 		var second Timer
 		at := r.Now() + 500
 		r.At(at, func() { second.Stop() })
@@ -110,19 +110,19 @@
 }
 
 func TestTimerFiresNotEarlyAndNowIsFixedWithinTurn(t *testing.T) {
-	r := newRig(t, Options{})
+	r := startLoop(t, Options{})
 	done := make(chan struct{})
-	r.do(func() {
+	r.runInLoop(func() {
 		at := r.Now() + 3_000
 		r.At(at, func() {
 			now := r.Now()
 			if now < at {
-				t.Errorf("it fired %d µs too early", at-now)
+				t.Errorf("the timer fired %d µs early", at-now)
 			}
-			for before := r.Wall(); r.Wall() == before; { // until the clock has gone on
+			for before := r.Wall(); r.Wall() == before; { // wait until the wall clock advances
 			}
 			if r.Now() != now {
-				t.Error("Now went on during a call")
+				t.Error("Now advanced within a turn")
 			}
 			close(done)
 		})
--- a/internal/machine/worker_test.go
+++ b/internal/machine/worker_test.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	machine.PlayWorker = func(args []string) bool {
+	machine.RunNamedWorker = func(args []string) bool {
 		if len(args) != 3 || args[1] != machinetest.WorkerWord {
 			return false
 		}
@@ -30,31 +30,32 @@
 	}
 }
 
-// talk is a handler that keeps what comes.
-type talk struct {
+// recorder is a Handler that records all received bytes and the error that ended the reading.
+type recorder struct {
 	c   machine.Conn
 	got []byte
 	err error
 }
 
-func (k *talk) Writable() {}
-func (k *talk) Readable() {
+func (rec *recorder) Writable() {}
+func (rec *recorder) Readable() {
 	var b [256]byte
-	for k.err == nil {
-		n, err := k.c.Read(b[:])
-		k.got = append(k.got, b[:n]...)
+	for rec.err == nil {
+		n, err := rec.c.Read(b[:])
+		rec.got = append(rec.got, b[:n]...)
 		if err == machine.ErrWait {
 			return
 		}
-		k.err = err
+		rec.err = err
 	}
 }
 
-func spawn(m *machine.Real, w machine.Worker) (*talk, machine.Process) {
-	k := &talk{}
-	return k, m.Spawn(w, func(c machine.Conn, err error) machine.Handler {
-		k.c, k.err = c, err
-		return k
+// spawn starts a worker and returns the handler of its connection with the process.
+func spawn(m *machine.Real, w machine.Worker) (*recorder, machine.Process) {
+	rec := &recorder{}
+	return rec, m.Spawn(w, func(c machine.Conn, err error) machine.Handler {
+		rec.c, rec.err = c, err
+		return rec
 	})
 }
 
@@ -71,70 +72,71 @@
 
 func TestKilledWorkerLeavesNothing(t *testing.T) {
 	m := newMachine(t, machine.Options{})
-	k, p := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "pid"}, Env: []string{"HOOK=1"}})
-	if !runUntil(m, func() bool { return strings.Count(string(k.got), "\n") == 2 }) {
-		t.Fatalf("the worker said %q, %v", k.got, k.err)
+	rec, p := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "pid"}, Env: []string{"HOOK=1"}})
+	if !runUntil(m, func() bool { return strings.Count(string(rec.got), "\n") == 2 }) {
+		t.Fatalf("got %q and error %v from the worker, want two lines", rec.got, rec.err)
 	}
-	lines := strings.Split(string(k.got), "\n")
+	lines := strings.Split(string(rec.got), "\n")
 	if lines[1] != "HOOK=1" {
-		t.Errorf("its environment is %q", lines[1])
+		t.Errorf("worker environment: got %q, want \"HOOK=1\"", lines[1])
 	}
-	if m.Held() != 2 {
-		t.Errorf("%d descriptors are counted", m.Held())
+	if m.CountedDescriptors() != 2 {
+		t.Errorf("got %d counted descriptors, want 2", m.CountedDescriptors())
 	}
 	p.Kill()
-	if !runUntil(m, func() bool { return m.Held() == 0 }) {
-		t.Fatalf("%d descriptors are counted after its end", m.Held())
+	if !runUntil(m, func() bool { return m.CountedDescriptors() == 0 }) {
+		t.Fatalf("got %d counted descriptors after the worker was killed, want 0", m.CountedDescriptors())
 	}
 	if _, err := os.Stat("/proc/" + lines[0]); !os.IsNotExist(err) {
-		t.Errorf("process %s is still there: %v", lines[0], err)
+		t.Errorf("worker process %s still exists: %v", lines[0], err)
 	}
 }
 
 func TestSpinningWorkerIsKilledWithMachine(t *testing.T) {
 	m := newMachine(t, machine.Options{})
-	k, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "spin"}})
-	if !runUntil(m, func() bool { return k.c != nil }) {
-		t.Fatal("no worker")
+	rec, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "spin"}})
+	if !runUntil(m, func() bool { return rec.c != nil }) {
+		t.Fatal("the worker did not start")
 	}
 	m.Post(m.Stop)
-	m.Run() // which closes all
+	m.Run() // Run kills the worker and closes all descriptors when it ends
 }
 
 func TestSpawnNeedsDescriptors(t *testing.T) {
 	m := newMachine(t, machine.Options{Descriptors: 1})
-	k, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "echo"}})
-	if !runUntil(m, func() bool { return k.err != nil }) || k.err != machine.ErrDescriptors {
-		t.Fatalf("got %v", k.err)
+	rec, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "echo"}})
+	if !runUntil(m, func() bool { return rec.err != nil }) || rec.err != machine.ErrDescriptors {
+		t.Fatalf("got error %v, want ErrDescriptors", rec.err)
 	}
 }
 
 func TestInProcessWorkerHasGoroutineAndConnection(t *testing.T) {
 	m := newMachine(t, machine.Options{})
 	ended := make(chan bool, 1)
-	k, p := spawn(m, machine.Worker{Inside: func(c io.ReadWriteCloser) {
+	rec, p := spawn(m, machine.Worker{Inside: func(c io.ReadWriteCloser) {
 		defer c.Close()
 		c.Write([]byte("here"))
 		io.Copy(io.Discard, c)
 		ended <- true
 	}})
-	if !runUntil(m, func() bool { return string(k.got) == "here" }) {
-		t.Fatalf("got %q, %v", k.got, k.err)
+	if !runUntil(m, func() bool { return string(rec.got) == "here" }) {
+		t.Fatalf("got %q and error %v, want \"here\"", rec.got, rec.err)
 	}
 	p.Kill()
 	<-ended
-	if m.Held() != 0 {
-		t.Errorf("%d descriptors are counted", m.Held())
+	if m.CountedDescriptors() != 0 {
+		t.Errorf("got %d counted descriptors, want 0", m.CountedDescriptors())
 	}
 }
 
-// TestOrphanIsKilled starts a machine in a process of its own, which starts a worker that spins, and kills it.
+// TestOrphanIsKilled guards against a worker that survives its parent: a child process starts a machine with a worker that
+// never ends, the test kills the child, and the worker must end too.
 func TestOrphanIsKilled(t *testing.T) {
 	if os.Getenv("MACHINE_PARENT") != "" {
 		m := newMachine(t, machine.Options{})
-		k, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "pid"}})
-		runUntil(m, func() bool { return strings.Contains(string(k.got), "\n") })
-		os.Stdout.WriteString("\npid " + string(k.got))
+		rec, _ := spawn(m, machine.Worker{Args: []string{machinetest.WorkerWord, "pid"}})
+		runUntil(m, func() bool { return strings.Contains(string(rec.got), "\n") })
+		os.Stdout.WriteString("\npid " + string(rec.got))
 		select {}
 	}
 	cmd := exec.Command(os.Args[0], "-test.run=^TestOrphanIsKilled$")
@@ -146,28 +148,28 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	var said []byte
+	var output []byte
 	b := make([]byte, 512)
-	for !strings.Contains(string(said), "pid ") || !strings.HasSuffix(string(said), "\n") {
+	for !strings.Contains(string(output), "pid ") || !strings.HasSuffix(string(output), "\n") {
 		n, err := out.Read(b)
 		if err != nil {
-			t.Fatalf("%v after %q", err, said)
+			t.Fatalf("reading the child's output: %v after %q", err, output)
 		}
-		said = append(said, b[:n]...)
+		output = append(output, b[:n]...)
 	}
-	_, rest, _ := strings.Cut(string(said), "pid ")
+	_, rest, _ := strings.Cut(string(output), "pid ")
 	pid, _, _ := strings.Cut(rest, "\n")
 	cmd.Process.Kill()
 	cmd.Wait()
 	m := newMachine(t, machine.Options{})
 	gone := func() bool {
 		stat, err := os.ReadFile("/proc/" + pid + "/stat")
-		return err != nil || strings.Contains(string(stat), ") Z ") // nobody here waits for it
+		return err != nil || strings.Contains(string(stat), ") Z ") // a zombie counts as ended, because no process here reaps it
 	}
-	var look func()
-	look = func() { m.At(m.Now()+5_000, look) }
-	look()
+	var keepTurning func()
+	keepTurning = func() { m.At(m.Now()+5_000, keepTurning) }
+	keepTurning()
 	if !runUntil(m, gone) {
-		t.Errorf("worker %s outlives its parent", pid)
+		t.Errorf("worker %s still runs after its parent was killed", pid)
 	}
 }
