--- a/cmd/starlingwinch/check.go
+++ b/cmd/starlingwinch/check.go
@@ -58,8 +58,8 @@
 	return "platform's file", faults.Err()
 }
 
-// isPlatform reports whether a file is the platform's, by its extension, or by its first character if it has another extension.
-// All other files are operators' files.
+// isPlatform reports whether a file is the platform's: by the extension .json or .toml, otherwise by whether its text, after any
+// white space, starts with '{'. All other files are operators' files.
 func isPlatform(path string, raw []byte) bool {
 	switch filepath.Ext(path) {
 	case ".json":
--- a/cmd/starlingwinch/hook.go
+++ b/cmd/starlingwinch/hook.go
@@ -59,6 +59,7 @@
 			}
 			return noArgs(cmd, args)
 		},
+		// RunE never runs, because Args always fails. Without RunE, cobra would print the help instead of calling Args.
 		RunE: func(*cobra.Command, []string) error { return nil },
 	}
 	cmd.AddCommand(hookNewCommand(), hookCheckCommand(), hookRunCommand(), hookBenchCommand())
--- a/cmd/starlingwinch/hook_bench.go
+++ b/cmd/starlingwinch/hook_bench.go
@@ -17,7 +17,8 @@
 // defaultBenchTime is the default of --for: the duration of a measurement.
 const defaultBenchTime = 2 * time.Second
 
-// maxBenchCalls limits the calls of a measurement.
+// maxBenchCalls is the number of calls after which a measurement ends, even before its time is over. The durations of all calls are
+// kept in memory.
 const maxBenchCalls = 1 << 20
 
 // defaultCall is the request for a measurement without recorded requests.
@@ -27,7 +28,7 @@
 	Class:    "call-lookup",
 	Tenant:   "acme",
 	Key:      "OE1XYZ",
-	TimeLeft: 480_000,
+	TimeLeft: 480_000, // µs
 }
 
 // hookBenchCommand returns the command "hook bench".
--- a/cmd/starlingwinch/kernel_faults.go
+++ b/cmd/starlingwinch/kernel_faults.go
@@ -15,8 +15,9 @@
 // faultkernel.Parse. Only builds with the tag faultkernel read it.
 const faultsVariable = "STARLINGWINCH_FAULTS"
 
-// kernel returns the system calls of the operating system, some of which fail at random at the given rates. Each process has its
-// own random sequence.
+// kernel returns the system calls of the operating system, some of which fail at random at the given rates. It returns nil, which
+// means the real calls, if the variable is unset or empty. The process id is part of the seed, so that processes draw different random
+// sequences and a run can't be repeated by its seed.
 func kernel() (*machine.Kernel, error) {
 	text := os.Getenv(faultsVariable)
 	if text == "" {
--- a/cmd/starlingwinch/version.go
+++ b/cmd/starlingwinch/version.go
@@ -51,7 +51,8 @@
 	return text + ", " + info.GoVersion
 }
 
-// buildDigest returns a digest of the version. Routers compare it to detect members that run a different build.
+// buildDigest returns a digest of the line that version returns. Routers compare it to detect members that run a different build.
+// Builds of one revision with different uncommitted changes may have the same digest.
 func buildDigest() uint32 {
 	f := fnv.New32a()
 	if info, known := debug.ReadBuildInfo(); known {
--- a/hook/hook.go
+++ b/hook/hook.go
@@ -89,7 +89,8 @@
 // Tag adds a tag to the request. The router counts requests by tag. A tag consists of 1 to 64 letters, digits, _ - . : and /.
 func Tag(name string) { tag(name) }
 
-// Tenant attributes the request to another tenant for the hooks that follow and for the router.
+// Tenant attributes the request to another tenant for the hooks that follow and for the router. A name consists of 1 to 256
+// letters, digits, _ - . : and /.
 func Tenant(name string) { tenant(name) }
 
 // Log adds a line to the router's log.
--- a/internal/machine/inside.go
+++ b/internal/machine/inside.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// notify runs in the loop after the worker wrote, read or closed.
+// notify runs in the loop after the worker wrote, closed or read from a full buffer. After a short Write, it reports Writable only if
+// the buffer of unread bytes for the worker is less than half full.
 func (c *insideConn) notify() {
 	c.mu.Lock()
 	c.posted = false
--- a/internal/machine/listener.go
+++ b/internal/machine/listener.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	backlog           = 4096   // the kernel's own limit, net.core.somaxconn, is lower or equal
+	backlog           = 4096   // the default of net.core.somaxconn, which caps it
 	maxAcceptsPerTurn = 64     // leaves time for open connections
 	acceptBackoff     = 10_000 // pause of accepting after descriptors ran out, in microseconds
 )
@@ -182,7 +182,8 @@
 	if l.waiting != nil {
 		l.waiting.Stop()
 	}
-	// Closing the descriptor does not remove the socket from epoll if another process shares the socket.
+	// Closing the descriptor does not remove the socket from epoll while another process shares the socket: a child process that is
+	// being started does so until it executes its program.
 	l.m.poll.unwatch(l.fd)
 	l.m.poll.release(l.slot)
 	l.closeDescriptor()
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -218,9 +218,9 @@
 	Close()
 }
 
-// Disk gives a function run by OnDisk access to the machine's files. Calls block on the disk. No call follows a symbolic link
-// in the last element of a name; the folders before it may be links. A failed call may have completed or changed a part,
-// except for Rename.
+// Disk gives a function run by OnDisk access to the machine's files. Calls block on the disk. No call except SyncFolder follows
+// a symbolic link in the last element of a name; the folders before it may be links. A failed call may have completed or
+// changed a part, except for Rename.
 //
 // A loss of power loses data that was not flushed. Create flushes a file's content; SyncFolder flushes names that were
 // created, changed or removed. Before the flush, each part may or may not survive, independently of the others.
--- a/internal/machine/real.go
+++ b/internal/machine/real.go
@@ -281,7 +281,7 @@
 // Post implements Machine.
 func (m *Real) Post(f func()) { m.inbox.put(f) }
 
-// Work implements Machine. Two functions run at a time; the others wait in the order of the calls.
+// Work implements Machine. At most defaultWorkers functions run at a time; the others wait in the order of the calls.
 func (m *Real) Work(f, done func()) {
 	m.work.add(f, done)
 	m.wokeGoroutine.Store(true)
--- a/internal/machine/shortage.go
+++ b/internal/machine/shortage.go
@@ -7,10 +7,10 @@
 )
 
 // A shortage is the failure of a call because the kernel has no descriptor, memory, port or route at the moment, which says
-// nothing about the call's object. The call is retried after shortageRetryDelay.
+// nothing about the call's object. The loop retries the call after shortageRetryDelay.
 const (
-	shortageRetryDelay = 10_000          // delay before a call that failed for a shortage is retried, in microseconds
-	maxStartRetry      = 3 * time.Second // how long RetryShortage retries
+	shortageRetryDelay = 10_000          // delay before the loop retries a call that failed for a shortage, in microseconds
+	maxStartRetry      = 3 * time.Second // how long RetryShortage and Spawn retry
 )
 
 // isShortage reports whether a call failed for a transient shortage on this machine. EMFILE is not transient: it lasts until
@@ -66,8 +66,9 @@
 	return errors.Is(err, ErrDescriptors) || errors.Is(err, ErrShortage)
 }
 
-// RetryShortage repeats a call while the call fails for a shortage, for up to maxStartRetry. It blocks. It serves the start of
-// a process and work outside the loop, where one failed call would end the process or lose a signal.
+// RetryShortage repeats a call while it fails for a shortage or with EAGAIN, for up to maxStartRetry. Between two calls, it sleeps
+// a tenth of shortageRetryDelay (1 ms). It blocks, so it is for the start of the process and for functions outside the loop, where
+// a failed call would end the process or make a reload fail.
 func RetryShortage(call func() error) error {
 	for end := time.Now().Add(maxStartRetry); ; {
 		err := call()
--- a/internal/machine/socket.go
+++ b/internal/machine/socket.go
@@ -8,7 +8,8 @@
 	"syscall"
 )
 
-// parseAddress parses an IP address and a port. An IPv4-mapped IPv6 address becomes an IPv4 address.
+// parseAddress parses an IP address and a port. An IPv4-mapped IPv6 address becomes an IPv4 address. An address with a zone is
+// rejected.
 func parseAddress(addr string) (netip.AddrPort, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || ap.Addr().Zone() != "" {
@@ -71,6 +72,7 @@
 	return netip.AddrPort{}
 }
 
+// localAddr returns a socket's local address, or the zero AddrPort if the kernel reports none.
 func localAddr(fd int) netip.AddrPort {
 	sa, err := syscall.Getsockname(fd)
 	if err != nil {
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -49,8 +49,8 @@
 //	secret:"true"             keeps the value out of error messages; for texts and lists of texts
 //
 // A key may be a bool, an integer, a float, a time.Duration, a Size, a string, an encoding.TextUnmarshaler, a list of these,
-// a struct (a table), or a list of structs. The check function may be nil; it runs only if all values are inside their ranges.
-// Define panics if a key has no name, no doc or an unsupported type.
+// a struct (a table), or a list of structs. The check function may be nil; it runs only if decoding found no error, such as an
+// unknown key, a wrong type or a value out of range. Define panics if a key has no name, no doc or an unsupported type.
 func Define[T any](name, doc string, defaults T, check func(v T, report ReportFunc)) Kind {
 	k := Kind{Name: name, Doc: doc, defaults: defaults}
 	if check != nil {
--- a/internal/plugin/wasm/check.go
+++ b/internal/plugin/wasm/check.go
@@ -191,11 +191,11 @@
 func (r *reader) limits() uint64 {
 	flags := r.byte()
 	bits := uint(32)
-	if flags&4 != 0 {
+	if flags&4 != 0 { // bit 2: 64-bit addresses (memory64)
 		bits = 64
 	}
 	lower := r.long("lower bound", bits)
-	if flags&1 != 0 {
+	if flags&1 != 0 { // bit 0: an upper limit follows
 		r.long("upper bound", bits)
 	}
 	return lower
--- a/internal/plugin/wasmfile/wasmfile.go
+++ b/internal/plugin/wasmfile/wasmfile.go
@@ -82,7 +82,7 @@
 // Block returns a block that Br(0) in its body leaves.
 func Block(body ...Code) Code { return Seq(Code{0x02, 0x40}, Seq(body...), Code{0x0b}) }
 
-// Br branches to the enclosing block at the given level; 0 is the innermost block.
+// Br branches to the enclosing Block, Loop or If at the given level; 0 is the innermost.
 func Br(level uint32) Code { return append(Code{0x0c}, unsigned(level)...) }
 
 // BrIf branches like Br if the number on top of the stack is not 0.
--- a/internal/settings/check_values.go
+++ b/internal/settings/check_values.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// checkClass checks that a class's latency objective is at most its client timeout, and that a class with idempotency keys has a
-// deduplication scope and an idempotency window.
+// checkClass checks that a class's name is not empty and that no other class has it, that its latency objective is at most its
+// client timeout, and that a class with idempotency keys has a deduplication scope and an idempotency window.
 func (c *checker) checkClass(path string, v values) {
 	if name, ok := v["name"].(string); ok && name == "" {
 		c.report(path+".name", "empty (wanted 1 to %d bytes)", maxTextBytes)
--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -14,7 +14,8 @@
 	text string
 }
 
-// appendAction appends an action in the simulator's format: one JSON object whose fields have a fixed order.
+// appendAction appends an action in the simulator's format: one JSON object whose fields have a fixed order. Fields that the format
+// does not have, such as WriteDeadline of decide.Send, are omitted. An action that the format does not have becomes an Exception.
 func appendAction(b []byte, instance int64, action decide.Action) []byte {
 	w := objectWriter{buffer: b}
 	switch a := action.(type) {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -35,7 +35,7 @@
 type message struct {
 	Instance    *int64             `json:"i"`
 	Seed        uint64             `json:"seed"`
-	Info        json.RawMessage    `json:"info"` // for a new instance, its settings; for an attempt, a number, of which minMissInfo and more mean a miss
+	Info        json.RawMessage    `json:"info"` // a new instance's settings; for an attempt's result, a number; minMissInfo or more means a miss
 	List        int64              `json:"rosterId"`
 	Update      string             `json:"scope"` // a key of updateKinds
 	ID          int64              `json:"tid"`
@@ -62,7 +62,7 @@
 	loadErrorRate   = "fail_rate"
 )
 
-// minMissInfo is the smallest info of an attempt's result that means a cache miss.
+// minMissInfo is the smallest value of Info in an attempt's result that means a cache miss.
 const minMissInfo = 2
 
 // updateKinds maps the simulator's names to decide.UpdateKind.
@@ -93,7 +93,7 @@
 	"removed":  decide.Removed,
 }
 
-// event converts a message to a running router into an event.
+// event returns the event for a message that is addressed to a running router.
 func (h *Host) event(name string, m *message) (decide.Event, error) {
 	switch name {
 	case messageEndpointList:
@@ -158,8 +158,8 @@
 	return result, nil
 }
 
-// isMiss reports whether the attempt was a cache miss, so that the cache fetched from the origin. Info that is not a number means no
-// miss.
+// isMiss reports whether an attempt's result was a cache miss, so that the cache fetched from the origin. Info that is not an integer
+// means no miss.
 func (m *message) isMiss() bool {
 	info, err := strconv.Atoi(string(m.Info))
 	return err == nil && info >= minMissInfo
