--- a/internal/testbench/load/beside.go
+++ b/internal/testbench/load/beside.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// connectTime is the longest that clients take to connect.
+	// connectTime is the time that clients are given to connect before the load starts.
 	connectTime Time = 200_000 // µs
 	// drainCheckInterval is the time between checks whether all requests are answered.
 	drainCheckInterval Time = 5_000 // µs
@@ -18,24 +18,24 @@
 type Class struct {
 	Name                                  string
 	Asked, Done, InTime, Overdue, Surplus int64 // as in Clients
-	Refused, Failed                       int64 // among those that are done
+	Refused, Failed                       int64 // among the requests counted in Done
 	Latency                               Histogram
 }
 
-// Lost counts the requests that did not get exactly one answer in time.
+// Lost returns the number of requests that did not get exactly one answer in time.
 func (c *Class) Lost() int64 { return c.Asked - c.Done + c.Overdue + c.Surplus }
 
-// besideRun is the load of one Beside.
+// besideRun is the state of one call of Beside.
 type besideRun struct {
 	machine   *machine.Real
 	clients   [][]*Clients // by target, and by class
-	running   int          // clients whose span has not ended
-	drainTime Time         // the longest that the last answers may take
+	running   int          // clients that are still sending
+	drainTime Time         // the longest wait for the last answers
 }
 
-// Beside puts targets under the same load at the same time, so that other work of the machine affects all of them alike. It
-// returns for each target the results of its classes. Each class has clients of its own, as answers on a shared connection
-// come in order and classes would wait for each other.
+// Beside puts targets under the same load at the same time, so that other work of the machine affects all targets
+// alike. It returns the results of the classes for each target. Each class has separate clients, because answers on a shared
+// connection come in order and classes would wait for each other.
 func Beside(addrs []string, classes []Options, warm, span Time) ([][]Class, error) {
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
@@ -53,7 +53,7 @@
 	return run.results(), nil
 }
 
-// start has all clients send.
+// start starts the load of all clients.
 func (r *besideRun) start(warm, span Time) {
 	for _, c := range r.all() {
 		c.Run(warm, span, func() {
@@ -65,7 +65,7 @@
 	}
 }
 
-// drain waits for the last answers, at most until an instant, and ends the run.
+// drain waits for the last answers, at most until the given instant, and ends the run.
 func (r *besideRun) drain(until Time) {
 	for _, c := range r.all() {
 		if c.Done < c.Asked && r.machine.Now() < until {
--- a/internal/testbench/load/beside_test.go
+++ b/internal/testbench/load/beside_test.go
@@ -9,19 +9,19 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// mute takes connections and never answers.
-type mute struct{ got strings.Builder }
+// silentServer accepts connections, records the bytes it reads and never answers.
+type silentServer struct{ got strings.Builder }
 
-func (s *mute) open(nc machine.Conn) machine.Handler { return &muteConn{s, nc} }
+func (s *silentServer) open(nc machine.Conn) machine.Handler { return &silentConn{s, nc} }
 
-type muteConn struct {
-	s  *mute
+type silentConn struct {
+	s  *silentServer
 	nc machine.Conn
 }
 
-func (c *muteConn) Writable() {}
+func (c *silentConn) Writable() {}
 
-func (c *muteConn) Readable() {
+func (c *silentConn) Readable() {
 	var b [4096]byte
 	for {
 		n, err := c.nc.Read(b[:])
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	slow.Delay = 20_000
-	silent, err := m.Listen("127.0.0.1:0", (&mute{}).open)
+	silent, err := m.Listen("127.0.0.1:0", (&silentServer{}).open)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 }
 
 func TestWriteCarriesIdempotencyKey(t *testing.T) {
-	s := &mute{}
+	s := &silentServer{}
 	w := sim.New(1)
 	m := w.Host("all", "10.0.0.1", sim.HostOptions{}).Machine()
 	ln, err := m.Listen("10.0.0.1:0", s.open)
@@ -93,6 +93,6 @@
 	w.Run(m.Now() + 300_000)
 	want := "*5\r\n$5\r\nC.SET\r\n$4\r\nkey1\r\n$2\r\np1\r\n$17\r\nc=put,d=1000,k=p1\r\n$14\r\na value to set\r\n"
 	if got := s.got.String(); got != want {
-		t.Errorf("%q", got)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/testbench/load/cache.go
+++ b/internal/testbench/load/cache.go
@@ -10,7 +10,7 @@
 	"starlingwinch/internal/resp"
 )
 
-// Cache is a cache server that holds every key. It answers at once, or after Delay.
+// Cache is a cache server that has a value for every key. It answers at once, or after Delay.
 type Cache struct {
 	Delay            Time // set before the loop runs
 	machine          machine.Machine
@@ -21,10 +21,10 @@
 	served, taken    atomic.Int64
 }
 
-// Counts returns the connections that it has accepted and the commands that it has answered. Any goroutine may call it.
+// Counts returns the number of accepted connections and of answered commands. Any goroutine may call Counts.
 func (c *Cache) Counts() (taken, served int64) { return c.taken.Load(), c.served.Load() }
 
-// NewCache listens on a free port of an address. Each value has so many bytes.
+// NewCache returns a Cache that listens on an address; port 0 selects a free port. value is the size of each value in bytes.
 func NewCache(m machine.Machine, addr string, value int) (*Cache, error) {
 	c := &Cache{machine: m}
 	c.setReply = redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(nil, 3), "OK"), "w")
@@ -40,7 +40,7 @@
 	return c, err
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the cache listens on.
 func (c *Cache) Addr() string { return c.listener.Addr() }
 
 // cacheConn is one connection of a Cache.
@@ -49,7 +49,7 @@
 	nc             machine.Conn
 	in             []byte
 	unparsed, out  []byte
-	pendingAnswers []byte // answers to the commands of the present read
+	pendingAnswers []byte // answers to the commands of the current read
 	closed         bool
 }
 
@@ -73,7 +73,8 @@
 	c.sendAnswers()
 }
 
-// answerCommands adds the answers to the whole commands that were read, and reports false for bytes that are no command.
+// answerCommands adds the answers to the complete commands that were read, and returns false if the bytes are not a valid
+// command.
 func (c *cacheConn) answerCommands() bool {
 	used := 0
 	for used < len(c.unparsed) {
@@ -98,7 +99,7 @@
 	wordsExtendedGet = 4 // C.GET
 )
 
-// answer adds the answer to a command of so many words.
+// answer adds the answer to a command with the given number of words.
 func (c *cacheConn) answer(words int) {
 	switch words {
 	case wordsPing:
--- a/internal/testbench/load/clientconn.go
+++ b/internal/testbench/load/clientconn.go
@@ -13,17 +13,17 @@
 // clientConn is one connection of Clients.
 type clientConn struct {
 	clients        *Clients
-	nc             machine.Conn // nil before it is established and after its end
+	nc             machine.Conn // nil before the connection is established and after it is closed
 	in             []byte
 	unparsed       []byte // part of a line
 	out            []byte
-	outstanding    []Time // start of each request that is out, in order
+	outstanding    []Time // start of each unanswered request, in order
 	idle           bool
 	valueBytesLeft int // bytes of a value that are still to arrive
-	answersDue     int // answers that one read may hold: the requests that were out before it
+	answersDue     int // answers that one read may hold: the number of unanswered requests before the read
 }
 
-// sendRequest sends a request whose time counts from since.
+// sendRequest sends a request whose latency counts from since.
 func (k *clientConn) sendRequest(since Time) {
 	c := k.clients
 	if k.nc == nil {
@@ -47,8 +47,8 @@
 	k.Writable()
 }
 
-// appendCommand appends the C.GET or C.SET of the latest request. Classes share a router, which wants each id once, so the
-// class is a part of it.
+// appendCommand appends the C.GET or C.SET of the latest request. Classes share a router, which requires unique ids, so the id
+// starts with the first letter of the class.
 func (c *Clients) appendCommand(out []byte, key string) []byte {
 	verb, words := "C.GET", 4
 	id := c.options.Class[:1] + strconv.FormatInt(c.requestsSent, 16)
@@ -142,18 +142,19 @@
 	}
 }
 
-// close closes the connection; it sends no more requests.
+// close closes the connection, which then sends no further requests.
 func (k *clientConn) close() {
 	k.nc.Close()
 	k.nc = nil
 }
 
-// answered counts an answer, and sends the next request in a closed loop.
+// answered counts an answer and, in a closed loop, sends the next request.
 func (k *clientConn) answered(count *int64) {
 	c := k.clients
 	now := c.machine.Now()
 	if k.answersDue == 0 {
-		// Surplus answers end the connection: each would send one more request, and the load would grow without end.
+		// A surplus answer closes the connection: each surplus answer would trigger one more request, and the load would grow
+		// without bound.
 		c.Failed++
 		c.Surplus++
 		k.close()
--- a/internal/testbench/load/clients.go
+++ b/internal/testbench/load/clients.go
@@ -4,34 +4,34 @@
 
 const (
 	dialTimeout Time = 5_000_000 // µs
-	// initialSeed is the state that each Clients begins its random numbers with; xorshift64 needs one other than 0.
+	// initialSeed is the initial state of the random number generator of each Clients; xorshift64 needs a state other than 0.
 	initialSeed uint64 = 88172645463325252
 )
 
-// Clients send to one server, which may be a router or a plain proxy.
+// Clients is a group of clients that send requests to one server, which may be a router or a plain proxy.
 type Clients struct {
 	machine      machine.Machine
 	options      Options
 	addr         string
-	idle         int // idle clients that were connected so far
+	idle         int // idle clients that were dialed so far
 	conns        []*clientConn
-	from         Time // answers before it are not counted
-	until        Time
+	from         Time // start of the measured span; earlier answers are not counted
+	until        Time // end of the measured span
 	requestsSent int64
 	next         int // connection of the open loop's next request
 	rng          uint64
 
 	Latency Histogram
-	// Served, Refused and Failed count answers, Broken connections that ended.
+	// Served, Refused and Failed count answers; Broken counts connections that failed or ended.
 	Served, Refused, Failed, Broken int64
 	Up                              int // connections that were established
-	idleAnswers                     int // answers to idle clients, each of which is owed one
-	// Asked, of the requests of the measured span, counts all; Done those with an answer; InTime those with one within the
-	// latency objective; Overdue those with one after their Wait and a little more. Surplus counts answers to no request.
+	idleAnswers                     int // answers to idle clients; each idle client expects one
+	// Asked counts the requests of the measured span; Done the answered requests among them; InTime those answered within
+	// the latency objective; Overdue those answered later than Wait plus overdueSlack. Surplus counts answers without a request.
 	Asked, Done, InTime, Overdue, Surplus int64
 }
 
-// maxIdleDials is the number of idle clients that connect at once; a listener rejects more than its queue holds.
+// maxIdleDials is the number of idle clients that connect at once; a listener rejects more connections than its queue holds.
 const maxIdleDials = 256
 
 // NewClients connects clients to an address.
@@ -71,7 +71,7 @@
 	})
 }
 
-// Run has the clients send for a span, after a time that is not counted, and then calls done.
+// Run makes the clients send requests for a warm-up that is not counted and then for a measured span, and calls done at the end.
 func (c *Clients) Run(warm, span Time, done func()) {
 	now := c.machine.Now()
 	c.from, c.until = now+warm, now+warm+span
@@ -96,7 +96,7 @@
 	}
 }
 
-// arrive sends the requests of an open loop that are due. The time of each counts from when it was due.
+// arrive sends the requests of an open loop that are due. The latency of each request counts from the instant it was due.
 func (c *Clients) arrive(due float64) {
 	for due <= float64(c.machine.Now()) {
 		c.conns[c.next%c.options.Connections].sendRequest(Time(due))
@@ -108,7 +108,7 @@
 	}
 }
 
-// random draws a number (xorshift64).
+// random returns a pseudorandom number (xorshift64).
 func (c *Clients) random() uint64 {
 	c.rng ^= c.rng << 13
 	c.rng ^= c.rng >> 7
--- a/internal/testbench/load/histogram.go
+++ b/internal/testbench/load/histogram.go
@@ -8,7 +8,7 @@
 const (
 	// bucketsPerDoubling is the number of buckets between a time and its double.
 	bucketsPerDoubling = 16
-	// histogramDoublings reach from 1 µs to over an hour.
+	// histogramDoublings is the number of doublings, which cover 1 µs to over an hour.
 	histogramDoublings = 40
 )
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// bucketOf returns the bucket that a time falls into.
+// bucketOf returns the index of the bucket for a time.
 func bucketOf(t Time) int {
 	if t < bucketsPerDoubling {
 		return int(max(t, 0))
@@ -44,13 +44,13 @@
 	return min((exponent+1)*bucketsPerDoubling+int(t>>exponent)-bucketsPerDoubling, histogramDoublings*bucketsPerDoubling-1)
 }
 
-// N is the number of times.
+// N returns the number of recorded times.
 func (h *Histogram) N() int64 { return h.total }
 
-// Mean is the mean of the times; 0 where there are none.
+// Mean returns the mean of the times; 0 if there are none.
 func (h *Histogram) Mean() float64 { return float64(h.sum) / math.Max(1, float64(h.total)) }
 
-// Quantile is the upper end of the bucket in which the fraction q of the times is reached.
+// Quantile returns the upper end of the bucket that contains the quantile q of the times.
 func (h *Histogram) Quantile(q float64) Time {
 	left := int64(math.Ceil(q * float64(h.total)))
 	for i, n := range h.counts {
--- a/internal/testbench/load/load.go
+++ b/internal/testbench/load/load.go
@@ -1,6 +1,6 @@
-// Package load measures routers: a cache that answers at once at almost no cost, and clients that send to it through a
-// router, in a closed loop (each sends again as soon as it is answered) or an open one (requests arrive at a rate, whatever
-// the answers). It runs on a machine, beside the processes that it measures.
+// Package load measures routers. It provides a cache that answers at once at almost no cost, and clients that send requests to
+// the cache through a router, in a closed loop (each client sends again as soon as it is answered) or an open loop (requests
+// arrive at a fixed rate, independent of the answers). It runs on a machine, beside the processes that it measures.
 package load
 
 import "starlingwinch/internal/machine"
@@ -11,20 +11,20 @@
 // readSize is the size of a connection's read buffer, in bytes.
 const readSize = 64 << 10
 
-// overdueSlack is how much longer than a request's wait its answer may take before it counts as overdue.
+// overdueSlack is added to a request's Wait; a later answer counts as overdue.
 const overdueSlack Time = 50_000 // µs
 
 // Options say how clients send requests.
 type Options struct {
 	Connections      int
-	Rate             float64 // requests a second over all connections, in an open loop; 0 for a closed one
-	Pipeline         int     // requests that a connection has out at a time, in a closed loop; 0 for 1
+	Rate             float64 // requests per second over all connections, in an open loop; 0 for a closed loop
+	Pipeline         int     // concurrent requests per connection, in a closed loop; 0 means 1
 	Keys             int
-	HotFraction      float64 // fraction of requests that name one key
+	HotFraction      float64 // fraction of requests for a single hot key
 	Class            string
-	Wait             Time // the time that a request is given
-	Idle             int  // further connections that send one request and then none
-	Plain            bool // GET KEY, for proxies that know no other commands
-	Write            bool // C.SET, of a class whose repeats caches drop
-	LatencyObjective Time // an answer up to here is in time
+	Wait             Time // timeout of a request
+	Idle             int  // additional connections that send a single request
+	Plain            bool // send GET KEY, for proxies that support no other commands
+	Write            bool // send C.SET, for a class whose repeats caches drop
+	LatencyObjective Time // an answer within this time counts as in time
 }
--- a/internal/testbench/load/load_test.go
+++ b/internal/testbench/load/load_test.go
@@ -15,7 +15,7 @@
 	for _, q := range []float64{.001, .5, .99, 1} {
 		want := Time(q * 100_000)
 		if got := h.Quantile(q); got < want || got > want+want/16+1 {
-			t.Errorf("quantile %g: %d, wanted %d to a sixteenth more", q, got, want)
+			t.Errorf("quantile %g: got %d, want %d to a sixteenth more", q, got, want)
 		}
 	}
 	if h.N() != 100_000 || h.Mean() != 50_000.5 {
@@ -23,8 +23,8 @@
 	}
 }
 
-// ask plays clients against a server on a virtual network for a virtual second.
-func ask(t *testing.T, o Options, serve func(m machine.Machine) (addr string)) *Clients {
+// runClients runs clients against a server on a simulated network for one second of simulated time.
+func runClients(t *testing.T, o Options, serve func(m machine.Machine) (addr string)) *Clients {
 	t.Helper()
 	w := sim.New(1)
 	m := w.Host("all", "10.0.0.1", sim.HostOptions{}).Machine()
@@ -46,7 +46,7 @@
 func TestClientsCountEachAnswerOnce(t *testing.T) {
 	var cache *Cache
 	open := Options{Connections: 4, Rate: 500, Keys: 10, Plain: true}
-	c := ask(t, open, func(m machine.Machine) string {
+	c := runClients(t, open, func(m machine.Machine) string {
 		var err error
 		if cache, err = NewCache(m, "10.0.0.1:0", 100); err != nil {
 			t.Fatal(err)
@@ -60,10 +60,10 @@
 	}
 }
 
-// chatter answers each read with two values.
-type chatter struct{ nc machine.Conn }
+// surplusServer answers each read with two values.
+type surplusServer struct{ nc machine.Conn }
 
-func (h chatter) Readable() {
+func (h surplusServer) Readable() {
 	b := make([]byte, readSize)
 	for {
 		if _, err := h.nc.Read(b); err != nil {
@@ -72,17 +72,17 @@
 		h.nc.Write([]byte("$1\r\na\r\n$1\r\na\r\n"))
 	}
 }
-func (chatter) Writable() {}
+func (surplusServer) Writable() {}
 
 func TestSurplusAnswersDoNotGrowLoad(t *testing.T) {
-	c := ask(t, Options{Connections: 2, Keys: 1, Plain: true}, func(m machine.Machine) string {
-		ln, err := m.Listen("10.0.0.1:0", func(nc machine.Conn) machine.Handler { return chatter{nc} })
+	c := runClients(t, Options{Connections: 2, Keys: 1, Plain: true}, func(m machine.Machine) string {
+		ln, err := m.Listen("10.0.0.1:0", func(nc machine.Conn) machine.Handler { return surplusServer{nc} })
 		if err != nil {
 			t.Fatal(err)
 		}
 		return ln.Addr()
 	})
 	if c.Failed != 2 || c.requestsSent > 10 {
-		t.Errorf("failed %d, asked %d: wanted one failure for each connection, and its end", c.Failed, c.requestsSent)
+		t.Errorf("got %d failures and %d requests, want 2 failures, one per connection, and at most 10 requests", c.Failed, c.requestsSent)
 	}
 }
--- a/internal/testbench/load/target.go
+++ b/internal/testbench/load/target.go
@@ -19,13 +19,13 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// startTimeout is how long a process may take until it serves, and until it has ended after a signal.
+// startTimeout bounds the time until a process serves, and the time until it exits after a signal.
 const startTimeout = 20 * time.Second
 
 // Errors of StartRouter.
 var (
-	errRouterEnded      = errors.New("the router ended before it served")
-	errRouterNotServing = errors.New("the router does not serve")
+	errRouterEnded      = errors.New("the router exited before it served")
+	errRouterNotServing = errors.New("the router did not serve within the start timeout")
 )
 
 // Target is a process under load.
@@ -35,19 +35,20 @@
 	dir  string
 }
 
-// Limits are the limits of its machine that a router is configured with, and its place among the routers.
+// Limits are the machine limits that a router is configured with, and the router's number in its cluster.
 type Limits struct {
 	Cores    float64
 	MemoryMB int64
 	Sockets  int
-	Self     int // its number, from 0
-	Routers  int // of the cluster; 0 to configure none
+	Self     int // number of the router, from 0
+	Routers  int // number of routers in the cluster; 0 to configure no peers
 }
 
-// Core is the processor that targets run on, so that their throughputs compare; below 0 they run on any.
+// Core is the processor that targets run on, so that their throughputs are comparable. If Core is negative, targets run on any
+// processor.
 var Core = -1
 
-// command returns a program that runs on Core.
+// command returns the command for a program, pinned to Core.
 func command(ctx context.Context, program string, args ...string) *exec.Cmd {
 	if Core >= 0 {
 		if taskset, err := exec.LookPath("taskset"); err == nil {
@@ -82,7 +83,7 @@
 	return t, nil
 }
 
-// prepare makes a target with a folder and a file in it.
+// prepare creates a target with a temporary directory and writes a file into it.
 func prepare(name string, content []byte) (t *Target, path string, err error) {
 	dir, err := os.MkdirTemp("", "load")
 	if err != nil {
@@ -96,7 +97,7 @@
 	return t, path, nil
 }
 
-// serving reads the log up to the address, and discards the rest.
+// serving returns the address that the router logs when it serves, and discards the rest of the log.
 func (t *Target) serving(log io.Reader) (string, error) {
 	addr := make(chan string, 1)
 	go func() {
@@ -122,7 +123,7 @@
 	}
 }
 
-// Stop ends the process.
+// Stop terminates the process, with SIGKILL if it outlasts startTimeout, and removes its directory.
 func (t *Target) Stop() {
 	if t.cmd != nil {
 		t.cmd.Process.Signal(syscall.SIGTERM)
@@ -133,13 +134,13 @@
 	os.RemoveAll(t.dir)
 }
 
-// Usage is the resources that a process has used so far.
+// Usage is the resource usage of a process so far.
 type Usage struct {
 	CPU        time.Duration // user and system
 	ResidentMB float64
 }
 
-// Usage reads the usage of the process from the system.
+// Usage returns the usage of the process, as the operating system reports it.
 func (t *Target) Usage() (u Usage, err error) {
 	pid := t.cmd.Process.Pid
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -161,7 +162,7 @@
 	return u, err
 }
 
-// residentMB returns the resident memory of a process, 0 where it has ended.
+// residentMB returns the resident memory of a process; 0 if the process has ended.
 func residentMB(pid int) (float64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -173,15 +174,15 @@
 			return kb / 1024, nil
 		}
 	}
-	return 0, nil // it has ended
+	return 0, nil // the process has ended
 }
 
-// FamilyMB is the resident memory of the process and of its children, together.
+// FamilyMB returns the total resident memory of the process and its children.
 func (t *Target) FamilyMB() float64 {
 	sum, _ := residentMB(t.cmd.Process.Pid)
 	lists, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", t.cmd.Process.Pid))
 	for _, name := range lists {
-		children, _ := os.ReadFile(name) // one that has ended meanwhile uses nothing
+		children, _ := os.ReadFile(name) // a thread that has ended has no children
 		for _, word := range strings.Fields(string(children)) {
 			if pid, err := strconv.Atoi(word); err == nil {
 				mb, _ := residentMB(pid)
@@ -192,7 +193,7 @@
 	return sum
 }
 
-// routerConfig is the platform's file for a router with a fixed list of warm caches.
+// routerConfig returns the configuration file of a router with a fixed list of warm caches.
 func routerConfig(limits Limits, caches []string) []byte {
 	type object = map[string]any
 	s := standin.DefaultRouterSettings()
@@ -201,7 +202,7 @@
 	s.AllowHealthChecks = false
 	var config object
 	if err := json.Unmarshal(s.JSON(), &config); err != nil {
-		panic(err) // the stand-ins wrote it
+		panic(err) // unreachable: package standin encoded it
 	}
 	var endpoints []object
 	for i, addr := range caches {
@@ -218,7 +219,7 @@
 	config["known"] = object{"index": 1, "snapshot": true, "endpoints": endpoints}
 	raw, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // it holds only numbers and strings
+		panic(err) // unreachable: the configuration holds only encodable values
 	}
 	return raw
 }
@@ -227,7 +228,7 @@
 type Result struct {
 	Requests        int64
 	PerSecond       float64
-	CPU             float64 // microseconds of the target for each request
+	CPU             float64 // CPU time of the target per request, in microseconds
 	P50, P99        Time
 	ResidentMB      float64
 	Refused, Failed int64
@@ -264,8 +265,8 @@
 		P99: c.Latency.Quantile(.99), ResidentMB: after.ResidentMB, Refused: c.Refused, Failed: c.Failed}, nil
 }
 
-// Hold keeps clients connected that send one request and then none; it calls from after warm, and to a span later. It returns
-// an error unless each of them was answered and stayed connected to the end.
+// Hold keeps idle clients connected that each send a single request. It calls from after the duration warm, and to at the end of
+// the span. It returns an error unless each client was answered and stayed connected to the end.
 func Hold(t *Target, idle int, warm, span Time, from, to func()) error {
 	m, err := machine.New(machine.Options{Log: io.Discard})
 	if err != nil {
@@ -284,7 +285,7 @@
 	})
 	m.Run()
 	if up != idle || c.idleAnswers != idle {
-		return fmt.Errorf("of %d idle clients %d came up, %d broke and %d were answered", idle, c.Up, c.Broken, c.idleAnswers)
+		return fmt.Errorf("of %d idle clients, %d connected, %d connections broke and %d were answered", idle, c.Up, c.Broken, c.idleAnswers)
 	}
 	return nil
 }
--- a/internal/testbench/rules/answers.go
+++ b/internal/testbench/rules/answers.go
@@ -1,6 +1,6 @@
 package rules
 
-// checkAnswer checks a final answer against what the caches did.
+// checkAnswer checks a final answer against the recorded attempts of its request.
 func (w *Watcher) checkAnswer(r *request, value string) {
 	v := Violation{At: r.finalAt}
 	switch r.final {
@@ -21,7 +21,7 @@
 			}
 		}
 	case Cut:
-		// The router is not responsible for a value that its cache did not finish either.
+		// The router is not responsible for a truncated value if a cache did not finish its own reply.
 		for i := range r.attempts {
 			if !r.attempts[i].replied {
 				return
@@ -31,12 +31,12 @@
 			return
 		}
 		r.class.tally.Lost++
-		v.Rule, v.Text = Lost, "its value was cut off, though the caches had given theirs whole"
+		v.Rule, v.Text = Lost, "the value was truncated although every cache had replied in full"
 		w.reportViolation(r, v)
 	}
 }
 
-// wrongValue says what is wrong with a value that a request was served with, and returns "" for a right one.
+// wrongValue describes why the value that a request was served with is wrong, and returns "" for a correct value.
 func (w *Watcher) wrongValue(r *request, value string) string {
 	served := false
 	for i := range r.attempts {
@@ -54,16 +54,16 @@
 	case owner != nil:
 		return "the value was made for request " + owner.sent.ID
 	case served:
-		return "no cache has made this value for it"
+		return "no cache has served this request with this value"
 	default:
 		return "no cache has served it"
 	}
 }
 
-// requestServedWith returns the first request, in the order of sending, that a cache made the value for.
+// requestServedWith returns the request, the first in the order of sending, that a cache served with the value.
 func (w *Watcher) requestServedWith(value string) *request {
 	var first *request
-	for _, r := range w.requests { // any order: the first one sent counts
+	for _, r := range w.requests { // the map order is irrelevant: the request sent first is returned
 		if first != nil && first.order < r.order {
 			continue
 		}
--- a/internal/testbench/rules/cache.go
+++ b/internal/testbench/rules/cache.go
@@ -1,31 +1,34 @@
 package rules
 
-// startTimeTolerance is how far a start in the endpoint list, which counts in milliseconds, may lie before the real one.
+// startTimeTolerance is how far a start time in the endpoint list, which has millisecond resolution, may lie before the actual
+// start.
 const startTimeTolerance Time = 1000 // µs
 
-// cache is a cache's name, over all its processes.
+// cache is the record of a cache name across successive processes.
 type cache struct {
 	name         string
 	zone, cell   string
 	process      *cacheProcess
 	load         slidingWindow
-	notifiedLoad slidingWindow // the part from routers that had been notified of its start
-	overloaded   bool          // its load was over the limit when work last arrived
+	notifiedLoad slidingWindow // the part of load from routers that had been notified of the cache's start
+	overloaded   bool          // the load exceeded the limit when work last arrived
 }
 
-// cacheProcess is one process of a cache. Attempts point to theirs, so its end ends them all at once.
+// cacheProcess is one process of a cache. Each attempt points to its process, so the end of the process ends all of its
+// attempts at once.
 type cacheProcess struct {
 	down             bool
 	downAt           Time
 	started          Time
-	capacity         float64 // work (µs) a second when warm; 0 where it is unknown
-	startFraction    float64 // of the capacity, at the start
+	capacity         float64 // work (µs) per second when warm; 0 if unknown
+	startFraction    float64 // fraction of the capacity at the start
 	warmupDuration   Time
 	overloadReported bool
-	notifiedRouters  map[string]bool // routers that were notified of its start; nil before CacheUp
+	notifiedRouters  map[string]bool // routers that were notified of the start; nil before CacheUp
 }
 
-// capacityFraction is the fraction of its capacity that the process has now. It rises linearly from the start fraction.
+// capacityFraction returns the fraction of its warm capacity that the process has now. The fraction rises linearly from
+// startFraction to 1 over the warmup duration.
 func (p *cacheProcess) capacityFraction(now Time) float64 {
 	age := now - p.started
 	if age >= p.warmupDuration {
@@ -34,7 +37,7 @@
 	return p.startFraction + (1-p.startFraction)*float64(age)/float64(p.warmupDuration)
 }
 
-// cache returns the cache of that name, which is made at its first event.
+// cache returns the cache with the given name, and creates its record at the first event.
 func (w *Watcher) cache(name string) *cache {
 	c := w.caches[name]
 	if c == nil {
@@ -46,8 +49,8 @@
 	return c
 }
 
-// Place sets the zone and the cell of a cache, for classes with a deduplication scope. Caches that were not placed are in
-// one zone and cell.
+// Place sets the zone and the cell of a cache, for classes with a deduplication scope. Caches without a call to Place share one
+// zone and cell.
 func (w *Watcher) Place(cache, zone, cell string) {
 	c := w.cache(cache)
 	c.zone, c.cell = zone, cell
@@ -58,7 +61,7 @@
 	w.advance(now)
 	c := w.cache(name)
 	if !c.process.down {
-		c.process.down, c.process.downAt = true, now // its end was not reported
+		c.process.down, c.process.downAt = true, now // the end of the previous process was not reported
 	}
 	c.process = &cacheProcess{
 		started:         now,
@@ -97,5 +100,5 @@
 		w.counts.Overloads++
 		return
 	}
-	w.reportWarmupOverload(c, now, "it fell")
+	w.reportWarmupOverload(c, now, "the cache crashed")
 }
--- a/internal/testbench/rules/checkqueue.go
+++ b/internal/testbench/rules/checkqueue.go
@@ -1,18 +1,18 @@
 package rules
 
-// checkKind says what is checked when its time has passed.
+// checkKind is the kind of a pending check.
 type checkKind uint8
 
 const (
-	checkDeadline         checkKind = iota // has the request an answer?
-	checkBrokenConnection                  // was its router killed when the connection broke?
-	checkOverlap                           // was the earlier attempt closed when the later one was sent?
+	checkDeadline         checkKind = iota // whether the request has an answer
+	checkBrokenConnection                  // whether the router was killed when the connection broke
+	checkOverlap                           // whether the earlier attempt was closed when the later attempt was sent
 )
 
-// pendingCheck is a check that is made once the instant at has passed.
+// pendingCheck is a check that runs once the instant at has passed.
 type pendingCheck struct {
 	at             Time
-	order          uint64 // among checks of one instant
+	order          uint64 // order among checks that are due at the same instant
 	kind           checkKind
 	request        *request
 	earlier, later int // checkOverlap only: indices of the two attempts
@@ -22,10 +22,10 @@
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
-// checkQueue is a binary heap with the check that is due first at its root.
+// checkQueue is a binary heap; the check that is due first is at the root.
 type checkQueue struct {
 	items []pendingCheck
-	order uint64 // of the next check
+	order uint64 // order of the next check
 }
 
 func (q *checkQueue) push(check pendingCheck) {
--- a/internal/testbench/rules/counts.go
+++ b/internal/testbench/rules/counts.go
@@ -1,17 +1,17 @@
 package rules
 
-// Tally counts requests of a class; each try of a client counts as one.
+// Tally counts the requests of a class; each try of a client, including retries, counts as one request.
 type Tally struct {
-	Class                   string // empty for all together
-	Asked                   int    // requests that were sent
-	Served, InTime          int    // InTime: of those served, within the latency objective
+	Class                   string // empty for the sum over all classes
+	Asked                   int    // requests that clients sent
+	Served, InTime          int    // InTime: the served requests that met the latency objective
 	Refused, Failed         int
 	Lost, Doubled           int
-	Left, Excused           int     // the client left before its deadline; the router was killed
-	WorthAsked, WorthEarned float64 // points that the requests could earn, and earned
+	Left, Excused           int     // Left: the client left before the deadline; Excused: the router was killed
+	WorthAsked, WorthEarned float64 // points that the requests could earn, and points that they earned
 }
 
-// EarnedFraction is the fraction of the possible points that was earned; 1 where there were no requests.
+// EarnedFraction returns the earned fraction of the possible points; 1 if no points were possible.
 func (t Tally) EarnedFraction() float64 {
 	if t.WorthAsked == 0 {
 		return 1
@@ -25,17 +25,17 @@
 	Classes   []Tally // by name
 	Broken    [ruleCount]int
 	Attempts  int
-	Overloads int // spells in which a warm cache got more than the overload multiple of its capacity; breaks no rule
-	Undropped int // repeats that ran though caches should have dropped them; not the routers' doing
-	Unsettled int // requests still open at Close, before their deadline
-	Strange   int // inconsistent reports, such as a request that is sent again after its end
+	Overloads int // periods in which a warm cache got more than the overload multiple of its capacity; no rule is broken
+	Undropped int // repeats that ran although caches should have dropped them; not caused by the routers
+	Unsettled int // requests that were still open, before their deadline, at Close
+	Strange   int // inconsistent reports, such as a request that is sent again after it has ended
 	Held      int // requests in memory
 }
 
-// LateDrains is the number of attempts begun at caches that drained or were gone.
+// LateDrains returns the number of attempts that began at draining or removed caches after the drain grace.
 func (c Counts) LateDrains() int { return c.Broken[LateDrain] }
 
-// Violations is the number of broken rules.
+// Violations returns the total number of violations of all rules.
 func (c Counts) Violations() int {
 	n := 0
 	for _, v := range c.Broken {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// add sums another tally into this one.
+// add adds the counts of another tally to t.
 func (t *Tally) add(other Tally) {
 	t.Asked += other.Asked
 	t.Served += other.Served
--- a/internal/testbench/rules/drain.go
+++ b/internal/testbench/rules/drain.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// listing is what a router was last notified of about one cache.
+// listing is a router's latest notice about whether one cache takes work.
 type listing struct {
-	out  bool // the cache takes no work now
-	from Time // no work since this notice
-	to   Time // up to this one, once out is false again
+	withdrawn   bool // the cache takes no work now
+	withdrawnAt Time // instant of the notice that the cache takes no work
+	restoredAt  Time // instant of the notice that the cache takes work again; valid when withdrawn is false
 }
 
 // Listed implements Observer.
@@ -16,20 +16,21 @@
 	l := listed[cacheName]
 	switch {
 	case !takesWork && l == nil:
-		listed[cacheName] = &listing{out: true, from: now}
-	case !takesWork && !l.out:
-		*l = listing{out: true, from: now}
-	case takesWork && l != nil && l.out:
-		l.out, l.to = false, now // the listing stays, as an attempt sent before may arrive later
+		listed[cacheName] = &listing{withdrawn: true, withdrawnAt: now}
+	case !takesWork && !l.withdrawn:
+		*l = listing{withdrawn: true, withdrawnAt: now}
+	case takesWork && l != nil && l.withdrawn:
+		l.withdrawn, l.restoredAt = false, now // the listing stays: an attempt that was sent before may arrive later
 	}
 }
 
 // checkDrain reports a new attempt at a draining or removed cache after the drain grace. r is nil for an unknown request.
 func (w *Watcher) checkDrain(r *request, id string, a *attempt) {
 	l := w.router(a.router).listed[a.cache.name]
-	if l == nil || a.earliestSent <= l.from+w.settings.DrainGrace+w.settings.Slack || !l.out && a.latestSent >= l.to {
+	if l == nil || a.earliestSent <= l.withdrawnAt+w.settings.DrainGrace+w.settings.Slack ||
+		!l.withdrawn && a.latestSent >= l.restoredAt {
 		return
 	}
 	w.reportViolation(r, Violation{Rule: LateDrain, At: a.latestSent, Request: id, Cache: a.cache.name, Router: a.router,
-		Text: fmt.Sprintf("sent %s after the router was told", span(a.earliestSent-l.from))})
+		Text: fmt.Sprintf("sent %s after the router was notified", span(a.earliestSent-l.withdrawnAt))})
 }
--- a/internal/testbench/rules/execution.go
+++ b/internal/testbench/rules/execution.go
@@ -28,17 +28,17 @@
 	if r.effects < 2 {
 		return
 	}
-	// The routers may rely on it that caches drop a repeat inside its scope and window.
+	// Routers may rely on caches to drop a repeat inside the deduplication scope and the idempotency window.
 	if r.class.Semantics == IdempotentByKey && !r.anyOutsideDeduplication() {
 		w.counts.Undropped++
 		return
 	}
 	w.reportViolation(r, Violation{Rule: RanTwice, At: now, Cache: a.Cache, Router: a.Router,
-		Text: fmt.Sprintf("it took place %d times", r.effects)})
+		Text: fmt.Sprintf("the effect took place %d times", r.effects)})
 }
 
-// anyOutsideDeduplication reports whether an attempt was sent where, or when, caches do not drop its repeat. The routers
-// cannot choose which of two attempts runs first, so any one counts.
+// anyOutsideDeduplication reports whether any attempt was sent outside the deduplication scope or the idempotency window.
+// Routers cannot choose which of two attempts runs first, so either attempt counts.
 func (r *request) anyOutsideDeduplication() bool {
 	for i := range r.attempts {
 		if r.attempts[i].outsideDeduplication {
@@ -55,14 +55,14 @@
 	a := &r.attempts[latest]
 	resent := false
 	for i := range latest {
-		// A client that sends a request once more, because its connection's close crossed it, may reach another router,
-		// which knows nothing of the first one's attempts.
+		// A client that resends a request, because the close of its connection crossed the request, may reach another router,
+		// which knows nothing of the first router's attempts.
 		if r.attempts[i].router != a.router {
 			continue
 		}
 		earlier, later := i, latest
 		if a.latestSent < r.attempts[i].latestSent {
-			earlier, later = latest, i // the attempt that was sent first has arrived last
+			earlier, later = latest, i // the attempt that was sent first arrived last
 		}
 		w.scheduleOverlapCheck(r, earlier, later)
 		resent = w.checkResent(r, &r.attempts[earlier], &r.attempts[later], resent) || resent
@@ -75,20 +75,20 @@
 	switch {
 	case r.state == stateAnswered && a.earliestSent > r.finalAt:
 		v.Rule = SentAfterFinal
-		v.Text = fmt.Sprintf("sent %s after it was %s", span(a.earliestSent-r.finalAt), r.final)
+		v.Text = fmt.Sprintf("sent %s after the request was %s", span(a.earliestSent-r.finalAt), r.final)
 	case r.state == stateLeft && a.earliestSent > r.leftAt+clientLeftGrace+w.settings.Slack:
 		v.Rule = SentAfterLeft
-		v.Text = fmt.Sprintf("sent %s after that", span(a.earliestSent-r.leftAt))
+		v.Text = fmt.Sprintf("sent %s after the client left", span(a.earliestSent-r.leftAt))
 	case r.state == stateAnswered && r.final == Refused && !r.class.allowsRejectAfterRun():
 		v.Rule = RefusedAfterRun
-		v.Text = "an attempt was under way when it was refused"
+		v.Text = "an attempt was in flight when the request was refused"
 	default:
 		return
 	}
 	w.reportViolation(r, v)
 }
 
-// checkAttemptCount reports an attempt beyond those that one router may make of a request.
+// checkAttemptCount reports an attempt that exceeds the number of attempts that one router may make for a request.
 func (w *Watcher) checkAttemptCount(r *request, a *attempt) {
 	count := 0
 	for i := range r.attempts {
@@ -98,12 +98,12 @@
 	}
 	if w.settings.MaxAttempts > 0 && count > w.settings.MaxAttempts {
 		w.reportViolation(r, Violation{Rule: TooManyAttempts, At: a.latestSent, Cache: a.cache.name, Router: a.router,
-			Text: fmt.Sprintf("the %dth", count)})
+			Text: fmt.Sprintf("attempt number %d", count)})
 	}
 }
 
-// checkResent checks two attempts of a request, one sent after the other, and reports whether the later one broke a rule.
-// Only one violation of an attempt is reported, and reported says that there was one.
+// checkResent checks two attempts of a request, one sent after the other, and returns whether the later attempt broke a rule.
+// At most one violation is reported for an attempt; the argument reported says whether there was one before.
 func (w *Watcher) checkResent(r *request, earlier, later *attempt, reported bool) bool {
 	if r.class.Semantics == Idempotent || earlier.wasRejectedBy(later.latestSent) {
 		return false
@@ -114,10 +114,10 @@
 		v.Rule = KeyedResent
 		after := later.earliestSent - earlier.latestSent
 		switch {
-		case !sameGroup(r.class.Scope, earlier.cache, later.cache):
-			v.Text += ", whose group drops the repeat, and this is another"
+		case !sameScope(r.class.Scope, earlier.cache, later.cache):
+			v.Text += ", and this cache is outside the deduplication scope of that cache"
 		case after > r.class.IdempotencyWindow+w.settings.Slack:
-			v.Text += ", sent " + span(after) + " before, longer than the key is known"
+			v.Text += ", sent " + span(after) + " before, which is longer than the idempotency window"
 		default:
 			return false
 		}
@@ -129,8 +129,8 @@
 	return true
 }
 
-// sameGroup reports whether two caches drop each other's repeats.
-func sameGroup(scope DeduplicationScope, a, b *cache) bool {
+// sameScope reports whether two caches drop each other's repeats.
+func sameScope(scope DeduplicationScope, a, b *cache) bool {
 	switch scope {
 	case ScopeAll:
 		return true
@@ -141,23 +141,24 @@
 	}
 }
 
-// scheduleOverlapCheck has two attempts checked once every cache must have seen the close of the earlier one. A router that
-// closes one connection and sends on another at once is seen by two caches, and the farther one sees the close last.
+// scheduleOverlapCheck schedules a check of two attempts for the instant by which the cache must have seen the close of the
+// earlier attempt. When a router closes one connection and sends on another at once, two caches see these events, and the
+// more distant cache may see the close only after the other cache has received the later attempt.
 func (w *Watcher) scheduleOverlapCheck(r *request, earlier, later int) {
 	if w.settings.AllowHedging {
 		return
 	}
 	at := r.attempts[later].latestSent + w.settings.MaxTransit + w.settings.Slack
-	if r.attempts[earlier].outAt(at) {
+	if r.attempts[earlier].inFlightAt(at) {
 		w.pendingChecks.push(pendingCheck{at: at, kind: checkOverlap, request: r, earlier: earlier, later: later})
 	}
 }
 
-// reportOverlap reports the later attempt if the earlier one was still out at the instant at.
+// reportOverlap reports the later attempt if the earlier attempt was still in flight at the instant at.
 func (w *Watcher) reportOverlap(r *request, earlier, later int, at Time) {
 	e, l := &r.attempts[earlier], &r.attempts[later]
-	if e.outAt(at) {
+	if e.inFlightAt(at) {
 		w.reportViolation(r, Violation{Rule: SecondCopy, At: l.latestSent, Cache: l.cache.name, Router: l.router,
-			Text: "the attempt at " + e.cache.name + " was still out"})
+			Text: "the attempt at " + e.cache.name + " was still in flight"})
 	}
 }
--- a/internal/testbench/rules/history.go
+++ b/internal/testbench/rules/history.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// maxHistoryEvents bounds the events that are recorded of one request.
+// maxHistoryEvents bounds the events recorded for one request.
 const maxHistoryEvents = 64
 
-// historyEventKind says what happened.
+// historyEventKind is the kind of an event in a request's history.
 type historyEventKind uint8
 
 const (
@@ -21,11 +21,11 @@
 	eventViolation
 )
 
-// historyEvent is one event in a request's life.
+// historyEvent is one event in the history of a request.
 type historyEvent struct {
 	at     Time
 	sent   Time   // eventAttemptBegan only: the latest instant at which the attempt can have been sent
-	peer   string // the router or the cache that it happened at
+	peer   string // the router or the cache at which the event happened
 	router string // eventAttemptBegan only: the sender
 	kind   historyEventKind
 	answer Answer
@@ -39,8 +39,9 @@
 	}
 }
 
-// History returns a line for each event of a request in the order in which they were reported, with times counted from
-// its sending. It knows the requests in memory and the first ones that broke a rule, and returns nil for others.
+// History returns one line for each event of a request, in the order of the reports. Times count from the sending of the
+// request. History covers the requests in memory and the first maxRequestsWithViolation requests that broke a rule; it returns
+// nil for all others.
 func (w *Watcher) History(id string) []string {
 	r := w.requests[id]
 	if r == nil {
@@ -55,12 +56,12 @@
 		lines = append(lines, fmt.Sprintf("%12s  %s", span(event.at-zero), event.describe(r, zero)))
 	}
 	if len(r.history) == maxHistoryEvents {
-		lines = append(lines, "... what came later was not kept")
+		lines = append(lines, "... later events were not recorded")
 	}
 	return lines
 }
 
-// describe returns the event in words; zero is when its request was sent.
+// describe returns a description of the event; zero is the instant at which the request was sent.
 func (event *historyEvent) describe(r *request, zero Time) string {
 	switch event.kind {
 	case eventSent:
--- a/internal/testbench/rules/overload.go
+++ b/internal/testbench/rules/overload.go
@@ -5,12 +5,12 @@
 	"math"
 )
 
-// minNotifiedFraction is the fraction of a cache's load that must come from routers that were notified of its start, for
-// the routers to answer for the load.
+// minNotifiedFraction is the fraction of a cache's load that must come from routers that were notified of the cache's start
+// for the routers to be responsible for the load.
 const minNotifiedFraction = 2. / 3
 
-// Offered implements Observer. The work is a budget for each window, so a short heavy burst can spend it before the window
-// has passed.
+// Offered implements Observer. The limit is a budget of work per window, so a short heavy burst can exceed the budget before
+// the window has passed.
 func (w *Watcher) Offered(now Time, name, router string, work Time) {
 	w.advance(now)
 	c := w.cache(name)
@@ -24,35 +24,36 @@
 		return
 	}
 	fraction := process.capacityFraction(now)
-	able := process.capacity * fraction * float64(w.settings.OverloadWindow) / 1e6
-	overloaded := float64(c.load.total) > w.allowedWork(able)
+	capacityWork := process.capacity * fraction * float64(w.settings.OverloadWindow) / 1e6
+	overloaded := float64(c.load.total) > w.allowedWork(capacityWork)
 	switch {
 	case overloaded && fraction < 1:
-		w.reportWarmupOverload(c, now, fmt.Sprintf("%.1f times what it can do, in the last %s",
-			float64(c.load.total)/able, span(w.settings.OverloadWindow)))
+		w.reportWarmupOverload(c, now, fmt.Sprintf("%.1f times its capacity over the last %s",
+			float64(c.load.total)/capacityWork, span(w.settings.OverloadWindow)))
 	case overloaded && !c.overloaded:
 		w.counts.Overloads++
 	}
 	c.overloaded = overloaded
 }
 
-// allowedWork is the work in one overload window that a cache bears which is able to do so much in it.
-func (w *Watcher) allowedWork(able float64) float64 {
+// allowedWork returns the work that a cache may be sent in one overload window; capacityWork is the work that the cache can do
+// in the window.
+func (w *Watcher) allowedWork(capacityWork float64) float64 {
 	if w.settings.MeanWork > 0 {
-		return AllowedWork(w.settings.OverloadMultiple*able, w.settings.MeanWork)
+		return AllowedWork(w.settings.OverloadMultiple*capacityWork, w.settings.MeanWork)
 	}
-	return w.settings.OverloadMultiple * (1 + w.settings.OverloadTolerance) * able
+	return w.settings.OverloadMultiple * (1 + w.settings.OverloadTolerance) * capacityWork
 }
 
-// AllowedWork is the work that a cache bears whose limit is that of n requests of mean work: n + 2√n + 2 of them, as
-// arrivals from many routers vary by chance.
+// AllowedWork returns the work that is allowed where the limit is the work of n requests of mean work: the work of
+// n + 2√n + 2 requests, because arrivals from many routers vary by chance.
 func AllowedWork(limit float64, mean Time) float64 {
 	n := limit / float64(mean)
 	return (n + 2*math.Sqrt(n) + 2) * float64(mean)
 }
 
-// reportWarmupOverload reports a cache that was pushed over while it warmed up, once for each of its processes. Load from
-// routers that were not notified of the start breaks no rule.
+// reportWarmupOverload reports a cache that was overloaded while it was warming up, once for each process. Load from routers
+// that were not notified of the start breaks no rule.
 func (w *Watcher) reportWarmupOverload(c *cache, now Time, how string) {
 	c.notifiedLoad.slide(now)
 	c.load.slide(now)
@@ -64,10 +65,10 @@
 		Text: fmt.Sprintf("%s, %s after its start", how, span(now-c.process.started))})
 }
 
-// storeLoad is the work that the store was asked for.
+// storeLoad is the work of the fetches from the store.
 type storeLoad struct {
 	all    slidingWindow
-	warmup slidingWindow // misses at caches that warm up
+	warmup slidingWindow // misses at caches that are warming up
 }
 
 func (s *storeLoad) init(span Time) {
@@ -79,7 +80,8 @@
 func (w *Watcher) StoreOffered(now Time, work Time, warmingUp string) {
 	w.advance(now)
 	w.store.all.add(now, work)
-	// Misses at a cache that warms up count once a router can know of its start: until then none can protect the store.
+	// Misses at a cache that is warming up count once a router was notified of the start: before that, no router can protect
+	// the store.
 	if warmingUp != "" && len(w.cache(warmingUp).process.notifiedRouters) > 0 {
 		w.store.warmup.add(now, work)
 	}
--- a/internal/testbench/rules/random_test.go
+++ b/internal/testbench/rules/random_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// step is one event of a drawn stream.
+// step is one event of a random stream.
 type step struct {
 	at     Time
 	report func(o Observer)
 }
 
-// faultRate says how often a drawn request goes wrong: none does where it is 0.
+// faultRate is the rate of faults in a random stream; at 0 the stream breaks no rule.
 type faultRate struct {
 	faults float64 // fraction of requests that break some rule
 }
@@ -24,7 +24,7 @@
 	drawnCaches  = []string{"a", "b", "c", "a2"}
 )
 
-// draw makes the stream of n requests, one each 5 ms, with retries, refusals, drains, and kills.
+// draw returns a random stream of n requests, one every 5 ms, with retries, rejections, drains and kills.
 func draw(seed uint64, n int, rate faultRate) []step {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var steps []step
@@ -33,13 +33,13 @@
 	for i := range n {
 		drawRequest(rng, report, set, fmt.Sprintf("q%d", i), Time(i)*5*ms, rate)
 	}
-	// Caches drain and come back, unknown to the requests: within the grace.
+	// Caches drain and return within the drain grace, so attempts may still reach them.
 	for at := Time(0); at < Time(n)*5*ms; at += 3000 * ms {
 		cache := drawnCaches[rng.IntN(len(drawnCaches))]
 		report(at, func(o Observer) { o.Listed(at, "r0", cache, false) })
 		report(at+900*ms, func(o Observer) { o.Listed(at+900*ms, "r0", cache, true) })
 	}
-	// One router is killed now and then: its open requests break no rule.
+	// Router r1 is killed every 7 s; its open requests break no rule.
 	for at := 2000 * ms; at < Time(n)*5*ms; at += 7000 * ms {
 		report(at, func(o Observer) { o.RouterDown(at, "r1", false) })
 		report(at+100*ms, func(o Observer) { o.RouterUp(at+100*ms, "r1") })
@@ -48,7 +48,7 @@
 	return steps
 }
 
-// drawRequest draws one request: up to three attempts, each after the end of the one before.
+// drawRequest adds one random request with up to three attempts, each sent after the end of the previous attempt.
 func drawRequest(rng *rand.Rand, report func(Time, func(Observer)), set Settings, id string, at Time, rate faultRate) {
 	name := drawnClasses[rng.IntN(len(drawnClasses))]
 	class := set.Classes[name]
@@ -84,7 +84,7 @@
 		case 1: // failed
 			mayHaveRun = true
 			report(done, func(o Observer) { o.Replied(done, a.Cache, id, Failed, "") })
-		case 2: // given up
+		case 2: // abandoned by the router
 			mayHaveRun = true
 			report(done+10*ms, func(o Observer) { o.Ended(done+10*ms, a.Cache, id) })
 		default:
@@ -150,7 +150,7 @@
 	}
 }
 
-// A verdict may depend neither on the frequency of Tick nor on the order of a map.
+// Verdicts must depend neither on the frequency of Tick nor on the iteration order of maps.
 func TestVerdictIsIndependentOfTicks(t *testing.T) {
 	steps := draw(7, 3000, faultRate{faults: 0.3})
 	run := func(ticks bool) ([]Violation, string) {
@@ -161,12 +161,12 @@
 	}
 	want, counts := run(false)
 	if len(want) < 300 {
-		t.Fatalf("only %d violations: the stream is too tame to show anything", len(want))
+		t.Fatalf("got %d violations, want at least 300 for a meaningful comparison", len(want))
 	}
 	for _, ticks := range []bool{false, true} {
 		got, c := run(ticks)
 		if !slices.Equal(got, want) {
-			t.Errorf("ticks %v: %d violations, without %d, or others", ticks, len(got), len(want))
+			t.Errorf("ticks %v: got %d violations, want the %d violations of the run without ticks", ticks, len(got), len(want))
 		}
 		if c != counts {
 			t.Errorf("ticks %v: counts\n%s\nwant\n%s", ticks, c, counts)
@@ -174,8 +174,8 @@
 	}
 }
 
-// one plays the whole life of one request at a rate of one in 100 µs.
-func one(w *Watcher, i int, id string) {
+// playRequest reports all events of request number i; requests follow each other every 100 µs.
+func playRequest(w *Watcher, i int, id string) {
 	at := Time(i) * 100
 	ask := Request{ID: id, Router: "r", Class: "read", Key: "key", Sent: at, Deadline: at + 1200*ms}
 	a := Attempt{ID: id, Key: "key", Class: "read", Router: "r", Cache: "a", Sent: at, First: at + 1, Last: at + 1}
@@ -193,12 +193,12 @@
 	if testing.Short() {
 		n = 200_000
 	}
-	// A request is held for its deadline and slack, and for the longest window after that.
+	// A request stays in memory until its deadline and slack have passed, and for the retention after that.
 	limit := int((1250*ms + w.retention) / 100)
 	for i := range n {
-		one(w, i, fmt.Sprintf("q%d", i))
+		playRequest(w, i, fmt.Sprintf("q%d", i))
 		if len(w.requests) > limit+1 {
-			t.Fatalf("%d requests are held after %d, at most %d are due", len(w.requests), i, limit)
+			t.Fatalf("%d requests in memory after request %d, want at most %d", len(w.requests), i, limit)
 		}
 	}
 	if c := w.Counts(); c.Served != n || c.Violations() != 0 {
@@ -229,7 +229,7 @@
 	}
 }
 
-// One request with one attempt: five events.
+// BenchmarkRequest measures one request with one attempt, which is five events.
 func BenchmarkRequest(b *testing.B) {
 	w := New(testSettings(), nil)
 	ids := make([]string, 1<<18)
@@ -238,7 +238,7 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		one(w, i, ids[i%len(ids)])
+		playRequest(w, i, ids[i%len(ids)])
 	}
 	if w.Counts().Violations() > 0 {
 		b.Fatal("a rule is broken")
--- a/internal/testbench/rules/request.go
+++ b/internal/testbench/rules/request.go
@@ -3,23 +3,23 @@
 import "fmt"
 
 const (
-	// killNoticeDelay is how long after a broken connection its router may still turn out to have been killed.
+	// killNoticeDelay is how long after a connection breaks the kill of its router may still be reported.
 	killNoticeDelay Time = 250_000 // µs
-	// clientLeftGrace is how long after its client has left an attempt may still begin.
+	// clientLeftGrace is how long after the client of a request left an attempt may still begin.
 	clientLeftGrace Time = 100_000 // µs
-	// maxRetainedValue bounds the values that are retained past the deadline, in bytes.
+	// maxRetainedValue bounds the size in bytes of a value that is retained past the deadline.
 	maxRetainedValue = 256
 )
 
-// requestState says how a request has ended, if it has.
+// requestState is the state of a request: open, or how the request ended.
 type requestState uint8
 
 const (
 	stateOpen     requestState = iota
-	stateAnswered              // by final, at finalAt
+	stateAnswered              // with the answer final, at finalAt
 	stateLost                  // no answer in time, from a live router
-	stateLeft                  // its client left at leftAt
-	stateExcused               // its router was killed
+	stateLeft                  // the client left at leftAt
+	stateExcused               // the router was killed
 )
 
 // request is the record of one request.
@@ -27,14 +27,14 @@
 	sent             Request
 	class            *class
 	process          *routerProcess
-	order            uint64 // number of requests sent before it
+	order            uint64 // number of requests sent before this request
 	state            requestState
 	final            Answer
 	finalAt          Time
-	connectionBroken bool // its connection has ended; the verdict waits for killNoticeDelay
+	connectionBroken bool // the connection has ended; the verdict waits for killNoticeDelay
 	brokenAt         Time
-	leftAt           Time // the earliest instant at which its router can have seen that the client left
-	effects          int  // runs that no cache dropped as a repeat
+	leftAt           Time // earliest instant at which the router can have seen that the client left
+	effects          int  // executions that no cache dropped as a repeat
 	attempts         []attempt
 	history          []historyEvent
 
@@ -57,19 +57,19 @@
 	r.class.tally.WorthAsked += r.class.PriorityWeight
 	w.requests[sent.ID] = r
 	if r.process.down {
-		// No router has read it: the client has not yet noticed that the router is gone.
+		// No router has read the request: the client has not yet noticed that the router is down.
 		r.state = stateExcused
 		r.class.tally.Excused++
 	}
 	if sent.Forgone && r.state == stateOpen {
-		r.state, r.leftAt = stateLeft, sent.Deadline // no router can see it
+		r.state, r.leftAt = stateLeft, sent.Deadline // no router can see that the client has left
 		r.class.tally.Left++
 	}
 	w.pendingChecks.push(pendingCheck{at: sent.Deadline + w.settings.Slack, kind: checkDeadline, request: r})
 }
 
-// resend moves a request that crossed the close of its connection to its second connection. A router that had read the
-// request before it closed the connection has lost it, even if the client believes that the two crossed.
+// resend moves a request that crossed the close of its connection to the second connection. A router that read the request
+// before it closed the connection lost the request, even if the client believes that the request crossed the close.
 func (w *Watcher) resend(now Time, r *request, sent Request) {
 	r.record(historyEvent{at: now, kind: eventSent, peer: sent.Router})
 	if r.state == stateExcused && now <= r.sent.Deadline {
@@ -82,7 +82,7 @@
 	}
 	for i := range r.attempts {
 		if r.attempts[i].router == r.sent.Router && !r.process.killed {
-			w.markLost(r, now, "its connection was closed though its router had read it")
+			w.markLost(r, now, "the router closed the connection after it had read the request")
 			return
 		}
 	}
@@ -91,7 +91,7 @@
 	r.process = w.router(sent.Router).process
 }
 
-// markLost ends a request that got no answer, which its router is responsible for unless it was killed.
+// markLost ends a request that got no answer. The router is responsible for the loss unless the router was killed.
 func (w *Watcher) markLost(r *request, at Time, reason string) {
 	if r.process.killed {
 		r.state = stateExcused
@@ -108,7 +108,7 @@
 	w.advance(now)
 	r := w.requests[id]
 	if r == nil {
-		w.reportViolation(nil, Violation{Rule: Doubled, At: now, Request: id, Text: "an answer to no request known"})
+		w.reportViolation(nil, Violation{Rule: Doubled, At: now, Request: id, Text: "the answer belongs to no known request"})
 		return
 	}
 	r.record(historyEvent{at: now, kind: eventAnswered, answer: kind})
@@ -116,7 +116,7 @@
 	case stateAnswered:
 		r.class.tally.Doubled++
 		w.reportViolation(r, Violation{Rule: Doubled, At: now,
-			Text: fmt.Sprintf("%s after it was %s %s before", kind, r.final, span(now-r.finalAt))})
+			Text: fmt.Sprintf("%s, but the request was already %s %s before", kind, r.final, span(now-r.finalAt))})
 		return
 	case stateLeft, stateExcused:
 		return
@@ -134,7 +134,7 @@
 	w.checkAnswer(r, value)
 }
 
-// countAnswer adds an answer that came in time to the tally of its class.
+// countAnswer adds the answer of a request that was still open to the tally of its class.
 func (w *Watcher) countAnswer(r *request) {
 	t := &r.class.tally
 	switch r.final {
@@ -167,16 +167,16 @@
 	}
 }
 
-// Unseen moves the instant at which a request's router can first have seen that its client left: the connection was cut
-// or slow.
+// Unseen postpones the earliest instant at which a request's router can have seen that the client left, because the
+// connection was cut or slow.
 func (w *Watcher) Unseen(id string, at Time) {
 	if r := w.requests[id]; r != nil && r.state == stateLeft {
 		r.leftAt = max(r.leftAt, at)
 	}
 }
 
-// Broken implements Observer. The verdict waits, as a killed router's connections break before its process is known to
-// be gone.
+// Broken implements Observer. The verdict waits for killNoticeDelay, because the connections of a killed router break before
+// the end of its process is reported.
 func (w *Watcher) Broken(now Time, id string) {
 	w.advance(now)
 	r := w.requests[id]
--- a/internal/testbench/rules/retiredqueue.go
+++ b/internal/testbench/rules/retiredqueue.go
@@ -1,18 +1,18 @@
 package rules
 
-// minRetiredToCompact is the number of forgotten entries below which the queue is not compacted.
+// minRetiredToCompact is the number of removed entries up to which the queue is not compacted.
 const minRetiredToCompact = 64
 
-// retiredRequest is a request past its deadline, remembered until an instant.
+// retiredRequest is a request past its deadline that is retained until an instant.
 type retiredRequest struct {
 	until   Time
 	request *request
 }
 
-// retiredQueue holds the requests past their deadline, in the order in which they are forgotten.
+// retiredQueue holds the requests past their deadline, in the order of their removal.
 type retiredQueue struct {
 	items []retiredRequest
-	head  int // the first entry that is not forgotten
+	head  int // index of the first entry that has not been removed
 }
 
 func (q *retiredQueue) push(until Time, r *request) {
@@ -21,7 +21,7 @@
 
 func (q *retiredQueue) len() int { return len(q.items) - q.head }
 
-// pop removes the first request if its time has passed, and returns nil otherwise.
+// pop removes and returns the first request if its retention is over, and returns nil otherwise.
 func (q *retiredQueue) pop(now Time) *request {
 	if q.len() == 0 || q.items[q.head].until >= now {
 		return nil
--- a/internal/testbench/rules/router.go
+++ b/internal/testbench/rules/router.go
@@ -2,19 +2,20 @@
 
 import "fmt"
 
-// router is a router's name, over all its processes.
+// router is the record of a router name across successive processes.
 type router struct {
 	process             *routerProcess
-	listed              map[string]*listing // by cache: what the present process was last notified of
-	overDescriptorLimit bool                // at the last Usage
+	listed              map[string]*listing // by cache: the latest notice to the current process
+	overDescriptorLimit bool                // at the latest call of Usage
 }
 
-// routerProcess is one process of a router. Requests point to theirs, so its end reaches all of them at once.
+// routerProcess is one process of a router. Each request points to its process, so the end of the process applies to all of
+// its requests at once.
 type routerProcess struct {
 	down, killed bool
 }
 
-// router returns the router of that name, which is made at its first event.
+// router returns the router with the given name, and creates its record at the first event.
 func (w *Watcher) router(name string) *router {
 	r := w.routers[name]
 	if r == nil {
@@ -43,7 +44,7 @@
 	clear(r.listed)
 }
 
-// Usage implements Observer. A spell over the limit is one violation.
+// Usage implements Observer. An uninterrupted period over the limit is one violation.
 func (w *Watcher) Usage(now Time, name string, descriptors, limit int) {
 	w.advance(now)
 	r := w.router(name)
--- a/internal/testbench/rules/rules_test.go
+++ b/internal/testbench/rules/rules_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// harness is a Watcher with short methods that report the events of a request.
+// harness is a Watcher with helper methods that report the events of a request.
 type harness struct {
 	*Watcher
 	got []Violation
@@ -57,7 +57,7 @@
 		First: at, Last: at, Sent: at - 5*ms}
 }
 
-// begin reports an attempt that was sent 5 ms before.
+// begin reports an attempt that was sent 5 ms before its arrival.
 func (s *harness) begin(at Time, cache, id, class string) {
 	s.Began(at, s.attempt(at, cache, id, class))
 }
@@ -66,7 +66,7 @@
 	s.Ran(at, s.attempt(at, cache, id, class), repeat)
 }
 
-// serve reports a cache's work and its reply.
+// serve reports that a cache executed a request and replied.
 func (s *harness) serve(at Time, cache, id, class string) {
 	s.ran(at, cache, id, class, false)
 	s.Replied(at, cache, id, Served, "value of "+id)
@@ -80,7 +80,7 @@
 	return rules
 }
 
-// Each case breaks its rules and no other; where none is named it is the near miss of the case before it.
+// Each case breaks exactly the listed rules. A case without rules is a valid stream close to the violation of the case before it.
 var streams = []struct {
 	name   string
 	broken []Rule
@@ -100,7 +100,7 @@
 		s.Left(1200*ms, "q")
 		s.Tick(2000 * ms)
 	}},
-	{"a client that gives up before its deadline waits for nothing", nil, func(s *harness) {
+	{"a client that gives up before its deadline needs no answer", nil, func(s *harness) {
 		s.send(0, "q", "read")
 		s.Left(1199*ms, "q")
 		s.Tick(2000 * ms)
@@ -121,7 +121,7 @@
 		s.RouterDown(90*ms, "r", true)
 		s.Broken(100*ms, "q")
 	}},
-	{"a killed router's silent connection", nil, func(s *harness) {
+	{"a connection of a killed router stays silent", nil, func(s *harness) {
 		s.send(0, "q", "read")
 		s.RouterDown(90*ms, "r", false)
 		s.RouterUp(200*ms, "r")
@@ -153,7 +153,7 @@
 		s.Answered(50*ms, "q", Served, "value of q")
 		s.Tick(2000 * ms)
 	}},
-	{"a value is cut off that its cache has given whole", []Rule{Lost}, func(s *harness) {
+	{"a value is cut off although its cache sent it whole", []Rule{Lost}, func(s *harness) {
 		s.send(0, "q", "read")
 		s.begin(10*ms, "a", "q", "read")
 		s.serve(40*ms, "a", "q", "read")
@@ -169,7 +169,7 @@
 		s.send(0, "q", "read")
 		s.Answered(1251*ms, "q", Failed, "")
 	}},
-	{"a long value that comes late is still the right one", []Rule{Lost, Late}, func(s *harness) {
+	{"a long value that comes late is still recognized", []Rule{Lost, Late}, func(s *harness) {
 		long := strings.Repeat("v", maxRetainedValue+1)
 		s.send(0, "q", "read")
 		s.begin(10*ms, "a", "q", "read")
@@ -185,7 +185,7 @@
 		s.Answered(10*ms, "q", Refused, "")
 		s.Answered(20*ms, "q", Failed, "")
 	}},
-	{"an answer to a request long forgotten", []Rule{Doubled}, func(s *harness) {
+	{"an answer to a request that is no longer retained", []Rule{Doubled}, func(s *harness) {
 		s.send(0, "q", "read")
 		s.Answered(10*ms, "q", Refused, "")
 		s.Answered(60_000*ms, "q", Failed, "")
@@ -241,7 +241,7 @@
 		s.Left(100*ms, "q")
 		s.begin(260*ms, "a", "q", "read") // sent at 255
 	}},
-	{"an attempt sent while the news of its client's departure is on its way", nil, func(s *harness) {
+	{"an attempt sent before the router can have seen that the client has left", nil, func(s *harness) {
 		s.send(0, "q", "read")
 		s.Left(100*ms, "q")
 		s.begin(255*ms, "a", "q", "read") // sent at 250
@@ -253,39 +253,39 @@
 		s.Replied(200*ms, "a", "q", Refused, "")
 		s.begin(260*ms, "b", "q", "read") // sent at 255
 	}},
-	{"an attempt sent while the client's end is held up on its way", nil, func(s *harness) {
+	{"an attempt sent while the end of the client's connection is delayed", nil, func(s *harness) {
 		s.send(0, "q", "read")
 		s.Left(100*ms, "q")
 		s.Unseen("q", 400*ms)
-		s.Unseen("q", 300*ms)             // what is known does not go back
+		s.Unseen("q", 300*ms)             // an earlier instant changes nothing
 		s.begin(555*ms, "a", "q", "read") // sent at 550
 	}},
-	{"an attempt sent long after the client's end has come at last", []Rule{SentAfterLeft}, func(s *harness) {
+	{"an attempt sent long after the delayed end of the client's connection", []Rule{SentAfterLeft}, func(s *harness) {
 		s.send(0, "q", "read")
 		s.Left(100*ms, "q")
 		s.Unseen("q", 400*ms)
 		s.begin(560*ms, "a", "q", "read") // sent at 555
 	}},
-	{"an attempt sent nobody knows when, long after the final answer", []Rule{SentAfterFinal}, func(s *harness) {
+	{"an attempt with an unknown time of sending, long after the final answer", []Rule{SentAfterFinal}, func(s *harness) {
 		s.send(0, "q", "read")
 		s.Answered(10*ms, "q", Refused, "")
 		a := s.attempt(31*ms, "a", "q", "read")
 		a.Sent = a.First
 		s.Began(31*ms, a)
 	}},
-	{"an attempt sent nobody knows when, perhaps in flight at the final answer", nil, func(s *harness) {
+	{"an attempt with an unknown time of sending, perhaps in flight at the final answer", nil, func(s *harness) {
 		s.send(0, "q", "read")
 		s.Answered(10*ms, "q", Refused, "")
 		a := s.attempt(30*ms, "a", "q", "read")
 		a.Sent = a.First
 		s.Began(30*ms, a)
 	}},
-	{"a second attempt at a cache that has started anew, ended before the next one", nil, func(s *harness) {
+	{"a second attempt at a restarted cache, ended before the next attempt", nil, func(s *harness) {
 		s.settings.AllowHedging = false
 		s.CacheUp(0, "a", 0, 0, 0)
 		s.send(0, "q", "read")
 		s.begin(10*ms, "a", "q", "read")
-		s.CacheUp(20*ms, "a", 0, 0, 0) // the first attempt ends with the process, and no end of its connection is seen
+		s.CacheUp(20*ms, "a", 0, 0, 0) // the first attempt ends with the process; no end of its connection is reported
 		s.begin(30*ms, "a", "q", "read")
 		s.Ended(40*ms, "a", "q")
 		s.begin(50*ms, "b", "q", "read")
@@ -300,14 +300,14 @@
 		s.serve(40*ms, "b", "q", "once")
 		s.Answered(50*ms, "q", Served, "value of q")
 	}},
-	{"an unsafe request is sent again while the first attempt is out", []Rule{NonIdempotentResent}, func(s *harness) {
+	{"an unsafe request is sent again while the first attempt is in flight", []Rule{NonIdempotentResent}, func(s *harness) {
 		s.send(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.Ended(20*ms, "a", "q")
 		s.begin(30*ms, "b", "q", "once")
 		s.Answered(50*ms, "q", Failed, "")
 	}},
-	{"an unsafe request is sent again before it was turned away", []Rule{NonIdempotentResent}, func(s *harness) {
+	{"an unsafe request is sent again before it was rejected", []Rule{NonIdempotentResent}, func(s *harness) {
 		s.settings.AllowHedging = true
 		s.send(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
@@ -315,7 +315,7 @@
 		s.begin(30*ms, "b", "q", "once")
 		s.Answered(50*ms, "q", Failed, "")
 	}},
-	{"a cache turns an unsafe request away on a closed connection", []Rule{NonIdempotentResent}, func(s *harness) {
+	{"a cache rejects an unsafe request on a closed connection", []Rule{NonIdempotentResent}, func(s *harness) {
 		s.send(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.Ended(12*ms, "a", "q")
@@ -333,7 +333,7 @@
 		s.Began(40*ms, again)
 		s.Answered(50*ms, "q", Failed, "")
 	}},
-	{"an unsafe request is sent again after it was turned away", nil, func(s *harness) {
+	{"an unsafe request is sent again after it was rejected", nil, func(s *harness) {
 		s.send(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.Replied(11*ms, "a", "q", Refused, "")
@@ -355,7 +355,7 @@
 		second := s.attempt(2310*ms, "b", "q", "put")
 		s.Began(2310*ms, second)
 		first := s.attempt(2400*ms, "a", "q", "put")
-		first.Sent = 400 * ms // the cache reports a bound of its own
+		first.Sent = 400 * ms // the cache reports only a bound on the time of sending
 		s.Began(2400*ms, first)
 		s.Replied(2500*ms, "b", "q", Served, "x")
 		s.Answered(2500*ms, "q", Served, "x")
@@ -432,7 +432,7 @@
 		s.Answered(10*ms, "q", Refused, "")
 		s.begin(14*ms, "a", "q", "once")
 	}},
-	{"an unsafe request is refused after it was turned away", nil, func(s *harness) {
+	{"an unsafe request is refused after its attempt was rejected", nil, func(s *harness) {
 		s.send(0, "q", "once")
 		s.begin(10*ms, "a", "q", "once")
 		s.Replied(20*ms, "a", "q", Refused, "")
@@ -507,30 +507,30 @@
 		s.begin(1510*ms, "a", "q", "read")
 		s.Answered(1600*ms, "q", Failed, "")
 	}},
-	{"new work to a draining cache by a router that was not told", nil, func(s *harness) {
+	{"new work to a draining cache by a router that was not notified", nil, func(s *harness) {
 		s.Listed(100*ms, "another", "a", false)
 		s.send(1500*ms, "q", "read")
 		s.begin(1510*ms, "a", "q", "read")
 		s.Answered(1600*ms, "q", Failed, "")
 	}},
 	{"a cold cache gets more than its budget", []Rule{WarmupOverload}, func(s *harness) {
-		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms) // 0.1 s of work a second at first: 0.9 s is its budget
+		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms) // 0.1 s of work per second at the start: the budget is 0.9 s
 		s.Offered(10*ms, "a", "", 905*ms)
 		s.Offered(20*ms, "a", "", 905*ms)
 	}},
-	{"a cold cache gets less than its budget again and again", nil, func(s *harness) {
+	{"a cold cache repeatedly gets less than its budget", nil, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		for i := range Time(5) {
 			s.Offered(i*3000*ms, "a", "", 900*ms)
 		}
 	}},
-	{"a cold cache gets steadily what it can bear", nil, func(s *harness) {
+	{"a cold cache steadily gets what it can process", nil, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 2_000_000*ms)
 		for i := range Time(30) {
 			s.Offered(i*1000*ms, "a", "", 290*ms)
 		}
 	}},
-	{"a cold cache gets too much from routers that were told of its start", []Rule{WarmupOverload}, func(s *harness) {
+	{"a cold cache gets too much from routers that were notified of its start", []Rule{WarmupOverload}, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		s.StartNotified(5*ms, "r-1", "a", 0)
 		s.StartNotified(5*ms, "r-2", "a", 0)
@@ -539,7 +539,7 @@
 		s.Offered(30*ms, "a", "r-2", 500*ms)
 	}},
 	{"a cold cache gets too much from routers that can't know of its start", nil, func(s *harness) {
-		s.StartNotified(0, "r-1", "a", 0) // of the life before
+		s.StartNotified(0, "r-1", "a", 0) // the start of the previous process
 		s.CacheUp(2*ms, "a", 1e6, 0.1, 20_000*ms)
 		s.StartNotified(5*ms, "r-2", "a", 2*ms)
 		s.Offered(10*ms, "a", "r-1", 905*ms)
@@ -549,43 +549,43 @@
 	{"a cold cache gets as many calls as its budget and chance allow", nil, func(s *harness) {
 		s.settings.MeanWork = 100 * ms
 		s.CacheUp(0, "a", 1e6, 0.1, 2_000_000*ms)
-		for i := range Time(17) { // 9 of mean work, twice their root and two
+		for i := range Time(17) { // 9 requests of mean work, plus twice the square root of 9, plus 2
 			s.Offered(i*ms, "a", "", 100*ms)
 		}
 	}},
-	{"a cold cache gets more calls than that", []Rule{WarmupOverload}, func(s *harness) {
+	{"a cold cache gets more calls than its budget and chance allow", []Rule{WarmupOverload}, func(s *harness) {
 		s.settings.MeanWork = 100 * ms
 		s.CacheUp(0, "a", 1e6, 0.1, 2_000_000*ms)
 		for i := range Time(18) {
 			s.Offered(i*ms, "a", "", 100*ms)
 		}
 	}},
-	{"a cold cache falls", []Rule{WarmupOverload}, func(s *harness) {
+	{"a cold cache crashes", []Rule{WarmupOverload}, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		s.CacheDown(19_999*ms, "a", true)
 	}},
-	{"a warm cache gets too much and falls", nil, func(s *harness) {
+	{"a warm cache gets too much and crashes", nil, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		s.Offered(20_000*ms, "a", "", 9001*ms)
 		s.CacheDown(20_000*ms, "a", true)
 	}},
-	{"the store falls under misses at cold caches", []Rule{StoreOverload}, func(s *harness) {
+	{"the store crashes under misses at cold caches", []Rule{StoreOverload}, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		s.StartNotified(900*ms, "r-1", "a", 0)
 		s.StoreOffered(1000*ms, 69, "")
 		s.StoreOffered(1000*ms, 31, "a")
 		s.StoreFell(1500 * ms)
 	}},
-	{"the store falls under misses at caches of whose start no router can know", nil, func(s *harness) {
+	{"the store crashes under misses at caches whose start no router was notified of", nil, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		s.StoreOffered(1000*ms, 69, "")
 		s.StoreOffered(1000*ms, 31, "a")
 		s.StoreFell(1500 * ms)
 	}},
-	{"the store falls under what others have asked for", nil, func(s *harness) {
+	{"the store crashes under fetches of other caches", nil, func(s *harness) {
 		s.CacheUp(0, "a", 1e6, 0.1, 20_000*ms)
 		s.StartNotified(0, "r-1", "a", 0)
-		s.StoreOffered(0, 1000, "a") // long before
+		s.StoreOffered(0, 1000, "a") // long before the crash
 		s.StoreOffered(4000*ms, 70, "")
 		s.StoreOffered(4000*ms, 30, "a")
 		s.StoreFell(4500 * ms)
@@ -593,7 +593,7 @@
 	{"a cache gets what no client can have sent", []Rule{BadCommand}, func(s *harness) {
 		s.Bad(0, "a", "-SYNTAX")
 	}},
-	{"a cache gets a request of nobody", []Rule{BadCommand}, func(s *harness) {
+	{"a cache gets a request that no client sent", []Rule{BadCommand}, func(s *harness) {
 		s.begin(10*ms, "a", "q", "read")
 	}},
 	{"a cache gets a request under another key", []Rule{BadCommand}, func(s *harness) {
@@ -615,10 +615,10 @@
 	{"a router holds all the descriptors it may", nil, func(s *harness) {
 		s.Usage(0, "r", 100, 100)
 	}},
-	{"something is left in a router's maps", []Rule{LeftBehind}, func(s *harness) {
+	{"a router's maps still hold entries", []Rule{LeftBehind}, func(s *harness) {
 		s.Leftover(0, "r", "requests", 1)
 	}},
-	{"nothing is left in a router's maps", nil, func(s *harness) {
+	{"a router's maps are empty", nil, func(s *harness) {
 		s.Leftover(0, "r", "requests", 0)
 	}},
 }
@@ -631,10 +631,10 @@
 			c.play(s)
 			s.Close(90_000 * ms)
 			if !slices.Equal(s.rules(), c.broken) {
-				t.Errorf("found %v, want %v", s.got, c.broken)
+				t.Errorf("got violations %v, want %v", s.got, c.broken)
 			}
 			if counts := s.Counts(); counts.Violations() != len(c.broken) {
-				t.Errorf("counted %d, want %d", counts.Violations(), len(c.broken))
+				t.Errorf("got %d counted violations, want %d", counts.Violations(), len(c.broken))
 			}
 		})
 		for _, r := range c.broken {
--- a/internal/testbench/rules/slidingwindow.go
+++ b/internal/testbench/rules/slidingwindow.go
@@ -6,9 +6,9 @@
 // slidingWindow sums work over the latest span of time.
 type slidingWindow struct {
 	binLength Time
-	newestBin Time // number of the newest bin, counted from the clock's zero
+	newestBin Time // number of the newest bin, counted from time 0 of the clock
 	sums      [windowBins]Time
-	total     Time // of all bins
+	total     Time // sum of all bins
 }
 
 func (w *slidingWindow) init(span Time) { *w = slidingWindow{binLength: max(span/windowBins, 1)} }
--- a/internal/testbench/rules/violation.go
+++ b/internal/testbench/rules/violation.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// Rule is one way of breaking a rule that can be seen from outside.
+// Rule is one kind of violation that can be detected from outside.
 type Rule uint8
 
 // Rules, in the order of Counts.Broken.
 const (
 	Lost                Rule = iota // no final answer in time, from a live router
-	Late                            // the answer to a lost request came after all
+	Late                            // the answer to a lost request came after the deadline
 	Doubled                         // a second answer
-	WrongValue                      // served with what no cache made for the request
-	SentAfterFinal                  // an attempt was begun after the final answer
-	SentAfterLeft                   // an attempt was begun a while after its client had gone
-	RanTwice                        // an effect took place twice through the routers' doing
-	RefusedAfterRun                 // rejected, though an attempt may have run
-	NonIdempotentResent             // sent again, though an earlier attempt may have run
-	KeyedResent                     // sent again outside its scope or its window
-	SecondCopy                      // while an earlier attempt was out, where that is not allowed
+	WrongValue                      // served with a value that no cache produced for the request
+	SentAfterFinal                  // an attempt began after the final answer
+	SentAfterLeft                   // an attempt began more than clientLeftGrace after the client had left
+	RanTwice                        // an effect took place twice because of the routers
+	RefusedAfterRun                 // rejected, although an attempt may have run
+	NonIdempotentResent             // sent again, although an earlier attempt may have run
+	KeyedResent                     // sent again outside the deduplication scope or the idempotency window
+	SecondCopy                      // sent while an earlier attempt was in flight, although hedging is not allowed
 	TooManyAttempts                 // more than MaxAttempts
-	LateDrain                       // new work to a cache that drains or is gone
-	WarmupOverload                  // a cache that warms up got more than it can bear, or fell
-	StoreOverload                   // the store fell under misses at caches that warm up
-	BadCommand                      // a cache received what no client sent in this form
-	TooManyOpen                     // more descriptors than the limit
-	LeftBehind                      // a router still had entries once all was quiet
+	LateDrain                       // an attempt was sent to a draining or removed cache after the drain grace
+	WarmupOverload                  // a cache that was warming up got more work than allowed, or crashed
+	StoreOverload                   // the store crashed under misses at caches that were warming up
+	BadCommand                      // a cache received a command that no client sent in this form
+	TooManyOpen                     // more open file descriptors than the limit
+	LeftBehind                      // a router still held entries once no request was open
 	ruleCount
 )
 
@@ -38,13 +38,13 @@
 	"bad command", "too many descriptors", "left behind",
 }
 
-// String returns the rule in the words of reports.
+// String returns the rule as reports print it.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is one broken rule. Request, Cache and Router are empty where they do not apply.
+// Violation is one violation of a rule. Request, Cache and Router are empty where they do not apply.
 type Violation struct {
 	Rule                   Rule
-	At                     Time // when it was broken, which may lie before it was found
+	At                     Time // instant of the violation, which may lie before its detection
 	Request, Cache, Router string
 	Text                   string
 }
--- a/internal/testbench/rules/watcher.go
+++ b/internal/testbench/rules/watcher.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// retentionMargin is added to the longest time that a finished request is remembered.
+	// retentionMargin is added to the longest time for which a finished request is retained.
 	retentionMargin Time = 1_000_000 // µs
-	// maxRequestsWithViolation bounds the requests whose history stays after a violation.
+	// maxRequestsWithViolation bounds the requests whose history is retained after a violation.
 	maxRequestsWithViolation = 100
 )
 
-// Watcher is an Observer that reports each broken rule. It judges by the times of the events alone: more frequent Ticks
-// change nothing in what it finds, only how soon. All its methods must be called from one goroutine.
+// Watcher is an Observer that reports each violation of a rule. Its verdicts depend only on the times of the events: more
+// frequent calls of Tick find the same violations earlier. All methods must be called from one goroutine.
 type Watcher struct {
 	settings      Settings
 	report        func(Violation)
-	retention     Time // how long a request is remembered after its deadline
-	now           Time // the latest instant in an event
+	retention     Time // how long a request is retained after its deadline
+	now           Time // latest time of an event
 	closed        bool
-	requestCount  uint64 // requests so far; the next one's order
+	requestCount  uint64 // number of requests so far, which is the order of the next request
 	requests      map[string]*request
 	pendingChecks checkQueue
 	retired       retiredQueue
@@ -35,7 +35,7 @@
 
 var _ Observer = (*Watcher)(nil)
 
-// New returns a Watcher that reports each broken rule as it finds it.
+// New returns a Watcher that calls report for each violation when it is detected.
 func New(settings Settings, report func(Violation)) *Watcher {
 	w := &Watcher{
 		settings:              settings,
@@ -46,7 +46,7 @@
 		routers:               map[string]*router{},
 		caches:                map[string]*cache{},
 	}
-	for name, c := range settings.Classes { // any order: each by itself
+	for name, c := range settings.Classes { // the map order is irrelevant: the classes are independent
 		w.classes[name] = &class{Class: c, tally: Tally{Class: name}}
 		w.retention = max(w.retention, c.IdempotencyWindow, c.ClientTimeout)
 	}
@@ -55,11 +55,11 @@
 	return w
 }
 
-// Tick makes the checks that are overdue at now.
+// Tick runs the checks that are overdue at now.
 func (w *Watcher) Tick(now Time) { w.advance(now) }
 
-// Close ends the run. It makes the overdue checks and those of connections that have just broken. Requests before their
-// deadline, and attempts whose close may be under way, break no rule.
+// Close ends the run. It runs the overdue checks and the pending checks of broken connections. Requests before their deadline,
+// and attempts whose close may still be in transit, break no rule.
 func (w *Watcher) Close(now Time) {
 	w.advance(now)
 	if w.closed {
@@ -89,17 +89,17 @@
 func (w *Watcher) Counts() Counts {
 	c := w.counts
 	c.Held = len(w.requests)
-	for _, class := range w.classes { // any order: sorted below
+	for _, class := range w.classes { // the map order is irrelevant: sorted below
 		c.Classes = append(c.Classes, class.tally)
 	}
 	slices.SortFunc(c.Classes, func(a, b Tally) int { return strings.Compare(a.Class, b.Class) })
-	for _, t := range c.Classes { // in the order of names, so that sums of floats are the same each time
+	for _, t := range c.Classes { // in the order of names, so that sums of floats are reproducible
 		c.Tally.add(t)
 	}
 	return c
 }
 
-// advance makes the checks that are due before now, and forgets requests whose retention is over.
+// advance runs the checks that are due before now, and removes requests whose retention is over.
 func (w *Watcher) advance(now Time) {
 	if now <= w.now {
 		return
@@ -113,29 +113,29 @@
 	}
 }
 
-// runCheck makes one check whose time has passed.
+// runCheck runs one check that is due.
 func (w *Watcher) runCheck(check pendingCheck) {
 	r := check.request
 	switch check.kind {
 	case checkDeadline:
 		if check.at < r.sent.Deadline+w.settings.Slack {
-			return // the deadline was moved by Behind, which has queued a later check
+			return // Behind has moved the deadline and queued a later check
 		}
 		if r.state == stateOpen && !r.connectionBroken {
-			w.markLost(r, r.sent.Deadline, "no answer by its deadline")
+			w.markLost(r, r.sent.Deadline, "no answer by the deadline")
 		}
 		r.dropLongValues()
 		w.retired.push(check.at+w.retention, r)
 	case checkBrokenConnection:
 		if r.state == stateOpen && r.connectionBroken && r.brokenAt+killNoticeDelay == check.at {
-			w.markLost(r, r.brokenAt, "the connection ended with no whole answer")
+			w.markLost(r, r.brokenAt, "the connection ended before a complete answer")
 		}
 	case checkOverlap:
 		w.reportOverlap(r, check.earlier, check.later, check.at)
 	}
 }
 
-// reportViolation counts and reports a broken rule; r is nil where it concerns no request.
+// reportViolation counts and reports a violation; r is nil if the violation concerns no request.
 func (w *Watcher) reportViolation(r *request, v Violation) {
 	if r != nil {
 		v.Request = r.sent.ID
--- a/internal/testbench/rules/watcher_test.go
+++ b/internal/testbench/rules/watcher_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("%+v", c)
 	}
 	if want := (2 + 2*0.5) / (3*2 + 5); c.EarnedFraction() != want {
-		t.Errorf("share %v, want %v", c.EarnedFraction(), want)
+		t.Errorf("got earned fraction %v, want %v", c.EarnedFraction(), want)
 	}
 	var names []string
 	for _, k := range c.Classes {
@@ -45,11 +45,11 @@
 	}
 	s.Offered(20_000*ms, "a", "", 1)
 	if n := s.Counts().Overloads; n != 1 {
-		t.Errorf("%d spells before the load fell, want 1", n)
+		t.Errorf("got %d overloads before the load fell, want 1", n)
 	}
 	s.Offered(30_000*ms, "a", "", 9001*ms)
 	if n := s.Counts().Overloads; n != 2 || len(s.got) > 0 {
-		t.Errorf("%d spells, violations %v, want 2 and none", n, s.got)
+		t.Errorf("got %d overloads and violations %v, want 2 and none", n, s.got)
 	}
 }
 
@@ -63,14 +63,14 @@
 	s.ran(40*ms, "b", "q", "put", false)
 	s.Answered(50*ms, "q", Failed, "")
 	if c := s.Counts(); c.Undropped != 1 || len(s.got) != 0 {
-		t.Errorf("%d undropped, violations %v", c.Undropped, s.got)
+		t.Errorf("got %d undropped repeats and violations %v, want 1 and none", c.Undropped, s.got)
 	}
 }
 
 func TestViolationString(t *testing.T) {
 	v := Violation{Rule: WrongValue, At: 12_345_678, Request: "q", Router: "r", Text: "no cache has served it"}
 	if got, want := v.String(), "12.345678 s: wrong value, request q, router r: no cache has served it"; got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
@@ -85,7 +85,7 @@
 	}
 	held := len(s.requests["q"].attempts)
 	if !slices.Equal(s.rules(), []Rule{TooManyAttempts, TooManyAttempts}) || held != maxAttemptsPerRequest {
-		t.Errorf("%d held, violations %v", held, s.got)
+		t.Errorf("got %d recorded attempts and violations %v", held, s.got)
 	}
 }
 
@@ -105,11 +105,12 @@
 		t.Errorf("got\n%s", strings.Join(got, "\n"))
 	}
 	if got := s.History("p"); got != nil {
-		t.Errorf("the history of nobody is %v", got)
+		t.Errorf("got history %v of an unknown request, want none", got)
 	}
 }
 
-// A late answer on a reused connection is the likeliest way to a wrong value: the report names its owner.
+// A late answer on a reused connection is the most likely cause of a wrong value, so the report names the request that the value
+// was made for.
 func TestWrongValueNamesRequestItWasMadeFor(t *testing.T) {
 	s := newHarness(testSettings())
 	owners := []string{"first"}
@@ -151,7 +152,7 @@
 		s := newHarness(testSettings())
 		s.send(0, "q", "read")
 		s.Behind(1200*ms, "q", 2000*ms)
-		s.Behind(1200*ms, "q", 1000*ms) // says nothing new
+		s.Behind(1200*ms, "q", 1000*ms) // an earlier instant changes nothing
 		s.begin(10*ms, "a", "q", "read")
 		s.Replied(20*ms, "a", "q", Served, "v")
 		s.Answered(answer, "q", Served, "v")
