--- a/internal/testbench/lab/capacity.go
+++ b/internal/testbench/lab/capacity.go
@@ -7,13 +7,14 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// What discovery does in the time that it takes for a new call: lines of changes that watches are told, and calls turned away.
+// Work that discovery does in the time that it needs to accept one call: change lines sent to watches, or calls rejected.
 const (
 	linesPerCall    = 50
 	refusalsPerCall = 40
 )
 
-// SizeCaches gives caches the script's cores, and each core the usual slots and places to wait, and discovery the script's capacity.
+// SizeCaches sets the caches' cores from the script, with the default number of slots and queue places per core, and sets the capacity
+// of discovery from the script.
 func SizeCaches(s script.Script, o *standin.Options) {
 	c := &o.Cache.Capacity
 	c.Speed = s.Fleet.Speed
@@ -26,7 +27,7 @@
 	o.Discovery.RejectCost = o.Discovery.CallCost / refusalsPerCall
 }
 
-// meanWork is the mean work of a request, where the script has cold caches bear so many calls; else 0.
+// meanWork returns the mean work of a request if the script limits cold caches by calls, and 0 otherwise.
 func meanWork(s script.Script, classes []standin.Class) Time {
 	if s.Fleet.ColdBy != "calls" {
 		return 0
--- a/internal/testbench/lab/faults.go
+++ b/internal/testbench/lab/faults.go
@@ -10,18 +10,18 @@
 	"starlingwinch/internal/testbench/standin/registry"
 )
 
-// faults carries the faults of a script out.
+// faults applies the faults of a script.
 type faults struct {
 	world *world
-	// active are the faults in effect, by the switch they act on, the latest last: the end of one must not end another
-	// of its kind that goes on.
+	// active lists the faults in effect by the switch that they act on, the latest last. The end of one fault must not
+	// end another fault of the same kind that is still in effect.
 	active       map[string][]script.Fault
 	hostileHosts int // hosts of hostile clients so far
 }
 
 func newFaults(w *world) *faults { return &faults{world: w, active: map[string][]script.Fault{}} }
 
-// schedule plans the beginning of a fault; apply plans its end.
+// schedule schedules the beginning of a fault; apply schedules its end.
 func (f *faults) schedule(x script.Fault) {
 	w := f.world
 	at := sim.Start + lead + microseconds(x.At)
@@ -31,7 +31,7 @@
 	})
 }
 
-// atEnd calls end when a fault ends, which is with the script at the latest.
+// atEnd calls end when a fault ends, at the latest at the end of the script.
 func (f *faults) atEnd(x script.Fault, end func()) {
 	f.world.sim.At(sim.Start+lead+microseconds(x.Until(f.world.script.Length)), func() {
 		f.world.observer.logTimeline("fault " + x.String() + " ends")
@@ -39,8 +39,8 @@
 	})
 }
 
-// activate switches something on and, at the fault's end, back to what the other faults that last make of it. set gets
-// nil where none is left.
+// activate sets a switch to a fault. When the fault ends, activate sets the switch to the latest fault that is still in
+// effect, or calls set with nil if there is none.
 func (f *faults) activate(what string, x script.Fault, set func(x *script.Fault)) {
 	f.active[what] = append(f.active[what], x)
 	set(&x)
@@ -85,10 +85,10 @@
 	}
 }
 
-// isActive reports whether a switch is on.
+// isActive reports whether a switch has a fault in effect.
 func isActive(x *script.Fault) bool { return x != nil }
 
-// chanceOf is the probability of a fault, 0 where none is active.
+// chanceOf returns the probability of a fault, or 0 if none is active.
 func chanceOf(x *script.Fault) float64 {
 	if x == nil {
 		return 0
@@ -96,7 +96,7 @@
 	return x.Chance
 }
 
-// cache applies a fault to the cache of a place.
+// cache applies a fault to the cache at place i.
 func (f *faults) cache(x script.Fault, i int) {
 	p := f.world.caches[i]
 	what := fmt.Sprintf("%s %d", x.Kind, i)
@@ -148,7 +148,7 @@
 	}
 }
 
-// fleet applies a fault that removes, restarts or replaces a cache. A cache that was removed stays so.
+// fleet applies a fault that removes, restarts or replaces a cache. A removed cache does not return.
 func (f *faults) fleet(x script.Fault, p *place) {
 	if p.removed {
 		return
@@ -185,7 +185,7 @@
 	}
 }
 
-// removeCache ends a cache for good.
+// removeCache stops a cache permanently and removes the cache from the endpoint list.
 func (w *world) removeCache(p *place) {
 	p.removed = true
 	p.cache.Stop()
@@ -210,7 +210,7 @@
 	}
 }
 
-// fail records the first error of the lab itself.
+// fail records the first error of the lab, as opposed to an error of a router.
 func (w *world) fail(err error) {
 	if w.err == nil {
 		w.err = err
@@ -268,7 +268,7 @@
 	}
 }
 
-// clients applies a fault of the load or of the fleet's size.
+// clients applies a fault that changes the load or adds a cache.
 func (f *faults) clients(x script.Fault) {
 	w := f.world
 	switch x.Kind {
@@ -317,8 +317,8 @@
 
 // Parameters of failing system calls.
 const (
-	failingDialDivisor = 4   // dials fail by this factor less often than reads are cut short
-	maxShortRead       = 200 // bytes that a short read returns, at most
+	failingDialDivisor = 4   // ratio of the probability of a short read to that of a failed dial
+	maxShortRead       = 200 // maximum number of bytes that a short read returns
 )
 
 // router applies a fault to a router.
@@ -376,7 +376,7 @@
 
 func linkKey(kind, from, to string) string { return kind + " " + from + ">" + to }
 
-// maxLag is how long the way from one zone to another takes at the most, where it is longer than usual; else 0.
+// maxLag returns the maximum latency from one zone to another while a lag fault is active, and 0 otherwise.
 func (f *faults) maxLag(from, to string) Time {
 	all := f.active[linkKey(script.Lag, from, to)]
 	if len(all) == 0 {
@@ -390,7 +390,7 @@
 	return Time(float64(microseconds(latency))*(x.Factor+n.Jitter)) + microseconds(x.Delay)
 }
 
-// partitioned reports whether nothing gets from one zone to another now, or back.
+// partitioned reports whether the link between two zones is cut now in at least one direction.
 func (f *faults) partitioned(a, b string) bool {
 	return len(f.active[linkKey(script.Cut, a, b)]) > 0 || len(f.active[linkKey(script.Cut, b, a)]) > 0
 }
--- a/internal/testbench/lab/front.go
+++ b/internal/testbench/lab/front.go
@@ -9,8 +9,8 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// front distributes clients to the routers of their zone, or to all where their zone has none. It adds a router once it
-// has answered PING, and removes one that has died only after some seconds.
+// front distributes clients to the routers of their zone, or to all routers if the zone has none. The front adds a router
+// once the router has answered PING, and removes a router whose process was killed only after some seconds.
 type front struct {
 	world   *world
 	host    *sim.Host
@@ -47,7 +47,7 @@
 	return near
 }
 
-// weight is how many connections a router gets for each one of another.
+// weight returns the router's share of connections relative to a router of weight 1.
 func (f *front) weight(r *router) int {
 	if f.world.options.Weight == nil {
 		return 1
@@ -55,12 +55,12 @@
 	return f.world.options.Weight(slices.Index(f.world.routers, r))
 }
 
-// addWhenServing sends PING to a router until it answers, and adds it then.
+// addWhenServing sends PING to a router until the router answers, and then adds the router.
 func (f *front) addWhenServing(r *router) {
-	life := r.generation
+	generation := r.generation
 	again := func() {
 		f.world.sim.At(f.world.sim.Now()+pingInterval, func() {
-			if r.generation == life && r.node != nil {
+			if r.generation == generation && r.node != nil {
 				f.addWhenServing(r)
 			}
 		})
@@ -72,7 +72,7 @@
 		}
 		p := &ping{conn: c, answered: func(ok bool) {
 			switch {
-			case r.generation != life || r.node == nil || r.ending:
+			case r.generation != generation || r.node == nil || r.ending:
 			case ok:
 				f.add(r)
 			default:
@@ -101,11 +101,11 @@
 	clear(f.byZone)
 }
 
-// removeLater removes a router whose process has ended, after the delay of the script's front.
+// removeLater removes a router whose process has ended, after the delay that the script sets for the front.
 func (f *front) removeLater(r *router) {
-	life := r.generation
+	generation := r.generation
 	f.world.sim.At(f.world.sim.Now()+microseconds(f.world.script.Clients.Front), func() {
-		if r.generation == life {
+		if r.generation == generation {
 			f.remove(r)
 		}
 	})
--- a/internal/testbench/lab/hooks.go
+++ b/internal/testbench/lab/hooks.go
@@ -17,22 +17,22 @@
 
 // Settings of the routers' hooks that no script changes.
 const (
-	hookMaxWaitFraction = 0.1               // of the latency objective that a request may wait for hooks
-	hookMaxWait         = 50 * millisecond  // that a request may wait for hooks
-	hookLoadTime        = 100 * millisecond // within which a hook is to load
-	hookMemory          = 1 << 20           // bytes; none is used, but the routers' limits count it
+	hookMaxWaitFraction = 0.1               // maximum wait of a request for hooks, as a fraction of the latency objective
+	hookMaxWait         = 50 * millisecond  // maximum wait of a request for hooks
+	hookLoadTime        = 100 * millisecond // time limit for loading a hook
+	hookMemory          = 1 << 20           // bytes; scripted hooks use none, but the routers' limits include it
 )
 
-// hookCalls is implemented by a Node that reports how many calls of each hook wait or run.
+// hookCalls is implemented by a Node that reports the number of queued and running calls of each hook.
 type hookCalls interface{ HookCalls() map[string]int }
 
-// hookScripts plays the scripted hooks, which are the same for all routers.
+// hookScripts runs the scripted hooks, which are the same for all routers.
 type hookScripts struct {
 	world          *world
 	hooks          []script.Hook
 	rand           *rand.Rand // decides whether a hook acts on a call
 	queueExceeded  map[string]bool
-	blockedClasses map[string]bool // classes of which no hook lets a request through; "" for all
+	blockedClasses map[string]bool // classes whose requests a hook never passes; "" for all classes
 }
 
 func newHookScripts(w *world) *hookScripts {
@@ -46,7 +46,7 @@
 	return k
 }
 
-// name returns the name of a hook, its number and its kind.
+// name returns the name of a hook, which consists of its number and its kind.
 func (k *hookScripts) name(i int) string { return fmt.Sprintf("%d-%s", i+1, k.hooks[i].Kind) }
 
 // config returns the hook configuration of a router.
@@ -68,7 +68,7 @@
 	return c
 }
 
-// install gives a starting process of a router its workers.
+// install creates the hook workers of a router's process that is about to start.
 func (k *hookScripts) install(r *router) {
 	if len(k.hooks) == 0 {
 		return
@@ -114,7 +114,7 @@
 	return points, act
 }
 
-// act is what a hook does with a call.
+// act returns the action of a hook on a call.
 func (k *hookScripts) act(h script.Hook, c *plugin.Call) (a hookstest.Act) {
 	a.After = 1 + k.rand.Int64N(50)
 	if !k.triggers(h) {
@@ -153,8 +153,8 @@
 	return a
 }
 
-// checkQueues reports a hook of a router that has more calls than its queue allows; one more is its unload. Nothing on the
-// sockets shows a queue that grows without bound while its hook hangs.
+// checkQueues reports a hook of a router that has more calls than its queue limit plus one, which allows for the unload call.
+// The traffic on the sockets does not show a queue that grows without bound while its hook hangs.
 func (k *hookScripts) checkQueues(r *router) {
 	node, ok := r.node.(hookCalls)
 	if !ok {
@@ -172,7 +172,7 @@
 	}
 }
 
-// checkAttempt reports a command that has come to a cache although a hook rejects or fails each request of its class.
+// checkAttempt reports a command that a cache received although a hook rejects or fails each request of the command's class.
 func (k *hookScripts) checkAttempt(a rules.Attempt) {
 	if k.blockedClasses[""] || k.blockedClasses[a.Class] {
 		k.world.reportBroken(Broken{Rule: PastHook, At: k.world.now(), Request: a.ID, Router: a.Router, Cache: a.Cache,
@@ -180,7 +180,8 @@
 	}
 }
 
-// checkWorkers reports workers beyond one of each hook and one of a set that takes over.
+// checkWorkers reports a hook with more than two workers: its current one, and one of a hook set that is replacing the
+// current set.
 func (k *hookScripts) checkWorkers(r *router) {
 	if r.workers == nil {
 		return
--- a/internal/testbench/lab/hunt.go
+++ b/internal/testbench/lab/hunt.go
@@ -13,16 +13,16 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// Hunt is a search of many scripts, each drawn from a seed of its own.
+// Hunt runs many scripts, each drawn from its own seed, in search of broken rules.
 type Hunt struct {
 	From, To uint64 // the first and the last seed
 	Length   time.Duration
-	Jobs     int  // runs side by side
+	Jobs     int  // number of concurrent runs
 	Hooks    bool // routers have hooks, drawn from the same seed
 	Options  Options
-	// Draw makes the script of a seed; nil stands for script.DrawOf.
+	// Draw returns the script of a seed; nil means script.DrawOf.
 	Draw func(seed uint64, length time.Duration) script.Script
-	// Done is called after each run, one at a time.
+	// Done is called after each run. Calls do not overlap.
 	Done func(seed uint64, r *Result)
 }
 
@@ -68,8 +68,8 @@
 	return s
 }
 
-// Run makes the runs, each in one goroutine, and sums them up in the order of the seeds. Where ctx ends first, the sum
-// holds the runs that were done by then.
+// Run runs the scripts, each in one goroutine, and sums up the results in the order of the seeds. If ctx ends first, the sum
+// covers only the finished runs.
 func (h Hunt) Run(ctx context.Context) (Sum, error) {
 	p := &huntProgress{hunt: &h, results: map[uint64]*Result{}}
 	var jobs sync.WaitGroup
@@ -106,17 +106,17 @@
 	return s
 }
 
-// huntProgress is what the jobs of a hunt share.
+// huntProgress is the state that the jobs of a hunt share.
 type huntProgress struct {
 	hunt *Hunt
 
-	mu      sync.Mutex         // guards what follows
+	mu      sync.Mutex         // guards the fields below
 	started uint64             // number of seeds handed out
-	results map[uint64]*Result // by seed, of the runs that are done
-	err     error              // the first run that could not be played
+	results map[uint64]*Result // of finished runs, by seed
+	err     error              // error of the first run that could not be executed
 }
 
-// nextSeed hands out the next seed. It returns false where none is left, a run could not be played, or ctx has ended.
+// nextSeed returns the next seed. It returns false if no seed is left, a run could not be executed, or ctx has ended.
 func (p *huntProgress) nextSeed(ctx context.Context) (seed uint64, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +138,7 @@
 		}
 		return
 	}
-	r.Counts.Classes, r.History = nil, nil // they are not summed up, and a long hunt would hold them all
+	r.Counts.Classes, r.History = nil, nil // the sum does not use them, and a long hunt would hold those of all runs in memory
 	p.results[seed] = r
 	if p.hunt.Done != nil {
 		p.hunt.Done(seed, r)
--- a/internal/testbench/lab/loss_report.go
+++ b/internal/testbench/lab/loss_report.go
@@ -14,7 +14,7 @@
 // LossReport counts why requests were not served in time, by the reasons of the routers' decision modules, over all routers
 // and all their processes. It observes the events and actions between a router and its module and changes nothing.
 type LossReport struct {
-	Requests     int // that routers received, retries of clients included
+	Requests     int // requests that routers received, including clients' retries
 	Attempts     int
 	HealthChecks int
 	ByReason     map[string]int // requests not served in time and wasted attempts, by kind and reason
@@ -24,13 +24,13 @@
 	latencyObjectives map[string]Time
 }
 
-// Answers counts what caches answered, in time or not.
+// Answers counts the answers of caches, both in time and late.
 type Answers struct {
 	N    int
-	Time Time // sum over all answers, each from when the attempt was sent
+	Time Time // sum of the answers' latencies, each measured from the sending of the attempt
 }
 
-// Mean is the mean time of an answer.
+// Mean returns the mean latency of an answer.
 func (a Answers) Mean() Time { return a.Time / Time(max(1, a.N)) }
 
 func (a *Answers) add(t Time) { a.N, a.Time = a.N+1, a.Time+t }
@@ -44,7 +44,7 @@
 	return l
 }
 
-// Wrap returns a module that counts what passes between the router and m, the module of one process.
+// Wrap returns a module that counts the events and actions between a router's process and its module m.
 func (l *LossReport) Wrap(m guard.Module) guard.Module {
 	return &lossModule{Module: m, report: l, requests: map[int64]*trackedRequest{}}
 }
@@ -55,7 +55,7 @@
 	requests map[int64]*trackedRequest
 }
 
-// trackedRequest is a request that has no answer yet, or attempts that have not ended.
+// trackedRequest is a request that is not answered yet or has attempts in flight.
 type trackedRequest struct {
 	receivedAt, latencyObjective Time
 	sentAt                       []Time
@@ -108,7 +108,7 @@
 	}
 }
 
-// complete marks a request as answered; it is forgotten with its last attempt.
+// complete marks a request as answered, and deletes the request if no attempt is in flight.
 func (l *lossModule) complete(id int64, q *trackedRequest) {
 	q.completed = true
 	if q.attemptsOut == 0 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// slowestPhase names the phase that took longest in a request that is served late.
+// slowestPhase returns the name of the longest phase of a request that is served late.
 func (q *trackedRequest) slowestPhase(now Time, o *decide.AttemptResult) string {
 	first, last := q.sentAt[0], q.sentAt[o.Attempt]
 	most, where := first-q.receivedAt, "it waited before its first attempt"
@@ -160,7 +160,7 @@
 	return where
 }
 
-// Print writes all counts, the largest first.
+// Print writes all counts in descending order.
 func (l *LossReport) Print(out io.Writer) {
 	fmt.Fprintf(out, "  hits %d in %.0f ms, misses and writes %d in %.0f ms\n", l.Hits.N, float64(l.Hits.Mean())/1000,
 		l.Misses.N, float64(l.Misses.Mean())/1000)
--- a/internal/testbench/lab/mass.go
+++ b/internal/testbench/lab/mass.go
@@ -13,62 +13,62 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// Mass is a day with many routers, of which each sends a cache a request every few seconds.
+// Mass is a day with many routers, each of which sends a given cache only one request every few seconds.
 type Mass struct {
 	Day     string // one of MassDays
 	Seed    int64
 	Routers int
 	Caches  int
 	Length  time.Duration
-	Load    float64 // of what warm caches bear; 0 for massLoad
+	Load    float64 // fraction of the capacity of warm caches; 0 means massLoad
 }
 
 // Parameters of these worlds.
 const (
 	massLoad   = .58 // default of Mass.Load
-	heavyOneIn = 10  // one router in so many has heavyTimes the traffic of another
+	heavyOneIn = 10  // one router in heavyOneIn has heavyTimes the traffic of another router
 	heavyTimes = 5
-	badOneIn   = 8 // one cache in so many is made slow or failing by a day
-	massStore  = 4 // capacity of the store, as a multiple of the misses of a fleet whose memory works as one
+	badOneIn   = 8 // a day makes one cache in badOneIn slow or failing
+	massStore  = 4 // capacity of the store, as a multiple of the misses of a fleet that caches each key once
 )
 
-// MassDays are the days there are.
+// MassDays lists the names of all days.
 var MassDays = []string{"calm", "roll", "herd", "zone", "split", "join"}
 
 // MassResult is the result of a day.
 type MassResult struct {
 	*Result
 	LossReport    *LossReport
-	Tally         standin.Tally // of all clients and classes
+	Tally         standin.Tally // sum over all clients and classes
 	Windows       []MassWindow
 	Dials         int // connections that routers opened to caches
 	RejectedDials int // connections that caches rejected because they had no capacity
 }
 
-// MassWindow is a span of a day.
+// MassWindow holds the counts of one window of a day.
 type MassWindow struct {
 	At                        Time
-	Attempts, InTime, Refused int // tries of clients
+	Attempts, InTime, Refused int // numbers of clients' tries
 }
 
-// Served is the fraction of the priority weight of all requests that was earned.
+// Served returns the earned fraction of the priority weight of all requests.
 func (r *MassResult) Served() float64 { return r.Tally.Earned / max(r.Tally.Offered, 1e-9) }
 
-// RefusedRatio is the fraction of requests whose last try was rejected.
+// RefusedRatio returns the fraction of requests whose last try was rejected.
 func (r *MassResult) RefusedRatio() float64 { return ratio(r.Tally.Rejected, r.Tally.Requests) }
 
-// Late is the fraction of requests that were served past their latency objective.
+// Late returns the fraction of requests that were served after their latency objective.
 func (r *MassResult) Late() float64 { return ratio(r.Tally.Late, r.Tally.Requests) }
 
-// PerRequest is n divided by the number of clients' requests.
+// PerRequest returns n divided by the number of clients' requests.
 func (r *MassResult) PerRequest(n int) float64 { return ratio(n, r.Tally.Requests) }
 
 func ratio(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
-// massWindow is the span of a window.
+// massWindow is the length of a MassWindow.
 const massWindow = 2 * second
 
-// PlayMass plays a day in a virtual world.
+// PlayMass runs a day in a simulated world.
 func PlayMass(m Mass, o Options) (*MassResult, error) {
 	s, err := m.script()
 	if err != nil {
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if m.Day == "join" { // open watches fall silent, once, as the caches begin to be replaced
+	if m.Day == "join" { // open watches become silent once, near the start of the cache replacement
 		w.sim.At(sim.Start+lead+microseconds(m.Length)/4, w.fleet.Discovery.LoseWatches)
 	}
 	w.play()
@@ -115,8 +115,8 @@
 	return r, nil
 }
 
-// scaleFleet scales the operators' usual fleet of nine caches to a larger one, with caches that choke under a crowd and a store
-// that takes massStore times the misses that are left where all memory works as one.
+// scaleFleet scales the operators' usual fleet of nine caches to m.Caches. The caches slow down under congestion, and the store
+// bears massStore times the misses of a fleet that caches each key once.
 func (m Mass) scaleFleet(o *standin.Options) {
 	times := float64(m.Caches) / 9
 	o.Keys = int(float64(o.Keys) * times)
@@ -124,7 +124,7 @@
 	left := 1 - hits
 	for _, c := range o.Classes {
 		if c.Write {
-			left += 2 * c.TrafficFraction // itself, and the copy that it voids
+			left += 2 * c.TrafficFraction // the write itself, and the later miss on the copy that the write invalidates
 		}
 	}
 	o.Store.Concurrency = int(massStore * left * o.Client.Rate * float64(o.Store.Latency) / float64(second))
@@ -134,7 +134,7 @@
 	o.Discovery.CallCost, o.Discovery.LineCost = 2*millisecond, Time(100/times)
 }
 
-// script is the day as a world and its faults.
+// script returns the script of the day.
 func (m Mass) script() (script.Script, error) {
 	s := script.Default()
 	s.Seed, s.Routers, s.Caches, s.Length = m.Seed, m.Routers, m.Caches, m.Length
@@ -213,7 +213,7 @@
 	return time.Duration(fraction * float64(p.mass.Length)).Truncate(time.Millisecond)
 }
 
-// badTarget names the caches that a day makes slow or failing.
+// badTarget returns the target of the caches that a day makes slow or failing.
 func (p *massPlan) badTarget() string { return targetRange("c", 1, max(1, p.mass.Caches/badOneIn)) }
 
 // badCaches makes some caches slow or failing during the middle of the day.
@@ -225,7 +225,7 @@
 	p.add(f)
 }
 
-// replaceCaches replaces a fraction of the caches one group after another.
+// replaceCaches replaces a fraction of the caches, one group after another, between two times.
 func (p *massPlan) replaceCaches(fraction float64, from, to time.Duration) {
 	n := int(fraction * float64(p.mass.Caches))
 	const steps = 8
@@ -238,7 +238,7 @@
 	}
 }
 
-// targetRange names a target of a script, the caches or routers from one number to another.
+// targetRange returns the script target for the caches or routers with numbers from one to another.
 func targetRange(of string, from, to int) string {
 	if from == to {
 		return fmt.Sprintf("%s%d", of, from)
@@ -246,5 +246,5 @@
 	return fmt.Sprintf("%s%d-%d", of, from, to)
 }
 
-// MassDay reports whether there is a day of that name.
+// MassDay reports whether a day with that name exists.
 func MassDay(name string) bool { return slices.Contains(MassDays, name) }
--- a/internal/testbench/lab/node.go
+++ b/internal/testbench/lab/node.go
@@ -8,35 +8,36 @@
 	"starlingwinch/internal/snapshotstore"
 )
 
-// Node is one router's process, as the lab sees it.
+// Node is the lab's interface to the process of one router.
 type Node interface {
-	// Addr is the address that it serves clients at.
+	// Addr returns the address at which the router serves clients.
 	Addr() string
-	// Drain has it end as after SIGTERM; done is called in a turn of its machine.
+	// Drain shuts the router down as SIGTERM does, and calls done in a turn of the router's machine.
 	Drain(done func())
-	// Reload has it read its configuration again, as after SIGHUP.
+	// Reload applies a new configuration, as SIGHUP does.
 	Reload(config []byte) error
-	// Holdings is what it holds, by name; all but "connections" is 0 once all is quiet.
+	// Holdings returns the number of resources that the router holds, by name. Once no work is in progress, all but
+	// "connections" are 0.
 	Holdings() map[string]int
 }
 
-// NodeConfig is what a router is started with.
+// NodeConfig is the configuration with which a router starts.
 type NodeConfig struct {
 	JSON []byte // the platform's configuration
-	// Operator are operators' files, by the names of their kinds.
+	// Operator lists the operators' files, each with its kind.
 	Operator []OperatorFile
 	Hooks    hooks.Config
-	// Wrap, where it is not nil, stands between the router and its decision module: this is how a defect is planted.
+	// Wrap, if not nil, wraps the router's decision module. Tests plant defects with it.
 	Wrap func(guard.Module) guard.Module
-	// Unguarded has the router's guard prevent nothing, for defects that it would.
+	// Unguarded disables the router's guard, so that a planted defect that the guard would prevent takes effect.
 	Unguarded bool
-	// State says where the router keeps what it has learned; the zero value is nowhere.
+	// State configures where the router stores its snapshot; with the zero value, the router stores none.
 	State snapshotstore.Config
-	// Storm, where it is not nil, is what operators say of storms.
+	// Storm, if not nil, is the operators' retry-storm configuration.
 	Storm *retrystorm.Config
 }
 
-// OperatorFile is a file of the operators, as `run --operator` takes it.
+// OperatorFile is an operators' file, as `run --operator` accepts it.
 type OperatorFile struct{ Kind, Text string }
 
 // Start starts a router on a machine.
--- a/internal/testbench/lab/observer.go
+++ b/internal/testbench/lab/observer.go
@@ -9,15 +9,15 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// observer passes what the stand-ins observe on to the watcher, and writes the timeline.
+// observer forwards the observations of the stand-ins to the watcher, and writes the timeline.
 type observer struct {
 	*rules.Watcher
 	world           *world
-	history         []string               // of the request that is followed
-	lastTally       rules.Tally            // as the window before has ended
-	requestedAt     map[string]Time        // when, by id; nil where no router is stopped
-	leftAt          map[string]Time        // when the client left, by id
-	connectionEnded map[string]func() bool // whether the router's machine has the end of its connection, by id
+	history         []string               // of the request that Options.Follow names
+	lastTally       rules.Tally            // at the end of the previous window
+	requestedAt     map[string]Time        // time of each request, by id; nil if no fault stalls a router
+	leftAt          map[string]Time        // time at which the client left, by request id
+	connectionEnded map[string]func() bool // whether the router's machine has received the end of the connection, by request id
 }
 
 func newObserver(w *world) *observer {
@@ -41,8 +41,8 @@
 	}
 }
 
-// Listed implements rules.Observer. The watcher learns of it once the router can have read it: what discovery has
-// written into a cut or slow link, or to a router whose machine is stopped, must not count against the router.
+// Listed implements rules.Observer. The watcher is notified once the router can have read the update: an update that discovery
+// has written to a cut or slow link, or to a router whose machine is stopped, must not count against the router.
 func (e *observer) Listed(now Time, router, cache string, takesWork bool) {
 	e.whenRead(now, router, func(now Time) {
 		if r := e.world.registry; r != nil {
@@ -62,7 +62,7 @@
 	e.Watcher.Listed(now, router, cache, takesWork)
 }
 
-// StartNotified implements rules.Observer. The watcher learns of it once the router can have read it.
+// StartNotified implements rules.Observer. The watcher is notified once the router can have read the start time.
 func (e *observer) StartNotified(now Time, router, cache string, start Time) {
 	if r := e.world.registry; r != nil && !r.knowledge.usesDiscovery() {
 		return
@@ -70,7 +70,7 @@
 	e.whenRead(now, router, func(now Time) { e.Watcher.StartNotified(now, router, cache, start) })
 }
 
-// whenRead calls notify when a router can have read what is written to it now.
+// whenRead calls notify once a router can have read data that is written to it now.
 func (e *observer) whenRead(now Time, router string, notify func(now Time)) {
 	way := Time(0)
 	if r := e.world.routerNamed(router); r != nil && e.world.faults != nil {
@@ -91,11 +91,11 @@
 	notify(now)
 }
 
-// cutCheckInterval is the interval at which it is checked whether a cut has healed.
+// cutCheckInterval is the interval of checks whether a cut has healed.
 const cutCheckInterval = 10 * millisecond
 
-// readableBy is when a router can read what discovery writes to it now. Where a cut holds it up, the end of which is not
-// known, it is the time of the next check.
+// readableBy returns the time at which a router can read data that discovery writes now. While the link is cut, the end of
+// the cut is unknown, and readableBy returns the time of the next check.
 func (w *world) readableBy(r *router) Time {
 	now := w.sim.Now()
 	if r == nil || r.node == nil {
@@ -154,8 +154,8 @@
 	e.reportDeparture(id)
 }
 
-// reportDeparture has the watcher count from when the end of a client's connection has reached the router's machine. On a
-// cut or slow link a router may read a request and can't know that its client has left.
+// reportDeparture postpones the watcher's count until the end of a client's connection has reached the router's machine. On
+// a cut or slow link, a router may read a request while it can't know that the client has left.
 func (e *observer) reportDeparture(id string) {
 	if ended := e.connectionEnded[id]; ended != nil && !ended() {
 		now := e.world.sim.Now()
@@ -166,7 +166,7 @@
 	delete(e.connectionEnded, id)
 }
 
-// recordHistory keeps the history of Options.Follow, as the watcher forgets requests that are over.
+// recordHistory saves the history of the request that Options.Follow names, as the watcher deletes completed requests.
 func (e *observer) recordHistory(id string) {
 	if id != "" && id == e.world.options.Follow {
 		e.history = e.History(id)
@@ -195,7 +195,7 @@
 	}
 }
 
-// removeFallenCache takes a cache that fell over off the endpoint list.
+// removeFallenCache removes a cache that collapsed under overload from the endpoint list, and lets its registry lease expire.
 func (w *world) removeFallenCache(cache string) {
 	for _, p := range w.caches {
 		if p.cache.Name() == cache {
@@ -246,9 +246,10 @@
 	w.observer.logTimeline("BROKEN " + b.String())
 }
 
-// excuses reports whether a request was lost through no fault of its router. Its machine was stopped while the request was
-// open, so that the router can't know how long the request had waited; or its client was in another zone, from which it
-// was cut off; or its client closed the connection early because of another request on it.
+// excuses reports whether a request was lost through no fault of its router. There are three such cases: the router's machine
+// was stopped while the request was open, so that the router can't know how long the request had waited; the client was in
+// another zone, and the link between the zones was cut or slow; or the client closed the connection early because of another
+// request on the connection.
 func (w *world) excuses(v rules.Violation) bool {
 	if v.Rule != rules.Lost && v.Rule != rules.Late {
 		return false
@@ -262,7 +263,7 @@
 	}
 	late := Time(0)
 	if w.script.Clients.Pipeline > 0 {
-		late = w.maxOpenTime() // it may stand behind one that was asked before
+		late = w.maxOpenTime() // the request may be queued behind an earlier request of the pipeline
 	}
 	for _, s := range r.stalls {
 		if v.At+slack >= s.from && w.observer.requestedAt[v.Request] <= s.to+late {
@@ -272,8 +273,8 @@
 	return r.servedOtherZones && w.faults.cutOff(r.zone, v.At)
 }
 
-// cutOff reports whether the ways to and from a zone were cut or long during the time in which a request that was lost
-// at that instant was open.
+// cutOff reports whether a link to or from a zone was cut or slow while a request that was lost at the given instant was
+// open.
 func (f *faults) cutOff(zone string, at Time) bool {
 	for _, x := range f.world.script.Faults {
 		if x.Kind != script.Cut && x.Kind != script.Lag {
@@ -289,7 +290,7 @@
 	return false
 }
 
-// maxOpenTime is how long a request may be open, the longest deadline of all classes.
+// maxOpenTime returns the maximum time for which a request may be open, which is the longest client timeout of all classes.
 func (w *world) maxOpenTime() (most Time) {
 	for _, c := range w.classes {
 		most = max(most, c.ClientTimeout)
--- a/internal/testbench/lab/operator.go
+++ b/internal/testbench/lab/operator.go
@@ -8,13 +8,13 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// RegistryFiles are the operators' files of a router that follows a registry with these servers. It serves at self, and
-// registers itself where the script says so.
+// RegistryFiles returns the operators' files of a router that follows a registry with the given servers. The router serves
+// at the address self, and registers itself if the script says so.
 func RegistryFiles(r script.Registry, servers []string, self string) []OperatorFile {
 	var m, e strings.Builder
 	m.WriteString("kind = \"membership\"\norder = " + list(r.Sources()) + "\n")
 	if r.Undamped {
-		// A figure that no flap brings above what holds a cache down.
+		// No number of flaps in a run raises the penalty above this threshold, so that damping never suppresses a cache.
 		m.WriteString("[damping]\npenalty = 1\nsuppress = 1000000\nreuse = 900000\n")
 	}
 	fmt.Fprintf(&e, "kind = \"eureka\"\nenabled = true\nurls = %s\napplication = %q\ndelta = %q\n", list(servers),
@@ -28,8 +28,8 @@
 	return []OperatorFile{{"membership", m.String()}, {"eureka", e.String()}}
 }
 
-// maxBackoff bounds how long a router waits before it polls a failing registry again. With the default of 5 s, scripts of
-// 10 s would end before the recovery from a fault shows.
+// maxBackoff bounds the delay before a router polls a failing registry again. With the default of 5 s, scripts of 10 s
+// would end before the routers have recovered from a fault.
 const maxBackoff = 2 * second
 
 // list formats strings as a TOML array.
--- a/internal/testbench/lab/partition.go
+++ b/internal/testbench/lab/partition.go
@@ -7,15 +7,16 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// Partitioned is a rule of the lab's own: a router that sends nothing although caches take work, and a server of the
-// registry that answers has never shown them otherwise. The requests and their time count from when the router must have read
-// of enough such caches. It is checked only in scripts in which no other fault keeps a router from sending.
+// Partitioned is a rule that the lab itself checks: a router must send attempts if enough caches take work and no answering
+// server of the registry has ever shown these caches otherwise. Requests and their time count from the instant at which the
+// router must have read of enough such caches. The lab checks the rule only in scripts in which no other fault keeps a router
+// from sending.
 const Partitioned = "deserted"
 
 const (
-	partitionMinTime     = second // over which a router received requests and sent no attempt
-	partitionMinRequests = 8      // received in that time
-	partitionMinCaches   = 4      // that take work, were always shown so, and must be known to the router
+	partitionMinTime     = second // minimum time over which a router received requests and sent no attempt
+	partitionMinRequests = 8      // minimum number of requests received in that time
+	partitionMinCaches   = 4      // minimum number of caches that take work, were always shown so, and must be known to the router
 )
 
 // checkPartitioned reports a router that breaks the rule Partitioned, once for each process.
@@ -39,7 +40,8 @@
 		Text: fmt.Sprintf("%d requests and no attempt, while %d caches take work", l.requests, n)})
 }
 
-// cachesToSendTo counts the caches that take work, were always shown so, and that the router has had the time to read of.
+// cachesToSendTo counts the caches that take work, that the registry always showed so, and that the router has had time to
+// learn of.
 func (k *knowledge) cachesToSendTo(l *routerKnowledge, now Time) (n int) {
 	for _, e := range k.registries.registrations {
 		c := l.caches[e.cache.Name()]
@@ -50,7 +52,7 @@
 	return n
 }
 
-// otherFaultsBlockTraffic reports whether the script has a fault that may keep a router from caches that the registry shows.
+// otherFaultsBlockTraffic reports whether the script has a fault that may prevent a router from reaching registered caches.
 func (w *world) otherFaultsBlockTraffic() bool {
 	return slices.ContainsFunc(w.script.Faults, func(f script.Fault) bool {
 		return slices.Contains([]string{script.Cut, script.Lag, script.Stall, script.Hang, script.Silence, script.Busy,
@@ -71,7 +73,7 @@
 	}
 }
 
-// attemptSent resets the count, as the router sends attempts.
+// attemptSent resets the count of requests without an attempt.
 func (k *knowledge) attemptSent(router string) {
 	if l := k.ofRouter(router); l != nil {
 		l.requests = 0
--- a/internal/testbench/lab/placement.go
+++ b/internal/testbench/lab/placement.go
@@ -5,8 +5,8 @@
 	clientside "starlingwinch/internal/frontend"
 )
 
-// Placement returns the function that maps a key to the cache that routers send it to, so that stand-ins hold what a running
-// fleet holds.
+// Placement returns the function that maps a key to the cache to which routers send the key, so that stand-ins hold the same
+// keys as a running fleet.
 func Placement(caches []string) func(key string) string {
 	var entries []decide.Endpoint
 	for _, name := range caches {
--- a/internal/testbench/lab/reachable.go
+++ b/internal/testbench/lab/reachable.go
@@ -7,7 +7,8 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// reachable returns since when nothing has held up the link between a router and discovery, and whether nothing does now.
+// reachable returns the time since which no stall, cut or lag has delayed the link between a router and discovery, and
+// whether the link is free of them now.
 func (w *world) reachable(name string) (since Time, now bool) {
 	r := w.routerNamed(name)
 	if r == nil || r.node == nil {
--- a/internal/testbench/lab/registry.go
+++ b/internal/testbench/lab/registry.go
@@ -12,13 +12,13 @@
 	"starlingwinch/internal/testbench/standin/registry"
 )
 
-// registries are the servers of a run's registry, and the caches that are registered there. A nil one is that of a run
-// without a registry: it does nothing.
+// registries holds the servers of a run's registry and the caches that are registered there. A nil *registries belongs to a
+// run without a registry, and its methods do nothing.
 type registries struct {
 	world         *world
 	rand          *rand.Rand
 	servers       []*replica
-	registrations []*registration // in the order in which they came
+	registrations []*registration // in the order of their registration
 	knowledge     *knowledge
 }
 
@@ -33,16 +33,16 @@
 	startChangeLost bool
 }
 
-// registration is a cache with its registration. A small agent beside the cache renews it, and comes again where the
-// registry has forgotten it.
+// registration is the registration of a cache. It models an agent beside the cache that renews the lease, and that registers
+// the cache again if the registry has lost the registration.
 type registration struct {
 	cache *standin.Cache
 	addr  netip.AddrPort
-	start Time // 0 for long ago
-	ended bool // it renews no more
+	start Time // start time of the cache; 0 if the cache started before the run
+	ended bool // whether the agent has stopped renewing the lease
 }
 
-// leaseEvict is how often the registry looks for leases that are over.
+// leaseEvict is the interval at which the registry evicts expired leases.
 const leaseEvict = second
 
 func newRegistries(w *world) (*registries, error) {
@@ -84,7 +84,8 @@
 	return RegistryFiles(r.world.script.Registry, urls, self)
 }
 
-// registerInitial registers the caches that run at the start: they have been there for long, and stand in the answers.
+// registerInitial registers the caches that run at the start on all servers. Their start time is unset, and they are in the
+// servers' answers at once.
 func (r *registries) registerInitial(caches []*standin.Cache) {
 	if r == nil {
 		return
@@ -96,11 +97,11 @@
 		for _, e := range r.registrations {
 			r.world.fail(p.Register(r.instance(e)))
 		}
-		p.Disagree() // with nobody: its answers are made anew
+		p.Disagree() // hides no cache, but rebuilds the server's answers
 	}
 }
 
-// enroll registers a cache that has just started, and renews its lease from then on.
+// enroll registers a cache that has just started, and schedules the renewals of its lease.
 func (r *registries) enroll(c *standin.Cache, start Time) {
 	if r == nil {
 		return
@@ -111,7 +112,7 @@
 	r.renewLater(e)
 }
 
-// registrationOf is the registration of a cache, nil for none.
+// registrationOf returns the registration of a cache, or nil if there is none.
 func (r *registries) registrationOf(c *standin.Cache) *registration {
 	for _, e := range r.registrations {
 		if e.cache == c {
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// answeringServer is one that answers now, the first one for most: nil where none does.
+// answeringServer returns the first server that answers now, or nil if none does.
 func (r *registries) answeringServer() *replica {
 	for _, p := range r.servers {
 		if p.activeFaults[unreachable] == 0 {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// register has a server take it, where one answers.
+// register registers a cache with a server, if one answers.
 func (r *registries) register(e *registration) {
 	p := r.answeringServer()
 	if p != nil {
@@ -139,7 +140,7 @@
 	}
 }
 
-// instance is a cache as it registers.
+// instance returns the registry's instance for a cache.
 func (r *registries) instance(e *registration) registry.Instance {
 	ip := e.addr.Addr().String()
 	o := r.world.script.Registry
@@ -154,7 +155,7 @@
 	return in
 }
 
-// renewLater has the lease renewed when it is time, up to a tenth earlier.
+// renewLater schedules the next renewal of the lease, up to a tenth of the renewal interval early.
 func (r *registries) renewLater(e *registration) {
 	span := microseconds(r.world.script.Registry.Renewal)
 	r.world.sim.At(r.world.sim.Now()+span-Time(r.rand.Float64()*0.1*float64(span)), func() {
@@ -168,7 +169,7 @@
 	})
 }
 
-// registerRestart has a cache that has started anew register once more.
+// registerRestart registers a restarted cache again, with its new start time.
 func (r *registries) registerRestart(c *standin.Cache) {
 	if r == nil {
 		return
@@ -179,7 +180,7 @@
 	}
 }
 
-// stopRenewing lets the lease of a cache that has ended run out.
+// stopRenewing stops the renewals of a cache that has ended, so that its lease expires.
 func (r *registries) stopRenewing(c *standin.Cache) {
 	if r == nil {
 		return
@@ -189,24 +190,24 @@
 	}
 }
 
-// unregister takes a cache off the registry.
+// unregister removes a cache from the registry.
 func (r *registries) unregister(c *standin.Cache) {
 	if r == nil {
 		return
 	}
 	r.stopRenewing(c)
 	if p := r.answeringServer(); p != nil {
-		p.Cancel(c.Name()) // where it is not known any more, that is as well
+		p.Cancel(c.Name()) // an instance that the server no longer knows needs no removal
 	}
 }
 
-// setStatus sets the status of a cache as an operator does. It has no effect where no server answers.
+// setStatus sets the status of a cache as an operator does. It has no effect if no server answers.
 func (r *registries) setStatus(c *standin.Cache, status string) {
 	if r == nil {
 		return
 	}
 	if p := r.answeringServer(); p != nil {
-		p.SetStatus(c.Name(), status) // where it is not known any more there is nothing to set
+		p.SetStatus(c.Name(), status) // an instance that the server no longer knows has no status to set
 	}
 }
 
@@ -227,16 +228,16 @@
 	f.atEnd(x, func() { p.activeFaults[is]-- })
 }
 
-// dropDeltas records that so many changes are missing from deltas. The hash code counts instances by status, so that it
-// reveals neither a new start time nor two changes that cancel each other.
+// dropDeltas records the number of changes that are missing from deltas. The hash code counts instances by status, so that it
+// reveals neither a new start time nor two changes that cancel each other out.
 func (p *replica) dropDeltas(changes int) {
 	p.startChangeLost = true
 	if changes > 1 {
-		p.activeFaults[uncertain]++ // up to the next whole list, which is farther off than a run is long
+		p.activeFaults[uncertain]++ // until the next full fetch, which comes only after the end of the run
 	}
 }
 
-// faultStateOf is the state of a server while it has a fault of a kind.
+// faultStateOf returns the state of a server during a fault of the given kind.
 func faultStateOf(kind string) faultState {
 	switch kind {
 	case script.RegistrySilent, script.Registry5xx, script.RegistryTruncate, script.RegistryMalform,
@@ -248,7 +249,7 @@
 	return healthy
 }
 
-// ApplyInstantRegistryFault applies x where it is a fault without duration, and reports whether it is one.
+// ApplyInstantRegistryFault applies x if it is a fault without a duration, and reports whether it is one.
 func ApplyInstantRegistryFault(p *registry.Registry, x script.Fault) bool {
 	switch x.Kind {
 	case script.RegistryDeltaLost:
@@ -261,7 +262,7 @@
 	return true
 }
 
-// SetRegistryFault switches a fault of a kind on, or off where x is nil. hidden are the caches that RegistryDisagree hides.
+// SetRegistryFault switches a fault of a kind on, or off if x is nil. hidden lists the caches that RegistryDisagree hides.
 func SetRegistryFault(p *registry.Registry, kind string, x *script.Fault, hidden []string) {
 	on := isActive(x)
 	switch kind {
@@ -298,7 +299,7 @@
 	}
 }
 
-// firstRegistered returns the names of the first caches that were registered, part of all.
+// firstRegistered returns the names of the caches that registered first, up to the given fraction of all caches.
 func (r *registries) firstRegistered(part float64) (ids []string) {
 	n := int(part*float64(len(r.registrations)) + 0.5)
 	for _, e := range r.registrations[:n] {
@@ -307,7 +308,7 @@
 	return ids
 }
 
-// flap sets the status of a cache to out of service and up in turns, until the fault ends.
+// flap sets the status of a cache alternately to out of service and up until the fault ends.
 func (f *faults) flap(x script.Fault, c *standin.Cache) {
 	w := f.world
 	over := false
--- a/internal/testbench/lab/registry_knowledge.go
+++ b/internal/testbench/lab/registry_knowledge.go
@@ -8,47 +8,47 @@
 	"starlingwinch/internal/testbench/standin/registry"
 )
 
-// knowledge derives, every tick, what each router must have learned from the registry. The registry's sockets alone do
-// not show it: a router may poll either server, be switching from one to the other, or be cut off.
+// knowledge derives, every tick, the endpoint states that each router must have learned from the registry. The traffic on the
+// registry's sockets is not enough: a router may poll either server, be switching from one to the other, or be cut off.
 //
-// A router counts as notified that a cache takes no work once every server that it can be following shows so, and has
-// been healthy for as long as a router needs to return to it. A notification within one poll before a server fails is
-// revoked, as the router need not have polled in between.
+// A router counts as notified that a cache takes no work once every server that the router may be following shows this state
+// and has been healthy for as long as a router needs to return to a server. A notification within one poll interval before a
+// server fails is revoked, as the router need not have polled in between.
 type knowledge struct {
 	registries     *registries
 	routers        []*routerKnowledge
 	outByDiscovery map[string]map[string]bool // by discovery, for each router: caches that take no work
 }
 
-// faultState says how what a server shows relates to what a router gets of it.
+// faultState describes whether a router receives the data that a server holds.
 type faultState uint8
 
 const (
-	healthy     faultState = iota // the router gets what it shows
-	uncertain                     // it is unknown what the router gets, or when
-	unreachable                   // the router gets nothing
+	healthy     faultState = iota // the router receives the server's data
+	uncertain                     // it is unknown which data the router receives, or when
+	unreachable                   // the router receives nothing
 	faultStates
 )
 
 const (
-	// recoveryTime is how long a router may take to follow a server again that has failed: a backoff, a call that fails,
-	// and one that does not.
+	// recoveryTime is the maximum time until a router follows a recovered server again: one backoff, one call that fails,
+	// and one call that succeeds.
 	recoveryTime = maxBackoff + 1500*millisecond
-	// startTime is how long a router that has just started may take.
+	// startTime is the maximum time until a router that has just started follows a server.
 	startTime = second
-	// switchTime is how long a router may take to switch to another server.
+	// switchTime is the maximum time until a router has switched to another server.
 	switchTime = 2 * second
-	// pollTime is how long a router may wait between two polls of a healthy server.
+	// pollTime is the maximum time between two polls of a healthy server.
 	pollTime = 600 * millisecond
 )
 
-// HidesRegistry reports whether, with a fault of that kind, what a registry holds is not what a router gets of it.
+// HidesRegistry reports whether a fault of that kind makes the data that a router receives differ from the registry's data.
 func HidesRegistry(kind string) bool {
 	return slices.Contains([]string{script.RegistryStale, script.RegistryDisagree, script.RegistryEmpty}, kind) ||
 		faultStateOf(kind) != healthy
 }
 
-// routerKnowledge is what is known of one router.
+// routerKnowledge is the derived knowledge of one router.
 type routerKnowledge struct {
 	*router
 	servers           []serverView
@@ -56,7 +56,7 @@
 	requests          int  // requests received since it last sent an attempt
 	firstRequestAt    Time // the first of those requests
 	lastRequestAt     Time // the last of those requests
-	partitionReported bool // the partition was reported
+	partitionReported bool // whether a violation of the rule Partitioned was reported
 }
 
 // serverView is the state of a server as one router sees it.
@@ -65,18 +65,18 @@
 	since Time // when state last changed
 }
 
-// endpointKnowledge is what a router learned of a cache from the registry.
+// endpointKnowledge is a router's knowledge of one cache from the registry.
 type endpointKnowledge struct {
-	// shown is set once the cache was listed by a server for as long as the router needs to poll. The registry says
-	// nothing of a cache that the router never read there. shownAt is when it last was not listed.
+	// shown is set once a server has listed the cache for at least pollTime. A cache that the router never read in the
+	// registry does not count as out because of the registry. shownAt is the last time at which the cache was not listed.
 	shown         bool
 	shownAt       Time
 	notifiedOut   bool
 	notifiedOutAt Time
-	notifiedStart Time // the start time that it was last notified of
-	readableStart Time // the start time that all servers show it
-	readableSince Time // since when it can read readableStart
-	// alwaysUp stays set while a healthy server shows the cache as taking work and none has shown it otherwise.
+	notifiedStart Time // the start time of which the router was last notified
+	readableStart Time // the start time that all servers show to the router
+	readableSince Time // since when the router can read readableStart
+	// alwaysUp stays set while a healthy server shows the cache as taking work and no server has shown it otherwise.
 	alwaysUp     bool
 	firstShownAt Time // since when alwaysUp is derived
 }
@@ -89,7 +89,7 @@
 	return k
 }
 
-// update derives what the running routers know now. It is called every tick.
+// update derives the current knowledge of the running routers. It is called every tick.
 func (k *knowledge) update(now Time) {
 	for _, l := range k.routers {
 		if l.node == nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// routerStarted resets what is known of a router whose process starts.
+// routerStarted resets the knowledge of a router whose process starts.
 func (k *knowledge) routerStarted(now Time, router string) {
 	l := k.ofRouter(router)
 	*l = routerKnowledge{router: l.router, caches: map[string]*endpointKnowledge{}}
@@ -136,7 +136,7 @@
 	}
 }
 
-// revokeRecent revokes notifications that the router need not have polled yet.
+// revokeRecent revokes notifications so recent that the router need not have polled the change yet.
 func (k *knowledge) revokeRecent(l *routerKnowledge, now Time) {
 	for _, e := range k.registries.registrations {
 		if c := l.caches[e.cache.Name()]; c != nil && c.notifiedOut && now-c.notifiedOutAt < pollTime {
@@ -156,19 +156,19 @@
 	return false
 }
 
-// clusterView is what all servers together show of a cache to one router.
+// clusterView is the combined state of a cache that all servers show to one router.
 type clusterView struct {
 	settled     bool // all servers are settled for the router
-	readable    bool // all that it may be following are healthy, and there is one
-	works       bool // one that it may be following shows the cache as taking work
-	up          bool // a healthy one shows it so
-	reachable   bool // there is a healthy one
-	reportedOut bool // one lists the cache as taking no work
-	listed      bool // one that the router follows lists the cache
-	start       Time // the start time that all of them show; 0 for none, or several
+	readable    bool // all servers that the router may be following are healthy, and there is at least one
+	works       bool // a server that the router may be following shows the cache as taking work
+	up          bool // a healthy server shows the cache as taking work
+	reachable   bool // at least one server is healthy
+	reportedOut bool // a server lists the cache as taking no work
+	listed      bool // a server that the router follows lists the cache
+	start       Time // the start time that all these servers show; 0 if there is none, or if they differ
 }
 
-// viewOf combines what all servers show of a cache to a router.
+// viewOf combines the states of a cache that all servers show to a router.
 func (k *knowledge) viewOf(l *routerKnowledge, cache string, now Time) clusterView {
 	v := clusterView{settled: true, readable: true, start: -1}
 	lost := false
@@ -181,7 +181,7 @@
 		v.reachable = v.reachable || sound
 		v.reportedOut = v.reportedOut || listed && !works
 		if s.state == unreachable && s.settled(now) {
-			continue // the router has switched to another one
+			continue // the router has switched to another server
 		}
 		v.listed = v.listed || listed && sound && s.settled(now)
 		v.works = v.works || works
@@ -203,7 +203,7 @@
 	return v
 }
 
-// updateEndpoint derives what a router must have learned of a cache, and notifies the watcher of changes.
+// updateEndpoint derives the state of a cache that a router must have learned, and notifies the watcher of changes.
 func (k *knowledge) updateEndpoint(l *routerKnowledge, e *registration, now Time) {
 	name := e.cache.Name()
 	c := l.caches[name]
@@ -261,7 +261,7 @@
 	return c != nil && c.notifiedOut || k.outByDiscovery[router][cache]
 }
 
-// reportChange tells the watcher of a changed status. A cache counts as out where either source says so.
+// reportChange notifies the watcher of a changed status. A cache counts as out if the registry or discovery shows it as out.
 func (k *knowledge) reportChange(router, cache string, now Time, before bool) {
 	if after := k.countsAsOut(router, cache); after != before {
 		k.registries.world.observer.reportListed(now, router, cache, !after)
--- a/internal/testbench/lab/result.go
+++ b/internal/testbench/lab/result.go
@@ -10,13 +10,13 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// Rules that the runner watches besides those of package rules.
+// Rules that the lab checks in addition to those of package rules.
 const (
 	Crash = "crash" // a panic in a callback
 	Stuck = "stuck" // more events than a run of that length can have
 
-	PastHook  = "sent past a hook"    // though its hooks pass nothing of its class
-	LongQueue = "hook queue too long" // more calls than the operator allows
+	PastHook  = "sent past a hook"    // a cache received a request of a class that a hook never passes
+	LongQueue = "hook queue too long" // a hook has more calls than its queue limit allows
 )
 
 // Broken is one broken rule.
@@ -54,18 +54,18 @@
 
 // Result is the result of a run.
 type Result struct {
-	Broken    []Broken // the first mostBroken
-	More      int      // broken rules beyond those
-	Excused   int      // requests that were lost while their router's machine was stopped or cut off
+	Broken    []Broken // the first maxBroken broken rules
+	More      int      // number of broken rules beyond maxBroken
+	Excused   int      // requests lost through no fault of their router; see excuses
 	Counts    rules.Counts
 	Steps     int64
 	Simulated Time
 	Trace     uint64
-	History   []string // of Options.Follow
+	History   []string // history of the request that Options.Follow names
 	Discovery standin.DiscoveryUsage
 }
 
-// First is the first broken rule, empty for none.
+// First returns the name of the first broken rule, or an empty string if no rule broke.
 func (r *Result) First() string {
 	if len(r.Broken) == 0 {
 		return ""
--- a/internal/testbench/lab/router.go
+++ b/internal/testbench/lab/router.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/testbench/sim"
 )
 
-// router is one router, over all its processes.
+// router is one router across all its successive processes.
 type router struct {
 	world         *world
 	name          string
@@ -19,14 +19,14 @@
 	node          Node // nil while none runs
 
 	ending           bool              // after SIGTERM
-	generation       int               // number of its processes so far
-	startedAt        Time              // of the process that runs
-	workers          *hookstest.Script // of its process; nil where it has no hooks
+	generation       int               // number of processes started so far
+	startedAt        Time              // start of the current process
+	workers          *hookstest.Script // hook workers of the current process; nil if there are no hooks
 	stalls           []span
-	servedOtherZones bool // has served clients of another zone
+	servedOtherZones bool // whether the router has served clients of another zone
 }
 
-// resumesAt is when the router's machine runs again after its stalls; 0 where it never stalled.
+// resumesAt returns the time at which the router's machine runs again after its last stall, or 0 if it never stalled.
 func (r *router) resumesAt() (at Time) {
 	for _, s := range r.stalls {
 		at = max(at, s.to)
@@ -34,7 +34,7 @@
 	return at
 }
 
-// span is a stretch of time.
+// span is an interval of time.
 type span struct{ from, to Time }
 
 func newRouter(w *world, i int, zone string) *router {
@@ -91,7 +91,7 @@
 	}
 }
 
-// end ends the process. A clean end is one after a SIGTERM, whether it came by itself or not.
+// end ends the process. An end after SIGTERM is clean, whether the process exited by itself or was killed.
 func (r *router) end(clean bool) {
 	if r.node == nil {
 		return
@@ -102,9 +102,9 @@
 	r.world.front.removeLater(r)
 }
 
-// Times of a planned restart, as the protocol gives them.
+// Times of a planned restart, as the shutdown protocol defines them.
 const (
-	frontDrainDelay = 300 * millisecond // new connections go on coming for so long after SIGTERM
+	frontDrainDelay = 300 * millisecond // time after SIGTERM during which new connections still arrive
 	shutdownTimeout = 3900 * millisecond
 	restartDelay    = 100 * millisecond
 )
@@ -115,27 +115,27 @@
 		return
 	}
 	r.ending = true
-	w, life := r.world, r.generation
+	w, generation := r.world, r.generation
 	w.observer.logTimeline(r.name + " gets SIGTERM")
 	w.sim.At(w.sim.Now()+frontDrainDelay, func() {
-		if r.generation == life {
+		if r.generation == generation {
 			w.front.remove(r)
 		}
 	})
 	over := func() {
-		if r.generation == life && r.node != nil {
+		if r.generation == generation && r.node != nil {
 			r.end(true)
 			r.restartAfter(restartDelay)
 		}
 	}
 	kill := w.sim.At(w.sim.Now()+shutdownTimeout, func() {
-		if r.generation == life && r.node != nil {
+		if r.generation == generation && r.node != nil {
 			w.observer.logTimeline(r.name + " has not ended in time")
 		}
 		over()
 	})
 	r.node.Drain(func() {
-		// Its own callback goes on after this call: the process ends in a turn of the script.
+		// The router's callback is still running after this call, so that the process ends in a separate turn.
 		w.sim.At(w.sim.Now(), func() {
 			kill.Stop()
 			over()
@@ -146,17 +146,17 @@
 // kill ends the process at once.
 func (r *router) kill() { r.end(false) }
 
-// restartAfter starts a new process after a delay, unless one was started meanwhile.
+// restartAfter starts a new process after a delay, unless another one has started before.
 func (r *router) restartAfter(after Time) {
-	life := r.generation
+	generation := r.generation
 	r.world.sim.At(r.world.sim.Now()+after, func() {
-		if r.generation == life && r.node == nil {
+		if r.generation == generation && r.node == nil {
 			r.start()
 		}
 	})
 }
 
-// reload has the router read its configuration again, as after SIGHUP.
+// reload reloads the router's configuration, as SIGHUP does.
 func (r *router) reload() {
 	if r.node == nil {
 		return
@@ -166,7 +166,7 @@
 	}
 }
 
-// stall stops the router's machine for a time.
+// stall stops the router's machine for the duration d.
 func (r *router) stall(d Time) {
 	if r.node == nil {
 		return
--- a/internal/testbench/lab/run.go
+++ b/internal/testbench/lab/run.go
@@ -1,10 +1,9 @@
-// Package lab runs routers among stand-ins, in a virtual world on which a script of faults is played, and finds the
-// rules that break. A run is decided by its script alone, seed included: the same script gives the same
-// run to the byte, whatever else the process does. One goroutine carries a run out; several runs may go on side
-// by side, as they share nothing.
+// Package lab runs routers among stand-ins in a simulated world, applies a script of faults, and reports broken rules.
+// A run is deterministic: the script, including its seed, decides every byte of the run, independently of anything else in
+// the process. One goroutine executes a run. Several runs may execute concurrently, as they share no state.
 //
-// The lab never judges: package rules does, from what is on the sockets. What it adds is what no
-// socket shows: a router that crashes, a run that does not end, and what is left behind once all is quiet.
+// Package rules judges the routers by the traffic on the sockets. The lab adds only checks of faults that the sockets do not
+// show, such as a router that crashes, a run that does not end, and resources that remain after all work has ended.
 package lab
 
 import (
@@ -28,36 +27,37 @@
 // Options say how a script is run.
 type Options struct {
 	Node Start // the router under test
-	// Wrap stands between each router and its decision module; see NodeConfig.
+	// Wrap wraps the decision module of each router; see NodeConfig.
 	Wrap func(guard.Module) guard.Module
-	// Unguarded has the routers' guard prevent nothing; see NodeConfig.
+	// Unguarded disables the routers' guard; see NodeConfig.
 	Unguarded bool
-	// Storm is what operators say of storms; nil for nothing.
+	// Storm is the operators' retry-storm configuration; nil means none.
 	Storm *retrystorm.Config
-	// Change, where it is not nil, changes each script before it is played.
+	// Change, if not nil, changes each script before the run.
 	Change func(*script.Script)
-	// Follow is the id of a request whose life the result is to hold.
+	// Follow is the id of a request whose history the result includes.
 	Follow string
-	// State says where routers keep what they have learned; the zero value is nowhere.
+	// State configures where routers store their snapshots; with the zero value, they store none.
 	State snapshotstore.Config
-	// Fleet, where it is not nil, changes the fleet that stands around the routers before it is made.
+	// Fleet, if not nil, changes the options of the stand-ins' fleet before the fleet is created.
 	Fleet func(*standin.Options)
-	// Weight is how many of its zone's connections the front deals to a router, from 0, for each one of another; nil for one.
+	// Weight returns the relative share of its zone's connections that the front gives to the router with this index, counted
+	// from 0; nil means 1 for each router.
 	Weight func(router int) int
-	// Caches is told the names of the caches at the start, in the order of their places. It may be nil.
+	// Caches, if not nil, is called at the start with the names of the caches, in the order of their places.
 	Caches func(names []string)
-	// Counts is told what has been counted, each second. It may be nil.
+	// Counts, if not nil, is called each simulated second with the counts so far.
 	Counts func(at Time, c rules.Counts)
-	// Timeline is told what a person wants to know, in order.
+	// Timeline, if not nil, is called with each line of the human-readable timeline, in order.
 	Timeline func(at Time, line string)
 }
 
-// ScriptTime is the script's time at an instant of a router's clock.
+// ScriptTime converts an instant of a router's clock to script time.
 func ScriptTime(now sim.Time) Time { return now - sim.Start - lead }
 
 // Bounds of a run.
 const (
-	settleFor      = 8 * second // after the clients have stopped
+	settleFor      = 8 * second // maximum duration of the run after the clients have stopped
 	settleStep     = 100 * millisecond
 	tickEvery      = 5 * millisecond
 	usageEvery     = 100 * millisecond
@@ -65,7 +65,7 @@
 	stepsPerSecond = 100_000 // of simulated time
 )
 
-// Run plays a script. The error tells what kept it from being played; broken rules are in the result.
+// Run executes a script. Run returns an error only if the script could not be executed; broken rules are in the result.
 func Run(s script.Script, o Options) (*Result, error) {
 	if o.Change != nil {
 		s = s.Clone()
@@ -94,7 +94,7 @@
 	return w.result(), nil
 }
 
-// play runs the world to its end, which is early where it crashes or is stuck.
+// play runs the world to its end, or until the run crashes or is stuck.
 func (w *world) play() {
 	end := sim.Start + lead + microseconds(w.script.Length)
 	if !w.runTo(end) {
@@ -114,7 +114,7 @@
 	w.watcher.Close(w.sim.Now())
 }
 
-// runTo plays up to an instant and reports whether the run can go on.
+// runTo runs the world up to an instant and reports whether the run can continue.
 func (w *world) runTo(until Time) bool {
 	most := int64(minSteps) + int64(stepsPerSecond)*((until-sim.Start)/second)
 	for w.sim.Now() < until {
@@ -137,7 +137,7 @@
 	return w.err == nil
 }
 
-// runPart plays up to an instant and catches what panics.
+// runPart runs the world up to an instant. It reports a panic, or too many events, as a broken rule.
 func (w *world) runPart(until Time, most int64) (on bool) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -159,7 +159,7 @@
 // maxFrames bounds the frames of a reported stack.
 const maxFrames = 8
 
-// stack names the project's functions that led to the panic, without what differs from run to run.
+// stack formats the project's functions on the stack of a panic, without the parts that differ between runs.
 func stack() string {
 	var pcs [64]uintptr
 	frames := runtime.CallersFrames(pcs[:runtime.Callers(3, pcs[:])])
@@ -168,7 +168,7 @@
 		f, more := frames.Next()
 		name, ours := strings.CutPrefix(f.Function, "starlingwinch/")
 		if name == "internal/testbench/lab.(*world).runPart" {
-			more = false // who has called the runner is no part of it
+			more = false // the callers of the runner differ between runs
 		}
 		if ours && !strings.HasPrefix(name, "internal/testbench/lab.") && !strings.HasPrefix(name, "internal/testbench/sim.") {
 			lines = append(lines, fmt.Sprintf(" | %s %s:%d", name, path.Base(f.File), f.Line))
@@ -179,7 +179,7 @@
 	}
 }
 
-// usage reports the descriptors that each router holds to the watcher.
+// usage reports to the watcher the number of descriptors that each router holds.
 func (w *world) usage() {
 	for _, r := range w.routers {
 		if r.node != nil {
@@ -188,7 +188,7 @@
 	}
 }
 
-// quiet reports whether nothing is under way any more.
+// quiet reports whether all requests, drains and other work have ended.
 func (w *world) quiet() bool {
 	if w.fleet.Open() > 0 {
 		return false
@@ -209,20 +209,20 @@
 	return true
 }
 
-// What a quiet router may hold: connections, and a few timers that come again and again.
+// Names of the resources that an idle router may hold: connections, and a few periodic timers.
 const (
 	connections = "connections"
 	ownTimers   = "timers"
 )
 
-// A quiet router's descriptors beside its connections, and its timers.
+// Limits of the descriptors that an idle router holds besides its connections, and of its timers.
 const (
 	otherDescriptors = 8
 	otherTimers      = 1024
-	hookDescriptors  = 4 // of each hook: its worker's, and those of a set that takes over
+	hookDescriptors  = 4 // per hook: those of its worker, and those of a hook set that is replacing the current set
 )
 
-// checkLeftovers reports resources that a quiet router still holds: a leak shows only after weeks otherwise.
+// checkLeftovers reports resources that an idle router still holds. Without this check, a leak would show only after weeks.
 func (w *world) checkLeftovers() {
 	now := w.sim.Now()
 	for _, r := range w.routers {
--- a/internal/testbench/lab/scenario.go
+++ b/internal/testbench/lab/scenario.go
@@ -12,26 +12,26 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// Scenario is a measurement or a check of its own, which `lab run NAME` runs.
+// Scenario is a measurement or a check that `lab run NAME` runs.
 type Scenario struct {
 	Name, Doc string
-	// Run returns its line, `figure value figure value ...`, and whether every figure met its mark.
-	// What it compares it prints before.
+	// Run returns the result line, `figure value figure value ...`, and whether every figure met its threshold.
+	// Run prints the values that it compares before it returns.
 	Run func(ctx context.Context, o RunOptions) (line string, ok bool, err error)
 }
 
-// RunOptions are what the command line says to a scenario.
+// RunOptions are the command-line options of a scenario.
 type RunOptions struct {
 	Out     io.Writer
-	Long    bool   // take longer than the usual minute
-	Times   int    // how often to do what is measured; 0 for the usual number
+	Long    bool   // run longer than the usual minute
+	Times   int    // number of repetitions of the measurement; 0 means the default
 	Against string // a program to compare with, such as the router of the commit before
 	Args    []string
 }
 
 var scenarios []Scenario
 
-// Register adds a scenario. It is called as a program starts.
+// Register adds a scenario. Programs call it during initialization. It panics if the name is taken.
 func Register(s Scenario) {
 	if _, taken := Find(s.Name); taken {
 		panic("lab: two scenarios are named " + s.Name)
@@ -40,10 +40,10 @@
 	slices.SortFunc(scenarios, func(a, b Scenario) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Scenarios lists all by name.
+// Scenarios returns all scenarios, sorted by name.
 func Scenarios() []Scenario { return slices.Clone(scenarios) }
 
-// Find finds a scenario.
+// Find returns the scenario with the given name.
 func Find(name string) (Scenario, bool) {
 	i := slices.IndexFunc(scenarios, func(s Scenario) bool { return s.Name == name })
 	if i < 0 {
@@ -52,16 +52,16 @@
 	return scenarios[i], true
 }
 
-// The scripts of hard cases, each the story of one trouble.
+// hard holds the scripts of hard cases, each of which reproduces one kind of failure.
 //
 //go:embed scripts/*.toml
 var hard embed.FS
 
-// Scripts lists the scripts of hard cases by name.
+// Scripts returns the names of the scripts of hard cases.
 func Scripts() []string {
 	entries, err := hard.ReadDir("scripts")
 	if err != nil {
-		panic(err) // they are a part of the program
+		panic(err) // the scripts are embedded in the program
 	}
 	var names []string
 	for _, e := range entries {
@@ -70,7 +70,7 @@
 	return names
 }
 
-// Script is a script of a hard case, with its first line of comment.
+// Script returns the script of a hard case, and the first line of its comment.
 func Script(name string) (s script.Script, doc string, err error) {
 	file := path.Join("scripts", path.Base(name)+".toml")
 	raw, err := hard.ReadFile(file)
--- a/internal/testbench/lab/shrink.go
+++ b/internal/testbench/lab/shrink.go
@@ -8,22 +8,21 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// Shrinking cuts a script down to what matters for one broken rule. Faults are dropped by delta debugging (Zeller and
-// Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", IEEE TSE 28(2), 2002); what is left is made
-// shorter and milder step by step, as long as the rule still breaks.
+// Shrinking reduces a script to a small one that still breaks one rule. Delta debugging (Zeller and Hildebrandt, "Simplifying
+// and Isolating Failure-Inducing Input", IEEE TSE 28(2), 2002) removes faults. Further steps make the remaining script shorter
+// and milder as long as the rule still breaks.
 type Shrinking struct {
-	Rule    string // that is to break
+	Rule    string // the rule that the script must break
 	Options Options
 	// Tried is called after each run, with its script and whether the rule broke.
 	Tried func(s script.Script, breaks bool)
-	// MaxRuns bounds the number of runs; 0 stands for 500.
+	// MaxRuns bounds the number of runs; 0 means 500.
 	MaxRuns int
 
 	runs int
 }
 
-// Shrink returns the smallest script that it has found, and the number of runs made. Where ctx ends, that is the
-// smallest so far.
+// Shrink returns the smallest script found and the number of runs. If ctx ends early, the script is the smallest so far.
 func (h *Shrinking) Shrink(ctx context.Context, s script.Script) (script.Script, int) {
 	if h.MaxRuns == 0 {
 		h.MaxRuns = 500
@@ -51,7 +50,7 @@
 	}
 }
 
-// fewer drops faults: ddmin over the list.
+// fewer removes faults with the ddmin algorithm.
 func fewer(s script.Script, breaks func(script.Script) bool) script.Script {
 	for parts := 2; len(s.Faults) > 0; {
 		parts = min(parts, len(s.Faults))
@@ -77,7 +76,7 @@
 	return s
 }
 
-// truncate is a script of another length, with its faults cut off at the end.
+// truncate returns a copy of the script with another length. Faults end with the copy at the latest.
 func truncate(s script.Script, length time.Duration) script.Script {
 	c := s.Clone()
 	c.Length = length
@@ -92,7 +91,7 @@
 	return c
 }
 
-// shorter halves the rest of the run that it can do without, and then the spans of faults.
+// shorter bisects for a shorter length of the run, and then for shorter durations of the faults.
 func shorter(s script.Script, breaks func(script.Script) bool) script.Script {
 	s.Length = shortestBreaking(s.Length, 200*time.Millisecond, func(d time.Duration) bool { return breaks(truncate(s, d)) })
 	s = truncate(s, s.Length)
@@ -109,7 +108,7 @@
 	return s
 }
 
-// shortestBreaking bisects for the shortest span that still breaks the rule, to a tenth of from.
+// shortestBreaking bisects for the shortest duration that still breaks the rule, with a precision of a tenth of from.
 func shortestBreaking(from, floor time.Duration, breaks func(time.Duration) bool) time.Duration {
 	low, high := floor, from
 	for step := max(from/10, floor); high-low > step; {
@@ -123,7 +122,7 @@
 	return high
 }
 
-// milder takes out of the world what does not matter.
+// milder lowers the load and resets other properties of the script, such as hooks, clients and network, where the rule still breaks.
 func milder(s script.Script, breaks func(script.Script) bool) script.Script {
 	usual := script.Default()
 	try := func(change func(c *script.Script)) {
--- a/internal/testbench/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -14,39 +14,39 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// Storm is a retry storm: all caches end, return without their keys, and all clients reconnect at that moment.
+// Storm is a retry storm: all caches stop and restart without their keys, and all clients reconnect at the restart.
 type Storm struct {
 	Seed              int64
 	Clients           int
-	Load              float64 // of what warm caches bear
-	Before            Time    // before the outage
-	Outage            Time    // for which no cache runs
-	For               Time    // how long the run lasts from the caches' return on
+	Load              float64 // fraction of the capacity of warm caches
+	Before            Time    // duration of the run before the outage
+	Outage            Time    // duration for which no cache runs
+	For               Time    // duration of the run after the caches' return
 	IgnoreAdvice      float64 // fraction of clients that ignore retry-after and retry at once
 	SharedAddress     bool    // all clients come from one address
 	FixedBackoff      bool    // clients that honour retry-after back off by one fixed time
-	Silent            int     // further connections that send nothing
+	Silent            int     // number of additional connections that send nothing
 	SecondOutageAfter Time    // from the end of the first outage to a second one; 0 for none
 	Burst             float64 // factor of the load from BurstAt to BurstTo; 0 for none
 	BurstAt           Time    // from the caches' return
 	BurstTo           Time    // from the caches' return
-	KeysRetained      bool    // the caches return with the keys that they held, but must still warm up
+	KeysRetained      bool    // the caches return with their previous keys, but must still warm up
 	Warm              bool    // no outage: the caches are warm, and all clients connect at once
 }
 
-// StormWindow is the span over which goodput is judged.
+// StormWindow is the length of the windows for which goodput is computed.
 const StormWindow = 3 * second
 
-// StormInterval is one window of a storm. All but At is work, in seconds of one core, as requests of their class take on
-// average.
+// StormInterval is one window of a storm. All fields but At are work in seconds of one core. A request counts with the mean
+// work of its class.
 type StormInterval struct {
-	At       Time    // its beginning, from the caches' return
-	Offered  float64 // of requests made
-	InTime   float64 // of those answered in time
-	Capacity float64 // that caches, and the store behind them, can do
+	At       Time    // beginning of the window, from the caches' return
+	Offered  float64 // work of the requests made
+	InTime   float64 // work of the requests answered in time
+	Capacity float64 // work that the caches, and the store behind them, can do
 }
 
-// Goodput is the fraction of the possible work that was done in time.
+// Goodput returns the fraction of the possible work that was done in time.
 func (p StormInterval) Goodput() float64 {
 	if least := min(p.Offered, p.Capacity); least > 0 {
 		return min(1, p.InTime/least)
@@ -58,9 +58,9 @@
 type StormResult struct {
 	*Result
 	Intervals          []StormInterval
-	Requests, InTime   int // made from the caches' return on
-	Overloads          int // caches and stores that fell over
-	Tries, Refused     int // of the whole run
+	Requests, InTime   int // requests made after the caches' return
+	Overloads          int // number of collapses of caches and of the store under overload
+	Tries, Refused     int // over the whole run
 	Changes            []StormChange
 	CommonestWaitRatio float64 // fraction of all retry-after times that have the commonest value
 	MaxBudgetRise      float64 // largest single rise of the retry budget's fraction
@@ -76,8 +76,8 @@
 	Line   string
 }
 
-// CalmAt is when the last router was calm for good, from the caches' return on; 0 where none ever was not, -1 where one
-// was not at the end.
+// CalmAt returns the time, from the caches' return, of the last router's final change to calm. CalmAt returns 0 if all routers
+// were always calm, and -1 if a router is not calm at the end.
 func (r *StormResult) CalmAt() Time {
 	last := map[string]StormChange{}
 	for _, c := range r.Changes {
@@ -93,10 +93,10 @@
 	return at
 }
 
-// InTimeRatio is the fraction of requests that were served in time.
+// InTimeRatio returns the fraction of requests that were served in time.
 func (r *StormResult) InTimeRatio() float64 { return float64(r.InTime) / float64(max(1, r.Requests)) }
 
-// MinGoodput is the lowest goodput of any window.
+// MinGoodput returns the lowest goodput of any window.
 func (r *StormResult) MinGoodput() float64 {
 	least := 1.0
 	for _, p := range r.Intervals {
@@ -105,7 +105,7 @@
 	return least
 }
 
-// Bound is the fraction of the offered work that caches could have done in time, had nothing been wasted.
+// Bound returns the fraction of the offered work that caches could have done in time without any wasted work.
 func (r *StormResult) Bound() float64 {
 	could, asked := 0.0, 0.0
 	for _, p := range r.Intervals {
@@ -114,8 +114,8 @@
 	return could / asked
 }
 
-// Used is the fraction of the possible work that was done in time, without the first window. Possible is what caches could
-// do, or what was offered where that is less.
+// Used returns the fraction of the possible work that was done in time, without the first window. The possible work is the
+// lesser of the caches' capacity and the offered work.
 func (r *StormResult) Used() float64 {
 	could, done := 0.0, 0.0
 	for _, p := range r.Intervals[min(1, len(r.Intervals)):] {
@@ -133,7 +133,7 @@
 // maxStormSteps bounds the events of a run, for each second of simulated time.
 const maxStormSteps = 2_000_000
 
-// stormRun is a storm that is under way.
+// stormRun is the state of a running storm.
 type stormRun struct {
 	*world
 	storm        Storm
@@ -142,19 +142,19 @@
 	capacity     *FleetCapacity
 	result       StormResult
 	clients      []*standin.Client
-	rate         float64 // of each client
+	rate         float64 // request rate of each client
 	observations *stormObservations
-	keysBefore   map[*standin.Cache][]string // keys, as the caches went
+	keysBefore   map[*standin.Cache][]string // keys of each cache at the beginning of the outage
 }
 
-// stormObservations is what was observed between routers and their decision modules.
+// stormObservations holds observations of the events and actions between routers and their decision modules.
 type stormObservations struct {
 	retryAfters   map[Time]int // counts of retry-after times, in milliseconds
-	maxBudgetRise float64      // of the budget
+	maxBudgetRise float64      // largest single rise of the retry budget's fraction
 }
 
-// retryStormObserver observes the events that reach the decision module. Options.Wrap wraps it, so that it sees what a
-// planted defect passes on.
+// retryStormObserver observes the events that reach the decision module. Options.Wrap wraps retryStormObserver, which
+// therefore sees the events that a planted defect passes on.
 type retryStormObserver struct {
 	guard.Module
 	observations   *stormObservations
@@ -172,7 +172,7 @@
 	return h.Module.Handle(now, ev)
 }
 
-// rejectObserver observes the actions that a router carries out. It wraps the module of Options.Wrap.
+// rejectObserver observes the actions that a router executes. It wraps the module that Options.Wrap returns.
 type rejectObserver struct {
 	guard.Module
 	observations *stormObservations
@@ -189,7 +189,7 @@
 	return actions
 }
 
-// summarizeObservations puts the observations into the result.
+// summarizeObservations adds the observations to the result.
 func (r *stormRun) summarizeObservations() {
 	all, most := 0, 0
 	for _, n := range r.observations.retryAfters { // any order: a sum and a maximum
@@ -199,7 +199,7 @@
 	r.result.MaxBudgetRise = r.observations.maxBudgetRise
 }
 
-// PlayStorm plays a storm in a virtual world.
+// PlayStorm runs a storm in a simulated world.
 func PlayStorm(s Storm, o Options) (*StormResult, error) {
 	if o.Storm == nil {
 		on := retrystorm.DefaultEnabled()
@@ -208,14 +208,14 @@
 	base := script.Default()
 	base.Seed, base.Rate, base.Clients.Groups = s.Seed, 0, 0
 	base.Length = time.Duration(s.Before+s.Outage+s.For) * time.Microsecond
-	stood := &stormObservations{retryAfters: map[Time]int{}}
+	observations := &stormObservations{retryAfters: map[Time]int{}}
 	wrap := o.Wrap
 	o.Wrap = func(m guard.Module) guard.Module {
-		m = &retryStormObserver{m, stood, 0}
+		m = &retryStormObserver{m, observations, 0}
 		if wrap != nil {
 			m = wrap(m)
 		}
-		return &rejectObserver{m, stood}
+		return &rejectObserver{m, observations}
 	}
 	w, err := newWorld(base, o)
 	if err != nil {
@@ -225,7 +225,7 @@
 		world:        w,
 		storm:        s,
 		from:         sim.Start + lead + s.Before + s.Outage,
-		observations: stood,
+		observations: observations,
 		keysBefore:   map[*standin.Cache][]string{},
 	}
 	r.setUp()
@@ -238,7 +238,7 @@
 	return &r.result, nil
 }
 
-// scheduleOutages plans the outages, or the moment at which all clients connect where there is none.
+// scheduleOutages schedules the outages, or the simultaneous connect of all clients if the storm has no outage.
 func (r *stormRun) scheduleOutages() {
 	if r.storm.Warm {
 		r.sim.At(r.from, r.reconnect)
@@ -252,7 +252,7 @@
 	}
 }
 
-// play runs the world to the end of the storm, which is early where it crashes or is stuck.
+// play runs the world to the end of the storm, or until the run crashes or is stuck.
 func (r *stormRun) play() {
 	end := r.from + r.storm.For
 	for now := r.sim.Now(); now < end; now = r.sim.Now() {
@@ -272,7 +272,7 @@
 	}
 }
 
-// finish fills the result in once the storm is over.
+// finish fills in the result after the end of the storm.
 func (r *stormRun) finish() {
 	r.watcher.Close(r.sim.Now())
 	r.result.Result = r.world.result()
@@ -357,7 +357,7 @@
 	r.reconnect()
 }
 
-// reconnect has all clients reconnect within 20 ms.
+// reconnect makes all clients reconnect within 20 ms.
 func (r *stormRun) reconnect() {
 	for _, c := range r.clients {
 		r.sim.At(r.sim.Now()+r.rand.Int64N(20*millisecond), func() {
@@ -369,7 +369,7 @@
 	}
 }
 
-// addSilent opens a connection at the caches' return that sends nothing, and opens it again once it is closed.
+// addSilent opens a connection that sends nothing within 20 ms of the caches' return, and opens it again after each close.
 func (r *stormRun) addSilent(i int) {
 	zones := script.Zones()
 	zone := zones[i%len(zones)]
--- a/internal/testbench/lab/storm_accounting.go
+++ b/internal/testbench/lab/storm_accounting.go
@@ -4,16 +4,16 @@
 	"starlingwinch/internal/testbench/standin"
 )
 
-// FleetCapacity computes what a fleet can serve at a moment. Use NewFleetCapacity.
+// FleetCapacity computes the current capacity of a fleet. Use NewFleetCapacity.
 type FleetCapacity struct {
-	MeanWork    float64 // work of a request, in seconds of one core
+	MeanWork    float64 // mean work of a request, in seconds of one core
 	fleet       *standin.Fleet
 	writes      float64 // fraction of requests that write
 	store       standin.StoreOptions
 	cacheOfRank []*standin.Cache // the cache that each key is placed on, by the key's rank
 }
 
-// NewFleetCapacity is for a fleet of which all caches run.
+// NewFleetCapacity returns the capacity of a fleet whose caches are all running.
 func NewFleetCapacity(f *standin.Fleet, o standin.Options) *FleetCapacity {
 	b := &FleetCapacity{fleet: f, store: o.Store}
 	for _, c := range o.Classes {
@@ -34,8 +34,8 @@
 	return b
 }
 
-// Now is the work, in seconds of one core in a second, that the caches and the store behind them can do at the
-// moment: a request whose key its home does not hold is a fetch from the store.
+// Now returns the work, in seconds of one core per second, that the caches and the store behind them can do now. A request
+// whose key is not in its home cache is a fetch from the store.
 func (b *FleetCapacity) Now() float64 {
 	able := 0.0
 	for _, c := range b.fleet.Caches {
@@ -54,7 +54,7 @@
 // StormAccounting counts the work that was offered and done in a storm, by windows.
 type StormAccounting struct {
 	From, For        Time // work before From is not counted, and windows past For are not returned
-	Requests, InTime int  // of those made from From on whose latency objective lies within For
+	Requests, InTime int  // requests made at or after From whose latency objective ends within For
 	intervals        []StormInterval
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// Ended counts a request that is over.
+// Ended counts a request that has ended.
 func (b *StormAccounting) Ended(now Time, class *standin.Class, asked Time, inAim bool) {
 	if inAim && now >= b.From {
 		b.intervalAt(now).InTime += float64(class.Work) / float64(second)
@@ -79,7 +79,7 @@
 	}
 }
 
-// AddCapacity counts work that could be done in a span of time that now is part of.
+// AddCapacity adds work that the fleet could do in an interval that contains now.
 func (b *StormAccounting) AddCapacity(now Time, work float64) { b.intervalAt(now).Capacity += work }
 
 // Intervals returns the complete windows.
@@ -92,7 +92,7 @@
 	return whole
 }
 
-// intervalAt returns the window of an instant.
+// intervalAt returns the window that contains an instant.
 func (b *StormAccounting) intervalAt(at Time) *StormInterval {
 	i := int((at - b.From) / StormWindow)
 	for len(b.intervals) <= i {
@@ -101,8 +101,8 @@
 	return &b.intervals[i]
 }
 
-// StormClient returns the options of client i of a storm, of all clients. The fraction ignore of them, the first ones,
-// ignore retry-after and retry at once.
+// StormClient returns the options of client i out of all clients of a storm. The first clients, up to the fraction ignore of
+// all, ignore retry-after and retry at once.
 func StormClient(o standin.ClientOptions, i, all int, ignore float64) standin.ClientOptions {
 	o.Connections, o.Retries, o.RetryAfterCompliance, o.AttemptTimeoutFraction = 8, 1<<20, 1, 1
 	o.RetryWait, o.RetryWaitTime = standin.Exponential, 50*millisecond
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -22,18 +22,18 @@
 	second      Time = 1000 * millisecond
 )
 
-// lead is how long routers run before clients come: script time 0 is this long after the world's beginning.
+// lead is the time for which routers run before the clients start. Script time 0 is this long after the world's beginning.
 const lead = 500 * millisecond
 
-// maxDescriptors is what any host but a router may hold.
+// maxDescriptors is the descriptor limit of each host that is not a router.
 const maxDescriptors = 8192
 
-// world is a run that is under way.
+// world is the state of one run.
 type world struct {
 	script   script.Script
 	options  Options
 	sim      *sim.World
-	rand     *rand.Rand // of what no script says: how long the front takes, and the like
+	rand     *rand.Rand // for draws that the script does not define, such as the delays of reconnecting clients
 	classes  []standin.Class
 	fleet    *standin.Fleet
 	watcher  *rules.Watcher
@@ -49,15 +49,15 @@
 	broken       []Broken
 	moreBroken   int
 	excused      int
-	falls        int // of caches and of the store
+	falls        int // number of collapses of caches and of the store under overload
 	stormChanges []StormChange
-	err          error // of what the lab itself could not do
+	err          error // first error of the lab itself
 }
 
-// place is one place in the fleet: the cache that stands there now.
+// place is one place in the fleet, with its current cache.
 type place struct {
 	cache   *standin.Cache
-	removed bool // drained, or fallen, and off the list
+	removed bool // whether the cache has ended and is off the endpoint list
 }
 
 func microseconds(d time.Duration) Time { return d.Microseconds() }
@@ -107,7 +107,7 @@
 	return w, nil
 }
 
-// now is the script's time.
+// now returns the current script time.
 func (w *world) now() Time { return w.sim.Now() - sim.Start - lead }
 
 func (w *world) network() {
@@ -118,7 +118,7 @@
 	}
 	w.sim.Near, w.sim.Far = link(n.Near), link(n.Far)
 	if w.script.Fleet.Pushed {
-		w.sim.Far = w.sim.Near // for a moment: links are made of what holds then
+		w.sim.Far = w.sim.Near // temporary: a link takes the values that are set at its creation
 		for _, zone := range script.Zones() {
 			w.sim.Link(agentZone, zone)
 			w.sim.Link(zone, agentZone)
@@ -128,7 +128,7 @@
 	w.sim.ShuffleTies = n.Shuffle
 }
 
-// host makes a host for a stand-in.
+// host creates a host for a stand-in.
 func (w *world) host(name, zone string) *sim.Host {
 	n := len(w.sim.Hosts()) + 1
 	h := w.sim.Host(name, fmt.Sprintf("10.0.%d.%d", n/250, n%250+1),
@@ -137,13 +137,14 @@
 	return h
 }
 
-// centre is the zone that discovery and the store stand in.
+// centre returns the zone of discovery and of the store.
 func centre() string { return script.Zones()[1] }
 
-// agentZone is where the agents are that lists are pushed to: beside the routers, so that no way to them is cut, or long.
+// agentZone is the zone of the agents to which lists are pushed. The agents run beside the routers, so that no fault cuts or
+// slows the links to them.
 const agentZone = "agents"
 
-// listZone is where routers ask for the list.
+// listZone returns the zone from which routers get the endpoint list.
 func (w *world) listZone() string {
 	if w.script.Fleet.Pushed {
 		return agentZone
@@ -162,7 +163,8 @@
 	}
 }
 
-// classesOf returns the default classes, with more writes and a class that is not idempotent where the script says so.
+// classesOf returns the default classes, adjusted by the script: the fraction and semantics of writes, the times of all classes,
+// and an additional class that is not idempotent.
 func classesOf(s script.Script) []standin.Class {
 	all := standin.DefaultClasses()
 	for i := range all {
@@ -184,8 +186,8 @@
 	return all
 }
 
-// writes are the semantics of writes by their names in scripts. All caches share one memory of repeats in every scope: what
-// a router sends outside the scope is left to the rules to find.
+// writes maps names in scripts to the semantics of writes. All caches share one deduplication memory in every scope, so that
+// only the rules detect a repeat that a router sends outside the scope.
 var writes = map[string]struct {
 	effect standin.Semantics
 	scope  rules.DeduplicationScope
@@ -212,9 +214,9 @@
 	c.RetryWait = map[string]standin.RetryWait{"at-once": standin.NoRetryWait, "fixed": standin.FixedWait,
 		"exponential": standin.Exponential}[s.Clients.Wait]
 	c.RetryWaitTime = microseconds(s.Clients.WaitTime)
-	// Where a zone has no router, its clients go to another's. A split piece takes up to a quarter longer.
+	// Clients of a zone without a router use routers of other zones. A split segment takes up to a quarter longer.
 	far := float64(microseconds(s.Network.Far))
-	c.CloseRaceWindow = 5*millisecond + 2*Time(far*(1.25+s.Network.Jitter)) // there with the request, and back with the close
+	c.CloseRaceWindow = 5*millisecond + 2*Time(far*(1.25+s.Network.Jitter)) // one way for the request, one for the close
 	c.EarlyAbandonFraction, c.Pipeline = s.Clients.Impatient, s.Clients.Pipeline
 	o.Routers = nil
 	for _, r := range w.routers {
@@ -226,7 +228,7 @@
 	return o
 }
 
-// routerAt names the router at a remote address.
+// routerAt returns the name of the router at a remote address, or an empty string if there is none.
 func (w *world) routerAt(remote string) string {
 	for _, r := range w.routers {
 		if strings.HasPrefix(remote, r.host.IP()+":") {
@@ -247,10 +249,10 @@
 	return s
 }
 
-// slack is what each limit of time is longer by on sockets.
+// slack is added to each time limit that is checked on sockets.
 const slack = 50 * millisecond
 
-// rules are the figures of the rules, those of the operators.
+// rules returns the settings of the rules, with the operators' values.
 func (w *world) rules() rules.Settings {
 	set := rules.Settings{
 		Classes: map[string]rules.Class{}, MaxAttempts: w.script.Fleet.MaxAttempts, Slack: slack, MaxTransit: 50 * millisecond,
@@ -267,8 +269,8 @@
 	return set
 }
 
-// maxHoldTime is how long a script may hold bytes back. The rules must remember requests for so long, or an attempt that
-// arrives after a cut would look as if no client had sent its request.
+// maxHoldTime returns the maximum time for which the script's faults may delay bytes. The rules must retain requests for this
+// time; otherwise an attempt that arrives after a cut would look as if no client had sent its request.
 func (w *world) maxHoldTime() (most Time) {
 	for _, f := range w.script.Faults {
 		if slices.Contains([]string{script.Cut, script.Lag, script.Silence}, f.Kind) {
@@ -278,8 +280,8 @@
 	return most
 }
 
-// hidesCloses reports whether caches may learn of a close any time after it, so that it can't be seen from outside whether
-// two copies of a request were out at once.
+// hidesCloses reports whether faults may delay the notification of caches about a close by any time. In this case the traffic
+// does not show whether two copies of a request were in flight at the same time.
 func (w *world) hidesCloses() bool {
 	return slices.ContainsFunc(w.script.Faults, func(f script.Fault) bool {
 		return slices.Contains([]string{script.Cut, script.Lag, script.Silence}, f.Kind)
