--- a/internal/testbench/lab/hooks_test.go
+++ b/internal/testbench/lab/hooks_test.go
@@ -10,10 +10,10 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-func TestHooksOfAScriptTouchTheirClassAlone(t *testing.T) {
+func TestScriptedHooksAffectOnlyTheirClass(t *testing.T) {
 	for _, c := range []struct {
 		kind, text string
-		served     bool // some requests of the class are
+		served     bool // whether some requests of the class are served
 	}{
 		{script.HookRefuse, "", false},
 		{script.HookFail, "", false},
@@ -31,29 +31,29 @@
 		t.Run(c.kind, func(t *testing.T) {
 			s := calm(6 * time.Second)
 			s.Hooks = []script.Hook{{Kind: c.kind, Class: "call-lookup", OnFailure: script.OnFailureRefuse}}
-			told := false
+			logged := false
 			r := mustRun(t, s, lab.Options{Node: node.Start, Timeline: func(_ lab.Time, line string) {
-				told = told || strings.Contains(line, "hook=1-"+c.kind+" ") && strings.Contains(line, c.text)
+				logged = logged || strings.Contains(line, "hook=1-"+c.kind+" ") && strings.Contains(line, c.text)
 			}})
 			for _, b := range r.Broken {
 				t.Error(b)
 			}
-			if c.text != "" && !told {
-				t.Errorf("the log tells nothing of %q", c.text)
+			if c.text != "" && !logged {
+				t.Errorf("%q is missing from the log", c.text)
 			}
 			for _, k := range r.Counts.Classes {
 				switch all := k.Asked > 0 && k.Served+k.Refused+k.Failed == k.Asked; {
 				case k.Class != "call-lookup" && k.Served < k.Asked*97/100:
-					t.Errorf("%d of %d served of %s, which no hook judges", k.Served, k.Asked, k.Class)
+					t.Errorf("class %s without a hook: got %d of %d requests served, want at least 97 %%", k.Class, k.Served, k.Asked)
 				case k.Class == "call-lookup" && (!all || k.Served > 0 != c.served):
-					t.Errorf("%+v", k)
+					t.Errorf("got %+v, want all requests answered, and some served: %v", k, c.served)
 				}
 			}
 		})
 	}
 }
 
-func TestDrawnHooksBreakNoRuleAndEachSeedPlaysTheSame(t *testing.T) {
+func TestDrawnHooksBreakNoRuleAndAreDeterministic(t *testing.T) {
 	h := lab.Hunt{From: 1, To: 24 / inPart, Length: 4 * time.Second, Jobs: 4, Hooks: true, Options: lab.Options{Node: node.Start}}
 	first, err := h.Run(t.Context())
 	if err != nil {
@@ -65,11 +65,11 @@
 	h.Jobs = 1
 	again, err := h.Run(t.Context())
 	if err != nil || again.Trace != first.Trace {
-		t.Errorf("%v, trace %x and then %x", err, first.Trace, again.Trace)
+		t.Errorf("error %v, got trace %x, want %x", err, again.Trace, first.Trace)
 	}
 	h.Hooks = false
 	without, err := h.Run(t.Context())
 	if err != nil || without.Trace == first.Trace {
-		t.Errorf("%v, the same trace without hooks", err)
+		t.Errorf("error %v, got trace %x without hooks, want none equal to %x", err, without.Trace, first.Trace)
 	}
 }
--- a/internal/testbench/lab/lab_test.go
+++ b/internal/testbench/lab/lab_test.go
@@ -33,7 +33,7 @@
 	return r
 }
 
-// calm is a day without faults.
+// calm returns a script without faults.
 func calm(length time.Duration) script.Script {
 	s := script.Default()
 	s.Length = length
@@ -46,14 +46,14 @@
 		t.Error(b)
 	}
 	if c := r.Counts; c.Asked < 500 || c.Served < c.Asked*97/100 {
-		t.Errorf("%d of %d served", c.Served, c.Asked)
+		t.Errorf("got %d of %d requests served, want at least 500 requests and 97 %% of them served", c.Served, c.Asked)
 	}
 }
 
 func TestHardCasesBreakNoRule(t *testing.T) {
 	names := lab.Scripts()
 	if len(names) < 5 {
-		t.Fatalf("only %v", names)
+		t.Fatalf("got the scripts %v, want at least 5", names)
 	}
 	for _, name := range names {
 		s, doc, err := lab.Script(name)
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		if !strings.HasSuffix(doc, ".") {
-			t.Errorf("%s: its first line tells %q", name, doc)
+			t.Errorf("%s: the first line is %q, want a sentence that ends with a period", name, doc)
 		}
 		for seed := range int64(hardSeeds) {
 			s.Seed = seed
@@ -70,7 +70,7 @@
 				t.Errorf("%s, seed %d: %v", name, seed, b)
 			}
 			if r.Counts.Asked < 200 {
-				t.Errorf("%s asks for %d only", name, r.Counts.Asked)
+				t.Errorf("%s: got %d requests, want at least 200", name, r.Counts.Asked)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 
 const short = 3 * time.Second
 
-// TestHundredSeedsBreakNoRule is the hunt that every change has to pass.
+// TestHundredSeedsBreakNoRule is the hunt that every change must pass.
 func TestHundredSeedsBreakNoRule(t *testing.T) {
 	h := lab.Hunt{From: 1, To: 100, Length: short, Jobs: runtime.GOMAXPROCS(0), Options: lab.Options{Node: node.Start}}
 	sum, err := h.Run(context.Background())
@@ -89,11 +89,11 @@
 		t.Errorf("seed %d: %v", f.Seed, f.Broken[0])
 	}
 	if sum.Seeds != 100 || sum.Steps < 100_000 {
-		t.Errorf("%d seeds, %d steps", sum.Seeds, sum.Steps)
+		t.Errorf("got %d seeds with %d steps, want 100 seeds with at least 100000 steps", sum.Seeds, sum.Steps)
 	}
 }
 
-// traceOf is the trace of the runs of seeds 1 to 50, one after the other.
+// traceOf returns the combined trace of the runs of seeds 1 to 50, or of the first part of them with the race detector.
 func traceOf(t testing.TB, jobs int) uint64 {
 	t.Helper()
 	h := lab.Hunt{From: 1, To: 50 / inPart, Length: time.Second, Jobs: jobs, Options: lab.Options{Node: node.Start}}
@@ -104,7 +104,7 @@
 	return sum.Trace
 }
 
-// childVariable has TestMain print a trace and end.
+// childVariable is the environment variable that makes TestMain print a trace and exit.
 const childVariable = "LAB_TRACE_CHILD"
 
 func TestMain(m *testing.M) {
@@ -114,14 +114,14 @@
 	fmt.Printf("%016x\n", traceOf(new(testing.B), 2))
 }
 
-func TestEqualSeedsGiveEqualRunsWhateverElseGoesOn(t *testing.T) {
+func TestEqualSeedsGiveEqualRunsWithAnyParallelism(t *testing.T) {
 	want := traceOf(t, 1)
 	for _, procs := range []int{1, 2, 8} {
 		before := runtime.GOMAXPROCS(procs)
 		got := traceOf(t, procs)
 		runtime.GOMAXPROCS(before)
 		if got != want {
-			t.Errorf("with %d processors the trace is %016x, and was %016x", procs, got, want)
+			t.Errorf("with %d processors: got trace %016x, want %016x", procs, got, want)
 		}
 	}
 	cmd := exec.Command(os.Args[0])
@@ -129,24 +129,24 @@
 	out, err := cmd.Output()
 	raw, hexErr := hex.DecodeString(strings.TrimSpace(string(out)))
 	if err != nil || hexErr != nil || binary.BigEndian.Uint64(raw) != want {
-		t.Errorf("another process has the trace %s (%v), this one %016x", out, err, want)
+		t.Errorf("in another process: got trace %s (%v), want %016x", out, err, want)
 	}
 }
 
-func TestOtherSeedsGiveOtherRuns(t *testing.T) {
+func TestDifferentSeedsGiveDifferentRuns(t *testing.T) {
 	seen := map[uint64]uint64{}
 	for seed := range uint64(20) {
 		s := calm(500 * time.Millisecond)
 		s.Seed = int64(seed)
 		trace := mustRun(t, s, lab.Options{}).Trace
 		if other, twice := seen[trace]; twice {
-			t.Errorf("seeds %d and %d have one trace", seed, other)
+			t.Errorf("seeds %d and %d have the same trace", seed, other)
 		}
 		seen[trace] = seed
 	}
 }
 
-// hooked is a module with something done before each event.
+// hooked wraps a module and calls before ahead of each event.
 type hooked struct {
 	guard.Module
 	before func(now decide.Time, ev decide.Event)
@@ -178,11 +178,11 @@
 		t.Errorf("%v", b)
 	}
 	if again := mustRun(t, calm(short), crash); again.Broken[0] != b || again.Trace != first.Trace {
-		t.Errorf("the second run has %v\nand the first %v", again.Broken[0], b)
+		t.Errorf("the second run got %v\nwant as in the first run %v", again.Broken[0], b)
 	}
 }
 
-func TestRunWithoutAnEndIsStuck(t *testing.T) {
+func TestEndlessRunIsReportedAsStuck(t *testing.T) {
 	spinning := func(m machine.Machine, c lab.NodeConfig) (lab.Node, error) {
 		var again func()
 		again = func() { m.Post(again) }
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestWhatIsLeftBehindIsFound(t *testing.T) {
+func TestLeftoverResourcesAreReported(t *testing.T) {
 	for _, c := range []struct{ what, want string }{
 		{"timers", "timers"}, {"dials", "descriptors beyond its connections"},
 	} {
@@ -225,37 +225,37 @@
 func (idle) Readable() {}
 func (idle) Writable() {}
 
-func TestRequestThatIsFollowedTellsItsLife(t *testing.T) {
+func TestFollowedRequestHasItsHistoryInTheResult(t *testing.T) {
 	s := calm(time.Second)
 	id := ""
 	mustRun(t, s, lab.Options{Wrap: func(m guard.Module) guard.Module { return m }, Timeline: func(lab.Time, string) {}})
 	s.Faults = []script.Fault{{Kind: script.Errors, Target: "all", Chance: 1}}
 	s.Faults[0].At = 10 * time.Millisecond
-	defect := lab.Options{Wrap: func(m guard.Module) guard.Module { return deaf{m} }}
+	defect := lab.Options{Wrap: func(m guard.Module) guard.Module { return requestDropper{m} }}
 	r := mustRun(t, s, defect)
 	if len(r.Broken) == 0 {
-		t.Fatal("a router that answers nothing breaks no rule")
+		t.Fatal("got no broken rule from a router that answers no request")
 	}
 	id = r.Broken[0].Request
 	defect.Follow = id
 	again := mustRun(t, s, defect)
-	life := strings.Join(again.History, "\n")
-	if again.Trace != r.Trace || !strings.Contains(life, "asked of router") || !strings.Contains(life, "BROKEN: lost") {
-		t.Errorf("%s", life)
+	history := strings.Join(again.History, "\n")
+	if again.Trace != r.Trace || !strings.Contains(history, "asked of router") || !strings.Contains(history, "BROKEN: lost") {
+		t.Errorf("got trace %016x, want %016x; history:\n%s", again.Trace, r.Trace, history)
 	}
 }
 
-// deaf is a module that never hears of a request.
-type deaf struct{ guard.Module }
+// requestDropper wraps a module and drops each request before the module receives it.
+type requestDropper struct{ guard.Module }
 
-func (d deaf) Handle(now decide.Time, ev decide.Event) []decide.Action {
+func (d requestDropper) Handle(now decide.Time, ev decide.Event) []decide.Action {
 	if _, ok := ev.(*decide.Request); ok {
 		return nil
 	}
 	return d.Module.Handle(now, ev)
 }
 
-func TestTimelineTellsFaultsAndSeconds(t *testing.T) {
+func TestTimelineShowsFaultsAndCountsPerSecond(t *testing.T) {
 	s := calm(short)
 	for _, text := range []string{"hang:c2@500ms+1s", "drain:c1@1s+1s", "router-restart:router:2@1s+500ms"} {
 		f, err := script.ParseFault(text)
@@ -268,7 +268,7 @@
 	last := lab.Time(-1 << 62)
 	mustRun(t, s, lab.Options{Timeline: func(at lab.Time, line string) {
 		if at < last {
-			t.Errorf("%q goes back in time", line)
+			t.Errorf("%q has an earlier time than the previous line", line)
 		}
 		last = at
 		lines = append(lines, line)
@@ -277,12 +277,12 @@
 	for _, want := range []string{"FAULT hang:c2@500ms+1s", "fault hang:c2@500ms+1s ends", "r-2 has ended", "r-2 starts",
 		"takes no work", "asked "} {
 		if !strings.Contains(all, want) {
-			t.Errorf("%q is not told in\n%s", want, all)
+			t.Errorf("%q is missing from the timeline\n%s", want, all)
 		}
 	}
 }
 
-func TestHuntThatIsInterruptedTellsWhatItHas(t *testing.T) {
+func TestInterruptedHuntReturnsFinishedRuns(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	h := lab.Hunt{From: 1, To: 1 << 40, Length: 200 * time.Millisecond, Jobs: 2, Options: lab.Options{Node: baseline.Start}}
 	done := 0
@@ -293,11 +293,11 @@
 	}
 	sum, err := h.Run(ctx)
 	if err != nil || sum.Seeds < 5 || sum.Seeds > 7 {
-		t.Errorf("%d seeds, %v", sum.Seeds, err)
+		t.Errorf("got %d seeds and error %v, want 5 to 7 seeds and no error", sum.Seeds, err)
 	}
 }
 
-func TestShrinkingLeavesTheFaultThatMatters(t *testing.T) {
+func TestShrinkingLeavesOnlyTheCausalFault(t *testing.T) {
 	s := calm(4 * time.Second)
 	for _, text := range []string{
 		"slow:c1@100ms+1s", "hang:c3@1s+1s", "burst:clients@500ms+1s", "errors:all@200ms+3s,chance=0.5",
@@ -312,13 +312,13 @@
 	h := lab.Shrinking{Rule: lab.Crash, Options: lab.Options{Node: baseline.Start, Wrap: crashOnError}}
 	small, runs := h.Shrink(context.Background(), s)
 	if len(small.Faults) != 1 || small.Faults[0].Kind != script.Errors {
-		t.Errorf("after %d runs these are left: %v", runs, small.Faults)
+		t.Errorf("after %d runs: got faults %v, want one errors fault", runs, small.Faults)
 	}
 	if small.Length > time.Second || small.Rate >= s.Rate {
 		t.Errorf("after %d runs:\n%s", runs, script.Text(small))
 	}
 	if r := mustRun(t, small, h.Options); !r.Breaks(lab.Crash) {
-		t.Error("what is left breaks nothing")
+		t.Error("the shrunk script does not break the rule")
 	}
 }
 
@@ -334,14 +334,14 @@
 	lab.Register(lab.Scenario{Name: "test-b"})
 	lab.Register(lab.Scenario{Name: "test-a"})
 	if s, ok := lab.Find("test-b"); !ok || s.Name != "test-b" {
-		t.Error("test-b is not found")
+		t.Error("test-b not found")
 	}
 	if _, ok := lab.Find("test-c"); ok {
-		t.Error("test-c is found")
+		t.Error("found test-c, which is not registered")
 	}
 	all := lab.Scenarios()
 	if len(all) < 2 || all[0].Name > all[1].Name {
-		t.Errorf("%v", all)
+		t.Errorf("got %v, want at least two scenarios sorted by name", all)
 	}
 }
 
--- a/internal/testbench/lab/mass_test.go
+++ b/internal/testbench/lab/mass_test.go
@@ -10,7 +10,7 @@
 	"starlingwinch/internal/testbench/lab/node"
 )
 
-// many is a day with many routers that a test can afford.
+// many runs a day with many routers that is small enough for a test.
 func many(t *testing.T, day string, seed int64) *lab.MassResult {
 	t.Helper()
 	slow(t)
@@ -23,51 +23,51 @@
 		t.Errorf("%s, seed %d: rules broken: %v", day, seed, r.Broken)
 	}
 	if r.LossReport.Attempts == 0 || r.Dials == 0 {
-		t.Errorf("%s: %d attempts and %d dials were counted", day, r.LossReport.Attempts, r.Dials)
+		t.Errorf("%s: got %d attempts and %d dials, want some of each", day, r.LossReport.Attempts, r.Dials)
 	}
 	return r
 }
 
-// serves holds a day's share of worth that was earned to the least that it may be. With the module as it was before it had
-// rules for many routers the days had 0.860 (calm), 0.777, 0.939, 0.686, 0.954 and 0.720.
+// serves checks the minimum fraction of the priority weight that a day earns. Without the decision module's rules for many
+// routers, the days earn 0.860 (calm), 0.777, 0.939, 0.686, 0.954 and 0.720, in the order of MassDays.
 func serves(t *testing.T, r *lab.MassResult, least float64) {
 	t.Helper()
 	t.Logf("served %.3f", r.Served())
 	if got := r.Served(); got < least {
 		var table bytes.Buffer
 		r.LossReport.Print(&table)
-		t.Errorf("%.3f of all worth was served, want %.2f at least; lost:\n%s", got, least, &table)
+		t.Errorf("got %.3f of the priority weight, want at least %.2f; losses:\n%s", got, least, &table)
 	}
 }
 
-// One router in ten has five times the traffic of another in all of these.
-func TestManyRoutersComeThroughABurst(t *testing.T) {
+// In all tests of days, one router in ten has five times the traffic of another router.
+func TestManyRoutersRecoverFromABurst(t *testing.T) {
 	r := many(t, "calm", 1)
 	serves(t, r, .88)
 	last := r.Windows[len(r.Windows)-1]
-	for _, w := range r.Windows { // the last whole one before the clients stop
+	for _, w := range r.Windows { // the last complete window before the clients stop
 		if w.At <= 16*second {
 			last = w
 		}
 	}
 	if share := float64(last.Refused) / float64(last.Attempts); share > .1 {
-		t.Errorf("%.2f of tries are refused long after the burst", share)
+		t.Errorf("long after the burst: got %.2f of tries refused, want at most 0.1", share)
 	}
 }
 
-func TestManyRoutersRestartATenthAtATimeWhileHalfOfTheCachesAreReplacedAndDiscoveryMoves(t *testing.T) {
+func TestManyRoutersServeDuringRollingRestartCacheReplacementAndDiscoveryMove(t *testing.T) {
 	serves(t, many(t, "roll", 1), .79)
 }
 
-func TestSevenInTenRoutersAreKilledAtOnceAndComeBackFromNothing(t *testing.T) {
+func TestSevenInTenRoutersRestartAtOnceWithoutState(t *testing.T) {
 	serves(t, many(t, "herd", 1), .9)
 }
 
-func TestZoneThatIsBackColdIsNotPushedOverByManyRouters(t *testing.T) {
+func TestZoneThatReturnsColdIsNotOverloadedByManyRouters(t *testing.T) {
 	serves(t, many(t, "zone", 1), .73)
 }
 
-func TestManyRoutersGoOnWhileAZoneIsCutOffAndAnswersGetLost(t *testing.T) {
+func TestManyRoutersServeDuringAZonePartitionAndResets(t *testing.T) {
 	serves(t, many(t, "split", 1), .9)
 }
 
@@ -83,11 +83,11 @@
 		t.Fatal(err)
 	}
 	if len(r.Broken) > 0 || r.Served() < .8 {
-		t.Errorf("served %.3f, broken %v", r.Served(), r.Broken)
+		t.Errorf("got %.3f served and broken rules %v, want at least 0.8 and none", r.Served(), r.Broken)
 	}
 }
 
-// The table of losses holds each refusal once, with a reason.
+// TestLossesNameAReasonForEachRefusal checks that the loss report counts each refusal once, with a reason.
 func TestLossesNameAReasonForEachRefusal(t *testing.T) {
 	r := many(t, "join", 3)
 	refused := 0
@@ -99,14 +99,15 @@
 			}
 		}
 	}
-	if told := r.Counts.Refused; refused < told || refused > told+told/10+50 {
-		t.Errorf("%d refusals in the table, %d on the sockets", refused, told) // some clients have left meanwhile
+	// The report also counts refusals of clients that have left before the answer.
+	if sent := r.Counts.Refused; refused < sent || refused > sent+sent/10+50 {
+		t.Errorf("got %d refusals in the report, want %d to %d as on the sockets", refused, sent, sent+sent/10+50)
 	}
 }
 
-func TestDayThatThereIsNotIsNamed(t *testing.T) {
+func TestUnknownDayIsAnErrorWithItsName(t *testing.T) {
 	if _, err := lab.PlayMass(lab.Mass{Day: "noon", Routers: 3, Caches: 9, Length: time.Second}, lab.Options{Node: node.Start}); err == nil ||
 		!strings.Contains(err.Error(), "noon") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that contains the name of the day", err)
 	}
 }
--- a/internal/testbench/lab/race_test.go
+++ b/internal/testbench/lab/race_test.go
@@ -2,9 +2,10 @@
 
 package lab_test
 
-// What takes ten times as long with the race detector is played in part; .ci/run plays all of it without.
+// Runs take ten times as long with the race detector, so that only a part of them runs with it; .ci/run runs all of them
+// without the race detector.
 const (
-	storms    = 0 // of the test of calm; the tests of storms are skipped where there are none
-	hardSeeds = 1 // of each hard case
-	inPart    = 4 // of the seeds of a hunt, one in so many
+	storms    = 0 // number of seeds of the calm test; 0 also skips the slow tests
+	hardSeeds = 1 // seeds of each hard case
+	inPart    = 4 // divisor of the number of seeds of a hunt
 )
--- a/internal/testbench/lab/registry_test.go
+++ b/internal/testbench/lab/registry_test.go
@@ -13,7 +13,7 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// TestRegistrySeedsBreakNoRule is the hunt of worlds with a registry that every change has to pass.
+// TestRegistrySeedsBreakNoRule is the hunt with a registry that every change must pass.
 func TestRegistrySeedsBreakNoRule(t *testing.T) {
 	h := lab.Hunt{From: 1, To: 60 / inPart, Length: 6 * time.Second, Jobs: runtime.GOMAXPROCS(0), Draw: script.DrawRegistry,
 		Options: lab.Options{Node: node.Start}}
@@ -25,11 +25,11 @@
 		t.Errorf("seed %d: %v", f.Seed, f.Broken[0])
 	}
 	if sum.Seeds != 60/inPart || sum.Steps < 100_000/inPart {
-		t.Errorf("%d seeds, %d steps", sum.Seeds, sum.Steps)
+		t.Errorf("got %d seeds with %d steps, want %d seeds with at least %d steps", sum.Seeds, sum.Steps, 60/inPart, 100_000/inPart)
 	}
 }
 
-// timeline plays a hard case and returns what was told.
+// timeline runs a hard case and returns the lines of its timeline.
 func timeline(t *testing.T, name string) (lines []string) {
 	t.Helper()
 	s, _, err := lab.Script(name)
@@ -43,7 +43,7 @@
 	return lines
 }
 
-// count is how many lines fit.
+// count returns the number of lines that match a pattern.
 func count(lines []string, pattern string) (n int) {
 	fits := regexp.MustCompile(pattern)
 	for _, line := range lines {
@@ -54,64 +54,65 @@
 	return n
 }
 
-func TestCachesThatOneServerAloneLeavesOutStay(t *testing.T) {
+func TestCachesMissingFromOnlyOneServerAreRetained(t *testing.T) {
 	for _, name := range []string{"registry-comes-back-empty", "registry-half-hidden"} {
 		lines := timeline(t, name)
 		if n := count(lines, "endpoint mass removal awaits confirmation"); n < 3 {
-			t.Errorf("%s: %d routers of 3 have asked again", name, n)
+			t.Errorf("%s: got %d logged confirmations of a mass removal, want at least 3", name, n)
 		}
 		if n := count(lines, "status=removed"); n > 0 {
-			t.Errorf("%s: caches were taken away %d times", name, n)
+			t.Errorf("%s: got %d removals of caches, want 0", name, n)
 		}
 	}
 }
 
-func TestCachesThatAreTrulyGoneAreTakenAwayByAll(t *testing.T) {
+func TestCachesMissingFromAllServersAreRemovedByAllRouters(t *testing.T) {
 	lines := timeline(t, "registry-half-gone")
 	if n := count(lines, "^r-.*status=removed"); n != 3*5 {
-		t.Errorf("5 caches were taken away %d times by 3 routers", n)
+		t.Errorf("got %d removals of 5 caches by 3 routers, want 15", n)
 	}
 	if n := count(lines, "^r-. is told that .* takes no work"); n != 3*5 {
-		t.Errorf("the watcher was told %d times", n)
+		t.Errorf("got %d notifications of the watcher, want 15", n)
 	}
 }
 
-func TestSilentRegistryTakesNothingAwayAndItsDeadCacheIsFound(t *testing.T) {
+func TestSilentRegistryRemovesNoCacheAndRoutersDetectADeadOne(t *testing.T) {
 	lines := timeline(t, "registry-silent-while-stale")
 	end := slices.IndexFunc(lines, func(line string) bool { return strings.HasPrefix(line, "fault registry-silent") })
 	if n := count(lines[:end], "status=removed"); n > 0 {
-		t.Errorf("a registry that says nothing has taken caches away %d times", n)
+		t.Errorf("got %d removals of caches while the registry is silent, want 0", n)
 	}
 	if n := count(lines[:end], "cache unavailable"); n != 3 {
-		t.Errorf("%d routers of 3 have found the dead cache by themselves", n)
+		t.Errorf("got %d detections of the dead cache while the registry is silent, want 3", n)
 	}
 	if n := count(lines[end:], "status=removed"); n != 3 {
-		t.Errorf("%d routers of 3 have learned of its end", n)
+		t.Errorf("got %d removals of the dead cache after the silence, want 3", n)
 	}
 }
 
-func TestFlappingCacheIsHeldDownAfterThreeFlaps(t *testing.T) {
+func TestFlappingCacheIsSuppressedAfterThreeFlaps(t *testing.T) {
 	lines := timeline(t, "registry-flaps")
 	if n := count(lines, "^r-1: .*endpoint status changed.* status=draining"); n == 0 || n > 3 {
-		t.Errorf("it was taken away %d times in 20 s", n)
+		t.Errorf("got %d changes to draining in 20 s, want 1 to 3", n)
 	}
 }
 
-func TestNewCacheAtAnOldAddressIsAnotherOne(t *testing.T) {
+func TestNewCacheAtAReusedAddressIsADifferentEndpoint(t *testing.T) {
 	lines := timeline(t, "registry-address-reused")
 	if gone, new := count(lines, "^r-.*status=removed"), count(lines, "^cache .* starts"); gone != 3 || new != 1 {
-		t.Errorf("the old one went %d times, %d have started", gone, new)
+		t.Errorf("got %d removals and %d cache starts, want 3 and 1", gone, new)
 	}
 }
 
-func TestLostDeltaIsMadeGoodByAWholeList(t *testing.T) {
+func TestLostDeltaIsRepairedByAFullFetch(t *testing.T) {
 	lines := timeline(t, "registry-deltas-go-wrong")
 	if n := count(lines, "^r-.*status=draining source=eureka reason=OUT_OF_SERVICE"); n != 3*3 {
-		t.Errorf("3 drains were learned %d times by 3 routers", n)
+		t.Errorf("got %d changes to draining for 3 drains and 3 routers, want 9", n)
 	}
 }
 
-// TestRoutersSendInRegistrySeed5133: three routers have hundreds of requests and begin no attempt though four caches serve.
+// TestRoutersSendInRegistrySeed5133 guards against three routers that receive hundreds of requests and begin no attempt although four
+// caches serve.
 func TestRoutersSendInRegistrySeed5133(t *testing.T) {
 	const seed = 5133
 	h := lab.Hunt{From: seed, To: seed, Length: 10 * time.Second, Jobs: 1, Draw: script.DrawRegistry, Options: lab.Options{Node: node.Start}}
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestRoutersSendInRegistrySeed20975: a router that starts just after its registry server came back empty sends nothing, though the other server
-// shows nine caches.
+// TestRoutersSendInRegistrySeed20975 guards against a router that begins no attempt although a registry server shows nine caches. The
+// router starts just after its own registry server has restarted empty.
 func TestRoutersSendInRegistrySeed20975(t *testing.T) {
 	s := script.DrawRegistry(20975, 10*time.Second)
 	for _, b := range mustRun(t, s, lab.Options{Node: node.Start}).Broken {
@@ -133,8 +134,8 @@
 	}
 }
 
-// TestNewCachesCountOnceRoutersCanKnowThem: four caches join while all others drain, a few milliseconds before routers are found to send
-// nothing.
+// TestNewCachesCountOnceRoutersCanKnowThem guards against a false report that routers send nothing: four caches join while all others
+// drain, a few milliseconds before the report, so that the routers can't know the new caches yet.
 func TestNewCachesCountOnceRoutersCanKnowThem(t *testing.T) {
 	for _, seed := range []uint64{7045, 7737} {
 		s := script.DrawRegistry(seed, 10*time.Second)
--- a/internal/testbench/lab/storm_test.go
+++ b/internal/testbench/lab/storm_test.go
@@ -15,7 +15,7 @@
 
 const second = 1_000_000
 
-// play plays a storm with the router itself.
+// play runs a storm with the real router, and checks that nothing collapses and no rule breaks.
 func play(t *testing.T, s lab.Storm, o lab.Options) *lab.StormResult {
 	t.Helper()
 	o.Node = node.Start
@@ -24,34 +24,34 @@
 		t.Fatal(err)
 	}
 	if r.Overloads > 0 || r.First() != "" {
-		t.Errorf("seed %d: %d fell, broken: %v", s.Seed, r.Overloads, r.Broken)
+		t.Errorf("seed %d: got %d overload collapses and broken rules %v, want none", s.Seed, r.Overloads, r.Broken)
 	}
 	return r
 }
 
-// small is a storm that a test can afford.
+// small returns a storm that is small enough for a test.
 func small(seed int64) lab.Storm {
 	return lab.Storm{Seed: seed, Clients: 200, Load: 0.4, Before: 4 * second, Outage: 3 * second, For: 9 * second, IgnoreAdvice: 0.5}
 }
 
-func TestStormWhileCachesAreColdUsesWhatTheyBear(t *testing.T) {
+func TestStormWithColdCachesUsesTheirCapacity(t *testing.T) {
 	slow(t)
 	for _, ignore := range []float64{0, 0.5, 1} {
 		s := small(1)
 		s.IgnoreAdvice = ignore
 		if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.6 {
-			t.Errorf("with %.0f%% that take no advice, goodput falls to %.2f of what caches bear", 100*ignore, r.MinGoodput())
+			t.Errorf("%.0f%% of clients ignore retry-after: got minimum goodput %.2f, want at least 0.6", 100*ignore, r.MinGoodput())
 		}
 	}
 }
 
-func TestSecondStormBeforeTheFirstIsOver(t *testing.T) {
+func TestGoodputRecoversFromASecondStormDuringTheFirst(t *testing.T) {
 	slow(t)
 	s := small(2)
 	s.SecondOutageAfter, s.For = 3*second, 12*second
 	r := play(t, s, lab.Options{})
 	if last := r.Intervals[len(r.Intervals)-1]; last.Goodput() < 0.6 {
-		t.Errorf("after the second outage goodput stays at %.2f", last.Goodput())
+		t.Errorf("after the second outage: got goodput %.2f, want at least 0.6", last.Goodput())
 	}
 }
 
@@ -60,23 +60,23 @@
 	s := small(3)
 	s.SharedAddress = true
 	if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.5 {
-		t.Errorf("behind a front layer goodput falls to %.2f", r.MinGoodput())
+		t.Errorf("all clients behind one address: got minimum goodput %.2f, want at least 0.5", r.MinGoodput())
 	}
 }
 
-func TestThousandSilentConnectionsShutNobodyOut(t *testing.T) {
+func TestThousandSilentConnectionsDoNotBlockClients(t *testing.T) {
 	s := small(4)
 	s.Silent = 1000
 	if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.5 {
-		t.Errorf("beside a thousand that say nothing goodput falls to %.2f", r.MinGoodput())
+		t.Errorf("with 1000 silent connections: got minimum goodput %.2f, want at least 0.5", r.MinGoodput())
 	}
 }
 
-func TestRetriesInStepAreSpread(t *testing.T) {
+func TestSynchronizedRetriesAreSpread(t *testing.T) {
 	s := small(5)
 	s.FixedBackoff, s.IgnoreAdvice = true, 0
 	if r := play(t, s, lab.Options{}); r.MinGoodput() < 0.6 {
-		t.Errorf("goodput falls to %.2f", r.MinGoodput())
+		t.Errorf("got minimum goodput %.2f, want at least 0.6", r.MinGoodput())
 	}
 }
 
@@ -85,28 +85,28 @@
 		Burst: 2, BurstAt: 3 * second, BurstTo: 8 * second}
 	r := play(t, s, lab.Options{})
 	if r.Refused > 0 || len(r.Changes) > 0 {
-		t.Errorf("%d refused, changes %v", r.Refused, r.Changes)
+		t.Errorf("got %d refused tries and state changes %v, want none", r.Refused, r.Changes)
 	}
 }
 
-// slow leaves a test to the run without the race detector, which .ci/run makes for it.
+// slow skips a test under the race detector. .ci/run also runs the test without the race detector.
 func slow(t *testing.T) {
 	t.Helper()
 	if storms == 0 {
-		t.Skip("takes minutes with the race detector; go test ./internal/testbench/lab plays it")
+		t.Skip("takes minutes with the race detector; go test ./internal/testbench/lab runs it")
 	}
 }
 
-// sum plays a few seeds and adds up what a planted defect shows in.
-func sum(t *testing.T, o lab.Options, of func(r *lab.StormResult) float64) (total float64) {
+// meanOf runs two seeds and returns the mean of a measurement that a planted defect changes.
+func meanOf(t *testing.T, o lab.Options, measure func(r *lab.StormResult) float64) (mean float64) {
 	t.Helper()
 	for seed := range int64(2) {
-		total += of(play(t, small(10+seed), o)) / 2
+		mean += measure(play(t, small(10+seed), o)) / 2
 	}
-	return total
+	return mean
 }
 
-// tampered stands between a router and its module and changes what either says.
+// tampered wraps a module and changes the events and actions between the router and the module.
 type tampered struct {
 	guard.Module
 	event  func(decide.Event) decide.Event
@@ -129,7 +129,7 @@
 
 func TestPlantedDefectWaitsAllEqualIsFound(t *testing.T) {
 	slow(t)
-	inStep := func(r *lab.StormResult) float64 { return r.CommonestWaitRatio }
+	commonestWait := func(r *lab.StormResult) float64 { return r.CommonestWaitRatio }
 	planted := lab.Options{Wrap: func(m guard.Module) guard.Module {
 		return &tampered{Module: m, action: func(a decide.Action) decide.Action {
 			if r, ok := a.(decide.Reject); ok {
@@ -139,8 +139,8 @@
 			return a
 		}}
 	}}
-	if sound, broken := sum(t, lab.Options{}, inStep), sum(t, planted, inStep); sound > 0.1 || broken < 0.5 {
-		t.Errorf("share of the commonest wait: %.3f, with the defect %.3f", sound, broken)
+	if sound, broken := meanOf(t, lab.Options{}, commonestWait), meanOf(t, planted, commonestWait); sound > 0.1 || broken < 0.5 {
+		t.Errorf("fraction of the commonest wait: got %.3f without and %.3f with the defect, want at most 0.1 and at least 0.5", sound, broken)
 	}
 }
 
@@ -155,14 +155,14 @@
 			return ev
 		}}
 	}}
-	if sound, broken := sum(t, lab.Options{}, share), sum(t, planted, share); broken > sound-0.05 {
-		t.Errorf("in time: %.3f, with the defect %.3f", sound, broken)
+	if sound, broken := meanOf(t, lab.Options{}, share), meanOf(t, planted, share); broken > sound-0.05 {
+		t.Errorf("fraction served in time: got %.3f without and %.3f with the defect, want a drop of at least 0.05", sound, broken)
 	}
 }
 
 func TestPlantedDefectNoHysteresisIsFound(t *testing.T) {
 	slow(t)
-	// Hardly more than cold caches bear: retries come and go.
+	// The load is slightly above the capacity of cold caches, so that retries rise and fall repeatedly.
 	edge := func(o lab.Options) (changes int) {
 		s := small(20)
 		s.Load, s.For = 0.25, 15*second
@@ -171,7 +171,7 @@
 	flapping := retrystorm.DefaultEnabled()
 	flapping.Leave, flapping.Confirm, flapping.Settle, flapping.RecoveryTime = flapping.Enter, 0, 0, 0
 	if sound, broken := edge(lab.Options{}), edge(lab.Options{Storm: &flapping}); broken < sound*4/3 {
-		t.Errorf("%d changes of state, with the defect %d", sound, broken)
+		t.Errorf("state changes: got %d without and %d with the defect, want an increase by a third", sound, broken)
 	}
 }
 
@@ -191,19 +191,19 @@
 		}}
 	}}
 	if sound, broken := jump(lab.Options{}), jump(planted); sound > 0.2 || broken < 0.5 {
-		t.Errorf("the budget rises by %.2f at once, with the defect by %.2f", sound, broken)
+		t.Errorf("largest single rise of the budget: got %.2f without and %.2f with the defect, want at most 0.2 and at least 0.5", sound, broken)
 	}
 }
 
-func TestRoutersAreCalmSoonAfterTheLoadIsBearable(t *testing.T) {
+func TestRoutersAreCalmSoonAfterTheOutage(t *testing.T) {
 	slow(t)
 	const seeds = storms
 	var all sync.WaitGroup
-	places := make(chan struct{}, 4)
+	running := make(chan struct{}, 4) // bounds the concurrent runs
 	for seed := range seeds {
 		all.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+			running <- struct{}{}
+			defer func() { <-running }()
 			s := lab.Storm{Seed: int64(seed), Clients: 100, Load: 0.1, Before: second, Outage: int64(2+seed%29) * second,
 				For: 8 * second, IgnoreAdvice: float64(seed%3) / 2}
 			r, err := lab.PlayStorm(s, lab.Options{Node: node.Start})
@@ -216,7 +216,8 @@
 				for _, c := range r.Changes {
 					lines = append(lines, fmt.Sprintf("%.1f s: %s %s", float64(c.At)/second, c.Router, c.Line))
 				}
-				t.Errorf("seed %d: calm at %.1f s, %d fell\n%s", seed, float64(at)/second, r.Overloads, strings.Join(lines, "\n"))
+				t.Errorf("seed %d: got calm at %.1f s and %d overload collapses, want calm within 5 s and none\n%s",
+					seed, float64(at)/second, r.Overloads, strings.Join(lines, "\n"))
 			}
 		})
 	}
--- a/internal/testbench/lab/throng_test.go
+++ b/internal/testbench/lab/throng_test.go
@@ -9,8 +9,8 @@
 	"starlingwinch/internal/testbench/lab/script"
 )
 
-// TestDrawnThrongs: many routers start in step before a discovery that takes few calls. With calls made beside a watch that works
-// and with pauses that grow from a quarter of a second to four, seeds 1 to 200 had ten runs with late drains.
+// TestDrawnThrongs guards against late drains if many routers start at the same time and discovery accepts few calls. With additional
+// calls beside a working watch, and delays that grow from 0.25 s to 4 s, ten of the runs of seeds 1 to 200 have late drains.
 func TestDrawnThrongs(t *testing.T) {
 	h := lab.Hunt{From: 1, To: 40 / inPart, Jobs: runtime.GOMAXPROCS(0), Draw: script.DrawThrong, Options: lab.Options{Node: node.Start}}
 	sum, err := h.Run(t.Context())
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestDrawnOutages guards against late drains where an outage of discovery ends as caches drain: with delays that stay the same, seeds
-// 131 and 136 have one.
+// TestDrawnOutages guards against late drains if an outage of discovery ends while caches drain. With constant delays, seeds 131 and
+// 136 each have a late drain.
 func TestDrawnOutages(t *testing.T) {
 	h := lab.Hunt{From: 1, To: 140 / inPart, Jobs: runtime.GOMAXPROCS(0), Draw: script.DrawOutage, Options: lab.Options{Node: node.Start}}
 	sum, err := h.Run(t.Context())
@@ -35,7 +35,8 @@
 	}
 }
 
-// TestDrainIsKeptInThrongSeed1039: router r-9 begins an attempt 0.59 s after it was notified of the drain.
+// TestDrainIsKeptInThrongSeed1039 guards against an attempt after a drain: router r-9 begins an attempt to a draining cache 0.59 s
+// after the router was notified of the drain.
 func TestDrainIsKeptInThrongSeed1039(t *testing.T) {
 	const seed = 1039
 	h := lab.Hunt{From: seed, To: seed, Jobs: 1, Draw: script.DrawThrong, Options: lab.Options{Node: node.Start}}
