--- a/internal/testbench/lab/faults.go
+++ b/internal/testbench/lab/faults.go
@@ -41,15 +41,15 @@
 
 // activate sets a switch to a fault. When the fault ends, activate sets the switch to the latest fault that is still in
 // effect, or calls set with nil if there is none.
-func (f *faults) activate(what string, x script.Fault, set func(x *script.Fault)) {
-	f.active[what] = append(f.active[what], x)
+func (f *faults) activate(switchKey string, x script.Fault, set func(x *script.Fault)) {
+	f.active[switchKey] = append(f.active[switchKey], x)
 	set(&x)
 	f.atEnd(x, func() {
-		all := f.active[what]
+		all := f.active[switchKey]
 		if i := slices.Index(all, x); i >= 0 {
 			all = slices.Delete(all, i, i+1)
 		}
-		f.active[what] = all
+		f.active[switchKey] = all
 		if len(all) == 0 {
 			set(nil)
 			return
@@ -99,14 +99,14 @@
 // cache applies a fault to the cache at place i.
 func (f *faults) cache(x script.Fault, i int) {
 	p := f.world.caches[i]
-	what := fmt.Sprintf("%s %d", x.Kind, i)
+	switchKey := fmt.Sprintf("%s %d", x.Kind, i)
 	switch x.Kind {
 	case script.Hang:
-		f.activate(what, x, func(x *script.Fault) { p.cache.Hang(isActive(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { p.cache.Hang(isActive(x)) })
 	case script.Silence:
-		f.activate(what, x, func(x *script.Fault) { p.cache.Silent(isActive(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { p.cache.Silent(isActive(x)) })
 	case script.Slow:
-		f.activate(what, x, func(x *script.Fault) {
+		f.activate(switchKey, x, func(x *script.Fault) {
 			factor := 1.0
 			if x != nil {
 				factor = x.Factor
@@ -114,11 +114,11 @@
 			p.cache.Slow(factor)
 		})
 	case script.Errors:
-		f.activate(what, x, func(x *script.Fault) { p.cache.ErrRate(chanceOf(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { p.cache.ErrRate(chanceOf(x)) })
 	case script.Busy:
-		f.activate(what, x, func(x *script.Fault) { p.cache.Busy(isActive(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { p.cache.Busy(isActive(x)) })
 	case script.Spoil:
-		f.activate(what, x, func(x *script.Fault) {
+		f.activate(switchKey, x, func(x *script.Fault) {
 			how := standin.Noise
 			if x != nil {
 				how = standin.Spoil(x.How)
@@ -126,7 +126,7 @@
 			p.cache.Spoil(chanceOf(x), how)
 		})
 	case script.Double:
-		f.activate(what, x, func(x *script.Fault) {
+		f.activate(switchKey, x, func(x *script.Fault) {
 			if x == nil {
 				p.cache.Double(0, false, 0)
 				return
@@ -134,13 +134,13 @@
 			p.cache.Double(x.Chance, x.How == "noise", microseconds(x.Delay))
 		})
 	case script.ResetAccept:
-		f.activate(what, x, func(x *script.Fault) { p.cache.ResetAccept(isActive(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { p.cache.ResetAccept(isActive(x)) })
 	case script.ResetInside:
-		f.activate(what, x, func(x *script.Fault) { p.cache.ResetInside(chanceOf(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { p.cache.ResetInside(chanceOf(x)) })
 	case script.ResetAfter:
-		f.activate(what, x, func(x *script.Fault) { p.cache.ResetAfter(chanceOf(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { p.cache.ResetAfter(chanceOf(x)) })
 	case script.SwallowDials:
-		f.activate(what, x, func(x *script.Fault) { f.world.hosts[p.cache.Name()].SwallowDials(isActive(x)) })
+		f.activate(switchKey, x, func(x *script.Fault) { f.world.hosts[p.cache.Name()].SwallowDials(isActive(x)) })
 	case script.DropIdle:
 		p.cache.DropIdle(x.How == "silently")
 	default:
--- a/internal/testbench/lab/front.go
+++ b/internal/testbench/lab/front.go
@@ -72,7 +72,7 @@
 		}
 		p := &ping{conn: c, answered: func(ok bool) {
 			switch {
-			case r.generation != generation || r.node == nil || r.ending:
+			case r.generation != generation || r.node == nil || r.terminating:
 			case ok:
 				f.add(r)
 			default:
--- a/internal/testbench/lab/loss_report.go
+++ b/internal/testbench/lab/loss_report.go
@@ -59,7 +59,7 @@
 type trackedRequest struct {
 	receivedAt, latencyObjective Time
 	sentAt                       []Time
-	attemptsOut                  int
+	attemptsInFlight             int
 	completed                    bool
 }
 
@@ -90,7 +90,7 @@
 			l.report.Attempts++
 			if q := l.requests[a.ID]; q != nil {
 				q.sentAt = append(q.sentAt, now)
-				q.attemptsOut++
+				q.attemptsInFlight++
 			}
 		case decide.Reject:
 			l.countUnserved(a.ID, "refused: "+a.Reason.String())
@@ -111,7 +111,7 @@
 // complete marks a request as answered, and deletes the request if no attempt is in flight.
 func (l *lossModule) complete(id int64, q *trackedRequest) {
 	q.completed = true
-	if q.attemptsOut == 0 {
+	if q.attemptsInFlight == 0 {
 		delete(l.requests, id)
 	}
 }
@@ -122,7 +122,7 @@
 	if q == nil || o.Attempt >= len(q.sentAt) {
 		return
 	}
-	q.attemptsOut--
+	q.attemptsInFlight--
 	if took := now - q.sentAt[o.Attempt]; o.Result == decide.Served && o.Miss {
 		l.report.Misses.add(took)
 	} else if o.Result == decide.Served {
--- a/internal/testbench/lab/mass.go
+++ b/internal/testbench/lab/mass.go
@@ -109,8 +109,8 @@
 		r.Tally.Add(t)
 	}
 	for _, c := range w.fleet.Caches {
-		came, turned := c.Dials()
-		r.Dials, r.RejectedDials = r.Dials+came, r.RejectedDials+turned
+		dials, rejected := c.Dials()
+		r.Dials, r.RejectedDials = r.Dials+dials, r.RejectedDials+rejected
 	}
 	return r, nil
 }
--- a/internal/testbench/lab/observer.go
+++ b/internal/testbench/lab/observer.go
@@ -72,15 +72,15 @@
 
 // whenRead calls notify once a router can have read data that is written to it now.
 func (e *observer) whenRead(now Time, router string, notify func(now Time)) {
-	way := Time(0)
+	latency := Time(0)
 	if r := e.world.routerNamed(router); r != nil && e.world.faults != nil {
-		way = e.world.faults.maxLag(e.world.listZone(), r.zone)
+		latency = e.world.faults.maxLag(e.world.listZone(), r.zone)
 	}
-	if way == 0 {
+	if latency == 0 {
 		e.whenReadable(now, router, notify)
 		return
 	}
-	e.world.sim.At(now+way, func() { e.whenReadable(e.world.sim.Now(), router, notify) })
+	e.world.sim.At(now+latency, func() { e.whenReadable(e.world.sim.Now(), router, notify) })
 }
 
 func (e *observer) whenReadable(now Time, router string, notify func(now Time)) {
@@ -190,13 +190,13 @@
 	}
 	e.Watcher.CacheDown(now, cache, fallen)
 	if fallen {
-		e.world.falls++
-		e.world.sim.At(now, func() { e.world.removeFallenCache(cache) })
+		e.world.overloadCollapses++
+		e.world.sim.At(now, func() { e.world.removeCollapsedCache(cache) })
 	}
 }
 
-// removeFallenCache removes a cache that collapsed under overload from the endpoint list, and lets its registry lease expire.
-func (w *world) removeFallenCache(cache string) {
+// removeCollapsedCache removes a cache that collapsed under overload from the endpoint list, and lets its registry lease expire.
+func (w *world) removeCollapsedCache(cache string) {
 	for _, p := range w.caches {
 		if p.cache.Name() == cache {
 			p.removed = true
@@ -208,7 +208,7 @@
 
 // StoreFell implements rules.Observer.
 func (e *observer) StoreFell(now Time) {
-	e.world.falls++
+	e.world.overloadCollapses++
 	e.logTimeline("the store falls over")
 	e.Watcher.StoreFell(now)
 }
--- a/internal/testbench/lab/partition.go
+++ b/internal/testbench/lab/partition.go
@@ -21,7 +21,7 @@
 
 // checkPartitioned reports a router that breaks the rule Partitioned, once for each process.
 func (k *knowledge) checkPartitioned(l *routerKnowledge, now Time) {
-	if l.partitionReported || l.ending || k.registries.world.otherFaultsBlockTraffic() {
+	if l.partitionReported || l.terminating || k.registries.world.otherFaultsBlockTraffic() {
 		return
 	}
 	n := k.cachesToSendTo(l, now)
--- a/internal/testbench/lab/router.go
+++ b/internal/testbench/lab/router.go
@@ -18,7 +18,7 @@
 	host          *sim.Host
 	node          Node // nil while none runs
 
-	ending           bool              // after SIGTERM
+	terminating      bool              // after SIGTERM
 	generation       int               // number of processes started so far
 	startedAt        Time              // start of the current process
 	workers          *hookstest.Script // hook workers of the current process; nil if there are no hooks
@@ -65,7 +65,7 @@
 	if r.discoveryAddr == "" {
 		r.discoveryAddr = r.world.fleet.Lists[r.name]
 	}
-	r.ending = false
+	r.terminating = false
 	r.world.hooks.install(r)
 	r.world.observer.RouterUp(r.world.sim.Now(), r.name)
 	r.world.fleet.Discovery.Forget(r.name)
@@ -111,10 +111,10 @@
 
 // terminate drains the router as after SIGTERM, kills it at shutdownTimeout, and starts a new process.
 func (r *router) terminate() {
-	if r.node == nil || r.ending {
+	if r.node == nil || r.terminating {
 		return
 	}
-	r.ending = true
+	r.terminating = true
 	w, generation := r.world, r.generation
 	w.observer.logTimeline(r.name + " gets SIGTERM")
 	w.sim.At(w.sim.Now()+frontDrainDelay, func() {
--- a/internal/testbench/lab/run.go
+++ b/internal/testbench/lab/run.go
@@ -138,7 +138,7 @@
 }
 
 // runPart runs the world up to an instant. It reports a panic, or too many events, as a broken rule.
-func (w *world) runPart(until Time, most int64) (on bool) {
+func (w *world) runPart(until Time, most int64) (ok bool) {
 	defer func() {
 		if r := recover(); r != nil {
 			who := ""
@@ -146,7 +146,7 @@
 				who = h.Name()
 			}
 			w.reportBroken(Broken{Rule: Crash, At: w.now(), Router: who, Text: fmt.Sprintf("%v%s", r, stack())})
-			on = false
+			ok = false
 		}
 	}()
 	if w.sim.RunUntil(until, func() bool { return w.sim.Steps() > most }) {
@@ -194,14 +194,14 @@
 		return false
 	}
 	for _, r := range w.routers {
-		if r.ending {
+		if r.terminating {
 			return false
 		}
 		if r.node == nil {
 			continue
 		}
-		for what, n := range r.node.Holdings() {
-			if n != 0 && what != connections {
+		for resource, n := range r.node.Holdings() {
+			if n != 0 && resource != connections {
 				return false
 			}
 		}
@@ -226,18 +226,18 @@
 func (w *world) checkLeftovers() {
 	now := w.sim.Now()
 	for _, r := range w.routers {
-		if r.node == nil || r.ending {
+		if r.node == nil || r.terminating {
 			continue
 		}
 		left := r.node.Holdings()
-		for _, what := range slices.Sorted(maps.Keys(left)) {
-			if what != connections && what != ownTimers {
-				w.watcher.Leftover(now, r.name, what, left[what])
+		for _, resource := range slices.Sorted(maps.Keys(left)) {
+			if resource != connections && resource != ownTimers {
+				w.watcher.Leftover(now, r.name, resource, left[resource])
 			}
 		}
 		conns, held, timers := left[connections], r.host.Descriptors(), r.host.Pending()+left[ownTimers]
 		others := otherDescriptors + hookDescriptors*len(w.script.Hooks)
-		if _, told := left[connections]; told && held > conns+others {
+		if _, reported := left[connections]; reported && held > conns+others {
 			w.watcher.Leftover(now, r.name, "descriptors beyond its connections", held-conns)
 		}
 		if timers > held+otherTimers {
--- a/internal/testbench/lab/scenario.go
+++ b/internal/testbench/lab/scenario.go
@@ -25,7 +25,7 @@
 	Out     io.Writer
 	Long    bool   // run longer than the usual minute
 	Times   int    // number of repetitions of the measurement; 0 means the default
-	Against string // a program to compare with, such as the router of the commit before
+	Against string // a program to compare with, such as the router of the previous commit
 	Args    []string
 }
 
--- a/internal/testbench/lab/storm.go
+++ b/internal/testbench/lab/storm.go
@@ -23,7 +23,7 @@
 	Outage            Time    // duration for which no cache runs
 	For               Time    // duration of the run after the caches' return
 	IgnoreAdvice      float64 // fraction of clients that ignore retry-after and retry at once
-	SharedAddress     bool    // all clients come from one address
+	SharedAddress     bool    // the clients of each zone come from one address
 	FixedBackoff      bool    // clients that honour retry-after back off by one fixed time
 	Silent            int     // number of additional connections that send nothing
 	SecondOutageAfter Time    // from the end of the first outage to a second one; 0 for none
@@ -107,24 +107,24 @@
 
 // Bound returns the fraction of the offered work that caches could have done in time without any wasted work.
 func (r *StormResult) Bound() float64 {
-	could, asked := 0.0, 0.0
+	possible, offered := 0.0, 0.0
 	for _, p := range r.Intervals {
-		could, asked = could+min(p.Offered, p.Capacity), asked+p.Offered
+		possible, offered = possible+min(p.Offered, p.Capacity), offered+p.Offered
 	}
-	return could / asked
+	return possible / offered
 }
 
 // Used returns the fraction of the possible work that was done in time, without the first window. The possible work is the
 // lesser of the caches' capacity and the offered work.
 func (r *StormResult) Used() float64 {
-	could, done := 0.0, 0.0
+	possible, done := 0.0, 0.0
 	for _, p := range r.Intervals[min(1, len(r.Intervals)):] {
-		could, done = could+min(p.Offered, p.Capacity), done+p.InTime
+		possible, done = possible+min(p.Offered, p.Capacity), done+p.InTime
 	}
-	if could == 0 {
+	if possible == 0 {
 		return 1
 	}
-	return min(1, done/could)
+	return min(1, done/possible)
 }
 
 // turnaround is the delay before a retry of a client that retries at once.
@@ -283,11 +283,11 @@
 	r.summarizeObservations()
 	r.result.Intervals = r.accounting.Intervals()
 	r.result.Requests, r.result.InTime = r.accounting.Requests, r.accounting.InTime
-	r.result.Overloads = r.falls
+	r.result.Overloads = r.overloadCollapses
 	r.result.Tries, r.result.Refused = r.result.Counts.Asked, r.result.Counts.Refused
 }
 
-// setUp creates the clients, each on a host of its own unless they share an address.
+// setUp creates the clients, each on a separate host, or with SharedAddress on one shared host in each zone.
 func (r *stormRun) setUp() {
 	r.accounting = StormAccounting{From: r.from, For: r.storm.For}
 	r.capacity = NewFleetCapacity(r.fleet, r.fleetOptions())
--- a/internal/testbench/lab/storm_accounting.go
+++ b/internal/testbench/lab/storm_accounting.go
@@ -37,9 +37,9 @@
 // Now returns the work, in seconds of one core per second, that the caches and the store behind them can do now. A request
 // whose key is not in its home cache is a fetch from the store.
 func (b *FleetCapacity) Now() float64 {
-	able := 0.0
+	capacity := 0.0
 	for _, c := range b.fleet.Caches {
-		able += c.Able() / float64(second)
+		capacity += c.Able() / float64(second)
 	}
 	missing := 1.0
 	for rank, c := range b.cacheOfRank {
@@ -48,7 +48,7 @@
 		}
 	}
 	fetches := float64(b.store.Concurrency) * float64(second) / float64(b.store.Latency)
-	return min(able, fetches/((1-b.writes)*missing+b.writes)*b.MeanWork)
+	return min(capacity, fetches/((1-b.writes)*missing+b.writes)*b.MeanWork)
 }
 
 // StormAccounting counts the work that was offered and done in a storm, by windows.
--- a/internal/testbench/lab/world.go
+++ b/internal/testbench/lab/world.go
@@ -44,14 +44,14 @@
 	hooks    *hookScripts
 	caches   []*place
 	faults   *faults
-	// registry is nil where the script has none.
-	registry     *registries
-	broken       []Broken
-	moreBroken   int
-	excused      int
-	falls        int // number of collapses of caches and of the store under overload
-	stormChanges []StormChange
-	err          error // first error of the lab itself
+	// registry is nil if the script has no registry.
+	registry          *registries
+	broken            []Broken
+	moreBroken        int
+	excused           int
+	overloadCollapses int // number of collapses of caches and of the store under overload
+	stormChanges      []StormChange
+	err               error // first error of the lab itself
 }
 
 // place is one place in the fleet, with its current cache.
