--- a/internal/testbench/standin/cache.go
+++ b/internal/testbench/standin/cache.go
@@ -8,15 +8,15 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// Cancel says what becomes of the work of a request whose connection has ended.
+// Cancel is the policy for the work of requests whose connection has closed.
 type Cancel uint8
 
 const (
-	// CancelNone lets the work go on.
+	// CancelNone completes the work.
 	CancelNone Cancel = iota
-	// CancelQueued drops a request that still waits for a slot.
+	// CancelQueued drops a request that is still queued for a slot.
 	CancelQueued
-	// CancelAll also stops a request that runs.
+	// CancelAll also stops a running request.
 	CancelAll
 )
 
@@ -28,30 +28,30 @@
 
 // CacheOptions describe a cache server.
 type CacheOptions struct {
-	Name     string   // as the endpoint list has it
+	Name     string   // its name in the endpoint list
 	Zone     string   // its data centre
 	Group    int      // its cell
-	Capacity Capacity // of its processor
-	Cancel   Cancel   // what becomes of the work for clients that have gone
+	Capacity Capacity // of the processor
+	Cancel   Cancel   // policy for the work of requests whose connection has closed
 
-	MemoryKeys       int  // keys that its memory holds
-	Coalesce         bool // misses of one key wait for one fetch
+	MemoryKeys       int  // number of keys that the memory holds
+	Coalesce         bool // concurrent misses of a key share one fetch
 	MissOccupiesSlot bool // a request that waits for a fetch occupies its slot
-	FetchTimeout     Time // a fetch fails after so long; 0 for never
+	FetchTimeout     Time // timeout of a fetch; 0 disables it
 
-	Connections     int  // open at once; 0 stands for 90
-	RejectsWhenFull bool // a connection beyond that gets -BUSY before it is closed
-	Streams         int  // requests of one connection that are in work at once; 0 stands for 100
-	HandshakeWork   Time // work that a new connection costs
-	HandshakeTime   Time // the first request on a connection waits at least so long
-	IdleFor         Time // a connection without a request is closed after so long; 0 for never
+	Connections     int  // maximum of open connections; 0 stands for 90
+	RejectsWhenFull bool // a connection above the maximum receives -BUSY before the cache closes it
+	Streams         int  // maximum of concurrent requests per connection; 0 stands for 100
+	HandshakeWork   Time // work of accepting a connection
+	HandshakeTime   Time // minimum wait of the first request on a connection
+	IdleFor         Time // the cache closes a connection that is idle for this time; 0 disables it
 
 	Probes    bool // PING and INFO cost work, and INFO answers with a load report
-	ProbeWork Time // what one of them costs
-	Reports   bool // answers hold a load report
-	ValueSize int  // of a value whose request names no size, in bytes
+	ProbeWork Time // work of one PING or INFO
+	Reports   bool // replies contain a load report
+	ValueSize int  // bytes of a value if the request names no size
 
-	// RouterOf names the router at a remote address, for the addresses that were opened for no router.
+	// RouterOf returns the name of the router at a remote address. It is used for listeners that were opened without a router's name.
 	RouterOf func(remote string) string
 }
 
@@ -69,11 +69,11 @@
 	up            bool                  // the process runs
 	processor     *processor            // of the running process
 	memory        *lruMemory            // of the running process
-	fetches       []*fetch              // under way, in the order in which they began
+	fetches       []*fetch              // in flight, oldest first
 	conns         []*cacheConn          // open connections
-	commands      map[*command]struct{} // requests that run or wait
-	offeredWork   slidingWork           // work that it was sent over the overload window
-	faults        faults                // injected by scripts; they outlive the process
+	commands      map[*command]struct{} // running and queued requests
+	offeredWork   slidingWork           // work that arrived within the overload window
+	faults        faults                // injected by scripts; they persist over restarts of the process
 	hits          int                   // reads whose key was in memory
 	misses        int                   // reads whose key was not
 	dials         int                   // connections that were accepted or rejected
@@ -90,11 +90,11 @@
 type CacheParts struct {
 	Workload *Workload      // the work of each request
 	Store    *Store         // the origin behind the caches
-	Repeats  *Repeats       // keyed writes that the caches of a group remember
-	Observer rules.Observer // told of each event; nil for none
+	Repeats  *Repeats       // keyed writes that the caches of a group remember for deduplication
+	Observer rules.Observer // notified of each event; may be nil
 }
 
-// NewCache returns a cache that is not started yet. It adds itself to the caches that the store notifies of writes.
+// NewCache returns a stopped cache and registers it with the store for notifications of writes.
 func NewCache(m machine.Machine, o CacheOptions, parts CacheParts, rng *rand.Rand) *Cache {
 	if o.Connections == 0 {
 		o.Connections = defaultConnections
@@ -114,46 +114,46 @@
 // Zone returns the cache's zone.
 func (c *Cache) Zone() string { return c.options.Zone }
 
-// Up reports whether its process runs.
+// Up reports whether the process runs.
 func (c *Cache) Up() bool { return c.up }
 
-// Open listens at an address and returns the one that it got. Connections that arrive there belong to the named
+// Open listens at an address and returns the bound address. Connections that arrive there belong to the named
 // router; for an empty name, CacheOptions.RouterOf names it.
 func (c *Cache) Open(addr, router string) (string, error) {
-	d := &cacheListener{addr: addr, router: router}
-	if err := c.listen(d); err != nil {
+	l := &cacheListener{addr: addr, router: router}
+	if err := c.listen(l); err != nil {
 		return "", err
 	}
-	c.listeners = append(c.listeners, d)
-	return d.addr, nil
+	c.listeners = append(c.listeners, l)
+	return l.addr, nil
 }
 
-// Group returns the number of the group that it belongs to.
+// Group returns the number of the cache's group.
 func (c *Cache) Group() int { return c.options.Group }
 
-// Address returns the address that was opened for a router, or for all routers where router is "".
+// Address returns the address that was opened for a router, or for all routers if router is "".
 func (c *Cache) Address(router string) string {
-	for _, d := range c.listeners {
-		if d.router == router {
-			return d.addr
+	for _, l := range c.listeners {
+		if l.router == router {
+			return l.addr
 		}
 	}
 	return ""
 }
 
-func (c *Cache) listen(d *cacheListener) error {
-	ln, err := c.m.Listen(d.addr, func(conn machine.Conn) machine.Handler { return c.accept(conn, d) })
+func (c *Cache) listen(l *cacheListener) error {
+	ln, err := c.m.Listen(l.addr, func(conn machine.Conn) machine.Handler { return c.accept(conn, l) })
 	if err != nil {
 		return err
 	}
-	d.listener, d.addr = ln, ln.Addr()
+	l.listener, l.addr = ln, ln.Addr()
 	if c.faults.silent {
 		ln.Pause()
 	}
 	return nil
 }
 
-// Start starts the process. A cold process begins slow start; a warm one has its whole capacity. Both begin with an
+// Start starts the process. A cold process begins in slow start; a warm process has full capacity. Both begin with an
 // empty memory, which Warm can fill.
 func (c *Cache) Start(cold bool) error {
 	if c.up {
@@ -171,11 +171,11 @@
 	}
 	warm := c.options.Capacity.Cores * c.processor.speed() * float64(Second)
 	c.observer.CacheUp(c.m.Now(), c.options.Name, warm, capacityFraction, c.processor.slowStartWindow)
-	for _, d := range c.listeners {
-		if d.listener != nil {
+	for _, l := range c.listeners {
+		if l.listener != nil {
 			continue
 		}
-		if err := c.listen(d); err != nil {
+		if err := c.listen(l); err != nil {
 			return err
 		}
 	}
@@ -200,7 +200,7 @@
 // WarmingUp reports whether the process is in slow start.
 func (c *Cache) WarmingUp() bool { return c.up && c.processor.capacityFraction() < 1 }
 
-// Able returns the work that it can do in a second at its present warmth, without faults and congestion; 0 while the
+// Able returns the work per second that the cache can do at its present slow start, without faults and congestion; 0 while the
 // process is down.
 func (c *Cache) Able() float64 {
 	if !c.up {
@@ -212,7 +212,7 @@
 // HasKey reports whether a key is in memory.
 func (c *Cache) HasKey(key string) bool { return c.up && c.memory.at[key] != nil }
 
-// Holds returns the number of requests that run or wait.
+// Holds returns the number of running and queued requests.
 func (c *Cache) Holds() int { return len(c.commands) }
 
 // Hits returns how many reads found their key in memory and how many needed the store, over all processes.
@@ -220,12 +220,12 @@
 
 // Dials returns how many connections arrived and how many of them were rejected because the table was full, over all
 // processes.
-func (c *Cache) Dials() (came, turnedAway int) { return c.dials, c.rejectedDials }
+func (c *Cache) Dials() (arrived, rejected int) { return c.dials, c.rejectedDials }
 
 // Connections returns the number of open connections.
 func (c *Cache) Connections() int { return len(c.conns) }
 
-// Stop ends the process: its connections are closed, and new ones are refused.
+// Stop ends the process: the cache closes its connections and refuses new connections.
 func (c *Cache) Stop() { c.stop(false) }
 
 // Restart ends the process and starts a new one.
@@ -240,10 +240,10 @@
 	}
 	c.up = false
 	c.observer.CacheDown(c.m.Now(), c.options.Name, fallen)
-	for _, d := range c.listeners {
-		if d.listener != nil {
-			d.listener.Close()
-			d.listener = nil
+	for _, l := range c.listeners {
+		if l.listener != nil {
+			l.listener.Close()
+			l.listener = nil
 		}
 	}
 	c.processor.stop()
@@ -256,7 +256,7 @@
 	c.conns, c.commands, c.fetches = nil, nil, nil
 }
 
-// offer records work that the cache was sent, and crashes the process where that exceeds the overload bound. It reports
+// offer records arriving work, and crashes the process if the sum exceeds the overload bound. It reports
 // whether the process still runs.
 func (c *Cache) offer(id, router string, work Time) bool {
 	now := c.m.Now()
@@ -275,7 +275,7 @@
 	return c.up
 }
 
-// invalidate drops a key that was written from memory, and keeps fetches under way from storing its old value.
+// invalidate evicts a written key from memory, and prevents fetches in flight from storing the old value.
 func (c *Cache) invalidate(key string) {
 	if !c.up {
 		return
--- a/internal/testbench/standin/cache_conn.go
+++ b/internal/testbench/standin/cache_conn.go
@@ -7,29 +7,29 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// cacheConn is a connection of a router to a cache. Its commands are answered in their order.
+// cacheConn is a connection of a router to a cache. The cache replies to its commands in order.
 type cacheConn struct {
 	stream
 	cache            *Cache
 	router           string        // name of the router that opened it
-	commands         []*command    // read and not answered, in order
-	started          int           // the first so many of commands are in work or done
+	commands         []*command    // read and not yet replied to, in order
+	started          int           // number of commands, from the first, that are started
 	firstByteAt      Time          // when the first byte of the next command was read
-	earliestArrival  Time          // when that byte may have arrived at the earliest
-	handshakePaid    bool          // the work of the handshake is done
-	handshakeElapsed bool          // the time of the handshake is over
+	earliestArrival  Time          // earliest time at which that byte can have arrived
+	handshakePaid    bool          // the handshake's work is complete
+	handshakeElapsed bool          // the handshake's time has elapsed
 	handshake        job           // the work of the handshake
 	handshakeTimer   machine.Timer // ends the time of the handshake
-	idleTimer        machine.Timer // closes the connection; nil while a command is under way
-	advancing        bool          // advance is running, and is not entered again
+	idleTimer        machine.Timer // closes the idle connection; nil while a command is in progress
+	advancing        bool          // advance is running; guards against reentry
 	peerEnded        bool          // the router has closed its side
-	forgotten        bool          // the next bytes are answered by a reset
-	endlessLeft      int           // bytes of an endless value to be written; -1 once they are
+	forgotten        bool          // the cache resets the connection when the next bytes arrive
+	endlessLeft      int           // unwritten bytes of an endless value; -1 once all are written
 }
 
-// accept handles a new connection, or closes it where the cache is down, full or told to reset connections.
-func (c *Cache) accept(conn machine.Conn, d *cacheListener) machine.Handler {
-	cc := &cacheConn{stream: stream{conn: conn}, cache: c, router: d.router}
+// accept handles a new connection, or closes it if the cache is down, full or set to reset connections.
+func (c *Cache) accept(conn machine.Conn, listener *cacheListener) machine.Handler {
+	cc := &cacheConn{stream: stream{conn: conn}, cache: c, router: listener.router}
 	if cc.router == "" && c.options.RouterOf != nil {
 		cc.router = c.options.RouterOf(conn.Remote())
 	}
@@ -52,7 +52,7 @@
 	return cc
 }
 
-// updateTableOccupancy tells the processor how full the connection table is.
+// updateTableOccupancy updates the processor's record of the connection table's occupancy.
 func (c *Cache) updateTableOccupancy() {
 	c.processor.change(func() { c.processor.tableOccupancy = float64(len(c.conns)) / float64(c.options.Connections) })
 }
@@ -70,7 +70,7 @@
 	}
 }
 
-// maxUnstarted bounds the commands of a connection that were read and not started.
+// maxUnstarted bounds the commands of a connection that are read but not started.
 const maxUnstarted = 1024
 
 // Readable is called by the machine when there is something to read.
@@ -79,7 +79,7 @@
 		return
 	}
 	if cc.forgotten {
-		// The bytes stay unread, so that the router sees a reset.
+		// Closing with unread bytes makes the router see a reset.
 		cc.drop()
 		return
 	}
@@ -101,8 +101,8 @@
 	cc.earliestArrival = cc.cache.faults.earliestArrival(cc.firstByteAt)
 }
 
-// advance parses commands, starts them and writes replies until nothing more can be done now. Once the router has closed
-// its side and all that it sent was taken, the connection is closed with what is under way on it.
+// advance parses commands, starts them and writes replies until no further progress is possible. Once the router has closed
+// its side and all its bytes are read, advance closes the connection and cancels the commands in progress.
 func (cc *cacheConn) advance() {
 	if cc.advancing {
 		return
@@ -134,7 +134,7 @@
 	cc.advance()
 }
 
-// parseNext takes one whole command off the received bytes, and reports whether there was one.
+// parseNext parses one complete command from the received bytes, and reports whether there was one.
 func (cc *cacheConn) parseNext() bool {
 	if len(cc.commands)-cc.started >= maxUnstarted {
 		return false
@@ -158,17 +158,17 @@
 	return true
 }
 
-// errorReply returns a command that is answered at once with an error.
+// errorReply returns a command with an immediate error reply.
 func (cc *cacheConn) errorReply(text string) *command {
 	return &command{cache: cc.cache, conn: cc, finished: true, replyReady: true, reply: redcon.AppendError(nil, text)}
 }
 
-// okReply returns a command that is answered at once with a simple string.
+// okReply returns a command with an immediate simple string reply.
 func (cc *cacheConn) okReply(text string) *command {
 	return &command{cache: cc.cache, conn: cc, finished: true, replyReady: true, reply: redcon.AppendString(nil, text)}
 }
 
-// newCommand makes a command of the words of one that was read whole.
+// newCommand returns the command for a complete list of arguments.
 func (cc *cacheConn) newCommand(args [][]byte) *command {
 	c := cc.cache
 	switch string(args[0]) {
@@ -200,7 +200,7 @@
 	return cmd
 }
 
-// newProbe returns a health check: it costs work, but waits for no slot.
+// newProbe returns a health check, which costs work but needs no slot.
 func (cc *cacheConn) newProbe(reply []byte) *command {
 	cmd := &command{cache: cc.cache, conn: cc}
 	cmd.job = job{work: float64(max(1, cc.cache.options.ProbeWork)), done: func() {
@@ -210,7 +210,7 @@
 	return cmd
 }
 
-// startNext starts the next command where the handshake is over and the connection may have one more in work.
+// startNext starts the next command if the handshake is complete and the connection is below its limit of concurrent requests.
 func (cc *cacheConn) startNext() bool {
 	if !cc.handshakePaid || !cc.handshakeElapsed || cc.started >= len(cc.commands) || cc.started >= cc.cache.options.Streams {
 		return false
@@ -227,10 +227,10 @@
 	return true
 }
 
-// maxUnsentBytes bounds the replies in the write buffer of a connection that does not take them.
+// maxUnsentBytes bounds the replies in the write buffer of a connection whose peer does not read.
 const maxUnsentBytes = 256 << 10
 
-// writeNext writes the reply of the first command where it is ready, and reports whether it did.
+// writeNext writes the first command's reply if it is ready, and reports whether it was.
 func (cc *cacheConn) writeNext() bool {
 	if cc.started == 0 || !cc.commands[0].replyReady || cc.cache.faults.stalled || cc.endlessLeft != 0 || len(cc.unsent) >= maxUnsentBytes {
 		return false
@@ -242,7 +242,7 @@
 	return true
 }
 
-// write writes one reply, with the fault that was drawn for it.
+// write writes one reply, with the fault drawn for that reply.
 func (cc *cacheConn) write(cmd *command) {
 	if cmd.fault != "" {
 		cc.writeFaulty(cmd)
@@ -257,7 +257,7 @@
 	}
 }
 
-// updateIdleTimer restarts the idle timer, or stops it while commands are under way.
+// updateIdleTimer restarts the idle timer, or stops it while commands are in progress.
 func (cc *cacheConn) updateIdleTimer() {
 	if cc.idleTimer != nil {
 		cc.idleTimer.Stop()
@@ -269,7 +269,7 @@
 	cc.idleTimer = cc.cache.m.At(cc.cache.m.Now()+cc.cache.options.IdleFor, cc.drop)
 }
 
-// drop closes the connection and cancels what is under way on it.
+// drop closes the connection and cancels its commands.
 func (cc *cacheConn) drop() {
 	if cc.closed {
 		return
--- a/internal/testbench/standin/capacity.go
+++ b/internal/testbench/standin/capacity.go
@@ -3,11 +3,11 @@
 // Capacity describes the processor of a cache.
 type Capacity struct {
 	Cores              float64 // number of cores
-	Speed              float64 // of a core, relative to the one that work is measured on; 0 stands for 1
-	ConcurrentRequests int     // requests in work at once, each in a slot
-	Queue              int     // requests that may wait for a slot
+	Speed              float64 // speed of a core relative to the reference core of Work; 0 stands for 1
+	ConcurrentRequests int     // maximum of running requests; each occupies a slot
+	Queue              int     // maximum of requests queued for a slot
 
-	// Thrash is the slowdown for each request a core beyond ThrashAt requests a core.
+	// Thrash is the slowdown per request per core above ThrashAt requests per core.
 	Thrash   float64
 	ThrashAt float64
 
@@ -20,22 +20,22 @@
 	SlowStartMinCapacity float64
 	SlowStartWindow      Time
 
-	// A cache that is sent more than OverloadMultiple times what it can do, summed over OverloadWindow, crashes. 0 of
-	// either is never.
+	// A cache crashes if the work that arrives within OverloadWindow exceeds OverloadMultiple times its capacity. 0 for
+	// either disables this.
 	OverloadMultiple float64
 	OverloadWindow   Time
-	MeanWork         Time // where it is not 0, rules.AllowedWork adds a tolerance for this mean work of a request
+	MeanWork         Time // if not 0, rules.AllowedWork adds a tolerance for this mean work of a request
 
 	Congestion Congestion // off unless Slowdown is above 1
 }
 
-// Congestion makes a cache slow after it held too many requests, until it was nearly idle for a while. It strikes once
+// Congestion slows a cache down after it held too many requests, until it has been nearly idle for RecoveryWindow. It occurs once
 // in the life of a process.
 type Congestion struct {
 	Threshold           float64 // it begins above Cores + Threshold x sqrt(Cores) requests held, averaged over Window
 	Window              Time    // averaging time of Threshold
-	Slowdown            float64 // how many times slower the cache is meanwhile
+	Slowdown            float64 // factor by which the cache is slower during congestion
 	RecoveryUtilization float64 // it ends below this utilization of the cores, averaged over RecoveryWindow
 	RecoveryWindow      Time    // averaging time of RecoveryUtilization
-	MaxDuration         Time    // it ends after so long at the latest
+	MaxDuration         Time    // maximum duration of the congestion
 }
--- a/internal/testbench/standin/class.go
+++ b/internal/testbench/standin/class.go
@@ -2,15 +2,15 @@
 
 import "starlingwinch/internal/testbench/rules"
 
-// Class is one kind of request, with its objectives and the work that it is to a cache.
+// Class is one kind of request, with its objectives and its work at a cache.
 type Class struct {
 	Name               string
-	TrafficFraction    float64 // part of all requests that are of this class
+	TrafficFraction    float64 // fraction of all requests that belong to this class
 	Semantics          Semantics
-	Write              bool                     // it is carried out at the store
-	LatencyObjective   Time                     // an answer up to here earns the full weight
+	Write              bool                     // the store carries out the request
+	LatencyObjective   Time                     // a reply within this time earns the full weight
 	ClientTimeout      Time                     // how long a client waits, over all its attempts
-	IdempotencyWindow  Time                     // caches drop repeats for so long; IdempotentByKey only
+	IdempotencyWindow  Time                     // how long caches drop repeats; IdempotentByKey only
 	Scope              rules.DeduplicationScope // which caches drop repeats
 	PriorityWeight     float64                  // points for an answer within the objective
 	LateWeightFraction float64                  // fraction of PriorityWeight that a late answer earns
@@ -18,7 +18,7 @@
 	CV                 float64                  // coefficient of variation of the work
 }
 
-// Semantics says what may happen when a request runs twice.
+// Semantics defines whether a request may run more than once.
 type Semantics uint8
 
 const (
@@ -26,7 +26,7 @@
 	Idempotent Semantics = iota
 	// IdempotentByKey requests carry a key, and caches drop repeats of it inside the class's window.
 	IdempotentByKey
-	// NonIdempotent requests have their effect each time they run.
+	// NonIdempotent requests take effect each time they run.
 	NonIdempotent
 )
 
--- a/internal/testbench/standin/client.go
+++ b/internal/testbench/standin/client.go
@@ -12,7 +12,7 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// RetryWait says how long clients wait before they retry.
+// RetryWait is the clients' policy for the wait before a retry.
 type RetryWait uint8
 
 const (
@@ -26,49 +26,49 @@
 
 // Target is a router that clients connect to.
 type Target struct {
-	Name string // of the router
-	Addr string // that it listens on
+	Name string // the router's name
+	Addr string // address that the router listens on
 }
 
 // ClientOptions describe a load client: a group of users that share a pool of connections.
 type ClientOptions struct {
 	Zone    string  // of the clients
-	Tenant  string  // t of each request
-	Classes []Class // that requests are drawn from
-	Keys    *Keys   // that requests are drawn from
+	Tenant  string  // value of t in each request's metadata
+	Classes []Class // classes from which requests are drawn
+	Keys    *Keys   // keys from which requests are drawn
 
-	Rate       float64 // requests a second, of a Poisson process
-	BurstEvery Time    // from the beginning of one burst to that of the next; 0 for no bursts
+	Rate       float64 // mean arrivals per second, a Poisson process
+	BurstEvery Time    // interval between the starts of two bursts; 0 for no bursts
 	BurstFor   Time    // length of a burst
-	BurstTimes float64 // rate in a burst, as a multiple of Rate
+	BurstTimes float64 // factor of Rate during a burst
 
-	Connections     int     // open at once; 0 stands for 1024
+	Connections     int     // maximum of open connections; 0 stands for 1024
 	Pipeline        float64 // fraction of requests that are pipelined behind another one
 	DialTimeout     Time    // 0 stands for 1 s
-	CloseRaceWindow Time    // a connection that ends so soon after a request was closed before it was read; 0 stands for 5 ms
+	CloseRaceWindow Time    // if a connection ends this soon after a request was sent, the router is taken not to have read it; 0 stands for 5 ms
 
-	Retries                int       // after the first attempt
+	Retries                int       // maximum number of retries after the first attempt
 	RetryWait              RetryWait // how the wait before a retry grows
-	RetryWaitTime          Time      // the first of these waits
+	RetryWaitTime          Time      // wait before the first retry
 	RetryAfterCompliance   float64   // fraction of rejections whose retry-after is followed
 	MaxRetryAfter          Time      // longest retry-after that is followed; 0 stands for 1.5 s
-	AttemptTimeoutFraction float64   // of the client timeout, for one attempt; 0 stands for 1
-	EarlyAbandonFraction   float64   // fraction of attempts that the client leaves before their timeout
-	Grace                  Time      // a client listens so much longer than its timeout; 0 stands for 50 ms
+	AttemptTimeoutFraction float64   // timeout of an attempt as a fraction of the client timeout; 0 stands for 1
+	EarlyAbandonFraction   float64   // fraction of attempts that the client abandons before their timeout
+	Grace                  Time      // how long after its timeout a client still accepts a reply; 0 stands for 50 ms
 	MarkRetry              bool      // retries carry r=1
-	Hints                  bool      // requests carry h, their work
-	ValueSize              int       // of a write's value, in bytes
-	ReadSize               int       // size of each read, where above 0
+	Hints                  bool      // requests carry their work as h
+	ValueSize              int       // size of a write's value in bytes
+	ReadSize               int       // value size that each read requests, if above 0
 
-	// Routers returns the routers that take connections now.
+	// Routers returns the routers that currently accept connections.
 	Routers func() []Target
-	// Began, where it is not nil, is called for each request as it is made.
+	// Began, if not nil, is called when a request is made.
 	Began func(class *Class)
-	// Ended, where it is not nil, is called as a request ends; inTime says whether it was served within its objective.
+	// Ended, if not nil, is called when a request ends; inTime reports whether the request was served within its latency objective.
 	Ended func(class *Class, asked Time, inTime bool)
 }
 
-// Client is a load client. It makes requests until Stop, and sees each to its end.
+// Client is a load client. It makes requests until Stop, and completes the requests in flight after that.
 type Client struct {
 	m            machine.Machine
 	options      ClientOptions
@@ -78,11 +78,11 @@
 	tallies      []*Tally // by class
 	totalTraffic float64  // sum of the classes' traffic fractions
 
-	arrival      machine.Timer // of the next request; nil while stopped
+	arrival      machine.Timer // timer of the next arrival; nil while stopped
 	startedAt    Time
 	conns        []*clientConn
-	nextRouter   int // connections are dealt to the routers in turn
-	openRequests int // requests that are not finished
+	nextRouter   int // round-robin index of the router for the next connection
+	openRequests int // number of unfinished requests
 	closed       bool
 }
 
@@ -92,7 +92,7 @@
 	defaultMaxRetryAfter     = 1500 * Millisecond
 )
 
-// NewClient returns a load client that is not started yet.
+// NewClient returns a stopped load client.
 func NewClient(m machine.Machine, o ClientOptions, load *Workload, rng *rand.Rand, obs rules.Observer) *Client {
 	if o.Connections == 0 {
 		o.Connections = defaultClientConnections
@@ -126,7 +126,7 @@
 	c.scheduleArrival()
 }
 
-// Stop ends the arrivals. Requests under way go on.
+// Stop ends the arrivals. Requests in flight continue.
 func (c *Client) Stop() {
 	if c.arrival != nil {
 		c.arrival.Stop()
@@ -147,7 +147,7 @@
 	}
 }
 
-// SetRate changes the rate of arrivals from now on.
+// SetRate changes the rate of arrivals, with immediate effect.
 func (c *Client) SetRate(rate float64) {
 	c.options.Rate = rate
 	if c.arrival != nil {
@@ -156,16 +156,16 @@
 	}
 }
 
-// Open returns the number of requests under way.
+// Open returns the number of requests in flight.
 func (c *Client) Open() int { return c.openRequests }
 
 // Tallies returns the counts by class.
 func (c *Client) Tallies() []*Tally { return c.tallies }
 
-// minRate is the least rate of arrivals, in requests a second, so that the gap is finite.
+// minRate is the minimum rate of arrivals in requests per second. It keeps the interval between arrivals finite.
 const minRate = 1e-6
 
-// scheduleArrival draws the next arrival. Arrivals do not wait for replies.
+// scheduleArrival draws the time of the next arrival. Arrivals form an open loop: they do not wait for replies.
 func (c *Client) scheduleArrival() {
 	rate, now := c.options.Rate, c.m.Now()
 	if c.options.BurstEvery > 0 && (now-c.startedAt)%c.options.BurstEvery < c.options.BurstFor {
@@ -178,7 +178,7 @@
 	})
 }
 
-// drawClass draws the place of a class by the traffic fractions.
+// drawClass draws the index of a class by the traffic fractions.
 func (c *Client) drawClass() int {
 	x := c.rng.Float64() * c.totalTraffic
 	for i, class := range c.options.Classes {
@@ -190,7 +190,7 @@
 	return len(c.options.Classes) - 1
 }
 
-// request is a request of a client over all its attempts.
+// request is a client's request with all its attempts.
 type request struct {
 	client         *Client
 	class          *Class
@@ -198,12 +198,12 @@
 	key            string
 	idempotencyKey string // empty unless the class is IdempotentByKey
 	createdAt      Time   // when it was made
-	attempts       int    // so far, resent ones not counted
-	resends        int    // times that the router closed the connection before it read the request
+	attempts       int    // number of attempts so far, without resends
+	resends        int    // resends because the router closed the connection before it read the request
 	finished       bool
 }
 
-// Request makes one request for a key, of the class at a place of ClientOptions.Classes.
+// Request makes one request for a key; class is an index of ClientOptions.Classes.
 func (c *Client) Request(class int, key string) {
 	r := &request{client: c, class: &c.options.Classes[class], tally: c.tallies[class], key: key, createdAt: c.m.Now()}
 	if r.class.Semantics == IdempotentByKey {
@@ -218,28 +218,28 @@
 	r.startAttempt()
 }
 
-// minAttemptTime is how much of its timeout a request must have left for another attempt.
+// minAttemptTime is the minimum time before the client timeout that another attempt needs.
 const minAttemptTime = 50 * Millisecond
 
-// deadline returns when the client gives up, over all attempts.
+// deadline returns when the client timeout, which covers all attempts, expires.
 func (r *request) deadline() Time { return r.createdAt + r.class.ClientTimeout }
 
-// defaultGrace is how much longer than its timeout a client listens, as timers on real sockets may be late.
+// defaultGrace is how long after its timeout a client still accepts a reply, because timers on real sockets may be late.
 const defaultGrace = 50 * Millisecond
 
-// clientAttempt is one sending of a request to one router.
+// clientAttempt is one attempt of a request, at one router.
 type clientAttempt struct {
 	request       *request
 	id            string
-	conn          *clientConn   // nil while it has none
-	sentAt        Time          // 0 before
-	deadline      Time          // as the router is told
-	abandonTimer  machine.Timer // ends the client's patience
+	conn          *clientConn   // nil while no connection is assigned
+	sentAt        Time          // 0 until the attempt is sent
+	deadline      Time          // deadline that the router is sent
+	abandonTimer  machine.Timer // abandons the attempt
 	deadlineTimer machine.Timer // extends the deadline of a pipelined attempt; nil without pipelining
 	finished      bool
 }
 
-// startAttempt makes an attempt under a new id and assigns it to a connection.
+// startAttempt makes an attempt with a new id and assigns a connection to it.
 func (r *request) startAttempt() {
 	c := r.client
 	if c.closed {
@@ -261,7 +261,7 @@
 	c.assign(t)
 }
 
-// retry makes another attempt after a wait. Without retries or time left the request ends, counted at outcome.
+// retry makes another attempt after a wait. If no retries or too little time remain, the request ends and is counted at outcome.
 func (r *request) retry(wait Time, outcome *int) {
 	c := r.client
 	at := c.m.Now() + max(wait, r.backoff())
@@ -296,7 +296,7 @@
 	}
 }
 
-// served ends a request that has its value, and counts the points for it.
+// served ends a request that was served, and counts its points.
 func (r *request) served() {
 	took := r.client.m.Now() - r.createdAt
 	r.tally.Latency.Add(took)
@@ -309,7 +309,7 @@
 	r.finish(&r.tally.Late)
 }
 
-// encode returns the command as it is written at an instant, with the time that is left as d.
+// encode returns the command to write at now, with the remaining time as d.
 func (t *clientAttempt) encode(now Time) []byte {
 	r, o := t.request, &t.request.client.options
 	verb, n := "C.GET", valueArg
@@ -348,12 +348,12 @@
 	}
 }
 
-// extendDeadline is called at the deadline. A pipelined attempt waits for as long as those before it may take.
+// extendDeadline is called at the deadline. It extends a pipelined attempt's deadline to the latest of the attempts before it.
 func (t *clientAttempt) extendDeadline() {
 	if t.sentAt == 0 || t.conn == nil || t.conn.attempts[0] == t {
 		return
 	}
-	// The one before may be due at the same instant, with its deadline not extended yet, so that all are compared.
+	// The previous attempt may be due at the same instant without an extended deadline yet, so all attempts are compared.
 	latest := t.deadline
 	for _, before := range t.conn.attempts[:slices.Index(t.conn.attempts, t)] {
 		latest = max(latest, before.deadline)
@@ -368,7 +368,7 @@
 	t.deadlineTimer = t.request.client.m.At(t.deadline, t.extendDeadline)
 }
 
-// leave ends the attempt and reports that its client waits no more.
+// leave ends the attempt and reports that the client no longer waits for it.
 func (t *clientAttempt) leave() {
 	t.stop()
 	if t.sentAt != 0 {
@@ -376,8 +376,8 @@
 	}
 }
 
-// abandon is called when the client has waited long enough. It closes the connection and sends what else waits on it
-// once more on another one.
+// abandon is called when the client stops waiting. It closes the connection and resends the other attempts that wait on it
+// on another connection.
 func (t *clientAttempt) abandon() {
 	if t.finished {
 		return
@@ -400,7 +400,7 @@
 }
 
 // resend sends the request once more, on another connection and under another id, after the client has closed this
-// one, or the router has before it read the request. It does not count as a retry.
+// connection, or the router has closed it before reading the request. It does not count as a retry.
 func (t *clientAttempt) resend() {
 	t.leave()
 	if t.request.client.m.Now()+minAttemptTime >= t.deadline {
@@ -411,18 +411,18 @@
 	t.request.startAttempt()
 }
 
-// handleReply is called with the reply.
-func (t *clientAttempt) handleReply(a clientReply) {
+// handleReply ends the attempt with a reply, and retries or finishes the request.
+func (t *clientAttempt) handleReply(reply clientReply) {
 	r, c := t.request, t.request.client
 	t.stop()
-	c.observer.Answered(c.m.Now(), t.id, a.kind, a.value)
-	switch a.kind {
+	c.observer.Answered(c.m.Now(), t.id, reply.kind, reply.value)
+	switch reply.kind {
 	case rules.Served:
 		r.served()
 	case rules.Refused:
 		wait := Time(0)
-		if a.retryAfter > 0 && chance(c.rng, c.options.RetryAfterCompliance) {
-			wait = min(a.retryAfter, c.options.MaxRetryAfter)
+		if reply.retryAfter > 0 && chance(c.rng, c.options.RetryAfterCompliance) {
+			wait = min(reply.retryAfter, c.options.MaxRetryAfter)
 		}
 		r.retry(wait, &r.tally.Rejected)
 	default:
--- a/internal/testbench/standin/client_conn.go
+++ b/internal/testbench/standin/client_conn.go
@@ -14,10 +14,10 @@
 	target         Target
 	connected      bool
 	dialing        machine.Dialing  // nil once it is connected or has failed
-	attempts       []*clientAttempt // that wait for their replies, in order
+	attempts       []*clientAttempt // attempts that wait for replies, in order
 	answers        int              // replies so far
 	pinging        bool             // a PING waits for its reply
-	lastAnsweredID string           // id of the attempt that was answered last
+	lastAnsweredID string           // id of the last attempt that received a reply
 }
 
 // assign finds a connection for an attempt: an idle one, a busy one to pipeline on, or a new one.
@@ -71,7 +71,7 @@
 	cc.dialing = c.m.Dial(cc.target.Addr, c.options.DialTimeout, cc.dialed)
 }
 
-// Reconnect closes all connections, as after a network failure, opens a new one and resends what was under way.
+// Reconnect closes all connections, as after a network failure, opens a new connection and resends the attempts in flight.
 func (c *Client) Reconnect() {
 	for _, cc := range slices.Clone(c.conns) {
 		tries := cc.attempts
@@ -84,7 +84,7 @@
 	c.Connect()
 }
 
-// reassign assigns an attempt whose connection failed.
+// reassign assigns another connection to an attempt whose connection failed.
 func (c *Client) reassign(t *clientAttempt) {
 	if !t.finished {
 		c.assign(t)
@@ -122,7 +122,7 @@
 	return cc
 }
 
-// enqueue adds an attempt behind those that wait on the connection.
+// enqueue appends an attempt to those that wait on the connection.
 func (cc *clientConn) enqueue(t *clientAttempt) {
 	t.conn = cc
 	cc.attempts = append(cc.attempts, t)
@@ -133,7 +133,7 @@
 	c := cc.client
 	now := c.m.Now()
 	if now+minAttemptTime >= t.deadline {
-		t.conn = nil // the connection took too long: the time that is left is too short for an attempt
+		t.conn = nil // connecting took too long: the remaining time is too short for an attempt
 		return
 	}
 	cc.enqueue(t)
@@ -167,16 +167,16 @@
 		for !cc.closed && cc.nextReply() {
 		}
 		if err != nil || cc.moreToRead && len(cc.received) >= 2*maxCommandBytes {
-			cc.connectionLost() // closed by the router, or the reply is longer than any may be
+			cc.connectionLost() // closed by the router, or the reply exceeds the maximum length
 		}
 	}
 }
 
-// nextReply takes one reply off the received bytes, and reports whether there was one.
+// nextReply parses one reply from the received bytes, and reports whether there was one.
 func (cc *clientConn) nextReply() bool {
 	a, used, err := readReply(cc.received)
 	if err != nil {
-		// A malformed reply counts as one that promises nothing; what follows it is not read.
+		// A malformed reply counts as failed, which promises nothing about the request; the bytes after it are not read.
 		if len(cc.attempts) > 0 {
 			t := cc.attempts[0]
 			cc.attempts = cc.attempts[1:]
@@ -196,7 +196,7 @@
 	}
 	cc.answers++
 	if len(cc.attempts) == 0 {
-		// A reply that nothing waits for is reported as a second one to the last attempt; the connection can't be used on,
+		// A reply without a waiting attempt is reported as a second reply to the last attempt. The connection can't be reused,
 		// as further bytes would be taken for the replies of later attempts.
 		cc.client.observer.Answered(cc.client.m.Now(), cc.lastAnsweredID, a.kind, a.value)
 		cc.drop()
@@ -209,14 +209,14 @@
 	return true
 }
 
-// defaultCloseRaceWindow fits routers that are near: within it after a request was written, the end of its connection
-// is taken to have been on its way before the request.
+// defaultCloseRaceWindow suits nearby routers: if the connection ends within this time after a request was written, the close
+// is assumed to have been in transit before the request arrived.
 const defaultCloseRaceWindow = 5 * Millisecond
 
-// maxResends bounds the resends of a request, as a router may close every connection at once.
+// maxResends bounds the resends of a request, because a router may close every connection at once.
 const maxResends = 3
 
-// connectionLost is called when the router has closed the connection. Each attempt on it is resent, or counts as lost.
+// connectionLost is called when the router has closed the connection. The client resends each attempt on it, or counts the attempt as lost.
 func (cc *clientConn) connectionLost() {
 	if cc.closed {
 		return
@@ -249,7 +249,7 @@
 	}
 }
 
-// drop closes the connection and takes it out of the pool.
+// drop closes the connection and removes it from the pool.
 func (cc *clientConn) drop() {
 	if cc.closed {
 		return
--- a/internal/testbench/standin/command.go
+++ b/internal/testbench/standin/command.go
@@ -8,28 +8,28 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// command is one command at a cache, from its last byte to its reply.
+// command is one command at a cache, from the receipt of its last byte to its reply.
 type command struct {
 	cache           *Cache
 	conn            *cacheConn
 	request         wireRequest
-	attempt         rules.Attempt // as the observer is told; without an ID for what is no request
-	job             job           // its place at the processor
+	attempt         rules.Attempt // the attempt as reported to the observer; its ID is empty if the command is not a request
+	job             job           // the command's job at the processor
 	work            Time          // µs on one core
 	cacheResult     string        // hit, miss or pending; empty for a write
-	fetched         bool          // the fetch that it waited for has succeeded
-	fetch           *fetch        // that it waits for
-	write           *keyedWrite   // that it carries out
-	failsAfterRun   bool          // a fault has it answered with an error although it ran
-	connectionEnded bool          // nobody can get the reply
-	finished        bool          // it has a reply, or was cancelled
-	reply           []byte        // written when its turn on the connection has come
-	replyReady      bool          // reply is whole
-	replyWritten    func()        // called once the reply is written
-	fault           string        // drawn for its reply
+	fetched         bool          // the command's fetch succeeded
+	fetch           *fetch        // fetch that the command waits for; nil without one
+	write           *keyedWrite   // deduplicated write that the command carries out; nil without one
+	failsAfterRun   bool          // a fault replaces the reply by an error after the request ran
+	connectionEnded bool          // the reply can't be delivered
+	finished        bool          // the command has a reply or was cancelled
+	reply           []byte        // written after the replies to the connection's earlier commands
+	replyReady      bool          // reply is complete
+	replyWritten    func()        // called when the reply is written
+	fault           string        // fault drawn for the reply
 }
 
-// handle is called when the connection starts the request. It enqueues it, rejects it or fails it.
+// handle is called when the connection starts the request. It enqueues, rejects or fails the request.
 func (cmd *command) handle() {
 	c := cmd.cache
 	c.observer.Began(c.m.Now(), cmd.attempt)
@@ -71,7 +71,7 @@
 	}
 }
 
-// miss starts a fetch from the store, or joins the one that is under way.
+// miss starts a fetch from the store, or joins a fetch of the same key that is in flight.
 func (cmd *command) miss() {
 	c := cmd.cache
 	c.misses++
@@ -109,7 +109,7 @@
 	cmd.cache.processor.enqueueFirst(&cmd.job)
 }
 
-// workDone is called by the processor when the work is done. A write goes on to the store only now.
+// workDone is called by the processor when the work is done. A write is sent to the store only then.
 func (cmd *command) workDone() {
 	c := cmd.cache
 	if !cmd.request.write {
@@ -131,7 +131,7 @@
 	return cmd.request.idempotencyKey != "" && cmd.cache.workload.window(cmd.request.class) > 0
 }
 
-// answerRepeat reports whether the request repeats a write that the group remembers. Such a request is answered like
+// answerRepeat reports whether the request repeats a write that the group remembers. Such a request gets the same reply as
 // that write and is not carried out.
 func (cmd *command) answerRepeat() bool {
 	c := cmd.cache
@@ -161,8 +161,8 @@
 	return true
 }
 
-// storeDone is called when the store has carried the write out, or could not. A write is carried out even if its client
-// has gone or the cache has stopped meanwhile.
+// storeDone is called when the store has completed the write or failed. The store completes a write even if the client
+// has disconnected or the cache has stopped.
 func (cmd *command) storeDone(ok bool) {
 	c := cmd.cache
 	if ok {
@@ -180,7 +180,7 @@
 	}
 }
 
-// serve answers with a value made for this request (kind v) or with the receipt of a write (kind w).
+// serve replies with the value of a read (kind v) or with the receipt of a write (kind w).
 func (cmd *command) serve(kind string) {
 	if cmd.failsAfterRun {
 		cmd.replyFailed()
@@ -208,8 +208,8 @@
 	cmd.setReply(b, rules.Served, value)
 }
 
-// Value returns what a cache serves; it names the request that it was made for. kind is v for a read's value, w for a
-// write's receipt and p for what a client writes. It is padded to size.
+// Value returns a value that contains the id and the key of its request. kind is v for a read's value, w for a
+// write's receipt and p for the value that a client writes. The value is padded to size.
 func Value(kind, id, key string, size int) string {
 	value := kind + ":" + id + ":" + key
 	pad := min(size, maxValueBytes) - len(value)
@@ -225,15 +225,15 @@
 	return string(b)
 }
 
-// replyFailed answers with an error that promises nothing.
+// replyFailed replies with an error that does not say whether the request ran.
 func (cmd *command) replyFailed() {
 	cmd.setReply(redcon.AppendError(nil, "ERR failed"), rules.Failed, "")
 }
 
-// replyRejected answers that the request was rejected and may be retried.
+// replyRejected replies that the request was rejected and may be retried.
 func (cmd *command) replyRejected() { cmd.setReply(redcon.AppendError(nil, "BUSY"), rules.Refused, "") }
 
-// setReply finishes the command. The reply is written when its turn on the connection has come.
+// setReply finishes the command. The reply is written after those to the connection's earlier commands.
 func (cmd *command) setReply(b []byte, kind rules.Answer, value string) {
 	if cmd.finished {
 		return
@@ -248,14 +248,14 @@
 	}
 }
 
-// finish releases what the command holds.
+// finish releases the command's job and marks the command as finished.
 func (cmd *command) finish() {
 	cmd.finished = true
 	cmd.cache.processor.release(&cmd.job)
 	delete(cmd.cache.commands, cmd)
 }
 
-// connectionClosed is called when the connection has ended. Whether the work goes on is CacheOptions.Cancel's to say.
+// connectionClosed is called when the connection has ended. CacheOptions.Cancel determines whether the work continues.
 func (cmd *command) connectionClosed() {
 	cmd.connectionEnded = true
 	if cmd.finished || cmd.attempt.ID == "" {
@@ -276,7 +276,7 @@
 	}
 }
 
-// loadReport returns the load report, or "" where the cache gives none.
+// loadReport returns the load report, or "" if the cache sends none.
 func (c *Cache) loadReport() string {
 	if c.faults.badReport {
 		return "inflight=-7,,=,util=1e999,queue"
--- a/internal/testbench/standin/congestion.go
+++ b/internal/testbench/standin/congestion.go
@@ -6,11 +6,11 @@
 	"starlingwinch/internal/machine"
 )
 
-// congestionMonitor samples a processor, begins its congestion and ends it, once in the life of a process.
+// congestionMonitor samples a processor, and starts and ends its congestion, which occurs once in the life of a process.
 type congestionMonitor struct {
 	processor   *processor
-	pending     movingMean    // requests that run or wait
-	utilization movingMean    // of the cores
+	pending     movingMean    // running and queued requests
+	utilization movingMean    // utilization of the cores
 	startedAt   Time          // when the congestion began; 0 before
 	timer       machine.Timer // of the next sample
 	active      bool          // the processor is slowed down
@@ -37,7 +37,7 @@
 // sampleCount returns the number of samples in a window.
 func sampleCount(span Time) int { return int(max(1, span/congestionSampleInterval)) }
 
-// sample is called at each interval.
+// sample records one sample, and starts or ends the congestion. It is called at each interval.
 func (c *congestionMonitor) sample() {
 	o := &c.processor.capacity.Congestion
 	c.pending.add(float64(c.processor.pending()))
@@ -53,19 +53,19 @@
 	case c.active && (now-c.startedAt >= o.MaxDuration || c.utilization.full() && c.utilization.mean() < o.RecoveryUtilization):
 		c.active = false
 		c.processor.change(func() { c.processor.congestionFactor = 1 })
-		return // it happens once in the life of a process
+		return // congestion occurs once in the life of a process
 	}
 	c.timer = c.processor.machine.At(now+congestionSampleInterval, c.sample)
 }
 
-// stop ends the monitor; a nil one needs nothing.
+// stop stops the monitor; a nil monitor is a no-op.
 func (c *congestionMonitor) stop() {
 	if c != nil {
 		c.timer.Stop()
 	}
 }
 
-// movingMean is the mean of the latest samples, size at most.
+// movingMean is the mean of the latest samples, of which there are at most size.
 type movingMean struct {
 	size    int
 	samples []float64
--- a/internal/testbench/standin/discovery.go
+++ b/internal/testbench/standin/discovery.go
@@ -18,23 +18,23 @@
 
 // Entry is an entry of the endpoint list.
 type Entry struct {
-	Name      string            // of the cache
-	Address   string            // for routers without one of their own
-	Addresses map[string]string // by router, where one has an address of its own
+	Name      string            // the cache's name
+	Address   string            // address for routers that are not in Addresses
+	Addresses map[string]string // addresses for particular routers, by router
 	Zone      string
-	Type      string  // of its machine
+	Type      string  // type of the cache's machine
 	Group     int     // its cell
 	Status    string  // InService, Terminating or Terminated; empty stands for InService
 	Weight    float64 // capacity relative to the others
-	Since     Time    // of the last start; 0 for long ago
+	Since     Time    // time of the last start; 0 for long ago
 }
 
 // DiscoveryOptions describe the service.
 type DiscoveryOptions struct {
 	Delay Time // from a change to its appearance in the list
 
-	// Calls are worked through one after the other. Each costs CallCost, and LineCost for each entry of its answer. A
-	// call whose answer would take longer than Timeout is rejected with 503 at once, which costs RejectCost; 0 is never.
+	// The service processes calls one at a time. Each costs CallCost, and LineCost per entry of its answer. A
+	// call whose answer would take longer than Timeout is rejected with 503 at once, which costs RejectCost; a Timeout of 0 disables this.
 	CallCost   Time
 	LineCost   Time
 	Timeout    Time
@@ -42,21 +42,21 @@
 
 	Routers []string // names of the routers
 
-	// PollInterval: a router without an open call for so long counts as notified of a change. 0 leaves that out.
+	// PollInterval is the time without an open call after which a router counts as notified of a change. 0 disables this.
 	PollInterval Time
 
-	// NotifiedAfter: every router counts as notified of a change so long after the list had it and could be reached,
-	// whatever became of the router's calls. 0 leaves that out. Reachable returns since when a router has had a way to
-	// the list, and whether it has one now; nil stands for always.
+	// NotifiedAfter is the time after which every router counts as notified of a change that the list had while reachable,
+	// regardless of the outcome of the router's calls. 0 disables this. Reachable returns since when a router has been able to reach
+	// the list, and whether it can now; nil stands for always.
 	NotifiedAfter Time
 	Reachable     func(router string) (since Time, now bool)
 
-	// Pushed has the service stand for agents beside the routers, to which the list is pushed. A router counts as
-	// notified of a change as it appears in the list, and a new process from its start; calls cost nothing. While
-	// discovery is down the agents are silent and learn nothing, and calls of that time are never answered.
+	// Pushed makes the service stand in for agents next to the routers, which get the list pushed. A router counts as
+	// notified of a change when it appears in the list, and a new process counts as notified from its start; calls cost nothing. While
+	// discovery is down the agents are silent and get no updates, and calls that arrive then are never answered.
 	Pushed bool
 
-	// RouterOf names the router at a remote address, for the addresses that were opened for no router.
+	// RouterOf returns the name of the router at a remote address. It is used for listeners that were opened without a router's name.
 	RouterOf func(remote string) string
 }
 
@@ -67,26 +67,26 @@
 	observer rules.Observer
 
 	listeners     []*listListener
-	openCalls     []*listCall // that have no answer yet
-	deferredCalls []*listCall // that arrived while it was silent
+	openCalls     []*listCall // calls without an answer yet
+	deferredCalls []*listCall // calls that arrived while the service was silent
 
-	pendingChanges  []listChange                        // not in the list yet, in order of time
-	timer           machine.Timer                       // of the next of them
-	entries         []*listEntry                        // by name, with the terminated ones
+	pendingChanges  []listChange                        // changes that are not in the list yet, in order of time
+	timer           machine.Timer                       // publishes the next pending change
+	entries         []*listEntry                        // sorted by name, including terminated caches
 	version         int64                               // of the list
-	minDeltaVersion int64                               // calls for changes after an older version get the whole list
-	busyUntil       Time                                // when the calls before are worked through
+	minDeltaVersion int64                               // calls for changes since an older version get the whole list
+	busyUntil       Time                                // when the work for all admitted calls is done
 	notified        map[string]map[string]notifiedState // by router and cache
 	callers         map[string]*caller                  // by router
 	usage           DiscoveryUsage
 
 	// Faults that scripts switch.
 	extraDelay        Time     // added to the delay of changes
-	silent            bool     // calls are taken and not answered
+	silent            bool     // calls are accepted but not answered
 	answersAtOnce     bool     // watches do not wait
 	down              bool     // calls are rejected
 	resetsConnections bool     // connections are closed while it is down
-	badEntry          BadEntry // what every answer holds; empty for nothing
+	badEntry          BadEntry // invalid entry in every answer; empty for none
 
 	reachableSince Time          // when calls could be answered again
 	notifyTimer    machine.Timer // of the next notifyAll; nil while there is nothing to notify
@@ -94,7 +94,7 @@
 
 // listChange is a change that will appear in the list.
 type listChange struct {
-	at    Time // when it was made
+	at    Time // when the change was made; the list has it after the delay
 	apply func(d *Discovery)
 }
 
@@ -105,17 +105,17 @@
 	changedAt Time
 }
 
-// caller records the calls of a router.
+// caller is the record of a router's calls.
 type caller struct {
-	lastCall   Time // when a call last came or ended
+	lastCall   Time // when a call last arrived or ended
 	answeredAt Time // when it was last answered with a list
 	openCalls  int  // calls that have no answer yet
-	// unansweredSince is when a call first ended without a list, since the last one that was answered; 0 where none has.
+	// unansweredSince is when the first call since the last answered call ended without a list; 0 if none has.
 	unansweredSince Time
 	timer           machine.Timer // of the poll interval
 }
 
-// NewDiscovery returns a service with an empty list, of version 1.
+// NewDiscovery returns a service with an empty list at version 1.
 func NewDiscovery(m machine.Machine, o DiscoveryOptions, obs rules.Observer) *Discovery {
 	d := &Discovery{m: m, options: o, observer: observerOrBlind(obs), version: 1, notified: map[string]map[string]notifiedState{},
 		callers: map[string]*caller{}}
@@ -125,15 +125,15 @@
 	return d
 }
 
-// Open listens at an address and returns the one that it got. Calls that arrive there belong to the named router; for
+// Open listens at an address and returns the bound address. Calls that arrive there belong to the named router; for
 // an empty name, DiscoveryOptions.RouterOf names it.
 func (d *Discovery) Open(addr, router string) (string, error) {
-	door := &listListener{addr: addr, router: router}
-	if err := d.listen(door); err != nil {
+	listener := &listListener{addr: addr, router: router}
+	if err := d.listen(listener); err != nil {
 		return "", err
 	}
-	d.listeners = append(d.listeners, door)
-	return door.addr, nil
+	d.listeners = append(d.listeners, listener)
+	return listener.addr, nil
 }
 
 // Index returns the version of the list.
@@ -141,8 +141,8 @@
 
 // Close closes the listeners and stops all timers.
 func (d *Discovery) Close() {
-	for _, door := range d.listeners {
-		door.server.Close()
+	for _, listener := range d.listeners {
+		listener.server.Close()
 	}
 	for _, t := range []machine.Timer{d.timer, d.notifyTimer} {
 		if t != nil {
@@ -170,10 +170,10 @@
 	})
 }
 
-// Remove takes a cache off the list; deltas name it as terminated.
+// Remove removes a cache from the list; deltas list it as terminated.
 func (d *Discovery) Remove(name string) { d.SetStatus(name, Terminated) }
 
-// Replace removes a cache and adds another, in one change.
+// Replace removes a cache and adds another one in the same change.
 func (d *Discovery) Replace(name string, e Entry) {
 	d.change(func(d *Discovery) {
 		if l := d.entry(name); l != nil {
@@ -185,13 +185,13 @@
 	})
 }
 
-// change has f applied to the list after the delay.
+// change schedules f to be applied to the list after the delay.
 func (d *Discovery) change(f func(*Discovery)) {
 	d.pendingChanges = append(d.pendingChanges, listChange{d.m.Now(), f})
 	d.publish()
 }
 
-// publish applies the changes that are due, as one version, and sets the timer for the next.
+// publish applies the due changes as one version, and sets the timer for the next change.
 func (d *Discovery) publish() {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -218,11 +218,11 @@
 	}
 }
 
-// answerWatches answers the watches that wait for a change, and notifies the routers that have no open call in time.
+// answerWatches answers the watches that wait for a change, and notifies the routers without an open call when that is due.
 func (d *Discovery) answerWatches() {
-	for _, k := range slices.Clone(d.openCalls) {
-		if k.waiting && k.after != d.version {
-			k.answer()
+	for _, call := range slices.Clone(d.openCalls) {
+		if call.waiting && call.after != d.version {
+			call.answer()
 		}
 	}
 	d.scheduleNotifyAll()
@@ -244,10 +244,10 @@
 	return d.entries[at]
 }
 
-// maxEntries bounds the list with the terminated caches, which are dropped when it is exceeded.
+// maxEntries bounds the list including terminated caches, which are dropped when the list exceeds it.
 const maxEntries = 4096
 
-// setEntry adds or replaces an entry at the present version.
+// setEntry adds or replaces an entry at the current version.
 func (d *Discovery) setEntry(e Entry) {
 	if e.Status == "" {
 		e.Status = InService
@@ -264,7 +264,7 @@
 	}
 }
 
-// encodeList returns the body of an answer: the changes after a version, or the whole list.
+// encodeList returns the body of an answer: the changes since a version, or the whole list.
 func (d *Discovery) encodeList(router string, after int64) (body []byte, whole bool) {
 	whole = after < 0 || after < d.minDeltaVersion || after > d.version
 	type endpoint struct {
@@ -306,24 +306,24 @@
 	return body, whole
 }
 
-// Late delays changes by so much more; 0 ends that, and delayed changes appear.
-func (d *Discovery) Late(more Time) {
-	d.extraDelay = more
+// Late adds an extra delay to all changes; 0 removes it and publishes the changes that are then due.
+func (d *Discovery) Late(delay Time) {
+	d.extraDelay = delay
 	d.publish()
 }
 
-// Stale has the list show the caches as they were so long ago; it is Late by another name.
+// Stale makes the list show the state of the caches from a time ago in the past. It is equivalent to Late.
 func (d *Discovery) Stale(ago Time) { d.Late(ago) }
 
-// Down switches an outage, in which calls are answered 503, or their connections closed where resets is set.
+// Down starts or ends an outage, during which calls are answered with 503, or their connections closed if resets is set.
 func (d *Discovery) Down(on, resets bool) {
 	if d.options.Pushed {
 		d.Silent(on)
 		return
 	}
 	d.down, d.resetsConnections = on, resets
-	for _, door := range d.listeners {
-		door.server.Refuse(on && resets)
+	for _, listener := range d.listeners {
+		listener.server.Refuse(on && resets)
 	}
 	if !on {
 		d.markReachable()
@@ -331,12 +331,12 @@
 	if !on || resets {
 		return
 	}
-	for _, k := range slices.Clone(d.openCalls) {
-		k.refuse()
+	for _, call := range slices.Clone(d.openCalls) {
+		call.refuse()
 	}
 }
 
-// Silent switches whether calls are taken without an answer. They are answered afterwards.
+// Silent starts or ends a silence, during which calls are accepted but not answered. They are answered afterwards.
 func (d *Discovery) Silent(on bool) {
 	d.silent = on
 	if on {
@@ -345,27 +345,27 @@
 		}
 		return
 	}
-	held := d.deferredCalls
+	deferred := d.deferredCalls
 	d.deferredCalls = nil
 	d.markReachable()
 	if d.options.Pushed {
 		d.publish()
 		return
 	}
-	for _, k := range held {
-		d.accept(k)
+	for _, call := range deferred {
+		d.accept(call)
 	}
 	d.answerWatches()
 }
 
-// LoseWatches forgets the watches that wait: they are never answered, and their connections stay open.
+// LoseWatches drops the waiting watches: they are never answered, and their connections stay open.
 func (d *Discovery) LoseWatches() {
 	var routers []string
-	for _, k := range d.openCalls {
-		if k.waiting {
-			k.waiting = false
-			k.timer.Stop()
-			routers = append(routers, k.router)
+	for _, call := range d.openCalls {
+		if call.waiting {
+			call.waiting = false
+			call.timer.Stop()
+			routers = append(routers, call.router)
 		}
 	}
 	if d.options.NotifiedAfter > 0 && !d.options.Pushed && len(routers) > 0 {
@@ -373,20 +373,20 @@
 	}
 }
 
-// AnswerAtOnce switches whether watches are answered at once, with no change.
+// AnswerAtOnce sets whether watches are answered at once, even without a change.
 func (d *Discovery) AnswerAtOnce(on bool) {
 	d.answersAtOnce = on
 	if !on {
 		return
 	}
-	for _, k := range slices.Clone(d.openCalls) {
-		if k.waiting {
-			k.answer()
+	for _, call := range slices.Clone(d.openCalls) {
+		if call.waiting {
+			call.answer()
 		}
 	}
 }
 
-// VersionBack sets the list's version back, as a service does that has lost its state.
+// VersionBack decreases the list's version by n, like a service that has lost its state.
 func (d *Discovery) VersionBack(n int64) {
 	d.version = max(1, d.version-n)
 	for _, l := range d.entries {
@@ -395,19 +395,19 @@
 	d.answerWatches()
 }
 
-// Move closes all listeners and connections and opens others, one for each before, at the given addresses.
+// Move closes all listeners and connections, and opens a listener at a given address in place of each.
 func (d *Discovery) Move(addrs []string) ([]string, error) {
 	var got []string
-	for i, door := range d.listeners {
-		door.server.Close()
+	for i, listener := range d.listeners {
+		listener.server.Close()
 		if i >= len(addrs) {
 			continue
 		}
-		door.addr = addrs[i]
-		if err := d.listen(door); err != nil {
+		listener.addr = addrs[i]
+		if err := d.listen(listener); err != nil {
 			return nil, err
 		}
-		got = append(got, door.addr)
+		got = append(got, listener.addr)
 	}
 	d.markReachable()
 	return got, nil
@@ -426,7 +426,7 @@
 	BadJSON    BadEntry = "json" // the document ends in the middle
 )
 
-// badEntries are the invalid entries that answers hold.
+// badEntries are the invalid entries by kind.
 var badEntries = map[BadEntry]any{
 	BadName:    map[string]any{"name": "", "address": "127.0.0.1:1", "status": InService},
 	BadAddress: map[string]any{"name": "s-bad", "address": "nowhere", "status": InService},
@@ -436,7 +436,7 @@
 	BadJSON:    map[string]any{},
 }
 
-// Spoil has every answer hold an invalid entry; the empty string ends that.
+// Spoil adds an invalid entry to every answer; the empty string ends this.
 func (d *Discovery) Spoil(how BadEntry) {
 	d.badEntry = how
 	if how != "" {
--- a/internal/testbench/standin/discovery_call.go
+++ b/internal/testbench/standin/discovery_call.go
@@ -11,8 +11,8 @@
 
 const (
 	maxWatchTime = 60 * Second  // longest wait of a watch
-	maxIdleTime  = 600 * Second // a connection without a call is closed after so long
-	maxHeadBytes = 8 << 10      // bytes of a request's head
+	maxIdleTime  = 600 * Second // idle timeout of a connection without a call
+	maxHeadBytes = 8 << 10      // maximum size of a request's head
 )
 
 // listListener is an address at which discovery listens.
@@ -22,33 +22,33 @@
 }
 
 // listen opens the server of a listener.
-func (d *Discovery) listen(door *listListener) error {
+func (d *Discovery) listen(listener *listListener) error {
 	o := httpserver.Options{MaxHeadBytes: maxHeadBytes, IdleTime: maxIdleTime}
-	door.server = httpserver.New(d.m, o, func(x *httpserver.Exchange) {
-		router := door.router
+	listener.server = httpserver.New(d.m, o, func(x *httpserver.Exchange) {
+		router := listener.router
 		if router == "" && d.options.RouterOf != nil {
 			router = d.options.RouterOf(x.Remote)
 		}
 		d.accept(&listCall{discovery: d, exchange: x, router: router, after: -1})
 	})
-	door.server.Refuse(d.down && d.resetsConnections)
+	listener.server.Refuse(d.down && d.resetsConnections)
 	var err error
-	door.addr, err = door.server.Open(door.addr)
+	listener.addr, err = listener.server.Open(listener.addr)
 	return err
 }
 
 // listCall is a router's call for the list.
 type listCall struct {
-	discovery *Discovery
-	exchange  *httpserver.Exchange
-	router    string
-	after     int64         // version that the router has; -1 for the whole list
-	waiting   bool          // it is a watch that waits for a change
-	turnEnds  Time          // when the work for it is done
-	timer     machine.Timer // of the end of the wait, or of the turn
+	discovery  *Discovery
+	exchange   *httpserver.Exchange
+	router     string
+	after      int64         // version that the router has; -1 for the whole list
+	waiting    bool          // the call is a watch that waits for a change
+	workDoneAt Time          // when the service has done the work for the call
+	timer      machine.Timer // ends the wait for a change, or for the work
 }
 
-// accept takes a call, or defers it while the service is silent.
+// accept handles a call, or defers it while the service is silent.
 func (d *Discovery) accept(call *listCall) {
 	if d.silent {
 		d.deferredCalls = append(d.deferredCalls, call)
@@ -64,7 +64,7 @@
 	call.exchange.Answer(httpserver.Answer{Status: status, Close: true})
 }
 
-// handle checks the call and answers it, now or once its turn or a change has come.
+// handle validates the call and answers it, at once or after the work for it or a change of the list.
 func (call *listCall) handle() {
 	d := call.discovery
 	request := call.exchange.Request
@@ -114,7 +114,7 @@
 	call.answer()
 }
 
-// watchPause is how soon after an answer the next call counts as the same watch, which needs no admission.
+// watchPause is the maximum time after an answer at which the next call counts as the same watch, which needs no admission.
 const watchPause = 200 * Millisecond
 
 // admit reserves the work of a new call. A call that would wait longer than the timeout is rejected, with all other
@@ -129,7 +129,7 @@
 	d.recordIdleTime(d.callers[call.router])
 	done := max(now, d.busyUntil) + cost
 	if d.options.Timeout == 0 || done-now <= d.options.Timeout {
-		d.busyUntil, call.turnEnds = done, done
+		d.busyUntil, call.workDoneAt = done, done
 		d.usage.Answering += cost
 		d.usage.Admitted++
 		return true
@@ -145,7 +145,7 @@
 	return false
 }
 
-// answer answers the call once its turn is over. The changes that a watch is answered with cost by their number.
+// answer answers the call once the work for it is done. Each change in the answer to a watch costs LineCost.
 func (call *listCall) answer() {
 	d := call.discovery
 	if call.timer != nil {
@@ -153,19 +153,19 @@
 	}
 	call.waiting = false
 	now := d.m.Now()
-	if call.turnEnds <= now && !d.options.Pushed {
+	if call.workDoneAt <= now && !d.options.Pushed {
 		cost := Time(d.changedSince(call.after)) * d.options.LineCost
 		if cost > 0 {
 			d.busyUntil = max(now, d.busyUntil) + cost
-			call.turnEnds = d.busyUntil
+			call.workDoneAt = d.busyUntil
 			d.usage.Answering += cost
 		}
 	}
-	if call.turnEnds <= now {
+	if call.workDoneAt <= now {
 		call.reply()
 		return
 	}
-	call.timer = d.m.At(call.turnEnds, call.reply)
+	call.timer = d.m.At(call.workDoneAt, call.reply)
 }
 
 // changedSince returns how many entries have changed since a version.
@@ -178,10 +178,10 @@
 	return n
 }
 
-// silentRetryDelay is how often a call that is due checks whether the service still is silent.
+// silentRetryDelay is the interval at which a due call checks whether the service is still silent.
 const silentRetryDelay = 50 * Millisecond
 
-// reply writes the list, once the service is not silent.
+// reply writes the list, after the end of the silence if the service is silent.
 func (call *listCall) reply() {
 	d := call.discovery
 	if d.silent {
@@ -205,7 +205,7 @@
 	call.send(http.StatusServiceUnavailable, nil)
 }
 
-// send answers the exchange, and reports whether the answer is on its way.
+// send answers the exchange, and reports whether the answer was sent.
 func (call *listCall) send(status int, body []byte) bool {
 	return call.exchange.Answer(httpserver.Answer{
 		Status: status,
@@ -220,7 +220,7 @@
 	call.exchange.Drop()
 }
 
-// finish takes the call off the open ones, and starts the poll interval where it was the last of its router.
+// finish removes the call from the open calls, and starts the poll interval if the router has no other open call.
 func (call *listCall) finish() {
 	d := call.discovery
 	d.openCalls = removeFirst(d.openCalls, call)
--- a/internal/testbench/standin/discovery_notify.go
+++ b/internal/testbench/standin/discovery_notify.go
@@ -1,10 +1,10 @@
 package standin
 
-// A router counts as notified of what an answer says as the answer is written. Beside that it counts as notified of a
-// change once it has had no open call for PollInterval, and NotifiedAfter after the list had the change and could be
-// reached, whatever became of its calls.
+// A router counts as notified of an answer's content when the answer is written. It also counts as notified of a
+// change once it has had no open call for PollInterval, and NotifiedAfter after the list had the change and was
+// reachable, regardless of the outcome of its calls.
 
-// Forget drops what a router was notified of, as its process has started anew.
+// Forget drops the record of what a router was notified of, because the router's process has restarted.
 func (d *Discovery) Forget(router string) {
 	delete(d.notified, router)
 	if c := d.callers[router]; c != nil {
@@ -15,7 +15,7 @@
 	}
 }
 
-// notifyPushed notifies a router of the whole list, as its agent does.
+// notifyPushed notifies a router of the whole list, like an agent that pushes the list.
 func (d *Discovery) notifyPushed(router string) {
 	if d.badEntry != "" {
 		return // a malformed list notifies of nothing
@@ -43,24 +43,24 @@
 	since   Time
 }
 
-// notify tells the observer that a router now knows an entry, where that is new to it.
+// notify reports to the observer that a router is notified of an entry, if the entry has changed for the router.
 func (d *Discovery) notify(router string, l *listEntry) {
 	states := d.notified[router]
 	if states == nil {
 		states = map[string]notifiedState{}
 		d.notified[router] = states
 	}
-	was, known := states[l.Name]
+	previous, known := states[l.Name]
 	if !known && l.Status == Terminated {
 		return
 	}
-	is := notifiedState{l.Status == InService, l.Since}
-	states[l.Name] = is
-	if l.Since > 0 && was.since != l.Since {
+	current := notifiedState{l.Status == InService, l.Since}
+	states[l.Name] = current
+	if l.Since > 0 && previous.since != l.Since {
 		d.observer.StartNotified(d.m.Now(), router, l.Name, l.Since)
 	}
-	if !known || was.serving != is.serving {
-		d.observer.Listed(d.m.Now(), router, l.Name, is.serving)
+	if !known || previous.serving != current.serving {
+		d.observer.Listed(d.m.Now(), router, l.Name, current.serving)
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// reachedFor reports whether a router has had a way to the list for so long.
+// reachedFor reports whether a router has been able to reach the list for at least span.
 func (d *Discovery) reachedFor(router string, span Time) bool {
 	since, reached := d.reachable(router)
 	return reached && since+span <= d.m.Now()
@@ -141,7 +141,7 @@
 	return max(since, d.reachableSince), now
 }
 
-// earlierOf returns the earlier of two instants; a is none where it is 0.
+// earlierOf returns the earlier of two instants; 0 for a means no instant.
 func earlierOf(a, b Time) Time {
 	if a == 0 || b < a {
 		return b
--- a/internal/testbench/standin/discovery_usage.go
+++ b/internal/testbench/standin/discovery_usage.go
@@ -1,21 +1,21 @@
 package standin
 
-// DiscoveryUsage is how a service that works through calls one after the other has spent its time.
+// DiscoveryUsage is the time spent by a service that processes calls one at a time, and the counts of its calls.
 type DiscoveryUsage struct {
-	Answering Time // on calls that it has admitted, and on the lines of its answers
-	Rejecting Time // on calls that it has rejected
-	// Idle is the time without work while a router that had called without an answer was waiting to call again.
+	Answering Time // on admitted calls and on the lines of the answers
+	Rejecting Time // on rejected calls
+	// Idle is the time without work during which a router whose call got no answer waited to call again.
 	Idle Time
 
-	Admitted int // calls that needed admission and got it
-	Rejected int // calls that were rejected because there was too much work
-	Failed   int // calls that were refused while the service was down
+	Admitted int // calls that needed admission and were admitted
+	Rejected int // calls rejected because of overload
+	Failed   int // calls refused while the service was down
 }
 
-// Usage returns how the service has spent its time since it was made.
+// Usage returns the time spent and the counts of calls since the service was created.
 func (d *Discovery) Usage() DiscoveryUsage { return d.usage }
 
-// recordIdleTime adds the time without work that a waiting router has left before the call that it makes now.
+// recordIdleTime adds the service's idle time between a router's last unanswered call and its present call.
 func (d *Discovery) recordIdleTime(c *caller) {
 	if c == nil || c.unansweredSince == 0 {
 		return
--- a/internal/testbench/standin/faults.go
+++ b/internal/testbench/standin/faults.go
@@ -13,17 +13,17 @@
 type Spoil string
 
 const (
-	// Noise is bytes of no form.
+	// Noise is bytes that are not RESP.
 	Noise Spoil = "noise"
-	// WrongLength is a value shorter than its length says.
+	// WrongLength is a value shorter than its declared length.
 	WrongLength Spoil = "length"
-	// Endless is a value that goes on and on.
+	// Endless is a value that does not end.
 	Endless Spoil = "endless"
-	// Unreadable is a line that never ends, of bytes that no line holds.
+	// Unreadable is an error line that does not end and contains control characters, which are not valid in a line.
 	Unreadable Spoil = "unreadable"
 )
 
-// Other faults of a single answer, beside those of Spoil.
+// Faults of a single answer other than those of Spoil.
 const (
 	resetInside = "inside"      // half an answer, then the connection is closed
 	resetAfter  = "after"       // an answer, then the connection is closed
@@ -31,33 +31,33 @@
 	doubleNoise = "doublenoise" // an answer and noise
 )
 
-// faults are what is wrong with a cache at the moment. Scripts switch them. They outlive a restart of the process,
+// faults are the active faults of a cache. Scripts set them. They persist over a restart of the process,
 // except forgotten connections.
 type faults struct {
-	stalled         bool    // takes requests and answers none
+	stalled         bool    // accepts requests but does not answer
 	silent          bool    // reads nothing
 	busy            bool    // rejects every request
 	draining        bool    // rejects new requests
-	resetAccept     bool    // closes each connection as it is accepted
+	resetAccept     bool    // closes each connection on accept
 	badReport       bool    // answers hold a malformed load report
-	slowFactor      float64 // how many times slower it is; 0 for no fault
+	slowFactor      float64 // factor by which the cache is slower; 0 for no fault
 	errorRate       float64 // fraction of requests that fail
 	spoilRate       float64 // fraction of answers that are malformed
 	doubleRate      float64 // fraction of answers that are followed by more bytes
-	resetInsideRate float64 // fraction of answers that are cut off
+	resetInsideRate float64 // fraction of answers that are truncated
 	resetAfterRate  float64 // fraction of answers after which the connection is closed
 	spoilKind       Spoil
 	doubleKind      string // doubleSame or doubleNoise
-	doubleDelay     Time   // from an answer to the bytes after it
+	doubleDelay     Time   // delay from an answer to the bytes after it
 	silentFrom      Time   // when the last silence began
-	silentUntil     Time   // when it ended; 0 while it lasts
+	silentUntil     Time   // when the last silence ended; 0 while it lasts
 }
 
-// catchUpTime is how long after a silence what arrived meanwhile has been read.
+// catchUpTime is the time after a silence within which the bytes that arrived during the silence are read.
 const catchUpTime = 20 * Millisecond
 
-// earliestArrival returns when bytes that are read now may have arrived at the earliest. Without it a router would be
-// blamed for sending late what it had sent during a silence.
+// earliestArrival returns the earliest time at which bytes that are read now can have arrived. Without it a router would be
+// reported as late for bytes that it sent during a silence.
 func (f *faults) earliestArrival(now Time) Time {
 	if f.silentUntil != 0 && now <= f.silentUntil+catchUpTime {
 		return f.silentFrom
@@ -65,7 +65,7 @@
 	return now
 }
 
-// apply sets the faults of a new process's processor.
+// apply applies the faults to the processor of a new process.
 func (f *faults) apply(c *Cache) {
 	if f.slowFactor > 0 {
 		c.processor.slowFactor = f.slowFactor
@@ -73,7 +73,7 @@
 	c.processor.halted = f.stalled
 }
 
-// draw draws the fault of a serving answer; "" is none.
+// draw draws the fault of an answer with a value; "" is none.
 func (f *faults) draw(rng *rand.Rand) string {
 	switch {
 	case chance(rng, f.spoilRate):
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// Hang switches whether the cache takes requests without answering. Afterwards it goes on with those it holds.
+// Hang sets whether the cache accepts requests without answering. Afterwards it resumes the requests that it holds.
 func (c *Cache) Hang(on bool) {
 	c.faults.stalled = on
 	if !c.up {
@@ -100,7 +100,7 @@
 	}
 }
 
-// Silent switches whether the cache reads nothing, like a machine that is cut off. New connections wait to be accepted.
+// Silent sets whether the cache reads nothing, like an unreachable machine. New connections wait to be accepted.
 func (c *Cache) Silent(on bool) {
 	switch now := c.m.Now(); {
 	case on && !c.faults.silent:
@@ -109,13 +109,13 @@
 		c.faults.silentUntil = now
 	}
 	c.faults.silent = on
-	for _, d := range c.listeners {
+	for _, l := range c.listeners {
 		switch {
-		case d.listener == nil:
+		case l.listener == nil:
 		case on:
-			d.listener.Pause()
+			l.listener.Pause()
 		default:
-			d.listener.Resume()
+			l.listener.Resume()
 		}
 	}
 	c.Hang(on)
@@ -127,7 +127,7 @@
 	}
 }
 
-// Slow makes the cache so many times slower; 1 ends that.
+// Slow makes the cache slower by a factor; 1 ends this.
 func (c *Cache) Slow(factor float64) {
 	c.faults.slowFactor = max(factor, 1e-3)
 	if c.up {
@@ -135,13 +135,13 @@
 	}
 }
 
-// ErrRate has a fraction of requests answered -ERR failed, half of them after they ran.
+// ErrRate makes a fraction of requests fail with -ERR failed, half of them after they ran.
 func (c *Cache) ErrRate(p float64) { c.faults.errorRate = p }
 
-// Spoil has a fraction of the serving answers malformed.
+// Spoil makes a fraction of the answers with a value malformed.
 func (c *Cache) Spoil(p float64, how Spoil) { c.faults.spoilRate, c.faults.spoilKind = p, how }
 
-// Double has a fraction of the serving answers followed, after a time, by a second copy or by noise.
+// Double makes a fraction of the answers with a value be followed, after a delay, by a second copy or by noise.
 func (c *Cache) Double(p float64, noise bool, after Time) {
 	c.faults.doubleRate, c.faults.doubleDelay, c.faults.doubleKind = p, after, doubleSame
 	if noise {
@@ -149,16 +149,16 @@
 	}
 }
 
-// ResetAccept switches whether each connection is closed as it is accepted.
+// ResetAccept sets whether the cache closes each connection when it accepts it.
 func (c *Cache) ResetAccept(on bool) { c.faults.resetAccept = on }
 
-// ResetInside has a fraction of the serving answers cut off in the middle.
+// ResetInside truncates a fraction of the answers with a value in the middle and closes the connection.
 func (c *Cache) ResetInside(p float64) { c.faults.resetInsideRate = p }
 
-// ResetAfter has the connection closed right after a fraction of the serving answers.
+// ResetAfter closes the connection right after a fraction of the answers with a value.
 func (c *Cache) ResetAfter(p float64) { c.faults.resetAfterRate = p }
 
-// DropIdle closes the connections that are idle now. Where silently is set, the router learns of it only by a reset of
+// DropIdle closes the idle connections. If silently is set, the router sees the close only as a reset of
 // its next request.
 func (c *Cache) DropIdle(silently bool) {
 	for _, cc := range slices.Clone(c.conns) {
@@ -172,23 +172,23 @@
 	}
 }
 
-// Busy switches whether every request is rejected.
+// Busy sets whether the cache rejects every request.
 func (c *Cache) Busy(on bool) { c.faults.busy = on }
 
-// Refusing switches whether new requests are rejected while those it holds are finished, as a draining cache may.
+// Refusing sets whether the cache rejects new requests and finishes those that it holds, as a draining cache may.
 func (c *Cache) Refusing(on bool) { c.faults.draining = on }
 
-// BadReport switches whether answers hold a malformed load report.
+// BadReport sets whether answers contain a malformed load report.
 func (c *Cache) BadReport(on bool) { c.faults.badReport = on }
 
-// Bytes of malformed answers. Endless ones stop after endlessBytes, far more than a router may read.
+// Bytes of malformed answers. Endless ones stop after endlessBytes, far beyond the limit of a router's reads.
 const (
 	noiseBytes   = "\x00\xffnoise\r\n:12\r\n"
 	endlessBytes = 1 << 20
 	endlessPiece = 16 << 10
 )
 
-// writeFaulty writes an answer with the fault that was drawn for it. A malformed answer counts as failed.
+// writeFaulty writes an answer with the fault drawn for it. A malformed answer counts as failed.
 func (cc *cacheConn) writeFaulty(cmd *command) {
 	c := cc.cache
 	failed := func() { c.observer.Replied(c.m.Now(), c.options.Name, cmd.request.id, rules.Failed, "") }
@@ -241,13 +241,13 @@
 	})
 }
 
-// continueEndless writes more of an endless value, as fast as the connection takes it.
+// continueEndless writes more of an endless value, as fast as the connection accepts it.
 func (cc *cacheConn) continueEndless() {
 	for cc.endlessLeft > 0 && len(cc.unsent) == 0 && !cc.closed {
 		n := min(endlessPiece, cc.endlessLeft)
 		cc.endlessLeft -= n
 		if cc.endlessLeft == 0 {
-			cc.endlessLeft = -1 // nothing more is written to this connection
+			cc.endlessLeft = -1 // prevents further writes to this connection
 		}
 		b := make([]byte, n)
 		for i := range b {
--- a/internal/testbench/standin/fetch.go
+++ b/internal/testbench/standin/fetch.go
@@ -7,13 +7,13 @@
 	cache     *Cache
 	key       string
 	storeCall *storeCall
-	waiting   []*command    // reads that wait for it
-	timer     machine.Timer // of the fetch timeout; nil without one
-	stale     bool          // the key was written meanwhile: the value is served but not stored
+	waiting   []*command    // reads that wait for the fetch
+	timer     machine.Timer // fetch timeout; nil without one
+	stale     bool          // the key was written during the fetch: the value is served but not stored
 	finished  bool
 }
 
-// fetching returns the first fetch under way for a key, or nil.
+// fetching returns the oldest fetch in flight for a key, or nil.
 func (c *Cache) fetching(key string) *fetch {
 	for _, f := range c.fetches {
 		if f.key == key {
@@ -55,7 +55,7 @@
 	}
 }
 
-// finish takes the fetch off the cache's list.
+// finish marks the fetch as finished and removes it from the cache's list.
 func (f *fetch) finish() {
 	f.finished = true
 	if f.timer != nil {
@@ -64,7 +64,7 @@
 	f.cache.fetches = removeFirst(f.cache.fetches, f)
 }
 
-// removeWaiter takes out a request that was cancelled. A fetch without waiters is abandoned.
+// removeWaiter removes a cancelled request. A fetch without waiting requests is abandoned.
 func (f *fetch) removeWaiter(cmd *command) {
 	f.waiting = removeFirst(f.waiting, cmd)
 	if len(f.waiting) == 0 && !f.finished {
@@ -72,7 +72,7 @@
 	}
 }
 
-// abandon gives the fetch up.
+// abandon ends the fetch without a result and abandons its call to the store.
 func (f *fetch) abandon() {
 	f.finish()
 	f.storeCall.abandon()
--- a/internal/testbench/standin/fleet.go
+++ b/internal/testbench/standin/fleet.go
@@ -10,26 +10,26 @@
 
 // Options describe a whole fleet with its load clients.
 type Options struct {
-	Caches  int      // that run at the start
-	Zones   []string // dealt to caches and load clients in turn
+	Caches  int      // number of caches at the start
+	Zones   []string // assigned to caches and load clients round-robin
 	Classes []Class
 	Keys    int     // number of keys
-	Zipf    float64 // exponent of their popularity
-	Offset  float64 // added to the rank of a key, which flattens the most popular ones
+	Zipf    float64 // exponent of the keys' Zipf distribution
+	Offset  float64 // added to the rank of a key, which flattens the distribution of the most popular keys
 
-	Cache     CacheOptions // of each; names, zones and groups are given
+	Cache     CacheOptions // of each cache; the fleet sets names, zones and groups
 	Store     StoreOptions
 	Discovery DiscoveryOptions
-	Clients   int           // load clients
-	Client    ClientOptions // of each; its rate is that of all together
-	Routers   []string      // names; each has addresses of its own at every cache and at discovery
+	Clients   int           // number of load clients
+	Client    ClientOptions // of each load client; Rate is the total over all of them
+	Routers   []string      // names; every cache and discovery have a separate address for each router
 
-	// Placement, given the caches' names, returns a function that names the cache of a key. The caches that run at the
-	// start hold the keys placed on them; nil stands for the most popular keys at each.
+	// Placement takes the caches' names and returns a function that maps a key to its cache's name. The caches that run at the
+	// start hold their keys in memory; nil stands for the most popular keys at each cache.
 	Placement func(caches []string) func(key string) string
 }
 
-// DefaultOptions returns the options of a usual day with nine caches and three routers.
+// DefaultOptions returns the options of a fleet under normal load, with nine caches and three routers.
 func DefaultOptions() Options {
 	return Options{
 		Caches: 9, Zones: []string{"ahmedabad", "rajkot", "surat"}, Classes: DefaultClasses(),
@@ -52,8 +52,8 @@
 	}
 }
 
-// Places provide the machines that the stand-ins run on: a host for each on a virtual network, or one for all. Each
-// function is called once for each stand-in.
+// Places provides the machines that the stand-ins run on: a host for each on a virtual network, or one for all. Each
+// function that returns a machine is called once for each stand-in.
 type Places struct {
 	Cache     func(name, zone string) machine.Machine
 	Store     func() machine.Machine
@@ -61,11 +61,11 @@
 	Client    func(name, zone string) machine.Machine
 	// Listen returns the address that a stand-in listens on for a router; nil stands for a free port of 127.0.0.1.
 	Listen func(standin, router string) string
-	// Routers returns the routers that clients of a zone may connect to now.
+	// Routers returns the routers that clients of a zone may currently connect to.
 	Routers func(zone string) []Target
 }
 
-// Fleet is all stand-ins that surround the routers.
+// Fleet contains all stand-ins around the routers.
 type Fleet struct {
 	Workload  *Workload
 	Keys      *Keys
@@ -73,7 +73,7 @@
 	Repeats   *Repeats
 	Caches    []*Cache
 	Discovery *Discovery
-	// Lists is the address of discovery, by router.
+	// Lists contains discovery's address for each router.
 	Lists   map[string]string
 	Clients []*Client
 
@@ -81,11 +81,11 @@
 	places   Places
 	rng      *rand.Rand
 	observer rules.Observer
-	created  int // caches so far, which names, zones and groups follow from
+	created  int // number of caches created, from which names, zones and groups are derived
 }
 
-// NewFleet sets a fleet up: its caches run, are warm and on the endpoint list; the load clients wait for Start. Each
-// part draws from a generator of its own, so that a change of one leaves the draws of the others as they are.
+// NewFleet creates a fleet whose caches run, are warm and are in the endpoint list; the load clients wait for Start. Each
+// part draws from a separate generator, so that a change of one part does not change the draws of the others.
 func NewFleet(o Options, p Places, rng *rand.Rand, obs rules.Observer) (*Fleet, error) {
 	f := &Fleet{options: o, places: p, rng: rng, observer: observerOrBlind(obs), Repeats: NewRepeats(), Lists: map[string]string{}}
 	f.Workload = NewWorkload(o.Classes, f.newRand())
@@ -105,7 +105,7 @@
 			return nil, err
 		}
 	}
-	f.Discovery.Late(-o.Discovery.Delay) // the caches of the start are on the list at once
+	f.Discovery.Late(-o.Discovery.Delay) // the list has the initial caches at once
 	f.Discovery.Late(0)
 	f.warm()
 	for i := range o.Clients {
@@ -123,21 +123,21 @@
 	for _, c := range f.Caches {
 		names = append(names, c.Name())
 	}
-	home := f.options.Placement(names)
+	cacheOf := f.options.Placement(names)
 	keys := map[string][]string{}
 	for _, key := range f.Keys.Popular(f.options.Keys) {
-		name := home(key)
+		name := cacheOf(key)
 		keys[name] = append(keys[name], key)
 	}
 	for _, c := range f.Caches {
-		c.Warm(keys[c.Name()]) // the most popular last, so that others are evicted first
+		c.Warm(keys[c.Name()]) // the most popular key is last, so that it is evicted last
 	}
 }
 
-// newRand returns a generator for one part.
+// newRand returns a random generator for one stand-in.
 func (f *Fleet) newRand() *rand.Rand { return rand.New(rand.NewPCG(f.rng.Uint64(), f.rng.Uint64())) }
 
-// listen returns the address for a stand-in and a router.
+// listen returns the address that a stand-in listens on for a router.
 func (f *Fleet) listen(standin, router string) string {
 	if f.places.Listen == nil {
 		return "127.0.0.1:0"
@@ -145,7 +145,7 @@
 	return f.places.Listen(standin, router)
 }
 
-// AddCache starts one more cache and adds it to the list. A warm one holds the most popular keys.
+// AddCache starts another cache and adds it to the list. A warm cache holds the most popular keys.
 func (f *Fleet) AddCache(cold bool) (*Cache, error) {
 	c, e, err := f.newCache(cold, nil, false)
 	if err == nil {
@@ -154,13 +154,13 @@
 	return c, err
 }
 
-// Replace stops a cache and starts a cold one under a new name, in its zone.
+// Replace stops a cache and starts a cold cache with a new name in the same zone.
 func (f *Fleet) Replace(old *Cache) (*Cache, error) { return f.replace(old, false) }
 
-// TakeOver replaces a cache by one on the same machine and at the same addresses.
+// TakeOver replaces a cache like Replace, on the same machine and at the same addresses.
 func (f *Fleet) TakeOver(old *Cache) (*Cache, error) { return f.replace(old, true) }
 
-// replace stops a cache and starts a cold one in its zone and, if so, at its addresses.
+// replace stops a cache and starts a cold cache in its zone, at its addresses if sameAddress is set.
 func (f *Fleet) replace(old *Cache, sameAddress bool) (*Cache, error) {
 	old.Stop()
 	c, e, err := f.newCache(true, old, sameAddress)
@@ -170,7 +170,7 @@
 	return c, err
 }
 
-// Restart restarts a cache's process, cold; the list has the time of the start.
+// Restart restarts a cache's process cold, and updates the start time in the list.
 func (f *Fleet) Restart(c *Cache) error {
 	now := c.m.Now()
 	if err := c.Restart(true); err != nil {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// newCache starts a cache, in the zone of an old one where that is not nil, and at its addresses where sameAddress is
+// newCache starts a cache, in the zone of old if that is not nil, and at old's addresses if sameAddress is
 // set.
 func (f *Fleet) newCache(cold bool, old *Cache, sameAddress bool) (*Cache, Entry, error) {
 	o := f.options.Cache
@@ -207,7 +207,7 @@
 	e := Entry{Name: o.Name, Zone: o.Zone, Type: "std-6", Group: o.Group, Weight: 1, Addresses: map[string]string{}}
 	routers := f.options.Routers
 	if o.RouterOf != nil {
-		routers = append([]string{""}, routers...) // "": an address for all of them
+		routers = append([]string{""}, routers...) // "": one address for all routers
 	}
 	for _, r := range routers {
 		at := ""
@@ -234,7 +234,7 @@
 	return c, e, nil
 }
 
-// addClient adds a load client in the next zone.
+// addClient adds load client i, in the zone that follows round-robin.
 func (f *Fleet) addClient(i int) {
 	o := f.options.Client
 	o.Zone = f.options.Zones[i%len(f.options.Zones)]
@@ -264,7 +264,7 @@
 	}
 }
 
-// Open returns the number of requests under way.
+// Open returns the number of requests in flight.
 func (f *Fleet) Open() int {
 	n := 0
 	for _, c := range f.Clients {
--- a/internal/testbench/standin/hostile.go
+++ b/internal/testbench/standin/hostile.go
@@ -15,26 +15,26 @@
 
 // Kinds of harm.
 const (
-	BadBytes     Harm = "bytes"    // BadBytes sends bytes of no form.
-	EndlessLine  Harm = "line"     // EndlessLine sends a line without an end.
-	HalfCommand  Harm = "half"     // HalfCommand sends a command without its last bytes.
+	BadBytes     Harm = "bytes"    // BadBytes sends random bytes.
+	EndlessLine  Harm = "line"     // EndlessLine sends a line that does not end.
+	HalfCommand  Harm = "half"     // HalfCommand sends a truncated command.
 	SilentClient Harm = "silent"   // SilentClient sends nothing.
 	Abandons     Harm = "abandons" // Abandons sends forty reads and closes the connection at once.
-	NeverReads   Harm = "deaf"     // NeverReads sends reads without taking their replies.
+	NeverReads   Harm = "deaf"     // NeverReads sends reads and does not read the replies.
 )
 
 // HostileOptions describe a hostile client.
 type HostileOptions struct {
 	Harm           Harm
-	Every          Time            // from one connection to the next
-	HoldFor        Time            // a connection is closed after this, if the router has not; 0 for never
-	MaxConnections int             // open at once; 0 stands for 64
+	Every          Time            // interval between connections
+	HoldFor        Time            // time after which the client closes a connection that the router has not closed; 0 for never
+	MaxConnections int             // maximum of open connections; 0 stands for 64
 	Class          Class           // of the reads that it sends
 	Keys           *Keys           // of the reads that it sends
-	Routers        func() []Target // that take connections now
+	Routers        func() []Target // routers that currently accept connections
 }
 
-// Hostile is a client that tries to harm the routers.
+// Hostile is a client that misuses its connections to the routers.
 type Hostile struct {
 	m          machine.Machine
 	options    HostileOptions
@@ -43,7 +43,7 @@
 	timer      machine.Timer
 	conns      []*hostileConn
 	nextRouter int
-	// Ended is the number of connections that the routers have ended.
+	// Ended is the number of connections that the routers have closed.
 	Ended int
 }
 
@@ -57,7 +57,7 @@
 // defaultHostileConnections is the default of HostileOptions.MaxConnections.
 const defaultHostileConnections = 64
 
-// NewHostile returns a hostile client that is not started yet.
+// NewHostile returns a stopped hostile client.
 func NewHostile(m machine.Machine, o HostileOptions, rng *rand.Rand, obs rules.Observer) *Hostile {
 	if o.MaxConnections == 0 {
 		o.MaxConnections = defaultHostileConnections
@@ -65,7 +65,7 @@
 	return &Hostile{m: m, options: o, rng: rng, observer: observerOrBlind(obs)}
 }
 
-// Start opens a connection, and another one after each interval.
+// Start opens a connection, and another connection after each interval.
 func (h *Hostile) Start() {
 	h.timer = h.m.At(h.m.Now()+h.options.Every, h.Start)
 	routers := h.options.Routers()
@@ -92,7 +92,7 @@
 	})
 }
 
-// Stop opens no more connections and closes those there are.
+// Stop stops opening connections and closes the open connections.
 func (h *Hostile) Stop() {
 	if h.timer != nil {
 		h.timer.Stop()
@@ -106,14 +106,14 @@
 // Open returns the number of open connections.
 func (h *Hostile) Open() int { return len(h.conns) }
 
-// Bounds of what a connection is sent, in bytes or reads.
+// Limits of the bytes or reads that the client sends on a connection.
 const (
 	maxLineBytes   = 4 << 20
 	abandonedReads = 40
 	unreadReads    = 200
 )
 
-// start does the harm that can be done as the connection is up.
+// start begins the configured misuse of a new connection.
 func (c *hostileConn) start(router string) {
 	switch c.client.options.Harm {
 	case BadBytes:
@@ -135,7 +135,7 @@
 	}
 }
 
-// encodeRead returns one read as a client writes it, and its attempt.
+// encodeRead returns an encoded read and its attempt.
 func (c *hostileConn) encodeRead() (b []byte, t *clientAttempt) {
 	h := c.client
 	client := &Client{m: h.m, options: ClientOptions{Tenant: "hostile"}}
@@ -144,13 +144,13 @@
 	return t.encode(h.m.Now()), t
 }
 
-// sendReads sends n pipelined reads. The observer is told that nobody waits for their replies.
+// sendReads sends n pipelined reads, and reports to the observer that no client waits for their replies.
 func (c *hostileConn) sendReads(router string, n int, stays bool) {
 	now := c.client.m.Now()
 	for range n {
 		b, t := c.encodeRead()
 		if c.send(b) != nil || len(c.unsent) > 0 {
-			return // it was not written whole
+			return // the read was not written completely
 		}
 		c.client.observer.Asked(now, rules.Request{ID: t.id, Router: router, Class: c.client.options.Class.Name, Key: t.request.key, Sent: now,
 			Deadline: t.deadline, Forgone: stays})
@@ -160,7 +160,7 @@
 	}
 }
 
-// sendEndlessLine sends more of a line without an end, as fast as the connection takes it.
+// sendEndlessLine sends more of a line that does not end, as fast as the connection accepts it.
 func (c *hostileConn) sendEndlessLine() {
 	piece := []byte(strings.Repeat("x", 1024))
 	for c.sent < maxLineBytes && len(c.unsent) == 0 && !c.closed {
@@ -185,7 +185,7 @@
 	}
 }
 
-// Readable discards what arrives, and notices the end of the connection.
+// Readable discards received bytes and detects the end of the connection.
 func (c *hostileConn) Readable() {
 	if c.closed || c.client.options.Harm == NeverReads {
 		return
--- a/internal/testbench/standin/keys.go
+++ b/internal/testbench/standin/keys.go
@@ -9,13 +9,13 @@
 
 // Keys is a set of keys with a Zipf distribution: the key of rank i is drawn in proportion to 1/(i+offset)^exponent.
 type Keys struct {
-	cumulative  []float64 // weights of the keys up to each rank, summed
-	salt        uint64    // of the names
-	hotKeys     int       // keys that Heat added
-	hotFraction float64   // fraction of all requests that they draw
+	cumulative  []float64 // cumulative weights of the keys, by rank
+	salt        uint64    // salt of the keys' names
+	hotKeys     int       // number of keys that Heat added
+	hotFraction float64   // fraction of all requests that go to the hot keys
 }
 
-// NewKeys returns a set of n keys; their names follow from a salt of rng.
+// NewKeys returns a set of n keys, whose names are derived from a salt drawn from rng.
 func NewKeys(n int, exponent, offset float64, rng *rand.Rand) *Keys {
 	k := &Keys{cumulative: make([]float64, n), salt: rng.Uint64()}
 	sum := 0.0
@@ -26,13 +26,13 @@
 	return k
 }
 
-// Heat adds so many hot keys that draw a fraction of all requests; 0 ends that.
-func (k *Keys) Heat(keys int, share float64) { k.hotKeys, k.hotFraction = keys, share }
+// Heat adds hot keys that together receive a fraction of all requests; 0 keys ends this.
+func (k *Keys) Heat(keys int, fraction float64) { k.hotKeys, k.hotFraction = keys, fraction }
 
 // Draw draws the key of a request.
 func (k *Keys) Draw(rng *rand.Rand) string {
 	if k.hotKeys > 0 && chance(rng, k.hotFraction) {
-		return k.Name(len(k.cumulative) + rng.IntN(k.hotKeys)) // ranks past the others, so that no cache holds them
+		return k.Name(len(k.cumulative) + rng.IntN(k.hotKeys)) // ranks above all other keys, so that no cache holds them
 	}
 	at, _ := slices.BinarySearch(k.cumulative, rng.Float64()*k.cumulative[len(k.cumulative)-1])
 	return k.Name(min(at, len(k.cumulative)-1))
--- a/internal/testbench/standin/lru_memory.go
+++ b/internal/testbench/standin/lru_memory.go
@@ -2,16 +2,16 @@
 
 import "container/list"
 
-// lruMemory is the keys that a cache holds; the least recently used one is evicted first.
+// lruMemory contains the keys that a cache holds, and evicts the least recently used key first.
 type lruMemory struct {
 	capacity int
-	order    *list.List // of keys, the latest first
+	order    *list.List // keys, most recently used first
 	at       map[string]*list.Element
 }
 
-// newLRUMemory returns an empty memory for so many keys.
-func newLRUMemory(most int) *lruMemory {
-	return &lruMemory{capacity: most, order: list.New(), at: map[string]*list.Element{}}
+// newLRUMemory returns an empty memory with a capacity in keys.
+func newLRUMemory(capacity int) *lruMemory {
+	return &lruMemory{capacity: capacity, order: list.New(), at: map[string]*list.Element{}}
 }
 
 // use reports whether a key is held, and marks it as the most recently used.
@@ -23,7 +23,7 @@
 	return e != nil
 }
 
-// add puts a key in, and evicts another one where the memory is full.
+// add inserts a key, and evicts the least recently used key if the memory is full.
 func (m *lruMemory) add(key string) {
 	if m.use(key) || m.capacity <= 0 {
 		return
--- a/internal/testbench/standin/observer.go
+++ b/internal/testbench/standin/observer.go
@@ -68,7 +68,7 @@
 // Leftover ignores the event.
 func (Blind) Leftover(Time, string, string, int) {}
 
-// observerOrBlind returns the observer, or Blind where it is nil.
+// observerOrBlind returns the observer, or Blind if the observer is nil.
 func observerOrBlind(o rules.Observer) rules.Observer {
 	if o == nil {
 		return Blind{}
--- a/internal/testbench/standin/processor.go
+++ b/internal/testbench/standin/processor.go
@@ -7,51 +7,51 @@
 	"starlingwinch/internal/machine"
 )
 
-// job is a piece of work for a processor. A job with work and done is ready for use.
+// job is a piece of work for a processor. A job needs at least work and done.
 type job struct {
 	work  float64 // µs on one core
-	start func()  // called when it gets a slot; it calls run, or release
-	done  func()  // called when the work is done and the slot is free again
+	start func()  // called when the job gets a slot; it calls run or release
+	done  func()  // called when the work is done and the slot is free
 
 	state    jobState
-	usesSlot bool    // it was enqueued for a slot
-	finishAt float64 // attained service at which it is done
+	usesSlot bool    // the job was enqueued for a slot
+	finishAt float64 // attained service at which the job is done
 	sequence uint64  // order in which jobs began to run
-	index    int     // in the heap
+	index    int     // index in the heap
 }
 
-// jobState is where a job is in its life.
+// jobState is the state of a job.
 type jobState uint8
 
 const (
 	jobIdle        jobState = iota // not at the processor, or done
-	jobQueued                      // waits for a slot
+	jobQueued                      // queued for a slot
 	jobHoldingSlot                 // occupies a slot without work, while it waits for a fetch
-	jobRunning                     // works
+	jobRunning                     // running on the cores
 )
 
-// processor shares its cores evenly among the running jobs, each of which gets one core at the most.
-// All running jobs go at one rate, so one count of attained service orders their ends.
+// processor shares its cores evenly among the running jobs, each of which gets at most one core.
+// All running jobs have the same rate, so one count of attained service determines the order in which they end.
 type processor struct {
 	machine         machine.Machine
 	capacity        *Capacity
 	startedAt       Time
 	slowStartWindow Time // 0 for a warm start
 
-	jobs             jobHeap            // that run
-	queue            []*job             // that wait for a slot
+	jobs             jobHeap            // running jobs
+	queue            []*job             // jobs that wait for a slot
 	usedSlots        int                // slots in use
-	attained         float64            // service that each running job has had since the start, in µs
-	advancedAt       Time               // when attained was last brought up to date
-	currentRate      float64            // service of each job in each µs since then
-	sequence         uint64             // of the job that began last
-	timer            machine.Timer      // of the next end of a job, or step of slow start
-	slowFactor       float64            // how many times slower a fault makes it; 1 without
-	congestionFactor float64            // how many times slower congestion makes it; 1 without
+	attained         float64            // service per running job since the start of the processor, in µs
+	advancedAt       Time               // when attained was last updated
+	currentRate      float64            // service per job and µs since advancedAt
+	sequence         uint64             // sequence of the job that began last
+	timer            machine.Timer      // next end of a job, or next step of slow start
+	slowFactor       float64            // slowdown by a fault; 1 for none
+	congestionFactor float64            // slowdown by congestion; 1 for none
 	halted           bool               // a fault has stopped all work
 	tableOccupancy   float64            // fraction of the connection table that is full
-	dispatching      bool               // dispatch is running, and is not entered again
-	congestion       *congestionMonitor // nil where there is no congestion
+	dispatching      bool               // dispatch is running; guards against reentry
+	congestion       *congestionMonitor // nil without congestion
 }
 
 // newProcessor returns the processor of a process that starts now.
@@ -66,7 +66,7 @@
 	return p
 }
 
-// capacityFraction returns the fraction of its capacity that it has reached in slow start.
+// capacityFraction returns the fraction of capacity that slow start has reached.
 func (p *processor) capacityFraction() float64 {
 	age := p.machine.Now() - p.startedAt
 	if age >= p.slowStartWindow {
@@ -75,7 +75,7 @@
 	return p.capacity.SlowStartMinCapacity + (1-p.capacity.SlowStartMinCapacity)*float64(age)/float64(p.slowStartWindow)
 }
 
-// availableRate returns the work it can do in each µs now, without faults and congestion.
+// availableRate returns the work per µs that the processor can do at present, without faults and congestion.
 func (p *processor) availableRate() float64 {
 	return p.capacity.Cores * p.speed() * p.capacityFraction()
 }
@@ -88,10 +88,10 @@
 	return 1
 }
 
-// pending returns the number of requests that run or wait.
+// pending returns the number of running and queued requests.
 func (p *processor) pending() int { return len(p.queue) + p.usedSlots }
 
-// jobRate returns the service that each running job gets in each µs.
+// jobRate returns the service per µs of each running job.
 func (p *processor) jobRate() float64 {
 	if p.halted || len(p.jobs) == 0 {
 		return 0
@@ -105,21 +105,21 @@
 	return min(1, coreFraction) * p.speed() / (p.slowFactor * p.congestionFactor)
 }
 
-// change applies f, which changes what the rate depends on.
+// change applies f, which changes an input of the rate, and recomputes the rate.
 func (p *processor) change(f func()) {
 	p.advance()
 	f()
 	p.scheduleTick()
 }
 
-// advance adds the service since the last call. The rate was constant meanwhile, or nearly so in slow start.
+// advance adds the service since the last call. The rate is constant between calls, or nearly constant during slow start.
 func (p *processor) advance() {
 	now := p.machine.Now()
 	p.attained += float64(now-p.advancedAt) * p.currentRate
 	p.advancedAt = now
 }
 
-// slowStartStep is how long the rate is taken as constant during slow start.
+// slowStartStep is the time for which the rate is treated as constant during slow start.
 const slowStartStep = 50 * Millisecond
 
 // scheduleTick sets the timer to the next end of a job, or to the next step of slow start.
@@ -140,10 +140,10 @@
 	p.timer = p.machine.At(p.machine.Now()+wait, p.tick)
 }
 
-// roundingTolerance is the service, in µs, that may be missing at a job's end after many rounded additions.
+// roundingTolerance is the service, in µs, that may be missing at a job's end because of rounding in many additions.
 const roundingTolerance = 0.01
 
-// tick ends the jobs that are done and starts the next ones.
+// tick ends the jobs that are done and dispatches queued jobs.
 func (p *processor) tick() {
 	p.timer = nil
 	p.advance()
@@ -157,7 +157,7 @@
 	p.scheduleTick()
 }
 
-// enqueue adds a job to the queue, and reports false where slots and queue are full.
+// enqueue adds a job to the queue. It returns false if slots and queue are full.
 func (p *processor) enqueue(j *job) bool {
 	if p.usedSlots >= p.capacity.ConcurrentRequests && len(p.queue) >= p.capacity.Queue && !p.halted {
 		return false
@@ -168,14 +168,14 @@
 	return true
 }
 
-// enqueueFirst returns a job that had given up its slot to the front of the queue.
+// enqueueFirst puts a job that released its slot back at the front of the queue.
 func (p *processor) enqueueFirst(j *job) {
 	j.state = jobQueued
 	p.change(func() { p.queue = append([]*job{j}, p.queue...) })
 	p.dispatch()
 }
 
-// runWithoutSlot runs a job that takes no slot, such as a handshake.
+// runWithoutSlot runs a job that needs no slot, such as a handshake.
 func (p *processor) runWithoutSlot(j *job) { p.run(j) }
 
 // run starts the work of a job that holds its slot or needs none.
@@ -187,7 +187,7 @@
 	})
 }
 
-// release takes a job out, whatever its state, and passes its slot on.
+// release removes a job in any state and dispatches its slot.
 func (p *processor) release(j *job) {
 	if j.state == jobIdle {
 		return
@@ -196,7 +196,7 @@
 	p.dispatch()
 }
 
-// remove takes a job out and frees its slot.
+// remove removes a job and frees its slot.
 func (p *processor) remove(j *job) {
 	switch j.state {
 	case jobQueued:
@@ -210,7 +210,7 @@
 		heap.Remove(&p.jobs, j.index)
 		fallthrough
 	case jobHoldingSlot:
-		// After stop no slot is in use, but a job of before may still be removed.
+		// After stop no slot is in use, but a job from before the stop may still be removed.
 		if j.usesSlot && p.usedSlots > 0 {
 			p.usedSlots--
 		}
@@ -218,7 +218,7 @@
 	j.state = jobIdle
 }
 
-// dispatch gives free slots to queued jobs.
+// dispatch assigns free slots to queued jobs.
 func (p *processor) dispatch() {
 	if p.dispatching {
 		return
@@ -242,7 +242,7 @@
 	p.dispatch()
 }
 
-// stop ends the processor with its process.
+// stop stops the processor when its process ends.
 func (p *processor) stop() {
 	p.halted = true
 	for _, j := range append(p.queue, p.jobs...) {
--- a/internal/testbench/standin/resp.go
+++ b/internal/testbench/standin/resp.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Bounds of what is read from a socket. Lengths are read strictly: one with a sign, a space or a leading zero is an
+// Limits of the data read from a socket. Lengths are parsed strictly: a length with a sign, a space or a leading zero is an
 // error.
 const (
 	maxArgs       = 16
@@ -26,8 +26,8 @@
 	errMalformed       = errors.New("neither an answer nor a command")
 )
 
-// readLength reads a header such as "$12\r\n" at b[at:]. next is 0 while it is not whole; n is -1 for null.
-func readLength(b []byte, at int, kind byte, most int) (n, next int, err error) {
+// readLength reads a header such as "$12\r\n" at b[at:]. next is 0 while the header is incomplete; n is -1 for null.
+func readLength(b []byte, at int, kind byte, limit int) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, nil
 	}
@@ -53,7 +53,7 @@
 		return -1, at + 1 + end + 1, nil
 	}
 	size, ok := parseNumber(digits)
-	if !ok || size > int64(most) {
+	if !ok || size > int64(limit) {
 		return 0, 0, errBadLength
 	}
 	return int(size), at + 1 + end + 1, nil
@@ -74,9 +74,9 @@
 	return n, true
 }
 
-// readBulk reads a bulk string at b[at:]. next is 0 while it is not whole.
-func readBulk(b []byte, at, most int) (data []byte, next int, null bool, err error) {
-	n, from, err := readLength(b, at, '$', most)
+// readBulk reads a bulk string at b[at:]. next is 0 while the string is incomplete.
+func readBulk(b []byte, at, limit int) (data []byte, next int, null bool, err error) {
+	n, from, err := readLength(b, at, '$', limit)
 	if err != nil || from == 0 {
 		return nil, 0, false, err
 	}
@@ -93,7 +93,7 @@
 	return b[from:end], end + 2, false, nil
 }
 
-// readCommand takes one command, an array of bulk strings, off b. used is 0 while it is not whole.
+// readCommand parses one command, an array of bulk strings, from b. used is 0 while the command is incomplete.
 func readCommand(b []byte) (args [][]byte, used int, err error) {
 	n, at, err := readLength(b, 0, '*', maxArgs)
 	if err != nil || at == 0 {
@@ -103,11 +103,11 @@
 		return nil, 0, errBadLength
 	}
 	for i := range n {
-		most := maxWordBytes
+		limit := maxWordBytes
 		if i == valueArg {
-			most = maxValueBytes
+			limit = maxValueBytes
 		}
-		arg, next, null, err := readBulk(b, at, most)
+		arg, next, null, err := readBulk(b, at, limit)
 		if err != nil || null {
 			return nil, 0, errBadLength
 		}
@@ -119,7 +119,7 @@
 	return args, at, nil
 }
 
-// Places of a request's arguments.
+// Indexes of a request's arguments.
 const (
 	keyArg   = 1
 	idArg    = 2
@@ -127,13 +127,13 @@
 	valueArg = 4 // of a write
 )
 
-// metadataError is a value of the metadata that no request may hold.
+// metadataError reports an invalid name or value in a request's metadata.
 type metadataError struct {
 	name      string
 	notNumber bool // the value should be a number
 }
 
-// Error describes the value.
+// Error returns the name and the kind of the error.
 func (e *metadataError) Error() string {
 	if e.notNumber {
 		return e.name + " is no number, or unknown"
@@ -141,7 +141,7 @@
 	return "unknown name " + e.name
 }
 
-// wireRequest is a request as it stands on the wire.
+// wireRequest is a request as encoded on the wire.
 type wireRequest struct {
 	write          bool
 	key            string
@@ -150,31 +150,31 @@
 	tenant         string // t
 	idempotencyKey string // k; empty for none
 	timeLeft       Time   // d, until the deadline
-	size           int    // size, of the value that is read
+	size           int    // size, the size of the value to read
 	retry          bool   // r
 	workHint       Time   // h
 }
 
-// parseRequest reads a request's arguments. The error is an error of the router, as clients send valid requests.
+// parseRequest parses a request's arguments. An error is a fault of the router, because clients send valid requests.
 func parseRequest(args [][]byte) (wireRequest, error) {
-	var a wireRequest
-	a.write = string(args[0]) == "C.SET"
+	var request wireRequest
+	request.write = string(args[0]) == "C.SET"
 	want := valueArg
-	if a.write {
+	if request.write {
 		want++
 	}
 	if len(args) != want {
-		return a, errArgumentCount
+		return request, errArgumentCount
 	}
-	a.key, a.id = string(args[keyArg]), string(args[idArg])
-	if a.key == "" || a.id == "" {
-		return a, errNoKeyOrID
+	request.key, request.id = string(args[keyArg]), string(args[idArg])
+	if request.key == "" || request.id == "" {
+		return request, errNoKeyOrID
 	}
-	return a, a.parseMeta(string(args[metaArg]))
+	return request, request.parseMeta(string(args[metaArg]))
 }
 
-// parseMeta reads the metadata.
-func (a *wireRequest) parseMeta(text string) error {
+// parseMeta parses the metadata.
+func (r *wireRequest) parseMeta(text string) error {
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, ok := strings.Cut(pair, "=")
@@ -182,7 +182,7 @@
 			return errBadMetadata
 		}
 		seen[name] = true
-		if err := a.setMeta(name, value); err != nil {
+		if err := r.setMeta(name, value); err != nil {
 			return err
 		}
 	}
@@ -193,16 +193,16 @@
 }
 
 // setMeta sets one value of the metadata.
-func (a *wireRequest) setMeta(name, value string) error {
+func (r *wireRequest) setMeta(name, value string) error {
 	switch name {
 	case "c":
-		a.class = value
+		r.class = value
 		return nil
 	case "t":
-		a.tenant = value
+		r.tenant = value
 		return nil
 	case "k":
-		a.idempotencyKey = value
+		r.idempotencyKey = value
 		return nil
 	}
 	n, ok := parseNumber([]byte(value))
@@ -211,13 +211,13 @@
 	}
 	switch name {
 	case "d":
-		a.timeLeft = n * Millisecond
+		r.timeLeft = n * Millisecond
 	case "h":
-		a.workHint = n
+		r.workHint = n
 	case "r":
-		a.retry = n == 1
+		r.retry = n == 1
 	case "size":
-		a.size = int(min(n, maxValueBytes))
+		r.size = int(min(n, maxValueBytes))
 	default:
 		return &metadataError{name: name}
 	}
--- a/internal/testbench/standin/router_settings.go
+++ b/internal/testbench/standin/router_settings.go
@@ -6,9 +6,9 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// RouterSettings are the configuration of a router. DefaultRouterSettings returns the usual one.
+// RouterSettings is the configuration of a router. DefaultRouterSettings returns the default.
 type RouterSettings struct {
-	Name      string  // of the router
+	Name      string  // the router's name
 	Listen    string  // address for clients
 	Discovery string  // address of discovery
 	Seed      string  // hexadecimal; empty for none
@@ -16,30 +16,30 @@
 	MemoryMB  int64   // limit of the process
 	Sockets   int     // limit of the process
 
-	Routers              int     // how many share the caches
-	Classes              []Class // of requests
-	MaxAttempts          int     // for one request
+	Routers              int     // number of routers that share the caches
+	Classes              []Class // classes of requests
+	MaxAttempts          int     // maximum attempts per request
 	AllowHealthChecks    bool
 	AllowHedging         bool
 	AllowCancel          bool
 	RetryAfter           bool // rejections may carry a retry-after
 	MaxRetryAfter        Time // longest retry-after that clients follow
-	MaxOpen              int  // requests open at once
+	MaxOpen              int  // maximum of open requests
 	DialTimeout          Time
-	Keepalive            Time    // of an idle client connection
-	PollInterval         Time    // a router without a watch for so long counts as notified
-	SlowStartWindow      Time    // a started cache has its whole capacity after so long
-	DrainGrace           Time    // attempts to a draining cache must have ceased by then
-	OverloadWindow       Time    // a cache that is overloaded for so long crashes
+	Keepalive            Time    // idle timeout of a client connection
+	PollInterval         Time    // time without a watch after which a router counts as notified
+	SlowStartWindow      Time    // time from a cache's start to its full capacity
+	DrainGrace           Time    // time by which attempts to a draining cache must have ceased
+	OverloadWindow       Time    // a cache that is overloaded over this time crashes
 	SlowStartMinCapacity float64 // fraction of its capacity that a cache starts with
-	Pushed               bool    // endpoint lists are pushed by an agent, not asked for
+	Pushed               bool    // an agent pushes endpoint lists; the router does not request them
 
-	HealthCheckCost float64 // points lost by one health check a request
-	ConnectionCost  float64 // points lost by 100 open connections a cache
-	DialCost        float64 // points lost by one new connection a request
+	HealthCheckCost float64 // points lost per health check per request
+	ConnectionCost  float64 // points lost per 100 open connections per cache
+	DialCost        float64 // points lost per new connection per request
 
-	PeerListen string   // address for gossip; empty where there is none
-	Peers      []string // gossip addresses of all routers, its own among them
+	PeerListen string   // address for gossip; empty without gossip
+	Peers      []string // gossip addresses of all routers, including this router
 }
 
 // DefaultRouterSettings returns the settings of a usual fleet with three routers.
@@ -59,7 +59,7 @@
 // scopeNames are the names of deduplication scopes in the configuration.
 var scopeNames = [...]string{rules.ScopeCell: "cell", rules.ScopeZone: "zone", rules.ScopeAll: "all"}
 
-// JSON returns the configuration as a router reads it. Times are in microseconds.
+// JSON encodes the configuration in the format that a router reads. Times are in microseconds.
 func (s RouterSettings) JSON() []byte {
 	type object = map[string]any
 	categories := []object{}
@@ -91,7 +91,7 @@
 		config["seed"] = s.Seed
 	}
 	b, err := json.MarshalIndent(config, "", " ")
-	if err != nil { // a setting that is not finite, which is an error of the caller
+	if err != nil { // a setting is not finite, which is an error of the caller
 		panic(err)
 	}
 	return b
--- a/internal/testbench/standin/store.go
+++ b/internal/testbench/standin/store.go
@@ -9,35 +9,35 @@
 
 // StoreOptions describe the store.
 type StoreOptions struct {
-	Concurrency        int     // calls in work at once
-	Latency            Time    // mean of a fetch
+	Concurrency        int     // maximum of running calls
+	Latency            Time    // mean latency of a fetch
 	CV                 float64 // coefficient of variation of the latency
-	Queue              int     // calls that may wait
+	Queue              int     // maximum of queued calls
 	WriteLatencyFactor float64 // latency of a write, as a multiple of a fetch's; 0 stands for 1
 
-	FinishAbandonedWork bool // fetches that nobody waits for go on
+	FinishAbandonedWork bool // abandoned fetches continue
 
-	// A store that is offered more than OverloadMultiple times its capacity, summed over OverloadWindow, is down for
-	// MinDowntime to MaxDowntime. 0 of either is never.
+	// A store is down if the work that arrives within OverloadWindow exceeds OverloadMultiple times its capacity. The outage takes
+	// MinDowntime to MaxDowntime. 0 for OverloadMultiple or OverloadWindow disables this.
 	OverloadMultiple float64
 	OverloadWindow   Time
 	MinDowntime      Time
 	MaxDowntime      Time
-	MaxOutages       int // in the whole run; 0 stands for 2
+	MaxOutages       int // maximum of outages in a run; 0 stands for 2
 }
 
-// Store is the origin behind all caches. It has them invalidate each key that is written.
+// Store is the origin behind all caches. It makes the caches invalidate each written key.
 type Store struct {
 	m           machine.Machine
 	options     StoreOptions
 	rng         *rand.Rand
 	observer    rules.Observer
-	caches      []*Cache     // that are notified of writes
-	running     []*storeCall // in work
-	queue       []*storeCall // that wait
-	offeredWork slidingWork  // over the overload window
+	caches      []*Cache     // caches that are notified of writes
+	running     []*storeCall // calls in progress
+	queue       []*storeCall // queued calls
+	offeredWork slidingWork  // work that arrived within the overload window
 	down        bool
-	outages     int // so far
+	outages     int // number of outages so far
 }
 
 // storeCall is one fetch or one write.
@@ -45,9 +45,9 @@
 	store     *Store
 	key       string
 	write     bool
-	work      Time          // how long it takes
+	work      Time          // duration of the call
 	done      func(ok bool) // called with the result
-	timer     machine.Timer // of its end; nil while it waits
+	timer     machine.Timer // ends the call; nil while the call is queued
 	finished  bool
 	abandoned bool // done is not called
 }
@@ -69,10 +69,10 @@
 // Down reports whether the store is down after an overload.
 func (s *Store) Down() bool { return s.down }
 
-// Busy returns the number of fetches and writes under way.
+// Busy returns the number of running and queued fetches and writes.
 func (s *Store) Busy() int { return len(s.running) + len(s.queue) }
 
-// start begins a fetch or a write. cold names the cache in slow start that it is for, or is "". done is called once, in
+// start begins a fetch or a write. cold is the name of the requesting cache if that is in slow start, or "". done is called once, in
 // a later turn of the loop, unless the call is abandoned.
 func (s *Store) start(key string, write bool, cold string, done func(ok bool)) *storeCall {
 	c := &storeCall{store: s, key: key, write: write, done: done, work: max(1, lognormal(s.rng, s.options.Latency, s.options.CV))}
@@ -129,7 +129,7 @@
 	}
 }
 
-// abandon is called when nobody waits for a call any more. A fetch is cancelled; a write goes on.
+// abandon is called when no request waits for the call any more. A fetch is cancelled unless FinishAbandonedWork is set; a write continues.
 func (c *storeCall) abandon() {
 	c.abandoned = true
 	if c.finished || c.store.options.FinishAbandonedWork || c.write {
@@ -143,14 +143,14 @@
 	c.store.dispatch()
 }
 
-// startOutage takes the store down for a while. All calls under way fail.
+// startOutage takes the store down for a drawn time. All running and queued calls fail.
 func (s *Store) startOutage() {
 	s.outages++
 	s.down = true
 	s.observer.StoreFell(s.m.Now())
-	out := append(s.running, s.queue...)
+	failed := append(s.running, s.queue...)
 	s.running, s.queue = nil, nil
-	for _, c := range out {
+	for _, c := range failed {
 		if c.timer != nil {
 			c.timer.Stop()
 		}
--- a/internal/testbench/standin/stream.go
+++ b/internal/testbench/standin/stream.go
@@ -11,16 +11,16 @@
 type stream struct {
 	conn       machine.Conn
 	received   []byte // read and not consumed
-	unsent     []byte // to be written
-	consumed   uint64 // bytes before those in received
+	unsent     []byte // bytes not yet written
+	consumed   uint64 // number of bytes consumed before received
 	moreToRead bool   // fill stopped because received was full
 	closed     bool
 }
 
-// minReadSpace is the least space that a read has, in bytes.
+// minReadSpace is the minimum buffer space of a read in bytes, unless the limit leaves less.
 const minReadSpace = 512
 
-// fill reads until received holds limit bytes or nothing more is there. An error means that nothing more will arrive.
+// fill reads until received holds limit bytes or no more bytes are available. An error means that no more bytes will arrive.
 func (s *stream) fill(limit int) error {
 	s.moreToRead = false
 	for !s.closed {
@@ -48,7 +48,7 @@
 	s.consumed += uint64(n)
 }
 
-// sentAt returns when the peer wrote the first byte of received, where the machine knows; else it is arrived, when that
+// sentAt returns when the peer wrote the first byte of received, if the machine knows this; otherwise it returns arrived, when that
 // byte was read.
 func (s *stream) sentAt(arrived Time) Time {
 	if c, ok := s.conn.(interface{ SentAt(number uint64) Time }); ok {
@@ -57,13 +57,13 @@
 	return arrived
 }
 
-// send writes b, now or once the connection takes more bytes.
+// send writes b, at once or when the connection accepts more bytes.
 func (s *stream) send(b []byte) error {
 	s.unsent = append(s.unsent, b...)
 	return s.flush()
 }
 
-// flush writes what is unsent. An error means that nothing can be sent any more.
+// flush writes the unsent bytes. An error means that the connection accepts no more bytes.
 func (s *stream) flush() error {
 	for len(s.unsent) > 0 && !s.closed {
 		n, err := s.conn.Write(s.unsent)
--- a/internal/testbench/standin/tally.go
+++ b/internal/testbench/standin/tally.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// Tally counts how the requests of a class ended, each with all its attempts.
+// Tally counts the requests of a class by outcome. A request with all its attempts counts once.
 type Tally struct {
 	Class    string
-	Requests int // that were made
+	Requests int // requests that were made
 	OnTime   int // served within the latency objective
-	Late     int // served after it
+	Late     int // served after the latency objective
 	Rejected int
 	Failed   int
-	Lost     int // the connection ended without a whole reply, or none came in time
-	Left     int // the client left early
+	Lost     int // the connection ended without a complete reply, or no reply arrived in time
+	Left     int // the client abandoned the request early
 
 	Tries  int // attempts that were sent
-	Resent int // attempts sent once more, as the router closed the connection before it read them
-	// ResentAgain counts those whose request had been sent once more before: clients of the platform do so only once.
+	Resent int // attempts resent because the router closed the connection before it read them
+	// ResentAgain counts the resent attempts of requests that had been resent before: clients of the platform resend only once.
 	ResentAgain int
 	Latency     Histogram // of the served requests
 	Earned      float64   // points for the served requests
 	Offered     float64   // points of all requests
 }
 
-// Histogram counts times in fixed buckets, each a fifth wider than the one before.
+// Histogram counts times in fixed buckets, each a fifth wider than the previous bucket.
 type Histogram struct {
 	Counts [buckets]int
 	N      int // times counted
@@ -44,7 +44,7 @@
 	h.N++
 }
 
-// Quantile returns a bound that a fraction q of the times does not exceed; 0 where there are none.
+// Quantile returns a bound that a fraction q of the times does not exceed; 0 without times.
 func (h *Histogram) Quantile(q float64) Time {
 	need := int(math.Ceil(q * float64(h.N)))
 	have := 0
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// Service returns the points earned over the points offered, of several tallies; 1 without requests.
+// Service returns the ratio of earned to offered points over several tallies; 1 without requests.
 func Service(all []*Tally) float64 {
 	earned, offered := 0.0, 0.0
 	for _, t := range all {
@@ -70,7 +70,7 @@
 	return earned / offered
 }
 
-// Add adds another tally's counts.
+// Add adds the counts of another tally.
 func (t *Tally) Add(o *Tally) {
 	t.Requests += o.Requests
 	t.OnTime += o.OnTime
--- a/internal/testbench/standin/workload.go
+++ b/internal/testbench/standin/workload.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Workload gives the work of each request. It depends on the request's id alone, so that it is the same at every cache
-// and in runs that differ in other draws.
+// Workload determines the work of each request. Within a class the work depends on the request's id alone, so that it is the same at every cache
+// and in runs that differ in other random draws.
 type Workload struct {
 	classes map[string]Class
 	salt    uint64
@@ -35,5 +35,5 @@
 	return max(1, lognormal(rng, c.Work, c.CV))
 }
 
-// window returns for how long the caches drop repeats of a class.
+// window returns how long the caches drop repeats of a class.
 func (w *Workload) window(class string) Time { return w.classes[class].IdempotencyWindow }
