--- a/internal/testbench/standin/cache_test.go
+++ b/internal/testbench/standin/cache_test.go
@@ -8,7 +8,7 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// notes is an Observer that writes down what it is told, one line each.
+// notes is a rules.Observer that records each event as one line.
 type notes struct {
 	Blind
 	l     *lab
@@ -59,12 +59,12 @@
 func (n *notes) has(t *testing.T, line string, want int) {
 	t.Helper()
 	if got := n.count(line); got != want {
-		t.Errorf("%q was seen %d times, want %d, in:\n%s", line, got, want, strings.Join(n.lines, "\n"))
+		t.Errorf("got %q %d times, want %d, in:\n%s", line, got, want, strings.Join(n.lines, "\n"))
 	}
 }
 
-// stand is a cache with its store, in a lab. The classes' work does not vary.
-type stand struct {
+// cacheFixture is a cache with its store in a lab. The work of a class is constant.
+type cacheFixture struct {
 	*lab
 	c     *Cache
 	store *Store
@@ -87,20 +87,20 @@
 			OverloadMultiple: 3, OverloadWindow: 3 * Second}}
 }
 
-func newStand(t *testing.T, o CacheOptions) *stand {
+func newCacheFixture(t *testing.T, o CacheOptions) *cacheFixture {
 	t.Helper()
 	l := newLab()
-	s := &stand{lab: l, notes: &notes{l: l}}
-	s.store = NewStore(l, StoreOptions{Concurrency: 4, Latency: 80 * Millisecond, Queue: 100}, chanceOf(2), s.notes)
-	s.parts = CacheParts{Workload: NewWorkload(steady(), chanceOf(3)), Store: s.store, Repeats: NewRepeats(),
+	s := &cacheFixture{lab: l, notes: &notes{l: l}}
+	s.store = NewStore(l, StoreOptions{Concurrency: 4, Latency: 80 * Millisecond, Queue: 100}, newTestRand(2), s.notes)
+	s.parts = CacheParts{Workload: NewWorkload(steady(), newTestRand(3)), Store: s.store, Repeats: NewRepeats(),
 		Observer: s.notes}
 	s.c, s.addr = s.another(t, o)
 	return s
 }
 
-func (s *stand) another(t *testing.T, o CacheOptions) (*Cache, string) {
+func (s *cacheFixture) another(t *testing.T, o CacheOptions) (*Cache, string) {
 	t.Helper()
-	c := NewCache(s.lab, o, s.parts, chanceOf(1))
+	c := NewCache(s.lab, o, s.parts, newTestRand(1))
 	addr, err := c.Open("127.0.0.1:0", "r-1")
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 }
 
 func TestCacheMissIsFetchedThenHit(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, get("k1", "i1"))
 	s.run(t, 139*Millisecond)
@@ -135,7 +135,7 @@
 }
 
 func TestValuePaddedToRequestedSize(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, words("C.GET", "k1", "i1", "c=call-lookup,t=a,d=1200,size=500,h=12,r=1"))
 	s.run(t, Second)
@@ -145,7 +145,7 @@
 }
 
 func TestCacheRepliesInCommandOrder(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	s.c.Warm([]string{"k2"})
 	w := s.dial(t, s.addr)
 	w.send(t, get("k1", "slow")+get("k2", "fast")+words("PING"))
@@ -159,20 +159,20 @@
 func TestConnectionBoundsStreams(t *testing.T) {
 	o := cacheOptions()
 	o.Streams = 2
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "a")+get("k", "b")+get("k", "c"))
 	s.run(t, 59*Millisecond)
 	if got := s.c.Holds(); got != 2 {
-		t.Errorf("%d requests run, want 2", got)
+		t.Errorf("got %d running requests, want 2", got)
 	}
 	s.run(t, 70*Millisecond)
 	s.notes.has(t, "replied c served", 1)
 }
 
 func TestCacheAnswersOtherCommands(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	for _, c := range []struct{ in, want string }{
 		{words("PING"), "+PONG\r\n"},
 		{words("CLIENT", "SETINFO"), "+OK\r\n"},
@@ -197,13 +197,13 @@
 		w.send(t, c.in)
 		s.run(t, Second)
 		if got := w.take(); !strings.HasPrefix(got, c.want) {
-			t.Errorf("%q was answered %q, want %s", c.in, got, c.want)
+			t.Errorf("reply to %q: got %q, want %s", c.in, got, c.want)
 		}
 	}
 }
 
 func TestCommandStartsWithItsLastByte(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	text := get("k", "i")
 	w.send(t, text[:len(text)-1])
@@ -221,7 +221,7 @@
 	}{{CancelAll, 0}, {CancelQueued, 1}, {CancelNone, 1}} {
 		o := cacheOptions()
 		o.Cancel = c.cancel
-		s := newStand(t, o)
+		s := newCacheFixture(t, o)
 		w := s.dial(t, s.addr)
 		w.send(t, get("k", "i"))
 		s.run(t, 10*Millisecond)
@@ -230,7 +230,7 @@
 		s.notes.has(t, "ended i", 1)
 		s.notes.has(t, "ran i repeat false", c.ran)
 		if s.c.Holds() != 0 || s.store.Busy() != 0 || s.c.Connections() != 0 {
-			t.Errorf("cancel %d: %d requests, %d fetches, %d connections are left", c.cancel, s.c.Holds(),
+			t.Errorf("cancel %d: got %d requests, %d fetches, %d connections, want none", c.cancel, s.c.Holds(),
 				s.store.Busy(), s.c.Connections())
 		}
 	}
@@ -239,7 +239,7 @@
 func TestCancelQueuedDropsQueuedRequests(t *testing.T) {
 	o := cacheOptions()
 	o.Cancel, o.Capacity.ConcurrentRequests = CancelQueued, 1
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	s.c.Warm([]string{"k"})
 	first, second := s.dial(t, s.addr), s.dial(t, s.addr)
 	first.send(t, get("k", "runs"))
@@ -254,34 +254,34 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	o := cacheOptions()
 	o.IdleFor = 60 * Second
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	w := s.dial(t, s.addr)
 	s.run(t, 50*Second)
 	w.send(t, get("k", "i"))
 	s.run(t, 59*Second)
 	if w.end != nil {
-		t.Fatal("closed though it was used")
+		t.Fatal("connection in use was closed, want open")
 	}
 	s.run(t, 2*Second)
 	if w.end == nil || s.c.Connections() != 0 {
-		t.Error("the connection is still open")
+		t.Error("idle connection is open, want closed")
 	}
 }
 
 func TestConnectionsBeyondLimitAreRejected(t *testing.T) {
-	for _, tells := range []bool{false, true} {
+	for _, rejects := range []bool{false, true} {
 		o := cacheOptions()
-		o.RejectsWhenFull = tells
-		s := newStand(t, o)
+		o.RejectsWhenFull = rejects
+		s := newCacheFixture(t, o)
 		for range 90 {
 			if w := s.dial(t, s.addr); w.end != nil {
-				t.Fatal("closed below the limit")
+				t.Fatal("connection below the limit was closed, want open")
 			}
 		}
 		w := s.dial(t, s.addr)
 		s.run(t, 0)
-		if w.end == nil || (w.take() == "-BUSY\r\n") != tells {
-			t.Errorf("tells %t: ended with %v", tells, w.end)
+		if w.end == nil || (w.take() == "-BUSY\r\n") != rejects {
+			t.Errorf("reject with -BUSY %t: got end %v", rejects, w.end)
 		}
 	}
 }
@@ -289,7 +289,7 @@
 func TestHandshakeCostsWorkAndTime(t *testing.T) {
 	o := cacheOptions()
 	o.HandshakeWork, o.HandshakeTime = 16*Millisecond, 5*Millisecond
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "a"))
@@ -305,7 +305,7 @@
 func TestHealthCheckCostsWork(t *testing.T) {
 	o := cacheOptions()
 	o.Probes, o.ProbeWork, o.Reports = true, 2*Millisecond, true
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	w := s.dial(t, s.addr)
 	w.send(t, words("PING"))
 	s.run(t, Millisecond)
@@ -318,7 +318,7 @@
 }
 
 func TestUnsentRepliesAreBounded(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
 	w.reads = false
@@ -327,25 +327,25 @@
 	}
 	s.run(t, 10*Second)
 	if got := len(s.c.conns[0].unsent); got == 0 || got > maxUnsentBytes+maxCommandBytes {
-		t.Errorf("%d bytes wait to be taken", got)
+		t.Errorf("got %d unsent bytes, want a bounded number", got)
 	}
 	w.reads = true
 	w.Readable()
 	s.run(t, 10*Second)
 	if got := strings.Count(w.take(), "v:"); got != 50 {
-		t.Errorf("%d of 50 answers came", got)
+		t.Errorf("got %d of 50 replies", got)
 	}
 }
 
 func TestStoppedCacheResetsAndRefusesConnections(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "i"))
 	s.run(t, 10*Millisecond)
 	s.c.Stop()
 	s.run(t, Second)
 	if w.end == nil || s.dial(t, s.addr).err == nil {
-		t.Error("the connection lives, or a new one comes up")
+		t.Error("after Stop: connection is open or a new one was accepted, want a reset and a refusal")
 	}
 	s.notes.has(t, "ran i repeat false", 0)
 	s.notes.has(t, "down s-1 fallen false", 1)
@@ -357,7 +357,7 @@
 	}
 	s.run(t, 21*Second)
 	if s.c.WarmingUp() {
-		t.Error("still cold after its time")
+		t.Error("cache is in slow start after its window, want warm")
 	}
 }
 
@@ -378,7 +378,7 @@
 			again = append(again, string(a))
 		}
 		if words(again...) != string(b[:used]) {
-			t.Fatalf("%q was read as %q", b[:used], again)
+			t.Fatalf("%q was parsed as %q", b[:used], again)
 		}
 		parseRequest(args)
 	})
--- a/internal/testbench/standin/client_test.go
+++ b/internal/testbench/standin/client_test.go
@@ -10,7 +10,7 @@
 	"starlingwinch/internal/testbench/rules"
 )
 
-// fakeRouter takes connections, and has f answer each command.
+// fakeRouter accepts connections and calls f to reply to each command.
 type fakeRouter struct {
 	l     *lab
 	conns []*routerConn
@@ -21,7 +21,7 @@
 type routerConn struct {
 	stream
 	r *fakeRouter
-	n int // commands that came
+	n int // number of commands received
 }
 
 func (c *routerConn) Writable() { c.flush() }
@@ -49,9 +49,9 @@
 	}
 }
 
-func (c *routerConn) say(text string) { c.send([]byte(text)) }
+func (c *routerConn) reply(text string) { c.send([]byte(text)) }
 
-// clients is a client with a router in a lab.
+// clients is a load client with a router in a lab.
 type clients struct {
 	*lab
 	c      *Client
@@ -72,17 +72,17 @@
 		t.Fatal(err)
 	}
 	o.Classes, o.Tenant = steady(), "logbook"
-	o.Keys = NewKeys(100, 1, 1, chanceOf(7))
+	o.Keys = NewKeys(100, 1, 1, newTestRand(7))
 	if o.Routers == nil {
 		o.Routers = func() []Target { return []Target{{"r-1", ln.Addr()}} }
 	}
-	s.c = NewClient(l, o, NewWorkload(o.Classes, chanceOf(8)), chanceOf(9), s.notes)
+	s.c = NewClient(l, o, NewWorkload(o.Classes, newTestRand(8)), newTestRand(9), s.notes)
 	return s
 }
 
-func serve(c *routerConn, args []string) { c.say("$1\r\nx\r\n") }
+func serve(c *routerConn, args []string) { c.reply("$1\r\nx\r\n") }
 
-// Places of the classes.
+// Indexes of the classes.
 const (
 	lookup = 0
 	add    = 2
@@ -102,10 +102,10 @@
 		t.Errorf("%+v", *got)
 	}
 	if p := got.Latency.Quantile(0.5); p < 400*Millisecond || p > 480*Millisecond {
-		t.Errorf("the median is %d µs", p)
+		t.Errorf("got a median of %d µs", p)
 	}
 	if len(s.router.conns) != 1 {
-		t.Errorf("%d connections for one request after the other", len(s.router.conns))
+		t.Errorf("got %d connections for sequential requests", len(s.router.conns))
 	}
 }
 
@@ -130,12 +130,12 @@
 	var at []Time
 	s.router.f = func(c *routerConn, _ []string) {
 		at = append(at, s.now)
-		c.say("-ERR failed\r\n")
+		c.reply("-ERR failed\r\n")
 	}
 	s.c.Request(add, "k")
 	s.run(t, 2*Second)
 	if len(s.router.got) != 3 {
-		t.Fatalf("%d tries, want 3", len(s.router.got))
+		t.Fatalf("got %d attempts, want 3", len(s.router.got))
 	}
 	idem := func(i int) string {
 		_, k, _ := strings.Cut(s.router.got[i][3], "k=")
@@ -145,11 +145,11 @@
 	for i, got := range s.router.got {
 		ids[got[2]] = true
 		if idem(i) != idem(0) || strings.HasSuffix(got[3], ",r=1") != (i > 0) {
-			t.Errorf("try %d: %q", i, got)
+			t.Errorf("attempt %d: got %q", i, got)
 		}
 	}
 	if len(ids) != 3 {
-		t.Error("an id came twice")
+		t.Error("two attempts have the same id")
 	}
 	near(t, "the first wait", at[1]-at[0], 100*Millisecond, 0)
 	near(t, "the second wait", at[2]-at[1], 200*Millisecond, 0)
@@ -159,17 +159,17 @@
 }
 
 func TestRetryAfterCompliance(t *testing.T) {
-	for _, honour := range []float64{0, 1} {
-		s := newClients(t, ClientOptions{Retries: 1, RetryAfterCompliance: honour}, nil)
+	for _, compliance := range []float64{0, 1} {
+		s := newClients(t, ClientOptions{Retries: 1, RetryAfterCompliance: compliance}, nil)
 		var at []Time
 		s.router.f = func(c *routerConn, _ []string) {
 			at = append(at, s.now)
-			c.say("-BUSY 300\r\n")
+			c.reply("-BUSY 300\r\n")
 		}
 		s.c.Request(lookup, "k")
 		s.run(t, 2*Second)
-		if len(at) != 2 || at[1]-at[0] != Time(honour)*300*Millisecond {
-			t.Errorf("honour %.0f: tries at %v", honour, at)
+		if len(at) != 2 || at[1]-at[0] != Time(compliance)*300*Millisecond {
+			t.Errorf("retry-after compliance %.0f: got attempts at %v", compliance, at)
 		}
 		if got := s.c.Tallies()[lookup]; got.Rejected != 1 {
 			t.Errorf("%+v", *got)
@@ -187,14 +187,14 @@
 	s.run(t, Second)
 	s.notes.has(t, "left", 2)
 	if got := s.c.Tallies()[lookup]; got.Lost != 1 || len(s.router.got) != 2 || s.c.Open() != 0 {
-		t.Errorf("%+v after %d tries", *got, len(s.router.got))
+		t.Errorf("got %+v after %d attempts", *got, len(s.router.got))
 	}
 	if got := s.router.got[0][3]; !strings.HasSuffix(got, ",d=600") {
-		t.Errorf("the router was told %q", got)
+		t.Errorf("router received %q", got)
 	}
 	for i, c := range s.router.conns {
 		if !c.closed {
-			t.Errorf("connection %d was not closed", i)
+			t.Errorf("connection %d is open, want closed", i)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	}
 	s.run(t, 1199*Millisecond)
 	if got := s.c.Tallies()[lookup]; got.Left < 18 {
-		t.Errorf("%d of 20 left early", got.Left)
+		t.Errorf("got %d of 20 requests abandoned early", got.Left)
 	}
 }
 
@@ -214,7 +214,7 @@
 	s := newClients(t, ClientOptions{}, nil)
 	s.router.f = func(c *routerConn, args []string) {
 		if c.n == 2 {
-			c.close() // a close between requests that the second one crosses
+			c.close() // the close is in transit when the second request is sent
 			return
 		}
 		serve(c, args)
@@ -231,7 +231,7 @@
 	s.notes.has(t, "left", 1)
 }
 
-// TestCrossedRepeatIsCounted: the connection on which a request is sent once more is closed before it is read, too.
+// TestCrossedRepeatIsCounted closes the connection of a resent request before the request is read, so that it is resent again.
 func TestCrossedRepeatIsCounted(t *testing.T) {
 	s := newClients(t, ClientOptions{}, nil)
 	closes := 2
@@ -263,7 +263,7 @@
 
 func TestTruncatedReplyFails(t *testing.T) {
 	s := newClients(t, ClientOptions{}, func(c *routerConn, _ []string) {
-		c.say("$10\r\nhalf")
+		c.reply("$10\r\nhalf")
 		c.close()
 	})
 	s.c.Request(lookup, "k")
@@ -273,7 +273,7 @@
 }
 
 func TestSecondReplyIsReported(t *testing.T) {
-	s := newClients(t, ClientOptions{}, func(c *routerConn, _ []string) { c.say("$1\r\nx\r\n$1\r\nx\r\n") })
+	s := newClients(t, ClientOptions{}, func(c *routerConn, _ []string) { c.reply("$1\r\nx\r\n$1\r\nx\r\n") })
 	s.c.Request(lookup, "k")
 	s.run(t, Second)
 	s.notes.has(t, "answered served", 2)
@@ -338,18 +338,18 @@
 		sum += got.Requests
 	}
 	if want := 200 * 150; sum < want*95/100 || sum > want*105/100 {
-		t.Errorf("%d requests, want about %d", sum, want)
+		t.Errorf("got %d requests, want about %d", sum, want)
 	}
 	if got := float64(s.c.Tallies()[add].Requests) / float64(sum); got < 0.02 || got > 0.032 {
-		t.Errorf("add-contact is %.3f of all", got)
+		t.Errorf("got a fraction of %.3f for add-contact", got)
 	}
 	if got := Service(s.c.Tallies()); got != 1 || s.c.Open() != 0 {
-		t.Errorf("service %.3f, %d open", got, s.c.Open())
+		t.Errorf("got service %.3f, %d open requests", got, s.c.Open())
 	}
 }
 
 func TestKeysDrawZipf(t *testing.T) {
-	rng := chanceOf(1)
+	rng := newTestRand(1)
 	k := NewKeys(1000, 1, 1, rng)
 	count := map[string]int{}
 	for range 100_000 {
@@ -357,10 +357,10 @@
 	}
 	// The sum of 1/i up to 1000 is 7.485.
 	if got := count[k.Name(0)]; got < 12_900 || got > 13_800 {
-		t.Errorf("the first key was drawn %d times of 100000", got)
+		t.Errorf("got the first key %d times in 100000 draws", got)
 	}
 	if got := k.Popular(2); got[1] != k.Name(0) {
-		t.Error("the most popular key is not the last")
+		t.Error("most popular key is not last")
 	}
 	k.Heat(1, 0.2)
 	hot := 0
@@ -370,7 +370,7 @@
 		}
 	}
 	if hot < 19_000 || hot > 21_000 {
-		t.Errorf("the hot key was drawn %d times of 100000", hot)
+		t.Errorf("got the hot key %d times in 100000 draws", hot)
 	}
 }
 
@@ -378,30 +378,30 @@
 	for _, harm := range []Harm{BadBytes, EndlessLine, HalfCommand, SilentClient, Abandons, NeverReads} {
 		s := newClients(t, ClientOptions{}, serve)
 		h := NewHostile(s.lab, HostileOptions{Harm: harm, Every: Second, Class: steady()[0], Keys: s.c.options.Keys,
-			Routers: s.c.options.Routers, HoldFor: 10 * Second}, chanceOf(3), s.notes)
+			Routers: s.c.options.Routers, HoldFor: 10 * Second}, newTestRand(3), s.notes)
 		h.Start()
 		s.run(t, 500*Millisecond)
 		open, asked := 1, 0
 		switch harm {
 		case EndlessLine:
-			open = 0 // the router has ended it
+			open = 0 // the router has closed the connection
 		case Abandons:
 			open, asked = 0, abandonedReads
 		case NeverReads:
 			asked = unreadReads
 		}
 		if h.Open() != open || s.notes.count("asked call-lookup") != asked || len(s.router.conns) != 1 {
-			t.Errorf("%s: %d open, %d asked", harm, h.Open(), s.notes.count("asked call-lookup"))
+			t.Errorf("%s: got %d open connections, %d requests", harm, h.Open(), s.notes.count("asked call-lookup"))
 		}
 		gone := "left"
-		if harm == NeverReads { // its connection stays
+		if harm == NeverReads { // the connection stays open
 			gone = "forgone"
 		}
 		s.notes.has(t, gone, asked)
 		h.Stop()
 		s.run(t, 20*Second)
 		if h.Open() != 0 || !s.router.conns[0].closed {
-			t.Errorf("%s: connections are left", harm)
+			t.Errorf("%s: got open connections after Stop, want none", harm)
 		}
 	}
 }
@@ -449,7 +449,7 @@
 		}
 		again, n, err := readReply(b[:used])
 		if again != a || n != used || err != nil {
-			t.Fatalf("%q: read %v, and then %v", b, a, again)
+			t.Fatalf("%q: parsed as %v, then as %v", b, a, again)
 		}
 	})
 }
--- a/internal/testbench/standin/discovery_test.go
+++ b/internal/testbench/standin/discovery_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// registry is a discovery service in a lab, with one cache on its list.
+// registry is a discovery service in a lab, with one cache in the list.
 type registry struct {
 	*lab
 	d     *Discovery
@@ -32,14 +32,14 @@
 	return "GET /discovery/hosts" + query + " HTTP/1.1\r\nHost: d\r\n\r\n"
 }
 
-// body is the body of the one answer that has come.
+// body returns the body of the single answer received.
 func body(t *testing.T, w *peer) string {
 	t.Helper()
 	got := w.take()
 	head, rest, ok := strings.Cut(got, "\r\n\r\n")
 	if !ok || !strings.HasPrefix(head, "HTTP/1.1 200 OK\r\n") ||
 		!strings.Contains(head, fmt.Sprintf("Content-Length: %d", len(rest))) {
-		t.Errorf("not one whole answer: %q", got)
+		t.Errorf("got %q, want one complete answer", got)
 	}
 	return rest
 }
@@ -117,7 +117,7 @@
 	r.run(t, 3*Second)
 	r.d.Stale(0)
 	if r.d.Index() != 5 {
-		t.Error("what was held back does not show once the list is fresh again")
+		t.Error("delayed change is not in the list after the delay ended")
 	}
 }
 
@@ -142,17 +142,17 @@
 	r.d.Down(true, false)
 	r.run(t, 0)
 	if got := w.take(); !strings.HasPrefix(got, "HTTP/1.1 503 ") {
-		t.Errorf("the watch ended with %q", got)
+		t.Errorf("watch: got %q", got)
 	}
 	w.send(t, hosts(""))
 	r.run(t, 0)
 	if got := w.take(); !strings.HasPrefix(got, "HTTP/1.1 503 ") {
-		t.Errorf("a call got %q", got)
+		t.Errorf("call: got %q", got)
 	}
 	r.d.Down(true, true)
 	r.run(t, 0)
 	if v := r.dial(t, r.addr); w.end == nil || v.end == nil {
-		t.Error("connections stay open")
+		t.Error("connections are open, want closed")
 	}
 	r.d.Down(false, false)
 	v := r.dial(t, r.addr)
@@ -193,7 +193,7 @@
 	got, err := r.d.Move([]string{"127.0.0.1:0"})
 	r.run(t, 0)
 	if err != nil || len(got) != 1 || w.end == nil || r.dial(t, r.addr).err == nil {
-		t.Fatalf("moved to %v with %v; the old connection ended with %v", got, err, w.end)
+		t.Fatalf("got addresses %v, error %v, end of the old connection %v", got, err, w.end)
 	}
 	v := r.dial(t, got[0])
 	v.send(t, hosts(""))
@@ -201,7 +201,7 @@
 	expect(t, "there", body(t, v), listOf(2, true, first))
 }
 
-// callersOf opens a door for each router and makes a call for the whole list on each, all in one moment.
+// callersOf opens a listener for each router and makes a call for the whole list at each, all at the same instant.
 func (r *registry) callersOf(t *testing.T, routers ...string) (all []*peer) {
 	t.Helper()
 	for _, name := range routers {
@@ -216,34 +216,34 @@
 	return all
 }
 
-// TestCallsQueueAndAreRejectedAtOnce: those whose answer would take longer than the time-out, and these cost work too.
+// TestCallsQueueAndAreRejectedAtOnce rejects calls whose answer would take longer than the timeout. Rejections cost work too.
 func TestCallsQueueAndAreRejectedAtOnce(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, RejectCost: 100 * Millisecond, Timeout: Second})
 	all := r.callersOf(t, "r-1", "r-2", "r-3", "r-4")
 	r.run(t, 10*Millisecond)
 	for i, want := range []string{"", "", "503", "503"} {
 		if got := all[i].take(); got == "" != (want == "") || !strings.Contains(got, want) {
-			t.Errorf("at once, call %d got %.20q, want %q", i, got, want)
+			t.Errorf("call %d at once: got %.20q, want %q", i, got, want)
 		}
 	}
 	r.run(t, 395*Millisecond)
 	if all[0].take() == "" || all[1].take() != "" {
-		t.Error("calls are not worked through in turn")
+		t.Error("calls are not processed one at a time")
 	}
 	r.run(t, 200*Millisecond)
-	// 800 ms of work and 200 ms of refusals were asked for 600 ms ago: one more call takes 400 ms.
+	// 800 ms of work and 200 ms of rejections were reserved 600 ms ago: another call adds 400 ms.
 	late := r.callersOf(t, "r-5", "r-6")
 	r.run(t, 700*Millisecond)
 	if got := all[1].take() + late[0].take(); strings.Count(got, "HTTP/1.1 200") != 1 {
-		t.Errorf("800 ms of work and 200 ms of refusals later: %.40q", got)
+		t.Errorf("before the reserved work is done: got %.40q", got)
 	}
 	r.run(t, 200*Millisecond)
 	if got := late[0].take(); !strings.HasPrefix(got, "HTTP/1.1 200") {
-		t.Errorf("its turn over, the call got %.20q", got)
+		t.Errorf("after its work is done, the call got %.20q", got)
 	}
 }
 
-// TestRejectedCallEndsWatchOfRouter, and leaves that of another router as it is.
+// TestRejectedCallEndsWatchOfRouter rejects a call, which ends the watch of its router but not the watch of another router.
 func TestRejectedCallEndsWatchOfRouter(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, Timeout: Second, Routers: []string{"r-1", "r-2"}})
 	other, err := r.d.Open("127.0.0.1:0", "r-2")
@@ -259,13 +259,13 @@
 	r.run(t, 10*Millisecond)
 	for what, w := range map[string]*peer{"the newer call": newer, "the older one": watch} {
 		if got := w.take(); !strings.HasPrefix(got, "HTTP/1.1 503") {
-			t.Errorf("%s got %.20q, want 503", what, got)
+			t.Errorf("%s: got %.20q, want 503", what, got)
 		}
 	}
 	expect(t, "another router's watch", kept.take(), "")
 }
 
-// TestContinuedWatchNeedsNoAdmission, however much discovery has to do; a later call is a new one.
+// TestContinuedWatchNeedsNoAdmission continues a watch while discovery is overloaded; a call after a pause counts as a new call.
 func TestContinuedWatchNeedsNoAdmission(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{CallCost: 400 * Millisecond, Timeout: 500 * Millisecond, Routers: []string{"r-1"}})
 	w := r.dial(t, r.addr)
@@ -273,7 +273,7 @@
 	r.run(t, 400*Millisecond)
 	w.take()
 	for range 3 {
-		r.callersOf(t, "other") // crowded anew
+		r.callersOf(t, "other") // overloads discovery again
 		w.send(t, hosts("?after=2&wait_ms=300"))
 		r.run(t, 305*Millisecond)
 		expect(t, "a watch that goes on", body(t, w), listOf(2, false))
@@ -283,12 +283,12 @@
 	w.send(t, hosts("?after=2&wait_ms=300"))
 	r.run(t, 10*Millisecond)
 	if got := w.take(); !strings.HasPrefix(got, "HTTP/1.1 503") {
-		t.Errorf("a call after a pause got %.20q, want 503", got)
+		t.Errorf("call after a pause: got %.20q, want 503", got)
 	}
 }
 
-// TestNotifiedAfter, also to a router whose calls all fail; from the return where discovery was down, and from
-// when a router has a way to it.
+// TestNotifiedAfter also covers a router whose calls all fail. The time counts from the end of an outage of discovery, and from
+// when the router can reach discovery.
 func TestNotifiedAfter(t *testing.T) {
 	cut := true
 	r := newRegistry(t, DiscoveryOptions{NotifiedAfter: 6 * Second, Routers: []string{"r-1", "r-2"},
@@ -338,7 +338,7 @@
 	r.run(t, 0)
 	w.send(t, hosts("?after=2&wait_ms=60000"))
 	r.run(t, Second)
-	r.d.Silent(true) // r-1 waits and is not answered
+	r.d.Silent(true) // r-1 waits without an answer
 	r.d.SetStatus("s-1", Terminating)
 	r.run(t, 20*Second)
 	r.notes.has(t, "listed r-1 s-1 false", 0)
@@ -362,13 +362,13 @@
 		w.send(t, c.in)
 		r.run(t, 0)
 		if got := w.take(); !strings.HasPrefix(got, "HTTP/1.1 "+c.want) || w.end == nil {
-			t.Errorf("%.40q got %.20q, want %s and the end", c.in, got, c.want)
+			t.Errorf("%.40q: got %.20q, want %s and a closed connection", c.in, got, c.want)
 		}
 	}
 }
 
-// TestPushedListsNotifyAtOnce, also to a router that asks nothing and to a new process of one, and while the agent is
-// silent nothing is learned: what is asked of it meanwhile, or waits, is never answered.
+// TestPushedListsNotifyAtOnce covers a router without calls and a restarted router too. While the agent is
+// silent no router is notified, and calls that arrive or wait then are never answered.
 func TestPushedListsNotifyAtOnce(t *testing.T) {
 	r := newRegistry(t, DiscoveryOptions{Pushed: true, Routers: []string{"r-1"}, PollInterval: Second, CallCost: Second})
 	r.notes.has(t, "listed r-1 s-1 true", 1)
--- a/internal/testbench/standin/faults_test.go
+++ b/internal/testbench/standin/faults_test.go
@@ -8,16 +8,16 @@
 	"starlingwinch/internal/machine"
 )
 
-// warmStand is a stand whose cache holds the key k.
-func warmStand(t *testing.T) (*stand, *peer) {
+// newWarmFixture returns a fixture whose cache holds the key k, and a connection to the cache.
+func newWarmFixture(t *testing.T) (*cacheFixture, *peer) {
 	t.Helper()
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	s.c.Warm([]string{"k"})
 	return s, s.dial(t, s.addr)
 }
 
 func TestStalledCacheAnswersNothing(t *testing.T) {
-	s, w := warmStand(t)
+	s, w := newWarmFixture(t)
 	s.c.Hang(true)
 	w.send(t, get("k", "i"))
 	v := s.dial(t, s.addr)
@@ -33,7 +33,7 @@
 }
 
 func TestStalledCacheDropsCancelledRequests(t *testing.T) {
-	s, w := warmStand(t)
+	s, w := newWarmFixture(t)
 	s.c.Hang(true)
 	w.send(t, get("k", "i"))
 	s.run(t, Second)
@@ -46,14 +46,14 @@
 }
 
 func TestSilentCacheReadsNothing(t *testing.T) {
-	s, w := warmStand(t)
+	s, w := newWarmFixture(t)
 	s.c.Silent(true)
 	w.send(t, get("k", "i"))
 	v := s.dial(t, s.addr)
 	s.run(t, 10*Second)
 	s.notes.has(t, "began i at s-1 from r-1", 0)
 	if s.c.Connections() != 1 {
-		t.Error("a silent cache took a connection")
+		t.Error("silent cache accepted a connection")
 	}
 	s.c.Silent(false)
 	v.send(t, get("k", "j"))
@@ -62,7 +62,7 @@
 }
 
 func TestSlowCacheFactor(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	s.c.Slow(4)
 	near(t, "a request of 60 ms", s.finish(t, 1), 240*Millisecond, 2*Millisecond)
 	s.c.Slow(1)
@@ -70,7 +70,7 @@
 }
 
 func TestErrorsBeforeAndAfterExecution(t *testing.T) {
-	s, w := warmStand(t)
+	s, w := newWarmFixture(t)
 	s.c.ErrRate(1)
 	for i := range 40 {
 		w.send(t, get("k", fmt.Sprint(i)))
@@ -82,7 +82,7 @@
 		ran += s.notes.count(fmt.Sprintf("ran %d repeat false", i))
 	}
 	if ran < 5 || ran > 35 {
-		t.Errorf("%d of 40 ran", ran)
+		t.Errorf("got %d of 40 requests run", ran)
 	}
 }
 
@@ -92,7 +92,7 @@
 		want string
 	}{{Noise, "\x00\xffnoise"}, {WrongLength, "*3\r\n$4000\r\nshort\r\n"}, {Endless, "*3\r\n$10485760\r\nxxxx"},
 		{Unreadable, "-ERR \x01\x02xxxx"}} {
-		s, w := warmStand(t)
+		s, w := newWarmFixture(t)
 		s.c.Spoil(1, c.how)
 		w.send(t, get("k", "i"))
 		s.run(t, Second)
@@ -101,7 +101,7 @@
 			t.Errorf("%s: got %.40q", c.how, got)
 		}
 		if c.how == Endless && len(got) < endlessBytes {
-			t.Errorf("the endless value ended after %d bytes", len(got))
+			t.Errorf("endless value ended after %d bytes", len(got))
 		}
 		s.notes.has(t, "replied i failed", 1)
 	}
@@ -114,7 +114,7 @@
 		after Time
 		more  string
 	}{{false, 0, good}, {true, 0, noiseBytes}, {false, 100 * Millisecond, good}, {true, 100 * Millisecond, noiseBytes}} {
-		s, w := warmStand(t)
+		s, w := newWarmFixture(t)
 		s.c.Double(1, c.noise, c.after)
 		w.send(t, get("k", "i"))
 		s.run(t, 90*Millisecond)
@@ -131,58 +131,58 @@
 }
 
 func TestConnectionResets(t *testing.T) {
-	s, w := warmStand(t)
+	s, w := newWarmFixture(t)
 	s.c.ResetAfter(1)
 	w.send(t, get("k", "i"))
 	s.run(t, Second)
 	expect(t, "after", w.take(), hit("k", "i", "hit"))
 	if w.end == nil {
-		t.Error("the connection is open after the answer")
+		t.Error("connection is open after the reply, want closed")
 	}
 	s.notes.has(t, "replied i served", 1)
 
-	s, w = warmStand(t)
+	s, w = newWarmFixture(t)
 	s.c.ResetInside(1)
 	w.send(t, get("k", "i"))
 	s.run(t, Second)
 	got, whole := w.take(), hit("k", "i", "hit")
 	if w.end == nil || got == "" || got == whole || !strings.HasPrefix(whole, got) {
-		t.Errorf("inside: got %q and the end %v", got, w.end)
+		t.Errorf("reset inside a reply: got %q and end %v", got, w.end)
 	}
 	s.notes.has(t, "replied i failed", 1)
 
 	s.c.ResetAccept(true)
 	if v := s.dial(t, s.addr); v.end == nil {
-		t.Error("the connection is open after accept")
+		t.Error("connection is open after accept, want closed")
 	}
 }
 
 func TestDropIdle(t *testing.T) {
-	s, w := warmStand(t)
+	s, w := newWarmFixture(t)
 	busy := s.dial(t, s.addr)
 	busy.send(t, get("k", "i"))
 	s.run(t, Millisecond)
 	s.c.DropIdle(false)
 	s.run(t, Second)
 	if w.end == nil || busy.end != nil {
-		t.Error("only what stands idle is dropped")
+		t.Error("got a busy connection dropped or an idle connection open")
 	}
 	s.c.DropIdle(true)
 	s.run(t, Second)
 	if busy.end != nil {
-		t.Error("the drop was not silent")
+		t.Error("silently dropped connection was closed before the next request")
 	}
 	busy.send(t, get("k", "j"))
 	s.run(t, Second)
 	if busy.end != machine.ErrReset {
-		t.Errorf("the next request ended with %v, not with a reset", busy.end)
+		t.Errorf("next request: got end %v, want a reset", busy.end)
 	}
 	s.notes.has(t, "began j at s-1 from r-1", 0)
 }
 
 func TestBusyAndDrainingCachesReject(t *testing.T) {
 	for _, set := range []func(*Cache, bool){(*Cache).Busy, (*Cache).Refusing} {
-		s, w := warmStand(t)
+		s, w := newWarmFixture(t)
 		w.send(t, get("k", "held"))
 		s.run(t, Millisecond)
 		set(s.c, true)
@@ -197,7 +197,7 @@
 }
 
 func TestBadLoadReport(t *testing.T) {
-	s, w := warmStand(t)
+	s, w := newWarmFixture(t)
 	s.c.BadReport(true)
 	w.send(t, get("k", "i"))
 	s.run(t, Second)
--- a/internal/testbench/standin/fleet_test.go
+++ b/internal/testbench/standin/fleet_test.go
@@ -10,22 +10,22 @@
 	"starlingwinch/internal/settings"
 )
 
-// passThrough stands in for a router: each connection of a client gets one of its own to one cache,
-// and bytes go through both ways.
-type passThrough struct {
+// proxy stands in for a router: each client connection has a separate connection to one cache,
+// and bytes are forwarded in both directions.
+type proxy struct {
 	m     machine.Machine
 	name  string
 	fleet *Fleet
 	next  int
 }
 
-type half struct {
+type proxyConn struct {
 	stream
-	other *half
+	other *proxyConn
 }
 
-func (h *half) Writable() { h.flush() }
-func (h *half) Readable() {
+func (h *proxyConn) Writable() { h.flush() }
+func (h *proxyConn) Readable() {
 	err := h.fill(maxCommandBytes)
 	if h.other.conn != nil {
 		h.other.send(h.received)
@@ -40,8 +40,8 @@
 	}
 }
 
-func (p *passThrough) accept(conn machine.Conn) machine.Handler {
-	a, b := &half{stream: stream{conn: conn}}, &half{}
+func (p *proxy) accept(conn machine.Conn) machine.Handler {
+	a, b := &proxyConn{stream: stream{conn: conn}}, &proxyConn{}
 	a.other, b.other = b, a
 	p.next++
 	c := p.fleet.Caches[p.next%len(p.fleet.Caches)]
@@ -67,7 +67,7 @@
 	return a
 }
 
-// playFleet runs a whole fleet behind routers that only pass bytes through, and returns what was seen.
+// playFleet runs a fleet behind routers that only forward bytes, and returns the recorded events.
 func playFleet(t *testing.T, seed uint64) ([]string, *Fleet) {
 	t.Helper()
 	l := newLab()
@@ -78,12 +78,12 @@
 	o := DefaultOptions()
 	o.Cache.MemoryKeys = 15000
 	f, err := NewFleet(o, Places{Cache: at, Store: host, Discovery: host, Client: at,
-		Routers: func(string) []Target { return targets }}, chanceOf(seed), n)
+		Routers: func(string) []Target { return targets }}, newTestRand(seed), n)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range o.Routers {
-		p := &passThrough{m: l, name: name, fleet: f}
+		p := &proxy{m: l, name: name, fleet: f}
 		ln, err := l.Listen("127.0.0.1:0", p.accept)
 		if err != nil {
 			t.Fatal(err)
@@ -113,7 +113,7 @@
 		t.Errorf("%d open, %+v", f.Open(), *total)
 	}
 	if sum := total.OnTime + total.Late + total.Rejected + total.Failed + total.Lost + total.Left; sum != total.Requests {
-		t.Errorf("%d requests have %d ends", total.Requests, sum)
+		t.Errorf("got %d requests with %d outcomes, want equal numbers", total.Requests, sum)
 	}
 	zones := map[string]int{}
 	for _, c := range f.Caches {
@@ -124,7 +124,7 @@
 	}
 	for _, line := range lines {
 		if len(line) > 3 && line[:3] == "bad" {
-			t.Fatalf("a client's command was not of the protocol's form: %s", line)
+			t.Fatalf("client sent a malformed command: %s", line)
 		}
 	}
 	f.Close()
@@ -134,10 +134,10 @@
 	a, _ := playFleet(t, 2)
 	b, _ := playFleet(t, 2)
 	if fmt.Sprint(a) != fmt.Sprint(b) {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ, want equal runs")
 	}
 	if c, _ := playFleet(t, 3); fmt.Sprint(a) == fmt.Sprint(c) {
-		t.Error("two seeds give one run")
+		t.Error("runs with different seeds are equal, want different runs")
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	o := DefaultOptions()
 	o.Caches = 4
-	f, err := NewFleet(o, p, chanceOf(1), nil)
+	f, err := NewFleet(o, p, newTestRand(1), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	if c.Zone() != old.Zone() || c.Name() == old.Name() || old.Up() || !c.WarmingUp() {
-		t.Errorf("%s in %s stands in for %s in %s", c.Name(), c.Zone(), old.Name(), old.Zone())
+		t.Errorf("cache %s in zone %s replaces %s in zone %s, want the same zone", c.Name(), c.Zone(), old.Name(), old.Zone())
 	}
 	l.run(t, 3*Second)
 	warm := f.Caches[0]
@@ -196,6 +196,6 @@
 	}
 	l.run(t, 3*Second)
 	if line := f.Discovery.entry(warm.Name()); line.Since != restarted || !warm.WarmingUp() {
-		t.Errorf("discovery says that it started at %d, which was at %d", line.Since, restarted)
+		t.Errorf("start time in the list: got %d, want %d", line.Since, restarted)
 	}
 }
--- a/internal/testbench/standin/lab_test.go
+++ b/internal/testbench/standin/lab_test.go
@@ -12,13 +12,13 @@
 	"starlingwinch/internal/machine"
 )
 
-// lab is one machine with a clock of its own, on which bytes arrive in the next turn.
+// lab is a machine.Machine with a virtual clock, on which written bytes arrive in the next turn.
 type lab struct {
-	now    Time
-	seq    int
-	events labEvents
-	doors  map[string]*labListener
-	port   int
+	now       Time
+	seq       int
+	events    labEvents
+	listeners map[string]*labListener
+	port      int
 }
 
 type labEvent struct {
@@ -44,18 +44,18 @@
 	return e
 }
 
-// mostEvents ends a test that goes round in circles.
-const mostEvents = 5_000_000
+// maxEvents is the event limit that ends a test whose events never stop.
+const maxEvents = 5_000_000
 
-func newLab() *lab { return &lab{now: 1000 * Second, doors: map[string]*labListener{}, port: 1000} }
+func newLab() *lab { return &lab{now: 1000 * Second, listeners: map[string]*labListener{}, port: 1000} }
 
-// run plays all that happens up to d from now.
+// run processes all events up to d from now.
 func (l *lab) run(t testing.TB, d Time) {
 	t.Helper()
 	until := l.now + d
 	for n := 0; len(l.events) > 0 && l.events[0].at <= until; n++ {
-		if n > mostEvents {
-			t.Fatal("the lab goes round in circles")
+		if n > maxEvents {
+			t.Fatal("too many events: the lab does not come to rest")
 		}
 		e := heap.Pop(&l.events).(*labEvent)
 		if e.f != nil {
@@ -86,11 +86,11 @@
 		l.port++
 		addr = host + ":" + strconv.Itoa(l.port)
 	}
-	if l.doors[addr] != nil {
+	if l.listeners[addr] != nil {
 		return nil, errors.New("in use")
 	}
 	d := &labListener{l: l, addr: addr, accept: accept}
-	l.doors[addr] = d
+	l.listeners[addr] = d
 	return d, nil
 }
 
@@ -104,11 +104,11 @@
 
 func (d *labListener) Addr() string { return d.addr }
 func (d *labListener) Pause()       { d.paused = true }
-func (d *labListener) Close()       { delete(d.l.doors, d.addr) }
+func (d *labListener) Close()       { delete(d.l.listeners, d.addr) }
 func (d *labListener) Resume() {
 	d.paused = false
 	for _, c := range d.queue {
-		d.take(c)
+		d.deliver(c)
 	}
 	d.queue = nil
 }
@@ -117,16 +117,16 @@
 	d.Close()
 	d.l.Post(done)
 }
-func (d *labListener) take(c *labConn) {
+func (d *labListener) deliver(c *labConn) {
 	d.l.Post(func() {
 		c.handler = d.accept(c)
-		c.tell()
+		c.notifyReadable()
 	})
 }
 
 func (l *lab) Dial(addr string, _ Time, done func(machine.Conn, error) machine.Handler) machine.Dialing {
 	return l.At(l.now, func() {
-		d := l.doors[addr]
+		d := l.listeners[addr]
 		if d == nil {
 			done(nil, machine.ErrRefused)
 			return
@@ -138,14 +138,14 @@
 		if d.paused {
 			d.queue = append(d.queue, there)
 		} else {
-			d.take(there)
+			d.deliver(there)
 		}
 		here.handler = done(here, nil)
-		here.tell()
+		here.notifyReadable()
 	}).(*labEvent)
 }
 
-// Cancel makes a dial that is to come a Dialing.
+// Cancel makes the event of a pending dial a machine.Dialing.
 func (e *labEvent) Cancel()       { e.f = nil }
 func (e *labEvent) Blocked() bool { return false }
 
@@ -158,13 +158,13 @@
 
 func (l *lab) ReadFile(string, int64) ([]byte, error) { return nil, errors.New("the lab has no files") }
 
-// OnDisk implements machine.Machine. Nothing here keeps files.
+// OnDisk implements machine.Machine. No stand-in uses files.
 func (l *lab) OnDisk(func(machine.Disk), func()) { panic("the lab has no disk") }
 func (l *lab) Signals(func(machine.Signal))      {}
 func (l *lab) Log(string)                        {}
 
-// labRoom is how much a connection holds unread.
-const labRoom = 64 << 10
+// labBufferSize is the maximum of unread bytes on a connection.
+const labBufferSize = 64 << 10
 
 type labConn struct {
 	l             *lab
@@ -177,7 +177,7 @@
 	wantsWrite    bool
 }
 
-func (c *labConn) tell() {
+func (c *labConn) notifyReadable() {
 	c.l.Post(func() {
 		if !c.closed && c.handler != nil && (len(c.in) > 0 || c.end || c.reset) {
 			c.handler.Readable()
@@ -215,13 +215,13 @@
 	}
 	if c.reset || c.peer.closed {
 		c.reset = true
-		c.tell()
+		c.notifyReadable()
 		return 0, machine.ErrReset
 	}
-	n := min(len(b), labRoom-len(c.peer.in))
+	n := min(len(b), labBufferSize-len(c.peer.in))
 	c.peer.in = append(c.peer.in, b[:n]...)
 	c.wantsWrite = n < len(b)
-	c.peer.tell()
+	c.peer.notifyReadable()
 	return n, nil
 }
 
@@ -237,7 +237,7 @@
 }
 func (c *labConn) CloseWrite() error {
 	c.peer.end = true
-	c.peer.tell()
+	c.peer.notifyReadable()
 	return nil
 }
 func (c *labConn) Close() {
@@ -247,17 +247,17 @@
 	c.closed = true
 	c.peer.end = true
 	c.peer.reset = c.peer.reset || len(c.in) > 0
-	c.peer.tell()
+	c.peer.notifyReadable()
 }
 func (c *labConn) Local() string  { return c.local }
 func (c *labConn) Remote() string { return c.remote }
 
-// peer is the test's own end of a connection.
+// peer is the test's end of a connection.
 type peer struct {
 	conn  machine.Conn
 	got   []byte
-	end   error // how it ended
-	err   error // why it did not come up
+	end   error // error that ended the connection
+	err   error // dial error
 	reads bool
 }
 
@@ -292,14 +292,14 @@
 	}
 }
 
-// take returns what has come since the last call.
+// take returns the bytes received since the last call.
 func (w *peer) take() string {
 	s := string(w.got)
 	w.got = nil
 	return s
 }
 
-// words is a command on the wire.
+// words returns a command encoded in RESP.
 func words(args ...string) string {
 	s := "*" + strconv.Itoa(len(args)) + "\r\n"
 	for _, a := range args {
@@ -314,7 +314,7 @@
 	return words("C.SET", key, id, "c=add-contact,t=a,d=1200,k="+idem, "new")
 }
 
-// hit is the answer to a read; how is hit, miss or pending.
+// hit returns the reply to a read; how is hit, miss or pending.
 func hit(key, id, how string) string { return served("v", key, id, how) }
 
 func served(kind, key, id, how string) string {
@@ -326,4 +326,4 @@
 	return s + "$" + strconv.Itoa(len(how)) + "\r\n" + how + "\r\n$-1\r\n"
 }
 
-func chanceOf(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
+func newTestRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
--- a/internal/testbench/standin/processor_test.go
+++ b/internal/testbench/standin/processor_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// finish asks for n warm keys at once and returns when the last answer came, after the start.
-func (s *stand) finish(t *testing.T, n int) Time {
+// finish requests n keys in memory at once and returns the time until the last reply.
+func (s *cacheFixture) finish(t *testing.T, n int) Time {
 	t.Helper()
 	w := s.dial(t, s.addr)
 	began := s.now
@@ -18,7 +18,7 @@
 	for len(w.take()) >= 0 && s.c.Holds() > 0 || s.now == began {
 		s.run(t, Millisecond)
 		if s.now-began > 100*Second {
-			t.Fatal("never done")
+			t.Fatal("requests did not finish")
 		}
 	}
 	return s.now - began
@@ -32,7 +32,7 @@
 }
 
 func TestProcessorSharesCores(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	near(t, "one request of 60 ms", s.finish(t, 1), 60*Millisecond, 2*Millisecond)
 	near(t, "six on six cores", s.finish(t, 6), 60*Millisecond, 2*Millisecond)
 	near(t, "twelve on six cores", s.finish(t, 12), 120*Millisecond, 2*Millisecond)
@@ -41,7 +41,7 @@
 func TestRequestsQueueForSlotsThenAreRejected(t *testing.T) {
 	o := cacheOptions()
 	o.Capacity.ConcurrentRequests, o.Capacity.Queue = 2, 3
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
 	for i := range 7 {
@@ -58,7 +58,7 @@
 }
 
 func TestSlowStartRisesLinearly(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	if err := s.c.Restart(true); err != nil {
 		t.Fatal(err)
 	}
@@ -72,19 +72,19 @@
 func TestLoadedCacheThrashes(t *testing.T) {
 	o := cacheOptions()
 	o.Capacity.Thrash, o.Capacity.ThrashAt = 0.5, 2
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	near(t, "twelve, two a core", s.finish(t, 12), 120*Millisecond, 2*Millisecond)
 	if got := s.finish(t, 24); got < 300*Millisecond {
-		t.Errorf("24 requests took %d µs: no thrash", got)
+		t.Errorf("24 requests took %d µs, want a slowdown by thrashing", got)
 	}
 }
 
-// overload sends work at a multiple of what a cold cache can do, for a time, and reports whether it fell.
+// overload sends work at a multiple of a cold cache's capacity for a time, and reports whether the cache crashed.
 func overload(t *testing.T, multiple float64, d Time) bool {
 	t.Helper()
 	o := cacheOptions()
-	o.Capacity.SlowStartWindow, o.Streams = 1000*Second, 10_000 // its capacity hardly moves
-	s := newStand(t, o)
+	o.Capacity.SlowStartWindow, o.Streams = 1000*Second, 10_000 // so long that the capacity is nearly constant
+	s := newCacheFixture(t, o)
 	s.c.Restart(true)
 	const each = 60 * Millisecond
 	gap := Time(float64(each) / (multiple * 6 * 0.16))
@@ -100,7 +100,7 @@
 	s.notes.has(t, "down s-1 fallen true", 1)
 	s.run(t, 60*Second)
 	if s.c.Up() || w.end == nil || s.dial(t, s.addr).err == nil {
-		t.Error("what has fallen over does not stay down")
+		t.Error("crashed cache is up, want down")
 	}
 	return true
 }
@@ -113,7 +113,7 @@
 	}{{3.2, 3500 * Millisecond, true}, {2.5, 30 * Second, false}, {3.2, 2500 * Millisecond, false},
 		{8, 1500 * Millisecond, true}} {
 		if got := overload(t, c.multiple, c.d); got != c.falls {
-			t.Errorf("%.1f times for %d µs: fell %t, want %t", c.multiple, c.d, got, c.falls)
+			t.Errorf("%.1f times the capacity for %d µs: got crashed %t, want %t", c.multiple, c.d, got, c.falls)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	o := cacheOptions()
 	o.Capacity.Congestion = Congestion{Threshold: 4, Window: Second, Slowdown: 3, RecoveryUtilization: 0.3,
 		RecoveryWindow: 3 * Second, MaxDuration: 30 * Second}
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	s.c.Warm([]string{"k"})
 	w := s.dial(t, s.addr)
 	for i := range 300 {
@@ -130,7 +130,7 @@
 	}
 	s.run(t, 4*Second)
 	if s.c.processor.congestionFactor != 3 {
-		t.Fatal("a crowd of 300 for three seconds did not choke it")
+		t.Fatal("no congestion after 300 requests for three seconds")
 	}
 	for s.c.Holds() > 0 {
 		s.run(t, 100*Millisecond)
@@ -142,7 +142,7 @@
 	s.run(t, Second)
 	for _, e := range s.events {
 		if e.f != nil && e.at < s.now+10*Second {
-			t.Error("a stopped cache still has a timer")
+			t.Error("stopped cache has a timer, want none")
 		}
 	}
 }
@@ -154,19 +154,19 @@
 	m.use("a")
 	m.add("c")
 	if !m.use("a") || m.use("b") || !m.use("c") {
-		t.Error("b was used longest ago, and something else went")
+		t.Error("least recently used key b was not evicted, or another key was")
 	}
 	m.remove("a")
 	if m.use("a") {
-		t.Error("a is void and still held")
+		t.Error("removed key a is in memory")
 	}
 }
 
 func TestWorkloadIsTheSameAtEveryCache(t *testing.T) {
 	classes := DefaultClasses()
-	w := NewWorkload(classes, chanceOf(5))
+	w := NewWorkload(classes, newTestRand(5))
 	if first, again := w.Of("log-page", "x"), w.Of("log-page", "x"); first != again || first == w.Of("log-page", "y") {
-		t.Error("the work does not follow the id")
+		t.Error("work does not depend on the id alone")
 	}
 	sum := Time(0)
 	const n = 200_000
@@ -177,19 +177,19 @@
 }
 
 func TestConcurrentMissesCoalesce(t *testing.T) {
-	for _, joint := range []bool{true, false} {
+	for _, coalesce := range []bool{true, false} {
 		o := cacheOptions()
-		o.Coalesce = joint
-		s := newStand(t, o)
+		o.Coalesce = coalesce
+		s := newCacheFixture(t, o)
 		w := s.dial(t, s.addr)
 		w.send(t, get("k", "a")+get("k", "b"))
 		s.run(t, Millisecond)
 		want := 2
-		if joint {
+		if coalesce {
 			want = 1
 		}
 		if s.store.Busy() != want {
-			t.Errorf("joint %t: %d fetches are out", joint, s.store.Busy())
+			t.Errorf("coalesce %t: got %d fetches in flight", coalesce, s.store.Busy())
 		}
 		s.run(t, Second)
 		expect(t, "answers", w.take(), hit("k", "a", "miss")+hit("k", "b", "pending"))
@@ -197,7 +197,7 @@
 }
 
 func TestWriteInvalidatesAllCaches(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	o := cacheOptions()
 	o.Name = "s-2"
 	other, addr := s.another(t, o)
@@ -211,8 +211,8 @@
 	expect(t, "the read after it", v.take(), hit("k", "i2", "miss"))
 }
 
-func TestFetchOfKeyWrittenMeanwhileIsNotStored(t *testing.T) {
-	s := newStand(t, cacheOptions())
+func TestFetchOfKeyWrittenDuringFetchIsNotStored(t *testing.T) {
+	s := newCacheFixture(t, cacheOptions())
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "a"))
 	s.run(t, 10*Millisecond)
@@ -228,7 +228,7 @@
 		after  Time
 		repeat bool
 	}{{50 * Millisecond, true}, {1100 * Millisecond, true}, {1300 * Millisecond, false}} {
-		s := newStand(t, cacheOptions())
+		s := newCacheFixture(t, cacheOptions())
 		o := cacheOptions()
 		o.Name = "s-2"
 		_, addr := s.another(t, o)
@@ -244,7 +244,7 @@
 }
 
 func TestCancelledWriteIsNotARepeat(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	w, v := s.dial(t, s.addr), s.dial(t, s.addr)
 	w.send(t, put("k", "i1", "x"))
 	s.run(t, 50*Millisecond) // half of its work
@@ -256,7 +256,7 @@
 }
 
 func TestStoreFailsCallsBeyondQueue(t *testing.T) {
-	s := newStand(t, cacheOptions())
+	s := newCacheFixture(t, cacheOptions())
 	s.store.options.Concurrency, s.store.options.Queue = 1, 1
 	w := s.dial(t, s.addr)
 	w.send(t, get("a", "1")+get("b", "2")+get("c", "3"))
@@ -269,7 +269,7 @@
 		l := newLab()
 		n := &notes{l: l}
 		s := NewStore(l, StoreOptions{Concurrency: 2, Latency: 80 * Millisecond, Queue: 1000, OverloadMultiple: 3,
-			OverloadWindow: 3 * Second, MinDowntime: 5 * Second, MaxDowntime: 5 * Second}, chanceOf(1), n)
+			OverloadWindow: 3 * Second, MinDowntime: 5 * Second, MaxDowntime: 5 * Second}, newTestRand(1), n)
 		ok, failed := 0, 0
 		gap := Time(float64(80*Millisecond) / (2 * multiple))
 		for at := Time(0); at < 4*Second && !s.Down(); at += gap {
@@ -285,22 +285,22 @@
 		n.has(t, "store fell", map[bool]int{true: 1}[multiple > 3])
 		l.run(t, 6*Second)
 		if s.Down() || ok == 0 || (failed > 0) != (multiple > 3) {
-			t.Errorf("%.1f times: down %t, %d done, %d failed", multiple, s.Down(), ok, failed)
+			t.Errorf("%.1f times the capacity: got down %t, %d done, %d failed", multiple, s.Down(), ok, failed)
 		}
 	}
 }
 
 func TestStoreFinishesAbandonedWork(t *testing.T) {
-	for _, goesOn := range []bool{false, true} {
-		s := newStand(t, cacheOptions())
-		s.store.options.FinishAbandonedWork = goesOn
+	for _, finishAbandoned := range []bool{false, true} {
+		s := newCacheFixture(t, cacheOptions())
+		s.store.options.FinishAbandonedWork = finishAbandoned
 		w := s.dial(t, s.addr)
 		w.send(t, get("k", "i"))
 		s.run(t, Millisecond)
 		w.conn.Close()
 		s.run(t, Millisecond)
-		if got := s.store.Busy() == 1; got != goesOn {
-			t.Errorf("goes on %t: %d fetches are out", goesOn, s.store.Busy())
+		if got := s.store.Busy() == 1; got != finishAbandoned {
+			t.Errorf("finish abandoned work %t: got %d fetches in flight", finishAbandoned, s.store.Busy())
 		}
 	}
 }
@@ -308,7 +308,7 @@
 func TestFetchTimeout(t *testing.T) {
 	o := cacheOptions()
 	o.FetchTimeout = 50 * Millisecond
-	s := newStand(t, o)
+	s := newCacheFixture(t, o)
 	w := s.dial(t, s.addr)
 	w.send(t, get("k", "i"))
 	s.run(t, 51*Millisecond)
@@ -316,17 +316,17 @@
 }
 
 func TestMissOccupiesSlot(t *testing.T) {
-	for _, holds := range []bool{false, true} {
+	for _, occupies := range []bool{false, true} {
 		o := cacheOptions()
-		o.MissOccupiesSlot, o.Capacity.ConcurrentRequests = holds, 1
-		s := newStand(t, o)
+		o.MissOccupiesSlot, o.Capacity.ConcurrentRequests = occupies, 1
+		s := newCacheFixture(t, o)
 		s.c.Warm([]string{"warm"})
 		w, v := s.dial(t, s.addr), s.dial(t, s.addr)
 		w.send(t, get("cold", "a"))
 		v.send(t, get("warm", "b"))
 		s.run(t, 70*Millisecond)
-		if got := strings.HasPrefix(v.take(), "*"); got == holds {
-			t.Errorf("holds %t: the second request was served %t meanwhile", holds, got)
+		if got := strings.HasPrefix(v.take(), "*"); got == occupies {
+			t.Errorf("miss occupies slot %t: got second request served %t during the fetch", occupies, got)
 		}
 	}
 }
--- a/internal/testbench/standin/silence_test.go
+++ b/internal/testbench/standin/silence_test.go
@@ -5,7 +5,7 @@
 func TestEarliestArrivalAfterSilence(t *testing.T) {
 	f := faults{}
 	if got := f.earliestArrival(5 * Second); got != 5*Second {
-		t.Errorf("without a silence: %d", got)
+		t.Errorf("earliest arrival without a silence: got %d", got)
 	}
 	f.silentFrom, f.silentUntil = 2*Second, 5*Second
 	for now, want := range map[Time]Time{
@@ -15,7 +15,7 @@
 		9 * Second:                 9 * Second,
 	} {
 		if got := f.earliestArrival(now); got != want {
-			t.Errorf("read at %d: %d, want %d", now, got, want)
+			t.Errorf("earliest arrival of bytes read at %d: got %d, want %d", now, got, want)
 		}
 	}
 }
