--- a/cmd/lab/brokenhooks.go
+++ b/cmd/lab/brokenhooks.go
@@ -58,14 +58,14 @@
 		m.Func("hook_version", 0, 1, 0, wasmfile.I32Const(1))
 		m.Func("hook_room", 1, 1, 0, wasmfile.I32Const(room))
 		ends := func(then ...wasmfile.Code) wasmfile.Code { // the last two bytes of the key are 00
-			last := wasmfile.Seq(wasmfile.LocalGet(0), wasmfile.I32Load(keyAt), wasmfile.LocalGet(0),
+			last := wasmfile.Concat(wasmfile.LocalGet(0), wasmfile.I32Load(keyAt), wasmfile.LocalGet(0),
 				wasmfile.I32Load(keySize), wasmfile.I32Add, wasmfile.I32Const(1), wasmfile.I32Sub)
-			before := wasmfile.Seq(last, wasmfile.I32Const(1), wasmfile.I32Sub)
-			return wasmfile.Seq(last, wasmfile.I32Load8U(0), wasmfile.I32Const('0'), wasmfile.I32Eq,
+			before := wasmfile.Concat(last, wasmfile.I32Const(1), wasmfile.I32Sub)
+			return wasmfile.Concat(last, wasmfile.I32Load8U(0), wasmfile.I32Const('0'), wasmfile.I32Eq,
 				wasmfile.If(before, wasmfile.I32Load8U(0), wasmfile.I32Const('0'), wasmfile.I32Eq, wasmfile.If(then...)))
 		}
 		if always {
-			ends = wasmfile.Seq
+			ends = wasmfile.Concat
 		}
 		m.Func("on_request", 1, 1, 0, ends(strike...), wasmfile.I32Const(0))
 		return m.Bytes()
--- a/cmd/lab/registry.go
+++ b/cmd/lab/registry.go
@@ -57,7 +57,7 @@
 		m.Stop()
 		return fmt.Errorf("--listen: %w", err)
 	}
-	m.Signals(func(s machine.Signal) {
+	m.OnSignal(func(s machine.Signal) {
 		if s == machine.Terminate {
 			m.Stop()
 		}
--- a/cmd/starlingwinch/check.go
+++ b/cmd/starlingwinch/check.go
@@ -36,7 +36,7 @@
 					addFault(&faults, err)
 					continue
 				}
-				fmt.Fprintf(stdout, "%s: good (%s)\n", configerror.Plain(path), description)
+				fmt.Fprintf(stdout, "%s: good (%s)\n", configerror.QuoteIfNeeded(path), description)
 			}
 			return faults.Err()
 		},
@@ -54,7 +54,7 @@
 		return "operators' file, kind " + file.Kind, err
 	}
 	faults := settings.Check(raw)
-	faults.In(path)
+	faults.SetFile(path)
 	return "platform's file", faults.Err()
 }
 
--- a/cmd/starlingwinch/daemon.go
+++ b/cmd/starlingwinch/daemon.go
@@ -104,7 +104,7 @@
 		d.state = daemonWaitingForFiles
 		d.logger.Info(string(eventlog.StartProgress), "reason", "waiting-for-files", "cause", oneLine(cause))
 	}
-	d.m.Signals(func(signal machine.Signal) {
+	d.m.OnSignal(func(signal machine.Signal) {
 		if signal == machine.Terminate {
 			d.m.Stop()
 		}
@@ -125,7 +125,7 @@
 	r.OnFailure(func(err error) { d.fail(fmt.Errorf("starlingwinch: %w", err)) })
 	logWarnings(d.logger, d.warnings)
 	reloads := reloader{inputs: d.inputs, m: d.m, logger: d.logger, router: r}
-	d.m.Signals(func(signal machine.Signal) {
+	d.m.OnSignal(func(signal machine.Signal) {
 		if signal == machine.HangUp {
 			reloads.begin()
 		} else {
--- a/cmd/starlingwinch/fleet.go
+++ b/cmd/starlingwinch/fleet.go
@@ -123,13 +123,13 @@
 			v, tries = &view{}, tries+1
 			continue
 		}
-		v.Router, v.Settled, v.For, v.Digest = page.Router, page.Settled, page.For, page.Digest
+		v.Router, v.Settled, v.For, v.Digest = page.Router, page.Settled, page.SettledFor, page.Digest
 		v.Members = append(v.Members, page.Members...)
-		if len(v.Members) >= page.Of {
+		if len(v.Members) >= page.Total {
 			return v, nil
 		}
 		if len(page.Members) == 0 {
-			return nil, fmt.Errorf("fleet view: %s sent %d of %d routers", addr, len(v.Members), page.Of)
+			return nil, fmt.Errorf("fleet view: %s sent %d of %d routers", addr, len(v.Members), page.Total)
 		}
 	}
 	return nil, fmt.Errorf("fleet view: the view of %s changes faster than it can be read", addr)
--- a/cmd/starlingwinch/hook.go
+++ b/cmd/starlingwinch/hook.go
@@ -37,7 +37,7 @@
 func loadHooks(files []operatorconfig.File, processors int) (hooks.Config, error) {
 	cfg, err := operatorconfig.Get[hooks.File](files, hooks.Kind).Read()
 	if processors > 1 {
-		cfg.Inside = func(c io.ReadWriteCloser) {
+		cfg.ServeInProcess = func(c io.ReadWriteCloser) {
 			defer c.Close()
 			worker.Serve(c, nil)
 		}
@@ -100,7 +100,7 @@
 	}
 	engine := engineOf(path)
 	if engine == nil {
-		return fmt.Errorf("%s: unknown file extension (wanted .wasm or .star)", configerror.Plain(path))
+		return fmt.Errorf("%s: unknown file extension (wanted .wasm or .star)", configerror.QuoteIfNeeded(path))
 	}
 	if t.code, err = operatorconfig.Read(path, plugin.MaxCode); err != nil {
 		return err
@@ -114,7 +114,7 @@
 	t.loaded = time.Since(began)
 	if err != nil {
 		t.client.Close()
-		return fmt.Errorf("%s: %w", configerror.Plain(path), err)
+		return fmt.Errorf("%s: %w", configerror.QuoteIfNeeded(path), err)
 	}
 	return nil
 }
@@ -175,10 +175,10 @@
 			}
 			defer t.client.Close()
 			if err := t.tryPoints(); err != nil {
-				return fmt.Errorf("%s: %w", configerror.Plain(args[0]), err)
+				return fmt.Errorf("%s: %w", configerror.QuoteIfNeeded(args[0]), err)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good (contract %d; points: %s; %d bytes; loaded in %.1f ms)\n",
-				configerror.Plain(args[0]), plugin.Version, pointNames(t.points), len(t.code), float64(t.loaded.Microseconds())/1000)
+				configerror.QuoteIfNeeded(args[0]), plugin.Version, pointNames(t.points), len(t.code), float64(t.loaded.Microseconds())/1000)
 			return nil
 		},
 	}
@@ -254,7 +254,7 @@
 			verdict, text = "none", err.Error()
 		}
 		counts[verdict]++
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d us\t%s\n", i+1, c.Point, configerror.Plain(c.Key), verdict, r.RunTime, text)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d us\t%s\n", i+1, c.Point, configerror.QuoteIfNeeded(c.Key), verdict, r.RunTime, text)
 		if err != nil && r.Sequence == 0 { // the worker has exited
 			break
 		}
--- a/cmd/starlingwinch/hook_requests.go
+++ b/cmd/starlingwinch/hook_requests.go
@@ -52,11 +52,11 @@
 			continue
 		}
 		if len(calls) == maxRecordedRequests {
-			return nil, fmt.Errorf("%s: more than %d requests", configerror.Plain(path), maxRecordedRequests)
+			return nil, fmt.Errorf("%s: more than %d requests", configerror.QuoteIfNeeded(path), maxRecordedRequests)
 		}
 		c, err := parseRequest(line, value)
 		if err != nil {
-			return nil, fmt.Errorf("%s:%d: %s", configerror.Plain(path), i+1, configerror.Plain(err.Error()))
+			return nil, fmt.Errorf("%s:%d: %s", configerror.QuoteIfNeeded(path), i+1, configerror.QuoteIfNeeded(err.Error()))
 		}
 		calls = append(calls, c)
 	}
--- a/cmd/starlingwinch/hook_test.go
+++ b/cmd/starlingwinch/hook_test.go
@@ -141,7 +141,7 @@
 	}
 	for _, processors := range []int{1, 2} {
 		cfg, err := loadHooks([]operatorconfig.File{set}, processors)
-		if err != nil || len(cfg.Hooks) != 1 || string(cfg.Hooks[0].Code) != "version = 1\n" || (cfg.Inside != nil) != (processors > 1) {
+		if err != nil || len(cfg.Hooks) != 1 || string(cfg.Hooks[0].Code) != "version = 1\n" || (cfg.ServeInProcess != nil) != (processors > 1) {
 			t.Errorf("%d processors: %+v, %v", processors, cfg, err)
 		}
 	}
--- a/cmd/starlingwinch/main.go
+++ b/cmd/starlingwinch/main.go
@@ -102,7 +102,7 @@
 
 // flagError converts an error of the flag parser to a usageError, with a suggestion if the flag is unknown.
 func flagError(cmd *cobra.Command, err error) error {
-	text := configerror.Plain(err.Error())
+	text := configerror.QuoteIfNeeded(err.Error())
 	var unknown *pflag.NotExistError
 	if errors.As(err, &unknown) {
 		name := "--" + unknown.GetSpecifiedName()
--- a/cmd/starlingwinch/members.go
+++ b/cmd/starlingwinch/members.go
@@ -62,7 +62,7 @@
 	}
 	l.sources.Start()
 	m.At(m.Now()+wait.Microseconds(), m.Stop)
-	m.Signals(func(sig machine.Signal) {
+	m.OnSignal(func(sig machine.Signal) {
 		if sig == machine.Terminate {
 			m.Stop()
 		}
@@ -121,7 +121,7 @@
 		} else if w.Age < 0 {
 			state = "has not answered"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\n", w.Name, formatAgo(w.Age), w.Caches, w.Up, w.Unconfirmed, state)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%s\n", w.Name, formatAgo(w.Age), w.Endpoints, w.Serving, w.Unconfirmed, state)
 	}
 	t.Flush()
 }
--- a/cmd/starlingwinch/run.go
+++ b/cmd/starlingwinch/run.go
@@ -190,7 +190,7 @@
 		}
 		if first, isTaken := pathOfKind[file.Kind]; isTaken {
 			faults.Add(configerror.Error{File: path, Field: "kind", Text: fmt.Sprintf("%s is also the kind of %s; "+
-				"one file of a kind is allowed", file.Kind, configerror.Plain(first))})
+				"one file of a kind is allowed", file.Kind, configerror.QuoteIfNeeded(first))})
 		}
 		pathOfKind[file.Kind] = path
 		files = append(files, file)
@@ -233,7 +233,7 @@
 		return nil, nil, isUnfinished(err)
 	}
 	found := settings.Check(raw)
-	found.In(path)
+	found.SetFile(path)
 	if cfg, err = router.ParseConfig(raw); err == nil {
 		return cfg, found.Lines(), false
 	}
@@ -260,7 +260,7 @@
 		return nil, err
 	}
 	if len(raw) > maxConfigBytes {
-		return nil, fmt.Errorf("%s: too large (wanted at most %d bytes)", configerror.Plain(path), maxConfigBytes)
+		return nil, fmt.Errorf("%s: too large (wanted at most %d bytes)", configerror.QuoteIfNeeded(path), maxConfigBytes)
 	}
 	return raw, nil
 }
--- a/cmd/starlingwinch/state.go
+++ b/cmd/starlingwinch/state.go
@@ -58,7 +58,7 @@
 func showState(out io.Writer, path string, now time.Time) error {
 	f, state, err := snapshotstore.Read(machine.Files(), path)
 	if err != nil {
-		return fmt.Errorf("%s: %w", configerror.Plain(path), err)
+		return fmt.Errorf("%s: %w", configerror.QuoteIfNeeded(path), err)
 	}
 	at := now.UnixMicro()
 	fmt.Fprintf(out, "written by %s at %s, %s\n\n", configerror.Quote(f.Router),
@@ -74,7 +74,7 @@
 		fmt.Fprintf(t, "%s\t%.3g\t%s\n", row.name, row.v, formatAge(at, state.At))
 	}
 	for _, z := range state.Router.Zones {
-		fmt.Fprintf(t, "zone %s: failed connections in a row\t%d\t%s\n", configerror.Plain(z.Name), z.FailedConnections, formatAge(at, state.At))
+		fmt.Fprintf(t, "zone %s: failed connections in a row\t%d\t%s\n", configerror.QuoteIfNeeded(z.Name), z.FailedConnections, formatAge(at, state.At))
 	}
 	t.Flush()
 	fmt.Fprintln(out)
@@ -100,7 +100,7 @@
 		if len(c.CachedKeys) > 0 {
 			keys = formatAge(now, c.KeysAt)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%.3g\t%.0f %%\t%.0f %%\t%s\t%d\t%s\n", configerror.Plain(c.ID), started, formatAge(now, c.At),
+		fmt.Fprintf(t, "%s\t%s\t%s\t%.3g\t%.0f %%\t%.0f %%\t%s\t%d\t%s\n", configerror.QuoteIfNeeded(c.ID), started, formatAge(now, c.At),
 			c.ConcurrencyLimit, 100*c.LateRatio, 100*c.ErrorRatio, probes, len(c.CachedKeys), keys)
 	}
 	t.Flush()
@@ -113,14 +113,14 @@
 		return err
 	}
 	if !info.IsDir() {
-		return fmt.Errorf("%s: not a folder", configerror.Plain(folder))
+		return fmt.Errorf("%s: not a folder", configerror.QuoteIfNeeded(folder))
 	}
 	at, bad, good := now.UnixMicro(), 0, 0
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "FILE\tVERDICT\tROUTER\tWRITTEN\tCACHES")
 	for _, row := range snapshotstore.Verify(machine.Files(), folder, at) {
 		if row.Rejected != nil {
-			fmt.Fprintf(t, "%s\t%s\t-\t-\t-\n", row.Name, configerror.Plain(row.Rejected.Error()))
+			fmt.Fprintf(t, "%s\t%s\t-\t-\t-\n", row.Name, configerror.QuoteIfNeeded(row.Rejected.Error()))
 			if row.InUse {
 				bad++
 			}
@@ -129,13 +129,13 @@
 		if row.InUse {
 			good++
 		}
-		fmt.Fprintf(t, "%s\tsound\t%s\t%s\t%d\n", row.Name, configerror.Plain(row.File.Router), formatAge(at, row.File.Written),
+		fmt.Fprintf(t, "%s\tsound\t%s\t%s\t%d\n", row.Name, configerror.QuoteIfNeeded(row.File.Router), formatAge(at, row.File.Written),
 			len(row.Snapshot.Caches))
 	}
 	t.Flush()
 	switch {
 	case bad > 0:
-		return fmt.Errorf("%s: %d of %d files that a router reads are not valid", configerror.Plain(folder), bad, bad+good)
+		return fmt.Errorf("%s: %d of %d files that a router reads are not valid", configerror.QuoteIfNeeded(folder), bad, bad+good)
 	case good == 0:
 		fmt.Fprintln(out, "the folder holds no snapshot")
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -257,7 +257,7 @@
 	Rejected bool
 }
 
-// Request is a client's request. It receives one final answer (a result with Last set, Reject or Fail) by its
+// Request is a client's request. It receives one final answer (a result with Final set, Reject or Fail) by its
 // deadline.
 type Request struct {
 	ID       int64  // unique among the requests of this router
@@ -269,7 +269,7 @@
 	// FirstRequestedAt is when the client first made the request, if the request is known to be a retry; 0
 	// otherwise.
 	FirstRequestedAt Time
-	Cost             Time // expected work; µs, 0 if unknown
+	ExpectedWork     Time // expected work; µs, 0 if unknown
 	Write            bool // the cache passes the request to the origin
 	// IdempotencyKeyMissing is set for a request of an IdempotentByKey class that carries no key. No cache
 	// drops a repeat of such a request.
@@ -289,7 +289,7 @@
 	Attempt int   // number of the attempt, from 0
 	Result  Result
 	Elapsed Time // since the attempt was sent; µs
-	Last    bool // the client has received its final answer
+	Final   bool // the client has received its final answer
 	Miss    bool // the cache had to fetch from the origin
 	Load    LoadReport
 }
--- a/decide/attempt_result.go
+++ b/decide/attempt_result.go
@@ -31,7 +31,7 @@
 		elapsed: elapsed,
 		onTime:  ev.Result == Served && elapsed < q.class.responseTimeout(),
 	})
-	r.proceed(q, ev.Last)
+	r.proceed(q, ev.Final)
 	r.dispatchQueued()
 }
 
--- a/decide/benchmark_test.go
+++ b/decide/benchmark_test.go
@@ -55,7 +55,7 @@
 		now += 50
 		id := int64(i + 1)
 		r.Handle(now, &Request{ID: id, Class: "read", Key: key(i), HasKey: true, Deadline: now + 800*ms})
-		r.Handle(now+1, &AttemptResult{ID: id, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
+		r.Handle(now+1, &AttemptResult{ID: id, Result: Served, Elapsed: 1, Final: true, Load: LoadReport{Utilization: -1}})
 	}
 }
 
--- a/decide/endpoint_list.go
+++ b/decide/endpoint_list.go
@@ -38,7 +38,7 @@
 // start starts the watch, if one is required, and the periodic tasks. It is called with the first list.
 func (r *Router) start() {
 	if r.settings.WatchRequired {
-		r.watchAfter(r.list.pacer.Start(r.list.random.next()))
+		r.watchAfter(r.list.pacer.StartDelay(r.list.random.next()))
 	}
 	r.runAt(r.now, r.rotateCachedKeys)
 	r.runAt(r.now, r.rotateKeyCounts)
@@ -68,7 +68,7 @@
 	if failure.Overdue {
 		r.logListUnavailable(failure)
 	}
-	r.watchAfter(failure.Pause)
+	r.watchAfter(failure.Delay)
 }
 
 // watchAfter calls for the list after a pause, and replaces a call that is already scheduled.
--- a/decide/endpoint_list_test.go
+++ b/decide/endpoint_list_test.go
@@ -123,7 +123,7 @@
 		if s == nil {
 			continue
 		}
-		h.feed(&AttemptResult{ID: id, Result: result, Last: true, Load: LoadReport{Utilization: -1}})
+		h.feed(&AttemptResult{ID: id, Result: result, Final: true, Load: LoadReport{Utilization: -1}})
 	}
 	h.actions = nil
 	h.advance(within)
--- a/decide/error_ratio_test.go
+++ b/decide/error_ratio_test.go
@@ -56,7 +56,7 @@
 				if (int64(seed)*12+i)%10 == 0 {
 					res = Errored
 				}
-				h.feed(&AttemptResult{ID: i + 1, Result: res, Elapsed: 5 * ms, Last: res == Served, Load: LoadReport{Utilization: -1}})
+				h.feed(&AttemptResult{ID: i + 1, Result: res, Elapsed: 5 * ms, Final: res == Served, Load: LoadReport{Utilization: -1}})
 				h.serve(i+1, 1) // ends the second attempt if there is one
 			}
 			h.advance(5000 * ms)
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -134,12 +134,12 @@
 
 // serve ends an attempt with Served, which is the final answer.
 func (h *harness) serve(id int64, attempt int) {
-	h.feed(&AttemptResult{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Last: true, Load: LoadReport{Utilization: -1}})
+	h.feed(&AttemptResult{ID: id, Attempt: attempt, Result: Served, Elapsed: 1, Final: true, Load: LoadReport{Utilization: -1}})
 }
 
 // endAttempt ends an attempt with a result. If last is set, the result is the final answer.
 func (h *harness) endAttempt(id int64, attempt int, res Result, last bool) []Action {
-	return h.feed(&AttemptResult{ID: id, Attempt: attempt, Result: res, Last: last, Load: LoadReport{Utilization: -1}})
+	return h.feed(&AttemptResult{ID: id, Attempt: attempt, Result: res, Final: last, Load: LoadReport{Utilization: -1}})
 }
 
 // logText returns the log lines among the actions.
@@ -195,7 +195,7 @@
 func (h *harness) timeOutRequest(id int64) {
 	h.advance(800 * ms)
 	for n := range 3 {
-		h.feed(&AttemptResult{ID: id, Attempt: n, Result: Cancelled, Elapsed: 800 * ms, Last: true, Load: LoadReport{Utilization: -1}})
+		h.feed(&AttemptResult{ID: id, Attempt: n, Result: Cancelled, Elapsed: 800 * ms, Final: true, Load: LoadReport{Utilization: -1}})
 	}
 }
 
--- a/decide/inspect.go
+++ b/decide/inspect.go
@@ -9,6 +9,6 @@
 	return 0
 }
 
-// Open returns the number of requests that the router tracks: requests without a final answer, and requests
+// OpenRequests returns the number of requests that the router tracks: requests without a final answer, and requests
 // that still have an attempt in flight.
-func (r *Router) Open() int { return len(r.requests) }
+func (r *Router) OpenRequests() int { return len(r.requests) }
--- a/decide/inspect_test.go
+++ b/decide/inspect_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// TestInspectionFollowsRequestToItsResult checks the counts that InFlight and Open return before, during and after a
+// TestInspectionFollowsRequestToItsResult checks the counts that InFlight and OpenRequests return before, during and after a
 // request.
 func TestInspectionFollowsRequestToItsResult(t *testing.T) {
 	h := newHarness(t, testSettings())
@@ -16,11 +16,11 @@
 	if s == nil {
 		t.Fatal("the request was not sent")
 	}
-	if inFlight, open := h.router.InFlight(s.Cache), h.router.Open(); inFlight != 1 || open != 1 {
+	if inFlight, open := h.router.InFlight(s.Cache), h.router.OpenRequests(); inFlight != 1 || open != 1 {
 		t.Errorf("after the send: got %d attempts in flight and %d open requests, want 1 and 1", inFlight, open)
 	}
-	h.feed(&AttemptResult{ID: 1, Result: Served, Last: true})
-	if inFlight, open := h.router.InFlight(s.Cache), h.router.Open(); inFlight != 0 || open != 0 {
+	h.feed(&AttemptResult{ID: 1, Result: Served, Final: true})
+	if inFlight, open := h.router.InFlight(s.Cache), h.router.OpenRequests(); inFlight != 0 || open != 0 {
 		t.Errorf("after the result: got %d attempts in flight and %d open requests, want none", inFlight, open)
 	}
 }
--- a/decide/origin_limit_test.go
+++ b/decide/origin_limit_test.go
@@ -39,7 +39,7 @@
 		h := newHarnessWithoutHealthChecks(t, 8, nil)
 		for id := range int64(400) {
 			if h.request(id+1, "read", uint64(id)) != nil {
-				h.feed(&AttemptResult{ID: id + 1, Result: Served, Last: true, Miss: miss, Load: LoadReport{Utilization: -1}})
+				h.feed(&AttemptResult{ID: id + 1, Result: Served, Final: true, Miss: miss, Load: LoadReport{Utilization: -1}})
 			}
 		}
 		h.router.origin.limit.value = 2
@@ -89,7 +89,7 @@
 		}
 		h.advance(150 * ms)
 		for n := range 2 {
-			h.feed(&AttemptResult{ID: id, Attempt: n, Result: Served, Elapsed: 150 * ms, Miss: true, Last: true, Load: LoadReport{Utilization: -1}})
+			h.feed(&AttemptResult{ID: id, Attempt: n, Result: Served, Elapsed: 150 * ms, Miss: true, Final: true, Load: LoadReport{Utilization: -1}})
 		}
 	}
 	if h.router.origin.limit.value >= 5 {
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -205,7 +205,7 @@
 			q := &checkedRequest{class: classes[name], deadline: h.now + Time(rng.Intn(900*ms)) - 20*ms}
 			checker.requests[id] = q
 			feed(&Request{ID: id, Class: name, Tenant: prefix + []string{"x", "y", ""}[rng.Intn(3)], Key: uint64(rng.Intn(40)),
-				HasKey: rng.Intn(9) > 0, Deadline: q.deadline, Cost: Time(rng.Intn(60 * ms))})
+				HasKey: rng.Intn(9) > 0, Deadline: q.deadline, ExpectedWork: Time(rng.Intn(60 * ms))})
 		case x < 53:
 			gone := id - 1 - int64(rng.Intn(20))
 			if q := checker.requests[gone]; q != nil {
@@ -254,7 +254,7 @@
 			}
 			q.attempts[i].pending, q.attempts[i].result = false, res
 			q.done = q.done || res == Served
-			feed(&AttemptResult{ID: id - back, Attempt: i, Result: res, Elapsed: h.now - q.attempts[i].sent, Last: q.done,
+			feed(&AttemptResult{ID: id - back, Attempt: i, Result: res, Elapsed: h.now - q.attempts[i].sent, Final: q.done,
 				Load: LoadReport{Utilization: rng.Float64()*2 - 1}})
 			return
 		}
--- a/decide/request_test.go
+++ b/decide/request_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestAttemptResultAtDeadlineIsNoFinalAnswer checks that an attempt result without Last at the deadline is followed by
+// TestAttemptResultAtDeadlineIsNoFinalAnswer checks that an attempt result without Final at the deadline is followed by
 // exactly one final answer.
 func TestAttemptResultAtDeadlineIsNoFinalAnswer(t *testing.T) {
 	h := newHarness(t, testSettings())
--- a/decide/retry_storm_test.go
+++ b/decide/retry_storm_test.go
@@ -34,8 +34,8 @@
 	if len(actions) != 1 || len(rejections(actions)) != 1 {
 		t.Fatalf("late retry: got %v, want one Reject only", actions)
 	}
-	if h.router.Open() != 0 {
-		t.Fatalf("got %d open requests after the rejection, want none", h.router.Open())
+	if h.router.OpenRequests() != 0 {
+		t.Fatalf("got %d open requests after the rejection, want none", h.router.OpenRequests())
 	}
 	early := &Request{ID: 2, Class: "read", Key: 2, HasKey: true, Deadline: h.now + 500*ms, FirstRequestedAt: h.now - 20*ms}
 	if len(sends(h.feed(early))) != 1 {
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -73,7 +73,7 @@
 			for _, j := range jobs {
 				switch j.remaining -= workPerJob; {
 				case finished[j.id]:
-					harnesses[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Cancelled, Last: true})
+					harnesses[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Cancelled, Final: true})
 				case j.remaining > 0:
 					running[e.ID] = append(running[e.ID], j)
 				default:
@@ -81,7 +81,7 @@
 						served++
 					}
 					finished[j.id] = true
-					perform(j.router, harnesses[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Served, Last: true}))
+					perform(j.router, harnesses[j.router].feed(&AttemptResult{ID: j.id, Attempt: j.attempt, Result: Served, Final: true}))
 				}
 			}
 			windowStart := now - s.OverloadWindow
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -24,7 +24,7 @@
 func (e Error) String() string {
 	var b strings.Builder
 	if e.File != "" {
-		b.WriteString(Plain(e.File))
+		b.WriteString(QuoteIfNeeded(e.File))
 		if e.Line > 0 {
 			fmt.Fprintf(&b, ":%d:%d", e.Line, e.Column)
 		}
@@ -63,8 +63,8 @@
 	l.dropped += other.dropped
 }
 
-// In sets the file of all errors in the list.
-func (l *List) In(file string) {
+// SetFile sets the file of all errors in the list.
+func (l *List) SetFile(file string) {
 	for i := range l.errors {
 		l.errors[i].File = file
 	}
@@ -117,7 +117,7 @@
 // maxQuotedBytes is the length to which Quote truncates a word.
 const maxQuotedBytes = 60
 
-// maxPlainBytes is the maximum length of a name that Plain returns unquoted.
+// maxPlainBytes is the maximum length of a name that QuoteIfNeeded returns unquoted.
 const maxPlainBytes = 4 * maxQuotedBytes
 
 // Quote returns a word of a file in quotes, truncated to maxQuotedBytes.
@@ -128,9 +128,9 @@
 	return strconv.Quote(word)
 }
 
-// Plain returns a name unchanged. It quotes a name that is empty, longer than maxPlainBytes, or has characters that a terminal
-// would not print literally: a name with line breaks could forge lines of the report.
-func Plain(name string) string {
+// QuoteIfNeeded returns a name unchanged. It quotes a name that is empty, longer than maxPlainBytes, or has characters that a
+// terminal would not print literally: a name with line breaks could forge lines of the report.
+func QuoteIfNeeded(name string) string {
 	for _, r := range name {
 		if r < ' ' || r == 0x7f || r == utf8.RuneError || r == '\u2028' || r == '\u2029' {
 			return Quote(name)
--- a/internal/configerror/configerror_test.go
+++ b/internal/configerror/configerror_test.go
@@ -28,7 +28,7 @@
 
 // TestErrorIsOneLine checks that line breaks in names do not forge lines of a report, and that long words are truncated.
 func TestErrorIsOneLine(t *testing.T) {
-	e := Error{File: "a\nb", Field: Plain("x\ny"), Text: "bad " + Quote("\r\nz")}
+	e := Error{File: "a\nb", Field: QuoteIfNeeded("x\ny"), Text: "bad " + Quote("\r\nz")}
 	if got := e.String(); strings.ContainsAny(got, "\r\n") {
 		t.Errorf("got %q, want an error of one line", got)
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -129,13 +129,14 @@
 	w.client.Do(request, maxCallTime, w.onResponse)
 }
 
-// IsBehind reports whether bytes from discovery wait to be read, or a received answer waits to be parsed and passed to onList.
-func (w *Watch) IsBehind() bool {
+// HasUndelivered reports whether bytes from discovery wait to be read, or a received answer waits to be parsed and passed to
+// onList.
+func (w *Watch) HasUndelivered() bool {
 	return !w.stopped && w.callPending && (!w.client.Busy() || !w.client.NothingUnread())
 }
 
-// IsFirstOut reports whether the first call is in flight and has not timed out.
-func (w *Watch) IsFirstOut() bool { return !w.stopped && !w.wasAnswered && !w.timedOut }
+// IsFirstCallInFlight reports whether the first call is in flight and has not timed out.
+func (w *Watch) IsFirstCallInFlight() bool { return !w.stopped && !w.wasAnswered && !w.timedOut }
 
 // RetryDelay returns the delay from a failure to the next call, or 0 if the owner of the watch decides the delay.
 func (w *Watch) RetryDelay() Time { return w.timeouts.RetryDelay }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -203,11 +203,11 @@
 			open = false
 		}
 	}
-	if limit := maxCallBurst + int(span.Microseconds()/retry.CallPause) + 1; made > limit || len(f.lists) < 2 {
+	if limit := maxCallBurst + int(span.Microseconds()/retry.MinCallInterval) + 1; made > limit || len(f.lists) < 2 {
 		t.Errorf("got %d calls in %v and %d answers, want at most %d calls and at least 2 answers", made, span, len(f.lists), limit)
 	}
-	if retry.CallPause >= 200_000 {
-		t.Errorf("got a pause of %d µs, want less than the 200,000 that end the watch", retry.CallPause)
+	if retry.MinCallInterval >= 200_000 {
+		t.Errorf("got a pause of %d µs, want less than the 200,000 that end the watch", retry.MinCallInterval)
 	}
 }
 
--- a/internal/endpoints/api.go
+++ b/internal/endpoints/api.go
@@ -40,12 +40,12 @@
 
 // SourceUpdate is a full or partial list that a source has sent.
 type SourceUpdate struct {
-	Source     string   // name of the source in Options.Sources
-	Full       bool     // the list names every endpoint that the source knows, and an omitted one is removed; otherwise it has only changes
-	Stale      bool     // the list is the last known one, and may be outdated
-	Repeat     bool     // the full list was fetched in response to a Confirm
-	Claims     []Claim  // one for each entry
-	Unreadable []string // IDs of endpoints whose entry is invalid: the source's previous claims on them remain valid
+	Source       string   // name of the source in Options.Sources
+	Full         bool     // the list names every endpoint that the source knows, and an omitted one is removed; otherwise it has only changes
+	Stale        bool     // the list is the last known one, and may be outdated
+	Confirmation bool     // the full list was fetched in response to a Confirm
+	Claims       []Claim  // one for each entry
+	Unreadable   []string // IDs of endpoints whose entry is invalid: the source's previous claims on them remain valid
 }
 
 // SourceUnavailable reports that a source can't be reached or sends no usable response. Reason is for the log.
@@ -70,7 +70,7 @@
 }
 
 // Confirm requests that a source's full list be fetched a second time, from another of its servers where it has several. The
-// caller responds with a SourceUpdate with Repeat set, or with a SourceUnavailable.
+// caller responds with a SourceUpdate with Confirmation set, or with a SourceUnavailable.
 type Confirm struct{ Source string }
 
 // Wake requests a Tick at or after At. It replaces the previous Wake.
--- a/internal/endpoints/harness_test.go
+++ b/internal/endpoints/harness_test.go
@@ -86,7 +86,7 @@
 // repeat passes a full list that answers a Confirm to the Merger, with entries as in full.
 func (r *rig) repeat(source string, entries ...string) []Action {
 	r.Helper()
-	return r.handle(&SourceUpdate{Source: source, Full: true, Repeat: true, Claims: claims(entries...)})
+	return r.handle(&SourceUpdate{Source: source, Full: true, Confirmation: true, Claims: claims(entries...)})
 }
 
 // changes passes a partial list to the Merger, with entries as in full.
--- a/internal/endpoints/invariants_test.go
+++ b/internal/endpoints/invariants_test.go
@@ -107,7 +107,7 @@
 		omittedAt, omittedBefore := omitted[id]
 		switch {
 		case named[id] || unusable[id]:
-		case !mustConfirm, omittedBefore && (update.Repeat || now-omittedAt >= DefaultMassRemoval().ConfirmWithin):
+		case !mustConfirm, omittedBefore && (update.Confirmation || now-omittedAt >= DefaultMassRemoval().ConfirmWithin):
 			unusable[id] = true
 			delete(omitted, id)
 		case !omittedBefore:
@@ -123,7 +123,7 @@
 		return &SourceUnavailable{Source: name, Reason: "timed out"}
 	}
 	update := &SourceUpdate{Source: name, Full: rnd.IntN(2) == 0, Claims: randomClaims(rnd, endpointCount, 0.1)}
-	update.Repeat = update.Full && name == "eureka" && rnd.IntN(2) == 0
+	update.Confirmation = update.Full && name == "eureka" && rnd.IntN(2) == 0
 	return update
 }
 
@@ -160,7 +160,7 @@
 		}
 		r.after(DefaultDamping().MaxSuppress).wantAll(all, "serving")
 		for _, s := range r.Sources(r.at) {
-			if s.Caches != endpointCount || s.Up != endpointCount || s.Unconfirmed != 0 {
+			if s.Endpoints != endpointCount || s.Serving != endpointCount || s.Unconfirmed != 0 {
 				t.Fatalf("seed %d: got source %+v, want %d endpoints, all of them serving and confirmed", seed, s, endpointCount)
 			}
 		}
--- a/internal/endpoints/mass_removal.go
+++ b/internal/endpoints/mass_removal.go
@@ -108,10 +108,10 @@
 		return
 	}
 	check := &s.massRemoval
-	if update.Repeat {
+	if update.Confirmation {
 		check.awaitingAnswer = false
 	}
-	omitted = m.removeConfirmed(sourceIndex, omitted, update.Repeat)
+	omitted = m.removeConfirmed(sourceIndex, omitted, update.Confirmation)
 	// While the omissions of one list are unconfirmed, the next list must not remove endpoints that the first list named:
 	// otherwise two servers that each know half of the endpoints would together remove all of them.
 	if before.unconfirmed == 0 && !m.isMassRemoval(sourceIndex, omitted, before) {
--- a/internal/endpoints/mass_removal_test.go
+++ b/internal/endpoints/mass_removal_test.go
@@ -207,7 +207,7 @@
 func TestUnreadableEntryDeniesARemoval(t *testing.T) {
 	r := massRemovalRig(t)
 	r.full("eureka", "c2")
-	r.handle(&SourceUpdate{Source: "eureka", Full: true, Repeat: true, Claims: claims("c2"), Unreadable: []string{"c1"}})
+	r.handle(&SourceUpdate{Source: "eureka", Full: true, Confirmation: true, Claims: claims("c2"), Unreadable: []string{"c1"}})
 	r.after(10*second).want("c1", "serving")
 	r.wantAll(names(3, 10), "removed")
 	if s := r.Sources(r.at)[0]; s.Unconfirmed != 0 {
--- a/internal/endpoints/merger_test.go
+++ b/internal/endpoints/merger_test.go
@@ -110,7 +110,7 @@
 	r.after(20 * second).unavailable("eureka")
 	r.wantAll(names(1, 9), "serving")
 	s := r.Sources(r.at)[1]
-	if s.Age != 25*second || s.UnavailableFor != 20*second || s.Caches != 9 || s.Reason == "" {
+	if s.Age != 25*second || s.UnavailableFor != 20*second || s.Endpoints != 9 || s.Reason == "" {
 		t.Errorf("got source %+v, want age 25 s, unavailable for 20 s with a reason, 9 endpoints", s)
 	}
 	if claim := r.rowOf("c1").Claims[0]; claim.Age != 25*second || claim.LastSeenAge != -1 {
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -36,8 +36,8 @@
 	Age            Time   // time since the source's last answer; -1 if there was none
 	UnavailableFor Time   // -1 if the source is available
 	Reason         string // for which the source is unavailable
-	Caches         int    // endpoints that the source names
-	Up             int    // endpoints that the source names as serving
+	Endpoints      int    // endpoints that the source names
+	Serving        int    // endpoints that the source names as serving
 	Unconfirmed    int    // omissions that the source has not confirmed
 }
 
@@ -105,8 +105,8 @@
 		Name:           s.Name,
 		Age:            -1,
 		UnavailableFor: -1,
-		Caches:         s.known,
-		Up:             s.serving,
+		Endpoints:      s.known,
+		Serving:        s.serving,
 		Unconfirmed:    s.massRemoval.unconfirmed,
 	}
 	if s.answered {
--- a/internal/endpointsource/discovery.go
+++ b/internal/endpointsource/discovery.go
@@ -191,12 +191,12 @@
 // not been answered.
 func (s *Sources) IsBehind() bool {
 	d := &s.discovery
-	if d.catchUp != nil && d.catchUp.IsFirstOut() {
+	if d.catchUp != nil && d.catchUp.IsFirstCallInFlight() {
 		return true
 	}
 	d.catchUp = nil
 	for _, w := range []*discovery.Watch{d.watch, d.previous} {
-		if w != nil && w.IsBehind() {
+		if w != nil && w.HasUndelivered() {
 			return true
 		}
 	}
--- a/internal/eureka/answer.go
+++ b/internal/eureka/answer.go
@@ -129,7 +129,7 @@
 }
 
 func (c *Client) applyFull(call *listCall, list *List, size int, update *endpoints.SourceUpdate) {
-	update.Full, update.Repeat = true, call.confirming
+	update.Full, update.Confirmation = true, call.confirming
 	update.Claims, update.Unreadable = c.table.applyFull(list, c.m.Now(), call.confirming)
 	c.confirming = false
 	c.deltas.version, c.deltas.hasFullRegistry = 0, !call.filtered
--- a/internal/eureka/client.go
+++ b/internal/eureka/client.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Confirm fetches the full list at once, from another server if there is one. The next event is a SourceUpdate with Repeat set
-// or a SourceUnavailable.
+// Confirm fetches the full list at once, from another server if there is one. The next event is a SourceUpdate with Confirmation
+// set or a SourceUnavailable.
 func (c *Client) Confirm() {
 	if c.stopped || c.confirming {
 		return
--- a/internal/eureka/client_test.go
+++ b/internal/eureka/client_test.go
@@ -248,8 +248,8 @@
 	fleet.set("bb", "")
 	isEmpty := func(update *endpoints.SourceUpdate) bool { return update.Full && len(update.Claims) == 0 }
 	update := f.waitUpdate(500*millisecond, "the empty list", isEmpty)
-	if update.Repeat || f.unavailableEvents() > 0 || slices.ContainsFunc(r.paths(), func(p string) bool { return p != "/apps/CACHE" }) {
-		t.Errorf("repeat %v, %d times unavailable, calls %v", update.Repeat, f.unavailableEvents(), r.paths())
+	if update.Confirmation || f.unavailableEvents() > 0 || slices.ContainsFunc(r.paths(), func(p string) bool { return p != "/apps/CACHE" }) {
+		t.Errorf("repeat %v, %d times unavailable, calls %v", update.Confirmation, f.unavailableEvents(), r.paths())
 	}
 }
 
--- a/internal/eureka/registration.go
+++ b/internal/eureka/registration.go
@@ -21,17 +21,17 @@
 
 // RegisterOptions are the parameters of a Registration.
 type RegisterOptions struct {
-	Servers     []URL
-	Login       Login
-	Application string
-	Instance    string         // id of the instance
-	VIP         string         // "" for the application's name in lower case
-	Address     netip.AddrPort // that clients connect to
-	Renewal     Time           // between heartbeats
-	Duration    Time           // of a lease
-	Timeout     Time           // of a call, and of the deregistration with all its calls
-	MaxBackoff  Time           // longest time between failing calls
-	Predecessor Time           // period in which the previous process with the same id may still deregister itself
+	Servers           []URL
+	Login             Login
+	Application       string
+	Instance          string         // id of the instance
+	VIP               string         // "" for the application's name in lower case
+	Address           netip.AddrPort // that clients connect to
+	Renewal           Time           // between heartbeats
+	Duration          Time           // of a lease
+	Timeout           Time           // of a call, and of the deregistration with all its calls
+	MaxBackoff        Time           // longest time between failing calls
+	PredecessorWindow Time           // period in which the previous process with the same id may still deregister itself
 }
 
 // phase is a stage in the lifecycle of a registration.
@@ -75,7 +75,7 @@
 		login:             o.Login,
 		unregistered:      true,
 		dirtyTimestamp:    m.Wall() / millisecond,
-		predecessorEndsAt: m.Now() + o.Predecessor,
+		predecessorEndsAt: m.Now() + o.PredecessorWindow,
 	}
 	if r.options.VIP == "" {
 		r.options.VIP = strings.ToLower(o.Application)
--- a/internal/eureka/registration_test.go
+++ b/internal/eureka/registration_test.go
@@ -238,7 +238,7 @@
 	f, scripted := newFixture(t), &scriptedRegistration{}
 	reg := f.registry("eureka", "10.0.0.2", scripted.script)
 	o := registration(reg)
-	o.Predecessor = 5 * second
+	o.PredecessorWindow = 5 * second
 	r := Register(f.client.Machine(), o)
 	defer r.Stop()
 	f.wait(second, "the registration", func() bool { return scripted.status == "UP" })
--- a/internal/eureka/server_test.go
+++ b/internal/eureka/server_test.go
@@ -342,7 +342,7 @@
 	at := f.Now()
 	c.Confirm()
 	c.Confirm()
-	update := f.waitUpdate(second, "the repeat", func(update *endpoints.SourceUpdate) bool { return update.Repeat })
+	update := f.waitUpdate(second, "the repeat", func(update *endpoints.SourceUpdate) bool { return update.Confirmation })
 	if got := claimTexts(update.Claims); got != "a up, bb up, ccc up" || len(r2.calls) != 1 || f.Now()-at > 100*millisecond {
 		t.Errorf("reported %s after %d ms and %d calls to the other server", got, (f.Now()-at)/1000, len(r2.calls))
 	}
@@ -362,7 +362,7 @@
 	repeats := 0
 	c = Follow(f.client.Machine(), options(r), func(e endpoints.Event) {
 		if update, ok := e.(*endpoints.SourceUpdate); ok && update.Full {
-			if update.Repeat {
+			if update.Confirmation {
 				repeats++
 			}
 			c.Confirm() // each response leads to the next Confirm
@@ -390,8 +390,8 @@
 	delay = 0
 	c.Confirm()
 	update := f.waitUpdate(100*millisecond, "the repeat", isFull)
-	if !update.Repeat || f.unavailableEvents() > 0 {
-		t.Errorf("repeat %v, %d times unavailable", update.Repeat, f.unavailableEvents())
+	if !update.Confirmation || f.unavailableEvents() > 0 {
+		t.Errorf("repeat %v, %d times unavailable", update.Confirmation, f.unavailableEvents())
 	}
 }
 
--- a/internal/frontend/client_end_test.go
+++ b/internal/frontend/client_end_test.go
@@ -245,7 +245,7 @@
 						o.Limits.IdleTime, o.Limits.CommandTime = span/2, span/2
 					}
 				})
-				r.server.options.Limits.CrowdedIdleTime = time.Hour
+				r.server.options.Limits.IdleTimeUnderPressure = time.Hour
 				others := r.connectMany()
 				one := r.dial()
 				one.Send(c.first)
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -87,7 +87,7 @@
 // closeIfQuiet closes the connection, which is between requests. If more bytes have arrived, the connection is read first:
 // closing it would lose the request in these bytes.
 func (c *connection) closeIfQuiet() {
-	if c.socket.Quiet() {
+	if c.socket.HasNothingUnread() {
 		c.close()
 	} else {
 		c.scheduleRead()
@@ -98,7 +98,7 @@
 // the connection, and the client would lose the reply. The server therefore closes only its sending side at first, and reads
 // and drops the bytes that still arrive until a limit of time or bytes is reached.
 func (c *connection) closeGracefully() {
-	if c.socket.Quiet() || c.socket.CloseWrite() != nil {
+	if c.socket.HasNothingUnread() || c.socket.CloseWrite() != nil {
 		c.close()
 		return
 	}
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -149,7 +149,7 @@
 				o.Limits.MaxPipelined = 2
 				o.Limits.CommandTime = shortTimeout
 				o.Limits.IdleTime = shortTimeout
-				o.Limits.CrowdedIdleTime = shortTimeout
+				o.Limits.IdleTimeUnderPressure = shortTimeout
 			})
 			c := r.dial()
 			wire := get("r0") + get("r1") + get("r2")
@@ -404,7 +404,7 @@
 		t.Run(fmt.Sprintf("over half full %t", overHalfFull), func(t *testing.T) {
 			r := newTestServer(t, func(o *Options) {
 				if o.Limits.IdleTime = shortTimeout; overHalfFull {
-					o.Limits.IdleTime, o.Limits.CrowdedIdleTime, o.MaxConnections = time.Hour, shortTimeout, 3
+					o.Limits.IdleTime, o.Limits.IdleTimeUnderPressure, o.MaxConnections = time.Hour, shortTimeout, 3
 				}
 			})
 			idle, waiting := r.dial(), r.dial()
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -37,7 +37,7 @@
 	c.retired, c.retiredAt = true, c.server.machine.Now()
 	c.unparsed = releaseEmpty(c.unparsed)
 	unused := c.state == stateNew && c.stateSince+commandGrace <= c.retiredAt
-	if (c.state == stateIdle || unused) && c.socket.Quiet() {
+	if (c.state == stateIdle || unused) && c.socket.HasNothingUnread() {
 		c.close()
 		return
 	}
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -131,7 +131,7 @@
 	drained := r.startDrain()
 	r.Do(func() {
 		c.Send(get("second"))
-		if first.connection.socket.Quiet() {
+		if first.connection.socket.HasNothingUnread() {
 			t.Error("the second request has not arrived")
 		}
 		first.Answer([]byte(value))
--- a/internal/frontend/reading.go
+++ b/internal/frontend/reading.go
@@ -15,7 +15,7 @@
 func (c *connection) read() {
 	// While reading is suspended, no read would show that the client has gone. Without this check, the client's requests
 	// would still be sent to caches.
-	if err := c.socket.End(); err != nil && !c.closed {
+	if err := c.socket.EndError(); err != nil && !c.closed {
 		c.handleDisconnect(err)
 		return
 	}
@@ -190,7 +190,7 @@
 // readIfPending reads the bytes that have arrived. The machine may not have reported them yet, since it reports a limited
 // number of connections in one turn.
 func (c *connection) readIfPending() {
-	if !c.socket.Quiet() {
+	if !c.socket.HasNothingUnread() {
 		c.read()
 	}
 }
--- a/internal/frontend/reply_slot.go
+++ b/internal/frontend/reply_slot.go
@@ -55,7 +55,7 @@
 
 // ClientGone reports whether the client has gone, even if Handler.ClientsGone has not been called yet.
 func (slot *ReplySlot) ClientGone() bool {
-	return slot.connection.closed || slot.connection.socket.End() != nil
+	return slot.connection.closed || slot.connection.socket.EndError() != nil
 }
 
 // ClientAddressHash returns a hash of the IP address from which the request came, without the port.
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -102,7 +102,7 @@
 		next = statePartialCommand
 	case len(c.pendingReplies) > 0:
 		next = stateAwaitingReplies
-	case c.retired && c.commandSeen && c.socket.Quiet():
+	case c.retired && c.commandSeen && c.socket.HasNothingUnread():
 		c.close()
 		return
 	case c.commandSeen:
@@ -128,7 +128,7 @@
 		return limits.CommandTime.Microseconds()
 	case stateIdle:
 		if s.overHalfFull() {
-			return limits.CrowdedIdleTime.Microseconds()
+			return limits.IdleTimeUnderPressure.Microseconds()
 		}
 		return limits.IdleTime.Microseconds()
 	case stateWriteBlocked:
--- a/internal/gossip/api.go
+++ b/internal/gossip/api.go
@@ -97,9 +97,9 @@
 	// Suspicion is the minimum duration of a suspicion, in intervals times the logarithm of the number of members. A larger
 	// value delays the detection of failures; a smaller one leaves a member less time to refute the suspicion.
 	Suspicion int
-	// Plain disables the extensions of Lifeguard and the additions of this package to SWIM, so that measurements can compare
+	// PlainSWIM disables the extensions of Lifeguard and the additions of this package to SWIM, so that measurements can compare
 	// against plain SWIM.
-	Plain bool
+	PlainSWIM bool
 	// Defect is the defect to inject, if any; tests inject defects to verify that they are detected.
 	Defect Defect
 }
@@ -109,15 +109,15 @@
 
 // Defects that tests can inject.
 const (
-	NoDefect              Defect = iota
-	FaultyNeverProbed            // faulty members are not polled
-	IncarnationNotRaised         // a refutation does not raise the incarnation
-	UpdatesNeverDropped          // an update is sent an unlimited number of times
-	SuspicionNeverExpires        // a suspicion has no timeout
-	GreedyMinority               // the divisor shrinks on the minority side of a partition
-	SettledEarly                 // a view is settled before all members have announced its digest
-	Replayable                   // replayed datagrams are accepted
-	Defects                      // number of the values above
+	NoDefect               Defect = iota
+	FaultyNeverProbed             // faulty members are not polled
+	IncarnationNotRaised          // a refutation does not raise the incarnation
+	UpdatesNeverDropped           // an update is sent an unlimited number of times
+	SuspicionNeverExpires         // a suspicion has no timeout
+	MinorityShrinksDivisor        // the divisor shrinks on the minority side of a partition
+	SettledEarly                  // a view is settled before all members have announced its digest
+	Replayable                    // replayed datagrams are accepted
+	Defects                       // number of the values above
 )
 
 // DefaultConfig returns the default Interval, Timeout and Suspicion. docs/design/fleet.md describes the measurements behind
@@ -212,15 +212,15 @@
 
 // Counts are counters of a view since its start.
 type Counts struct {
-	Sent         int // datagrams sent
-	SentBytes    int // total bytes of the datagrams sent
-	Accepted     int // datagrams accepted
-	LongestBytes int // bytes of the longest datagram sent
-	Unreadable   int // datagrams that could not be decoded
-	NonMember    int // datagrams from routers that are not members, or that use this router's name
-	Replayed     int // datagrams received before, or sent by an earlier process of a member
-	OutOfRange   int // incarnations out of range, and members beyond MaxMembers
-	Stalls       int // times that this process did not run for longer than an interval
-	Refuted      int // claims about this router that it refuted
-	Accused      int // members that this router declared faulty
+	Sent           int // datagrams sent
+	SentBytes      int // total bytes of the datagrams sent
+	Accepted       int // datagrams accepted
+	LongestBytes   int // bytes of the longest datagram sent
+	Unreadable     int // datagrams that could not be decoded
+	NonMember      int // datagrams from routers that are not members, or that use this router's name
+	Replayed       int // datagrams received before, or sent by an earlier process of a member
+	OutOfRange     int // incarnations out of range, and members beyond MaxMembers
+	Stalls         int // times that this process did not run for longer than an interval
+	Refuted        int // claims about this router that it refuted
+	DeclaredFaulty int // members that this router declared faulty
 }
--- a/internal/gossip/compatibility_test.go
+++ b/internal/gossip/compatibility_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Page{Router: "n17", Digest: 1 << 63, Settled: true, For: 77_000, First: 3, Of: 9, Members: []Member{
+	want := &Page{Router: "n17", Digest: 1 << 63, Settled: true, SettledFor: 77_000, First: 3, Total: 9, Members: []Member{
 		{Name: "n4", State: Faulty, Incarnation: 1_796_000_000_007, Since: 4000, Info: Info{List: 9, Digest: 8, Config: 7, Build: 6}},
 		{Name: "n6", State: Faulty, Incarnation: 7},
 	}}
--- a/internal/gossip/divisor.go
+++ b/internal/gossip/divisor.go
@@ -9,8 +9,8 @@
 	// Hold is how long a view must have been settled before the divisor excludes faulty routers. A longer hold leaves capacity
 	// unused for longer after a failure; a shorter one risks overload if the routers had not failed.
 	Hold Time
-	// Greedy injects a defect: a minority excludes the other routers.
-	Greedy bool
+	// IgnoreMajority injects a defect: a minority excludes the other routers.
+	IgnoreMajority bool
 
 	// lastMajority holds the names of the last settled view that had more than half of its predecessor's members, without
 	// members that left since.
@@ -19,10 +19,10 @@
 
 // Membership is the part of a view that a Divisor needs.
 type Membership struct {
-	Alive   []string // names of the members that are alive, this router included
-	Left    []string // names of the members that announced that they leave, and left
-	Settled bool
-	For     Time // time since Settled last changed
+	Alive      []string // names of the members that are alive, this router included
+	Left       []string // names of the members that announced that they leave, and left
+	Settled    bool
+	SettledFor Time // time since Settled last changed
 }
 
 // Divisor returns the divisor of a membership.
@@ -63,12 +63,12 @@
 	if len(d.lastMajority) == 0 {
 		return true
 	}
-	return s.For >= d.Hold && (2*stayed > len(d.lastMajority) || d.Greedy)
+	return s.SettledFor >= d.Hold && (2*stayed > len(d.lastMajority) || d.IgnoreMajority)
 }
 
 // Membership returns the part of the view that a Divisor needs.
 func (v *View) Membership() Membership {
-	s := Membership{Settled: v.agreement.settled, For: v.now - v.agreement.settledChangedAt}
+	s := Membership{Settled: v.agreement.settled, SettledFor: v.now - v.agreement.settledChangedAt}
 	for name, m := range v.members { // any order: the names are used as sets
 		switch {
 		case m.State.IsAlive():
--- a/internal/gossip/divisor_test.go
+++ b/internal/gossip/divisor_test.go
@@ -26,7 +26,7 @@
 const hold = 10_000_000
 
 func settledView(names []string) Membership {
-	return Membership{Alive: names, Settled: true, For: hold}
+	return Membership{Alive: names, Settled: true, SettledFor: hold}
 }
 
 // TestDivisorFollowsJoinsAndLeavesAtOnce checks that joins and leaves change the divisor without waiting for the hold.
@@ -43,7 +43,7 @@
 // the larger side's view has been settled for the hold.
 func TestDivisorDropsFaultyMembersAfterHold(t *testing.T) {
 	checkSteps(t, &Divisor{Hold: hold}, []Membership{
-		settledView(routerNames(0, 30)), {Alive: routerNames(0, 20), For: hold}, {Alive: routerNames(0, 20), Settled: true, For: hold - 1},
+		settledView(routerNames(0, 30)), {Alive: routerNames(0, 20), SettledFor: hold}, {Alive: routerNames(0, 20), Settled: true, SettledFor: hold - 1},
 		settledView(routerNames(0, 20)),
 	}, 30, 30, 30, 20)
 }
--- a/internal/gossip/observer.go
+++ b/internal/gossip/observer.go
@@ -31,13 +31,13 @@
 
 // Page is the answer to a query and holds some of the members of a view.
 type Page struct {
-	Router  string // name of the router that answered
-	Digest  uint64 // digest of the router's view
-	Settled bool
-	For     Time     // time since Settled last changed
-	First   int      // index of the first member of the page
-	Of      int      // total number of members of the view
-	Members []Member // Since holds the time spent in the state, not an instant
+	Router     string // name of the router that answered
+	Digest     uint64 // digest of the router's view
+	Settled    bool
+	SettledFor Time     // time since Settled last changed
+	First      int      // index of the first member of the page
+	Total      int      // total number of members of the view
+	Members    []Member // Since holds the time spent in the state, not an instant
 }
 
 // PageError is the error for a datagram that is not the answer to a query.
@@ -61,7 +61,7 @@
 		return nil, &PageError{uint8(d.kind), d.nonce}
 	}
 	p := &Page{
-		Router: d.name, Digest: d.digest, Settled: d.settled, For: Time(d.age) * 1000, First: int(d.first), Of: int(d.total),
+		Router: d.name, Digest: d.digest, Settled: d.settled, SettledFor: Time(d.age) * 1000, First: int(d.first), Total: int(d.total),
 	}
 	for _, u := range d.updates {
 		p.Members = append(p.Members, Member{
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -92,7 +92,7 @@
 	if v.retired {
 		return
 	}
-	if v.isolatedFor() > isolationRounds*v.cfg.Interval && !v.cfg.Plain {
+	if v.isolatedFor() > isolationRounds*v.cfg.Interval && !v.cfg.PlainSWIM {
 		// All members are unreachable for a single cause, so each is suspected without a probe.
 		for _, name := range v.agreement.names {
 			v.suspect(v.members[name], v.cfg.Name)
@@ -166,7 +166,7 @@
 			continue
 		}
 		absent++
-		if (v.cfg.Plain || v.cfg.Defect == FaultyNeverProbed) && c.name != "" {
+		if (v.cfg.PlainSWIM || v.cfg.Defect == FaultyNeverProbed) && c.name != "" {
 			continue
 		}
 		if v.now >= c.pollAt {
@@ -191,7 +191,7 @@
 
 // pollAllSoon makes polls of all contacts due, because a faulty member or this router itself is reachable again.
 func (v *View) pollAllSoon() {
-	if v.now < v.lastPollAllAt+minPollDelay || v.cfg.Plain {
+	if v.now < v.lastPollAllAt+minPollDelay || v.cfg.PlainSWIM {
 		return
 	}
 	v.lastPollAllAt = v.now
@@ -238,7 +238,7 @@
 // probeIndirectly resends the ping and asks other members to probe, because the path between the two routers may be broken or a
 // single datagram may have been lost.
 func (v *View) probeIndirectly(p *probe) {
-	if !v.cfg.Plain {
+	if !v.cfg.PlainSWIM {
 		v.sendPing(p)
 	}
 	chosen := map[string]bool{p.name: true}
@@ -259,7 +259,7 @@
 	if p.poll {
 		return
 	}
-	if p.indirect > 0 && p.nacks == 0 && !v.cfg.Plain {
+	if p.indirect > 0 && p.nacks == 0 && !v.cfg.PlainSWIM {
 		// The members that were asked should have sent a nack. As none arrived, this router itself may be slow or unable to
 		// receive.
 		v.addAwareness(1)
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -252,7 +252,7 @@
 	if u.state != Faulty {
 		return
 	}
-	if v.cfg.Plain {
+	if v.cfg.PlainSWIM {
 		v.declareFaulty(m)
 		return
 	}
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -124,7 +124,7 @@
 // refute refutes a claim about this router by announcing an incarnation above the claimed one.
 func (v *View) refute(claimed uint64) {
 	v.counts.Refuted++
-	if !v.cfg.Plain {
+	if !v.cfg.PlainSWIM {
 		v.addAwareness(1)
 	}
 	if v.cfg.Defect == IncarnationNotRaised {
--- a/internal/gossip/suspicion.go
+++ b/internal/gossip/suspicion.go
@@ -59,7 +59,7 @@
 // notifySuspect pings a member that is suspect or faulty, so that the member can refute the claim (Lifeguard, IV-C).
 func (v *View) notifySuspect(m *member) {
 	recently := m.notifiedAt > 0 && v.now < m.notifiedAt+v.cfg.Interval/2
-	if v.cfg.Plain || m.Addr == "" || recently || v.prober.full() {
+	if v.cfg.PlainSWIM || m.Addr == "" || recently || v.prober.full() {
 		return
 	}
 	m.notifiedAt = v.now
@@ -74,7 +74,7 @@
 func (v *View) suspicionDeadline(m *member) Time {
 	scale := math.Max(1, math.Log10(float64(len(v.agreement.names))+1))
 	minTimeout := float64(v.cfg.Suspicion) * scale * float64(v.cfg.Interval)
-	if v.cfg.Plain {
+	if v.cfg.PlainSWIM {
 		return m.suspicion.since + Time(minTimeout)
 	}
 	maxTimeout := maxTimeoutFactor * minTimeout
@@ -134,7 +134,7 @@
 		v.setState(m, Left)
 		v.log(slog.LevelInfo, "gossip member left", slog.String("member", m.Name))
 	} else {
-		v.counts.Accused++
+		v.counts.DeclaredFaulty++
 		v.setState(m, Faulty)
 		suspectedFor := time.Duration(v.now-m.suspicion.since) * time.Microsecond
 		v.log(slog.LevelWarn, "gossip member faulty", slog.String("member", m.Name),
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -113,7 +113,7 @@
 // interval after the requested wake time.
 func (v *View) startOrDetectStall() {
 	if v.started {
-		if late := v.now - v.wakeAt; late > v.cfg.Interval && !v.cfg.Plain {
+		if late := v.now - v.wakeAt; late > v.cfg.Interval && !v.cfg.PlainSWIM {
 			v.recoverFromStall(late)
 		}
 		return
--- a/internal/gossip/view_test.go
+++ b/internal/gossip/view_test.go
@@ -157,7 +157,7 @@
 		t.Fatalf("got %d answers, want 1 of at most %d bytes", len(p.sent[0]), MaxDatagramBytes)
 	}
 	page, err := DecodePage(p.sent[0][0], 42)
-	if err != nil || page.Router != "n1" || !page.Settled || page.Of != 2 || len(page.Members) != 2 {
+	if err != nil || page.Router != "n1" || !page.Settled || page.Total != 2 || len(page.Members) != 2 {
 		t.Fatalf("got page %+v, error %v; want a settled page of n1 with 2 members", page, err)
 	}
 	if _, err := DecodePage(p.sent[0][0], 43); err == nil {
--- a/internal/guard/bench_test.go
+++ b/internal/guard/bench_test.go
@@ -51,10 +51,10 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		if len(traffic.contract.Overdue(traffic.now)) > 0 {
+		if len(traffic.contract.OverdueEvents(traffic.now)) > 0 {
 			b.Fatal("Overdue returned events, want none")
 		}
-		traffic.contract.Check(traffic.now, traffic.contract.InFlight)
+		traffic.contract.CheckCounts(traffic.now, traffic.contract.InFlight)
 	}
 }
 
@@ -63,7 +63,7 @@
 	module := &fixedActions{}
 	contract := NewContract(module, nil)
 	contract.Handle(1, &decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
-	request, result := &decide.Request{Deadline: testDeadline}, &decide.AttemptResult{Result: decide.Served, Last: true}
+	request, result := &decide.Request{Deadline: testDeadline}, &decide.AttemptResult{Result: decide.Served, Final: true}
 	timer := &decide.Timer{}
 	module.actions = []decide.Action{nil, nil}
 	run := func() {
@@ -161,7 +161,7 @@
 		if len(traffic.sends) >= inFlight {
 			send := traffic.sends[0]
 			traffic.sends = append(traffic.sends[:0], traffic.sends[1:]...)
-			traffic.handle(&decide.AttemptResult{ID: send.ID, Result: decide.Served, Elapsed: 1000, Last: true, Load: decide.LoadReport{Utilization: -1}})
+			traffic.handle(&decide.AttemptResult{ID: send.ID, Result: decide.Served, Elapsed: 1000, Final: true, Load: decide.LoadReport{Utilization: -1}})
 		}
 	}
 }
--- a/internal/guard/contract.go
+++ b/internal/guard/contract.go
@@ -11,13 +11,13 @@
 	Handle(now decide.Time, ev decide.Event) []decide.Action
 }
 
-// Counter is an optional interface of a Module that counts requests and attempts. Contract.Check compares these counts with the
-// Contract's. *decide.Router implements it.
+// Counter is an optional interface of a Module that counts requests and attempts. Contract.CheckCounts compares these counts with
+// the Contract's. *decide.Router implements it.
 type Counter interface {
 	// InFlight returns the number of attempts at a listed cache that have no result.
 	InFlight(cache string) int
-	// Open returns the number of requests that have no final answer or have an attempt in flight.
-	Open() int
+	// OpenRequests returns the number of requests that have no final answer or have an attempt in flight.
+	OpenRequests() int
 }
 
 const (
@@ -58,7 +58,7 @@
 	timers        timerTokens              // timers that are set and have neither fired nor been cancelled
 
 	pendingResults []pendingResult       // results of withheld attempts, not yet delivered to the module
-	repairs        map[decide.Event]bool // events from the latest Overdue that have not been passed to Handle
+	repairs        map[decide.Event]bool // events from the latest OverdueEvents that have not been passed to Handle
 	events         eventBuffer           // the latest events and actions
 }
 
@@ -108,5 +108,5 @@
 	return 0
 }
 
-// Open returns the number of requests that have no final answer or have an attempt in flight.
-func (c *Contract) Open() int { return len(c.requests) }
+// OpenRequests returns the number of requests that have no final answer or have an attempt in flight.
+func (c *Contract) OpenRequests() int { return len(c.requests) }
--- a/internal/guard/contract_test.go
+++ b/internal/guard/contract_test.go
@@ -63,7 +63,7 @@
 
 func (test *contractTest) overdue(after decide.Time) []decide.Event {
 	test.now += after
-	return test.contract.Overdue(test.now)
+	return test.contract.OverdueEvents(test.now)
 }
 
 const testDeadline = 5_000 // deadline of the tests' requests, in microseconds
@@ -73,7 +73,7 @@
 	return decide.Send{ID: id, Cache: "a", AttemptDeadline: testDeadline}
 }
 func served(id int64) *decide.AttemptResult {
-	return &decide.AttemptResult{ID: id, Result: decide.Served, Last: true}
+	return &decide.AttemptResult{ID: id, Result: decide.Served, Final: true}
 }
 
 // breachCases contains at least one case for each kind of breach. After the breach, each case ends its open requests, health checks
@@ -211,7 +211,7 @@
 }
 
 // deliverOverdue checks that nothing is overdue within overdueTolerance, then passes the overdue events to the Contract. It checks
-// the number of events, that Overdue returns each event once, and that results have the given value.
+// the number of events, that OverdueEvents returns each event once, and that results have the given value.
 func (test *contractTest) deliverOverdue(want int, result decide.Result) {
 	test.t.Helper()
 	if events := test.overdue(testDeadline); len(events) != 0 {
@@ -269,11 +269,11 @@
 func (test *contractTest) wantNothingOpen() {
 	test.t.Helper()
 	test.now += 10 * overdueTolerance
-	if n := len(test.contract.Overdue(test.now)); n != 0 {
+	if n := len(test.contract.OverdueEvents(test.now)); n != 0 {
 		test.t.Errorf("%d events are overdue at the end, want 0", n)
 	}
-	if test.contract.Open() != 0 || test.contract.InFlight("a") != 0 || test.contract.InFlight("b") != 0 {
-		test.t.Errorf("%d requests are open and %d attempts are in flight at the end, want 0", test.contract.Open(), test.contract.InFlight("a"))
+	if test.contract.OpenRequests() != 0 || test.contract.InFlight("a") != 0 || test.contract.InFlight("b") != 0 {
+		test.t.Errorf("%d requests are open and %d attempts are in flight at the end, want 0", test.contract.OpenRequests(), test.contract.InFlight("a"))
 	}
 	if test.module.inFlight != 0 {
 		test.t.Errorf("the module counts %d attempts in flight at the end, want 0", test.module.inFlight)
@@ -335,7 +335,7 @@
 	test := newContractTest(t)
 	test.handle(newRequest(1), send(1))
 	// The client has disconnected. Its attempt ends before the module receives ClientGone, and the module may still answer.
-	test.handle(&decide.AttemptResult{ID: 1, Result: decide.NotSent, Last: true})
+	test.handle(&decide.AttemptResult{ID: 1, Result: decide.NotSent, Final: true})
 	test.handle(&decide.ClientGone{ID: 1})
 	test.handle(newRequest(2), decide.Reject{ID: 2})
 	test.handle(&decide.ClientGone{ID: 2})
@@ -405,7 +405,7 @@
 }
 
 func (c *countingModule) InFlight(string) int { return c.inFlightCount }
-func (c *countingModule) Open() int           { return c.openCount }
+func (c *countingModule) OpenRequests() int   { return c.openCount }
 
 func TestDifferingCountsAreReported(t *testing.T) {
 	for _, testCase := range []struct {
@@ -427,7 +427,7 @@
 			contract.Handle(1, &decide.EndpointList{Kind: decide.FullUpdate, Endpoints: []decide.Endpoint{{ID: "a"}}})
 			module.nextActions = []decide.Action{send(1)}
 			contract.Handle(2, newRequest(1))
-			contract.Check(3, func(string) int { return testCase.onSocket })
+			contract.CheckCounts(3, func(string) int { return testCase.onSocket })
 			if !slices.Equal(got, testCase.want) {
 				t.Errorf("reported %v, want %v", got, testCase.want)
 			}
--- a/internal/guard/events.go
+++ b/internal/guard/events.go
@@ -116,8 +116,8 @@
 	record.cache = request.attempts[ev.Attempt].cache.name
 	c.events.add(record)
 	c.endAttempt(request, ev.Attempt, ev.Result)
-	// Last may arrive before the ClientGone that explains it, because the loop already knows that the client has disconnected.
-	request.finished = request.finished || ev.Last
+	// Final may arrive before the ClientGone that explains it, because the loop already knows that the client has disconnected.
+	request.finished = request.finished || ev.Final
 	c.closeIfComplete(request)
 	return true
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -5,7 +5,7 @@
 // gets one AttemptResult, every HealthCheck gets one HealthCheckResult, every request gets one final answer, a timer fires once,
 // and no event or action refers to an unknown request, attempt, cache or timer. The Contract counts each breach, reports it with
 // the events that led to it, and repairs it: it drops repeated events and events about unknown objects before they reach the
-// module, withholds invalid actions from the loop, and supplies results that are missing (Overdue).
+// module, withholds invalid actions from the loop, and supplies results that are missing (OverdueEvents).
 //
 // A Guard enforces the rules about client requests immediately before the loop acts: no attempt after the final answer or to a
 // cache that accepts no requests, no repeat that could run a request twice, no deadline later than the client's, and no rejection
--- a/internal/guard/overdue.go
+++ b/internal/guard/overdue.go
@@ -7,13 +7,13 @@
 	"starlingwinch/decide"
 )
 
-// Overdue returns replacements for missing events. The loop must pass them to Handle like its own events. Overdue reports and
-// replaces each missing result or answer once.
+// OverdueEvents returns replacements for missing events. The loop must pass them to Handle like its own events. OverdueEvents
+// reports and replaces each missing result or answer once.
 //
 // The replacement for a missing result of an attempt or a health check is TimedOut, because the attempt may have run. The
 // replacement for a missing answer is a ClientGone, after which the module owes no answer; the loop must answer the client
 // itself, with a failure.
-func (c *Contract) Overdue(now decide.Time) []decide.Event {
+func (c *Contract) OverdueEvents(now decide.Time) []decide.Event {
 	c.now = now
 	clear(c.repairs)
 	var overdue []int64
@@ -83,7 +83,7 @@
 			Attempt: number,
 			Result:  decide.TimedOut,
 			Elapsed: c.now - attempt.sentAt,
-			Last:    request.finished,
+			Final:   request.finished,
 			Load:    decide.UnknownLoad,
 		})
 	}
@@ -113,13 +113,13 @@
 	return events
 }
 
-// Check compares the Contract's counts with the module's and with onSockets, which returns the number of attempts, without health
-// checks, that the loop has in flight at a cache. It reports each difference as a breach. onSockets may be nil. The loop must call
-// Check only when its event queue is empty.
-func (c *Contract) Check(now decide.Time, onSockets func(cache string) int) {
+// CheckCounts compares the Contract's counts with the module's and with onSockets, which returns the number of attempts, without
+// health checks, that the loop has in flight at a cache. It reports each difference as a breach. onSockets may be nil. The loop
+// must call CheckCounts only when its event queue is empty.
+func (c *Contract) CheckCounts(now decide.Time, onSockets func(cache string) int) {
 	c.now = now
 	if c.counter != nil {
-		if n := c.counter.Open(); n != len(c.requests) {
+		if n := c.counter.OpenRequests(); n != len(c.requests) {
 			text := fmt.Sprintf("the module counts %d open requests, the contract counts %d", n, len(c.requests))
 			c.reportBreach(OpenCountDiffers, 0, "", text)
 		}
--- a/internal/guard/random_events_test.go
+++ b/internal/guard/random_events_test.go
@@ -25,7 +25,7 @@
 // wantNothingOpen checks that neither the Contract nor the module counts an open request or an attempt in flight.
 func (loop *testLoop) wantNothingOpen(seed int64) {
 	loop.t.Helper()
-	if open, module := loop.contract.Open(), loop.module.Open(); open != 0 || module != 0 {
+	if open, module := loop.contract.OpenRequests(), loop.module.OpenRequests(); open != 0 || module != 0 {
 		loop.t.Fatalf("seed %d: %d requests are open by the contract and %d by the module at the end", seed, open, module)
 	}
 	for i := range fleetSize {
--- a/internal/guard/rules.go
+++ b/internal/guard/rules.go
@@ -63,9 +63,9 @@
 	Cell int
 }
 
-// Open returns the record of a new request. idempotencyKeyMissing reports that the request's class requires an idempotency key and
-// the request has none.
-func (g *Guard) Open(id int64, clientID, class string, idempotencyKeyMissing bool, deadline decide.Time) Request {
+// NewRequest returns the record of a new request. idempotencyKeyMissing reports that the request's class requires an idempotency
+// key and the request has none.
+func (g *Guard) NewRequest(id int64, clientID, class string, idempotencyKeyMissing bool, deadline decide.Time) Request {
 	return Request{
 		ID:                    id,
 		ClientID:              clientID,
@@ -260,8 +260,8 @@
 	request.answered = true
 }
 
-// Closed records that the router closed the connection of a client that still waits for the answer to this request.
-func (g *Guard) Closed(now decide.Time, request *Request) {
+// ConnectionClosed records that the router closed the connection of a client that still waits for the answer to this request.
+func (g *Guard) ConnectionClosed(now decide.Time, request *Request) {
 	g.recordViolation(ClosedUnanswered, Violation{
 		At:       now,
 		Request:  request.ID,
--- a/internal/guard/rules_test.go
+++ b/internal/guard/rules_test.go
@@ -70,7 +70,7 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			guard, reported := newGuard(testCase.hedging)
-			request := guard.Open(7, "id", testCase.class, testCase.keyMissing, 10*idempotencyWindow)
+			request := guard.NewRequest(7, "id", testCase.class, testCase.keyMissing, 10*idempotencyWindow)
 			testCase.before(guard, &request)
 			if got := guard.MaySend(testCase.now, &request, testCase.to, false); got != testCase.want {
 				t.Errorf("MaySend returned %v, want %v", got, testCase.want)
@@ -78,7 +78,7 @@
 			guard.WriteStarted(testCase.now, &request, 3, testCase.to, 1, true)
 			counts := guard.Counts()
 			if testCase.want == Allowed {
-				if len(*reported) > 0 || counts.Broken() > 0 {
+				if len(*reported) > 0 || counts.TotalViolations() > 0 {
 					t.Errorf("reported %v for an allowed attempt, want no violation", *reported)
 				}
 				return
@@ -92,7 +92,7 @@
 
 func TestMaySendPreventsAttemptForGoneClient(t *testing.T) {
 	guard, _ := newGuard(true)
-	request := guard.Open(7, "id", "read", false, idempotencyWindow)
+	request := guard.NewRequest(7, "id", "read", false, idempotencyWindow)
 	if got := guard.MaySend(1, &request, cacheInZoneA, true); got != ClientGone || guard.Counts().Prevented[ClientGone] != 1 {
 		t.Errorf("MaySend returned %v, counted %+v, want %v counted once", got, guard.Counts(), ClientGone)
 	}
@@ -107,11 +107,11 @@
 			guard.Answered(1, request)
 			guard.Answered(2, request)
 		},
-		ClosedUnanswered: func(guard *Guard, request *Request) { guard.Closed(1, request) },
+		ClosedUnanswered: func(guard *Guard, request *Request) { guard.ConnectionClosed(1, request) },
 	} {
 		t.Run(want.String(), func(t *testing.T) {
 			guard, reported := newGuard(true)
-			request := guard.Open(7, "id", "read", false, idempotencyWindow)
+			request := guard.NewRequest(7, "id", "read", false, idempotencyWindow)
 			violate(guard, &request)
 			if len(*reported) != 1 || (*reported)[0].Reason != want {
 				t.Errorf("reported %v, want one violation, %v", *reported, want)
@@ -125,7 +125,7 @@
 		"not-idempotent": RejectedAfterRun} {
 		t.Run(class, func(t *testing.T) {
 			guard, _ := newGuard(true)
-			request := guard.Open(7, "id", class, false, idempotencyWindow)
+			request := guard.NewRequest(7, "id", class, false, idempotencyWindow)
 			if got := guard.MayReject(&request); got != Allowed {
 				t.Errorf("MayReject returned %v before any attempt, want %v", got, Allowed)
 			}
--- a/internal/guard/test_loop_test.go
+++ b/internal/guard/test_loop_test.go
@@ -153,7 +153,7 @@
 	if client.finished {
 		loop.sendsAfterEnd++
 		if !loop.faults.dropsSends || client.inFlight > 0 {
-			loop.queue(&decide.AttemptResult{ID: client.id, Attempt: attempt.number, Result: decide.NotSent, Last: true})
+			loop.queue(&decide.AttemptResult{ID: client.id, Attempt: attempt.number, Result: decide.NotSent, Final: true})
 		}
 		return
 	}
@@ -192,7 +192,7 @@
 	if attempt.responseStarted {
 		client.finished = true
 	}
-	loop.queue(&decide.AttemptResult{ID: client.id, Attempt: attempt.number, Result: result, Last: client.finished, Miss: loop.rng.Intn(3) == 0})
+	loop.queue(&decide.AttemptResult{ID: client.id, Attempt: attempt.number, Result: result, Final: client.finished, Miss: loop.rng.Intn(3) == 0})
 }
 
 // finishRequest finishes a request at its final answer or when its client disconnects. It ends a random part of the attempts, as if
@@ -342,14 +342,14 @@
 
 // deliverOverdue passes the replacements for missing events to the Contract.
 func (loop *testLoop) deliverOverdue() {
-	for _, ev := range loop.contract.Overdue(loop.now) {
+	for _, ev := range loop.contract.OverdueEvents(loop.now) {
 		loop.queue(ev)
 	}
 	loop.deliver()
 }
 
 func (loop *testLoop) checkCounts() {
-	loop.contract.Check(loop.now, func(cache string) int {
+	loop.contract.CheckCounts(loop.now, func(cache string) int {
 		n := 0
 		for _, attempt := range loop.attempts {
 			if attempt.cache == cache {
--- a/internal/guard/tracked.go
+++ b/internal/guard/tracked.go
@@ -131,7 +131,7 @@
 		ID:      pending.request,
 		Attempt: pending.attempt,
 		Result:  decide.NotSent,
-		Last:    last,
+		Final:   last,
 		Load:    decide.UnknownLoad,
 	}
 }
--- a/internal/guard/violation.go
+++ b/internal/guard/violation.go
@@ -59,8 +59,8 @@
 	Violations [reasonCount]int
 }
 
-// Broken returns the total number of violations.
-func (c *Counts) Broken() (n int) {
+// TotalViolations returns the total number of violations.
+func (c *Counts) TotalViolations() (n int) {
 	for _, count := range c.Violations {
 		n += count
 	}
--- a/internal/hooks/config.go
+++ b/internal/hooks/config.go
@@ -228,7 +228,7 @@
 		path := filepath.Join(f.Folder, e.File)
 		var err error
 		if h.Code, err = operatorconfig.Read(path, plugin.MaxCode); err != nil {
-			faults.Add(configerror.Error{File: path, Text: configerror.Plain(err.Error())})
+			faults.Add(configerror.Error{File: path, Text: configerror.QuoteIfNeeded(err.Error())})
 			continue
 		}
 		c.Hooks = append(c.Hooks, h)
--- a/internal/hooks/hooks.go
+++ b/internal/hooks/hooks.go
@@ -31,10 +31,10 @@
 	// Command holds the arguments with which this program runs as a worker, that is, calls worker.Main on its standard
 	// input. Empty stands for CommandName.
 	Command []string
-	// Inside serves a worker inside the router by calling worker.Serve. If Inside is nil, every hook runs in a process.
-	// Inside must be nil on a machine with one processor, where a module that loops blocks the event loop of the router
-	// for some 30 ms, until the scheduler preempts the module.
-	Inside func(io.ReadWriteCloser)
+	// ServeInProcess serves a worker inside the router by calling worker.Serve. If ServeInProcess is nil, every hook runs in a
+	// process. ServeInProcess must be nil on a machine with one processor, where a module that loops blocks the event loop of the
+	// router for some 30 ms, until the scheduler preempts the module.
+	ServeInProcess func(io.ReadWriteCloser)
 }
 
 // CommandName is the hidden command of the program that runs it as a worker.
@@ -47,7 +47,7 @@
 	Code       []byte // content of the file of the hook
 	Budget     plugin.Budget
 	WantsValue bool // the hook receives the value of each request
-	Inside     bool // the hook runs inside the router, if Config.Inside is set
+	Inside     bool // the hook runs inside the router, if Config.ServeInProcess is set
 }
 
 // Request is a request that hooks may evaluate.
@@ -114,7 +114,7 @@
 	s := policy.Settings{MaxWaitFraction: cfg.MaxWaitFraction, MaxWait: cfg.MaxWait}
 	for _, hook := range cfg.Hooks {
 		s.Hooks = append(s.Hooks, hook.Hook)
-		if hook.Inside && cfg.Inside == nil {
+		if hook.Inside && cfg.ServeInProcess == nil {
 			h.logger.Warn("hook runs in a process, not inside the router", "hook", hook.Name)
 		}
 	}
@@ -211,9 +211,9 @@
 // Status returns the status of each hook of the active set, in the order in which the router calls the hooks.
 func (h *Hooks) Status() []policy.HookStatus { return h.policy.Status() }
 
-// Left returns the number of records of each kind that the hooks still hold.
-func (h *Hooks) Left() map[string]int {
-	left := h.policy.Left()
+// RecordCounts returns the number of records of each kind that the hooks still hold.
+func (h *Hooks) RecordCounts() map[string]int {
+	left := h.policy.RecordCounts()
 	left["verdicts owed"] = len(h.onVerdict)
 	left["worker processes"] = len(h.workers)
 	left["sets"] = len(h.configs)
--- a/internal/hooks/hooks_test.go
+++ b/internal/hooks/hooks_test.go
@@ -66,7 +66,7 @@
 // wantNothingLeft checks that no records, descriptors and timers are left.
 func (f *virtualHarness) wantNothingLeft() {
 	f.t.Helper()
-	for name, n := range f.hooks.Left() { // any order
+	for name, n := range f.hooks.RecordCounts() { // any order
 		if n > 0 {
 			f.t.Errorf("left over: %d %s", n, name)
 		}
@@ -158,7 +158,7 @@
 
 func TestWorkerThatViolatesProtocolIsReplaced(t *testing.T) {
 	for name, act := range map[string]hookstest.Act{ // any order
-		"invalid frame": {Say: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "duplicate reply": {Twice: true}, "exit": {Die: true},
+		"invalid frame": {RawBytes: []byte("HTTP/1.1 200 OK\r\n\r\n")}, "duplicate reply": {DuplicateReply: true}, "exit": {Exit: true},
 		"unknown decision": {Verdict: Verdict{Decision: 9}},
 	} {
 		s := &hookstest.Script{Call: func(string, *plugin.Call) hookstest.Act { return act }}
@@ -286,7 +286,7 @@
 func randomlyBrokenHooks(r *rand.Rand) *hookstest.Script {
 	return &hookstest.Script{
 		Load: func(string) (plugin.Points, hookstest.Act) {
-			a := hookstest.Act{After: r.Int64N(3000), Die: r.IntN(20) == 0, Hang: r.IntN(30) == 0}
+			a := hookstest.Act{After: r.Int64N(3000), Exit: r.IntN(20) == 0, Hang: r.IntN(30) == 0}
 			if r.IntN(20) == 0 {
 				a.Fail = &plugin.Failure{Kind: plugin.Crashed, Text: "in load"}
 			}
@@ -298,11 +298,11 @@
 			case 0:
 				a.Hang = true
 			case 1:
-				a.Die = true
+				a.Exit = true
 			case 2:
-				a.Say = []byte{1, 0, 0, 0, 99}
+				a.RawBytes = []byte{1, 0, 0, 0, 99}
 			case 3:
-				a.Twice = true
+				a.DuplicateReply = true
 			case 4:
 				a.Fail = &plugin.Failure{Kind: plugin.BudgetExceeded}
 			case 5:
--- a/internal/hooks/hookstest/hookstest.go
+++ b/internal/hooks/hookstest/hookstest.go
@@ -15,13 +15,13 @@
 
 // Act describes how a hook handles one call.
 type Act struct {
-	After   machine.Time // delay between the start of the call and its effect
-	Verdict plugin.Verdict
-	Fail    *plugin.Failure // a failure in place of the verdict
-	Hang    bool            // the call never returns
-	Die     bool            // the worker exits
-	Say     []byte          // raw bytes to send in place of a reply
-	Twice   bool            // the reply is sent twice
+	After          machine.Time // delay between the start of the call and its effect
+	Verdict        plugin.Verdict
+	Fail           *plugin.Failure // a failure in place of the verdict
+	Hang           bool            // the call never returns
+	Exit           bool            // the worker exits
+	RawBytes       []byte          // raw bytes to send in place of a reply
+	DuplicateReply bool            // the reply is sent twice
 }
 
 // Script defines the behavior of hooks. With nil functions, hooks load, have the point OnRequest, and let requests pass.
@@ -34,8 +34,9 @@
 	workers []*worker // workers that may still run
 }
 
-// Up returns the number of running workers by hook name. The name "" stands for workers that have not loaded a hook yet.
-func (s *Script) Up() map[string]int {
+// RunningWorkers returns the number of running workers by hook name. The name "" stands for workers that have not loaded a hook
+// yet.
+func (s *Script) RunningWorkers() map[string]int {
 	s.removeEnded()
 	up := map[string]int{}
 	for _, w := range s.workers {
@@ -168,11 +169,11 @@
 	}
 	switch {
 	case w.ended:
-	case a.Die:
+	case a.Exit:
 		w.end()
-	case a.Say != nil:
-		w.conn.Write(a.Say)
-	case a.Twice:
+	case a.RawBytes != nil:
+		w.conn.Write(a.RawBytes)
+	case a.DuplicateReply:
 		w.conn.Write(append(frame[:len(frame):len(frame)], frame...))
 	default:
 		w.conn.Write(frame)
--- a/internal/hooks/policy/policy.go
+++ b/internal/hooks/policy/policy.go
@@ -147,8 +147,8 @@
 	return all
 }
 
-// Left returns the number of records of each kind that the Policy holds.
-func (p *Policy) Left() map[string]int {
+// RecordCounts returns the number of records of each kind that the Policy holds.
+func (p *Policy) RecordCounts() map[string]int {
 	calls := 0
 	for _, w := range p.workers { // any order: the result is a sum
 		calls += len(w.inFlight)
--- a/internal/hooks/policy/policy_test.go
+++ b/internal/hooks/policy/policy_test.go
@@ -240,7 +240,7 @@
 	f.wantNoVerdict(0)
 	f.wantNoVerdict(maxInFlight + 1)
 	f.wantVerdict(1, plugin.Pass, 0)
-	if left := f.policy.Left(); left["requests"]+left["calls"] != 0 {
+	if left := f.policy.RecordCounts(); left["requests"]+left["calls"] != 0 {
 		t.Errorf("left %v, want no requests and calls", left)
 	}
 }
--- a/internal/hooks/policy/random_test.go
+++ b/internal/hooks/policy/random_test.go
@@ -74,7 +74,7 @@
 		f.policy.Close(f.now)
 		f.executeActions()
 		f.advance(1000 * ms)
-		left := f.policy.Left()
+		left := f.policy.RecordCounts()
 		if f.closed != 1 || left["requests"]+left["workers"]+left["calls"]+left["old sets"] > 0 || len(f.running()) > 0 {
 			t.Fatalf("seed %d: closed %d times, left %v, running %v; want closed once and nothing left", seed, f.closed, left, f.running())
 		}
--- a/internal/hooks/process_test.go
+++ b/internal/hooks/process_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	r := &realHarness{t: t, machine: m}
-	cfg.Inside = func(c io.ReadWriteCloser) {
+	cfg.ServeInProcess = func(c io.ReadWriteCloser) {
 		defer c.Close()
 		worker.Serve(c, nil)
 	}
@@ -73,7 +73,7 @@
 	})
 	r.machine.Run()
 	if timedOut {
-		r.t.Fatalf("the run did not end within a minute: left %v, log %q", r.hooks.Left(), r.lines)
+		r.t.Fatalf("the run did not end within a minute: left %v, log %q", r.hooks.RecordCounts(), r.lines)
 	}
 }
 
@@ -229,7 +229,7 @@
 				})
 			})
 		})
-		if left := r.hooks.Left(); left["workers"]+left["worker processes"]+left["requests"] > 0 {
+		if left := r.hooks.RecordCounts(); left["workers"]+left["worker processes"]+left["requests"] > 0 {
 			t.Errorf("left %v, want no workers and requests", left)
 		}
 	}
--- a/internal/hooks/worker_connection.go
+++ b/internal/hooks/worker_connection.go
@@ -51,7 +51,7 @@
 		spec.Args = []string{CommandName}
 	}
 	if w.hook.Inside {
-		spec.Inside = cfg.Inside
+		spec.RunInProcess = cfg.ServeInProcess
 	}
 	w.process = h.machine.Spawn(spec, w.onStarted)
 }
@@ -95,7 +95,7 @@
 // onStarted handles the result of starting the worker, and sends the worker its hook.
 func (w *workerConnection) onStarted(c machine.Conn, err error) machine.Handler {
 	if err != nil {
-		w.onEnded(fmt.Errorf("worker not started: %s", plugin.Plain(err.Error(), maxStartCause)))
+		w.onEnded(fmt.Errorf("worker not started: %s", plugin.SanitizeText(err.Error(), maxStartCause)))
 		return nil
 	}
 	w.conn = c
@@ -151,7 +151,7 @@
 	if err == io.EOF {
 		return errWorkerExited
 	}
-	return fmt.Errorf("worker connection lost: %s", plugin.Plain(err.Error(), maxConnectionCause))
+	return fmt.Errorf("worker connection lost: %s", plugin.SanitizeText(err.Error(), maxConnectionCause))
 }
 
 // handleFrames handles all complete frames in the read buffer. It reports false once the worker has ended.
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -57,7 +57,7 @@
 
 // NothingUnread reports whether neither bytes nor the end of the connection wait to be read.
 func (c *Client) NothingUnread() bool {
-	return c.connection == nil || c.connection.conn == nil || c.connection.conn.Quiet()
+	return c.connection == nil || c.connection.conn == nil || c.connection.conn.HasNothingUnread()
 }
 
 // ReceivedBytes returns the number of received bytes of the response to the call in flight.
--- a/internal/httpclient/connection.go
+++ b/internal/httpclient/connection.go
@@ -71,7 +71,7 @@
 func (n *connection) Readable() {
 	k := n.client.call
 	if k == nil {
-		if !n.conn.Quiet() {
+		if !n.conn.HasNothingUnread() {
 			n.close()
 		}
 		return
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -23,9 +23,9 @@
 	// IdleTime limits the time between commands. A higher value costs descriptors; a lower value makes clients reconnect more
 	// often.
 	IdleTime time.Duration `toml:"idle_time" min:"100ms" max:"1h" doc:"for the next command to begin, before the connection is closed"`
-	// CrowdedIdleTime replaces IdleTime while descriptors are scarce. A higher value frees descriptors later; a lower value
+	// IdleTimeUnderPressure replaces IdleTime while descriptors are scarce. A higher value frees descriptors later; a lower value
 	// makes clients reconnect just when there are many of them.
-	CrowdedIdleTime time.Duration `toml:"crowded_idle_time" min:"100ms" max:"1h" doc:"the same, where more than half of the clients' descriptors are taken"`
+	IdleTimeUnderPressure time.Duration `toml:"crowded_idle_time" min:"100ms" max:"1h" doc:"the same, where more than half of the clients' descriptors are taken"`
 	// WriteTime limits the time for which a client may leave a reply unread. A higher value holds memory for longer; a lower
 	// value disconnects slow clients.
 	WriteTime time.Duration `toml:"write_time" min:"100ms" max:"1m" doc:"for a client to take an answer"`
@@ -83,14 +83,14 @@
 func Default() Limits {
 	return Limits{
 		Clients: Clients{
-			CommandTime:          2500 * time.Millisecond,
-			IdleTime:             10 * time.Second,
-			CrowdedIdleTime:      2200 * time.Millisecond,
-			WriteTime:            5 * time.Second,
-			LingerTime:           time.Second,
-			MaxPipelined:         512,
-			AddressTimeout:       20 * time.Second, // with the 3.7 s that a process takes to end, below the 30 s allowed for a start
-			MaxConsecutiveErrors: 16,
+			CommandTime:           2500 * time.Millisecond,
+			IdleTime:              10 * time.Second,
+			IdleTimeUnderPressure: 2200 * time.Millisecond,
+			WriteTime:             5 * time.Second,
+			LingerTime:            time.Second,
+			MaxPipelined:          512,
+			AddressTimeout:        20 * time.Second, // with the 3.7 s that a process takes to end, below the 30 s allowed for a start
+			MaxConsecutiveErrors:  16,
 		},
 		Caches: Caches{
 			FleetConnections:   72,
@@ -113,9 +113,9 @@
 
 // check reports limits that contradict each other.
 func check(l Limits, report operatorconfig.ReportFunc) {
-	if l.Clients.CrowdedIdleTime > l.Clients.IdleTime {
+	if l.Clients.IdleTimeUnderPressure > l.Clients.IdleTime {
 		report("clients.crowded_idle_time", "above clients.idle_time (%s, wanted at most %s)",
-			operatorconfig.FormatDuration(l.Clients.CrowdedIdleTime), operatorconfig.FormatDuration(l.Clients.IdleTime))
+			operatorconfig.FormatDuration(l.Clients.IdleTimeUnderPressure), operatorconfig.FormatDuration(l.Clients.IdleTime))
 	}
 	if l.Caches.MinConnections > l.Caches.FleetConnections {
 		report("caches.least_connections", "above caches.fleet_connections (%d, wanted at most %d)",
--- a/internal/machine/conn.go
+++ b/internal/machine/conn.go
@@ -132,8 +132,8 @@
 	return fmt.Errorf("%w: %v", ErrReset, err)
 }
 
-// Quiet implements Conn.
-func (c *conn) Quiet() bool {
+// HasNothingUnread implements Conn.
+func (c *conn) HasNothingUnread() bool {
 	if c.fd < 0 || c.broken {
 		return false
 	}
@@ -153,9 +153,9 @@
 // staleAfter is the age above which a turn's events no longer prove that a connection is open.
 const staleAfter = 5 * time.Millisecond
 
-// End implements Conn. The peer may close the connection while a turn is delayed, so that End queries the kernel if the
+// EndError implements Conn. The peer may close the connection while a turn is delayed, so that EndError queries the kernel if the
 // turn's events are stale.
-func (c *conn) End() error {
+func (c *conn) EndError() error {
 	if c.fd >= 0 && !c.ended && !c.broken && time.Since(c.m.polledAt) > staleAfter {
 		c.checkEnd()
 	}
--- a/internal/machine/conn_test.go
+++ b/internal/machine/conn_test.go
@@ -196,8 +196,8 @@
 		other.Close()
 		await(t, "the notification of the reset", notified)
 		r.runInLoop(func() {
-			if c.Quiet() {
-				t.Error("Quiet on a reset connection: got true, want false")
+			if c.HasNothingUnread() {
+				t.Error("HasNothingUnread on a reset connection: got true, want false")
 			}
 		})
 		r.runInLoop(func() {
@@ -222,39 +222,39 @@
 	notified := make(chan struct{}, 8)
 	c, other := r.pair(&funcHandler{readable: func() { notified <- struct{}{} }})
 	r.runInLoop(func() {
-		if !c.Quiet() {
-			t.Error("Quiet before any bytes arrived: got false, want true")
+		if !c.HasNothingUnread() {
+			t.Error("HasNothingUnread before any bytes arrived: got false, want true")
 		}
 	})
 	other.Write([]byte("abc"))
 	await(t, "the notification of the bytes", notified)
 	r.runInLoop(func() {
 		for range 2 { // the first call must not consume anything
-			if c.Quiet() {
-				t.Error("Quiet with unread bytes: got true, want false")
+			if c.HasNothingUnread() {
+				t.Error("HasNothingUnread with unread bytes: got true, want false")
 			}
 		}
 		got, err := drain(c)
 		if string(got) != "abc" || err != ErrWait {
 			t.Errorf("drain: got %q and error %v, want \"abc\" and ErrWait", got, err)
 		}
-		if !c.Quiet() {
-			t.Error("Quiet after all bytes were read: got false, want true")
+		if !c.HasNothingUnread() {
+			t.Error("HasNothingUnread after all bytes were read: got false, want true")
 		}
 	})
 	other.CloseWrite()
 	await(t, "the notification of the end of stream", notified)
 	r.runInLoop(func() {
-		if c.Quiet() {
-			t.Error("Quiet after the peer closed its direction: got true, want false")
+		if c.HasNothingUnread() {
+			t.Error("HasNothingUnread after the peer closed its direction: got true, want false")
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("Read at the end of stream: got error %v, want io.EOF", err)
 		}
 		c.Close()
 		c.Close()
-		if c.Quiet() {
-			t.Error("Quiet after Close: got true, want false")
+		if c.HasNothingUnread() {
+			t.Error("HasNothingUnread after Close: got true, want false")
 		}
 		if _, err := c.Read(make([]byte, 1)); err != ErrClosed {
 			t.Errorf("Read after Close: got error %v, want ErrClosed", err)
@@ -399,11 +399,11 @@
 			r := startLoop(t, Options{})
 			c, other := r.pair(&funcHandler{})
 			r.runInLoop(func() {
-				if err := c.End(); err != nil {
-					t.Errorf("End on an open connection: got %v, want nil", err)
+				if err := c.EndError(); err != nil {
+					t.Errorf("EndError on an open connection: got %v, want nil", err)
 				}
 				closePeer(other)
-				for end := time.Now().Add(eventTimeout); c.End() == nil; {
+				for end := time.Now().Add(eventTimeout); c.EndError() == nil; {
 					if time.Now().After(end) {
 						t.Error("End did not report the peer's close within the turn")
 						return
--- a/internal/machine/contract_test.go
+++ b/internal/machine/contract_test.go
@@ -17,7 +17,7 @@
 
 func TestInProcessWorkersContract(t *testing.T) {
 	testContract(t, func(which string) machine.Worker {
-		return machine.Worker{Inside: func(c io.ReadWriteCloser) {
+		return machine.Worker{RunInProcess: func(c io.ReadWriteCloser) {
 			defer c.Close()
 			machinetest.PlayWorker(which, c)
 		}}
--- a/internal/machine/dial_test.go
+++ b/internal/machine/dial_test.go
@@ -117,7 +117,7 @@
 	c := await(t, "the connection", connected)
 	r.runInLoop(func() {
 		d.Cancel()
-		if !c.Quiet() {
+		if !c.HasNothingUnread() {
 			t.Error("Cancel after a successful dial closed the connection")
 		}
 	})
--- a/internal/machine/disk.go
+++ b/internal/machine/disk.go
@@ -17,7 +17,7 @@
 func (realDisk) Read(name string, maxBytes int64) ([]byte, error) {
 	f, err := os.OpenFile(name, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if errors.Is(err, syscall.ELOOP) {
-		return nil, fmt.Errorf("%s: a symbolic link: %w", name, ErrIrregular)
+		return nil, fmt.Errorf("%s: a symbolic link: %w", name, ErrNotRegularFile)
 	}
 	if err != nil {
 		return nil, err
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: %w", name, ErrIrregular)
+		return nil, fmt.Errorf("%s: %w", name, ErrNotRegularFile)
 	}
 	if info.Size() > maxBytes {
 		return nil, fmt.Errorf("%s: %d bytes, %w of %d", name, info.Size(), ErrTooLong, maxBytes)
--- a/internal/machine/harness_test.go
+++ b/internal/machine/harness_test.go
@@ -147,7 +147,7 @@
 	for end := time.Now().Add(eventTimeout); ; {
 		n := 0
 		for _, c := range conns {
-			if !c.Quiet() {
+			if !c.HasNothingUnread() {
 				n++
 			}
 		}
--- a/internal/machine/inside.go
+++ b/internal/machine/inside.go
@@ -100,15 +100,15 @@
 	return n, nil
 }
 
-// Quiet implements Conn.
-func (c *insideConn) Quiet() bool {
+// HasNothingUnread implements Conn.
+func (c *insideConn) HasNothingUnread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed && !c.workerClosed && len(c.in) == 0
 }
 
-// End implements Conn.
-func (c *insideConn) End() error {
+// EndError implements Conn.
+func (c *insideConn) EndError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.workerClosed {
--- a/internal/machine/listener_test.go
+++ b/internal/machine/listener_test.go
@@ -73,7 +73,7 @@
 		l.Close()
 		l.Resume()
 		l.Pause()
-		if !first.Quiet() {
+		if !first.HasNothingUnread() {
 			t.Error("closing the listener ended an accepted connection")
 		}
 	})
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -38,8 +38,8 @@
 // ErrAddressInUse reports that another socket holds the listen address, often a socket of the previous process, which ends soon.
 var ErrAddressInUse = errors.New("machine: address already in use")
 
-// ErrAddressMissing reports that this machine does not have the listen address at the moment: the interface may not be up yet.
-var ErrAddressMissing = errors.New("machine: not an address of this machine")
+// ErrAddressNotAvailable reports that this machine does not have the listen address at the moment: the interface may not be up yet.
+var ErrAddressNotAvailable = errors.New("machine: not an address of this machine")
 
 // ErrNoWorker reports that this machine can't start workers.
 var ErrNoWorker = errors.New("machine: workers are not supported")
@@ -59,8 +59,8 @@
 // ErrTooLong reports that a file is longer than the caller's limit.
 var ErrTooLong = errors.New("machine: longer than the limit")
 
-// ErrIrregular reports that a name does not refer to a regular file, but for example to a folder, a link or a device.
-var ErrIrregular = errors.New("machine: not a regular file")
+// ErrNotRegularFile reports that a name does not refer to a regular file, but for example to a folder, a link or a device.
+var ErrNotRegularFile = errors.New("machine: not a regular file")
 
 // Signal is a signal that an operator or an operator's tool sends to the process.
 type Signal uint8
@@ -76,13 +76,13 @@
 	Now() Time
 	// Wall returns the Unix time of the system clock, which may be wrong and may step.
 	Wall() Time
-	// Late returns how far Now lags behind the real time: the time spent in the current callback, including any time for
+	// ClockLag returns how far Now lags behind the real time: the time spent in the current callback, including any time for
 	// which the process was suspended in it.
-	Late() Time
-	// Resumed registers f to be called before the first callback that follows an interval of at least after without
+	ClockLag() Time
+	// OnResume registers f to be called before the first callback that follows an interval of at least after without
 	// callbacks. In such an interval the loop was idle or the process was suspended, so that much unread input may be
 	// pending, in any order.
-	Resumed(after Time, f func())
+	OnResume(after Time, f func())
 	// Entropy returns an unpredictable random number. On a virtual machine, the seed determines the number.
 	Entropy() uint64
 
@@ -95,7 +95,7 @@
 	Work(f, done func())
 
 	// Listen calls accept with each connection accepted at the address, which is an IP address and a port (0 for any free
-	// port). accept returns the connection's handler; nil closes the connection. ErrAddressInUse, ErrAddressMissing and
+	// port). accept returns the connection's handler; nil closes the connection. ErrAddressInUse, ErrAddressNotAvailable and
 	// ErrShortage may be transient; other errors are permanent.
 	Listen(addr string, accept func(Conn) Handler) (Listener, error)
 	// Dial opens a connection. done is called once: with an established connection, for which done returns the handler (nil
@@ -120,8 +120,8 @@
 	// ReadFile returns a regular file's content. A file longer than maxBytes is an error. The call blocks for as long
 	// as the disk does.
 	ReadFile(name string, maxBytes int64) ([]byte, error)
-	// Signals registers f to be called for each signal. Signals received earlier are queued and delivered to f.
-	Signals(f func(Signal))
+	// OnSignal registers f to be called for each signal. Signals received earlier are queued and delivered to f.
+	OnSignal(f func(Signal))
 	// Log adds a line to the process's log. Log never blocks: lines are dropped if the log's reader does not keep up. Any
 	// goroutine may call Log.
 	Log(line string)
@@ -150,12 +150,13 @@
 	// Write sends as much of b as is possible without blocking. n < len(b) with a nil error means that the send buffer is
 	// full. After an error, nothing more can be sent on the connection; bytes that arrived before may still be readable.
 	Write(b []byte) (n int, err error)
-	// Quiet reports whether the connection is open and has nothing to read, neither bytes nor the end. It consumes nothing.
-	Quiet() bool
-	// End returns nil while the peer may send more, io.EOF after the peer has closed its sending side, and ErrReset after the
-	// connection broke, as far as the machine has notified the handler. Bytes that arrived before may still be unread. End
+	// HasNothingUnread reports whether the connection is open and has nothing to read, neither bytes nor the end. It consumes
+	// nothing.
+	HasNothingUnread() bool
+	// EndError returns nil while the peer may send more, io.EOF after the peer has closed its sending side, and ErrReset after the
+	// connection broke, as far as the machine has notified the handler. Bytes that arrived before may still be unread. EndError
 	// consumes nothing.
-	End() error
+	EndError() error
 	// CloseWrite closes this side's sending direction. The peer reads all bytes sent before and then the end.
 	CloseWrite() error
 	// Close closes the connection and its descriptor. If received bytes were left unread, the peer may see a reset instead of
@@ -196,10 +197,10 @@
 	Args []string
 	// Env is the worker's complete environment.
 	Env []string
-	// Inside, if set, runs in a goroutine of this process instead of a worker process. Its argument is the worker's end of the
-	// connection, which Inside closes. Kill only closes the connection: a function that never returns keeps its goroutine
+	// RunInProcess, if set, runs in a goroutine of this process instead of a worker process. Its argument is the worker's end of
+	// the connection, which RunInProcess closes. Kill only closes the connection: a function that never returns keeps its goroutine
 	// for the life of the process.
-	Inside func(io.ReadWriteCloser)
+	RunInProcess func(io.ReadWriteCloser)
 }
 
 // Process is a worker that was started.
@@ -225,7 +226,7 @@
 // A loss of power loses data that was not flushed. Create flushes a file's content; SyncFolder flushes names that were
 // created, changed or removed. Before the flush, each part may or may not survive, independently of the others.
 type Disk interface {
-	// Read returns a regular file's content. It returns ErrIrregular for anything else and ErrTooLong for more than maxBytes.
+	// Read returns a regular file's content. It returns ErrNotRegularFile for anything else and ErrTooLong for more than maxBytes.
 	Read(name string, maxBytes int64) ([]byte, error)
 	// Create creates a file with the content, accessible only by this user, and flushes the content. It fails with fs.ErrExist
 	// if anything exists under the name.
--- a/internal/machine/machinetest/conns.go
+++ b/internal/machine/machinetest/conns.go
@@ -130,7 +130,7 @@
 		if _, err := near.conn.Write([]byte("x")); err != machine.ErrClosed {
 			b.Errorf("Write after Close: got error %v, want ErrClosed", err)
 		}
-		if near.conn.Quiet() {
+		if near.conn.HasNothingUnread() {
 			b.Error("Quiet of a closed connection: got true, want false")
 		}
 	})
@@ -152,12 +152,12 @@
 	near.waitUntilFlushed()
 	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(func() {
-		if far.conn.Quiet() {
+		if far.conn.HasNothingUnread() {
 			b.Error("Quiet with unread bytes: got true, want false")
 		}
 		far.readAll()
 		far.reads = true
-		if !b.TakesLess && (!far.conn.Quiet() || string(far.got) != "ab") {
+		if !b.TakesLess && (!far.conn.HasNothingUnread() || string(far.got) != "ab") {
 			b.Errorf("Quiet after reading %q: got false, want true after \"ab\"", far.got)
 		}
 	})
@@ -168,7 +168,7 @@
 		}
 		near.conn.Close()
 	})
-	b.wait("the end", func() bool { return !far.conn.Quiet() })
+	b.wait("the end", func() bool { return !far.conn.HasNothingUnread() })
 	b.call(func() {
 		far.readAll()
 		if !b.TakesLess && far.err != io.EOF {
@@ -188,7 +188,7 @@
 	} {
 		near, far := b.pair(false)
 		b.call(func() {
-			if err := far.conn.End(); err != nil {
+			if err := far.conn.EndError(); err != nil {
 				b.Errorf("End of an open connection: got %v, want nil", err)
 			}
 			near.write("unread")
@@ -196,12 +196,12 @@
 		near.waitUntilFlushed()
 		b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 		b.call(func() {
-			if err := far.conn.End(); err != nil {
+			if err := far.conn.EndError(); err != nil {
 				b.Errorf("End with unread bytes and no end: got %v, want nil", err)
 			}
 			endConn(near.conn)
 		})
-		b.wait("the end, "+how, func() bool { return far.conn.End() == io.EOF })
+		b.wait("the end, "+how, func() bool { return far.conn.EndError() == io.EOF })
 		b.call(func() {
 			far.readAll()
 			if !b.TakesLess && far.err == nil {
@@ -224,5 +224,5 @@
 	})
 	b.wait("the bytes at near", func() bool { return near.readableCalls > 0 })
 	b.call(near.conn.Close) // resets the connection, as bytes are unread
-	b.wait("the reset", func() bool { return far.conn.End() == machine.ErrReset })
+	b.wait("the reset", func() bool { return far.conn.EndError() == machine.ErrReset })
 }
--- a/internal/machine/machinetest/disk.go
+++ b/internal/machine/machinetest/disk.go
@@ -124,7 +124,7 @@
 func symbolicLinks(b *bench) {
 	b.PutLink(b.path("link"))
 	b.onDisk(func(d machine.Disk) {
-		if got, err := d.Read(b.path("link"), 1000); !errors.Is(err, machine.ErrIrregular) {
+		if got, err := d.Read(b.path("link"), 1000); !errors.Is(err, machine.ErrNotRegularFile) {
 			b.Errorf("Read of a link: got %q and error %v, want ErrIrregular", got, err)
 		}
 		if err := d.Create(b.path("link"), nil); !errors.Is(err, fs.ErrExist) {
--- a/internal/machine/machinetest/end.go
+++ b/internal/machine/machinetest/end.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// eventuallyQuiet returns Conn.Quiet. With short transfers it repeats the call, because the call may fail at times.
+// eventuallyQuiet returns Conn.HasNothingUnread. With short transfers it repeats the call, because the call may fail at times.
 func (b *bench) eventuallyQuiet(c machine.Conn) bool {
 	for range 100 {
-		if c.Quiet() {
+		if c.HasNothingUnread() {
 			return true
 		}
 		if !b.TakesLess {
--- a/internal/machine/machinetest/listeners.go
+++ b/internal/machine/machinetest/listeners.go
@@ -119,7 +119,7 @@
 		if _, err := b.B.Listen(l.Addr(), nil); !errors.Is(err, machine.ErrAddressInUse) {
 			b.Errorf("Listen at an address in use: got error %v, want ErrAddressInUse", err)
 		}
-		if _, err := b.B.Listen("192.0.2.1:7000", nil); !errors.Is(err, machine.ErrAddressMissing) {
+		if _, err := b.B.Listen("192.0.2.1:7000", nil); !errors.Is(err, machine.ErrAddressNotAvailable) {
 			b.Errorf("Listen at an address of another machine: got error %v, want ErrAddressMissing", err)
 		}
 	})
--- a/internal/machine/machinetest/time.go
+++ b/internal/machine/machinetest/time.go
@@ -144,7 +144,7 @@
 	var got []machine.Signal
 	b.Signal(machine.HangUp)
 	b.call(func() {
-		b.A.Signals(func(s machine.Signal) {
+		b.A.OnSignal(func(s machine.Signal) {
 			defer b.enterCallback()()
 			got = append(got, s)
 		})
--- a/internal/machine/real.go
+++ b/internal/machine/real.go
@@ -50,7 +50,7 @@
 	disk          workQueue
 	signals       signals
 	log           *logger
-	peekBuffer    [1]byte         // receives the byte that Conn.Quiet peeks at
+	peekBuffer    [1]byte         // receives the byte that Conn.HasNothingUnread peeks at
 	wokeGoroutine atomic.Bool     // the loop made another goroutine runnable
 	packets       *receiveBuffers // nil until the first ListenPacket
 
@@ -224,7 +224,7 @@
 func (m *Real) readClock() { m.now = m.startWall + time.Since(m.start).Microseconds() }
 
 // beforeCall reads the clock for the next callback and, after a long interval without callbacks, calls the function set by
-// Resumed.
+// OnResume.
 func (m *Real) beforeCall() {
 	m.readClock()
 	before := m.lastCall
@@ -260,11 +260,13 @@
 // Wall implements Machine.
 func (m *Real) Wall() Time { return m.kernel.Wall().UnixMicro() }
 
-// Late implements Machine.
-func (m *Real) Late() Time { return m.startWall + time.Since(m.start).Microseconds() - m.now }
+// ClockLag implements Machine.
+func (m *Real) ClockLag() Time { return m.startWall + time.Since(m.start).Microseconds() - m.now }
 
-// Resumed implements Machine.
-func (m *Real) Resumed(after Time, f func()) { m.resumed, m.resumedAfter, m.lastCall = f, after, m.now }
+// OnResume implements Machine.
+func (m *Real) OnResume(after Time, f func()) {
+	m.resumed, m.resumedAfter, m.lastCall = f, after, m.now
+}
 
 // Entropy implements Machine.
 func (m *Real) Entropy() uint64 {
@@ -293,8 +295,8 @@
 	m.wokeGoroutine.Store(true)
 }
 
-// Signals implements Machine.
-func (m *Real) Signals(f func(Signal)) { m.signals.handleWith(f) }
+// OnSignal implements Machine.
+func (m *Real) OnSignal(f func(Signal)) { m.signals.handleWith(f) }
 
 // Log implements Machine.
 func (m *Real) Log(line string) {
--- a/internal/machine/real_test.go
+++ b/internal/machine/real_test.go
@@ -149,7 +149,7 @@
 		}
 	}
 	got := make(chan Signal, 8)
-	r.runInLoop(func() { r.Signals(func(s Signal) { got <- s }) })
+	r.runInLoop(func() { r.OnSignal(func(s Signal) { got <- s }) })
 	syscall.Kill(syscall.Getpid(), syscall.SIGINT)
 	for _, want := range []Signal{HangUp, Terminate, Terminate} {
 		if s := await(t, "a signal", got); s != want {
--- a/internal/machine/resumed_test.go
+++ b/internal/machine/resumed_test.go
@@ -15,10 +15,10 @@
 	loop := routertest.NewLoop(t, nil)
 	calls := make(chan string, 10)
 	loop.Do(func() {
-		loop.Resumed(span, func() { calls <- "resumed" })
+		loop.OnResume(span, func() { calls <- "resumed" })
 		loop.Post(func() {
 			calls <- "long"
-			for loop.Late() < span { // block the loop for longer than the span
+			for loop.ClockLag() < span { // block the loop for longer than the span
 			}
 		})
 		loop.Post(func() { calls <- "next" })
--- a/internal/machine/shortage.go
+++ b/internal/machine/shortage.go
@@ -33,7 +33,7 @@
 
 // IsTransientListenError reports whether an error of Listen or ListenPacket may be transient, so that the caller may retry.
 func IsTransientListenError(err error) bool {
-	return errors.Is(err, ErrAddressInUse) || errors.Is(err, ErrAddressMissing) || errors.Is(err, ErrShortage)
+	return errors.Is(err, ErrAddressInUse) || errors.Is(err, ErrAddressNotAvailable) || errors.Is(err, ErrShortage)
 }
 
 // listenError joins a sentinel error of this package and the kernel's error. Its text equals the text of the kernel's error.
@@ -54,7 +54,7 @@
 	case errors.Is(err, syscall.EADDRINUSE):
 		return &listenError{ErrAddressInUse, err}
 	case errors.Is(err, syscall.EADDRNOTAVAIL):
-		return &listenError{ErrAddressMissing, err}
+		return &listenError{ErrAddressNotAvailable, err}
 	case isShortage(err):
 		return &listenError{ErrShortage, err}
 	}
--- a/internal/machine/shortage_test.go
+++ b/internal/machine/shortage_test.go
@@ -11,7 +11,7 @@
 // any other error at once.
 func TestRetryShortageRepeatsCallsThatMaySucceed(t *testing.T) {
 	for failure, temporary := range map[error]bool{syscall.ENFILE: true, syscall.ENOMEM: true, syscall.EINTR: true,
-		syscall.EAGAIN: true, syscall.ENOENT: false, syscall.EACCES: false, ErrIrregular: false} {
+		syscall.EAGAIN: true, syscall.ENOENT: false, syscall.EACCES: false, ErrNotRegularFile: false} {
 		calls := 0
 		err := RetryShortage(func() error {
 			if calls++; calls < 3 {
--- a/internal/machine/worker.go
+++ b/internal/machine/worker.go
@@ -29,11 +29,11 @@
 // Spawn implements Machine.
 func (m *Real) Spawn(w Worker, done func(Conn, error) Handler) Process {
 	p := &process{m: m, done: done}
-	if w.Inside != nil {
+	if w.RunInProcess != nil {
 		c := newInsideConn(m)
 		p.conn = c
 		m.workers[p] = true
-		go w.Inside(insideEnd{c})
+		go w.RunInProcess(insideEnd{c})
 		m.Post(func() { p.started(nil) })
 		return p
 	}
--- a/internal/machine/worker_test.go
+++ b/internal/machine/worker_test.go
@@ -113,7 +113,7 @@
 func TestInProcessWorkerHasGoroutineAndConnection(t *testing.T) {
 	m := newMachine(t, machine.Options{})
 	ended := make(chan bool, 1)
-	rec, p := spawn(m, machine.Worker{Inside: func(c io.ReadWriteCloser) {
+	rec, p := spawn(m, machine.Worker{RunInProcess: func(c io.ReadWriteCloser) {
 		defer c.Close()
 		c.Write([]byte("here"))
 		io.Copy(io.Discard, c)
--- a/internal/operatorconfig/decode.go
+++ b/internal/operatorconfig/decode.go
@@ -50,7 +50,7 @@
 	}
 	slices.Sort(unknown)
 	for _, name := range unknown {
-		d.report(joinPath(path, configerror.Plain(name)), "unknown key%s", configerror.DidYouMean(name, known))
+		d.report(joinPath(path, configerror.QuoteIfNeeded(name)), "unknown key%s", configerror.DidYouMean(name, known))
 	}
 }
 
@@ -115,7 +115,7 @@
 		return
 	}
 	if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(text)); err != nil {
-		d.report(path, "%s: %s", configerror.Quote(text), configerror.Plain(err.Error()))
+		d.report(path, "%s: %s", configerror.Quote(text), configerror.QuoteIfNeeded(err.Error()))
 	}
 }
 
--- a/internal/operatorconfig/keys.go
+++ b/internal/operatorconfig/keys.go
@@ -16,15 +16,15 @@
 	Default string   // as written in the file
 	Min     string   // as written in the file; empty if there is no lower bound
 	Max     string   // as written in the file; empty if there is no upper bound
-	Words   []string // allowed values of a text; nil if any text is allowed
+	Choices []string // allowed values of a text; nil if any text is allowed
 	Doc     string
 }
 
 // Range describes the allowed values of a key. It is empty if all values are allowed.
 func (k Key) Range() string {
 	switch {
-	case len(k.Words) > 0:
-		return strings.Join(k.Words, ", ")
+	case len(k.Choices) > 0:
+		return strings.Join(k.Choices, ", ")
 	case k.Min == "" && k.Max == "":
 		return ""
 	case k.Min == "":
@@ -56,7 +56,7 @@
 		key := Key{Path: keyPath, Unit: unit(f.Type), Default: formatValue(value), Min: f.Tag.Get("min"),
 			Max: f.Tag.Get("max"), Doc: f.Tag.Get("doc")}
 		if words := f.Tag.Get("words"); words != "" {
-			key.Words = strings.Split(words, ",")
+			key.Choices = strings.Split(words, ",")
 		}
 		all = append(all, key)
 	}
--- a/internal/operatorconfig/locate.go
+++ b/internal/operatorconfig/locate.go
@@ -46,7 +46,7 @@
 func (w *walker) key(path string, node *unstable.Node, isEntry bool) string {
 	for it := node.Key(); it.Next(); {
 		part := it.Node()
-		path = joinPath(path, configerror.Plain(string(part.Data)))
+		path = joinPath(path, configerror.QuoteIfNeeded(string(part.Data)))
 		if isEntry && it.IsLast() {
 			w.entries[path]++
 		}
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -99,7 +99,7 @@
 		file.Path = path
 		return file, nil
 	}
-	found.In(path)
+	found.SetFile(path)
 	return File{}, &found
 }
 
@@ -132,7 +132,7 @@
 
 // syntaxError converts a decoding error of the TOML library.
 func syntaxError(err error) configerror.Error {
-	described := configerror.Error{Text: "not TOML: " + configerror.Plain(strings.TrimPrefix(err.Error(), "toml: "))}
+	described := configerror.Error{Text: "not TOML: " + configerror.QuoteIfNeeded(strings.TrimPrefix(err.Error(), "toml: "))}
 	var decodeErr *toml.DecodeError
 	if errors.As(err, &decodeErr) {
 		described.Line, described.Column = decodeErr.Position()
@@ -191,7 +191,7 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: not a regular file", configerror.Plain(path))
+		return nil, fmt.Errorf("%s: not a regular file", configerror.QuoteIfNeeded(path))
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -203,7 +203,7 @@
 		return nil, err
 	}
 	if int64(len(raw)) > maxBytes {
-		return nil, fmt.Errorf("%s: too large (wanted at most %d bytes)", configerror.Plain(path), maxBytes)
+		return nil, fmt.Errorf("%s: too large (wanted at most %d bytes)", configerror.QuoteIfNeeded(path), maxBytes)
 	}
 	return raw, nil
 }
--- a/internal/plugin/draft.go
+++ b/internal/plugin/draft.go
@@ -36,7 +36,7 @@
 		d.droppedLines++
 		return
 	}
-	d.verdict.Log = append(d.verdict.Log, Plain(line, min(d.Budget.LogLineSize, MaxLogLine)))
+	d.verdict.Log = append(d.verdict.Log, SanitizeText(line, min(d.Budget.LogLineSize, MaxLogLine)))
 }
 
 // AddTag adds a tag to the request. A repeated tag has no effect.
@@ -79,7 +79,7 @@
 	if len(text) > MaxText {
 		return invalidVerdict("a text of %d bytes (wanted at most %d)", len(text), MaxText)
 	}
-	d.verdict.Text = Plain(text, MaxText)
+	d.verdict.Text = SanitizeText(text, MaxText)
 	return nil
 }
 
@@ -143,9 +143,9 @@
 	return &Failure{InvalidVerdict, fmt.Sprintf(format, args...)}
 }
 
-// Plain returns text truncated to limit bytes at a character boundary. Line separators, terminal control characters and
+// SanitizeText returns text truncated to limit bytes at a character boundary. Line separators, terminal control characters and
 // invalid UTF-8 are replaced by question marks.
-func Plain(text string, limit int) string {
+func SanitizeText(text string, limit int) string {
 	if len(text) > limit {
 		cut := limit
 		for cut > 0 && !utf8.RuneStart(text[cut]) {
@@ -165,7 +165,7 @@
 const maxExcerpt = 40
 
 // excerpt returns the beginning of a text for use in a failure.
-func excerpt(text string) string { return Plain(text, maxExcerpt) }
+func excerpt(text string) string { return SanitizeText(text, maxExcerpt) }
 
 // isName reports whether a text is a valid name of at most limit bytes for logs, counts and arguments of commands.
 func isName(text string, limit int) bool {
--- a/internal/plugin/draft_test.go
+++ b/internal/plugin/draft_test.go
@@ -73,11 +73,11 @@
 	for text, want := range map[string]string{ // any order
 		"a\r\nb\x1b[2J\x00": "a??b?[2J?", "Öé": "Öé", "\xff\xfe": "??", "a\u2028b\u0085": "a?b?",
 	} {
-		if got := Plain(text, 100); got != want {
+		if got := SanitizeText(text, 100); got != want {
 			t.Errorf("%q: got %q, want %q", text, got, want)
 		}
 	}
-	if got := Plain("ÖÖÖ", 5); got != "ÖÖ" {
+	if got := SanitizeText("ÖÖÖ", 5); got != "ÖÖ" {
 		t.Errorf("truncated to %q, want two characters", got)
 	}
 }
@@ -88,7 +88,7 @@
 		if most < 0 || most > 1000 {
 			return
 		}
-		got := Plain(text, most)
+		got := SanitizeText(text, most)
 		if !utf8.ValidString(got) || strings.ContainsAny(got, "\r\n\x1b\x00") || len(got) > 3*most {
 			t.Errorf("%q", got)
 		}
--- a/internal/plugin/script/engine.go
+++ b/internal/plugin/script/engine.go
@@ -132,7 +132,7 @@
 	}
 	n, err := starlark.AsInt32(version)
 	if err != nil {
-		return notLoadable("its version is not a number (%s)", plugin.Plain(version.String(), maxValueText))
+		return notLoadable("its version is not a number (%s)", plugin.SanitizeText(version.String(), maxValueText))
 	}
 	if n != plugin.Version {
 		return &plugin.Failure{Kind: plugin.VersionMismatch, Text: fmt.Sprintf(
@@ -223,7 +223,7 @@
 		return h.draft.Finish(int64(got.decision))
 	}
 	return &plugin.Failure{Kind: plugin.InvalidVerdict, Text: fmt.Sprintf("a value of the type %s (wanted None, refuse() or fail())",
-		plugin.Plain(got.Type(), maxValueText))}
+		plugin.SanitizeText(got.Type(), maxValueText))}
 }
 
 // Close implements plugin.Hook.
@@ -255,10 +255,10 @@
 	if errors.As(err, &eval) {
 		for i := len(eval.CallStack) - 1; i >= 0; i-- {
 			if pos := eval.CallStack[i].Pos; pos.Filename() != "<builtin>" {
-				return plugin.Plain(fmt.Sprintf("%s: %s", pos, eval.Msg), maxErrorText)
+				return plugin.SanitizeText(fmt.Sprintf("%s: %s", pos, eval.Msg), maxErrorText)
 			}
 		}
 	}
 	text, _, _ := strings.Cut(err.Error(), "\n")
-	return plugin.Plain(text, maxErrorText)
+	return plugin.SanitizeText(text, maxErrorText)
 }
--- a/internal/plugin/wasm/engine.go
+++ b/internal/plugin/wasm/engine.go
@@ -127,7 +127,7 @@
 		switch want, known := hostFunctions[name]; {
 		case from == wasiModule:
 		case from != hostModule || !known:
-			return notLoadable("it imports %q of %q, which the router does not provide", plugin.Plain(name, maxNameText), plugin.Plain(from, maxNameText))
+			return notLoadable("it imports %q of %q, which the router does not provide", plugin.SanitizeText(name, maxNameText), plugin.SanitizeText(from, maxNameText))
 		case signature(f) != want:
 			return notLoadable("it imports %s with a wrong signature (%s, wanted %s)", name, signature(f), want)
 		}
@@ -352,5 +352,5 @@
 // errorText returns the first line of an error as a text for a failure.
 func errorText(err error) string {
 	text, _, _ := strings.Cut(err.Error(), "\n")
-	return plugin.Plain(text, maxErrorText)
+	return plugin.SanitizeText(text, maxErrorText)
 }
--- a/internal/plugin/wasm/wasm_test.go
+++ b/internal/plugin/wasm/wasm_test.go
@@ -66,20 +66,20 @@
 
 // callWithText calls a host function with a text in memory.
 func callWithText(function uint32, at, n int32) Code {
-	return Seq(I32Const(at), I32Const(n), Call(function))
+	return Concat(I32Const(at), I32Const(n), Call(function))
 }
 
 // callWithField calls a host function with a text field of the call.
 func callWithField(function, at uint32) Code {
-	return Seq(call, I32Load(at), call, I32Load(at+4), Call(function))
+	return Concat(call, I32Load(at), call, I32Load(at+4), Call(function))
 }
 
 // ifKeyBegins executes then if the key begins with c.
 func ifKeyBegins(c byte, then ...Code) Code {
-	return Seq(call, I32Load(offsetKey+4), If(call, I32Load(offsetKey), I32Load8U(0), I32Const(int32(c)), I32Eq, If(then...)))
+	return Concat(call, I32Load(offsetKey+4), If(call, I32Load(offsetKey), I32Load8U(0), I32Const(int32(c)), I32Eq, If(then...)))
 }
 
-func returnNumber(n int32) Code { return Seq(I32Const(n), Return) }
+func returnNumber(n int32) Code { return Concat(I32Const(n), Return) }
 
 // withPoint returns a module with on_request and another point without parameters.
 func withPoint(name string, body ...Code) []byte {
@@ -91,7 +91,7 @@
 
 func hooks() map[string][]byte {
 	notifications := module(1)
-	letter := Seq(
+	letter := Concat(
 		I32Const(bufferAddress+4096), I32Const('s'), I32Store8(0), call, I32Load(offsetOutcome), I32Const(1), I32Eq,
 		If(I32Const(bufferAddress+4096), I32Const('r'), I32Store8(0)), call, I32Load(offsetOutcome), I32Const(2), I32Eq,
 		If(I32Const(bufferAddress+4096), I32Const('f'), I32Store8(0)), callWithText(hostLog, bufferAddress+4096, 1), pass)
@@ -120,7 +120,7 @@
 
 	var nineTags Code
 	for i := range int32(9) {
-		nineTags = Seq(nineTags, callWithText(hostTag, atXs, i+1))
+		nineTags = Concat(nineTags, callWithText(hostTag, atXs, i+1))
 	}
 	const counter = 512
 	return map[string][]byte{
--- a/internal/plugin/wasmfile/wasmfile.go
+++ b/internal/plugin/wasmfile/wasmfile.go
@@ -6,8 +6,8 @@
 // Code is a sequence of instructions.
 type Code []byte
 
-// Seq concatenates sequences of instructions.
-func Seq(parts ...Code) Code {
+// Concat concatenates sequences of instructions.
+func Concat(parts ...Code) Code {
 	var all Code
 	for _, p := range parts {
 		all = append(all, p...)
@@ -74,13 +74,13 @@
 func Call(f uint32) Code { return append(Code{0x10}, unsigned(f)...) }
 
 // If executes then if the number on top of the stack is not 0.
-func If(then ...Code) Code { return Seq(Code{0x04, 0x40}, Seq(then...), Code{0x0b}) }
+func If(then ...Code) Code { return Concat(Code{0x04, 0x40}, Concat(then...), Code{0x0b}) }
 
 // Loop returns a block that Br(0) in its body restarts.
-func Loop(body ...Code) Code { return Seq(Code{0x03, 0x40}, Seq(body...), Code{0x0b}) }
+func Loop(body ...Code) Code { return Concat(Code{0x03, 0x40}, Concat(body...), Code{0x0b}) }
 
 // Block returns a block that Br(0) in its body leaves.
-func Block(body ...Code) Code { return Seq(Code{0x02, 0x40}, Seq(body...), Code{0x0b}) }
+func Block(body ...Code) Code { return Concat(Code{0x02, 0x40}, Concat(body...), Code{0x0b}) }
 
 // Br branches to the enclosing Block, Loop or If at the given level; 0 is the innermost.
 func Br(level uint32) Code { return append(Code{0x0c}, unsigned(level)...) }
@@ -141,7 +141,7 @@
 	} else {
 		b = append(b, 0)
 	}
-	b = append(append(b, Seq(body...)...), 0x0b)
+	b = append(append(b, Concat(body...)...), 0x0b)
 	m.bodies = append(m.bodies, append(unsigned(uint32(len(b))), b...))
 	return i
 }
--- a/internal/plugin/wire/wire.go
+++ b/internal/plugin/wire/wire.go
@@ -260,14 +260,14 @@
 func AppendLoadFailed(b []byte, f *plugin.Failure) []byte {
 	b, start := beginFrame(b, KindLoadFailed)
 	b = append(b, byte(f.Kind))
-	return endFrame(appendText(b, plugin.Plain(f.Text, plugin.MaxLogLine)), start)
+	return endFrame(appendText(b, plugin.SanitizeText(f.Text, plugin.MaxLogLine)), start)
 }
 
 // ParseLoadFailed reads the body of a LoadFailed frame.
 func ParseLoadFailed(body []byte) (*plugin.Failure, error) {
 	r := reader{b: body}
 	f := &plugin.Failure{Kind: plugin.FailureKind(r.byte())}
-	f.Text = plugin.Plain(string(r.text(plugin.MaxLogLine)), plugin.MaxLogLine)
+	f.Text = plugin.SanitizeText(string(r.text(plugin.MaxLogLine)), plugin.MaxLogLine)
 	return f, r.end()
 }
 
@@ -288,7 +288,7 @@
 	b = appendNumber(b, r.RunTime)
 	if r.Failed {
 		b = append(b, failed, byte(r.Kind))
-		b = appendText(b, plugin.Plain(r.Text, plugin.MaxLogLine))
+		b = appendText(b, plugin.SanitizeText(r.Text, plugin.MaxLogLine))
 	} else {
 		b = append(b, succeeded)
 		b = appendVerdict(b, &r.Verdict)
@@ -329,7 +329,7 @@
 	case failed:
 		p.Failed = true
 		p.Kind = plugin.FailureKind(r.byte())
-		p.Text = plugin.Plain(string(r.text(plugin.MaxLogLine)), plugin.MaxLogLine)
+		p.Text = plugin.SanitizeText(string(r.text(plugin.MaxLogLine)), plugin.MaxLogLine)
 	default:
 		r.malformed = true
 	}
--- a/internal/plugin/worker/confine.go
+++ b/internal/plugin/worker/confine.go
@@ -35,18 +35,18 @@
 	signal.Ignore(syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	lowerPriority()
 	debug.SetMaxStack(maxStack)
-	return Serve(os.Stdin, Confine)
+	return Serve(os.Stdin, LimitMemory)
 }
 
-// Confine permanently limits the memory of this process to the hook's budget and MemoryOverhead. A process that exceeds the
+// LimitMemory permanently limits the memory of this process to the hook's budget and MemoryOverhead. A process that exceeds the
 // limit ends with the runtime's "out of memory" or because the kernel refuses to map a page. The kernel enforces the limit
 // because script engines can't: a string that a script doubles repeatedly takes gigabytes within a second.
 //
-// The limit applies to address space, which the runtime reserves one arena at a time. Confine therefore fills the current arena,
-// and the part of the following arenas that exceeds the allowed size, with memory that is never written and costs nothing.
-// Confine also sets the garbage collector's memory limit to the allowed size, so that a collection runs before the limit is
+// The limit applies to address space, which the runtime reserves one arena at a time. LimitMemory therefore fills the current
+// arena, and the part of the following arenas that exceeds the allowed size, with memory that is never written and costs nothing.
+// LimitMemory also sets the garbage collector's memory limit to the allowed size, so that a collection runs before the limit is
 // reached instead of at twice the size of the heap.
-func Confine(b plugin.Budget) {
+func LimitMemory(b plugin.Budget) {
 	allowed := b.Memory + MemoryOverhead
 	arenas := (allowed + arenaSize - 1) / arenaSize
 	debug.SetGCPercent(-1)
--- a/internal/plugin/worker/worker.go
+++ b/internal/plugin/worker/worker.go
@@ -147,7 +147,7 @@
 	}
 	e := EngineOf(l.Engine)
 	if e == nil {
-		err = &plugin.Failure{Kind: plugin.NotLoadable, Text: "there is no engine " + plugin.Plain(l.Engine, maxEngineName)}
+		err = &plugin.Failure{Kind: plugin.NotLoadable, Text: "there is no engine " + plugin.SanitizeText(l.Engine, maxEngineName)}
 	} else {
 		s.hook, err = e.Load(l.Name, l.Code, l.Budget)
 	}
@@ -248,5 +248,5 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	return &plugin.Failure{Kind: plugin.Crashed, Text: plugin.Plain(err.Error(), maxCause)}
+	return &plugin.Failure{Kind: plugin.Crashed, Text: plugin.SanitizeText(err.Error(), maxCause)}
 }
--- a/internal/retry/pacer.go
+++ b/internal/retry/pacer.go
@@ -62,20 +62,20 @@
 func NewPacer(o Options) *Pacer {
 	p := &Pacer{
 		bound:         notifiedAfterReachable,
-		maxFirstDelay: max(o.Grace/2, CallPause),
+		maxFirstDelay: max(o.Grace/2, MinCallInterval),
 		grace:         o.Grace,
 		clients:       max(o.Clients, 1),
 		reachability:  newReachability(),
 	}
 	if o.PollInterval > 0 {
-		p.bound = max(min(p.bound, pollIntervalsPerFailedCall*o.PollInterval), meanDivisor*CallPause)
+		p.bound = max(min(p.bound, pollIntervalsPerFailedCall*o.PollInterval), meanDivisor*MinCallInterval)
 	}
 	return p
 }
 
-// Start returns the delay of a client's first call, which spreads the calls of clients that start at the same time. random is a
-// random number in [0, 1).
-func (p *Pacer) Start(random float64) Time {
+// StartDelay returns the delay of a client's first call, which spreads the calls of clients that start at the same time. random is
+// a random number in [0, 1).
+func (p *Pacer) StartDelay(random float64) Time {
 	if p.clients == 1 {
 		return 0
 	}
@@ -84,7 +84,7 @@
 
 // Failure describes a failed call and the delay that follows it.
 type Failure struct {
-	Pause       Time // delay before the next call
+	Delay       Time // delay before the next call
 	First       bool // the call is the first to fail since the last answer
 	Overdue     bool // the call is the first to fail later than the bound
 	FailingFor  Time // time since the first failure
@@ -115,15 +115,15 @@
 	failure.Overdue = !p.overdueReported && failure.FailingFor >= p.bound
 	p.overdueReported = p.overdueReported || failure.Overdue
 	if failure.First && p.wasAnswered {
-		failure.Pause = p.firstDelay(random)
+		failure.Delay = p.firstDelay(random)
 	} else {
-		failure.Pause = jitter(meanDelay(now, failure.FailingFor), random)
+		failure.Delay = jitter(meanDelay(now, failure.FailingFor), random)
 	}
 	return failure
 }
 
 // firstDelay returns the delay after the loss of a watch that was answered. The client misses changes during the delay, so it is
-// at most half of the grace (or CallPause, if longer). The delay is at least minDelay: without a minimum, a client would call
+// at most half of the grace (or MinCallInterval, if longer). The delay is at least minDelay: without a minimum, a client would call
 // without a pause a service that repeatedly answers and then closes the connection.
 func (p *Pacer) firstDelay(random float64) Time {
 	return minDelay + Time(random*float64(p.maxFirstDelay-minDelay))
--- a/internal/retry/pacer_test.go
+++ b/internal/retry/pacer_test.go
@@ -12,10 +12,10 @@
 		for _, random := range []float64{0, 0.5, 0.999999} {
 			p := NewPacer(Options{Clients: 300, Grace: second / 2, PollInterval: interval})
 			p.Answered()
-			if f := p.Failed(7*second, random); !f.First || f.Pause > second/4 {
+			if f := p.Failed(7*second, random); !f.First || f.Delay > second/4 {
 				t.Errorf("interval %d, random %g: got %+v, want the first failure with a delay of at most %d us", interval, random, f, second/4)
 			}
-			if f := p.Failed(8*second, random); f.First || f.Pause == 0 {
+			if f := p.Failed(8*second, random); f.First || f.Delay == 0 {
 				t.Errorf("interval %d, random %g, second failure: got %+v, want a delay above 0 and First unset", interval, random, f)
 			}
 		}
@@ -33,11 +33,11 @@
 		p := NewPacer(o)
 		for now := Time(0); now < 10; now++ {
 			p.Answered()
-			if f := p.Failed(now, 0); f.Pause < minDelay {
-				t.Errorf("%+v: delay after the loss of a watch: got %d us, want at least %d", o, f.Pause, minDelay)
+			if f := p.Failed(now, 0); f.Delay < minDelay {
+				t.Errorf("%+v: delay after the loss of a watch: got %d us, want at least %d", o, f.Delay, minDelay)
 			}
-			if f := p.Failed(now, 0); f.Pause < CallPause/2 {
-				t.Errorf("%+v: delay after a failed call: got %d us, want at least %d", o, f.Pause, CallPause/2)
+			if f := p.Failed(now, 0); f.Delay < MinCallInterval/2 {
+				t.Errorf("%+v: delay after a failed call: got %d us, want at least %d", o, f.Delay, MinCallInterval/2)
 			}
 		}
 	}
@@ -62,10 +62,10 @@
 		if f.FailingFor > 81*second {
 			shortest = 3 * second
 		}
-		if f.Pause < shortest || f.Pause > longest {
-			t.Fatalf("failing for %d us: got a delay of %d us, want %d to %d", f.FailingFor, f.Pause, shortest, longest)
+		if f.Delay < shortest || f.Delay > longest {
+			t.Fatalf("failing for %d us: got a delay of %d us, want %d to %d", f.FailingFor, f.Delay, shortest, longest)
 		}
-		now += f.Pause
+		now += f.Delay
 	}
 	if overdue != 1 {
 		t.Errorf("got Overdue %d times, want once per outage", overdue)
@@ -79,8 +79,8 @@
 func TestDelaysFitIntoFourPollIntervals(t *testing.T) {
 	p := NewPacer(Options{Clients: 3, Grace: second, PollInterval: second / 2})
 	p.Failed(0, 0)
-	if f := p.Failed(second, 0.999999); f.Pause > 2*second*4/18 {
-		t.Errorf("got a delay of %d us, want at most %d: the client counts as notified after 2 s", f.Pause, 2*second*4/18)
+	if f := p.Failed(second, 0.999999); f.Delay > 2*second*4/18 {
+		t.Errorf("got a delay of %d us, want at most %d: the client counts as notified after 2 s", f.Delay, 2*second*4/18)
 	}
 }
 
@@ -88,13 +88,13 @@
 	rng := rand.New(rand.NewPCG(2, 2))
 	first, last := 10*second, Time(0)
 	for range 32 {
-		at := NewPacer(Options{Clients: 32, Grace: second}).Start(rng.Float64())
+		at := NewPacer(Options{Clients: 32, Grace: second}).StartDelay(rng.Float64())
 		first, last = min(first, at), max(last, at)
 	}
 	if last-first < second/3 || last > second/2 {
 		t.Errorf("got 32 calls from %d to %d us, want a spread of at least %d us, and the last call by %d us", first, last, second/3, second/2)
 	}
-	if at := NewPacer(Options{Clients: 1, Grace: second}).Start(0.9); at != 0 {
+	if at := NewPacer(Options{Clients: 1, Grace: second}).StartDelay(0.9); at != 0 {
 		t.Errorf("got a delay of %d us for the only client, want 0", at)
 	}
 }
@@ -102,12 +102,12 @@
 // delaysAfterReturn returns the delays of a client that loses its watch at 0 and whose calls are rejected after the service's return.
 func delaysAfterReturn(p *Pacer, returnAt, until Time, rng *rand.Rand) (delays []Time) {
 	p.Answered()
-	now := p.Failed(0, rng.Float64()).Pause
+	now := p.Failed(0, rng.Float64()).Delay
 	for now < returnAt {
-		now += p.Failed(now, rng.Float64()).Pause
+		now += p.Failed(now, rng.Float64()).Delay
 	}
 	for now < until {
-		delay := p.Rejected(now, rng.Float64()).Pause
+		delay := p.Rejected(now, rng.Float64()).Delay
 		delays = append(delays, delay)
 		now += delay
 	}
@@ -152,8 +152,8 @@
 	p := NewPacer(Options{Clients: 16, Grace: second / 2, PollInterval: 10 * second})
 	p.Answered()
 	for now := second; now < 16*second; now += second {
-		if f := p.Rejected(now, 0.5); !f.First && f.Pause != second {
-			t.Errorf("at %d us: got a delay of %d us, want a sixth of six seconds", now, f.Pause)
+		if f := p.Rejected(now, 0.5); !f.First && f.Delay != second {
+			t.Errorf("at %d us: got a delay of %d us, want a sixth of six seconds", now, f.Delay)
 		}
 	}
 }
@@ -163,10 +163,10 @@
 	p := NewPacer(Options{Clients: 16, Grace: second / 2, PollInterval: 10 * second})
 	p.Answered()
 	p.Failed(0, 0.5)
-	first := p.Rejected(second, 0.5).Pause
+	first := p.Rejected(second, 0.5).Delay
 	p.Rejected(5*second, 0.5)
 	p.Failed(6*second, 0.5)
-	if again := p.Rejected(8*second, 0.5).Pause; again != first {
+	if again := p.Rejected(8*second, 0.5).Delay; again != first {
 		t.Errorf("after the second outage: got a delay of %d us, want %d as after the first outage", again, first)
 	}
 }
@@ -180,8 +180,8 @@
 		rejected.Answered()
 		for now := Time(0); now < 300*second; now += second {
 			for name, delay := range map[string]Time{
-				"unanswered": failed.Failed(now, 0.999999).Pause,
-				"rejected":   rejected.Rejected(now, 0.999999).Pause,
+				"unanswered": failed.Failed(now, 0.999999).Delay,
+				"rejected":   rejected.Rejected(now, 0.999999).Delay,
 			} {
 				if delay > 4*second/3 {
 					t.Fatalf("%d clients, %s for %d us: got a delay of %d us, want at most %d", clients, name, now, delay, 4*second/3)
--- a/internal/retry/timeouts.go
+++ b/internal/retry/timeouts.go
@@ -15,9 +15,9 @@
 	// minDelay is the minimum delay or timeout in microseconds. An agent may take as long to answer on its socket.
 	minDelay Time = 50_000
 
-	// CallPause is the interval, in microseconds, between the calls of a watch that are answered immediately. The protocol ends a
-	// watch after 200 ms without a call.
-	CallPause = 100_000
+	// MinCallInterval is the interval, in microseconds, between the calls of a watch that are answered immediately. The protocol
+	// ends a watch after 200 ms without a call.
+	MinCallInterval = 100_000
 )
 
 // Fractions of the grace within which the client must act on a change that the agent has. Together they use half of the grace.
@@ -65,7 +65,7 @@
 // agentTimeouts returns the timeouts of calls to an agent. While the service is down, the agent answers no calls, including a call
 // in flight. The client counts as notified of a change as soon as the agent receives it at the service's return.
 func (o CallOptions) agentTimeouts() Timeouts {
-	wait := min(max(o.Grace/agentWaitDivisor, CallPause), o.WatchTime)
+	wait := min(max(o.Grace/agentWaitDivisor, MinCallInterval), o.WatchTime)
 	answer := min(max(o.Grace/agentAnswerDivisor, minDelay), o.AnswerTime)
 	return Timeouts{
 		WatchWait:     wait,
--- a/internal/retry/timeouts_test.go
+++ b/internal/retry/timeouts_test.go
@@ -40,12 +40,12 @@
 		if unpolled := s.SilentAfter + s.RetryDelay; unpolled > grace.Microseconds()/2 {
 			t.Errorf("grace %s: got %d us without a poll, want at most half of the grace", grace, unpolled)
 		}
-		if s.AnswerTimeout > s.SilentAfter || s.RetryDelay < minDelay || s.WatchWait < CallPause {
-			t.Errorf("grace %s: got timeouts %+v, want at least %d us for the retry delay and %d us for the wait", grace, s, minDelay, CallPause)
+		if s.AnswerTimeout > s.SilentAfter || s.RetryDelay < minDelay || s.WatchWait < MinCallInterval {
+			t.Errorf("grace %s: got timeouts %+v, want at least %d us for the retry delay and %d us for the wait", grace, s, minDelay, MinCallInterval)
 		}
 	}
-	if s := pushedOptions(0).Draw(7); s.WatchWait < CallPause || s.AnswerTimeout < minDelay {
-		t.Errorf("without a grace: got timeouts %+v, want at least %d us for the wait and %d us for the answer", s, CallPause, minDelay)
+	if s := pushedOptions(0).Draw(7); s.WatchWait < MinCallInterval || s.AnswerTimeout < minDelay {
+		t.Errorf("without a grace: got timeouts %+v, want at least %d us for the wait and %d us for the answer", s, MinCallInterval, minDelay)
 	}
 }
 
--- a/internal/retrystorm/change.go
+++ b/internal/retrystorm/change.go
@@ -60,9 +60,9 @@
 	return rounded
 }
 
-// Level returns the level of the log line, which is a warning if the new state is Rising or Stormy.
+// Level returns the level of the log line, which is a warning if the new state is Rising or Storm.
 func (c Change) Level() slog.Level {
-	if c.To == Rising || c.To == Stormy {
+	if c.To == Rising || c.To == Storm {
 		return slog.LevelWarn
 	}
 	return slog.LevelInfo
--- a/internal/retrystorm/detector.go
+++ b/internal/retrystorm/detector.go
@@ -29,12 +29,12 @@
 const (
 	Calm       State = iota // there is no storm
 	Rising                  // there may be a storm, which is not confirmed yet
-	Stormy                  // there is a storm
+	Storm                   // there is a storm
 	Recovering              // the storm is over, and the bounds are relaxed in steps
 	stateCount
 )
 
-var stateNames = [...]string{Calm: "calm", Rising: "rising", Stormy: "storm", Recovering: "recovering"}
+var stateNames = [...]string{Calm: "calm", Rising: "rising", Storm: "storm", Recovering: "recovering"}
 
 // String returns the state as it appears in logs.
 func (s State) String() string { return stateNames[s] }
@@ -105,9 +105,9 @@
 // that retries a hundred times per second would count as a storm.
 const minCountInterval = 1000
 
-// Requested counts a request and classifies it. The router calls Requested once for each request, before the decision module
-// decides on the request.
-func (d *Detector) Requested(now Time, r Request) Verdict {
+// RecordRequest counts a request and classifies it. The router calls RecordRequest once for each request, before the decision
+// module decides on the request.
+func (d *Detector) RecordRequest(now Time, r Request) Verdict {
 	counts, ms := d.window.current(), d.milliseconds(now)
 	counts.requests++
 	if r.FirstOnConnection {
@@ -143,13 +143,13 @@
 
 // overFairShare reports whether a number of requests of one address in the current interval exceeds the fair share.
 func (d *Detector) overFairShare(requests uint32) bool {
-	return d.state == Stormy && d.addresses.previousAddresses >= d.cfg.MinAddresses &&
+	return d.state == Storm && d.addresses.previousAddresses >= d.cfg.MinAddresses &&
 		float64(requests) > d.cfg.FairShareFactor*d.addresses.previousMean
 }
 
-// Unserved records a request that ended without a value because it was rejected, it failed, or the client abandoned it. The
-// verdict is the result of Requested, and readAt is the time at which the router read the request.
-func (d *Detector) Unserved(now Time, r Request, verdict Verdict, readAt Time) {
+// RecordUnserved records a request that ended without a value because it was rejected, it failed, or the client abandoned it. The
+// verdict is the result of RecordRequest, and readAt is the time at which the router read the request.
+func (d *Detector) RecordUnserved(now Time, r Request, verdict Verdict, readAt Time) {
 	d.window.current().unserved++
 	first := readAt
 	if verdict.FirstRequestedAt > 0 {
@@ -277,7 +277,7 @@
 		} else if hasLasted(now, d.belowSince, d.cfg.Settle) {
 			d.state = Calm
 		}
-	case Stormy:
+	case Storm:
 		if hasLasted(now, d.belowSince, d.cfg.Settle) {
 			d.state = Recovering
 		} else if above {
@@ -293,7 +293,7 @@
 }
 
 func (d *Detector) enterStorm() {
-	d.state = Stormy
+	d.state = Storm
 	d.bounds.RetryBudgetFraction = d.cfg.RetryBudgetFraction
 }
 
--- a/internal/retrystorm/detector_test.go
+++ b/internal/retrystorm/detector_test.go
@@ -57,16 +57,16 @@
 	}
 }
 
-// request makes a request that is served, unless the caller passes it to Unserved.
+// request makes a request that is served, unless the caller passes it to RecordUnserved.
 func (h *harness) request(client, key uint64) (Request, Verdict) {
 	r := Request{Client: client, Key: key, ClientTimeout: sec}
-	return r, h.detector.Requested(h.now, r)
+	return r, h.detector.RecordRequest(h.now, r)
 }
 
 // reject makes a request that is rejected.
 func (h *harness) reject(client, key uint64) Verdict {
 	r, verdict := h.request(client, key)
-	h.detector.Unserved(h.now, r, verdict, h.now)
+	h.detector.RecordUnserved(h.now, r, verdict, h.now)
 	return verdict
 }
 
@@ -138,7 +138,7 @@
 // TestMarkedRetryCountsWithoutRejection checks that a marked retry counts as a retry if another router rejected the request.
 func TestMarkedRetryCountsWithoutRejection(t *testing.T) {
 	h := newHarness(t, nil)
-	verdict := h.detector.Requested(h.now, Request{Client: 1, Key: 7, ClientTimeout: sec, MarkedRetry: true})
+	verdict := h.detector.RecordRequest(h.now, Request{Client: 1, Key: 7, ClientTimeout: sec, MarkedRetry: true})
 	if !verdict.Retry || verdict.FirstRequestedAt != 0 {
 		t.Fatalf("got %+v, want a retry without a time of the first request", verdict)
 	}
@@ -159,7 +159,7 @@
 func TestStormPassesThroughStates(t *testing.T) {
 	h := newHarness(t, nil)
 	h.run(500*ms, h.retryingClients(50))
-	h.wantState(Stormy)
+	h.wantState(Storm)
 	b := h.detector.Bounds()
 	if !b.Active || b.Outage || b.RetryBudgetFraction != Default().RetryBudgetFraction {
 		t.Fatalf("bounds in a storm: got %+v, want the default budget fraction and no outage", b)
@@ -229,7 +229,7 @@
 			h.detector.AttemptEnded(false)
 		}
 	})
-	h.wantState(Stormy)
+	h.wantState(Storm)
 	if !h.detector.Bounds().Outage {
 		t.Fatalf("bounds in the outage: got %+v, want an outage", h.detector.Bounds())
 	}
@@ -282,7 +282,7 @@
 	}
 }
 
-// TestRelapseReturnsToStorm checks that retries during recovery return the detector to Stormy within 500 ms.
+// TestRelapseReturnsToStorm checks that retries during recovery return the detector to Storm within 500 ms.
 func TestRelapseReturnsToStorm(t *testing.T) {
 	h := newHarness(t, nil)
 	h.run(sec, h.retryingClients(50))
@@ -296,7 +296,7 @@
 		})
 	}
 	h.run(500*ms, h.retryingClients(200))
-	h.wantState(Stormy)
+	h.wantState(Storm)
 }
 
 // TestJitterGrowsToMaximum checks that the jitter grows during a long storm, up to its maximum.
@@ -344,7 +344,7 @@
 			}
 		}
 	})
-	h.wantState(Stormy)
+	h.wantState(Storm)
 }
 
 // TestMemoryIsBounded checks the size of the tables after a hundred thousand addresses, and that most retries are recognised.
@@ -352,7 +352,7 @@
 	s := New(Default())
 	for c := range uint64(100_000) {
 		a := Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}
-		s.Unserved(startTime, a, s.Requested(startTime, a), startTime)
+		s.RecordUnserved(startTime, a, s.RecordRequest(startTime, a), startTime)
 	}
 	maxSets := Default().Remembered/associativity + 1
 	if len(s.unserved.sets) > maxSets || len(s.addresses.sets) != addressSets {
@@ -361,7 +361,7 @@
 	}
 	recognised := 0
 	for c := range uint64(100_000) {
-		if s.Requested(startTime+ms, Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}).Retry {
+		if s.RecordRequest(startTime+ms, Request{Client: rendezvous.Mix(c), Key: c, ClientTimeout: sec}).Retry {
 			recognised++
 		}
 	}
@@ -426,7 +426,7 @@
 	for i := range b.N {
 		a := Request{Client: rendezvous.Mix(uint64(i % 100_000)), Key: uint64(i % 100_000), ClientTimeout: sec}
 		now := startTime + Time(i)
-		s.Unserved(now, a, s.Requested(now, a), now)
+		s.RecordUnserved(now, a, s.RecordRequest(now, a), now)
 	}
 }
 
@@ -438,7 +438,7 @@
 	h.run(10*sec, func() {
 		for c := range uint64(40) {
 			a := Request{Client: c, Key: c, ClientTimeout: sec, MarkedRetry: isRetry}
-			if verdict := h.detector.Requested(h.now, a); verdict.Retry || verdict.FirstRequestedAt != 0 {
+			if verdict := h.detector.RecordRequest(h.now, a); verdict.Retry || verdict.FirstRequestedAt != 0 {
 				t.Fatalf("retry after a broken connection: got %+v, want no retry", verdict)
 			}
 			if !isRetry {
@@ -449,5 +449,5 @@
 	})
 	h.wantState(Calm)
 	h.run(2*sec, h.retryingClients(100))
-	h.wantState(Stormy)
+	h.wantState(Storm)
 }
--- a/internal/router/actions.go
+++ b/internal/router/actions.go
@@ -41,7 +41,7 @@
 		return
 	}
 	if r.frontend != nil {
-		r.pool.LendDescriptors(r.lendableDescriptors - r.frontend.Connections())
+		r.pool.SetExtraIdleConnections(r.lendableDescriptors - r.frontend.Connections())
 	}
 	r.dispatching = true
 	for i := 0; i < len(r.pendingEvents); i++ { // actions may append events
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -62,7 +62,7 @@
 		ID:      q.id,
 		Attempt: a.Number,
 		Result:  decide.NotSent,
-		Last:    q.finished,
+		Final:   q.finished,
 		Load:    decide.UnknownLoad,
 	})
 }
@@ -140,5 +140,5 @@
 			r.finishRequest(q, servedWith(reply.Value))
 		}
 	}
-	event.Last = q.finished
+	event.Final = q.finished
 }
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -27,13 +27,13 @@
 
 func (t *benchTimer) Stop() { t.stopped = true }
 
-func (m *benchMachine) Now() machine.Time    { return m.now }
-func (m *benchMachine) Wall() machine.Time   { return m.now }
-func (m *benchMachine) Entropy() uint64      { return 7 }
-func (m *benchMachine) Late() Time           { return 0 }
-func (m *benchMachine) Resumed(Time, func()) {}
-func (m *benchMachine) Log(string)           {}
-func (m *benchMachine) Post(f func())        { m.At(m.now, f) }
+func (m *benchMachine) Now() machine.Time     { return m.now }
+func (m *benchMachine) Wall() machine.Time    { return m.now }
+func (m *benchMachine) Entropy() uint64       { return 7 }
+func (m *benchMachine) ClockLag() Time        { return 0 }
+func (m *benchMachine) OnResume(Time, func()) {}
+func (m *benchMachine) Log(string)            {}
+func (m *benchMachine) Post(f func())         { m.At(m.now, f) }
 
 func (m *benchMachine) At(at machine.Time, f func()) machine.Timer {
 	t := &benchTimer{at: at, f: f}
@@ -115,12 +115,12 @@
 // awaitingAnswer holds the cache connections that have an unanswered request. It is global because benchmarks run one at a time.
 var awaitingAnswer []*benchConn
 
-func (c *benchConn) Quiet() bool       { return len(c.unread) == 0 }
-func (c *benchConn) End() error        { return nil }
-func (c *benchConn) CloseWrite() error { return nil }
-func (c *benchConn) Close()            {}
-func (c *benchConn) Local() string     { return "127.0.0.1:2" }
-func (c *benchConn) Remote() string    { return "127.0.0.1:3" }
+func (c *benchConn) HasNothingUnread() bool { return len(c.unread) == 0 }
+func (c *benchConn) EndError() error        { return nil }
+func (c *benchConn) CloseWrite() error      { return nil }
+func (c *benchConn) Close()                 {}
+func (c *benchConn) Local() string          { return "127.0.0.1:2" }
+func (c *benchConn) Remote() string         { return "127.0.0.1:3" }
 
 // BenchmarkRouted measures the cost of a request in the router, from reading the command to writing the answer, without the
 // machine. 64 clients each have one request at a time.
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -50,9 +50,9 @@
 	Events         eventlog.Config
 	Gossip         gossip.OperatorConfig
 
-	// Wrap, if not nil, returns the module that the contract calls in place of the decision module. Tests use it to plant a
+	// WrapModule, if not nil, returns the module that the contract calls in place of the decision module. Tests use it to plant a
 	// defect.
-	Wrap func(guard.Module) guard.Module
+	WrapModule func(guard.Module) guard.Module
 	// GuardObserveOnly makes the guard count violations without preventing them. It serves the same tests.
 	GuardObserveOnly bool
 }
--- a/internal/router/contract.go
+++ b/internal/router/contract.go
@@ -13,7 +13,7 @@
 // about, and queues the event itself unless aborting the attempt does so. It only queues a missing health check result. If no event
 // is pending afterwards, it checks the contract's counts.
 func (r *Router) repairContract() {
-	for _, event := range r.contract.Overdue(r.m.Now()) {
+	for _, event := range r.contract.OverdueEvents(r.m.Now()) {
 		switch event := event.(type) {
 		case *decide.AttemptResult:
 			if r.abortOverdueAttempt(event) {
@@ -31,7 +31,7 @@
 		r.queueEvent(event)
 	}
 	if len(r.pendingEvents) == 0 {
-		r.contract.Check(r.m.Now(), r.pool.InFlight)
+		r.contract.CheckCounts(r.m.Now(), r.pool.InFlight)
 	}
 }
 
@@ -49,7 +49,7 @@
 // violations returns the number of violations that the guard has counted.
 func (r *Router) violations() int {
 	counts := r.guard.Counts()
-	return counts.Broken()
+	return counts.TotalViolations()
 }
 
 // logViolation logs a violation of one of the guard's rules.
--- a/internal/router/contract_test.go
+++ b/internal/router/contract_test.go
@@ -58,10 +58,10 @@
 	}
 	lines.Want(t, `msg="contract breach" kind=outcome-missing`)
 	s.Until("release of the request", func() bool {
-		return s.r.contract.Open() == 0 && len(s.r.requests) == 0
+		return s.r.contract.OpenRequests() == 0 && len(s.r.requests) == 0
 	})
 	s.Do(func() {
-		if n := s.r.Holdings()["breaches"]; n == 0 {
+		if n := s.r.RecordCounts()["breaches"]; n == 0 {
 			t.Error("got 0 counted breaches, want at least 1")
 		}
 	})
--- a/internal/router/discovery_recovery_test.go
+++ b/internal/router/discovery_recovery_test.go
@@ -142,7 +142,7 @@
 		in["limits"].(map[string]any)["sockets"] = sockets
 	}, host("c1", cache.Addr(), "in_service"))
 	// Idle clients stay connected for longer than the test runs.
-	cfg.OperatorLimits.Clients.CommandTime, cfg.OperatorLimits.Clients.CrowdedIdleTime = time.Hour, time.Hour
+	cfg.OperatorLimits.Clients.CommandTime, cfg.OperatorLimits.Clients.IdleTimeUnderPressure = time.Hour, time.Hour
 	r := startOn(t, routertest.NewLoopOf(t, machine.Options{Descriptors: sockets - ownDescriptors}), cfg, nil)
 	for i := range 2 * sockets {
 		nc, err := net.Dial("tcp", r.addr)
--- a/internal/router/drain_test.go
+++ b/internal/router/drain_test.go
@@ -89,7 +89,7 @@
 		c.Send(get(fmt.Sprint("r", i)))
 	}
 	r.Until("buffered answers of the slow reader", func() bool {
-		left := r.r.Holdings()
+		left := r.r.RecordCounts()
 		return left["attempts"] == 0 && left["requests"] == 0 && left["bytes"] > 1<<20
 	})
 	r.drain()
@@ -102,7 +102,7 @@
 	c.WantClosed()
 	receive(t, r.drainEnded, "end of the drain")
 	r.Do(func() {
-		if left := r.r.Holdings(); left["bytes"] != 0 || left["connections"] != 0 {
+		if left := r.r.RecordCounts(); left["bytes"] != 0 || left["connections"] != 0 {
 			t.Errorf("stopped router still holds %v", left)
 		}
 	})
--- a/internal/router/gossip_test.go
+++ b/internal/router/gossip_test.go
@@ -142,7 +142,7 @@
 	var routers [3]*runningRouter
 	for i := range routers {
 		cfg := gossipConfig(t, []string{"n0", "n1", "n2"}[i], addrs[i], addrs, nil)
-		cfg.Wrap = func(m guard.Module) guard.Module {
+		cfg.WrapModule = func(m guard.Module) guard.Module {
 			modules[i] = &routerCountRecorder{Module: m}
 			return modules[i]
 		}
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -107,7 +107,7 @@
 	t.Cleanup(func() {
 		s.Do(func() {
 			s.r.Close()
-			left := s.r.Holdings()
+			left := s.r.RecordCounts()
 			if n := left["breaches"]; n > 0 {
 				t.Errorf("got %d contract breaches, want none", n)
 			}
@@ -125,7 +125,7 @@
 // waitIdle waits until the router has no open request and holds no record of a finished one.
 func (s *runningRouter) waitIdle() {
 	s.Until("idle router without request records", func() bool {
-		left := s.r.Holdings()
+		left := s.r.RecordCounts()
 		return left["requests"]+left["ids"]+left["open"]+left["attempts"]+left["bytes"]+left["events"] == 0
 	})
 }
--- a/internal/router/hooks_test.go
+++ b/internal/router/hooks_test.go
@@ -110,7 +110,7 @@
 // wantNothingLeft checks that the router holds no record of a finished request.
 func (h *hookedRouter) wantNothingLeft() {
 	h.t.Helper()
-	holdings := h.r.Holdings()
+	holdings := h.r.RecordCounts()
 	for _, kind := range []string{"requests", "ids", "open", "attempts", "bytes", "verdicts", "breaches"} {
 		if holdings[kind] != 0 {
 			h.t.Errorf("%d %s remain, want 0", holdings[kind], kind)
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -211,7 +211,7 @@
 		return
 	}
 	options := r.cfg.Eureka.Registration()
-	options.Predecessor = r.maxPredecessorTime() + options.Timeout // the predecessor's last registry call may take up to the timeout
+	options.PredecessorWindow = r.maxPredecessorTime() + options.Timeout // the predecessor's last registry call may take up to the timeout
 	r.registration = eureka.Register(r.m, options)
 }
 
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -132,7 +132,7 @@
 		q.deadline = min(q.deadline, r.drainDeadline-drainAnswerMargin)
 	}
 	q.attempts = q.inlineAttempts[:0]
-	q.guard = r.guard.Open(q.id, q.clientID, command.Class, command.IdempotencyKeyMissing, q.deadline)
+	q.guard = r.guard.NewRequest(q.id, q.clientID, command.Class, command.IdempotencyKeyMissing, q.deadline)
 	slot.ID = q.id
 	r.openIDs[q.clientID] = struct{}{}
 	r.requests[q.id] = q
@@ -151,7 +151,7 @@
 		HasKey:                true,
 		Deadline:              q.deadline,
 		FirstRequestedAt:      q.stormVerdict.FirstRequestedAt,
-		Cost:                  command.Cost,
+		ExpectedWork:          command.Cost,
 		Write:                 command.Write,
 		IdempotencyKeyMissing: command.IdempotencyKeyMissing,
 	}
@@ -168,7 +168,7 @@
 			continue
 		}
 		if byRouter {
-			r.guard.Closed(r.m.Now(), &q.guard)
+			r.guard.ConnectionClosed(r.m.Now(), &q.guard)
 		}
 		gone = append(gone, q)
 		r.withdraw(q)
--- a/internal/router/request_end_test.go
+++ b/internal/router/request_end_test.go
@@ -134,7 +134,7 @@
 			c.WantClosed()
 			receive(t, r.drainEnded, "end of the drain")
 			r.Do(func() {
-				for kind, n := range r.r.Holdings() {
+				for kind, n := range r.r.RecordCounts() {
 					if n > 0 && kind != "timers" && kind != "attempts" {
 						t.Errorf("%d %s remain, want 0", n, kind)
 					}
@@ -212,7 +212,7 @@
 	receive(t, r.drainEnded, "end of the drain")
 	r.Do(func() {
 		r.r.Reload(&next)
-		if n := r.r.Holdings()["connections"]; n != 0 {
+		if n := r.r.RecordCounts()["connections"]; n != 0 {
 			t.Errorf("stopped router has %d connections, want 0", n)
 		}
 	})
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -180,10 +180,10 @@
 		r.startAttempt(q)
 		receive(t, cache.Commands, "command").Reply(t, wire)
 		o := r.wantResult(want)
-		if o.ID != q.id || o.Attempt != 0 || o.Last != (want == decide.Served) || o.Miss {
+		if o.ID != q.id || o.Attempt != 0 || o.Final != (want == decide.Served) || o.Miss {
 			t.Errorf("%q: got unexpected attempt result %+v", wire, o)
 		}
-		if o.Last {
+		if o.Final {
 			q.client.Want("value")
 		}
 	}
--- a/internal/router/retry_storm.go
+++ b/internal/router/retry_storm.go
@@ -61,9 +61,9 @@
 		return retrystorm.Request{}, retrystorm.Verdict{}
 	}
 	request := r.retryStorm.describe(slot)
-	verdict := r.retryStorm.detector.Requested(readAt, request)
+	verdict := r.retryStorm.detector.RecordRequest(readAt, request)
 	if verdict.OverFairShare {
-		r.retryStorm.detector.Unserved(readAt, request, verdict, readAt)
+		r.retryStorm.detector.RecordUnserved(readAt, request, verdict, readAt)
 	}
 	return request, verdict
 }
@@ -77,7 +77,7 @@
 		r.retryStorm.detector.ConnectionLost(r.m.Now(), q.stormRequest, q.readAt)
 		return
 	}
-	r.retryStorm.detector.Unserved(r.m.Now(), q.stormRequest, q.stormVerdict, q.readAt)
+	r.retryStorm.detector.RecordUnserved(r.m.Now(), q.stormRequest, q.stormVerdict, q.readAt)
 }
 
 // recordAttempt records whether an attempt reached its cache, if the result shows that.
--- a/internal/router/retry_storm_test.go
+++ b/internal/router/retry_storm_test.go
@@ -102,7 +102,7 @@
 	for i := range b.N {
 		key := uint64(i % 100_000)
 		request := retrystorm.Request{Client: frontend.KeyHash([]byte{byte(key), byte(key >> 8), byte(key >> 16)}), Key: key, ClientTimeout: 1_200_000}
-		verdict := detector.Requested(now, request)
+		verdict := detector.RecordRequest(now, request)
 		q := &decide.Request{ID: 10_000 + int64(i), Class: "read", Key: key, HasKey: true, Deadline: now + 1_000_000}
 		if rejected {
 			q.FirstRequestedAt = now - 400_000
@@ -117,14 +117,14 @@
 				decided = true
 			case decide.Reject:
 				decided = true
-				detector.Unserved(now, request, verdict, now)
+				detector.RecordUnserved(now, request, verdict, now)
 			}
 		}
 		if !decided {
 			b.Fatal("request was neither sent nor rejected")
 		}
 		if !rejected {
-			module.Handle(now+500, &decide.AttemptResult{ID: q.ID, Result: decide.Served, Last: true, Elapsed: 500})
+			module.Handle(now+500, &decide.AttemptResult{ID: q.ID, Result: decide.Served, Final: true, Elapsed: 500})
 		}
 	}
 	if rejected && sent > 0 {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -143,8 +143,8 @@
 // initModule sets up the contract around the decision module, and the guard.
 func (r *Router) initModule() {
 	var checked guard.Module = r.decider
-	if r.cfg.Wrap != nil {
-		checked = r.cfg.Wrap(r.decider)
+	if r.cfg.WrapModule != nil {
+		checked = r.cfg.WrapModule(r.decider)
 	}
 	r.contract = guard.NewContract(checked, r.logBreach)
 	r.module = r.contract
@@ -214,9 +214,9 @@
 	return false
 }
 
-// Holdings returns the number of records of each kind that the router holds. All numbers except connections and periodic timers
+// RecordCounts returns the number of records of each kind that the router holds. All numbers except connections and periodic timers
 // are 0 once no request is open.
-func (r *Router) Holdings() map[string]int {
+func (r *Router) RecordCounts() map[string]int {
 	return map[string]int{
 		"requests":    len(r.requests),
 		"ids":         len(r.openIDs),
@@ -227,7 +227,7 @@
 		"lists":       len(r.pendingLists),
 		"breaches":    r.contract.Breaches(),
 		"violations":  r.violations(),
-		"verdicts":    r.hooks.Left()["verdicts owed"],
+		"verdicts":    r.hooks.RecordCounts()["verdicts owed"],
 		"timers":      r.timerQueue.Len(),
 		"connections": r.pool.Connections() + r.frontend.Connections(),
 	}
--- a/internal/router/standstill.go
+++ b/internal/router/standstill.go
@@ -25,7 +25,7 @@
 	if !r.cfg.Settings.WatchRequired {
 		divisor = pushPauseDivisor
 	}
-	r.m.Resumed(max(r.cfg.Settings.DrainGrace/divisor, minPause), r.afterPause)
+	r.m.OnResume(max(r.cfg.Settings.DrainGrace/divisor, minPause), r.afterPause)
 }
 
 // afterPause pauses new attempts while there are unread list changes. The machine calls it after a pause of the loop.
--- a/internal/router/standstill_test.go
+++ b/internal/router/standstill_test.go
@@ -104,7 +104,7 @@
 		r.r.sweepDue = r.Now() // before every timer of the request
 		r.r.sweepTimer = r.At(r.r.sweepDue, r.r.sweep)
 		// Pauses the loop past the attempt's deadline and the contract's slack. The pause itself is under test.
-		for r.Late() < 4_500_000 {
+		for r.ClockLag() < 4_500_000 {
 		}
 	})
 	if got := c.Line(); got == "" || got[0] != '-' {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -180,9 +180,9 @@
 // joinPath returns the path of a key in the object at path.
 func joinPath(path, name string) string {
 	if path == "" {
-		return configerror.Plain(name)
+		return configerror.QuoteIfNeeded(name)
 	}
-	return path + "." + configerror.Plain(name)
+	return path + "." + configerror.QuoteIfNeeded(name)
 }
 
 // child returns the field of an object's key, or nil if the key is unknown.
--- a/internal/settings/check_test.go
+++ b/internal/settings/check_test.go
@@ -125,7 +125,7 @@
 		"[]":                    `the file: wrong type (an array, wanted an object)`,
 	} {
 		list := Check([]byte(raw))
-		list.In("")
+		list.SetFile("")
 		got := list.All()[0]
 		if got.Line > 0 {
 			got.File = "f"
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -107,7 +107,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &decide.AttemptResult{ID: m.ID, Attempt: m.Attempt, Result: result, Elapsed: m.Elapsed, Last: m.Last,
+		return &decide.AttemptResult{ID: m.ID, Attempt: m.Attempt, Result: result, Elapsed: m.Elapsed, Final: m.Last,
 			Miss: m.isMiss(), Load: m.load()}, nil
 	case messageClientGone:
 		return &decide.ClientGone{ID: m.ID}, nil
@@ -142,7 +142,7 @@
 }
 
 func (m *message) request() *decide.Request {
-	r := &decide.Request{ID: m.ID, Class: m.Class, Deadline: m.Deadline, Cost: m.Cost, Write: m.Write}
+	r := &decide.Request{ID: m.ID, Class: m.Class, Deadline: m.Deadline, ExpectedWork: m.Cost, Write: m.Write}
 	r.Tenant, _ = m.Tenant.(string)
 	if m.Key != nil {
 		r.Key, r.HasKey = *m.Key, true
--- a/internal/snapshotstore/config.go
+++ b/internal/snapshotstore/config.go
@@ -34,8 +34,8 @@
 	Limit time.Duration `toml:"limit" min:"0s" max:"720h" doc:"requests out at a cache"`
 	// Late is the half-life of the ratios of late responses.
 	Late time.Duration `toml:"late" min:"0s" max:"720h" doc:"share of a cache's answers that come late"`
-	// Erring is the half-life of the error ratios.
-	Erring time.Duration `toml:"erring" min:"0s" max:"720h" doc:"shares of errors"`
+	// ErrorRatio is the half-life of the error ratios.
+	ErrorRatio time.Duration `toml:"erring" min:"0s" max:"720h" doc:"shares of errors"`
 	// Health is the half-life of the results of health checks.
 	Health time.Duration `toml:"health" min:"0s" max:"720h" doc:"marks of probes"`
 	// Keys is the half-life of the keys that caches likely hold.
@@ -59,14 +59,14 @@
 		MaxAge:          5 * time.Minute,
 		KeysPerEndpoint: 64,
 		HalfLife: HalfLives{
-			Limit:  3 * time.Second,
-			Late:   10 * time.Second,
-			Erring: 4 * time.Second,
-			Health: 10 * time.Second,
-			Keys:   20 * time.Second,
-			Zones:  5 * time.Second,
-			Origin: 0,
-			Retry:  0,
+			Limit:      3 * time.Second,
+			Late:       10 * time.Second,
+			ErrorRatio: 4 * time.Second,
+			Health:     10 * time.Second,
+			Keys:       20 * time.Second,
+			Zones:      5 * time.Second,
+			Origin:     0,
+			Retry:      0,
 		},
 	}
 }
@@ -90,7 +90,7 @@
 	return snapshot.HalfLives{
 		ConcurrencyLimit: c.HalfLife.Limit.Microseconds(),
 		LateRatio:        c.HalfLife.Late.Microseconds(),
-		ErrorRatio:       c.HalfLife.Erring.Microseconds(),
+		ErrorRatio:       c.HalfLife.ErrorRatio.Microseconds(),
 		Health:           c.HalfLife.Health.Microseconds(),
 		Keys:             c.HalfLife.Keys.Microseconds(),
 		Zones:            c.HalfLife.Zones.Microseconds(),
--- a/internal/snapshotstore/store.go
+++ b/internal/snapshotstore/store.go
@@ -152,7 +152,7 @@
 		return File{}, snapshot.Snapshot{}, err
 	case errors.Is(err, machine.ErrTooLong):
 		return File{}, snapshot.Snapshot{}, reject(TooLarge, "more than %d bytes", MaxFileBytes)
-	case errors.Is(err, machine.ErrIrregular):
+	case errors.Is(err, machine.ErrNotRegularFile):
 		return File{}, snapshot.Snapshot{}, reject(Irregular, "")
 	case err != nil:
 		return File{}, snapshot.Snapshot{}, reject(Unreadable, "%v", withoutPath(err))
--- a/internal/testbench/lab/baseline/baseline.go
+++ b/internal/testbench/lab/baseline/baseline.go
@@ -71,8 +71,8 @@
 // Addr implements lab.Node.
 func (n *node) Addr() string { return n.listener.Addr() }
 
-// Holdings implements lab.Node.
-func (n *node) Holdings() map[string]int {
+// RecordCounts implements lab.Node.
+func (n *node) RecordCounts() map[string]int {
 	open := 0
 	for _, r := range n.requests {
 		if !r.over {
--- a/internal/testbench/lab/baseline/request.go
+++ b/internal/testbench/lab/baseline/request.go
@@ -100,7 +100,7 @@
 	if answer != nil {
 		r.finish(answer)
 	}
-	n.tell(&decide.AttemptResult{ID: r.id, Attempt: a.number, Result: result, Elapsed: n.m.Now() - a.sent, Last: r.over,
+	n.tell(&decide.AttemptResult{ID: r.id, Attempt: a.number, Result: result, Elapsed: n.m.Now() - a.sent, Final: r.over,
 		Miss: miss, Load: decide.LoadReport{Utilization: -1}})
 	r.forget()
 }
--- a/internal/testbench/lab/clusterlab/clusterlab.go
+++ b/internal/testbench/lab/clusterlab/clusterlab.go
@@ -90,7 +90,7 @@
 func (w *World) Start(i int) {
 	n := w.Nodes[i]
 	cfg := gossip.DefaultConfig()
-	cfg.Name, cfg.Plain, cfg.Defect = n.Name, w.o.Plain, w.o.Defect
+	cfg.Name, cfg.PlainSWIM, cfg.Defect = n.Name, w.o.Plain, w.o.Defect
 	cfg.Info = gossip.Info{List: 1, Config: 7, Build: 9}
 	for j, other := range w.Nodes {
 		switch {
@@ -369,7 +369,7 @@
 func (w *World) Accusations() (count int) {
 	for _, n := range w.Nodes {
 		if n.Up() {
-			count += n.Link.View().Counts().Accused
+			count += n.Link.View().Counts().DeclaredFaulty
 		}
 	}
 	return count
--- a/internal/testbench/lab/clusterlab/clusterlab_test.go
+++ b/internal/testbench/lab/clusterlab/clusterlab_test.go
@@ -71,11 +71,11 @@
 	met(t, func(t *testing.T, w *World) {
 		w.Stall(4, 5*second)
 		w.Run(5 * second)
-		accused := w.Nodes[4].Link.View().Counts().Accused
+		accused := w.Nodes[4].Link.View().Counts().DeclaredFaulty
 		settled(t, w, 1500*millisecond)
 		stays(t, w, 5*second)
-		if n := w.Nodes[4].Link.View().Counts(); n.Accused != accused || n.Stalls != 1 {
-			t.Errorf("%d accusations and %d stalls noticed by the one that was stopped", n.Accused-accused, n.Stalls)
+		if n := w.Nodes[4].Link.View().Counts(); n.DeclaredFaulty != accused || n.Stalls != 1 {
+			t.Errorf("%d accusations and %d stalls noticed by the one that was stopped", n.DeclaredFaulty-accused, n.Stalls)
 		}
 	})
 }
@@ -237,8 +237,8 @@
 		}
 		settled(t, w, 3*second)
 		for i, n := range w.Nodes {
-			if c := n.Link.View().Counts(); c.Accused > 0 {
-				t.Errorf("n%d held %d routers faulty that had said they leave", i, c.Accused)
+			if c := n.Link.View().Counts(); c.DeclaredFaulty > 0 {
+				t.Errorf("n%d held %d routers faulty that had said they leave", i, c.DeclaredFaulty)
 			}
 		}
 	})
@@ -302,7 +302,7 @@
 		if m := list[indexOf(list, "n7")]; m.State != gossip.Left {
 			t.Errorf("4 s later n5 holds n7 %v", m.State)
 		}
-		if n := w.Nodes[5].Link.View().Counts().Accused; n > 0 {
+		if n := w.Nodes[5].Link.View().Counts().DeclaredFaulty; n > 0 {
 			t.Errorf("it accused %d", n)
 		}
 	})
--- a/internal/testbench/lab/clusterlab/hunt.go
+++ b/internal/testbench/lab/clusterlab/hunt.go
@@ -278,7 +278,7 @@
 			if !s.Settled || 2*len(s.Alive) <= len(w.Nodes) {
 				continue
 			}
-			n.divisor = &gossip.Divisor{Min: w.least, Hold: huntHold, Greedy: w.o.Defect == gossip.GreedyMinority}
+			n.divisor = &gossip.Divisor{Min: w.least, Hold: huntHold, IgnoreMajority: w.o.Defect == gossip.MinorityShrinksDivisor}
 		}
 		sum += 1 / float64(n.divisor.Divisor(s))
 		counted++
--- a/internal/testbench/lab/hooks.go
+++ b/internal/testbench/lab/hooks.go
@@ -109,7 +109,7 @@
 	case script.HookLoadHang:
 		act.Hang = true
 	case script.HookLoadDie:
-		act.Die = true
+		act.Exit = true
 	}
 	return points, act
 }
@@ -144,11 +144,11 @@
 	case script.HookSlow:
 		a.After = microseconds(h.Delay)
 	case script.HookDie:
-		a.Die = true
+		a.Exit = true
 	case script.HookTwice:
-		a.Twice = true
+		a.DuplicateReply = true
 	case script.HookNonsense:
-		a.Say = []byte("\xff\xff\xff\xff no verdict")
+		a.RawBytes = []byte("\xff\xff\xff\xff no verdict")
 	}
 	return a
 }
@@ -186,7 +186,7 @@
 	if r.workers == nil {
 		return
 	}
-	up := r.workers.Up()
+	up := r.workers.RunningWorkers()
 	for _, name := range slices.Sorted(maps.Keys(up)) {
 		if n := up[name] - 2; n > 0 {
 			k.world.watcher.Leftover(k.world.sim.Now(), r.name, "workers of hook "+name, n)
--- a/internal/testbench/lab/loopback/run.go
+++ b/internal/testbench/lab/loopback/run.go
@@ -137,7 +137,7 @@
 	for _, rt := range r.routers {
 		rt.start()
 	}
-	r.m.Signals(r.signal)
+	r.m.OnSignal(r.signal)
 	r.m.At(r.m.Now()+startWithin, func() {
 		if r.phase == starting {
 			r.err = fmt.Errorf("the routers did not serve within %d s; log:\n%s", startWithin/second, r.tails())
--- a/internal/testbench/lab/loopback/views.go
+++ b/internal/testbench/lab/loopback/views.go
@@ -88,7 +88,7 @@
 	}
 	w.firstDigest = p.Digest
 	w.reading = append(w.reading, p.Members...)
-	if len(w.reading) < p.Of {
+	if len(w.reading) < p.Total {
 		w.query()
 		return
 	}
--- a/internal/testbench/lab/node.go
+++ b/internal/testbench/lab/node.go
@@ -16,9 +16,9 @@
 	Drain(done func())
 	// Reload applies a new configuration, as SIGHUP does.
 	Reload(config []byte) error
-	// Holdings returns the number of resources that the router holds, by name. Once no work is in progress, all but
+	// RecordCounts returns the number of resources that the router holds, by name. Once no work is in progress, all but
 	// "connections" are 0.
-	Holdings() map[string]int
+	RecordCounts() map[string]int
 }
 
 // NodeConfig is the configuration with which a router starts.
--- a/internal/testbench/lab/node/node.go
+++ b/internal/testbench/lab/node/node.go
@@ -27,7 +27,7 @@
 	}
 	cfg.Endpoints = operatorconfig.Get[endpoints.Config](files, endpoints.Kind)
 	cfg.Eureka = operatorconfig.Get[eureka.Config](files, eureka.Kind)
-	cfg.Wrap, cfg.GuardObserveOnly, cfg.SnapshotStore = c.Wrap, c.Unguarded, c.State
+	cfg.WrapModule, cfg.GuardObserveOnly, cfg.SnapshotStore = c.Wrap, c.Unguarded, c.State
 	if c.Storm != nil {
 		cfg.RetryStorm = *c.Storm
 	}
--- a/internal/testbench/lab/pacing/pacing.go
+++ b/internal/testbench/lab/pacing/pacing.go
@@ -114,7 +114,7 @@
 		world.At(reachable, func() { list.Down(false, w.Resets) })
 	}
 	for _, c := range clients {
-		world.At(world.Now()+c.strategy.Start(chance(c.m)), c.call)
+		world.At(world.Now()+c.strategy.StartDelay(chance(c.m)), c.call)
 	}
 	all := func() bool {
 		return !slices.ContainsFunc(clients, func(c *client) bool { return c.answeredAt == 0 })
--- a/internal/testbench/lab/pacing/strategies.go
+++ b/internal/testbench/lab/pacing/strategies.go
@@ -8,8 +8,8 @@
 
 // Strategy says when one client calls a shared service again. chance is in [0, 1).
 type Strategy interface {
-	// Start is the pause before the first call.
-	Start(chance float64) Time
+	// StartDelay is the pause before the first call.
+	StartDelay(chance float64) Time
 	// Failed is the pause after a call that failed. rejected says that discovery answered that it is down or has too much to do.
 	Failed(now Time, rejected bool, chance float64) Time
 	// Answered takes in that a call was answered, and how long that took.
@@ -51,8 +51,8 @@
 	failures   int
 }
 
-// Start implements Strategy.
-func (d *doubling) Start(float64) Time { return 0 }
+// StartDelay implements Strategy.
+func (d *doubling) StartDelay(float64) Time { return 0 }
 
 // Failed implements Strategy.
 func (d *doubling) Failed(_ Time, _ bool, chance float64) Time {
@@ -67,8 +67,8 @@
 // decorrelated draws each pause from the one before.
 type decorrelated struct{ last Time }
 
-// Start implements Strategy.
-func (d *decorrelated) Start(float64) Time { return 0 }
+// StartDelay implements Strategy.
+func (d *decorrelated) StartDelay(float64) Time { return 0 }
 
 // Failed implements Strategy.
 func (d *decorrelated) Failed(_ Time, _ bool, chance float64) Time {
@@ -83,8 +83,8 @@
 // aimd keeps a rate of calls a second.
 type aimd struct{ rate float64 }
 
-// Start implements Strategy.
-func (a *aimd) Start(float64) Time { return 0 }
+// StartDelay implements Strategy.
+func (a *aimd) StartDelay(float64) Time { return 0 }
 
 // Failed implements Strategy.
 func (a *aimd) Failed(_ Time, _ bool, chance float64) Time {
@@ -108,8 +108,8 @@
 
 const callsEach = 6
 
-// Start implements Strategy.
-func (r *rate) Start(float64) Time { return 0 }
+// StartDelay implements Strategy.
+func (r *rate) StartDelay(float64) Time { return 0 }
 
 // Failed implements Strategy.
 func (r *rate) Failed(_ Time, _ bool, chance float64) Time {
@@ -143,8 +143,8 @@
 	steadyJitter = 1. / 3
 )
 
-// Start implements Strategy.
-func (s *steady) Start(chance float64) Time { return Time(chance * float64(grace) / 2) }
+// StartDelay implements Strategy.
+func (s *steady) StartDelay(chance float64) Time { return Time(chance * float64(grace) / 2) }
 
 // Failed implements Strategy.
 func (s *steady) Failed(now Time, _ bool, chance float64) Time {
@@ -167,7 +167,7 @@
 // Failed implements Strategy.
 func (r router) Failed(now Time, rejected bool, chance float64) Time {
 	if rejected {
-		return r.Pacer.Rejected(now, chance).Pause
+		return r.Pacer.Rejected(now, chance).Delay
 	}
-	return r.Pacer.Failed(now, chance).Pause
+	return r.Pacer.Failed(now, chance).Delay
 }
--- a/internal/testbench/lab/planted/machine.go
+++ b/internal/testbench/lab/planted/machine.go
@@ -296,12 +296,12 @@
 	return n, err
 }
 
-// End implements machine.Conn.
-func (c *wrongConn) End() error {
+// EndError implements machine.Conn.
+func (c *wrongConn) EndError() error {
 	if c.blind {
 		return nil
 	}
-	return c.Conn.End()
+	return c.Conn.EndError()
 }
 
 // Close implements machine.Conn.
--- a/internal/testbench/lab/planted/planted.go
+++ b/internal/testbench/lab/planted/planted.go
@@ -358,7 +358,7 @@
 	return filter{handle: func(m guard.Module, now decide.Time, ev decide.Event) []decide.Action {
 		if o, ok := ev.(*decide.AttemptResult); ok {
 			s := last[o.ID]
-			if s != nil && o.Result == decide.Rejected && !o.Last && s.times < mostPersistent {
+			if s != nil && o.Result == decide.Rejected && !o.Final && s.times < mostPersistent {
 				s.times++
 				offset[o.ID]++
 				return []decide.Action{s.Send}
--- a/internal/testbench/lab/run.go
+++ b/internal/testbench/lab/run.go
@@ -200,7 +200,7 @@
 		if r.node == nil {
 			continue
 		}
-		for resource, n := range r.node.Holdings() {
+		for resource, n := range r.node.RecordCounts() {
 			if n != 0 && resource != connections {
 				return false
 			}
@@ -229,7 +229,7 @@
 		if r.node == nil || r.terminating {
 			continue
 		}
-		left := r.node.Holdings()
+		left := r.node.RecordCounts()
 		for _, resource := range slices.Sorted(maps.Keys(left)) {
 			if resource != connections && resource != ownTimers {
 				w.watcher.Leftover(now, r.name, resource, left[resource])
--- a/internal/testbench/sim/conn.go
+++ b/internal/testbench/sim/conn.go
@@ -192,13 +192,13 @@
 	c.send(ResetArrived)
 }
 
-// Quiet implements machine.Conn.
-func (c *Conn) Quiet() bool {
+// HasNothingUnread implements machine.Conn.
+func (c *Conn) HasNothingUnread() bool {
 	return !c.closed && !c.endReceived && !c.resetReceived && c.head == len(c.received)
 }
 
-// End implements machine.Conn.
-func (c *Conn) End() error {
+// EndError implements machine.Conn.
+func (c *Conn) EndError() error {
 	switch {
 	case c.resetReceived:
 		return machine.ErrReset
@@ -305,7 +305,7 @@
 		panic("sim: " + c.host.name + ": an open connection was given no handler")
 	}
 	c.handler = h
-	if !c.Quiet() {
+	if !c.HasNothingUnread() {
 		c.queueReadable()
 	}
 }
--- a/internal/testbench/sim/disk.go
+++ b/internal/testbench/sim/disk.go
@@ -190,7 +190,7 @@
 	case n.err != nil:
 		return nil, &fs.PathError{Op: "open", Path: name, Err: n.err}
 	case n.irregular:
-		return nil, fmt.Errorf("%s: %w", name, machine.ErrIrregular)
+		return nil, fmt.Errorf("%s: %w", name, machine.ErrNotRegularFile)
 	case int64(len(n.content)) > most:
 		return nil, fmt.Errorf("%s: %w of %d", name, machine.ErrTooLong, most)
 	}
@@ -338,7 +338,7 @@
 		return nil, errCut
 	}
 	if n.irregular {
-		return nil, fmt.Errorf("%s: %w", name, machine.ErrIrregular)
+		return nil, fmt.Errorf("%s: %w", name, machine.ErrNotRegularFile)
 	}
 	if d.locks[n] != nil {
 		return nil, fmt.Errorf("%s: %w", name, machine.ErrLocked)
--- a/internal/testbench/sim/faults_test.go
+++ b/internal/testbench/sim/faults_test.go
@@ -303,7 +303,7 @@
 	near, far := f.pair()
 	f.server.DropIdleConns(false)
 	f.after(Second)
-	if !near.conn.Quiet() || !far.conn.Quiet() {
+	if !near.conn.HasNothingUnread() || !far.conn.HasNothingUnread() {
 		t.Error("forgetting was seen before anything was sent")
 	}
 	near.write(t, "x")
--- a/internal/testbench/sim/host.go
+++ b/internal/testbench/sim/host.go
@@ -277,7 +277,7 @@
 		return at, fmt.Errorf("sim: listen at %q: %w", addr, err)
 	}
 	if at.Addr() != h.ip && !at.Addr().IsUnspecified() && !at.Addr().IsLoopback() {
-		return at, fmt.Errorf("sim: listen at %s of %s: %w", addr, h.name, machine.ErrAddressMissing)
+		return at, fmt.Errorf("sim: listen at %s of %s: %w", addr, h.name, machine.ErrAddressNotAvailable)
 	}
 	if at.Port() != 0 {
 		if taken(at) {
--- a/internal/testbench/sim/process.go
+++ b/internal/testbench/sim/process.go
@@ -63,11 +63,11 @@
 	return p.world.now + p.host.clockOffset
 }
 
-// Late is 0: a call takes no time here.
-func (p *Process) Late() Time { return 0 }
+// ClockLag is 0: a call takes no time here.
+func (p *Process) ClockLag() Time { return 0 }
 
-// Resumed implements machine.Machine.
-func (p *Process) Resumed(after Time, f func()) {
+// OnResume implements machine.Machine.
+func (p *Process) OnResume(after Time, f func()) {
 	p.enter()
 	p.resumed, p.minPause, p.lastCall = f, after, p.world.now
 }
@@ -148,8 +148,8 @@
 	return p.host.disk.read(name, most)
 }
 
-// Signals implements machine.Machine.
-func (p *Process) Signals(f func(machine.Signal)) {
+// OnSignal implements machine.Machine.
+func (p *Process) OnSignal(f func(machine.Signal)) {
 	p.enter()
 	p.signals = f
 	for _, s := range p.pendingSignals {
--- a/internal/testbench/sim/world_test.go
+++ b/internal/testbench/sim/world_test.go
@@ -220,7 +220,7 @@
 		func() { m.Dial(serverAddr, 1, nil) },
 		func() { m.ListenPacket("10.0.0.2:2", nil) },
 		func() { m.ReadFile("x", 1) },
-		func() { m.Signals(nil) },
+		func() { m.OnSignal(nil) },
 		func() { m.Log("x") },
 		func() { near.conn.Read(make([]byte, 1)) },
 		func() { near.conn.Write([]byte("x")) },
@@ -415,7 +415,7 @@
 	if err != nil {
 		t.Error(err)
 	}
-	m.Signals(func(machine.Signal) { m.Log("signal") })
+	m.OnSignal(func(machine.Signal) { m.Log("signal") })
 	pool := make([]byte, 40_000) // of bytes to send
 	for i := range pool {
 		pool[i] = byte(r.Uint64())
--- a/internal/testbench/standin/lab_test.go
+++ b/internal/testbench/standin/lab_test.go
@@ -66,11 +66,11 @@
 	l.now = until
 }
 
-func (l *lab) Now() Time            { return l.now }
-func (l *lab) Wall() Time           { return l.now }
-func (l *lab) Entropy() uint64      { return 4 }
-func (l *lab) Late() Time           { return 0 }
-func (l *lab) Resumed(Time, func()) {}
+func (l *lab) Now() Time             { return l.now }
+func (l *lab) Wall() Time            { return l.now }
+func (l *lab) Entropy() uint64       { return 4 }
+func (l *lab) ClockLag() Time        { return 0 }
+func (l *lab) OnResume(Time, func()) {}
 func (l *lab) At(t Time, f func()) machine.Timer {
 	l.seq++
 	e := &labEvent{max(t, l.now), l.seq, f}
@@ -160,7 +160,7 @@
 
 // OnDisk implements machine.Machine. No stand-in uses files.
 func (l *lab) OnDisk(func(machine.Disk), func()) { panic("the lab has no disk") }
-func (l *lab) Signals(func(machine.Signal))      {}
+func (l *lab) OnSignal(func(machine.Signal))     {}
 func (l *lab) Log(string)                        {}
 
 // labBufferSize is the maximum of unread bytes on a connection.
@@ -225,8 +225,8 @@
 	return n, nil
 }
 
-func (c *labConn) Quiet() bool { return !c.closed && !c.end && !c.reset && len(c.in) == 0 }
-func (c *labConn) End() error {
+func (c *labConn) HasNothingUnread() bool { return !c.closed && !c.end && !c.reset && len(c.in) == 0 }
+func (c *labConn) EndError() error {
 	switch {
 	case c.reset:
 		return machine.ErrReset
--- a/internal/upstream/cache.go
+++ b/internal/upstream/cache.go
@@ -122,7 +122,7 @@
 // dispatch writes waiting attempts to idle connections in FIFO order, and opens more connections if there are too few.
 func (c *cache) dispatch() {
 	for len(c.waiting) > 0 && !c.pool.paused {
-		if c.pool.machine.Late() > maxTurnTime {
+		if c.pool.machine.ClockLag() > maxTurnTime {
 			c.scheduleDispatch() // a later turn has an up-to-date clock
 			return
 		}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -128,7 +128,7 @@
 		conn.readReply()
 		return
 	}
-	if conn.socket.Quiet() {
+	if conn.socket.HasNothingUnread() {
 		return
 	}
 	if conn.attempt == nil {
--- a/internal/upstream/descriptors.go
+++ b/internal/upstream/descriptors.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// LendDescriptors allows the pool n idle connections beyond Options.Descriptors. When n decreases, the pool immediately closes
-// the excess idle connections. Without lent descriptors, many rarely used caches would evict each other's idle connections, and
-// most requests would open a new connection.
-func (p *Pool) LendDescriptors(n int) {
+// SetExtraIdleConnections allows the pool n idle connections beyond Options.Descriptors. When n decreases, the pool immediately
+// closes the excess idle connections. Without lent descriptors, many rarely used caches would evict each other's idle connections,
+// and most requests would open a new connection.
+func (p *Pool) SetExtraIdleConnections(n int) {
 	p.lentDescriptors = max(n, 0)
 	for p.connections > p.options.Descriptors+p.lentDescriptors && p.closeLongestIdle() {
 	}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -60,7 +60,7 @@
 			c.dispatchAfterRest()
 			return nil
 		}
-		if conn.idleSince > now-c.pool.maxIdleTime() && conn.socket.Quiet() {
+		if conn.idleSince > now-c.pool.maxIdleTime() && conn.socket.HasNothingUnread() {
 			c.idle = slices.Delete(c.idle, i, i+1)
 			c.pool.idleConnections--
 			return conn
@@ -86,7 +86,7 @@
 // the cache has closed.
 func (c *cache) closeIdle(since Time) {
 	for _, conn := range slices.Clone(c.idle) {
-		if conn.idleSince <= since || !conn.socket.Quiet() {
+		if conn.idleSince <= since || !conn.socket.HasNothingUnread() {
 			conn.close()
 		}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,7 +25,7 @@
 
 	connections       int  // number of connections to all caches, including those being established
 	idleConnections   int  // number of idle connections
-	lentDescriptors   int  // set by LendDescriptors, for idle connections only
+	lentDescriptors   int  // set by SetExtraIdleConnections, for idle connections only
 	descriptorWanted  bool // an attempt waits for a descriptor; attempts are dispatched when one is free
 	paused            bool // set by Pause: no attempt is written
 	reconnectsLimited bool // set by LimitReconnects
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -181,7 +181,7 @@
 func TestLentDescriptorsHoldIdleConnections(t *testing.T) {
 	cache, other := routertest.NewCache(t), routertest.NewCache(t)
 	r := newTestPool(t, cache.Addr(), func(o *Options) { o.Descriptors = 1 })
-	r.Do(func() { r.pool.LendDescriptors(1) })
+	r.Do(func() { r.pool.SetExtraIdleConnections(1) })
 	r.updateCache("c2", other.Addr(), true, false)
 	r.send(r.request(nil), long)
 	first := r.command(cache)
@@ -205,7 +205,7 @@
 	third.Reply(t, served)
 	r.wantResult(decide.Served)
 	r.Do(func() {
-		if r.pool.LendDescriptors(0); r.pool.connections != 1 {
+		if r.pool.SetExtraIdleConnections(0); r.pool.connections != 1 {
 			t.Errorf("got %d connections after LendDescriptors(0), want 1", r.pool.connections)
 		}
 	})
--- a/internal/upstream/result_test.go
+++ b/internal/upstream/result_test.go
@@ -241,7 +241,7 @@
 	first.Reply(t, served)
 	r.Until("the duplicate", func() bool {
 		c1 := r.pool.caches["c1"]
-		return len(c1.idle) == 0 || !c1.idle[0].socket.Quiet()
+		return len(c1.idle) == 0 || !c1.idle[0].socket.HasNothingUnread()
 	})
 	r.send(r.request(nil), long)
 	second := r.command(cache)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -53,7 +53,7 @@
 type Options struct {
 	Limits       limits.Caches
 	Routers      int               // number of routers that share the connections a cache accepts
-	Descriptors  int               // maximum number of connections to all caches; LendDescriptors allows additional idle ones
+	Descriptors  int               // maximum number of connections to all caches; SetExtraIdleConnections allows additional idle ones
 	DialTimeout  Time              // time limit for establishing a connection
 	Keepalive    Time              // idle time after which a cache closes a connection
 	StalledAfter Time              // for log lines only, an attempt cancelled after this time counts as timed out
