--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -126,7 +126,7 @@
 		return
 	}
 	var fields []slog.Attr
-	for k, n := range l.counts { // in random order; sorted below
+	for k, n := range l.counts { // any order: sorted below
 		fields = append(fields, slog.Int(string(k.event)+"."+k.reason, n))
 	}
 	slices.SortFunc(fields, func(a, b slog.Attr) int { return strings.Compare(a.Key, b.Key) })
--- a/internal/guard/overdue.go
+++ b/internal/guard/overdue.go
@@ -17,7 +17,7 @@
 	c.now = now
 	clear(c.repairs)
 	var overdue []int64
-	for id, request := range c.requests { // the map order does not matter: overdue is sorted below
+	for id, request := range c.requests { // any order: overdue is sorted below
 		if request.isOverdue(now) {
 			overdue = append(overdue, id)
 		}
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -197,7 +197,7 @@
 	}
 	var name string
 	var body json.RawMessage
-	for name, body = range object { // exactly one key
+	for name, body = range object { // any order: there is exactly one key
 	}
 	if len(body) == 0 || body[0] != '{' {
 		return "", nil, fmt.Errorf("%s: want an object", name)
--- a/internal/testbench/rules/answers.go
+++ b/internal/testbench/rules/answers.go
@@ -63,7 +63,7 @@
 // requestServedWith returns the request, the first in the order of sending, that a cache served with the value.
 func (w *Watcher) requestServedWith(value string) *request {
 	var first *request
-	for _, r := range w.requests { // the map order is irrelevant: the request sent first is returned
+	for _, r := range w.requests { // any order: the request sent first is returned
 		if first != nil && first.order < r.order {
 			continue
 		}
--- a/internal/testbench/rules/watcher.go
+++ b/internal/testbench/rules/watcher.go
@@ -46,7 +46,7 @@
 		routers:               map[string]*router{},
 		caches:                map[string]*cache{},
 	}
-	for name, c := range settings.Classes { // the map order is irrelevant: the classes are independent
+	for name, c := range settings.Classes { // any order: the classes are independent
 		w.classes[name] = &class{Class: c, tally: Tally{Class: name}}
 		w.retention = max(w.retention, c.IdempotencyWindow, c.ClientTimeout)
 	}
@@ -89,7 +89,7 @@
 func (w *Watcher) Counts() Counts {
 	c := w.counts
 	c.Held = len(w.requests)
-	for _, class := range w.classes { // the map order is irrelevant: sorted below
+	for _, class := range w.classes { // any order: sorted below
 		c.Classes = append(c.Classes, class.tally)
 	}
 	slices.SortFunc(c.Classes, func(a, b Tally) int { return strings.Compare(a.Class, b.Class) })
