--- a/internal/machine/conn_test.go
+++ b/internal/machine/conn_test.go
@@ -208,7 +208,7 @@
 				} else {
 					_, err = c.Read(make([]byte, 1))
 				}
-				// The kernel reports the reset once, to the call of Quiet above, so the machine must remember it.
+				// The kernel reports the reset once, to the call of HasNothingUnread above, so the machine must remember it.
 				if !errors.Is(err, ErrReset) {
 					t.Errorf("write first %v: call %d after a reset: got error %v, want ErrReset", writeFirst, i, err)
 				}
--- a/internal/machine/machinetest/conns.go
+++ b/internal/machine/machinetest/conns.go
@@ -131,7 +131,7 @@
 			b.Errorf("Write after Close: got error %v, want ErrClosed", err)
 		}
 		if near.conn.HasNothingUnread() {
-			b.Error("Quiet of a closed connection: got true, want false")
+			b.Error("HasNothingUnread of a closed connection: got true, want false")
 		}
 	})
 	callsBefore := near.readableCalls
@@ -145,7 +145,7 @@
 	near, far := b.pair(false)
 	b.call(func() {
 		if !b.eventuallyQuiet(far.conn) {
-			b.Error("Quiet of a new connection: got false, want true")
+			b.Error("HasNothingUnread of a new connection: got false, want true")
 		}
 		near.write("ab")
 	})
@@ -153,18 +153,18 @@
 	b.wait("the bytes", func() bool { return far.readableCalls > 0 })
 	b.call(func() {
 		if far.conn.HasNothingUnread() {
-			b.Error("Quiet with unread bytes: got true, want false")
+			b.Error("HasNothingUnread with unread bytes: got true, want false")
 		}
 		far.readAll()
 		far.reads = true
 		if !b.TakesLess && (!far.conn.HasNothingUnread() || string(far.got) != "ab") {
-			b.Errorf("Quiet after reading %q: got false, want true after \"ab\"", far.got)
+			b.Errorf("HasNothingUnread after reading %q: got false, want true after \"ab\"", far.got)
 		}
 	})
 	b.wait("all bytes", func() bool { return string(far.got) == "ab" })
 	b.call(func() {
 		if !b.eventuallyQuiet(far.conn) {
-			b.Errorf("Quiet after reading %q: got false, want true after \"ab\"", far.got)
+			b.Errorf("HasNothingUnread after reading %q: got false, want true after \"ab\"", far.got)
 		}
 		near.conn.Close()
 	})
@@ -172,7 +172,7 @@
 	b.call(func() {
 		far.readAll()
 		if !b.TakesLess && far.err != io.EOF {
-			b.Errorf("read after Quiet reported the end: got error %v, want EOF", far.err)
+			b.Errorf("read after HasNothingUnread reported the end: got error %v, want EOF", far.err)
 		}
 	})
 	b.wait("the read of the end", func() bool { return far.err != nil })
--- a/internal/machine/machinetest/disk.go
+++ b/internal/machine/machinetest/disk.go
@@ -125,7 +125,7 @@
 	b.PutLink(b.path("link"))
 	b.onDisk(func(d machine.Disk) {
 		if got, err := d.Read(b.path("link"), 1000); !errors.Is(err, machine.ErrNotRegularFile) {
-			b.Errorf("Read of a link: got %q and error %v, want ErrIrregular", got, err)
+			b.Errorf("Read of a link: got %q and error %v, want ErrNotRegularFile", got, err)
 		}
 		if err := d.Create(b.path("link"), nil); !errors.Is(err, fs.ErrExist) {
 			b.Errorf("Create in place of a link: got error %v, want ErrExist", err)
--- a/internal/machine/machinetest/listeners.go
+++ b/internal/machine/machinetest/listeners.go
@@ -120,7 +120,7 @@
 			b.Errorf("Listen at an address in use: got error %v, want ErrAddressInUse", err)
 		}
 		if _, err := b.B.Listen("192.0.2.1:7000", nil); !errors.Is(err, machine.ErrAddressNotAvailable) {
-			b.Errorf("Listen at an address of another machine: got error %v, want ErrAddressMissing", err)
+			b.Errorf("Listen at an address of another machine: got error %v, want ErrAddressNotAvailable", err)
 		}
 	})
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -206,7 +206,7 @@
 	r.wantResult(decide.Served)
 	r.Do(func() {
 		if r.pool.SetExtraIdleConnections(0); r.pool.connections != 1 {
-			t.Errorf("got %d connections after LendDescriptors(0), want 1", r.pool.connections)
+			t.Errorf("got %d connections after SetExtraIdleConnections(0), want 1", r.pool.connections)
 		}
 	})
 	r.waitForEnd(other) // the connection that was idle longest
